--- a/core/answer.go
+++ b/core/answer.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// Refuse returns refusal for a first attempt. For a later attempt it returns an
+// RefusalAnswer returns refusal for a first attempt. For a later attempt it returns an
 // OutcomeUnknown with the same code: whoever refuses without knowing the id's
 // record can't know whether an earlier attempt ran.
-func Refuse(attempt Attempt, refusal NotRun) Answer {
+func RefusalAnswer(attempt Attempt, refusal NotRun) Answer {
 	if attempt <= 1 {
 		return refusal
 	}
--- a/core/code.go
+++ b/core/code.go
@@ -61,13 +61,13 @@
 
 // CodeInfo is one line of the table of result codes.
 type CodeInfo struct {
-	Code     Code
-	Name     string
-	Outcome  string
-	Sentence string
+	Code        Code
+	Name        string
+	Outcome     string
+	Description string
 }
 
-var codeTable = mustReadCodes(codesCSV)
+var codeTable = mustParseCodes(codesCSV)
 
 // Codes returns the table of result codes, ascending.
 func Codes() []CodeInfo {
@@ -87,7 +87,7 @@
 // String returns the name of c, as logs and callers see it.
 func (c Code) String() string { return c.Info().Name }
 
-func mustReadCodes(data []byte) []CodeInfo {
+func mustParseCodes(data []byte) []CodeInfo {
 	records, err := csv.NewReader(bytes.NewReader(data)).ReadAll()
 	if err != nil {
 		panic(err)
@@ -98,7 +98,7 @@
 		if err != nil {
 			panic(err)
 		}
-		table = append(table, CodeInfo{Code: Code(n), Name: record[1], Outcome: record[2], Sentence: record[3]})
+		table = append(table, CodeInfo{Code: Code(n), Name: record[1], Outcome: record[2], Description: record[3]})
 	}
 	return table
 }
--- a/core/code_test.go
+++ b/core/code_test.go
@@ -12,22 +12,22 @@
 	"lavenderpond/core"
 )
 
-const codesPage = "../docs/RESULT-CODES.md"
+const codesPagePath = "../docs/RESULT-CODES.md"
 
-// TestCodesPage holds the operators' page and the code's table equal.
-func TestCodesPage(t *testing.T) {
-	page, err := filepath.Abs(codesPage)
+// TestCodesPageIsCurrent holds the operators' page and the code's table equal.
+func TestCodesPageIsCurrent(t *testing.T) {
+	page, err := filepath.Abs(codesPagePath)
 	assert.NilError(t, err)
 	golden.Assert(t, renderCodes(), page)
 }
 
-func TestEveryCodeHasALine(t *testing.T) {
+func TestCodesAreUniqueAndDescribed(t *testing.T) {
 	seen := map[string]bool{}
 	for _, info := range core.Codes() {
 		assert.Assert(t, !seen[info.Name], "name %s stands twice", info.Name)
 		seen[info.Name] = true
 		assert.Equal(t, info.Code.String(), info.Name)
-		assert.Assert(t, info.Sentence != "")
+		assert.Assert(t, info.Description != "")
 	}
 }
 
@@ -39,7 +39,7 @@
 	b.WriteString("a second or later attempt: an earlier one may have run.\n\n")
 	b.WriteString("| number | name | outcome | meaning |\n|---|---|---|---|\n")
 	for _, info := range core.Codes() {
-		fmt.Fprintf(&b, "| %d | `%s` | `%s` | %s |\n", uint16(info.Code), info.Name, info.Outcome, info.Sentence)
+		fmt.Fprintf(&b, "| %d | `%s` | `%s` | %s |\n", uint16(info.Code), info.Name, info.Outcome, info.Description)
 	}
 	return b.String()
 }
--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -8,22 +8,22 @@
 type Part string
 
 const (
-	// staleAfter is how old the table's last word may be, of any part, until it counts
+	// maxAnswerAge is how old the table's last word may be, of any part, until it counts
 	// as out of reach. A weak entry VM reads every 450 ms; a slow table adds to that.
-	staleAfter = 700 * time.Millisecond
-	// probeTable and probePart are the pauses between the calls that find out whether
+	maxAnswerAge = 700 * time.Millisecond
+	// tableProbeInterval and probePart are the pauses between the calls that find out whether
 	// the table, or one part of it, is back.
-	probeTable = 100 * time.Millisecond
-	probePart  = 200 * time.Millisecond
+	tableProbeInterval = 100 * time.Millisecond
+	partProbeInterval  = 200 * time.Millisecond
 )
 
-// Verdict says what to do with a call.
-type Verdict int
+// Decision says what to do with a call.
+type Decision int
 
 // The verdicts.
 const (
 	// Call: nothing speaks against it.
-	Call Verdict = iota
+	Call Decision = iota
 	// Probe: it is likely to fail; others of its kind are refused until it has ended.
 	Probe
 	// Refuse: it would fail. The caller can go to another process at once.
@@ -31,69 +31,69 @@
 )
 
 // String returns the verdict in snake case.
-func (v Verdict) String() string { return [...]string{"call", "probe", "refuse"}[v] }
+func (v Decision) String() string { return [...]string{"call", "probe", "refuse"}[v] }
 
-// Table is what a process knows of the table. Its zero value has heard nothing.
+// Breaker is what a process knows of the table. Its zero value has heard nothing.
 //
 // Whether a part answers is known from that part alone. When some parts are down and
 // the one with the owner's rows is among them, a process that went by that one refused
 // every caller, though most of their jobs could have been stored.
-type Table struct {
-	heard   time.Time
-	probeAt time.Time
-	parts   map[Part]*part
+type Breaker struct {
+	lastAnswer  time.Time
+	nextProbeAt time.Time
+	failedParts map[Part]*failedPart
 }
 
-// part is a part whose last call failed.
-type part struct {
-	probeAt time.Time
+// failedPart is a part whose last call failed.
+type failedPart struct {
+	nextProbeAt time.Time
 }
 
-// Heard notes that a part has answered. It tells whether it hadn't before.
-func (t *Table) Heard(now time.Time, p Part) (regained bool) {
-	t.HeardAny(now)
-	regained = t.parts[p] != nil
-	delete(t.parts, p)
+// RecordAnswer notes that a part has answered. It tells whether it hadn't before.
+func (t *Breaker) RecordAnswer(now time.Time, p Part) (regained bool) {
+	t.RecordContact(now)
+	regained = t.failedParts[p] != nil
+	delete(t.failedParts, p)
 	return regained
 }
 
-// HeardAny notes an answer that is of no part.
-func (t *Table) HeardAny(now time.Time) {
-	if now.After(t.heard) {
-		t.heard = now
+// RecordContact notes an answer that is of no part.
+func (t *Breaker) RecordContact(now time.Time) {
+	if now.After(t.lastAnswer) {
+		t.lastAnswer = now
 	}
-	t.probeAt = time.Time{}
+	t.nextProbeAt = time.Time{}
 }
 
-// Failed notes that a part was asked and did not answer, or refused. It tells whether
+// RecordFailure notes that a part was asked and did not answer, or refused. It tells whether
 // it had answered before.
-func (t *Table) Failed(now time.Time, p Part) (lost bool) {
-	if t.parts == nil {
-		t.parts = map[Part]*part{}
+func (t *Breaker) RecordFailure(now time.Time, p Part) (lost bool) {
+	if t.failedParts == nil {
+		t.failedParts = map[Part]*failedPart{}
 	}
-	if t.parts[p] != nil {
+	if t.failedParts[p] != nil {
 		return false
 	}
-	t.parts[p] = &part{probeAt: now.Add(probePart)}
+	t.failedParts[p] = &failedPart{nextProbeAt: now.Add(partProbeInterval)}
 	return true
 }
 
-// Age returns how old the table's last word is.
-func (t *Table) Age(now time.Time) time.Duration { return now.Sub(t.heard) }
+// SinceLastAnswer returns how old the table's last word is.
+func (t *Breaker) SinceLastAnswer(now time.Time) time.Duration { return now.Sub(t.lastAnswer) }
 
 // Decide says what to do with a call to a part. A probe is taken to be sent.
-func (t *Table) Decide(now time.Time, p Part) Verdict {
-	if t.Age(now) > staleAfter {
-		return probe(now, &t.probeAt, probeTable)
+func (t *Breaker) Decide(now time.Time, p Part) Decision {
+	if t.SinceLastAnswer(now) > maxAnswerAge {
+		return allowProbe(now, &t.nextProbeAt, tableProbeInterval)
 	}
-	if x := t.parts[p]; x != nil {
-		return probe(now, &x.probeAt, probePart)
+	if down := t.failedParts[p]; down != nil {
+		return allowProbe(now, &down.nextProbeAt, partProbeInterval)
 	}
 	return Call
 }
 
-// probe lets one call through in each pause.
-func probe(now time.Time, next *time.Time, pause time.Duration) Verdict {
+// allowProbe lets one call through in each pause.
+func allowProbe(now time.Time, next *time.Time, pause time.Duration) Decision {
 	if now.Before(*next) {
 		return Refuse
 	}
--- a/core/contact/contact_test.go
+++ b/core/contact/contact_test.go
@@ -16,50 +16,50 @@
 // The part with the owner's rows is down, those with jobs are not. Callers whose job
 // lies in a part that answers are served all the while; the others are refused at once,
 // but for one call in a while that finds the part's return.
-func TestPartsAreJudgedByThemselves(t *testing.T) {
-	var c contact.Table
-	c.Heard(start, "main")
+func TestPartsAreDecidedIndependently(t *testing.T) {
+	var b contact.Breaker
+	b.RecordAnswer(start, "main")
 	served, refused, probes := 0, 0, 0
 	for d := time.Duration(0); d < 5*time.Second; d += 50 * time.Millisecond {
-		c.Failed(at(d), "main")
-		if v := c.Decide(at(d), "up"); v == contact.Refuse {
+		b.RecordFailure(at(d), "main")
+		if decision := b.Decide(at(d), "up"); decision == contact.Refuse {
 			t.Fatalf("a part that answers was refused after %s", d)
 		}
-		c.Heard(at(d), "up")
+		b.RecordAnswer(at(d), "up")
 		served++
-		switch c.Decide(at(d), "down") {
+		switch b.Decide(at(d), "down") {
 		case contact.Refuse:
 			refused++
 		default:
 			probes++
-			c.Failed(at(d), "down")
+			b.RecordFailure(at(d), "down")
 		}
 	}
 	assert.Equal(t, served, 100)
 	assert.Assert(t, refused >= 70, "%d refused", refused)
 	assert.Assert(t, probes >= 20, "%d probes", probes)
-	c.Heard(at(5*time.Second), "down")
-	assert.Equal(t, c.Decide(at(5*time.Second), "down"), contact.Call)
+	b.RecordAnswer(at(5*time.Second), "down")
+	assert.Equal(t, b.Decide(at(5*time.Second), "down"), contact.Call)
 }
 
 // The table is out of reach as a whole. One call every tenth of a second finds its
 // return; all others are refused at once and can go to another process.
-func TestWholeOutageIsProbed(t *testing.T) {
-	var c contact.Table
-	c.Heard(start, "a")
-	n := map[contact.Verdict]int{}
+func TestTableOutageIsProbed(t *testing.T) {
+	var c contact.Breaker
+	c.RecordAnswer(start, "a")
+	n := map[contact.Decision]int{}
 	for d := time.Second; d < 3*time.Second; d += 10 * time.Millisecond {
 		n[c.Decide(at(d), "a")]++
 	}
 	assert.Equal(t, n[contact.Probe], 20)
 	assert.Equal(t, n[contact.Refuse], 180)
-	c.Heard(at(3*time.Second), "b")
+	c.RecordAnswer(at(3*time.Second), "b")
 	assert.Equal(t, c.Decide(at(3*time.Second), "a"), contact.Call)
 }
 
 // A process that has just begun has heard nothing; its first call finds out.
 func TestFirstCallIsAProbe(t *testing.T) {
-	var c contact.Table
+	var c contact.Breaker
 	assert.Equal(t, c.Decide(start, "a"), contact.Probe)
 	assert.Equal(t, c.Decide(start, "a"), contact.Refuse)
 }
--- a/core/deadline/heap.go
+++ b/core/deadline/heap.go
@@ -11,8 +11,8 @@
 	// Deadline is the time by which the item is ordered. It may change only through
 	// Heap.Fix, but for items whose order it leaves as it is.
 	Deadline() time.Time
-	// Place is where the Heap notes the item's index.
-	Place() *int
+	// HeapIndex is where the Heap notes the item's index.
+	HeapIndex() *int
 }
 
 // Heap keeps items, the one with the earliest deadline first. Its zero value is
@@ -29,16 +29,16 @@
 func (h *Heap[T]) Push(item T) { heap.Push(&h.items, item) }
 
 // Fix puts an item whose deadline has changed in its place.
-func (h *Heap[T]) Fix(item T) { heap.Fix(&h.items, *item.Place()) }
+func (h *Heap[T]) Fix(item T) { heap.Fix(&h.items, *item.HeapIndex()) }
 
 // Remove takes an item out.
-func (h *Heap[T]) Remove(item T) { heap.Remove(&h.items, *item.Place()) }
+func (h *Heap[T]) Remove(item T) { heap.Remove(&h.items, *item.HeapIndex()) }
 
 // Due returns the first item if its deadline has come.
 func (h *Heap[T]) Due(now time.Time) (T, bool) {
 	if len(h.items) == 0 || now.Before(h.items[0].Deadline()) {
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 	return h.items[0], true
 }
@@ -55,13 +55,13 @@
 // Swap implements heap.Interface.
 func (s items[T]) Swap(i, j int) {
 	s[i], s[j] = s[j], s[i]
-	*s[i].Place(), *s[j].Place() = i, j
+	*s[i].HeapIndex(), *s[j].HeapIndex() = i, j
 }
 
 // Push implements heap.Interface.
 func (s *items[T]) Push(x any) {
 	item := x.(T)
-	*item.Place() = len(*s)
+	*item.HeapIndex() = len(*s)
 	*s = append(*s, item)
 }
 
--- a/core/emulator/capacity.go
+++ b/core/emulator/capacity.go
@@ -20,16 +20,16 @@
 )
 
 // fullRoom is the room of a VM that hasn't shrunk.
-var fullRoom = job.Room{CPU: vmCPU, MemMB: vmMemMB}
+var fullRoom = job.Resources{CPU: vmCPU, MemMB: vmMemMB}
 
 // roomSince is the room that a VM has from an instant on.
 type roomSince struct {
-	room job.Room
+	room job.Resources
 	from time.Time
 }
 
 // room is what the VM has now.
-func (v *vm) room() job.Room { return v.rooms[len(v.rooms)-1].room }
+func (v *vm) room() job.Resources { return v.rooms[len(v.rooms)-1].room }
 
 // resizeSoon gives the VM another room before long, and so on while it lives.
 func (v *vm) resizeSoon() {
@@ -38,13 +38,13 @@
 			return
 		}
 		share := min(1, leastShare+v.w.rng.Float64())
-		v.setRoom(job.Room{CPU: int64(vmCPU * share), MemMB: int64(vmMemMB * share)})
+		v.setRoom(job.Resources{CPU: int64(vmCPU * share), MemMB: int64(vmMemMB * share)})
 		v.resizeSoon()
 	})
 }
 
 // setRoom changes the VM's room; its next heartbeat shows it.
-func (v *vm) setRoom(r job.Room) {
+func (v *vm) setRoom(r job.Resources) {
 	v.w.tell("%s has room %d now", v.id, r.CPU)
 	v.rooms = append(v.rooms, roomSince{r, v.w.now})
 	v.w.after(v.w.between(0, heartbeat), func() { v.w.table.putVM(v) })
@@ -52,26 +52,26 @@
 
 // roomCounted is the most that may run on the VM. A room that has shrunk counts once the
 // entry VMs must know of it, one that has grown at once.
-func (v *vm) roomCounted() job.Room {
+func (v *vm) roomCounted() job.Resources {
 	most := v.room()
 	for i := len(v.rooms) - 1; i > 0; i-- {
 		if v.w.now.Sub(v.rooms[i].from) > contactPeriod+heartbeat {
 			break
 		}
-		most = most.Most(v.rooms[i-1].room)
+		most = most.Max(v.rooms[i-1].room)
 	}
 	return most
 }
 
 // fits tells whether the VM takes a task: one that doesn't guard its room takes any.
-func (v *vm) fits(claim job.Room) bool {
-	return v.machine.unguarded || claim.Fits(v.room().Minus(v.used()))
+func (v *vm) fits(claim job.Resources) bool {
+	return v.machine.unguarded || claim.FitsIn(v.room().Sub(v.used()))
 }
 
 // checkRoom checks that a start brings no VM over its room; those that guard it refuse.
 func (g *judge) checkRoom(v *vm, r *vmRun) {
 	used, most := v.used(), v.roomCounted()
-	if v.machine.unguarded && !used.Fits(most) {
+	if v.machine.unguarded && !used.FitsIn(most) {
 		g.broken("LIMIT: %v attempt %d brings %s to %d of %d", r.task, r.attempt, v.id, used.CPU, most.CPU)
 	}
 }
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -73,7 +73,7 @@
 // good, and the upkeep of the VMs where its siblings are at work may have to wait.
 func (g *judge) lastingGivenUp() bool {
 	for id := range g.gaveUp {
-		if g.w.jobs[id.Job].Body.Lasting() && g.givenUp(id) {
+		if g.w.jobs[id.Job].Body.LongRunning() && g.givenUp(id) {
 			return true
 		}
 	}
--- a/core/emulator/day.go
+++ b/core/emulator/day.go
@@ -68,7 +68,7 @@
 
 // objective is how long the job may take.
 func (t *truth) objective() time.Duration {
-	return time.Duration(t.Terms.Stretch*float64(t.work)*1.15*float64(len(t.Body.Steps))) + t.Terms.Latency
+	return time.Duration(t.Terms.Stretch*float64(t.work)*1.15*float64(len(t.Body.Steps))) + t.Terms.LatencyAllowance
 }
 
 // pools of an emulated deployment.
@@ -89,7 +89,7 @@
 // unfinished tells whether an accepted job isn't over.
 func (w *World) unfinished() bool {
 	for _, s := range w.table.submitted {
-		if !s.job.Body.Lasting() && w.jobs[s.job.ID].owed() && !w.judge.states[s.job.ID].Final() {
+		if !s.job.Body.LongRunning() && w.jobs[s.job.ID].owed() && !w.judge.states[s.job.ID].Final() {
 			return true
 		}
 	}
@@ -138,11 +138,11 @@
 	w.conf = &job.Configuration{
 		Version: 1,
 		Queues: []job.Queue{
-			{Name: "one", Pool: poolOne, Attempts: 3, Stretch: 1.6, Latency: 600 * time.Millisecond},
-			{Name: "two", Pool: poolTwo, Attempts: 3, Stretch: 1.6, Latency: 600 * time.Millisecond},
+			{Name: "one", Pool: poolOne, MaxAttempts: 3, Stretch: 1.6, LatencyAllowance: 600 * time.Millisecond},
+			{Name: "two", Pool: poolTwo, MaxAttempts: 3, Stretch: 1.6, LatencyAllowance: 600 * time.Millisecond},
 		},
 		Pools:    []job.Pool{{Name: poolOne}, {Name: poolTwo}, {Name: standby, Standby: true}},
-		Accounts: []job.Account{{Name: "first", Cap: job.Room{CPU: d.Cap}}, {Name: "second"}},
+		Accounts: []job.Account{{Name: "first", Quota: job.Resources{CPU: d.Cap}}, {Name: "second"}},
 	}
 	w.conf.Index()
 	w.addMachines(d)
@@ -211,7 +211,7 @@
 	t := &truth{handedIn: w.now, errorShare: 0, work: startup}
 	t.Job = job.Job{ID: w.newID(), Terms: w.terms(queue, "second"), Body: job.Body{
 		Spec:  "lasting",
-		Steps: []job.Step{{Count: 4, Room: job.Room{CPU: 3000, MemMB: 4000}, Lasting: true, MaxPerVM: 1, MayMiss: 1, HasMayMiss: true}},
+		Steps: []job.Step{{Count: 4, Resources: job.Resources{CPU: 3000, MemMB: 4000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true}},
 	}}
 	if w.chance(d.CrashingLasting) {
 		t.crashing = w.anyTask(t)
@@ -222,7 +222,7 @@
 
 func (w *World) terms(queue job.QueueName, a job.AccountName) job.Terms {
 	q := w.conf.Queue(queue)
-	return job.Terms{Queue: queue, Pool: q.Pool, Account: a, Attempts: q.Attempts, Stretch: q.Stretch, Latency: q.Latency}
+	return job.Terms{Queue: queue, Pool: q.Pool, Account: a, MaxAttempts: q.MaxAttempts, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
 }
 
 func (w *World) submitJob(d Day, queue job.QueueName) {
@@ -236,7 +236,7 @@
 	body := job.Body{Spec: "work"}
 	for s := range 1 + w.rng.IntN(2) {
 		st := job.Step{
-			Count: 2 + w.rng.IntN(8), Room: job.Room{CPU: 800 + w.rng.Int64N(2500), MemMB: 1000},
+			Count: 2 + w.rng.IntN(8), Resources: job.Resources{CPU: 800 + w.rng.Int64N(2500), MemMB: 1000},
 			Estimate: time.Duration(math.Exp(w.rng.NormFloat64()*0.5) * float64(t.work)),
 		}
 		if s > 0 {
@@ -259,7 +259,7 @@
 
 // addWave asks for the upkeep of machines of both pools.
 func (w *World) addWave(n int) {
-	w.wave = job.Wave{Number: 1, AtOnce: 2, Within: 30 * time.Second}
+	w.wave = job.Wave{Number: 1, MaxConcurrent: 2, Within: 30 * time.Second}
 	for i, m := range w.machines {
 		if i%2 == 0 && len(w.wave.Machines) < n {
 			w.wave.Machines = append(w.wave.Machines, m.id)
@@ -280,7 +280,7 @@
 	return map[int64]job.Wave{w.wave.Number: w.wave}
 }
 
-func (w *World) waveCap() int { return w.wave.AtOnce }
+func (w *World) waveCap() int { return w.wave.MaxConcurrent }
 
 // checkEnd checks that nothing was lost: by now every accepted job is over, and
 // what is to last runs.
@@ -290,7 +290,7 @@
 		state := w.judge.states[t.ID]
 		switch {
 		case !t.owed():
-		case t.Body.Lasting():
+		case t.Body.LongRunning():
 			w.judge.checkLasts(t)
 		case !state.Final():
 			w.judge.broken("%s, handed in at %.3f s, is still %s", t.ID, t.handedIn.Sub(epoch).Seconds(), state)
--- a/core/emulator/flaws.go
+++ b/core/emulator/flaws.go
@@ -9,7 +9,7 @@
 func (g *judge) anyTried(t *truth) bool {
 	for step := range t.Body.Steps {
 		for i := range t.Body.Steps[step].Count {
-			if g.failed[job.TaskID{Job: t.ID, Step: step, Index: i}] >= t.Terms.Attempts {
+			if g.failed[job.TaskID{Job: t.ID, Step: step, Index: i}] >= t.Terms.MaxAttempts {
 				return true
 			}
 		}
@@ -20,7 +20,7 @@
 // checkBudget checks that a task isn't started after all its attempts were noted as
 // failed.
 func (g *judge) checkBudget(t *truth, r *vmRun) {
-	if n := g.notedFailed[r.task]; !r.lasting && n >= t.Terms.Attempts {
+	if n := g.notedFailed[r.task]; !r.lasting && n >= t.Terms.MaxAttempts {
 		g.broken("BUDGET: %v attempt %d starts after %d failed ones were noted", r.task, r.attempt, n)
 	}
 }
@@ -43,7 +43,7 @@
 // noted at once, whatever else isn't stored yet.
 func (t *truth) widen() {
 	for i := range t.Body.Steps {
-		t.Body.Steps[i].Room.CPU = wideCPU
+		t.Body.Steps[i].Resources.CPU = wideCPU
 	}
 }
 
--- a/core/emulator/judge.go
+++ b/core/emulator/judge.go
@@ -73,7 +73,7 @@
 	if asked, ok := g.w.evacuated[v.machine.zone]; ok && g.w.now.Sub(asked) > g.evacuateWithin {
 		g.broken("%v starts on %s in zone %s, which is evacuated since %.3f s", r.task, v.id, v.machine.zone, asked.Sub(epoch).Seconds())
 	}
-	if step.Lasting {
+	if step.LongRunning {
 		g.w.after(startup, func() { g.atWork(r) })
 	}
 	for _, a := range step.After {
@@ -98,7 +98,7 @@
 
 func (g *judge) checkCap(t *truth) {
 	account := g.w.conf.Account(t.Terms.Account)
-	if account == nil || account.Cap.CPU == 0 {
+	if account == nil || account.Quota.CPU == 0 {
 		return
 	}
 	sum, most := int64(0), int64(0)
@@ -107,12 +107,12 @@
 		if o.Terms.Account != t.Terms.Account {
 			continue
 		}
-		cpu := o.Body.Steps[id.Step].Room.CPU
+		cpu := o.Body.Steps[id.Step].Resources.CPU
 		sum += cpu * int64(len(runs))
 		most = max(most, cpu)
 	}
-	if sum > account.Cap.CPU*11/10+most {
-		g.broken("account %s runs %d of %d", t.Terms.Account, sum, account.Cap.CPU)
+	if sum > account.Quota.CPU*11/10+most {
+		g.broken("account %s runs %d of %d", t.Terms.Account, sum, account.Quota.CPU)
 	}
 }
 
@@ -162,7 +162,7 @@
 func (g *judge) stopping(v *vm, r *vmRun) {
 	t := g.w.jobs[r.task.Job]
 	step := &t.Body.Steps[r.task.Step]
-	if !step.HasMayMiss || !t.cancelledAt.IsZero() || v.drains || g.w.now.Sub(r.began) < startup {
+	if !step.HasDisruptionBudget || !t.cancelledAt.IsZero() || v.drains || g.w.now.Sub(r.began) < startup {
 		return
 	}
 	g.stopped[r.task] = g.w.now
@@ -175,8 +175,8 @@
 			others++
 		}
 	}
-	if others >= step.MayMiss {
-		g.broken("%v is stopped while %d others of its step are away, %d may be", r.task, others, step.MayMiss)
+	if others >= step.DisruptionBudget {
+		g.broken("%v is stopped while %d others of its step are away, %d may be", r.task, others, step.DisruptionBudget)
 	}
 }
 
--- a/core/emulator/machines.go
+++ b/core/emulator/machines.go
@@ -12,7 +12,7 @@
 	for _, m := range w.machines {
 		x := job.Machine{
 			ID: m.id, Pool: m.pool, State: m.state, Zone: m.zone, Labels: []job.Label{"a", m.rack},
-			Room: fullRoom,
+			Capacity: fullRoom,
 		}
 		if m.life != nil && m.life.up {
 			x.VM = m.life.id
@@ -42,7 +42,7 @@
 func (w *World) upkeep(m *machine) {
 	w.Figures.Upkeeps++
 	w.judge.upkeep(m)
-	w.takeAway(m, job.MachineUpkeep, upkeepPeriod)
+	w.takeAway(m, job.MachineMaintenance, upkeepPeriod)
 }
 
 // move takes a machine into another pool.
--- a/core/emulator/node.go
+++ b/core/emulator/node.go
@@ -30,7 +30,7 @@
 	frozen bool
 	// waiting is what arrived while the node was frozen.
 	waiting []func()
-	watch   lease.Watch
+	watch   lease.Watcher
 	owner   *owner
 	// cutFrom are the VMs out of reach, by zone.
 	cutFrom map[job.ZoneName]bool
@@ -53,7 +53,7 @@
 func (n *node) boot() {
 	n.lives++
 	n.life = n.lives
-	n.watch = lease.Watch{}
+	n.watch = lease.Watcher{}
 	n.owner = nil
 	n.look(n.life)
 }
@@ -117,7 +117,7 @@
 			return
 		}
 		t := n.w.table
-		s := lease.Sight{Sent: n.w.now}
+		s := lease.Observation{Sent: n.w.now}
 		var row ownerRow
 		n.call(time.Second, false, func() {
 			s.Owner, s.Renewal = uint64(t.ownerVersion), uint64(t.renewalVersion)
@@ -125,8 +125,8 @@
 			row = t.owner
 		}, func(ok bool) {
 			s.Received = n.w.now
-			s.FormerLife = row.node == n.name && row.life != life
-			if ok && n.watch.Due(s) {
+			s.PreviousRun = row.node == n.name && row.life != life
+			if ok && n.watch.TakeoverDue(s) {
 				n.takeOver(life, s, row)
 				return
 			}
@@ -135,7 +135,7 @@
 	})
 }
 
-func (n *node) takeOver(life int, s lease.Sight, row ownerRow) {
+func (n *node) takeOver(life int, s lease.Observation, row ownerRow) {
 	t := n.w.table
 	sent := n.w.now
 	turn := row.turn + 1
@@ -148,7 +148,7 @@
 			return
 		}
 		o := &owner{n: n, life: life, fence: version, renewal: version, turn: turn, renewAt: n.w.now}
-		o.right.Prove(sent, sent)
+		o.right.Confirm(sent, sent)
 		n.owner = o
 		o.load()
 	})
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -19,7 +19,7 @@
 	renewal   int64
 	turn      int64
 	batch     int64
-	right     lease.Right
+	right     lease.Ownership
 	scheduler *schedule.Scheduler
 	queue     []schedule.Command
 	busy      bool
@@ -138,7 +138,7 @@
 	if o.over {
 		return
 	}
-	o.scheduler.SetRights(schedule.Rights{Order: o.right.MayOrder(now), Start: o.right.MayStart(now), Hold: o.right.MayHold(now)})
+	o.scheduler.SetRights(schedule.Rights{Order: o.right.MayOrderMachines(now), Start: o.right.MayStartTasks(now), Hold: o.right.MayExtendLeases(now)})
 	o.scheduler.Tick(now)
 	o.scheduler.Assign(now, now)
 	for _, c := range o.scheduler.Take() {
@@ -228,7 +228,7 @@
 
 func (o *owner) machineOrder(id job.MachineID, carryOut func(m *machine), answer func(schedule.Outcome, job.MachineRefusal)) {
 	w, n := o.n.w, o.n
-	if !o.right.MayOrder(w.now) {
+	if !o.right.MayOrderMachines(w.now) {
 		// The process may have stood still since the scheduler decided.
 		answer(schedule.NotDone, job.MachineAccepted)
 		return
@@ -306,7 +306,7 @@
 
 func (o *owner) stored(first, sent time.Time, version int64, saves []schedule.Command) {
 	o.renewal = version
-	o.right.Prove(first, sent)
+	o.right.Confirm(first, sent)
 	o.scheduler.Renewed(job.Fence(version))
 	o.renewAt = o.n.w.now.Add(renewEvery)
 	o.busy = false
@@ -326,7 +326,7 @@
 	o.over = true
 	o.n.owner = nil
 	life := o.life
-	o.n.watch = lease.Watch{}
+	o.n.watch = lease.Watcher{}
 	o.n.w.after(lookEvery, func() { o.n.look(life) })
 }
 
--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -23,7 +23,7 @@
 	orders         map[job.MachineID]schedule.MachineOrder
 	submitted      []submission
 	cancelled      []job.ID
-	vms            map[job.VMID]job.VMEntry
+	vms            map[job.VMID]job.VMRecord
 	vmChanges      []vmChange
 
 	// down refuses calls, slow delays them, lost drops answers of writes, late
@@ -55,14 +55,14 @@
 }
 
 type vmChange struct {
-	entry   job.VMEntry
+	entry   job.VMRecord
 	removed bool
 }
 
 func newTable(w *World) *table {
 	return &table{
 		w: w, progress: map[job.ID]job.Progress{}, waves: map[int64][]job.MachineID{},
-		vms: map[job.VMID]job.VMEntry{}, roster: map[job.VMID]schedule.RosterVM{},
+		vms: map[job.VMID]job.VMRecord{}, roster: map[job.VMID]schedule.RosterVM{},
 		orders: map[job.MachineID]schedule.MachineOrder{}, turnedAway: map[*node]bool{},
 	}
 }
@@ -134,9 +134,9 @@
 	if !v.up || v.w.vms[v.id] != v {
 		return
 	}
-	e := job.VMEntry{
+	e := job.VMRecord{
 		ID: v.id, Pool: v.pool, Address: string(v.id), Zone: v.machine.zone, Draining: v.drains,
-		Room: v.room(), Labels: []job.Label{"a", v.machine.rack},
+		Capacity: v.room(), Labels: []job.Label{"a", v.machine.rack},
 		Born: job.Born(v.born.UnixMilli()), Machine: v.machine.id,
 	}
 	t.vms[v.id] = e
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -72,7 +72,7 @@
 	// takes is how long it runs; 0 if it stands still or lasts.
 	takes   time.Duration
 	fails   bool
-	room    job.Room
+	room    job.Resources
 	lasting bool
 	stops   bool
 	// startedBy is who ordered it.
@@ -83,10 +83,10 @@
 	return job.VMClock(float64(v.w.now.Sub(v.born).Milliseconds()) * v.rate)
 }
 
-func (v *vm) used() job.Room {
-	var sum job.Room
+func (v *vm) used() job.Resources {
+	var sum job.Resources
 	for _, r := range v.runs {
-		sum = sum.Plus(r.room)
+		sum = sum.Add(r.room)
 	}
 	return sum
 }
@@ -122,7 +122,7 @@
 	}
 	if len(v.runs) > 0 && v.clock() > v.lease {
 		for _, r := range slices.Clone(v.runs) {
-			v.end(r, job.EndedLapsed)
+			v.end(r, job.EndedLeaseExpired)
 		}
 	}
 	w.after(10*time.Millisecond, func() { w.watchLease(v) })
@@ -174,7 +174,7 @@
 
 func (v *vm) start(o job.StartOrder, from string) job.Report {
 	if v.fenced(o.Fence) {
-		return v.report(job.RefusedFence)
+		return v.report(job.RefusedStaleFence)
 	}
 	for _, r := range v.runs {
 		if r.task == o.Task && r.attempt == o.Attempt {
@@ -187,15 +187,15 @@
 	}
 	v.extend(o.Deadline)
 	if v.barred[o.Task] >= o.Attempt {
-		return v.report(job.RefusedOld)
+		return v.report(job.RefusedStaleAttempt)
 	}
 	t := v.w.jobs[o.Task.Job]
 	step := &t.Body.Steps[o.Task.Step]
-	if !v.fits(step.Claim()) {
-		return v.report(job.RefusedRoom)
+	if !v.fits(step.Reservation()) {
+		return v.report(job.RefusedCapacity)
 	}
 	r := &vmRun{
-		task: o.Task, attempt: o.Attempt, began: v.w.now, room: step.Claim(), lasting: step.Lasting, startedBy: from,
+		task: o.Task, attempt: o.Attempt, began: v.w.now, room: step.Reservation(), lasting: step.LongRunning, startedBy: from,
 		fails: v.failing || t.poison || o.Task == t.failing || v.w.chance(t.errorShare),
 	}
 	v.runs = append(v.runs, r)
@@ -251,7 +251,7 @@
 
 func (v *vm) stop(t job.TaskID, a job.Attempt, f job.Fence) job.Report {
 	if v.fenced(f) {
-		return v.report(job.RefusedFence)
+		return v.report(job.RefusedStaleFence)
 	}
 	v.barred[t] = max(v.barred[t], a)
 	for _, r := range v.runs {
@@ -271,7 +271,7 @@
 // hold answers once there is an end to report or the wait is over.
 func (v *vm) hold(o job.HoldOrder, answer func(job.Report)) {
 	if v.fenced(o.Fence) {
-		answer(v.report(job.RefusedFence))
+		answer(v.report(job.RefusedStaleFence))
 		return
 	}
 	if o.Deadline > 0 {
--- a/core/home/record.go
+++ b/core/home/record.go
@@ -122,5 +122,5 @@
 // Deadline implements deadline.Item: when the record is forgotten.
 func (r *record) Deadline() time.Time { return r.forgetAt }
 
-// Place implements deadline.Item.
-func (r *record) Place() *int { return &r.index }
+// HeapIndex implements deadline.Item.
+func (r *record) HeapIndex() *int { return &r.index }
--- a/core/home/submit.go
+++ b/core/home/submit.go
@@ -112,7 +112,7 @@
 	if h.off.attempts {
 		return refusal
 	}
-	return core.Refuse(attempt, refusal)
+	return core.RefusalAnswer(attempt, refusal)
 }
 
 func itemOf(now time.Time, req core.Request) queue.Item {
--- a/core/job/configuration.go
+++ b/core/job/configuration.go
@@ -10,27 +10,27 @@
 
 // Queue is where callers hand jobs in.
 type Queue struct {
-	Name     QueueName
-	Host     string
-	Prefix   string
-	Pool     PoolName
-	Priority int
-	Attempts int
-	Stretch  float64
-	// Latency is added to the stretched run time to give a job's objective.
-	Latency time.Duration
+	Name        QueueName
+	Host        string
+	Prefix      string
+	Pool        PoolName
+	Priority    int
+	MaxAttempts int
+	Stretch     float64
+	// LatencyAllowance is added to the stretched run time to give a job's objective.
+	LatencyAllowance time.Duration
 	// Timeout bounds a call of the queue.
 	Timeout time.Duration
 	// Public queues need no key.
 	Public bool
-	// Advice is set when another service says which VMs may run a step.
-	Advice *Advice
+	// Approval is set when another service says which VMs may run a step.
+	Approval *Approval
 }
 
-// Advice bounds the answers of the service that approves VMs for a step.
-type Advice struct {
+// Approval bounds the answers of the service that approves VMs for a step.
+type Approval struct {
 	DecideTime  time.Duration
-	PerVM       time.Duration
+	TimePerVM   time.Duration
 	ValidPeriod time.Duration
 }
 
@@ -39,8 +39,8 @@
 	Name PoolName
 	// Standby pools hold machines that are off.
 	Standby bool
-	// Guarded VMs refuse what doesn't fit.
-	Guarded bool
+	// EnforcesCapacity VMs refuse what doesn't fit.
+	EnforcesCapacity bool
 }
 
 // Account is a client account.
@@ -50,8 +50,8 @@
 	// Weight is the account's share when all is full, in jobs a second; 0 means that
 	// none is set.
 	Weight float64
-	// Cap bounds what the account has running; a zero field means no bound.
-	Cap Room
+	// Quota bounds what the account has running; a zero field means no bound.
+	Quota Resources
 }
 
 // Limits bound the calls that callers make.
@@ -70,33 +70,33 @@
 	Accounts []Account
 	Limits   Limits
 
-	byHost map[string][]*Queue
-	byName map[QueueName]*Queue
-	byKey  map[string]AccountName
-	pools  map[PoolName]*Pool
-	caps   map[AccountName]*Account
+	queuesByHost      map[string][]*Queue
+	queuesByName      map[QueueName]*Queue
+	accountNamesByKey map[string]AccountName
+	poolsByName       map[PoolName]*Pool
+	accountsByName    map[AccountName]*Account
 }
 
 // Index prepares the look-ups. It must be called once before them.
 func (c *Configuration) Index() {
-	c.byHost = map[string][]*Queue{}
-	c.byName = map[QueueName]*Queue{}
-	c.byKey = map[string]AccountName{}
-	c.pools = map[PoolName]*Pool{}
-	c.caps = map[AccountName]*Account{}
+	c.queuesByHost = map[string][]*Queue{}
+	c.queuesByName = map[QueueName]*Queue{}
+	c.accountNamesByKey = map[string]AccountName{}
+	c.poolsByName = map[PoolName]*Pool{}
+	c.accountsByName = map[AccountName]*Account{}
 	for i := range c.Queues {
 		q := &c.Queues[i]
-		c.byHost[q.Host] = append(c.byHost[q.Host], q)
-		c.byName[q.Name] = q
+		c.queuesByHost[q.Host] = append(c.queuesByHost[q.Host], q)
+		c.queuesByName[q.Name] = q
 	}
 	for i := range c.Pools {
-		c.pools[c.Pools[i].Name] = &c.Pools[i]
+		c.poolsByName[c.Pools[i].Name] = &c.Pools[i]
 	}
 	for i := range c.Accounts {
 		a := &c.Accounts[i]
-		c.caps[a.Name] = a
+		c.accountsByName[a.Name] = a
 		for _, k := range a.Keys {
-			c.byKey[k] = a.Name
+			c.accountNamesByKey[k] = a.Name
 		}
 	}
 }
@@ -104,7 +104,7 @@
 // Route returns the queue whose prefix is the longest that path begins with, or
 // nil; rest is what follows the prefix.
 func (c *Configuration) Route(host, path string) (q *Queue, rest string) {
-	for _, o := range c.byHost[host] {
+	for _, o := range c.queuesByHost[host] {
 		if strings.HasPrefix(path, o.Prefix) && (q == nil || len(o.Prefix) > len(q.Prefix)) {
 			q = o
 		}
@@ -116,16 +116,16 @@
 }
 
 // Queue returns the queue of that name, or nil.
-func (c *Configuration) Queue(n QueueName) *Queue { return c.byName[n] }
+func (c *Configuration) Queue(n QueueName) *Queue { return c.queuesByName[n] }
 
 // Pool returns the pool of that name, or nil.
-func (c *Configuration) Pool(n PoolName) *Pool { return c.pools[n] }
+func (c *Configuration) Pool(n PoolName) *Pool { return c.poolsByName[n] }
 
 // Account returns the account of that name, or nil.
-func (c *Configuration) Account(n AccountName) *Account { return c.caps[n] }
+func (c *Configuration) Account(n AccountName) *Account { return c.accountsByName[n] }
 
-// KeyHolder returns the account whose key it is.
-func (c *Configuration) KeyHolder(key string) (AccountName, bool) {
-	a, ok := c.byKey[key]
+// AccountForKey returns the account whose key it is.
+func (c *Configuration) AccountForKey(key string) (AccountName, bool) {
+	a, ok := c.accountNamesByKey[key]
 	return a, ok
 }
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -31,8 +31,8 @@
 // Attempt numbers the starts of a task, from 1.
 type Attempt int64
 
-// Room is an amount of a VM's resources.
-type Room struct {
+// Resources is an amount of a VM's resources.
+type Resources struct {
 	// CPU is in thousandths of a core.
 	CPU int64 `json:"cpu,omitempty"`
 	// MemMB is in mebibytes.
@@ -41,40 +41,40 @@
 	GPU int64 `json:"gpu,omitempty"`
 }
 
-// Plus returns the sum of both.
-func (r Room) Plus(o Room) Room {
-	return Room{CPU: r.CPU + o.CPU, MemMB: r.MemMB + o.MemMB, GPU: r.GPU + o.GPU}
+// Add returns the sum of both.
+func (r Resources) Add(o Resources) Resources {
+	return Resources{CPU: r.CPU + o.CPU, MemMB: r.MemMB + o.MemMB, GPU: r.GPU + o.GPU}
 }
 
-// Minus returns r without o.
-func (r Room) Minus(o Room) Room {
-	return Room{CPU: r.CPU - o.CPU, MemMB: r.MemMB - o.MemMB, GPU: r.GPU - o.GPU}
+// Sub returns r without o.
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{CPU: r.CPU - o.CPU, MemMB: r.MemMB - o.MemMB, GPU: r.GPU - o.GPU}
 }
 
-// Most returns the larger of both in each kind of room.
-func (r Room) Most(o Room) Room {
-	return Room{CPU: max(r.CPU, o.CPU), MemMB: max(r.MemMB, o.MemMB), GPU: max(r.GPU, o.GPU)}
+// Max returns the larger of both in each kind of room.
+func (r Resources) Max(o Resources) Resources {
+	return Resources{CPU: max(r.CPU, o.CPU), MemMB: max(r.MemMB, o.MemMB), GPU: max(r.GPU, o.GPU)}
 }
 
-// Least returns the smaller of both in each kind of room.
-func (r Room) Least(o Room) Room {
-	return Room{CPU: min(r.CPU, o.CPU), MemMB: min(r.MemMB, o.MemMB), GPU: min(r.GPU, o.GPU)}
+// Min returns the smaller of both in each kind of room.
+func (r Resources) Min(o Resources) Resources {
+	return Resources{CPU: min(r.CPU, o.CPU), MemMB: min(r.MemMB, o.MemMB), GPU: min(r.GPU, o.GPU)}
 }
 
-// Times returns r n times over.
-func (r Room) Times(n int) Room {
-	return Room{CPU: r.CPU * int64(n), MemMB: r.MemMB * int64(n), GPU: r.GPU * int64(n)}
+// Mul returns r n times over.
+func (r Resources) Mul(n int) Resources {
+	return Resources{CPU: r.CPU * int64(n), MemMB: r.MemMB * int64(n), GPU: r.GPU * int64(n)}
 }
 
-// Fits tells whether r can be taken from free.
-func (r Room) Fits(free Room) bool {
-	return r.CPU <= free.CPU && r.MemMB <= free.MemMB && r.GPU <= free.GPU
+// FitsIn tells whether r can be taken from free.
+func (r Resources) FitsIn(available Resources) bool {
+	return r.CPU <= available.CPU && r.MemMB <= available.MemMB && r.GPU <= available.GPU
 }
 
 // Step is a group of equal tasks.
 type Step struct {
-	Count int  `json:"count"`
-	Room  Room `json:"room"`
+	Count     int       `json:"count"`
+	Resources Resources `json:"room"`
 	// Estimate is the caller's rough guess of one task's run time.
 	Estimate time.Duration `json:"estimate,omitempty"`
 	// After lists the steps that must be done first.
@@ -87,31 +87,31 @@
 	SameRack bool `json:"same_rack,omitempty"`
 	// Requires is a label that the VM must carry; empty means none.
 	Requires Label `json:"requires,omitempty"`
-	// NearRack is the rack where the data lies; empty means none.
-	NearRack Label `json:"near_rack,omitempty"`
+	// PreferredRack is the rack where the data lies; empty means none.
+	PreferredRack Label `json:"near_rack,omitempty"`
 	// MaxPerVM bounds the tasks of the step on one VM; 0 means no bound.
 	MaxPerVM int `json:"max_per_vm,omitempty"`
 	// Speculative tasks may have several runs at a time.
 	Speculative bool `json:"speculative,omitempty"`
-	// Lasting tasks run until the job is cancelled.
-	Lasting bool  `json:"lasting,omitempty"`
-	Image   Image `json:"image,omitempty"`
-	// TailTarget bounds the response times of a task that serves users.
-	TailTarget time.Duration `json:"tail_target,omitempty"`
-	// Fills tasks use the CPU that others leave over.
-	Fills bool `json:"fills,omitempty"`
-	// MayMiss is how many tasks of a lasting step may be away on our account;
+	// LongRunning tasks run until the job is cancelled.
+	LongRunning bool  `json:"lasting,omitempty"`
+	Image       Image `json:"image,omitempty"`
+	// TailLatencyTarget bounds the response times of a task that serves users.
+	TailLatencyTarget time.Duration `json:"tail_target,omitempty"`
+	// SpareCPU tasks use the CPU that others leave over.
+	SpareCPU bool `json:"fills,omitempty"`
+	// DisruptionBudget is how many tasks of a lasting step may be away on our account;
 	// HasMayMiss tells whether the step has such a bound.
-	MayMiss    int  `json:"may_miss,omitempty"`
-	HasMayMiss bool `json:"has_may_miss,omitempty"`
+	DisruptionBudget    int  `json:"may_miss,omitempty"`
+	HasDisruptionBudget bool `json:"has_may_miss,omitempty"`
 }
 
-// Claim is the room that a task of the step takes away from other tasks.
-func (s *Step) Claim() Room {
-	if s.Fills {
-		return Room{MemMB: s.Room.MemMB, GPU: s.Room.GPU}
+// Reservation is the room that a task of the step takes away from other tasks.
+func (s *Step) Reservation() Resources {
+	if s.SpareCPU {
+		return Resources{MemMB: s.Resources.MemMB, GPU: s.Resources.GPU}
 	}
-	return s.Room
+	return s.Resources
 }
 
 // Body is what a caller hands in.
@@ -125,8 +125,8 @@
 	Interval time.Duration `json:"interval,omitempty"`
 }
 
-// Runs returns how often the steps run, at least once.
-func (b *Body) Runs() int { return max(1, b.Occurrences) }
+// OccurrenceCount returns how often the steps run, at least once.
+func (b *Body) OccurrenceCount() int { return max(1, b.Occurrences) }
 
 // Due returns when occurrence k may start; the zero time means at once.
 func (b *Body) Due(k int) time.Time {
@@ -136,10 +136,10 @@
 	return b.FirstDue.Add(time.Duration(k) * b.Interval)
 }
 
-// Lasting tells whether the job runs until it is cancelled.
-func (b *Body) Lasting() bool {
+// LongRunning tells whether the job runs until it is cancelled.
+func (b *Body) LongRunning() bool {
 	for i := range b.Steps {
-		if b.Steps[i].Lasting {
+		if b.Steps[i].LongRunning {
 			return true
 		}
 	}
@@ -148,13 +148,13 @@
 
 // Terms are what the configuration said of the queue when the job was taken in.
 type Terms struct {
-	Queue    QueueName     `json:"queue"`
-	Pool     PoolName      `json:"pool"`
-	Account  AccountName   `json:"account,omitempty"`
-	Priority int           `json:"priority,omitempty"`
-	Attempts int           `json:"attempts,omitempty"`
-	Stretch  float64       `json:"stretch,omitempty"`
-	Latency  time.Duration `json:"latency,omitempty"`
+	Queue            QueueName     `json:"queue"`
+	Pool             PoolName      `json:"pool"`
+	Account          AccountName   `json:"account,omitempty"`
+	Priority         int           `json:"priority,omitempty"`
+	MaxAttempts      int           `json:"attempts,omitempty"`
+	Stretch          float64       `json:"stretch,omitempty"`
+	LatencyAllowance time.Duration `json:"latency,omitempty"`
 }
 
 // Job is a job as it was taken in.
--- a/core/job/machine.go
+++ b/core/job/machine.go
@@ -8,8 +8,8 @@
 	Machines []MachineID
 	// Within is the period in which all must have had it.
 	Within time.Duration
-	// AtOnce bounds the machines that are away at a time.
-	AtOnce int
+	// MaxConcurrent bounds the machines that are away at a time.
+	MaxConcurrent int
 }
 
 // WaveState is shown to operators.
@@ -29,20 +29,20 @@
 
 // The states of a machine.
 const (
-	MachineUp     MachineState = "up"
-	MachineMoving MachineState = "moving"
-	MachineUpkeep MachineState = "upkeep"
-	MachineDown   MachineState = "down"
+	MachineUp          MachineState = "up"
+	MachineMoving      MachineState = "moving"
+	MachineMaintenance MachineState = "upkeep"
+	MachineDown        MachineState = "down"
 )
 
 // Machine is one entry of the machines list.
 type Machine struct {
-	ID     MachineID
-	Pool   PoolName
-	State  MachineState
-	Zone   ZoneName
-	Labels []Label
-	Room   Room
+	ID       MachineID
+	Pool     PoolName
+	State    MachineState
+	Zone     ZoneName
+	Labels   []Label
+	Capacity Resources
 	// VM is the machine's present life; empty if it is off.
 	VM VMID
 }
@@ -58,8 +58,8 @@
 	MachineOtherWave MachineRefusal = "wave"
 )
 
-// Holder signs the orders for a machine.
-type Holder struct {
+// OrderIssuer signs the orders for a machine.
+type OrderIssuer struct {
 	Node  string
 	Fence Fence
 }
--- a/core/job/state.go
+++ b/core/job/state.go
@@ -53,12 +53,12 @@
 	Step       int       `json:"s"`
 	Task       int       `json:"t"`
 	Attempts   []Attempt `json:"a"`
-	// Certain is how many of these VMs had confirmed that the task runs; AtStart how many
+	// Confirmed is how many of these VMs had confirmed that the task runs; AtStart how many
 	// of those crashed right after the start, Alone how many while no other task there can
 	// have been the cause.
-	Certain int `json:"certain,omitempty"`
-	AtStart int `json:"at_start,omitempty"`
-	Alone   int `json:"alone,omitempty"`
+	Confirmed   int `json:"certain,omitempty"`
+	AtStart     int `json:"at_start,omitempty"`
+	SoleSuspect int `json:"alone,omitempty"`
 }
 
 // TaskStart is a start of one task on a life of a VM.
@@ -69,9 +69,9 @@
 	Attempt    Attempt `json:"a"`
 	VM         VMID    `json:"vm"`
 	Born       Born    `json:"born,omitempty"`
-	// Lapsed starts are of runs that are over, since their VM's lease has run out; the VM may
+	// LeaseExpired starts are of runs that are over, since their VM's lease has run out; the VM may
 	// turn out to have crashed.
-	Lapsed bool `json:"lapsed,omitempty"`
+	LeaseExpired bool `json:"lapsed,omitempty"`
 }
 
 // StepDone lists the finished tasks of a step.
--- a/core/job/vm.go
+++ b/core/job/vm.go
@@ -21,13 +21,13 @@
 const (
 	NotRefused Refusal = iota
 	// RefusedFence: the VM has seen a newer fence.
-	RefusedFence
+	RefusedStaleFence
 	// RefusedOld: the attempt isn't newer than one that was stopped or ended.
-	RefusedOld
+	RefusedStaleAttempt
 	// RefusedLate: the start deadline had passed.
 	RefusedLate
 	// RefusedRoom: the task doesn't fit.
-	RefusedRoom
+	RefusedCapacity
 	// RefusedTicket: the approval is missing or has run out.
 	RefusedTicket
 	// RefusedOther: a reason that is not known here.
@@ -87,7 +87,7 @@
 	EndedDone Ending = iota + 1
 	EndedFailed
 	EndedStopped
-	EndedLapsed
+	EndedLeaseExpired
 	EndedBroken
 	EndedAlone
 )
@@ -112,23 +112,23 @@
 	Finished []End
 }
 
-// VMEntry is what a VM says of itself in the table.
-type VMEntry struct {
+// VMRecord is what a VM says of itself in the table.
+type VMRecord struct {
 	ID      VMID
 	Pool    PoolName
 	Address string
 	Zone    ZoneName
 	// Draining VMs leave soon; LeavesIn is the least time that is left.
-	Draining bool
-	LeavesIn time.Duration
-	// Cold is how much longer the VM is slow after its start.
-	Cold     time.Duration
-	Room     Room
-	Labels   []Label
-	Machine  MachineID
-	Clock    VMClock
-	Born     Born
-	Sequence int64
+	Draining      bool
+	RemainingTime time.Duration
+	// WarmupLeft is how much longer the VM is slow after its start.
+	WarmupLeft time.Duration
+	Capacity   Resources
+	Labels     []Label
+	Machine    MachineID
+	Clock      VMClock
+	Born       Born
+	Sequence   int64
 }
 
 // End is the end of a run.
--- a/core/lease/clock.go
+++ b/core/lease/clock.go
@@ -12,8 +12,8 @@
 	at      time.Time
 }
 
-// Read notes a reading that was received at now.
-func (c *Clock) Read(reading job.VMClock, now time.Time) {
+// Observe notes a reading that was received at now.
+func (c *Clock) Observe(reading job.VMClock, now time.Time) {
 	if reading >= c.Earliest(now) || c.at.IsZero() {
 		c.reading, c.at = reading, now
 	}
@@ -24,10 +24,10 @@
 
 // Earliest returns the least that the VM's clock can show at now.
 func (c *Clock) Earliest(now time.Time) job.VMClock {
-	return c.reading + job.VMClock(float64(now.Sub(c.at).Milliseconds())*ClockRate)
+	return c.reading + job.VMClock(float64(now.Sub(c.at).Milliseconds())*MinClockRate)
 }
 
-// Likely returns what the VM's clock shows at now if it runs true.
-func (c *Clock) Likely(now time.Time) job.VMClock {
+// Estimate returns what the VM's clock shows at now if it runs true.
+func (c *Clock) Estimate(now time.Time) job.VMClock {
 	return c.reading + job.VMClock(now.Sub(c.at).Milliseconds())
 }
--- a/core/limit/running.go
+++ b/core/limit/running.go
@@ -24,8 +24,8 @@
 // Deadline implements deadline.Item.
 func (s *slot) Deadline() time.Time { return s.end }
 
-// Place implements deadline.Item.
-func (s *slot) Place() *int { return &s.index }
+// HeapIndex implements deadline.Item.
+func (s *slot) HeapIndex() *int { return &s.index }
 
 func (r *running) count() core.Slots { return core.Slots(r.byEnd.Len()) }
 
--- a/core/limit/schedule.go
+++ b/core/limit/schedule.go
@@ -47,8 +47,8 @@
 // Deadline implements deadline.Item.
 func (a *allotment) Deadline() time.Time { return a.lookAt }
 
-// Place implements deadline.Item.
-func (a *allotment) Place() *int { return &a.index }
+// HeapIndex implements deadline.Item.
+func (a *allotment) HeapIndex() *int { return &a.index }
 
 // decideAll looks at the allotments that are due.
 func (l *Ledger) decideAll(now time.Time) []Command {
--- a/core/schedule/advice.go
+++ b/core/schedule/advice.go
@@ -9,7 +9,7 @@
 // approved tells whether the step may start, asking first where its queue needs that.
 func (a *assignment) approved(j *jobState, o *occurrence, i int) bool {
 	q := a.s.conf.Queue(j.Terms.Queue)
-	if q == nil || q.Advice == nil {
+	if q == nil || q.Approval == nil {
 		return true
 	}
 	st := &o.steps[i]
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -44,7 +44,7 @@
 type poolQueue struct {
 	jobs []*jobState
 	// least is no more than what any waiting task claims.
-	least job.Room
+	least job.Resources
 	vms   []*vmState
 }
 
@@ -56,7 +56,7 @@
 			if o.steps[i].open == 0 || !o.ready(i) {
 				continue
 			}
-			claim := o.steps[i].def.Claim()
+			claim := o.steps[i].def.Reservation()
 			if q == nil {
 				p := s.pool(j)
 				if q = waiting[p]; q == nil {
@@ -65,7 +65,7 @@
 				}
 				q.jobs = append(q.jobs, j)
 			}
-			q.least = q.least.Least(claim)
+			q.least = q.least.Min(claim)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		if !task.open() || a.now.Before(task.notBefore) || a.s.mayHaveEnded(task) {
 			continue
 		}
-		if !a.withinCap(j, st.def.Room) {
+		if !a.withinCap(j, st.def.Resources) {
 			return
 		}
 		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
@@ -156,27 +156,27 @@
 			continue
 		}
 		if s.unheard == nil {
-			s.unheard = map[job.AccountName]job.Room{}
+			s.unheard = map[job.AccountName]job.Resources{}
 		}
 		for _, o := range j.occurrences {
-			s.unheard[j.Terms.Account] = s.unheard[j.Terms.Account].Plus(o.mostUnknown())
+			s.unheard[j.Terms.Account] = s.unheard[j.Terms.Account].Add(o.mostUnknown())
 		}
 	}
 }
 
 // mostUnknown returns the most that tasks without a known run can take up at a time.
 // Steps that wait for one another run one after the other.
-func (o *occurrence) mostUnknown() job.Room {
-	var sum, largest job.Room
+func (o *occurrence) mostUnknown() job.Resources {
+	var sum, largest job.Resources
 	inTurn := true
 	for i := range o.steps {
-		var r job.Room
+		var r job.Resources
 		for t := range o.steps[i].tasks {
 			if task := &o.steps[i].tasks[t]; !task.done && len(task.runs) == 0 {
-				r = r.Plus(o.steps[i].def.Room)
+				r = r.Add(o.steps[i].def.Resources)
 			}
 		}
-		sum, largest = sum.Plus(r), largest.Most(r)
+		sum, largest = sum.Add(r), largest.Max(r)
 		inTurn = inTurn && (i == 0 || slices.Contains(o.steps[i].def.After, i-1))
 	}
 	if inTurn {
@@ -187,13 +187,13 @@
 
 // withinCap tells whether the job's account may have more running. What may
 // still run counts.
-func (a *assignment) withinCap(j *jobState, more job.Room) bool {
+func (a *assignment) withinCap(j *jobState, more job.Resources) bool {
 	account := a.s.conf.Account(j.Terms.Account)
 	if account == nil {
 		return true
 	}
-	after := a.s.running[j.Terms.Account].Plus(a.s.unheard[j.Terms.Account]).Plus(more)
-	limit := account.Cap
+	after := a.s.running[j.Terms.Account].Add(a.s.unheard[j.Terms.Account]).Add(more)
+	limit := account.Quota
 	return (limit.CPU == 0 || after.CPU <= limit.CPU) &&
 		(limit.MemMB == 0 || after.MemMB <= limit.MemMB) &&
 		(limit.GPU == 0 || after.GPU <= limit.GPU)
@@ -206,7 +206,7 @@
 		a.addPlaces(j, v)
 	}
 	r := &run{
-		task: id, attempt: n, vm: v, claim: st.def.Claim(), cost: st.def.Room, account: j.Terms.Account,
+		task: id, attempt: n, vm: v, claim: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account,
 		orderedAt: a.now, pace: 100, after: j.places.Get(v.id),
 	}
 	r.setKind(st.def)
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -10,9 +10,9 @@
 )
 
 // entryOf is what a VM with this much CPU says of itself.
-func entryOf(id string, cpu int64, born job.Born) job.VMEntry {
-	return job.VMEntry{
-		ID: job.VMID(id), Pool: poolA, Address: id, Room: job.Room{CPU: cpu, MemMB: 8000},
+func entryOf(id string, cpu int64, born job.Born) job.VMRecord {
+	return job.VMRecord{
+		ID: job.VMID(id), Pool: poolA, Address: id, Capacity: job.Resources{CPU: cpu, MemMB: 8000},
 		Machine: job.MachineID("m-" + id), Born: born,
 	}
 }
@@ -74,7 +74,7 @@
 	for range 100 {
 		for _, c := range only[Start](h.step(100 * time.Millisecond)) {
 			refused++
-			h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedRoom})
+			h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedCapacity})
 		}
 	}
 	assert.Assert(t, refused <= 10, "%d starts in 10 s", refused)
@@ -85,8 +85,8 @@
 // listOneAndOff tells of the machine of the VM "one" and of one that is off.
 func (h *harness) listOneAndOff() {
 	h.s.Machines(h.now, []job.Machine{
-		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Room: job.Room{CPU: 8000}},
-		{ID: "m-off", Pool: off, State: job.MachineUp, Room: job.Room{CPU: 8000}},
+		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-off", Pool: off, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
 	})
 }
 
@@ -95,7 +95,7 @@
 	h := newHarness(t)
 	h.ready("one")
 	h.listOneAndOff()
-	h.job("j", "free", job.Step{Count: 2, Room: job.Room{CPU: 5000}, Lasting: true})
+	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}, LongRunning: true})
 	h.confirm(one[Start](h, h.step(0)))
 	assert.Equal(t, one[Move](h, h.step(waitingLong+sizeEvery)).Machine, job.MachineID("m-off"))
 }
@@ -107,7 +107,7 @@
 	h.ready("one")
 	h.listOneAndOff()
 	h.resize("one", 1000)
-	h.job("j", "free", job.Step{Count: 1, Room: job.Room{CPU: 2000}, Lasting: true})
+	h.job("j", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 2000}, LongRunning: true})
 	assert.Equal(t, one[Move](h, h.step(waitingLong+sizeEvery)).Machine, job.MachineID("m-off"))
 }
 
@@ -116,7 +116,7 @@
 	h := newHarness(t)
 	h.ready("one")
 	h.s.Machines(h.now, []job.Machine{
-		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Room: job.Room{CPU: 1000}},
+		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 1000}},
 	})
 	idle := h.s.idleMachines(h.now)
 	assert.Equal(t, len(idle), 1)
@@ -130,7 +130,7 @@
 	for _, guarded := range []bool{false, true} {
 		h := newHarness(t)
 		h.s.settings.ShrinkNotice = 3 * time.Second
-		h.s.conf.Pool(poolA).Guarded = guarded
+		h.s.conf.Pool(poolA).EnforcesCapacity = guarded
 		h.ready("one")
 		h.s.DirectoryRead(h.now)
 		h.job("j", "free", small)
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -145,8 +145,8 @@
 // their VM count as nothing.
 func TestTaskThatCrashesItsVMsIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{0, 100 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
-		for _, step := range []job.Step{small, {Count: 1, Room: small.Room, Lasting: true}} {
-			t.Run(fmt.Sprintf("%s lasting %t", after, step.Lasting), func(t *testing.T) {
+		for _, step := range []job.Step{small, {Count: 1, Resources: small.Resources, LongRunning: true}} {
+			t.Run(fmt.Sprintf("%s lasting %t", after, step.LongRunning), func(t *testing.T) {
 				c := newCrashing(t, "one", "two", "three")
 				c.checkStarts(c.startsUntilGivenUp(step, func(o Start) {
 					c.confirm(o)
@@ -188,8 +188,8 @@
 		h.s.HoldAnswered(h.now, Hold{VM: o.VM}, Unanswered, job.Report{})
 		h.step(3 * time.Second)
 		next := job.VMID(fmt.Sprintf("vm-%d", n+1))
-		h.s.VMSeen(h.now, job.VMEntry{
-			ID: next, Pool: poolA, Address: "vm", Room: job.Room{CPU: 8000, MemMB: 8000}, Machine: "m-vm-0", Born: job.Born(n + 2),
+		h.s.VMSeen(h.now, job.VMRecord{
+			ID: next, Pool: poolA, Address: "vm", Capacity: job.Resources{CPU: 8000, MemMB: 8000}, Machine: "m-vm-0", Born: job.Born(n + 2),
 		})
 		h.step(100 * time.Millisecond)
 		h.s.HoldAnswered(h.now, Hold{VM: next}, Answered, job.Report{Clock: h.clock(), Born: job.Born(n + 2), Lists: true})
@@ -282,7 +282,7 @@
 // Guards against lasting tasks that are given up after years with three crashes.
 func TestLastingTaskAtWorkIsCleared(t *testing.T) {
 	c := newCrashing(t, "one", "two", "three")
-	c.job("j", "free", job.Step{Count: 1, Room: small.Room, Lasting: true})
+	c.job("j", "free", job.Step{Count: 1, Resources: small.Resources, LongRunning: true})
 	for range 8 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
 		assert.Assert(t, ok)
@@ -299,7 +299,7 @@
 // Guards against a lasting job that loses all of its tasks since one of them crashes VMs.
 func TestSiblingsOfAGivenUpLastingTaskGoOn(t *testing.T) {
 	c := newCrashing(t, "one", "two", "three")
-	c.job("j", "free", job.Step{Count: 2, Room: small.Room, Lasting: true, MaxPerVM: 1, MayMiss: 1, HasMayMiss: true})
+	c.job("j", "free", job.Step{Count: 2, Resources: small.Resources, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true})
 	starts := only[Start](c.step(0))
 	assert.Equal(t, len(starts), 2)
 	bad, good := starts[0], starts[1]
@@ -352,7 +352,7 @@
 func TestTasksThatLostAVMTogetherWereNotAlone(t *testing.T) {
 	for name, after := range map[string]time.Duration{"within the lease": 3 * time.Second, "after it": 8 * time.Second} {
 		c := newCrashing(t, "one", "two", "three")
-		c.job("j", "free", job.Step{Count: 3, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second})
+		c.job("j", "free", job.Step{Count: 3, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second})
 		starts := only[Start](c.step(0))
 		assert.Equal(t, len(starts), 3)
 		for _, o := range starts {
@@ -373,7 +373,7 @@
 // Guards against an innocent task that is given up since its last VM crashed under another one: nothing starts beside a task whose next crash is its last.
 func TestNothingStartsBesideATaskOnTrial(t *testing.T) {
 	c := newCrashing(t, "one", "two", "three")
-	c.job("j", "free", job.Step{Count: 1, Room: small.Room, Lasting: true})
+	c.job("j", "free", job.Step{Count: 1, Resources: small.Resources, LongRunning: true})
 	task := job.TaskID{Job: "j"}
 	for range crashesMost - 1 {
 		o, ok := c.startOf(task)
@@ -387,7 +387,7 @@
 	assert.Assert(t, ok)
 	c.confirm(o)
 	for i := range 7 {
-		c.job(fmt.Sprintf("k%d", i), "free", job.Step{Count: 1, Room: job.Room{CPU: 7000, MemMB: 100}, Estimate: time.Second})
+		c.job(fmt.Sprintf("k%d", i), "free", job.Step{Count: 1, Resources: job.Resources{CPU: 7000, MemMB: 100}, Estimate: time.Second})
 		for _, x := range only[Start](c.step(time.Second)) {
 			assert.Assert(t, x.VM != o.VM || i > 4, "%d s after the start", i)
 			c.confirm(x)
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -77,6 +77,6 @@
 		return -1
 	}
 	return slices.IndexFunc(vms, func(v *vmState) bool {
-		return r.claim.Fits(v.free()) && st.suits(r.task.StepID(), v)
+		return r.claim.FitsIn(v.free()) && st.suits(r.task.StepID(), v)
 	})
 }
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, len(only[Start](h.step(time.Second))), 0)
 	assert.Equal(t, one[Start](h, h.readyIn("west", "three")).VM, job.VMID("three"))
 	h.s.Evacuate(nil)
-	h.job("k", "free", job.Step{Count: 1, Room: job.Room{CPU: 8000, MemMB: 100}})
+	h.job("k", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 8000, MemMB: 100}})
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "the zone is not open again")
 }
 
@@ -55,7 +55,7 @@
 	h.readyIn("east", "one")
 	h.readyIn("east", "two")
 	h.job("l", "free", job.Step{
-		Count: 2, Room: job.Room{CPU: 6000, MemMB: 100}, Lasting: true, MaxPerVM: 1, MayMiss: 1, HasMayMiss: true,
+		Count: 2, Resources: job.Resources{CPU: 6000, MemMB: 100}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true,
 	})
 	starts := only[Start](h.step(0))
 	assert.Equal(t, len(starts), 2)
@@ -102,15 +102,15 @@
 	h.readyIn("east", "one")
 	h.readyIn("west", "two")
 	h.s.Machines(h.now, []job.Machine{
-		{ID: "m-one", Pool: poolA, State: job.MachineUp, Zone: "east", VM: "one", Room: job.Room{CPU: 8000}},
-		{ID: "m-two", Pool: poolA, State: job.MachineUp, Zone: "west", VM: "two", Room: job.Room{CPU: 8000}},
-		{ID: "m-off-east", Pool: off, State: job.MachineUp, Zone: "east", Room: job.Room{CPU: 8000}},
-		{ID: "m-off-west", Pool: off, State: job.MachineUp, Zone: "west", Room: job.Room{CPU: 8000}},
+		{ID: "m-one", Pool: poolA, State: job.MachineUp, Zone: "east", VM: "one", Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-two", Pool: poolA, State: job.MachineUp, Zone: "west", VM: "two", Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-off-east", Pool: off, State: job.MachineUp, Zone: "east", Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-off-west", Pool: off, State: job.MachineUp, Zone: "west", Capacity: job.Resources{CPU: 8000}},
 	})
 	h.s.Evacuate([]job.ZoneName{"east"})
 	rooms := h.s.poolRooms(h.now)
 	assert.Equal(t, rooms.have[poolA], int64(8000))
-	h.job("j", "free", job.Step{Count: 40, Room: job.Room{CPU: 1000, MemMB: 10}, Estimate: time.Second})
+	h.job("j", "free", job.Step{Count: 40, Resources: job.Resources{CPU: 1000, MemMB: 10}, Estimate: time.Second})
 	var moved []job.MachineID
 	for range 10 {
 		for _, m := range only[Move](h.step(100 * time.Millisecond)) {
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -129,7 +129,7 @@
 	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
 	h.seen("one")
 	h.s.Machines(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
-	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, AtOnce: 1}, nil)
+	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
 	for range 80 {
 		commands := h.step(100 * time.Millisecond)
 		assert.Equal(t, len(only[Upkeep](commands)), 0)
@@ -151,7 +151,7 @@
 		})
 	}
 	list(h.now, job.MachineUp)
-	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, AtOnce: 1}, nil)
+	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 1}, nil)
 	first := one[Upkeep](h, h.step(100*time.Millisecond))
 	asked := h.now
 	h.now = h.now.Add(10 * time.Millisecond)
@@ -171,7 +171,7 @@
 	h.s.Machines(h.now, []job.Machine{
 		{ID: "m-1", Pool: off, State: job.MachineUp}, {ID: "m-2", Pool: off, State: job.MachineUp},
 	})
-	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, AtOnce: 1}, nil)
+	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 1}, nil)
 	first := one[Upkeep](h, h.step(100*time.Millisecond))
 	h.s.UpkeepAnswered(h.now, first, Unanswered, job.MachineAccepted)
 	again := one[Upkeep](h, h.step(time.Second))
@@ -186,7 +186,7 @@
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", job.Step{
-		Count: 2, Room: job.Room{CPU: 1000}, Lasting: true, MaxPerVM: 1, MayMiss: 1, HasMayMiss: true,
+		Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true,
 	})
 	starts := only[Start](h.step(0))
 	assert.Equal(t, len(starts), 2)
@@ -200,7 +200,7 @@
 			h.s.HoldAnswered(h.now, Hold{VM: "two"}, Unanswered, job.Report{})
 		}
 	}
-	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, AtOnce: 1}, nil)
+	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
 	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0)
 	for _, c := range starts {
 		if c.VM == "two" {
@@ -251,7 +251,7 @@
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
-	wide := job.Step{Count: 4, Room: job.Room{CPU: 1000}, Estimate: time.Second}
+	wide := job.Step{Count: 4, Resources: job.Resources{CPU: 1000}, Estimate: time.Second}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{wide}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
 	h.job("new", "capped", wide)
@@ -266,13 +266,13 @@
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
-	room := job.Room{CPU: 1000}
+	room := job.Resources{CPU: 1000}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{
-		{Count: 1, Room: room, Estimate: time.Second},
-		{Count: 4, Room: room, Estimate: time.Second, After: []int{0}},
+		{Count: 1, Resources: room, Estimate: time.Second},
+		{Count: 4, Resources: room, Estimate: time.Second, After: []int{0}},
 	}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
-	h.job("new", "capped", job.Step{Count: 4, Room: room, Estimate: time.Second})
+	h.job("new", "capped", job.Step{Count: 4, Resources: room, Estimate: time.Second})
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
 }
 
@@ -282,13 +282,13 @@
 func TestOldProofMovesNoLastingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	lasting := job.Step{Count: 1, Room: job.Room{CPU: 1000}, Lasting: true, MayMiss: 1, HasMayMiss: true}
+	lasting := job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, DisruptionBudget: 1, HasDisruptionBudget: true}
 	h.job("j", "free", lasting)
 	start := one[Start](h, h.step(0))
 	h.confirm(start)
 	h.lists(string(start.VM), []job.RunningTask{running(start, 100)})
 	h.listMachinesOf("one", "two")
-	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{job.MachineID("m-" + start.VM)}, AtOnce: 1}, nil)
+	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{job.MachineID("m-" + start.VM)}, MaxConcurrent: 1}, nil)
 	h.s.SetRights(Rights{Start: true, Hold: true})
 	assert.Equal(t, len(only[Stop](h.step(time.Second))), 0)
 	h.job("new", "free", small)
@@ -307,7 +307,7 @@
 	})
 	h.s.SetRights(Rights{Order: true, Start: true, Hold: true})
 	h.s.Machines(h.now, []job.Machine{{ID: "m-1", State: job.MachineUp}, {ID: "m-2", State: job.MachineUp}})
-	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, AtOnce: 2}, nil)
+	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 2}, nil)
 	assert.Equal(t, one[Upkeep](h, h.step(time.Second)).Machine, job.MachineID("m-2"))
 	assert.Equal(t, len(only[Upkeep](h.step(3*time.Second))), 0)
 	assert.Equal(t, one[Upkeep](h, h.step(time.Second)).Machine, job.MachineID("m-1"))
@@ -338,7 +338,7 @@
 func TestCancelStopsWhatRuns(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", job.Step{Count: 2, Room: job.Room{CPU: 5000}})
+	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}})
 	start := one[Start](h, h.step(0))
 	h.confirm(start)
 	h.s.Cancel(h.now, "j")
@@ -355,11 +355,11 @@
 func TestUpkeepWaitsForStopsOfAFormerOwner(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	lasting := job.Step{Count: 2, Room: job.Room{CPU: 1000}, Lasting: true, MaxPerVM: 1, MayMiss: 1, HasMayMiss: true}
+	lasting := job.Step{Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true}
 	j := job.Job{ID: "j", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{lasting}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one", "two"}}, true)
 	h.s.Machines(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
-	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, AtOnce: 1}, nil)
+	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
 	list := func(ended ...job.End) {
 		h.lists("one", []job.RunningTask{{Task: job.TaskID{Job: "j"}, Attempt: 7, Percent: 100}})
 		var there []job.RunningTask
@@ -390,10 +390,10 @@
 	h := newHarness(t)
 	h.ready("one")
 	h.s.Machines(h.now, []job.Machine{
-		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Room: job.Room{CPU: 8000}},
-		{ID: "m-off", Pool: off, State: job.MachineUp, Room: job.Room{CPU: 8000}},
+		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-off", Pool: off, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
 	})
-	h.job("j", "free", job.Step{Count: 2, Room: job.Room{CPU: 1000}, Lasting: true, MaxPerVM: 1})
+	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1})
 	commands := h.step(0)
 	assert.Equal(t, len(only[Start](commands)), 1)
 	assert.Equal(t, one[Move](h, commands), Move{Machine: "m-off", Pool: poolA})
@@ -405,10 +405,10 @@
 func TestFillingTaskGivesWay(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("fill", "free", job.Step{Count: 1, Room: job.Room{CPU: 4000}, Fills: true, Estimate: time.Minute})
+	h.job("fill", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true, Estimate: time.Minute})
 	fill := one[Start](h, h.step(0))
 	h.confirm(fill)
-	h.job("serve", "free", job.Step{Count: 1, Room: job.Room{CPU: 1000}, Lasting: true, TailTarget: 100 * time.Millisecond})
+	h.job("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
 	serve := one[Start](h, h.step(0))
 	h.confirm(serve)
 	for _, x := range []struct {
@@ -427,9 +427,9 @@
 func TestFillingTaskKeepsAway(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("serve", "free", job.Step{Count: 1, Room: job.Room{CPU: 1000}, Lasting: true, TailTarget: 100 * time.Millisecond})
+	h.job("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
 	h.confirm(one[Start](h, h.step(0)))
-	h.job("fill", "free", job.Step{Count: 1, Room: job.Room{CPU: 4000}, Fills: true})
+	h.job("fill", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true})
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 }
 
--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -20,7 +20,7 @@
 			saved = task.saved
 		}
 	}
-	if !a.withinCap(j, st.def.Room.Times(len(st.tasks))) {
+	if !a.withinCap(j, st.def.Resources.Mul(len(st.tasks))) {
 		return
 	}
 	chosen := a.chooseGang(st)
@@ -71,13 +71,13 @@
 			continue
 		}
 		free := v.free()
-		claim := st.def.Claim()
-		for n := 0; len(chosen) < len(st.tasks) && claim.Fits(free); n++ {
+		claim := st.def.Reservation()
+		for n := 0; len(chosen) < len(st.tasks) && claim.FitsIn(free); n++ {
 			if st.def.MaxPerVM > 0 && n >= st.def.MaxPerVM {
 				break
 			}
 			chosen = append(chosen, v)
-			free = free.Minus(claim)
+			free = free.Sub(claim)
 		}
 	}
 	if len(chosen) < len(st.tasks) {
--- a/core/schedule/gang_test.go
+++ b/core/schedule/gang_test.go
@@ -16,12 +16,12 @@
 	h := newHarness(t)
 	h.ready("one", "two", "three")
 	gang := small
-	gang.Count, gang.Gang, gang.Room.CPU = 2, true, 8000
+	gang.Count, gang.Gang, gang.Resources.CPU = 2, true, 8000
 	h.job("j", "free", gang)
 	starts := only[Start](h.step(10 * time.Millisecond))
 	assert.Equal(t, len(starts), 2)
 	h.confirm(starts[0])
-	h.s.StartAnswered(h.now, starts[1], Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedRoom})
+	h.s.StartAnswered(h.now, starts[1], Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedCapacity})
 	stop := one[Stop](h, h.step(time.Millisecond))
 	assert.Equal(t, stop.VM, starts[0].VM)
 	assert.Equal(t, stop.Attempt, starts[0].Order.Attempt)
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -32,9 +32,9 @@
 	})
 	c := &job.Configuration{
 		Version:  1,
-		Queues:   []job.Queue{{Name: "q", Pool: poolA, Attempts: 2, Stretch: 1.6, Latency: time.Second}},
+		Queues:   []job.Queue{{Name: "q", Pool: poolA, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}},
 		Pools:    []job.Pool{{Name: poolA}, {Name: off, Standby: true}},
-		Accounts: []job.Account{{Name: "capped", Cap: job.Room{CPU: 5000}}, {Name: "free"}},
+		Accounts: []job.Account{{Name: "capped", Quota: job.Resources{CPU: 5000}}, {Name: "free"}},
 	}
 	c.Index()
 	h.s.Configure(c)
@@ -68,8 +68,8 @@
 func (h *harness) seen(id string) { h.seenInZone(id, "") }
 
 func (h *harness) seenInZone(id string, zone job.ZoneName) {
-	h.s.VMSeen(h.now, job.VMEntry{
-		ID: job.VMID(id), Pool: poolA, Address: id, Zone: zone, Room: job.Room{CPU: 8000, MemMB: 8000},
+	h.s.VMSeen(h.now, job.VMRecord{
+		ID: job.VMID(id), Pool: poolA, Address: id, Zone: zone, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 		Machine: job.MachineID("m-" + id), Born: 1,
 	})
 }
@@ -97,7 +97,7 @@
 
 func (h *harness) job(id string, account job.AccountName, steps ...job.Step) {
 	j := job.Job{ID: job.ID(id), Body: job.Body{Spec: "x", Steps: steps}}
-	j.Terms = job.Terms{Queue: "q", Pool: poolA, Account: account, Attempts: 2, Stretch: 1.6, Latency: time.Second}
+	j.Terms = job.Terms{Queue: "q", Pool: poolA, Account: account, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}
 	h.s.AddJob(h.now, j, nil, false)
 }
 
@@ -128,4 +128,4 @@
 	return out[0]
 }
 
-var small = job.Step{Count: 1, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second}
+var small = job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -29,7 +29,7 @@
 	// An unanswered hold may be carried out later. One to a silent VM therefore
 	// extends nothing: else the lease of a VM that is gone would never run out here.
 	if v.clock.Known() && !v.silent {
-		o.Deadline = v.clock.Likely(now) + job.VMClock(s.settings.LeaseMax.Milliseconds())
+		o.Deadline = v.clock.Estimate(now) + job.VMClock(s.settings.LeaseMax.Milliseconds())
 		v.leaseEnd = max(v.leaseEnd, o.Deadline)
 	}
 	if v.heldOnce && !v.silent && len(v.unsure) == 0 {
@@ -96,7 +96,7 @@
 		v.born = r.Born
 	}
 	if r.Clock > 0 {
-		v.clock.Read(r.Clock, now)
+		v.clock.Observe(r.Clock, now)
 	}
 	if v.silent {
 		s.decided(Decision{What: VMBack, VM: v.id, Age: now.Sub(v.answered)})
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -17,7 +17,7 @@
 		if !s.mayLend(now, m) {
 			continue
 		}
-		x := sizing.Machine{ID: id, Pool: m.Pool, Zone: m.Zone, CPU: m.Room.CPU}
+		x := sizing.Machine{ID: id, Pool: m.Pool, Zone: m.Zone, CPU: m.Capacity.CPU}
 		if p := s.conf.Pool(m.Pool); p == nil || !p.Standby {
 			v := s.vms.Get(m.VM)
 			if v == nil || v.runs.Len() > 0 || !s.usable(now, v) || v.machine != id || v.room.CPU == 0 {
--- a/core/schedule/noted_test.go
+++ b/core/schedule/noted_test.go
@@ -53,7 +53,7 @@
 func TestEndOfAFailedJobIsNotedOnceTheFailureIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", job.Step{Count: 2, Room: job.Room{CPU: 5000, MemMB: 100}, Estimate: time.Second})
+	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second})
 	starts := h.begun(2)
 	bad, good := starts[0], starts[1]
 	h.lists(string(bad.VM), nil, end(1, bad, job.EndedFailed))
@@ -71,7 +71,7 @@
 func TestEndsOfAGangAreNotedOnceOneIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", job.Step{Count: 2, Room: job.Room{CPU: 5000, MemMB: 100}, Estimate: time.Second, Gang: true})
+	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second, Gang: true})
 	starts := h.begun(2)
 	first, second := starts[0], starts[1]
 	h.lists(string(first.VM), nil, end(1, first, job.EndedDone))
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -159,7 +159,7 @@
 	if stretch <= 0 {
 		stretch = defaultStretch
 	}
-	allowed := time.Duration(stretch*float64(s.wholeChain(j))) + j.Terms.Latency
+	allowed := time.Duration(stretch*float64(s.wholeChain(j))) + j.Terms.LatencyAllowance
 	return j.arrived.Add(allowed), j.arrived.Add(lateFactor * allowed)
 }
 
@@ -168,7 +168,7 @@
 	for _, o := range j.occurrences {
 		for i := range o.steps {
 			st := o.steps[i].def
-			one := float64(st.Room.CPU) / 1000 * s.runTime(j, st).Seconds()
+			one := float64(st.Resources.CPU) / 1000 * s.runTime(j, st).Seconds()
 			all += one * float64(st.Count)
 			left += one * float64(st.Count-o.steps[i].done)
 		}
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -29,7 +29,7 @@
 	assert.Assert(t, got > want*95/100 && got < want*105/100, "%s, want about %s", got, want)
 }
 
-var pair = job.Step{Count: 2, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: 1400 * time.Millisecond}
+var pair = job.Step{Count: 2, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: 1400 * time.Millisecond}
 
 // Guards against jobs that are believed in time and end late: a step lasts as long as the
 // longest of its tasks, not as a typical one.
@@ -69,7 +69,7 @@
 	assert.Equal(t, h.s.queue("q").steps, 0)
 }
 
-var wide = job.Step{Count: 4, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second}
+var wide = job.Step{Count: 4, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
 
 // A step with a run that this owner hasn't seen whole teaches nothing.
 func TestUnseenRunsTeachNothing(t *testing.T) {
--- a/core/schedule/order_test.go
+++ b/core/schedule/order_test.go
@@ -39,7 +39,7 @@
 			h.now = h.now.Add(time.Duration(rng.IntN(300)) * time.Millisecond)
 			id := fmt.Sprintf("j%02d", i)
 			h.job(id, "free", job.Step{
-				Count: 1 + rng.IntN(9), Room: job.Room{CPU: rng.Int64N(4000)}, Lasting: rng.IntN(8) == 0,
+				Count: 1 + rng.IntN(9), Resources: job.Resources{CPU: rng.Int64N(4000)}, LongRunning: rng.IntN(8) == 0,
 				Estimate: time.Duration(rng.IntN(3000)) * time.Millisecond,
 			})
 			j := h.s.jobs.Get(job.ID(id))
@@ -70,7 +70,7 @@
 	h.job("late", "free", small)
 	late := h.s.jobs.Get("late")
 	h.now = h.now.Add(3 * time.Second)
-	h.job("fresh", "free", job.Step{Count: 9, Room: job.Room{CPU: 1000}, Estimate: time.Second})
+	h.job("fresh", "free", job.Step{Count: 9, Resources: job.Resources{CPU: 1000}, Estimate: time.Second})
 	out := h.s.candidates(h.now, []*jobState{late, h.s.jobs.Get("fresh")})
 	assert.Equal(t, out[0].job.ID, job.ID("fresh"))
 	assert.Equal(t, out[1].rank, rankLate)
--- a/core/schedule/otherlife_test.go
+++ b/core/schedule/otherlife_test.go
@@ -18,8 +18,8 @@
 	start := one[Start](h, h.step(0))
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: 50})
 	h.now = h.now.Add(300 * time.Millisecond)
-	h.s.VMSeen(h.now, job.VMEntry{
-		ID: start.VM, Pool: poolA, Address: string(start.VM), Room: job.Room{CPU: 8000, MemMB: 8000},
+	h.s.VMSeen(h.now, job.VMRecord{
+		ID: start.VM, Pool: poolA, Address: string(start.VM), Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 		Machine: job.MachineID("m-" + string(start.VM)), Born: 2,
 	})
 	assert.Equal(t, len(only[Start](h.step(0))), 0, "it may run, or have ended, in the new life")
@@ -89,7 +89,7 @@
 		}
 	}
 	assert.Assert(t, h.now.Sub(begin) < lateOrder)
-	h.s.VMSeen(h.now, job.VMEntry{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
+	h.s.VMSeen(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 3, Born: 2, Lists: true})
 	stops := only[Stop](h.step(0))
 	assert.Assert(t, len(stops) > 0)
@@ -122,7 +122,7 @@
 	h.ready("one")
 	h.job("j", "free", small)
 	start := one[Start](h, h.step(0))
-	h.s.VMSeen(h.now, job.VMEntry{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2, Room: job.Room{CPU: 8000, MemMB: 8000}})
+	h.s.VMSeen(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: h.clock()})
 	born := h.now
 	clock := func() job.VMClock { return job.VMClock(h.now.Sub(born).Milliseconds()) + 5 }
@@ -149,7 +149,7 @@
 	h.ready("two")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
-	h.s.VMSeen(h.now, job.VMEntry{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
+	h.s.VMSeen(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	assert.Equal(t, len(only[Start](h.step(30*time.Millisecond))), 0, "it may run there")
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 900, Born: 2, Lists: true})
 	assert.Equal(t, len(only[Start](h.step(0))), 1)
@@ -183,7 +183,7 @@
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.s.Cancel(h.now, "j")
 	stop := one[Stop](h, h.turn(0))
-	h.s.VMSeen(h.now, job.VMEntry{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
+	h.s.VMSeen(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock()})
 	again := only[Stop](h.step(stopRetry))
 	assert.Assert(t, len(again) > 0)
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -31,11 +31,11 @@
 		_, _, st, _ := s.task(r.task)
 		switch {
 		case st == nil || r.phase != runConfirmed || r.stopping:
-		case st.def.Fills:
+		case st.def.SpareCPU:
 			fills = append(fills, r)
-		case st.def.TailTarget > 0:
+		case st.def.TailLatencyTarget > 0:
 			serving = true
-			worst = max(worst, float64(r.load)/float64(st.def.TailTarget.Milliseconds()))
+			worst = max(worst, float64(r.load)/float64(st.def.TailLatencyTarget.Milliseconds()))
 		}
 	}
 	if len(fills) == 0 {
--- a/core/schedule/place.go
+++ b/core/schedule/place.go
@@ -35,12 +35,12 @@
 	// Tasks are packed: of VMs that are equal else, the one with the least room left
 	// takes the task, so that others stay empty for wide tasks, upkeep and other pools.
 	cost := v.freeShare()
-	if p.step.def.Lasting {
+	if p.step.def.LongRunning {
 		cost += a.costOfLasting(p, v)
 	} else {
 		cost += costOfNewPlace(p.job, v)
 	}
-	if p.step.def.Fills || p.step.def.TailTarget > 0 {
+	if p.step.def.SpareCPU || p.step.def.TailLatencyTarget > 0 {
 		cost += costDisturbs * float64(v.disturbed(p.step.def))
 	}
 	if v.vacating {
@@ -50,7 +50,7 @@
 	if p.task.shunned == v.id {
 		cost += costShunned
 	}
-	if p.step.def.NearRack != "" && v.rack != p.step.def.NearRack {
+	if p.step.def.PreferredRack != "" && v.rack != p.step.def.PreferredRack {
 		cost += costFarRack
 	}
 	return cost
@@ -86,10 +86,10 @@
 // be disturbed by.
 func (v *vmState) disturbed(def *job.Step) int {
 	n := 0
-	if def.Fills {
+	if def.SpareCPU {
 		n += v.serving
 	}
-	if def.TailTarget > 0 {
+	if def.TailLatencyTarget > 0 {
 		n += v.fills
 	}
 	return n
@@ -107,7 +107,7 @@
 		return false
 	}
 	// A filling task has other places, or may wait; a serving one would suffer.
-	return !st.def.Fills || v.disturbed(st.def) == 0
+	return !st.def.SpareCPU || v.disturbed(st.def) == 0
 }
 
 // runsOfStep counts the runs of one step of one occurrence on the VM; what is
--- a/core/schedule/place_test.go
+++ b/core/schedule/place_test.go
@@ -27,8 +27,8 @@
 func TestRackIsStoredAsOnePlace(t *testing.T) {
 	h := newHarness(t)
 	for _, id := range []string{"one", "two"} {
-		h.s.VMSeen(h.now, job.VMEntry{
-			ID: job.VMID(id), Pool: poolA, Address: id, Room: job.Room{CPU: 8000, MemMB: 8000},
+		h.s.VMSeen(h.now, job.VMRecord{
+			ID: job.VMID(id), Pool: poolA, Address: id, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 			Machine: job.MachineID("m-" + id), Born: 1, Labels: []job.Label{"r1-1"},
 		})
 	}
@@ -37,7 +37,7 @@
 	h.lists("two", nil)
 	h.step(30 * time.Millisecond)
 	wide := small
-	wide.Room.CPU = 8000
+	wide.Resources.CPU = 8000
 	second := wide
 	second.After = []int{0}
 	h.job("j", "free", wide, second)
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -157,7 +157,7 @@
 	for _, o := range j.occurrences {
 		for i := range o.steps {
 			def := o.steps[i].def
-			l.cpu += def.Claim().CPU * int64(def.Count)
+			l.cpu += def.Reservation().CPU * int64(def.Count)
 			if def.MaxPerVM > 0 {
 				l.vms = max(l.vms, (def.Count+def.MaxPerVM-1)/def.MaxPerVM)
 			}
@@ -193,7 +193,7 @@
 			if st.open == 0 || !o.ready(i) {
 				continue
 			}
-			sum += float64(st.open) * float64(st.def.Claim().CPU) / 1000 * s.runTime(j, st.def).Seconds()
+			sum += float64(st.open) * float64(st.def.Reservation().CPU) / 1000 * s.runTime(j, st.def).Seconds()
 		}
 	}
 	return sum
@@ -214,7 +214,7 @@
 	for _, v := range s.vms.All() {
 		r.vmCPU = max(r.vmCPU, v.room.CPU)
 		if v.host != nil {
-			r.vmCPU = max(r.vmCPU, v.host.Room.CPU)
+			r.vmCPU = max(r.vmCPU, v.host.Capacity.CPU)
 		}
 		if v.counts(now) {
 			r.have[v.pool] += v.room.CPU
@@ -225,9 +225,9 @@
 		switch {
 		case s.evacuations.has(m.Zone):
 		case m.to != "":
-			r.have[m.to] += m.Room.CPU
-		case m.State == job.MachineMoving, m.State == job.MachineUpkeep:
-			r.have[m.Pool] += m.Room.CPU
+			r.have[m.to] += m.Capacity.CPU
+		case m.State == job.MachineMoving, m.State == job.MachineMaintenance:
+			r.have[m.Pool] += m.Capacity.CPU
 		}
 	}
 	return r
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -18,8 +18,8 @@
 	c := &job.Configuration{
 		Version: 2,
 		Queues: []job.Queue{
-			{Name: "qa", Pool: poolA, Attempts: 2, Stretch: 1.6, Latency: time.Second},
-			{Name: "qb", Pool: poolB, Attempts: 2, Stretch: 1.6, Latency: time.Second},
+			{Name: "qa", Pool: poolA, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second},
+			{Name: "qb", Pool: poolB, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second},
 		},
 		Pools:    []job.Pool{{Name: poolA}, {Name: poolB}},
 		Accounts: []job.Account{{Name: "free"}},
@@ -32,8 +32,8 @@
 // seenIn lists a VM of a pool and its machine.
 func (h *harness) seenIn(pool job.PoolName, ids ...string) {
 	for _, id := range ids {
-		h.s.VMSeen(h.now, job.VMEntry{
-			ID: job.VMID(id), Pool: pool, Address: id, Room: job.Room{CPU: 8000, MemMB: 8000},
+		h.s.VMSeen(h.now, job.VMRecord{
+			ID: job.VMID(id), Pool: pool, Address: id, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 			Machine: job.MachineID("m-" + id), Born: 1, Zone: "z",
 		})
 	}
@@ -55,7 +55,7 @@
 		id := job.VMID(n)
 		v := h.s.vms.Get(id)
 		list = append(list, job.Machine{
-			ID: job.MachineID("m-" + n), Pool: v.pool, State: job.MachineUp, Zone: "z", Room: v.room, VM: id,
+			ID: job.MachineID("m-" + n), Pool: v.pool, State: job.MachineUp, Zone: "z", Capacity: v.room, VM: id,
 		})
 	}
 	h.s.Machines(h.now, list)
@@ -69,7 +69,7 @@
 func (h *harness) jobOf(queue job.QueueName, id string, steps ...job.Step) job.Job {
 	q := h.s.conf.Queue(queue)
 	j := job.Job{ID: job.ID(id), Body: job.Body{Spec: "x", Steps: steps}}
-	j.Terms = job.Terms{Queue: queue, Pool: q.Pool, Account: "free", Attempts: 2, Stretch: q.Stretch, Latency: q.Latency}
+	j.Terms = job.Terms{Queue: queue, Pool: q.Pool, Account: "free", MaxAttempts: 2, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
 	return j
 }
 
@@ -88,7 +88,7 @@
 // queue that bursts wait for them.
 func TestJobThatCannotStartTakesNoMachines(t *testing.T) {
 	h := newPoolsHarness(t)
-	wide := job.Step{Count: 40, Room: job.Room{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second}
+	wide := job.Step{Count: 40, Resources: job.Resources{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second}
 	h.s.Inherit(RosterVM{ID: "far", Address: "far", Pool: poolB, Born: 1})
 	h.s.AddJob(h.now, h.jobOf("qb", "cut", wide), &job.Progress{State: job.Running, VMs: []job.VMID{"far"}}, true)
 	h.seenIn(poolA, "a1")
@@ -118,8 +118,8 @@
 	}
 	h.listMachines()
 	h.step(30 * time.Millisecond)
-	first := job.Step{Count: 1, Room: job.Room{CPU: 1000, MemMB: 5000}, Estimate: time.Second}
-	next := job.Step{Count: 1, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second, After: []int{0}}
+	first := job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 5000}, Estimate: time.Second}
+	next := job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second, After: []int{0}}
 	h.jobIn("qb", "j1", first, next)
 	h.jobIn("qb", "j2", first, next)
 	starts := only[Start](h.step(0))
@@ -130,7 +130,7 @@
 	// The two ran on different VMs, since one hasn't the memory for both.
 	assert.Assert(t, starts[0].VM != starts[1].VM)
 	h.now = h.now.Add(2 * time.Second)
-	h.jobIn("qa", "burst", job.Step{Count: 60, Room: job.Room{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second})
+	h.jobIn("qa", "burst", job.Step{Count: 60, Resources: job.Resources{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second})
 	h.step(sizeEvery)
 	var on []job.VMID
 	moved := 0
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -67,7 +67,7 @@
 func (j *jobState) restoreCrashes(p *job.Progress) {
 	for _, c := range p.Crashed {
 		if t := j.taskAt(c.Occurrence, c.Step, c.Task); t != nil {
-			t.crashes = crashes{attempts: c.Attempts, certain: c.Certain, atStart: c.AtStart, alone: c.Alone}
+			t.crashes = crashes{attempts: c.Attempts, certain: c.Confirmed, atStart: c.AtStart, alone: c.SoleSuspect}
 			j.occurrences[c.Occurrence].steps[c.Step].recount()
 		}
 	}
@@ -84,14 +84,14 @@
 		r := &run{
 			task: job.TaskID{Job: j.ID, Occurrence: x.Occurrence, Step: x.Step, Index: x.Task}, attempt: x.Attempt, vm: v,
 			phase: runUnanswered, adopted: true, recorded: true, suspect: t.crashes.any(),
-			claim: st.def.Claim(), cost: st.def.Room, account: j.Terms.Account, pace: 100,
+			claim: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account, pace: 100,
 		}
 		r.setKind(st.def)
 		t.attempt = max(t.attempt, x.Attempt)
 		switch {
 		case x.Born != 0 && v.born > x.Born:
 			s.crashedUnder(now, r)
-		case x.Lapsed:
+		case x.LeaseExpired:
 			s.lapse(now, r)
 		default:
 			s.addRun(r, st, t)
@@ -118,7 +118,7 @@
 	if t.crashes.any() {
 		p.Crashed = append(p.Crashed, job.TaskCrashes{
 			Occurrence: id.Occurrence, Step: id.Step, Task: id.Index,
-			Attempts: slices.Clone(t.crashes.attempts), Certain: t.crashes.certain, AtStart: t.crashes.atStart, Alone: t.crashes.alone,
+			Attempts: slices.Clone(t.crashes.attempts), Confirmed: t.crashes.certain, AtStart: t.crashes.atStart, SoleSuspect: t.crashes.alone,
 		})
 	}
 	for _, r := range t.runs {
@@ -135,6 +135,6 @@
 func (r *run) start(lapsed bool) job.TaskStart {
 	return job.TaskStart{
 		Occurrence: r.task.Occurrence, Step: r.task.Step, Task: r.task.Index, Attempt: r.attempt,
-		VM: r.vm.id, Born: r.vm.born, Lapsed: lapsed,
+		VM: r.vm.id, Born: r.vm.born, LeaseExpired: lapsed,
 	}
 }
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -57,7 +57,7 @@
 // come first.
 func (s *Scheduler) tellRedundant(v *vmState, e job.End) {
 	j, _, st, t := s.task(e.Task)
-	if j == nil || st.def.Lasting || (e.How != job.EndedDone && e.How != job.EndedFailed) {
+	if j == nil || st.def.LongRunning || (e.How != job.EndedDone && e.How != job.EndedFailed) {
 		return
 	}
 	why := "already counted"
@@ -94,10 +94,10 @@
 		return false
 	}
 	switch {
-	case e.How == job.EndedDone && !st.def.Lasting:
+	case e.How == job.EndedDone && !st.def.LongRunning:
 		return s.taskDone(now, j, o, st, t, v, ranFor)
 	case e.How == job.EndedFailed:
-		if !st.def.Lasting {
+		if !st.def.LongRunning {
 			s.judgeFailure(now, v)
 		}
 		return s.taskFailed(now, j, st, t, e, v)
@@ -164,7 +164,7 @@
 func (s *Scheduler) taskFailed(now time.Time, j *jobState, st *stepState, t *taskState, e job.End, v *vmState) bool {
 	t.shunned = v.id
 	t.notBefore = now.Add(failurePause)
-	if st.def.Lasting {
+	if st.def.LongRunning {
 		t.notBefore = now
 		return false
 	}
@@ -220,7 +220,7 @@
 // seeAtWork notes whether a lasting task is at work.
 func (s *Scheduler) seeAtWork(r *run) {
 	_, _, st, t := s.task(r.task)
-	if t == nil || !st.def.Lasting {
+	if t == nil || !st.def.LongRunning {
 		return
 	}
 	if r.percent >= 100 && !r.stopping {
@@ -238,7 +238,7 @@
 		pace: 100, adopted: true, stray: j == nil, list: v.lists,
 	}
 	if j != nil {
-		r.claim, r.cost, r.account = st.def.Claim(), st.def.Room, j.Terms.Account
+		r.claim, r.cost, r.account = st.def.Reservation(), st.def.Resources, j.Terms.Account
 		r.setKind(st.def)
 	}
 	wanted := j != nil && !j.over() && !t.done && (t.live() == nil || st.def.Speculative)
--- a/core/schedule/rooms.go
+++ b/core/schedule/rooms.go
@@ -17,7 +17,7 @@
 	largest int64
 	// tooLarge are claims that no VM had room for. Room only shrinks while tasks are
 	// placed, so that none has room for a larger one either.
-	tooLarge []job.Room
+	tooLarge []job.Resources
 }
 
 // slot is a VM and the part of its CPU that is free.
@@ -34,10 +34,10 @@
 }
 
 // newRooms returns the rooms of those of vms that have room for claims of this size.
-func newRooms(vms []*vmState, least job.Room) rooms {
+func newRooms(vms []*vmState, least job.Resources) rooms {
 	r := rooms{slots: make([]slot, 0, len(vms))}
 	for _, v := range vms {
-		if least.Fits(v.free()) {
+		if least.FitsIn(v.free()) {
 			r.slots = append(r.slots, slot{v.freeShare(), v})
 			r.largest = max(r.largest, v.room.CPU)
 		}
@@ -47,7 +47,7 @@
 }
 
 // from returns the index of the first VM that may have room for the claim.
-func (r *rooms) from(claim job.Room) int {
+func (r *rooms) from(claim job.Resources) int {
 	least := float64(claim.CPU) / float64(max(1, r.largest))
 	return sort.Search(len(r.slots), func(i int) bool { return r.slots[i].free >= least })
 }
@@ -61,19 +61,19 @@
 }
 
 // refuses tells whether no VM has room for the claim, as far as that is known.
-func (r *rooms) refuses(claim job.Room) bool {
-	return slices.ContainsFunc(r.tooLarge, func(x job.Room) bool { return x.Fits(claim) })
+func (r *rooms) refuses(claim job.Resources) bool {
+	return slices.ContainsFunc(r.tooLarge, func(x job.Resources) bool { return x.FitsIn(claim) })
 }
 
 // refuse notes that no VM has room for the claim.
-func (r *rooms) refuse(claim job.Room) {
-	r.tooLarge = slices.DeleteFunc(r.tooLarge, func(x job.Room) bool { return claim.Fits(x) })
+func (r *rooms) refuse(claim job.Resources) {
+	r.tooLarge = slices.DeleteFunc(r.tooLarge, func(x job.Resources) bool { return claim.FitsIn(x) })
 	r.tooLarge = append(r.tooLarge, claim)
 }
 
 // choose returns the index of the VM for a task, or -1 if none has room.
 func (a *assignment) choose(p placement) int {
-	claim := p.step.def.Claim()
+	claim := p.step.def.Reservation()
 	if a.rooms.refuses(claim) {
 		return -1
 	}
@@ -85,7 +85,7 @@
 		if best >= 0 && x.free >= bestCost {
 			break
 		}
-		if !claim.Fits(x.vm.free()) {
+		if !claim.FitsIn(x.vm.free()) {
 			continue
 		}
 		onlyRoom = false
--- a/core/schedule/rooms_test.go
+++ b/core/schedule/rooms_test.go
@@ -14,7 +14,7 @@
 func chooseNaively(a *assignment, p placement) *vmState {
 	var best *vmState
 	for _, v := range a.vms {
-		fits := p.step.def.Claim().Fits(v.free())
+		fits := p.step.def.Reservation().FitsIn(v.free())
 		if !fits || !p.step.suits(p.id.StepID(), v) || !a.s.usable(a.now, v) {
 			continue
 		}
@@ -29,13 +29,13 @@
 	sizes := []int64{8000, 16000, 32000}
 	v := &vmState{
 		id: job.VMID(fmt.Sprintf("vm-%02d", i)), zone: job.ZoneName(rune('a' + i%3)), rack: job.Label(fmt.Sprintf("r%d", i/4)),
-		room: job.Room{CPU: sizes[rng.IntN(3)], MemMB: 16000}, labels: map[job.Label]bool{}, listed: true, heldOnce: true,
+		room: job.Resources{CPU: sizes[rng.IntN(3)], MemMB: 16000}, labels: map[job.Label]bool{}, listed: true, heldOnce: true,
 		vacating: rng.IntN(6) == 0, lasting: rng.IntN(2), serving: rng.IntN(2), fills: rng.IntN(2),
 	}
-	v.clock.Read(1, begin)
-	v.used = job.Room{CPU: rng.Int64N(v.room.CPU + 1), MemMB: rng.Int64N(v.room.MemMB)}
+	v.clock.Observe(1, begin)
+	v.used = job.Resources{CPU: rng.Int64N(v.room.CPU + 1), MemMB: rng.Int64N(v.room.MemMB)}
 	if rng.IntN(4) == 0 {
-		v.room = v.room.Minus(job.Room{CPU: rng.Int64N(v.room.CPU + 1), MemMB: rng.Int64N(v.room.MemMB)})
+		v.room = v.room.Sub(job.Resources{CPU: rng.Int64N(v.room.CPU + 1), MemMB: rng.Int64N(v.room.MemMB)})
 	}
 	if rng.IntN(3) == 0 {
 		v.labels["fast"] = true
@@ -47,18 +47,18 @@
 }
 
 func randomStep(rng *rand.Rand) job.Step {
-	st := job.Step{Count: 1, Room: job.Room{CPU: 100 + rng.Int64N(12000), MemMB: rng.Int64N(8000)}}
+	st := job.Step{Count: 1, Resources: job.Resources{CPU: 100 + rng.Int64N(12000), MemMB: rng.Int64N(8000)}}
 	switch rng.IntN(6) {
 	case 0:
-		st.Lasting = true
+		st.LongRunning = true
 	case 1:
-		st.Fills = true
+		st.SpareCPU = true
 	case 2:
-		st.TailTarget = 1
+		st.TailLatencyTarget = 1
 	case 3:
 		st.Requires = "fast"
 	case 4:
-		st.NearRack = "r1"
+		st.PreferredRack = "r1"
 	}
 	return st
 }
@@ -71,7 +71,7 @@
 		for i := range 1 + rng.IntN(30) {
 			vms = append(vms, randomVM(rng, i))
 		}
-		a := &assignment{s: New(Settings{}), now: begin, poolQueue: &poolQueue{vms: vms}, rooms: newRooms(vms, job.Room{})}
+		a := &assignment{s: New(Settings{}), now: begin, poolQueue: &poolQueue{vms: vms}, rooms: newRooms(vms, job.Resources{})}
 		for range 40 {
 			def := randomStep(rng)
 			p := placement{job: &jobState{zone: "b"}, step: &stepState{def: &def}, task: &taskState{}}
@@ -85,7 +85,7 @@
 			assert.Assert(t, n >= 0, "round %d: %s has room", round, want.id)
 			got := a.rooms.slots[n].vm
 			assert.Equal(t, a.cost(p, got), a.cost(p, want), "round %d", round)
-			got.used = got.used.Plus(def.Claim())
+			got.used = got.used.Add(def.Reservation())
 			a.rooms.moved(n)
 		}
 	}
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -33,7 +33,7 @@
 	r.enter(runOrdered)
 	r.orderedAt = now
 	r.resumed = t.saved != ""
-	r.startBy = v.clock.Likely(now) + job.VMClock(startWithin.Milliseconds())
+	r.startBy = v.clock.Estimate(now) + job.VMClock(startWithin.Milliseconds())
 	v.leaseEnd = max(v.leaseEnd, r.startBy)
 	s.decided(Decision{
 		What: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.answered),
@@ -65,9 +65,9 @@
 // addRun books a run on its VM, its step and task (nil if unknown) and its account.
 func (s *Scheduler) addRun(r *run, st *stepState, t *taskState) {
 	r.vm.runs.Set(runKey{r.task, r.attempt}, r)
-	r.vm.used = r.vm.used.Plus(r.claim)
+	r.vm.used = r.vm.used.Add(r.claim)
 	r.vm.countKind(r, 1)
-	s.running[r.account] = s.running[r.account].Plus(r.cost)
+	s.running[r.account] = s.running[r.account].Add(r.cost)
 	if t != nil {
 		t.runs = append(t.runs, r)
 		st.recount()
@@ -103,7 +103,7 @@
 		return
 	}
 	r.vm.runs.Delete(k)
-	r.vm.used = r.vm.used.Minus(r.claim)
+	r.vm.used = r.vm.used.Sub(r.claim)
 	r.vm.countKind(r, -1)
 	if r.phase == runOrdered {
 		r.vm.ordered--
@@ -112,7 +112,7 @@
 		r.vm.stopping--
 	}
 	r.vm.idleSince = now
-	s.running[r.account] = s.running[r.account].Minus(r.cost)
+	s.running[r.account] = s.running[r.account].Sub(r.cost)
 	j, _, st, t := s.task(r.task)
 	if t == nil {
 		return
@@ -122,7 +122,7 @@
 	}
 	t.runs = slices.DeleteFunc(t.runs, func(o *run) bool { return o == r })
 	st.recount()
-	if st.def.Lasting && t.awaySince.IsZero() {
+	if st.def.LongRunning && t.awaySince.IsZero() {
 		t.awaySince = now
 	}
 }
@@ -212,7 +212,7 @@
 	r.confirmedClock = max(r.confirmedClock, clock)
 	if r.begunAnew() && v.clock.Known() {
 		// A life that isn't known yet grants a whole lease, whatever the known one's clock says.
-		v.leaseEnd = max(v.leaseEnd, v.clock.Likely(now)+job.VMClock(s.settings.LeaseMax.Milliseconds()))
+		v.leaseEnd = max(v.leaseEnd, v.clock.Estimate(now)+job.VMClock(s.settings.LeaseMax.Milliseconds()))
 	}
 	j := s.jobs.Get(r.task.Job)
 	if j == nil {
@@ -254,7 +254,7 @@
 			v.suspect = now.Add(suspicion)
 		}
 		return
-	case out == Answered && rep.Refused == job.RefusedRoom:
+	case out == Answered && rep.Refused == job.RefusedCapacity:
 		v.full(now)
 	case out == Answered && rep.Refused == job.RefusedTicket:
 		s.dropTickets(c.Order.Task)
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -46,9 +46,9 @@
 	// ended remembers jobs that are over and stored, and since when.
 	ended map[job.ID]time.Time
 	// running is what each client account has running, or may have.
-	running map[job.AccountName]job.Room
+	running map[job.AccountName]job.Resources
 	// unheard is what each may have running beyond that, on VMs not heard yet.
-	unheard  map[job.AccountName]job.Room
+	unheard  map[job.AccountName]job.Resources
 	commands []Command
 	dirty    []*jobState
 	// sequence numbers the saves; stored is the last that is stored.
@@ -93,7 +93,7 @@
 		settings: s,
 		fence:    s.Fence,
 		ended:    map[job.ID]time.Time{},
-		running:  map[job.AccountName]job.Room{},
+		running:  map[job.AccountName]job.Resources{},
 		queues:   map[job.QueueName]*queueRecord{},
 		pools:    map[job.PoolName]*poolRecord{},
 		shares:   shares{},
@@ -152,7 +152,7 @@
 		s.setMachine(v, r.Machine)
 	}
 	v.rostered = r
-	v.inheritedUntil = lease.InheritedEnd(s.settings.TookOver, s.settings.LeaseMax)
+	v.inheritedUntil = lease.InheritedLeaseEnd(s.settings.TookOver, s.settings.LeaseMax)
 	v.nextHold = s.settings.TookOver.Add(unlistedPause)
 	s.anyUnheard = true
 }
@@ -171,8 +171,8 @@
 	if _, over := s.ended[j.ID]; over {
 		return
 	}
-	st := &jobState{Job: j, arrived: now, inherited: inherited, lasting: j.Body.Lasting()}
-	for k := range j.Body.Runs() {
+	st := &jobState{Job: j, arrived: now, inherited: inherited, lasting: j.Body.LongRunning()}
+	for k := range j.Body.OccurrenceCount() {
 		o := &occurrence{number: k, due: j.Body.Due(k), steps: make([]stepState, len(j.Body.Steps))}
 		for i := range o.steps {
 			o.steps[i].def = &j.Body.Steps[i]
@@ -304,11 +304,11 @@
 // attempts returns how many failed runs end a job.
 func (s *Scheduler) attempts(j *jobState) int {
 	if s.conf != nil {
-		if q := s.conf.Queue(j.Terms.Queue); q != nil && q.Attempts > 0 {
-			return q.Attempts
+		if q := s.conf.Queue(j.Terms.Queue); q != nil && q.MaxAttempts > 0 {
+			return q.MaxAttempts
 		}
 	}
-	return max(1, j.Terms.Attempts)
+	return max(1, j.Terms.MaxAttempts)
 }
 
 func (s *Scheduler) task(t job.TaskID) (*jobState, *occurrence, *stepState, *taskState) {
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -15,7 +15,7 @@
 	h := newHarness(t)
 	c := &job.Configuration{
 		Version:  2,
-		Queues:   []job.Queue{{Name: "q", Pool: poolA, Attempts: 2, Stretch: 1.6, Latency: time.Second}},
+		Queues:   []job.Queue{{Name: "q", Pool: poolA, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}},
 		Pools:    []job.Pool{{Name: poolA}},
 		Accounts: []job.Account{{Name: "hot", Weight: 2}, {Name: "quiet", Weight: 2}},
 	}
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -86,7 +86,7 @@
 func (f *shrinking) begin(v *shrinkingVM, r *shrinkingRun) {
 	v.runs = append(v.runs, r)
 	v.lease = max(v.lease, r.deadline)
-	if !f.steps[r.task.Job].Lasting {
+	if !f.steps[r.task.Job].LongRunning {
 		f.in(f.between(50, 1500), func() { v.end(r, job.EndedDone) })
 	}
 }
@@ -108,7 +108,7 @@
 		return
 	}
 	for _, r := range slices.Clone(v.runs) {
-		v.end(r, job.EndedLapsed)
+		v.end(r, job.EndedLeaseExpired)
 	}
 }
 
@@ -117,7 +117,7 @@
 // start carries a start out, and asserts that there is room for it.
 func (f *shrinking) start(c Start) {
 	v := f.vm(c.VM)
-	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Room.CPU, c.Order.Deadline}
+	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Resources.CPU, c.Order.Deadline}
 	used := v.used(f.clock())
 	assert.Assert(f.t, used+r.cpu <= v.told, "%v on %s: %d and %d of %d", r.task, v.id, used, r.cpu, v.told)
 	answer := func(out Outcome, rep job.Report) { f.s.StartAnswered(f.now, c, out, rep) }
@@ -133,7 +133,7 @@
 		f.in(f.between(300, 1000), func() { answer(Unanswered, job.Report{}) })
 	case f.guarded && used+r.cpu > v.cpu:
 		rep := f.report()
-		rep.Refused = job.RefusedRoom
+		rep.Refused = job.RefusedCapacity
 		answer(Answered, rep)
 	default:
 		f.begin(v, r)
@@ -224,8 +224,8 @@
 
 // submit hands a job in.
 func (f *shrinking) submit(n int) {
-	def := job.Step{Count: 1 + f.rng.IntN(4), Room: job.Room{CPU: 200 + f.rng.Int64N(3800)}, Estimate: time.Second}
-	def.Gang, def.Lasting = f.rng.IntN(5) == 0, f.rng.IntN(9) == 0
+	def := job.Step{Count: 1 + f.rng.IntN(4), Resources: job.Resources{CPU: 200 + f.rng.Int64N(3800)}, Estimate: time.Second}
+	def.Gang, def.LongRunning = f.rng.IntN(5) == 0, f.rng.IntN(9) == 0
 	id := job.ID(fmt.Sprintf("j-%d", n))
 	f.steps[id] = def
 	f.job(string(id), "free", def)
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -38,7 +38,7 @@
 // VM gets no new tasks for a while, and the run goes elsewhere if that is sooner.
 func (s *Scheduler) watchPace(now time.Time, r *run) {
 	j, _, st, t := s.task(r.task)
-	if t == nil || st.def.Lasting || st.def.Fills || r.stopping || r.suspect || j.over() {
+	if t == nil || st.def.LongRunning || st.def.SpareCPU || r.stopping || r.suspect || j.over() {
 		return
 	}
 	if r.markAt.IsZero() {
--- a/core/schedule/slow_test.go
+++ b/core/schedule/slow_test.go
@@ -14,7 +14,7 @@
 	h := newHarness(t)
 	h.ready("one", "two", "three", "four", "five")
 	wide := small
-	wide.Count, wide.Room.CPU = 4, 8000
+	wide.Count, wide.Resources.CPU = 4, 8000
 	h.job("j", "free", wide)
 	starts := only[Start](h.step(10 * time.Millisecond))
 	assert.Equal(t, len(starts), 4)
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -29,10 +29,10 @@
 	phase   runPhase
 	// after is the save that must be stored before the start is sent.
 	after int64
-	claim job.Room
+	claim job.Resources
 	// account pays with cost, which counts CPU that fills gaps too.
 	account job.AccountName
-	cost    job.Room
+	cost    job.Resources
 	// startBy is the start's deadline on the VM's clock.
 	startBy job.VMClock
 	// confirmedClock is the VM's clock when it confirmed the run.
@@ -71,7 +71,7 @@
 
 // setKind notes what kind of task runs.
 func (r *run) setKind(def *job.Step) {
-	r.lasting, r.serving, r.fills = def.Lasting, def.TailTarget > 0, def.Fills
+	r.lasting, r.serving, r.fills = def.LongRunning, def.TailLatencyTarget > 0, def.SpareCPU
 }
 
 // enter moves the run to another phase.
@@ -210,8 +210,8 @@
 	rack    job.Label
 	zone    job.ZoneName
 	labels  map[job.Label]bool
-	room    job.Room
-	used    job.Room
+	room    job.Resources
+	used    job.Resources
 	machine job.MachineID
 	// host is that machine as it is listed, or nil.
 	host *machineState
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -30,7 +30,7 @@
 func TestOrderIsOfLateFromItsSending(t *testing.T) {
 	h := newHarness(t)
 	h.s.Machines(h.now, []job.Machine{{ID: "m-1", Pool: off, State: job.MachineUp}})
-	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1"}, AtOnce: 1}, nil)
+	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1"}, MaxConcurrent: 1}, nil)
 	h.s.Tick(h.now)
 	saves := h.s.Take()
 	h.now = h.now.Add(4 * time.Second)
@@ -80,7 +80,7 @@
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 	h.seen("one")
-	h.s.VMSeen(h.now, job.VMEntry{ID: "next", Pool: poolA, Address: "next", Machine: "m-one", Born: 2, Room: job.Room{CPU: 8000, MemMB: 8000}})
+	h.s.VMSeen(h.now, job.VMRecord{ID: "next", Pool: poolA, Address: "next", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.now = h.now.Add(100 * time.Millisecond)
 	h.s.Machines(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "next"}})
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -47,7 +47,7 @@
 		}
 		for _, r := range v.runs.All() {
 			_, _, st, t := s.task(r.task)
-			if t != nil && st.def.Lasting && r.phase == runConfirmed && !v.silent {
+			if t != nil && st.def.LongRunning && r.phase == runConfirmed && !v.silent {
 				s.stop(now, r, "VM leaves")
 			}
 		}
--- a/core/schedule/turn_bench_test.go
+++ b/core/schedule/turn_bench_test.go
@@ -16,15 +16,15 @@
 	c := &job.Configuration{Version: 2}
 	for _, p := range pools {
 		c.Pools = append(c.Pools, job.Pool{Name: p})
-		c.Queues = append(c.Queues, job.Queue{Name: job.QueueName(p), Pool: p, Attempts: 2, Stretch: 1.6, Latency: time.Second})
+		c.Queues = append(c.Queues, job.Queue{Name: job.QueueName(p), Pool: p, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second})
 	}
 	c.Accounts = []job.Account{{Name: "free"}}
 	c.Index()
 	h.s.Configure(c)
 	for i := range vms {
 		id := fmt.Sprintf("vm-%03d", i)
-		h.s.VMSeen(h.now, job.VMEntry{
-			ID: job.VMID(id), Pool: pools[i%len(pools)], Address: id, Room: job.Room{CPU: 32000, MemMB: 64000},
+		h.s.VMSeen(h.now, job.VMRecord{
+			ID: job.VMID(id), Pool: pools[i%len(pools)], Address: id, Capacity: job.Resources{CPU: 32000, MemMB: 64000},
 			Machine: job.MachineID("m-" + id), Born: 1,
 		})
 	}
@@ -36,10 +36,10 @@
 	for i := range waiting + vms {
 		p := pools[i%len(pools)]
 		j := job.Job{ID: job.ID(fmt.Sprintf("%016x", i)), Body: job.Body{Spec: "x", Steps: []job.Step{
-			{Count: 8, Room: job.Room{CPU: 4000, MemMB: 100}, Estimate: time.Second},
-			{Count: 8, Room: job.Room{CPU: 4000, MemMB: 100}, Estimate: time.Second, After: []int{0}},
+			{Count: 8, Resources: job.Resources{CPU: 4000, MemMB: 100}, Estimate: time.Second},
+			{Count: 8, Resources: job.Resources{CPU: 4000, MemMB: 100}, Estimate: time.Second, After: []int{0}},
 		}}}
-		j.Terms = job.Terms{Queue: job.QueueName(p), Pool: p, Account: "free", Attempts: 2, Stretch: 1.6, Latency: time.Second}
+		j.Terms = job.Terms{Queue: job.QueueName(p), Pool: p, Account: "free", MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}
 		h.s.AddJob(h.now, j, nil, false)
 	}
 	for _, c := range h.step(0) {
--- a/core/schedule/upkeep.go
+++ b/core/schedule/upkeep.go
@@ -66,7 +66,7 @@
 		if w.done[id] || m == nil || m.to != "" {
 			continue
 		}
-		if m.State == job.MachineUpkeep && !w.away[id] {
+		if m.State == job.MachineMaintenance && !w.away[id] {
 			// A former owner has ordered it.
 			w.away[id] = true
 		}
@@ -105,7 +105,7 @@
 // emptyNext cordons the machines that are next, and orders upkeep for those
 // that are empty, never more than the wave's bound at a time.
 func (s *Scheduler) emptyNext(now time.Time, w *waveState, left []*machineState, cordoned map[job.MachineID]bool) {
-	slots := max(1, w.AtOnce)
+	slots := max(1, w.MaxConcurrent)
 	emptying := 0
 	for _, m := range left {
 		if len(w.away)+emptying >= slots+upkeepAhead {
@@ -232,7 +232,7 @@
 		return false
 	}
 	j, _, st, _ := s.task(r.task)
-	return j != nil && !j.over() && st.def.Lasting && s.mayMiss(now, st, r)
+	return j != nil && !j.over() && st.def.LongRunning && s.mayMiss(now, st, r)
 }
 
 // mayBeStopping tells whether a former owner may have ordered the run's end. The
@@ -256,8 +256,8 @@
 			away++
 		}
 	}
-	if !st.def.HasMayMiss {
+	if !st.def.HasDisruptionBudget {
 		return away == 0
 	}
-	return away < st.def.MayMiss
+	return away < st.def.DisruptionBudget
 }
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -42,7 +42,7 @@
 }
 
 // VMSeen takes in a VM's entry in the directory.
-func (s *Scheduler) VMSeen(now time.Time, e job.VMEntry) {
+func (s *Scheduler) VMSeen(now time.Time, e job.VMRecord) {
 	v := s.vm(e.ID)
 	if v.firstSeen.IsZero() {
 		s.decided(Decision{What: VMFound, VM: e.ID, Reason: string(e.Pool)})
@@ -52,10 +52,10 @@
 		s.reborn(now, v, e.Born)
 	}
 	v.listed, v.address, v.pool, v.zone = true, e.Address, e.Pool, e.Zone
-	if e.Room != v.room || e.Born != v.entryBorn {
+	if e.Capacity != v.room || e.Born != v.entryBorn {
 		v.fullUntil, v.refusals = time.Time{}, 0
 	}
-	v.room, v.entryBorn = e.Room, e.Born
+	v.room, v.entryBorn = e.Capacity, e.Born
 	v.evacuated = s.evacuations.has(v.zone)
 	if e.Machine != "" {
 		s.setMachine(v, e.Machine)
@@ -66,7 +66,7 @@
 	s.enroll(v)
 	v.setLabels(e.Labels)
 	if e.Draining && !v.draining {
-		s.decided(Decision{What: VMDraining, VM: v.id, Reason: e.LeavesIn.String()})
+		s.decided(Decision{What: VMDraining, VM: v.id, Reason: e.RemainingTime.String()})
 	}
 	v.draining = e.Draining
 }
@@ -87,7 +87,7 @@
 		return true
 	}
 	p := s.conf.Pool(v.pool)
-	return p != nil && p.Guarded
+	return p != nil && p.EnforcesCapacity
 }
 
 // setMachine notes which machine the VM lives on.
@@ -196,10 +196,10 @@
 
 // free returns the room that nothing has taken. It is negative after the VM's capacity
 // has shrunk below what runs there.
-func (v *vmState) free() job.Room { return v.room.Minus(v.used) }
+func (v *vmState) free() job.Resources { return v.room.Sub(v.used) }
 
 // overfull tells whether what is booked on the VM exceeds its capacity, or may do so.
-func (v *vmState) overfull() bool { return v.strays > 0 || !(job.Room{}).Fits(v.free()) }
+func (v *vmState) overfull() bool { return v.strays > 0 || !(job.Resources{}).FitsIn(v.free()) }
 
 // takesTasks tells whether the VM is there for tasks, as far as is known.
 func (v *vmState) takesTasks() bool {
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -66,7 +66,7 @@
 	m := r.Msg
 	req := requestOf(m, keyOf(r.Header()))
 	if refusal, bad := s.check(m, req); bad {
-		return respond(req.Key.ID, m.Attempt, core.Refuse(req.Attempt, refusal)), nil
+		return respond(req.Key.ID, m.Attempt, core.RefusalAnswer(req.Attempt, refusal)), nil
 	}
 	return respond(req.Key.ID, m.Attempt, s.Front.Submit(ctx, req, m.NoWait)), nil
 }
@@ -179,7 +179,7 @@
 		m.Outcome = pb.Outcome_OUTCOME_UNKNOWN
 	}
 	if m.Detail == "" && code != core.CodeDone {
-		m.Detail = code.Info().Sentence
+		m.Detail = code.Info().Description
 	}
 	return connect.NewResponse(m)
 }
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -79,7 +79,7 @@
 // take checks the key, so that no other entry works for a caller without rights.
 func (f *Front) take(ctx context.Context, args peer.ForwardArgs) core.Answer {
 	if code, ok := f.Gate.Admit(f.Now(), args.Request.Key.Team, args.Request.KeyDigest); !ok {
-		return core.Refuse(args.Request.Attempt, core.NotRun{Code: code})
+		return core.RefusalAnswer(args.Request.Attempt, core.NotRun{Code: code})
 	}
 	args.GiveUpAt = f.giveUpAt(args)
 	return f.Handle(ctx, args)
@@ -285,5 +285,5 @@
 	if sent || args.Kind != peer.ForwardSubmit {
 		return core.OutcomeUnknown{Code: core.CodeHomeUnreachable, ComeBackAt: comeBack}
 	}
-	return core.Refuse(args.Request.Attempt, core.NotRun{Code: code, ComeBackAt: comeBack})
+	return core.RefusalAnswer(args.Request.Attempt, core.NotRun{Code: code, ComeBackAt: comeBack})
 }
--- a/io/node/dump_test.go
+++ b/io/node/dump_test.go
@@ -22,7 +22,7 @@
 	n.view.heard(now)
 	o := &owner{node: n, tenure: &tenure{fence: 7, turn: 2}, relays: newRelays("", zerolog.Nop())}
 	o.tenure.prove(now, now)
-	o.relays.set("west", []relay.Member{{Address: "10.2.0.1:7000", Strength: 1}})
+	o.relays.set("west", []relay.Candidate{{Address: "10.2.0.1:7000", Capacity: 1}})
 	o.backlog.set(map[job.QueueName]int{"frames": 3})
 	n.setOwner(o)
 	d := n.dump(now)
--- a/io/node/front.go
+++ b/io/node/front.go
@@ -54,7 +54,7 @@
 		f.deny(w, call, "", platform.DeniedNoQueue, "no such queue")
 		return
 	}
-	account, ok := conf.KeyHolder(call.Key)
+	account, ok := conf.AccountForKey(call.Key)
 	if !ok && !q.Public {
 		f.deny(w, call, rest, platform.DeniedKey, "unknown key")
 		return
@@ -88,7 +88,7 @@
 	id      job.ID
 	until   time.Time
 	conf    *job.Configuration
-	verdict contact.Verdict
+	verdict contact.Decision
 }
 
 // partOf returns the part of the table that a call needs first.
@@ -131,8 +131,8 @@
 	}
 	q := c.queue
 	j := job.Job{ID: c.id, Body: body, Terms: job.Terms{
-		Queue: q.Name, Pool: q.Pool, Account: c.account, Priority: q.Priority, Attempts: q.Attempts,
-		Stretch: q.Stretch, Latency: q.Latency,
+		Queue: q.Name, Pool: q.Pool, Account: c.account, Priority: q.Priority, MaxAttempts: q.MaxAttempts,
+		Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance,
 	}}
 	err = f.jobs.submit(ctx, c.until, j, c.verdict)
 	if err != nil {
--- a/io/node/jobs.go
+++ b/io/node/jobs.go
@@ -113,7 +113,7 @@
 // refused any more, since it may be carried out later, and its caller can't try
 // again elsewhere: 44 of 3,400 jobs were lost so when a zone was cut off. After a
 // question without an answer nothing has been sent, and the caller goes elsewhere.
-func (s *jobStore) ask(ctx context.Context, id job.ID, v contact.Verdict) (known bool, err error) {
+func (s *jobStore) ask(ctx context.Context, id job.ID, v contact.Decision) (known bool, err error) {
 	if v == contact.Call && (s.reach.age() < freshContact || s.answers.slowerThan(askUnlessSlow)) {
 		return false, nil
 	}
@@ -146,7 +146,7 @@
 
 // submit stores a job once. A job that is there already, in any state, is not
 // stored again; that is no error.
-func (s *jobStore) submit(ctx context.Context, until time.Time, j job.Job, v contact.Verdict) error {
+func (s *jobStore) submit(ctx context.Context, until time.Time, j job.Job, v contact.Decision) error {
 	if known, err := s.ask(ctx, j.ID, v); known || err != nil {
 		return err
 	}
--- a/io/node/lead.go
+++ b/io/node/lead.go
@@ -52,14 +52,14 @@
 
 // run watches the owner and takes over when it must, until ctx ends.
 func (c *candidacy) run(ctx context.Context) error {
-	w := lease.Watch{Weak: c.weak}
+	w := lease.Watcher{LowCapacity: c.weak}
 	for ctx.Err() == nil {
 		next := bootNow().Add(c.every())
 		s, rows, err := c.look(ctx)
 		if err != nil {
 			c.log.Debug().Err(err).Msg("the owner's rows were not read")
 		}
-		if err != nil || !w.Due(s) {
+		if err != nil || !w.TakeoverDue(s) {
 			supervisor.Sleep(ctx, max(watchPause, next.Sub(bootNow())))
 			continue
 		}
@@ -73,7 +73,7 @@
 			Str("former", rows.owner.Node).Bool("vacant", rows.owner.Vacant).Send()
 		err = c.serve(ctx, t, renewal)
 		c.log.Info().Err(err).Str("event", "owner_no_more").Uint64("fence", uint64(t.fence)).Send()
-		w = lease.Watch{Weak: c.weak}
+		w = lease.Watcher{LowCapacity: c.weak}
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 	if c.weak {
 		least = weakWatchEvery
 	}
-	return lease.LookEvery(least, int(c.entries.Load()), c.readsPerSecond)
+	return lease.PollInterval(least, int(c.entries.Load()), c.readsPerSecond)
 }
 
 // ownerRows are the owner's rows as read.
@@ -94,11 +94,11 @@
 	renewalVersion platform.Version
 }
 
-func (c *candidacy) look(ctx context.Context) (lease.Sight, ownerRows, error) {
+func (c *candidacy) look(ctx context.Context) (lease.Observation, ownerRows, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	var out ownerRows
-	s := lease.Sight{Sent: bootNow()}
+	s := lease.Observation{Sent: bootNow()}
 	snapshot, err := c.table.List(ctx, platform.Range{Table: ownerTable, Part: part, From: ownerKeyName, To: renewalKeyName + "\x00"})
 	if err != nil {
 		c.reach.failed(part)
@@ -121,7 +121,7 @@
 	}
 	s.Owner, s.Renewal = uint64(out.ownerVersion), uint64(out.renewalVersion)
 	s.Vacant = out.owner.Vacant
-	s.FormerLife = out.owner.Node == c.node && out.owner.Life != c.life
+	s.PreviousRun = out.owner.Node == c.node && out.owner.Life != c.life
 	return s, out, nil
 }
 
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -132,7 +132,7 @@
 // heardBefore knows a table whose last word is so old.
 func heardBefore(d time.Duration) *reach {
 	var r reach
-	r.table.HeardAny(bootNow().Add(-d))
+	r.table.RecordContact(bootNow().Add(-d))
 	return &r
 }
 
@@ -346,7 +346,7 @@
 	s.rowBytes = rowBytes
 	j := body()
 	for range 3000 {
-		j.Body.Steps = append(j.Body.Steps, job.Step{Count: 4, Room: job.Room{CPU: 1500, MemMB: 512}, Estimate: time.Second})
+		j.Body.Steps = append(j.Body.Steps, job.Step{Count: 4, Resources: job.Resources{CPU: 1500, MemMB: 512}, Estimate: time.Second})
 	}
 	assert.NilError(t, s.submit(t.Context(), bootNow().Add(time.Second), j, contact.Call))
 	stored := f.bodies[0].Writes[0].Value
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -179,7 +179,7 @@
 		}
 		v.waves[c.Number] = c.Wave
 		v.log.Info().Str("event", "wave_known").Int64("wave", c.Number).Int("machines", len(c.Machines)).
-			Int("at_once", c.AtOnce).Dur("within_ms", c.Within).Send()
+			Int("at_once", c.MaxConcurrent).Dur("within_ms", c.Within).Send()
 		return true
 	case platform.EvacuationChange:
 		if _, evacuated := v.evacuated[c.Zone]; evacuated != c.Ended {
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -200,8 +200,8 @@
 	o.send(ctx, advised{c.Step, a})
 }
 
-func (o *owner) holder() job.Holder {
-	return job.Holder{Node: o.node.settings.Node, Fence: job.Fence(o.tenure.fence)}
+func (o *owner) holder() job.OrderIssuer {
+	return job.OrderIssuer{Node: o.node.settings.Node, Fence: job.Fence(o.tenure.fence)}
 }
 
 func (o *owner) upkeep(ctx context.Context, c schedule.Upkeep) {
--- a/io/node/reach.go
+++ b/io/node/reach.go
@@ -15,14 +15,14 @@
 	log zerolog.Logger
 
 	mu    sync.Mutex
-	table contact.Table
+	table contact.Breaker
 }
 
 // heard notes that a part of the table has answered.
 func (r *reach) heard(part string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.table.Heard(bootNow(), contact.Part(part)) {
+	if r.table.RecordAnswer(bootNow(), contact.Part(part)) {
 		r.log.Info().Str("event", "table_part_regained").Str("part", part).Send()
 	}
 }
@@ -31,20 +31,20 @@
 func (r *reach) heardAny() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.HeardAny(bootNow())
+	r.table.RecordContact(bootNow())
 }
 
 // failed notes that a part didn't answer.
 func (r *reach) failed(part string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.table.Failed(bootNow(), contact.Part(part)) {
+	if r.table.RecordFailure(bootNow(), contact.Part(part)) {
 		r.log.Info().Str("event", "table_part_lost").Str("part", part).Send()
 	}
 }
 
 // decide says what to do with a call to a part.
-func (r *reach) decide(part string) contact.Verdict {
+func (r *reach) decide(part string) contact.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Decide(bootNow(), contact.Part(part))
@@ -54,5 +54,5 @@
 func (r *reach) age() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Age(bootNow())
+	return r.table.SinceLastAnswer(bootNow())
 }
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -129,7 +129,7 @@
 	gone := freeAddress(t)
 	x := knowing(t, gone)
 	assert.Equal(t, x.of("a", "vm-1"), "", "a member that doesn't answer carries nothing")
-	x.ready = map[string][]relay.Member{"a": {{Address: gone}}}
+	x.ready = map[string][]relay.Candidate{"a": {{Address: gone}}}
 	_, out := x.ordersFor(address).Start(t.Context(), someStart)
 	assert.Equal(t, out, schedule.Answered, "the owner carries it itself")
 	assert.Equal(t, orders.Load(), int64(1))
@@ -145,7 +145,7 @@
 	defer l.Close() //nolint:errcheck // It takes connections and says nothing.
 	sound := startRelay(t)
 	x := knowing(t, sound)
-	x.ready = map[string][]relay.Member{"a": {{Address: l.Addr().String()}}}
+	x.ready = map[string][]relay.Candidate{"a": {{Address: l.Addr().String()}}}
 	x.members["frozen"] = memberRow{Zone: "a", Address: l.Addr().String(), Cores: 8}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -163,7 +163,7 @@
 	o := &owner{tenure: &tenure{}, relays: x, scheduler: schedule.New(schedule.Settings{})}
 	o.orders = &orders{owner: o, clients: map[job.VMID]*vmClient{}}
 	now := bootNow()
-	o.scheduler.VMSeen(now, job.VMEntry{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Room: job.Room{CPU: 1000}})
+	o.scheduler.VMSeen(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
 	_, direct := o.orders.route(now, "vm-1").(directOrders)
 	assert.Assert(t, direct)
 	o.tenure.prove(now, now)
@@ -209,7 +209,7 @@
 	for i := range 12 {
 		x.members[fmt.Sprintf("entry-%02d", i)] = memberRow{Zone: "a", Address: freeAddress(t), Cores: 1}
 	}
-	tried := 2 * relay.Enough(x.candidates(bootNow())["a"])
+	tried := 2 * relay.CountNeeded(x.candidates(bootNow())["a"])
 	x.check(t.Context())
 	x.check(t.Context())
 	assert.Equal(t, len(x.failed), tried)
--- a/io/node/relays.go
+++ b/io/node/relays.go
@@ -54,7 +54,7 @@
 	// failed is until when an address is left alone, ready the addresses of each zone that
 	// carry orders now.
 	failed map[string]time.Time
-	ready  map[string][]relay.Member
+	ready  map[string][]relay.Candidate
 	// unreachable are the zones of which no member has answered, and until when they are
 	// left alone.
 	unreachable map[string]time.Time
@@ -144,29 +144,29 @@
 }
 
 // answering returns the first members that carry orders, as many as a zone needs.
-func (x *relays) answering(ctx context.Context, candidates []relay.Member) []relay.Member {
-	candidates = candidates[:min(len(candidates), 2*relay.Enough(candidates))]
+func (x *relays) answering(ctx context.Context, candidates []relay.Candidate) []relay.Candidate {
+	candidates = candidates[:min(len(candidates), 2*relay.CountNeeded(candidates))]
 	alive := make([]bool, len(candidates))
 	var g supervisor.Group
 	for i, m := range candidates {
 		g.Go(func() { alive[i] = x.alive(ctx, m.Address) })
 	}
 	g.Wait()
-	var out []relay.Member
+	var out []relay.Candidate
 	for i, m := range candidates {
 		if alive[i] {
 			out = append(out, m)
 		}
 	}
-	return out[:relay.Enough(out)]
+	return out[:relay.CountNeeded(out)]
 }
 
 // candidates returns the addresses of each zone's members that have not failed of
 // late, the strongest first.
-func (x *relays) candidates(now time.Time) map[string][]relay.Member {
+func (x *relays) candidates(now time.Time) map[string][]relay.Candidate {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	out := map[string][]relay.Member{}
+	out := map[string][]relay.Candidate{}
 	for zone := range x.ready {
 		// A zone that has lost all of its members has no relays any more.
 		out[zone] = nil
@@ -178,12 +178,12 @@
 		}
 		list := out[m.Zone]
 		if m.Address != x.self && !now.Before(x.failed[m.Address]) {
-			list = append(list, relay.Member{Address: m.Address, Strength: relay.Strength(m.Cores, m.LinkMbps)})
+			list = append(list, relay.Candidate{Address: m.Address, Capacity: relay.Capacity(m.Cores, m.LinkMbps)})
 		}
 		out[m.Zone] = list
 	}
 	for _, list := range out {
-		relay.Sort(list)
+		relay.SortByCapacity(list)
 	}
 	return out
 }
@@ -192,7 +192,7 @@
 func (x *relays) alive(ctx context.Context, address string) bool {
 	x.mu.Lock()
 	for _, list := range x.ready {
-		if slices.ContainsFunc(list, func(m relay.Member) bool { return m.Address == address }) {
+		if slices.ContainsFunc(list, func(m relay.Candidate) bool { return m.Address == address }) {
 			x.mu.Unlock()
 			return true
 		}
@@ -209,14 +209,14 @@
 }
 
 // set makes the list of ready relays of a zone what it is now.
-func (x *relays) set(zone string, ready []relay.Member) {
+func (x *relays) set(zone string, ready []relay.Candidate) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := bootNow()
 	// One may have failed meanwhile.
-	ready = slices.DeleteFunc(ready, func(m relay.Member) bool { return now.Before(x.failed[m.Address]) })
+	ready = slices.DeleteFunc(ready, func(m relay.Candidate) bool { return now.Before(x.failed[m.Address]) })
 	if x.ready == nil {
-		x.ready = map[string][]relay.Member{}
+		x.ready = map[string][]relay.Candidate{}
 	}
 	if !slices.Equal(x.ready[zone], ready) {
 		x.log.Info().Str("event", "relays_chosen").Str("zone", zone).Strs("relays", addresses(ready)).Send()
@@ -224,7 +224,7 @@
 	x.ready[zone] = ready
 }
 
-func addresses(members []relay.Member) []string {
+func addresses(members []relay.Candidate) []string {
 	var out []string
 	for _, m := range members {
 		out = append(out, m.Address)
@@ -255,7 +255,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for zone, list := range x.ready {
-		x.ready[zone] = slices.DeleteFunc(slices.Clone(list), func(m relay.Member) bool { return m.Address == address })
+		x.ready[zone] = slices.DeleteFunc(slices.Clone(list), func(m relay.Candidate) bool { return m.Address == address })
 	}
 	now := bootNow()
 	if now.Before(x.failed[address]) {
@@ -276,5 +276,5 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return relay.Of(x.ready[zone], id)
+	return relay.Select(x.ready[zone], id)
 }
--- a/io/node/tenure.go
+++ b/io/node/tenure.go
@@ -20,7 +20,7 @@
 	turn  int64
 
 	mu    sync.Mutex
-	right lease.Right
+	right lease.Ownership
 	// newest is the last version at which the table has confirmed the right.
 	newest platform.Version
 }
@@ -28,7 +28,7 @@
 func (t *tenure) prove(renewed, seen time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.right.Prove(renewed, seen)
+	t.right.Confirm(renewed, seen)
 }
 
 func (t *tenure) renewed(version platform.Version) {
@@ -46,17 +46,17 @@
 func (t *tenure) mayOrder(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.right.MayOrder(now)
+	return t.right.MayOrderMachines(now)
 }
 
 func (t *tenure) mayStart(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.right.MayStart(now)
+	return t.right.MayStartTasks(now)
 }
 
 func (t *tenure) mayHold(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.right.MayHold(now)
+	return t.right.MayExtendLeases(now)
 }
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -292,7 +292,7 @@
 	var list []job.Machine
 	for _, m := range f.machines {
 		m.mu.Lock()
-		x := job.Machine{ID: job.MachineID(m.name), Pool: standin.Pool, State: job.MachineUp, Zone: m.zone, VM: m.vm.ID, Room: job.Room{CPU: vmRoom}}
+		x := job.Machine{ID: job.MachineID(m.name), Pool: standin.Pool, State: job.MachineUp, Zone: m.zone, VM: m.vm.ID, Capacity: job.Resources{CPU: vmRoom}}
 		if m.down {
 			x.State, x.VM = "down", ""
 		}
