--- a/core/answer.go
+++ b/core/answer.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Answer is the final word about a request: Done, NotRun or OutcomeUnknown, or,
-// to a caller that doesn't wait, Pending.
+// Answer is the final result of a request: Done, NotRun or OutcomeUnknown. A
+// caller that doesn't wait for the result may receive Pending instead.
 type Answer interface{ isAnswer() }
 
-// Done carries the whole answer of the target that ran the request.
+// Done carries the complete answer of the target that ran the request.
 type Done struct {
 	VM   VMID
 	Body []byte
 }
 
-// NotRun says that no target started the request and that none will.
+// NotRun reports that no target has started the request and that none will.
 type NotRun struct {
 	Code Code
-	// ComeBackAt is when a new attempt has a chance. Zero: there is no point.
+	// ComeBackAt is the earliest time at which a new attempt may succeed. It is
+	// zero if a new attempt can't succeed.
 	ComeBackAt time.Time
-	// Detail tells a person what to change. It never holds a key.
+	// Detail explains to a person what to change. It never contains a key.
 	Detail string
 }
 
-// OutcomeUnknown says that the request may have run, and that it won't be sent
-// to a target again.
+// OutcomeUnknown reports that the request may have run. The request won't be
+// sent to a target again.
 type OutcomeUnknown struct {
 	Code       Code
 	ComeBackAt time.Time
 	Detail     string
 }
 
-// Pending says that the request is queued or running.
+// Pending reports that the request is queued or running.
 type Pending struct {
 	Running bool
 }
@@ -55,9 +56,9 @@
 	}
 }
 
-// RefusalAnswer returns refusal for a first attempt. For a later attempt it returns an
-// OutcomeUnknown with the same code: whoever refuses without knowing the id's
-// record can't know whether an earlier attempt ran.
+// RefusalAnswer returns the answer for a request that is refused without access to
+// its record. For a first attempt it is the refusal itself. For a later attempt it
+// is an OutcomeUnknown with the same code, because an earlier attempt may have run.
 func RefusalAnswer(attempt Attempt, refusal NotRun) Answer {
 	if attempt <= 1 {
 		return refusal
--- a/core/code.go
+++ b/core/code.go
@@ -9,10 +9,10 @@
 )
 
 // Code is a numbered result code. The numbers are stable; docs/RESULT-CODES.md
-// explains each.
+// describes each code.
 type Code uint16
 
-// The result codes. Their sentences and outcomes stand in codes.csv.
+// The result codes. Their descriptions and outcomes are listed in codes.csv.
 const (
 	CodeDone             Code = 0
 	CodePending          Code = 1
@@ -59,7 +59,7 @@
 //go:embed codes.csv
 var codesCSV []byte
 
-// CodeInfo is one line of the table of result codes.
+// CodeInfo is one row of the result code table.
 type CodeInfo struct {
 	Code        Code
 	Name        string
@@ -69,12 +69,12 @@
 
 var codeTable = mustParseCodes(codesCSV)
 
-// Codes returns the table of result codes, ascending.
+// Codes returns the result code table in ascending order of the codes.
 func Codes() []CodeInfo {
 	return append([]CodeInfo(nil), codeTable...)
 }
 
-// Info returns c's line of the table. An unlisted code has the name "code_N".
+// Info returns the table row of c. A code that isn't listed gets the name "code_N".
 func (c Code) Info() CodeInfo {
 	for _, info := range codeTable {
 		if info.Code == c {
@@ -84,7 +84,7 @@
 	return CodeInfo{Code: c, Name: fmt.Sprintf("code_%d", uint16(c))}
 }
 
-// String returns the name of c, as logs and callers see it.
+// String returns the name of c that is shown in logs and to callers.
 func (c Code) String() string { return c.Info().Name }
 
 func mustParseCodes(data []byte) []CodeInfo {
--- a/core/code_test.go
+++ b/core/code_test.go
@@ -14,7 +14,8 @@
 
 const codesPagePath = "../docs/RESULT-CODES.md"
 
-// TestCodesPageIsCurrent holds the operators' page and the code's table equal.
+// TestCodesPageIsCurrent checks that the operators' documentation matches the result
+// code table.
 func TestCodesPageIsCurrent(t *testing.T) {
 	page, err := filepath.Abs(codesPagePath)
 	assert.NilError(t, err)
--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -1,5 +1,6 @@
-// Package contact decides whether a call to the table is worth sending. The table
-// may be out of reach for this process or for all, wholly or in single parts.
+// Package contact implements a circuit breaker for calls to the table. The table may be
+// unreachable for this process or for all processes, either as a whole or in some of its
+// parts.
 package contact
 
 import "time"
@@ -8,48 +9,53 @@
 type Part string
 
 const (
-	// maxAnswerAge is how old the table's last word may be, of any part, until it counts
-	// as out of reach. A weak entry VM reads every 450 ms; a slow table adds to that.
+	// maxAnswerAge is the age of the last answer, from any part, beyond which the table is
+	// considered unreachable. An entry VM with low capacity reads every 450 ms, and a slow
+	// table adds to that.
 	maxAnswerAge = 700 * time.Millisecond
-	// tableProbeInterval and probePart are the pauses between the calls that find out whether
-	// the table, or one part of it, is back.
+	// tableProbeInterval and partProbeInterval are the intervals between calls that probe
+	// whether the table, or one part of it, is reachable again.
 	tableProbeInterval = 100 * time.Millisecond
 	partProbeInterval  = 200 * time.Millisecond
 )
 
-// Decision says what to do with a call.
+// Decision tells the caller of the table what to do with a call.
 type Decision int
 
-// The verdicts.
+// The decisions about a call.
 const (
-	// Call: nothing speaks against it.
+	// Call means that the call should be sent normally.
 	Call Decision = iota
-	// Probe: it is likely to fail; others of its kind are refused until it has ended.
+	// Probe means that the call should be sent although it is likely to fail. Other calls
+	// of its kind are refused until it has ended.
 	Probe
-	// Refuse: it would fail. The caller can go to another process at once.
+	// Refuse means that the call would fail and should not be sent. The caller can turn to
+	// another process immediately.
 	Refuse
 )
 
-// String returns the verdict in snake case.
+// String returns the decision in snake case.
 func (v Decision) String() string { return [...]string{"call", "probe", "refuse"}[v] }
 
-// Breaker is what a process knows of the table. Its zero value has heard nothing.
+// Breaker tracks whether the table and its parts answer one process. The zero value has
+// received no answer.
 //
-// Whether a part answers is known from that part alone. When some parts are down and
-// the one with the owner's rows is among them, a process that went by that one refused
-// every caller, though most of their jobs could have been stored.
+// Each part is judged only by its own answers. If availability were judged by the part
+// that holds the owner's rows, an outage of that part would make a process refuse every
+// caller, although most of the jobs could be stored in other parts.
 type Breaker struct {
 	lastAnswer  time.Time
 	nextProbeAt time.Time
 	failedParts map[Part]*failedPart
 }
 
-// failedPart is a part whose last call failed.
+// failedPart is the state of a part whose last call failed.
 type failedPart struct {
 	nextProbeAt time.Time
 }
 
-// RecordAnswer notes that a part has answered. It tells whether it hadn't before.
+// RecordAnswer records that a part has answered. It reports whether the part had been
+// failing.
 func (t *Breaker) RecordAnswer(now time.Time, p Part) (regained bool) {
 	t.RecordContact(now)
 	regained = t.failedParts[p] != nil
@@ -57,7 +63,7 @@
 	return regained
 }
 
-// RecordContact notes an answer that is of no part.
+// RecordContact records an answer that doesn't belong to a part.
 func (t *Breaker) RecordContact(now time.Time) {
 	if now.After(t.lastAnswer) {
 		t.lastAnswer = now
@@ -65,8 +71,8 @@
 	t.nextProbeAt = time.Time{}
 }
 
-// RecordFailure notes that a part was asked and did not answer, or refused. It tells whether
-// it had answered before.
+// RecordFailure records that a call to a part was refused or not answered. It reports whether
+// the part had not been failing before.
 func (t *Breaker) RecordFailure(now time.Time, p Part) (lost bool) {
 	if t.failedParts == nil {
 		t.failedParts = map[Part]*failedPart{}
@@ -78,10 +84,11 @@
 	return true
 }
 
-// SinceLastAnswer returns how old the table's last word is.
+// SinceLastAnswer returns the time since the last answer of the table.
 func (t *Breaker) SinceLastAnswer(now time.Time) time.Duration { return now.Sub(t.lastAnswer) }
 
-// Decide says what to do with a call to a part. A probe is taken to be sent.
+// Decide returns what to do with a call to a part. It assumes that the caller sends a call
+// for which it returns Probe.
 func (t *Breaker) Decide(now time.Time, p Part) Decision {
 	if t.SinceLastAnswer(now) > maxAnswerAge {
 		return allowProbe(now, &t.nextProbeAt, tableProbeInterval)
@@ -92,7 +99,7 @@
 	return Call
 }
 
-// allowProbe lets one call through in each pause.
+// allowProbe lets one call through per pause.
 func allowProbe(now time.Time, next *time.Time, pause time.Duration) Decision {
 	if now.Before(*next) {
 		return Refuse
--- a/core/contact/contact_test.go
+++ b/core/contact/contact_test.go
@@ -13,9 +13,9 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// The part with the owner's rows is down, those with jobs are not. Callers whose job
-// lies in a part that answers are served all the while; the others are refused at once,
-// but for one call in a while that finds the part's return.
+// The part with the owner's rows is down, and so is one of the parts with jobs. Calls to a
+// part that answers must be sent throughout the outage. Calls to a failing part are refused
+// immediately, except for periodic probes that detect its recovery.
 func TestPartsAreDecidedIndependently(t *testing.T) {
 	var b contact.Breaker
 	b.RecordAnswer(start, "main")
@@ -42,8 +42,8 @@
 	assert.Equal(t, b.Decide(at(5*time.Second), "down"), contact.Call)
 }
 
-// The table is out of reach as a whole. One call every tenth of a second finds its
-// return; all others are refused at once and can go to another process.
+// The whole table is unreachable. One call every 100 ms probes whether it has recovered. All
+// other calls are refused immediately, so that callers can turn to another process.
 func TestTableOutageIsProbed(t *testing.T) {
 	var c contact.Breaker
 	c.RecordAnswer(start, "a")
@@ -57,7 +57,7 @@
 	assert.Equal(t, c.Decide(at(3*time.Second), "a"), contact.Call)
 }
 
-// A process that has just begun has heard nothing; its first call finds out.
+// A process that has just started has received no answer, so its first call is a probe.
 func TestFirstCallIsAProbe(t *testing.T) {
 	var c contact.Breaker
 	assert.Equal(t, c.Decide(start, "a"), contact.Probe)
--- a/core/core.go
+++ b/core/core.go
@@ -1,6 +1,7 @@
-// Package core holds the types that every decision of lavenderpond is made of:
-// ids, units, requests, answers and numbered result codes.
+// Package core defines the types shared by lavenderpond's decision logic: ids,
+// units, requests, answers and numbered result codes.
 //
-// Its sub-packages make the decisions. They are pure: no clock, no network, no
-// goroutine. Time and events come in as arguments, typed commands come out.
+// The sub-packages implement the decisions as pure logic. They use no clock, no
+// network and no goroutines: time and events are passed in as arguments, and typed
+// commands are returned.
 package core
--- a/core/deadline/heap.go
+++ b/core/deadline/heap.go
@@ -1,4 +1,4 @@
-// Package deadline keeps items in the order of a time that each of them stores.
+// Package deadline provides a priority queue of items ordered by their deadlines.
 package deadline
 
 import (
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Item is what a Heap keeps.
+// Item is an element of a Heap.
 type Item interface {
-	// Deadline is the time by which the item is ordered. It may change only through
-	// Heap.Fix, but for items whose order it leaves as it is.
+	// Deadline returns the time by which the item is ordered. Heap.Fix must be called
+	// after every change, unless the change doesn't affect the order of the items.
 	Deadline() time.Time
-	// HeapIndex is where the Heap notes the item's index.
+	// HeapIndex returns the location in which the Heap stores the item's index.
 	HeapIndex() *int
 }
 
-// Heap keeps items, the one with the earliest deadline first. Its zero value is
-// empty. An item may be in one Heap at a time.
+// Heap is a min-heap of items ordered by deadline. The zero value is an empty heap.
+// An item may be in only one Heap at a time.
 type Heap[T Item] struct{ items items[T] }
 
-// Len returns how many items there are.
+// Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// All returns the items in no order. The slice must not be changed.
+// All returns the items in no particular order. The slice must not be modified.
 func (h *Heap[T]) All() []T { return h.items }
 
-// Push adds an item.
+// Push adds an item to the heap.
 func (h *Heap[T]) Push(item T) { heap.Push(&h.items, item) }
 
-// Fix puts an item whose deadline has changed in its place.
+// Fix restores the order after the deadline of an item has changed.
 func (h *Heap[T]) Fix(item T) { heap.Fix(&h.items, *item.HeapIndex()) }
 
-// Remove takes an item out.
+// Remove removes an item from the heap.
 func (h *Heap[T]) Remove(item T) { heap.Remove(&h.items, *item.HeapIndex()) }
 
-// Due returns the first item if its deadline has come.
+// Due returns the item with the earliest deadline if that deadline has been reached.
 func (h *Heap[T]) Due(now time.Time) (T, bool) {
 	if len(h.items) == 0 || now.Before(h.items[0].Deadline()) {
 		var zero T
@@ -43,7 +43,7 @@
 	return h.items[0], true
 }
 
-// items is a heap.Interface.
+// items implements heap.Interface.
 type items[T Item] []T
 
 // Len implements heap.Interface.
--- a/core/deadline/heap_test.go
+++ b/core/deadline/heap_test.go
@@ -17,8 +17,8 @@
 func (t *testItem) Deadline() time.Time { return t.at }
 func (t *testItem) HeapIndex() *int     { return &t.index }
 
-// TestHeapMatchesSortedSlice compares with a list that is sorted anew each time, under random
-// additions, removals and changes of a deadline.
+// TestHeapMatchesSortedSlice compares the heap with a slice that is sorted after every
+// operation, under random insertions, removals and deadline changes.
 func TestHeapMatchesSortedSlice(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
--- a/core/id.go
+++ b/core/id.go
@@ -9,57 +9,60 @@
 	"time"
 )
 
-// TeamID names a team, the unit that keys, shares and limits belong to.
+// TeamID identifies a team. Keys, shares and limits belong to a team.
 type TeamID string
 
-// RequestID is the caller's own, opaque name for a request. It is unique within
-// its team. An id of the form "zone~rest" has its home in that zone.
+// RequestID is an opaque id that the caller chooses for a request. It is unique
+// within its team. An id of the form "zone~rest" has its home in that zone.
 type RequestID string
 
-// ZoneID names an availability zone.
+// ZoneID identifies an availability zone.
 type ZoneID string
 
-// EntryID names one run of a daemon on an entry VM: the configured name, "#" and
-// the start time in Unix milliseconds. A restarted daemon has a new EntryID, so
-// nothing its predecessor held is taken for its own.
+// EntryID identifies one run of a daemon on an entry VM. It consists of the
+// configured name, "#" and the start time in Unix milliseconds. A restarted daemon
+// has a new EntryID, so that it isn't mistaken for the holder of anything that the
+// previous run held.
 type EntryID string
 
-// VMID names a target VM.
+// VMID identifies a target VM.
 type VMID string
 
-// PoolID names a pool of target VMs.
+// PoolID identifies a pool of target VMs.
 type PoolID string
 
-// QueueID names a queue of requests. Each queue is served by one pool.
+// QueueID identifies a queue of requests. Each queue is served by one pool.
 type QueueID string
 
-// RackID names a rack, the failure domain below the availability zone.
+// RackID identifies a rack, the failure domain below the availability zone.
 type RackID string
 
-// ChangeID names an operator's change, chosen by the operator's command. Sending
-// the same change twice applies it once.
+// ChangeID identifies an operator's change and is chosen by the operator's command.
+// A change that is sent twice under the same id is applied once.
 type ChangeID string
 
-// KeyDigest is the hex SHA-256 of a team key. Keys themselves are never stored.
+// KeyDigest is the hex-encoded SHA-256 of a team key. Keys themselves are never
+// stored.
 type KeyDigest string
 
-// Epoch counts the holders of a right. A higher epoch replaces a lower one.
+// Epoch numbers the successive holders of a right. A higher epoch supersedes a
+// lower one.
 type Epoch uint64
 
-// Version counts the writes of one row of the platform's table. Zero means that
-// the row doesn't exist.
+// Version is the number of writes to one row of the platform's table. Zero means
+// that the row doesn't exist.
 type Version uint64
 
-// Slots counts slots of target VMs, the unit of running work and of limits.
+// Slots is a number of target VM slots, the unit of running work and of limits.
 type Slots int
 
-// Attempt numbers a caller's tries of one request, starting at 1.
+// Attempt numbers a caller's attempts at one request, starting at 1.
 type Attempt uint32
 
 // ShardIndex numbers the shards of a zone, starting at 0.
 type ShardIndex uint32
 
-// RequestKey identifies a request across the system.
+// RequestKey identifies a request throughout the system.
 type RequestKey struct {
 	Team TeamID
 	ID   RequestID
@@ -68,12 +71,12 @@
 // String returns the key as "team/id".
 func (k RequestKey) String() string { return string(k.Team) + "/" + string(k.ID) }
 
-// zoneSeparator parts the home zone from the rest of a RequestID.
+// zoneSeparator separates the home zone from the rest of a RequestID.
 const zoneSeparator = "~"
 
-// Home returns the zone that decides about k: the one the id names, if it is one
-// of zones, else the one its hash falls on. All entries must be given the same
-// zones in the same order.
+// Home returns the zone that is responsible for k. This is the zone named by the
+// id if it is one of zones, and otherwise a zone selected by the key's hash. All
+// entries must use the same zones in the same order.
 func (k RequestKey) Home(zones []ZoneID) ZoneID {
 	prefix, _, named := strings.Cut(string(k.ID), zoneSeparator)
 	if named {
@@ -89,32 +92,33 @@
 	return zones[k.hash()%uint64(len(zones))]
 }
 
-// Shard returns the shard of the home zone that k falls on, of n.
+// Shard returns the shard of the home zone that k belongs to, out of n shards.
 func (k RequestKey) Shard(n ShardIndex) ShardIndex {
 	if n == 0 {
 		return 0
 	}
-	// The low bits choose the zone; the high bits choose the shard.
+	// The low bits select the zone and the high bits select the shard.
 	return ShardIndex((k.hash() >> 32) % uint64(n))
 }
 
-// hash spreads keys evenly, those of numbered ids included: with FNV-1a, whose high
-// bits hardly depend on the last characters, 120 ids in a row fell on one entry.
+// hash distributes keys evenly, including those of sequentially numbered ids. FNV-1a
+// is unsuitable because its high bits hardly depend on the last characters: with it,
+// 120 consecutive ids mapped to the same entry.
 func (k RequestKey) hash() uint64 {
 	sum := sha256.Sum256([]byte(string(k.Team) + "\x00" + string(k.ID)))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Digest returns the digest under which key is stored and compared.
+// Digest returns the digest that is stored and compared in place of key.
 func Digest(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(hex.EncodeToString(sum[:]))
 }
 
-// startSeparator parts an entry's name from its start time.
+// startSeparator separates an entry's name from its start time.
 const startSeparator = "#"
 
-// NewEntryID returns the id of the run of an entry that began at started.
+// NewEntryID returns the id of the run of the named entry that began at started.
 func NewEntryID(name string, started time.Time) EntryID {
 	return EntryID(name + startSeparator + strconv.FormatInt(started.UnixMilli(), 10))
 }
@@ -125,7 +129,8 @@
 	return name
 }
 
-// Started returns when the run began, to the millisecond; zero if e doesn't say.
+// Started returns the start time of the run, with millisecond precision. It returns
+// the zero time if e contains no valid start time.
 func (e EntryID) Started() time.Time {
 	_, millis, _ := strings.Cut(string(e), startSeparator)
 	n, err := strconv.ParseInt(millis, 10, 64)
--- a/core/id_test.go
+++ b/core/id_test.go
@@ -9,8 +9,9 @@
 	"lavenderpond/core"
 )
 
-// TestIDsSpread: callers number their ids. Every shard and every zone must get a
-// fair part of them, or one entry holds all the work of a night.
+// TestIDsSpreadEvenly checks that sequentially numbered ids are distributed evenly over
+// the shards and zones. Callers number their ids, and an uneven distribution would
+// concentrate a whole night's work on one entry.
 func TestIDsSpreadEvenly(t *testing.T) {
 	zones := []core.ZoneID{"zone_a", "zone_b", "zone_c"}
 	for _, format := range []string{"later-%d", "frame-%04d", "zone_a~night1-%d", "%d"} {
--- a/core/job/configuration.go
+++ b/core/job/configuration.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// ConfigVersion orders the configurations; a lower one never replaces a higher one.
+// ConfigVersion numbers the configurations. A configuration never replaces one with a
+// higher version.
 type ConfigVersion int64
 
-// Queue is where callers hand jobs in.
+// Queue accepts jobs from callers and determines how they run.
 type Queue struct {
 	Name        QueueName
 	Host        string
@@ -16,18 +17,21 @@
 	Pool        PoolName
 	Priority    int
 	MaxAttempts int
-	Stretch     float64
-	// LatencyAllowance is added to the stretched run time to give a job's objective.
+	// Stretch is the factor by which a job's run time is multiplied to give its objective,
+	// the time by which it should be complete.
+	Stretch float64
+	// LatencyAllowance is added to the stretched run time to give the objective.
 	LatencyAllowance time.Duration
-	// Timeout bounds a call of the queue.
+	// Timeout limits the duration of a caller's call to the queue.
 	Timeout time.Duration
-	// Public queues need no key.
+	// Public queues accept calls without a key.
 	Public bool
-	// Approval is set when another service says which VMs may run a step.
+	// Approval is set if another service must approve the VMs that may run a step.
 	Approval *Approval
 }
 
-// Approval bounds the answers of the service that approves VMs for a step.
+// Approval describes the response times of the service that approves VMs for a step
+// and the validity of its approvals.
 type Approval struct {
 	DecideTime  time.Duration
 	TimePerVM   time.Duration
@@ -37,9 +41,9 @@
 // Pool is a group of VMs.
 type Pool struct {
 	Name PoolName
-	// Standby pools hold machines that are off.
+	// Standby pools contain machines that are switched off.
 	Standby bool
-	// EnforcesCapacity VMs refuse what doesn't fit.
+	// EnforcesCapacity is set if the pool's VMs refuse tasks that don't fit.
 	EnforcesCapacity bool
 }
 
@@ -47,14 +51,15 @@
 type Account struct {
 	Name AccountName
 	Keys []string
-	// Weight is the account's share when all is full, in jobs a second; 0 means that
-	// none is set.
+	// Weight is the account's share in jobs per second when the fleet is full. Zero
+	// means that no share is set.
 	Weight float64
-	// Quota bounds what the account has running; a zero field means no bound.
+	// Quota limits the total resources of the account's running tasks. A zero field
+	// means no limit.
 	Quota Resources
 }
 
-// Limits bound the calls that callers make.
+// Limits restrict the size and duration of callers' calls.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -62,7 +67,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of all that operators set.
+// Configuration is one version of the settings that operators control.
 type Configuration struct {
 	Version  ConfigVersion
 	Queues   []Queue
@@ -77,7 +82,7 @@
 	accountsByName    map[AccountName]*Account
 }
 
-// Index prepares the look-ups. It must be called once before them.
+// Index builds the lookup tables. It must be called once before any lookup method.
 func (c *Configuration) Index() {
 	c.queuesByHost = map[string][]*Queue{}
 	c.queuesByName = map[QueueName]*Queue{}
@@ -101,8 +106,8 @@
 	}
 }
 
-// Route returns the queue whose prefix is the longest that path begins with, or
-// nil; rest is what follows the prefix.
+// Route returns the queue of the host with the longest prefix of path, or nil if there
+// is none, and the rest of the path after the prefix.
 func (c *Configuration) Route(host, path string) (q *Queue, rest string) {
 	for _, o := range c.queuesByHost[host] {
 		if strings.HasPrefix(path, o.Prefix) && (q == nil || len(o.Prefix) > len(q.Prefix)) {
@@ -115,16 +120,16 @@
 	return q, path[len(q.Prefix):]
 }
 
-// Queue returns the queue of that name, or nil.
+// Queue returns the queue with the given name, or nil.
 func (c *Configuration) Queue(n QueueName) *Queue { return c.queuesByName[n] }
 
-// Pool returns the pool of that name, or nil.
+// Pool returns the pool with the given name, or nil.
 func (c *Configuration) Pool(n PoolName) *Pool { return c.poolsByName[n] }
 
-// Account returns the account of that name, or nil.
+// Account returns the client account with the given name, or nil.
 func (c *Configuration) Account(n AccountName) *Account { return c.accountsByName[n] }
 
-// AccountForKey returns the account whose key it is.
+// AccountForKey returns the client account that key belongs to.
 func (c *Configuration) AccountForKey(key string) (AccountName, bool) {
 	a, ok := c.accountNamesByKey[key]
 	return a, ok
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -1,13 +1,14 @@
-// Package job is the model of work that callers hand in: a job of steps, each
-// of tasks that run on VMs. It holds no clock, network or goroutine.
+// Package job defines the data model of submitted work. A job consists of steps, and
+// a step consists of tasks that run on VMs. The package uses no clock, network or
+// goroutines.
 package job
 
 import "time"
 
-// ID names a job; its caller chooses it.
+// ID identifies a job and is chosen by the caller.
 type ID string
 
-// QueueName names the queue that a job was handed in to.
+// QueueName names the queue that a job was submitted to.
 type QueueName string
 
 // PoolName names the pool of VMs that runs a queue's tasks.
@@ -19,19 +20,21 @@
 // ZoneName names an availability zone.
 type ZoneName string
 
-// Label is a property of a VM, such as its kind or its rack.
+// Label is a property of a VM, such as its type or its rack.
 type Label string
 
-// Image names what the tasks of a step run; tasks of one image behave alike.
+// Image names the program that the tasks of a step run. Tasks with the same image are
+// expected to behave alike.
 type Image string
 
-// Checkpoint is the progress that a task can resume from; empty means none.
+// Checkpoint identifies the saved progress from which a task can resume. It is empty
+// if there is none.
 type Checkpoint string
 
-// Attempt numbers the starts of a task, from 1.
+// Attempt numbers the starts of a task, beginning with 1.
 type Attempt int64
 
-// Resources is an amount of a VM's resources.
+// Resources is an amount of each kind of VM resource.
 type Resources struct {
 	// CPU is in thousandths of a core.
 	CPU int64 `json:"cpu,omitempty"`
@@ -41,72 +44,75 @@
 	GPU int64 `json:"gpu,omitempty"`
 }
 
-// Add returns the sum of both.
+// Add returns the sum of r and o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{CPU: r.CPU + o.CPU, MemMB: r.MemMB + o.MemMB, GPU: r.GPU + o.GPU}
 }
 
-// Sub returns r without o.
+// Sub returns the difference of r and o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, MemMB: r.MemMB - o.MemMB, GPU: r.GPU - o.GPU}
 }
 
-// Max returns the larger of both in each kind of room.
+// Max returns the larger amount of each resource.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{CPU: max(r.CPU, o.CPU), MemMB: max(r.MemMB, o.MemMB), GPU: max(r.GPU, o.GPU)}
 }
 
-// Min returns the smaller of both in each kind of room.
+// Min returns the smaller amount of each resource.
 func (r Resources) Min(o Resources) Resources {
 	return Resources{CPU: min(r.CPU, o.CPU), MemMB: min(r.MemMB, o.MemMB), GPU: min(r.GPU, o.GPU)}
 }
 
-// Mul returns r n times over.
+// Mul returns r multiplied by n.
 func (r Resources) Mul(n int) Resources {
 	return Resources{CPU: r.CPU * int64(n), MemMB: r.MemMB * int64(n), GPU: r.GPU * int64(n)}
 }
 
-// FitsIn tells whether r can be taken from free.
+// FitsIn reports whether available covers r for every resource.
 func (r Resources) FitsIn(available Resources) bool {
 	return r.CPU <= available.CPU && r.MemMB <= available.MemMB && r.GPU <= available.GPU
 }
 
-// Step is a group of equal tasks.
+// Step is a group of identical tasks.
 type Step struct {
 	Count     int       `json:"count"`
 	Resources Resources `json:"room"`
-	// Estimate is the caller's rough guess of one task's run time.
+	// Estimate is the caller's rough estimate of the run time of one task.
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// After lists the steps that must be done first.
+	// After lists the indexes of the steps that must complete before this one.
 	After []int `json:"after,omitempty"`
-	// Checkpointing tasks can be stopped and resumed.
+	// Checkpointing tasks can be stopped and resumed from a checkpoint.
 	Checkpointing bool `json:"checkpointing,omitempty"`
-	// Gang tasks work only while all of them run.
+	// Gang tasks make progress only while all tasks of the step are running.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack tasks are slow unless they share a rack.
+	// SameRack tasks run slowly unless they are on the same rack.
 	SameRack bool `json:"same_rack,omitempty"`
-	// Requires is a label that the VM must carry; empty means none.
+	// Requires is a label that the VM must have; empty means none.
 	Requires Label `json:"requires,omitempty"`
-	// PreferredRack is the rack where the data lies; empty means none.
+	// PreferredRack is the rack that stores the input data; empty means none.
 	PreferredRack Label `json:"near_rack,omitempty"`
-	// MaxPerVM bounds the tasks of the step on one VM; 0 means no bound.
+	// MaxPerVM limits how many tasks of the step run on one VM; 0 means no limit.
 	MaxPerVM int `json:"max_per_vm,omitempty"`
-	// Speculative tasks may have several runs at a time.
+	// Speculative tasks may have several concurrent runs.
 	Speculative bool `json:"speculative,omitempty"`
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool  `json:"lasting,omitempty"`
 	Image       Image `json:"image,omitempty"`
-	// TailLatencyTarget bounds the response times of a task that serves users.
+	// TailLatencyTarget is the bound on the tail of the response times of a task that
+	// serves users.
 	TailLatencyTarget time.Duration `json:"tail_target,omitempty"`
-	// SpareCPU tasks use the CPU that others leave over.
+	// SpareCPU tasks use only CPU time that other tasks leave idle.
 	SpareCPU bool `json:"fills,omitempty"`
-	// DisruptionBudget is how many tasks of a lasting step may be away on our account;
-	// HasMayMiss tells whether the step has such a bound.
+	// DisruptionBudget is the number of tasks of a long-running step that may be
+	// unavailable at a time because of the scheduler. HasDisruptionBudget is set if
+	// the step specifies it.
 	DisruptionBudget    int  `json:"may_miss,omitempty"`
 	HasDisruptionBudget bool `json:"has_may_miss,omitempty"`
 }
 
-// Reservation is the room that a task of the step takes away from other tasks.
+// Reservation returns the resources that a task of the step makes unavailable to other
+// tasks. Tasks that use spare CPU reserve none.
 func (s *Step) Reservation() Resources {
 	if s.SpareCPU {
 		return Resources{MemMB: s.Resources.MemMB, GPU: s.Resources.GPU}
@@ -114,13 +120,14 @@
 	return s.Resources
 }
 
-// Body is what a caller hands in.
+// Body is the part of a job that the caller submits.
 type Body struct {
 	Spec  string `json:"spec"`
 	Steps []Step `json:"steps"`
-	// Occurrences is how often the steps run; 0 stands for once, at once.
+	// Occurrences is how often the steps run. Zero means once, immediately.
 	Occurrences int `json:"occurrences,omitempty"`
-	// FirstDue and Interval give the due time of each occurrence, by the time of day.
+	// FirstDue and Interval determine the due time of each occurrence, in wall-clock
+	// time.
 	FirstDue time.Time     `json:"first_due,omitzero"`
 	Interval time.Duration `json:"interval,omitempty"`
 }
@@ -128,7 +135,8 @@
 // OccurrenceCount returns how often the steps run, at least once.
 func (b *Body) OccurrenceCount() int { return max(1, b.Occurrences) }
 
-// Due returns when occurrence k may start; the zero time means at once.
+// Due returns the earliest start time of occurrence k. The zero time means that it may
+// start immediately.
 func (b *Body) Due(k int) time.Time {
 	if b.Occurrences == 0 {
 		return time.Time{}
@@ -136,7 +144,7 @@
 	return b.FirstDue.Add(time.Duration(k) * b.Interval)
 }
 
-// LongRunning tells whether the job runs until it is cancelled.
+// LongRunning reports whether the job runs until it is cancelled.
 func (b *Body) LongRunning() bool {
 	for i := range b.Steps {
 		if b.Steps[i].LongRunning {
@@ -146,7 +154,7 @@
 	return false
 }
 
-// Terms are what the configuration said of the queue when the job was taken in.
+// Terms are the settings of the job's queue at the time the job was accepted.
 type Terms struct {
 	Queue            QueueName     `json:"queue"`
 	Pool             PoolName      `json:"pool"`
@@ -157,14 +165,14 @@
 	LatencyAllowance time.Duration `json:"latency,omitempty"`
 }
 
-// Job is a job as it was taken in.
+// Job is an accepted job.
 type Job struct {
 	ID    ID    `json:"id"`
 	Terms Terms `json:"terms"`
 	Body  Body  `json:"body"`
 }
 
-// TaskID names one task of one occurrence.
+// TaskID identifies one task of one occurrence of a job.
 type TaskID struct {
 	Job        ID
 	Occurrence int
@@ -172,7 +180,7 @@
 	Index      int
 }
 
-// StepID names a step of one occurrence.
+// StepID identifies one step of one occurrence of a job.
 type StepID struct {
 	Job        ID
 	Occurrence int
--- a/core/job/machine.go
+++ b/core/job/machine.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Wave asks that machines have their upkeep.
+// Wave is an operator's request to maintain a set of machines.
 type Wave struct {
 	Number   int64
 	Machines []MachineID
-	// Within is the period in which all must have had it.
+	// Within is the period in which all machines must be maintained.
 	Within time.Duration
-	// MaxConcurrent bounds the machines that are away at a time.
+	// MaxConcurrent limits how many machines are unavailable at the same time.
 	MaxConcurrent int
 }
 
-// WaveState is shown to operators.
+// WaveState is the state of a wave that is shown to operators.
 type WaveState int
 
 // The states of a wave.
@@ -21,10 +21,10 @@
 	WaveCompleted
 )
 
-// MachineID names a machine; each of its lives is a VM.
+// MachineID identifies a machine. A machine runs as one VM after another.
 type MachineID string
 
-// MachineState is what the platform says of a machine.
+// MachineState is the state of a machine as reported by the platform.
 type MachineState string
 
 // The states of a machine.
@@ -35,7 +35,7 @@
 	MachineDown        MachineState = "down"
 )
 
-// Machine is one entry of the machines list.
+// Machine is one entry of the platform's list of machines.
 type Machine struct {
 	ID       MachineID
 	Pool     PoolName
@@ -43,14 +43,15 @@
 	Zone     ZoneName
 	Labels   []Label
 	Capacity Resources
-	// VM is the machine's present life; empty if it is off.
+	// VM identifies the VM that the machine currently runs as; empty if it is off.
 	VM VMID
 }
 
-// MachineRefusal says why an order for a machine was not carried out.
+// MachineRefusal is the reason why an order for a machine was not carried out.
 type MachineRefusal string
 
-// The reasons of the machines service.
+// The refusals of the machines service. MachineAccepted means that the order was
+// accepted.
 const (
 	MachineAccepted  MachineRefusal = ""
 	MachineFenced    MachineRefusal = "fence"
@@ -58,7 +59,7 @@
 	MachineOtherWave MachineRefusal = "wave"
 )
 
-// OrderIssuer signs the orders for a machine.
+// OrderIssuer identifies the owner that issues orders for machines.
 type OrderIssuer struct {
 	Node  string
 	Fence Fence
--- a/core/job/state.go
+++ b/core/job/state.go
@@ -1,6 +1,6 @@
 package job
 
-// State is what a caller is shown of a job.
+// State is the state of a job as shown to callers.
 type State int
 
 // The states of a job.
@@ -29,39 +29,41 @@
 	return "unknown"
 }
 
-// Final tells whether the state can't change any more.
+// Final reports whether s is a final state.
 func (s State) Final() bool { return s >= Completed }
 
-// Progress is what must outlast the process that runs a job.
+// Progress is the part of a job's state that is stored, so that another process can
+// continue the job.
 type Progress struct {
 	State State `json:"state"`
-	// Done lists, by occurrence and step, the tasks that have ended well.
+	// Done lists the tasks that succeeded, by occurrence and step.
 	Done []StepDone `json:"done,omitempty"`
-	// Failed lists the failed runs of tasks that have any.
+	// Failed lists the failed runs of each task that has any.
 	Failed []TaskFailures `json:"failed,omitempty"`
-	// VMs are all on which a task of the job may have been started.
+	// VMs lists all VMs on which a task of the job may have been started.
 	VMs []VMID `json:"vms,omitempty"`
-	// Crashed lists the tasks under which VMs have crashed.
+	// Crashed lists the tasks whose VMs have crashed while they ran.
 	Crashed []TaskCrashes `json:"crashed,omitempty"`
-	// Started lists the starts of which a new owner has to know where they went.
+	// Started lists the task starts whose VMs a new owner needs to know.
 	Started []TaskStart `json:"started,omitempty"`
 }
 
-// TaskCrashes lists the starts of one task under which the VM crashed.
+// TaskCrashes lists the attempts of one task during which the VM crashed.
 type TaskCrashes struct {
 	Occurrence int       `json:"k,omitempty"`
 	Step       int       `json:"s"`
 	Task       int       `json:"t"`
 	Attempts   []Attempt `json:"a"`
-	// Confirmed is how many of these VMs had confirmed that the task runs; AtStart how many
-	// of those crashed right after the start, Alone how many while no other task there can
-	// have been the cause.
+	// Confirmed is the number of these VMs that had confirmed that the task was running.
+	// Of those, AtStart is the number that crashed right after the start, and SoleSuspect
+	// is the number on which no other task can have caused the crash.
 	Confirmed   int `json:"certain,omitempty"`
 	AtStart     int `json:"at_start,omitempty"`
 	SoleSuspect int `json:"alone,omitempty"`
 }
 
-// TaskStart is a start of one task on a life of a VM.
+// TaskStart records the start of one task on a VM. Born distinguishes VMs that reuse the
+// same ID.
 type TaskStart struct {
 	Occurrence int     `json:"k,omitempty"`
 	Step       int     `json:"s"`
@@ -69,20 +71,20 @@
 	Attempt    Attempt `json:"a"`
 	VM         VMID    `json:"vm"`
 	Born       Born    `json:"born,omitempty"`
-	// LeaseExpired starts are of runs that are over, since their VM's lease has run out; the VM may
+	// LeaseExpired is set if the run is over because the lease of its VM expired. The VM may
 	// turn out to have crashed.
 	LeaseExpired bool `json:"lapsed,omitempty"`
 }
 
-// StepDone lists the finished tasks of a step.
+// StepDone lists the tasks of a step that succeeded.
 type StepDone struct {
 	Occurrence int   `json:"k,omitempty"`
 	Step       int   `json:"s"`
 	Tasks      []int `json:"t"`
 }
 
-// TaskFailures lists the failed runs of one task. It holds the attempts and not
-// their number: a new owner is told again of ends that the former one had stored.
+// TaskFailures lists the failed runs of one task. It stores the attempts instead of a
+// count, because VMs report ends that the former owner has stored to the new owner again.
 type TaskFailures struct {
 	Occurrence int       `json:"k,omitempty"`
 	Step       int       `json:"s"`
--- a/core/job/vm.go
+++ b/core/job/vm.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// VMID names one life of a VM; a crashed one may come back under the same ID.
+// VMID identifies a VM. A VM that has crashed may return under the same ID; its Born
+// value then differs.
 type VMID string
 
-// Fence is the token that guards a VM against orders of a former owner.
+// Fence is the fencing token that protects a VM from orders of a former owner.
 type Fence uint64
 
-// VMClock is a reading of a VM's own steady clock.
+// VMClock is a reading of a VM's own monotonic clock in milliseconds.
 type VMClock int64
 
-// Born is when a life of a VM began, in Unix milliseconds.
+// Born is the time at which a VM started, in Unix milliseconds. It distinguishes VMs
+// that use the same ID one after the other.
 type Born int64
 
-// Refusal says why a VM didn't take an order.
+// Refusal is the reason why a VM did not accept an order.
 type Refusal int
 
-// The reasons of a VM.
+// The reasons for which a VM refuses an order.
 const (
 	NotRefused Refusal = iota
-	// RefusedFence: the VM has seen a newer fence.
+	// RefusedStaleFence means that the VM has seen a newer fence.
 	RefusedStaleFence
-	// RefusedOld: the attempt isn't newer than one that was stopped or ended.
+	// RefusedStaleAttempt means that the attempt is not newer than one that was stopped
+	// or has ended.
 	RefusedStaleAttempt
-	// RefusedLate: the start deadline had passed.
+	// RefusedLate means that the start deadline had passed.
 	RefusedLate
-	// RefusedRoom: the task doesn't fit.
+	// RefusedCapacity means that the task doesn't fit on the VM.
 	RefusedCapacity
-	// RefusedTicket: the approval is missing or has run out.
+	// RefusedTicket means that the approval of the start is missing or has expired.
 	RefusedTicket
-	// RefusedOther: a reason that is not known here.
+	// RefusedOther stands for any reason that is not listed here.
 	RefusedOther
 )
 
@@ -50,39 +53,42 @@
 	Spec       string
 	Fence      Fence
 	Checkpoint Checkpoint
-	// Deadline extends the lease of all that runs on the VM; a start that
-	// arrives later is refused.
+	// Deadline extends the lease of everything that runs on the VM. A start that
+	// arrives after it is refused.
 	Deadline VMClock
 	Ticket   string
 }
 
-// HoldOrder extends the lease of what runs on a VM and asks for its lists.
+// HoldOrder extends the lease of everything that runs on a VM and requests its lists of
+// running and finished tasks.
 type HoldOrder struct {
 	Fence Fence
-	// Deadline is the lease's new end; 0 leaves it as it is.
+	// Deadline is the new end of the lease; 0 leaves the lease unchanged.
 	Deadline VMClock
-	// Noted is the number of the last end that the VM may forget.
+	// Noted is the number of the last end that the VM may discard.
 	Noted int64
-	// Wait is how long the VM may wait for an end before it answers.
+	// Wait is how long the VM may wait for a run to end before it answers.
 	Wait time.Duration
 }
 
-// RunningTask is a task on a VM.
+// RunningTask is a task that is running on a VM.
 type RunningTask struct {
 	Task       TaskID
 	Attempt    Attempt
 	Checkpoint Checkpoint
-	// Percent is the progress, or for a lasting task its share at work.
+	// Percent is the progress of the task. For a long-running task it is the share of
+	// its full service that the task provides.
 	Percent int
-	// Load is the tail of response times in ms for a task that serves, else the
-	// CPU in use.
+	// Load is the tail latency in milliseconds for a task that serves users, and the
+	// CPU usage for other tasks.
 	Load int64
 }
 
-// Ending is how a run ended.
+// Ending is the way in which a run ended.
 type Ending int
 
-// The ways a run ends.
+// The ways in which a run can end. EndedLeaseExpired means that the VM ended the run
+// because its lease expired.
 const (
 	EndedDone Ending = iota + 1
 	EndedFailed
@@ -101,27 +107,28 @@
 	return "unknown"
 }
 
-// Report is a VM's answer to an order.
+// Report is the answer of a VM to an order.
 type Report struct {
 	Clock   VMClock
 	Born    Born
 	Refused Refusal
-	// Lists is set on the answer to a hold only.
+	// Lists is set only on the answer to a HoldOrder; Running and Finished are then valid.
 	Lists    bool
 	Running  []RunningTask
 	Finished []End
 }
 
-// VMRecord is what a VM says of itself in the table.
+// VMRecord is the entry that a VM publishes about itself in the table.
 type VMRecord struct {
 	ID      VMID
 	Pool    PoolName
 	Address string
 	Zone    ZoneName
-	// Draining VMs leave soon; LeavesIn is the least time that is left.
+	// Draining is set if the VM will shut down soon. RemainingTime is the minimum time
+	// until then.
 	Draining      bool
 	RemainingTime time.Duration
-	// WarmupLeft is how much longer the VM is slow after its start.
+	// WarmupLeft is how much longer the VM will be slow after its start.
 	WarmupLeft time.Duration
 	Capacity   Resources
 	Labels     []Label
@@ -131,7 +138,7 @@
 	Sequence   int64
 }
 
-// End is the end of a run.
+// End describes the end of a run.
 type End struct {
 	Number     int64
 	Task       TaskID
--- a/core/lease/clock.go
+++ b/core/lease/clock.go
@@ -6,28 +6,28 @@
 	"lavenderpond/core/job"
 )
 
-// Clock relates a VM's clock to ours. Its zero value knows nothing.
+// Clock estimates a VM's clock from its readings. The zero value has no reading.
 type Clock struct {
 	reading job.VMClock
 	at      time.Time
 }
 
-// Observe notes a reading that was received at now.
+// Observe records a reading that was received at now.
 func (c *Clock) Observe(reading job.VMClock, now time.Time) {
 	if reading >= c.Earliest(now) || c.at.IsZero() {
 		c.reading, c.at = reading, now
 	}
 }
 
-// Known tells whether the clock was ever read.
+// Known reports whether there is a reading of the clock.
 func (c *Clock) Known() bool { return !c.at.IsZero() }
 
-// Earliest returns the least that the VM's clock can show at now.
+// Earliest returns the minimum that the VM's clock can show at now.
 func (c *Clock) Earliest(now time.Time) job.VMClock {
 	return c.reading + job.VMClock(float64(now.Sub(c.at).Milliseconds())*MinClockRate)
 }
 
-// Estimate returns what the VM's clock shows at now if it runs true.
+// Estimate returns what the VM's clock shows at now if it runs at the nominal rate.
 func (c *Clock) Estimate(now time.Time) job.VMClock {
 	return c.reading + job.VMClock(now.Sub(c.at).Milliseconds())
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -12,9 +12,9 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// An owner sends a renewal, stands still for seconds and gets the answer when it
-// wakes. The answer proves the right as of the sending only: by now another
-// process may own the fleet.
+// Guards against an owner that sends a renewal, is suspended for seconds and receives the
+// answer when it resumes. The answer confirms the ownership only as of the time of the
+// request: another process may own the fleet by then.
 func TestConfirmationCountsFromRequestTime(t *testing.T) {
 	var r lease.Ownership
 	r.Confirm(start, start)
@@ -24,9 +24,9 @@
 	assert.Assert(t, !r.MayExtendLeases(resumed))
 }
 
-// Machines know no fence, so that nobody may order them any more once another can take
-// over. Starts go on: VMs fence them. Holds outlast them, since what was started must
-// be held.
+// Machine orders must stop before another process can take over, because machines don't
+// check fences. Task starts may continue, because VMs do. Lease extensions must continue
+// longer than starts, so that started tasks keep their leases.
 func TestOwnershipRightsExpireInOrder(t *testing.T) {
 	var r lease.Ownership
 	assert.Assert(t, !r.MayOrderMachines(start) && !r.MayStartTasks(start) && !r.MayExtendLeases(start), "the zero value holds no right")
@@ -44,9 +44,10 @@
 	assert.Assert(t, !r.MayExtendLeases(start.Add(5*time.Second)))
 }
 
-// A renewal is carried out and its answer lost. Its repetition is told so 0.9 s later.
-// The others have seen the renewal stand still all the while and take over at any
-// moment: no machine may be ordered, though this process was the owner just now.
+// Guards against a renewal that takes effect while its answer is lost, and whose retry is
+// confirmed 0.9 s later. Other processes have seen no change since the first request and may
+// take over at any moment, so this process must not order machines, although it was the owner
+// when the retry was answered.
 func TestRetriedRenewalCountsFromFirstRequest(t *testing.T) {
 	var r lease.Ownership
 	retried := start.Add(900 * time.Millisecond)
@@ -55,7 +56,7 @@
 	assert.Assert(t, r.MayStartTasks(retried.Add(2*time.Second)))
 }
 
-// An older proof that is answered late doesn't shorten the right.
+// A confirmation of an older request that arrives late must not shorten the ownership.
 func TestOlderConfirmationIsIgnored(t *testing.T) {
 	var r lease.Ownership
 	r.Confirm(start.Add(time.Second), start.Add(time.Second))
@@ -64,8 +65,8 @@
 	assert.Assert(t, r.MayStartTasks(start.Add(3600*time.Millisecond)))
 }
 
-// A watcher reads the same renewal again and again. It takes over only once that
-// has stood still for longer than the owner may start tasks after it.
+// A watcher that repeatedly reads the same renewal takes over only when the renewal has
+// remained unchanged for longer than the owner may order machines after it.
 func TestTakeoverAfterSilence(t *testing.T) {
 	var w lease.Watcher
 	observe := func(at time.Duration, renewal uint64) lease.Observation {
@@ -90,9 +91,10 @@
 	}
 }
 
-// All entry VMs see that there is no owner. A weak one would get the fleet as
-// often as a strong one and then fall behind; it waits, and a strong one is first.
-// If there is no strong one it takes over all the same.
+// When there is no owner, all entry VMs notice it at the same time. Without a delay, an entry
+// VM with low capacity would become the owner as often as one with enough capacity and then
+// fall behind. It waits so that a VM with enough capacity is first, and takes over if there is
+// none.
 func TestLowCapacityEntryVMDefersTakeover(t *testing.T) {
 	for name, c := range map[string]struct {
 		observation lease.Observation
@@ -114,8 +116,8 @@
 	}
 }
 
-// A VM's clock runs up to 2% slow. Its lease is over for sure only when the
-// slowest clock has passed the deadline.
+// A VM's clock may run up to 2% slow. The VM's lease has certainly expired only when the
+// slowest possible clock has passed the deadline.
 func TestClockEarliest(t *testing.T) {
 	var c lease.Clock
 	assert.Assert(t, !c.Known())
@@ -125,8 +127,8 @@
 	assert.Equal(t, c.Estimate(later), job.VMClock(15_000))
 }
 
-// A new owner waits for a VM out of reach until the former one's last hold, the
-// longest lease on a slow clock and a start on its way are over.
+// For an unreachable VM, a new owner waits for the former owner's last lease extension, the
+// longest lease on a slow clock and a start order in transit.
 func TestInheritedLeaseEnd(t *testing.T) {
 	end := lease.InheritedLeaseEnd(start, 6*time.Second)
 	assert.Assert(t, end.Sub(start) > 3*time.Second+6122*time.Millisecond)
--- a/core/lease/ownership.go
+++ b/core/lease/ownership.go
@@ -1,78 +1,82 @@
-// Package lease decides who owns the fleet's jobs and VMs, and how long what
-// runs on a VM may go on. Time comes in as an argument; it must be read from a
-// clock that also counts the time for which a machine stood still.
+// Package lease decides which process owns the fleet's jobs and VMs, and how long
+// tasks may keep running on a VM. Time is passed in as an argument. It must come
+// from a clock that also advances while the machine is suspended.
 package lease
 
 import "time"
 
 const (
-	// machineOrderPeriod is how long after its last proof the owner may order machines and
-	// move lasting tasks off VMs: two renewals of a quarter of a second and an answer
-	// of a slow table. Nothing guards these orders against a former owner's, so it ends
-	// before another may take over.
+	// machineOrderPeriod is how long after its last confirmation the owner may order
+	// machines and move long-running tasks off VMs. It covers two renewals, which are a
+	// quarter of a second apart, and an answer of a slow table. It ends before another
+	// process may take over, because no fence protects these orders from a former owner.
 	machineOrderPeriod = 750 * time.Millisecond
-	// taskStartPeriod is how long after its last proof the owner may start tasks. It goes
-	// on after another may have taken over: that one's fence bars the starts on all VMs
-	// that it has reached, and for jobs that may run on the others it waits until what
-	// is started there is over. While the table is out of reach for all, nobody takes
-	// over, and callers' jobs go on.
+	// taskStartPeriod is how long after its last confirmation the owner may start tasks.
+	// It may extend past a takeover: the new owner's fence blocks starts on all VMs that
+	// it has reached, and for jobs that may run on other VMs the new owner waits until
+	// the tasks started there are over. While no process can reach the table, nobody
+	// takes over and callers' jobs continue.
 	taskStartPeriod = 2900 * time.Millisecond
-	// leaseExtensionPeriod is how long after its last proof the owner may extend leases on
-	// VMs. It outlasts short outages of the table, so that they end no task, and
-	// has an end, so that a new owner knows when a VM it can't reach is free.
+	// leaseExtensionPeriod is how long after its last confirmation the owner may extend
+	// the leases of VMs. It is long enough that short outages of the table end no tasks.
+	// It is limited so that a new owner knows when a VM that it can't reach is free.
 	leaseExtensionPeriod = 3 * time.Second
-	// takeoverSilence is how long the owner's renewal may stand still before
-	// another takes over. It is longer than orderPeriod: an owner that reaches
-	// the table again in time stays the owner. New jobs don't start meanwhile.
+	// takeoverSilence is how long the owner may go without a renewal before another
+	// process takes over. It is longer than machineOrderPeriod: an owner that reaches the
+	// table again in time remains the owner. New jobs don't start in the meantime.
 	takeoverSilence = 950 * time.Millisecond
 )
 
-// Ownership is the owner's proof that it still is the owner. Its zero value holds
-// no right.
+// Ownership tracks how long this process may act as the owner after its last
+// confirmation. The zero value grants no rights.
 type Ownership struct {
 	machineOrdersUntil   time.Time
 	taskStartsUntil      time.Time
 	leaseExtensionsUntil time.Time
 }
 
-// Confirm notes that the table confirmed a renewal. seen is when the call was sent whose
-// answer says that this process is the owner: only up to then is it certain that nobody
-// else had taken over. renewed is when the first call was sent that may have brought the
-// renewal about: from then on others may have seen it, and take over once it has stood
-// still for silencePeriod, whatever was confirmed since.
+// Confirm records that the table confirmed a renewal. confirmationSent is when the call
+// was sent whose answer confirms that this process is the owner. Only until then is it
+// certain that no other process had taken over. renewalSent is when the first call was
+// sent that may have caused the renewal. Other processes may have seen the renewal since
+// then. They take over when it hasn't changed for takeoverSilence, regardless of later
+// confirmations.
 func (r *Ownership) Confirm(renewalSent, confirmationSent time.Time) {
 	extend(&r.machineOrdersUntil, renewalSent.Add(machineOrderPeriod))
 	extend(&r.taskStartsUntil, confirmationSent.Add(taskStartPeriod))
 	extend(&r.leaseExtensionsUntil, confirmationSent.Add(leaseExtensionPeriod))
 }
 
-// extend moves a deadline on, never back: answers may overtake each other.
+// extend moves a deadline forward. It never moves it back, since answers may arrive out
+// of order.
 func extend(deadline *time.Time, until time.Time) {
 	if until.After(*deadline) {
 		*deadline = until
 	}
 }
 
-// MayOrderMachines tells whether machines may be ordered, and lasting tasks moved.
+// MayOrderMachines reports whether the owner may order machines and move long-running
+// tasks.
 func (r *Ownership) MayOrderMachines(now time.Time) bool { return now.Before(r.machineOrdersUntil) }
 
-// MayStartTasks tells whether tasks may be started.
+// MayStartTasks reports whether the owner may start tasks.
 func (r *Ownership) MayStartTasks(now time.Time) bool { return now.Before(r.taskStartsUntil) }
 
-// MayExtendLeases tells whether leases on VMs may be extended.
+// MayExtendLeases reports whether the owner may extend the leases of VMs.
 func (r *Ownership) MayExtendLeases(now time.Time) bool { return now.Before(r.leaseExtensionsUntil) }
 
-// MinClockRate is the slowest rate of a VM's clock against true time.
+// MinClockRate is the slowest rate of a VM's clock relative to real time.
 const MinClockRate = 0.98
 
-// InheritedLeaseEnd returns when nothing can run any more that a former owner left
-// on a VM out of reach, if the ownership changed at changed: the former owner
-// may have gone on to extend its leases for holdPeriod, each of which lasts up
-// to longest on a slow clock.
+// InheritedLeaseEnd returns the time by which all tasks that a former owner started on
+// an unreachable VM have ended, given the time of the takeover. The former owner may
+// have extended the leases for another leaseExtensionPeriod, and each lease lasts up to
+// maxLease on the VM's clock, which may be slow.
 func InheritedLeaseEnd(takeover time.Time, maxLease time.Duration) time.Time {
 	lease := time.Duration(float64(maxLease) / MinClockRate)
 	return takeover.Add(leaseExtensionPeriod + lease + startTransitMargin)
 }
 
-// startTransitMargin covers a start order that was on its way when the right ended.
+// startTransitMargin covers a start order that was in transit when the former owner's
+// right to start tasks ended.
 const startTransitMargin = time.Second
--- a/core/lease/poll.go
+++ b/core/lease/poll.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// maxPollReadShare is the part of the table's reads that the looks at the owner's rows may take.
-// Beyond its reads the table refuses calls of everybody, the owner's renewals among them.
+// maxPollReadShare is the share of the table's read throughput that polling the owner's rows
+// may use. When the throughput is exceeded, the table refuses calls of every client, including
+// the owner's renewals.
 const maxPollReadShare = 0.2
 
-// PollInterval returns how often an entry VM looks at the owner's rows: every least, or less
-// often where entries do so at a table that serves so many reads a second. Either number
-// is 0 if it isn't known.
+// PollInterval returns the interval at which an entry VM polls the owner's rows. It is at least
+// minInterval, and longer if that many entry VMs would otherwise use more than maxPollReadShare
+// of a table that serves readsPerSecond. Either number is 0 if it isn't known.
 func PollInterval(minInterval time.Duration, entries int, readsPerSecond float64) time.Duration {
 	if readsPerSecond <= 0 {
 		return minInterval
--- a/core/lease/poll_test.go
+++ b/core/lease/poll_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/lease"
 )
 
-// Guards against entry VMs whose looks alone use up the table's reads: the owner's calls
-// are refused with theirs, and nothing is served.
+// Guards against entry VMs whose polling alone exhausts the table's read throughput. The
+// table would then refuse the owner's calls as well, and no work would be done.
 func TestPollIntervalBoundsReadLoad(t *testing.T) {
 	const minInterval = 150 * time.Millisecond
 	for _, c := range []struct {
--- a/core/lease/watcher.go
+++ b/core/lease/watcher.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// Observation is what a reading of the table said of the owner.
+// Observation is the state of the owner according to one read of the table.
 type Observation struct {
-	// Sent and Received bracket the reading.
+	// Sent and Received are when the read was sent and when its answer arrived.
 	Sent, Received time.Time
-	// Owner and Renewal are the versions of the owner's rows; 0 if there are none.
+	// Owner and Renewal are the versions of the owner's rows; 0 if a row doesn't exist.
 	Owner, Renewal uint64
-	// Vacant is set when the owner has given its right back.
+	// Vacant is set if the owner has given up the ownership.
 	Vacant bool
-	// PreviousRun is set when the owner is a former life of this very process.
+	// PreviousRun is set if the owner is a previous run of this process.
 	PreviousRun bool
 }
 
-// lowCapacityDelay is how much longer a weak entry VM waits before it takes over: two
-// readings of a strong one, which are 300 ms apart, and its attempt.
+// lowCapacityDelay is how much longer an entry VM with low capacity waits before it takes
+// over. It covers two reads by an entry VM with enough capacity, which are 300 ms apart, and
+// that VM's takeover attempt.
 const lowCapacityDelay = 700 * time.Millisecond
 
-// Watcher follows the owner's renewals. Its zero value works.
+// Watcher follows the owner's renewals and decides when to take over. The zero value is
+// ready to use.
 type Watcher struct {
-	// LowCapacity is set on an entry VM that has too little processor time for the owner of
-	// a large fleet. It leaves the take-over to a strong one, if there is any: an
-	// owner that is too slow answers nobody in time, and yet renews its right.
+	// LowCapacity is set on an entry VM that has too little processor time to own a large
+	// fleet. It leaves the takeover to an entry VM with enough capacity, if there is one: an
+	// owner that is too slow keeps renewing its ownership but answers no calls in time.
 	LowCapacity bool
 
 	owner, renewal uint64
 	takeoverAt     time.Time
 }
 
-// TakeoverDue takes in a reading and tells whether to try to take over. The attempt must
-// expect both versions to be unchanged, so that a renewal in between wins.
+// TakeoverDue processes an observation and reports whether to attempt a takeover. The
+// attempt must require both versions to be unchanged, so that a renewal made in the meantime
+// prevents the takeover.
 func (w *Watcher) TakeoverDue(s Observation) bool {
 	unowned := s.Owner == 0 || s.Vacant || s.PreviousRun
 	if unowned && !w.LowCapacity {
@@ -44,7 +47,7 @@
 	return !s.Sent.Before(w.takeoverAt)
 }
 
-// waitPeriod returns how long the rows must stand still.
+// waitPeriod returns how long the owner's rows must remain unchanged before a takeover.
 func (w *Watcher) waitPeriod(nobody bool) time.Duration {
 	d := time.Duration(0)
 	if !nobody {
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay decides which entry VMs carry the owner's orders to VMs, and which of
-// them carries those for a given VM.
+// Package relay selects the entry VMs that relay the owner's orders to VMs, and the
+// relay that is used for a given VM.
 package relay
 
 import (
@@ -11,27 +11,29 @@
 	"lavenderpond/core/job"
 )
 
-// Candidate is an entry VM that may carry orders.
+// Candidate is an entry VM that can relay orders.
 type Candidate struct {
 	Address string
-	// Strength is what it can carry, against an entry VM of one core.
+	// Capacity is the rate of orders that the entry VM can relay, relative to an entry VM
+	// with one core.
 	Capacity float64
 }
 
 const (
-	// minRelaysPerZone is how many relays a zone has at least: with one, its loss would make
-	// all VMs of the zone silent.
+	// minRelaysPerZone is the minimum number of relays in a zone. With a single relay, its
+	// loss would make all VMs of the zone unreachable.
 	minRelaysPerZone = 2
-	// minZoneCapacity is the strength that the relays of a zone have together. A relay that
-	// falls behind answers too late: the owner takes its starts for lost, and orders them
-	// again over the same relay.
+	// minZoneCapacity is the minimum total capacity of the relays of a zone. An overloaded
+	// relay answers too late: the owner assumes that its task starts are lost and sends them
+	// again through the same relay.
 	minZoneCapacity = 1.0
-	// linkMbpsPerCore is the link in Mbit/s that carries as many orders as one core does.
+	// linkMbpsPerCore is the network bandwidth in Mbit/s that carries as many orders as one
+	// core can process.
 	linkMbpsPerCore = 100.0
 )
 
-// Strength returns the strength of an entry VM with so many cores and a link of so many
-// Mbit/s; 0 stands for a link that isn't known.
+// Capacity returns the relay capacity of an entry VM with the given number of cores and
+// network bandwidth in Mbit/s. A bandwidth of 0 means that it is unknown.
 func Capacity(cores, linkMbps float64) float64 {
 	if linkMbps <= 0 {
 		return cores
@@ -39,12 +41,13 @@
 	return min(cores, linkMbps/linkMbpsPerCore)
 }
 
-// SortByCapacity orders members by strength, the strongest first.
+// SortByCapacity sorts candidates by descending capacity.
 func SortByCapacity(candidates []Candidate) {
 	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(b.Capacity, a.Capacity) })
 }
 
-// CountNeeded returns how many of the members, from the first on, a zone needs as relays.
+// CountNeeded returns how many of the candidates, beginning with the first, a zone needs as
+// relays.
 func CountNeeded(candidates []Candidate) int {
 	total := 0.0
 	for i, c := range candidates {
@@ -56,8 +59,9 @@
 	return len(candidates)
 }
 
-// Select returns the address of the relay that carries the orders for a VM, or none. Each
-// relay gets VMs in proportion to its strength, and keeps them when another one goes.
+// Select returns the address of the relay for a VM, or an empty string if there are no
+// relays. It uses weighted rendezvous hashing: each relay serves a number of VMs in
+// proportion to its capacity and keeps them when another relay is lost.
 func Select(relays []Candidate, id job.VMID) string {
 	best, bestScore := "", math.Inf(-1)
 	for _, r := range relays {
@@ -68,18 +72,19 @@
 	return best
 }
 
-// minCapacity keeps members without a known strength among the relays.
+// minCapacity is the capacity assumed of relays whose capacity is unknown, so that they
+// remain in use.
 const minCapacity = 0.01
 
-// unitHash returns a number between 0 and 1 that is fixed for the pair.
+// unitHash returns a deterministic hash of the pair as a number between 0 and 1.
 func unitHash(address string, id job.VMID) float64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(address)) // A hash never fails.
+	_, _ = h.Write([]byte(address)) // Writing to a hash never fails.
 	_, _ = h.Write([]byte(id))
 	return (float64(mixBits(h.Sum64())>>11) + 0.5) / (1 << 53)
 }
 
-// mixBits spreads the bits of a hash whose inputs differ in their last bytes only.
+// mixBits distributes the bits of a hash whose inputs differ only in their last bytes.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// Guards against a zone whose orders go through two weak members because its strong ones
-// are away.
+// Guards against a zone that relays its orders through only two entry VMs with low capacity
+// when those with more capacity are unavailable.
 func TestCountNeededReachesZoneCapacity(t *testing.T) {
 	assert.Equal(t, relay.CountNeeded(newCandidates(0.8, 0.8, 0.1, 0.1)), 2)
 	assert.Equal(t, relay.CountNeeded(newCandidates(0.8, 0.1, 0.1, 0.1)), 3)
@@ -35,7 +35,7 @@
 	assert.Equal(t, relay.Capacity(0.8, 0), 0.8)
 }
 
-// vmsPerRelay deals 10,000 VMs out.
+// vmsPerRelay assigns 10,000 VMs to relays and counts the VMs of each relay.
 func vmsPerRelay(relays []relay.Candidate) map[string]int {
 	out := map[string]int{}
 	for i := range 10_000 {
@@ -52,7 +52,7 @@
 	assert.Equal(t, relay.Select(nil, "i-1"), "")
 }
 
-// Guards against orders for all VMs that change their way when one relay is lost.
+// Guards against reassigning the VMs of all relays when one relay is lost.
 func TestRelayLossReassignsOnlyItsVMs(t *testing.T) {
 	relays := newCandidates(0.8, 0.3, 0.3, 0.1)
 	remaining := append(relays[:1:1], relays[2:]...)
@@ -64,9 +64,9 @@
 	}
 }
 
-// lateStarts plays four seconds of a burst over links of 10 Mbit/s and counts the starts that
-// aren't answered within 150 ms: the owner takes them for lost and orders them again. Each
-// start, with the report of its end, is 2.4 KB.
+// lateStarts simulates a burst of task starts that lasts four seconds over links of 10 Mbit/s.
+// It counts the starts that aren't answered within 150 ms, which the owner assumes to be lost
+// and sends again. Each start, including the report of its end, takes 2.4 KB.
 func lateStarts(relays []relay.Candidate, perSecond int) int {
 	const startBits, linkBits = 2400 * 8, 10e6
 	freeAt := map[string]float64{}
@@ -82,7 +82,8 @@
 	return late
 }
 
-// Guards against a burst that chokes the relays of a zone whose strong members are away.
+// Guards against a burst that overloads the relays of a zone whose entry VMs with high
+// capacity are unavailable.
 func TestBurstOverLowCapacityRelays(t *testing.T) {
 	const perSecond = 1700
 	capacity := relay.Capacity(0.2, 10)
--- a/core/request.go
+++ b/core/request.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Request is a caller's request as the system carries it from the entry that
-// took it to its home. All times are deadlines or instants, never durations.
+// Request is a caller's request as it is forwarded from the entry that received it
+// to its home. Its times are points in time, never remaining durations.
 type Request struct {
 	Key       RequestKey
 	KeyDigest KeyDigest
 	Attempt   Attempt
-	// Deadline is the same on every attempt. No work starts after it.
+	// Deadline is the time after which no work starts. It is the same on every
+	// attempt.
 	Deadline time.Time
-	// FirstSent is when the caller first sent the request, the same on every
-	// attempt. Zero if the caller doesn't say.
+	// FirstSent is when the caller first sent the request. It is the same on every
+	// attempt, and zero if the caller doesn't specify it.
 	FirstSent time.Time
 	Queue     QueueID
 	// Idempotent requests may run more than once.
 	Idempotent bool
-	// Urgent requests go before others of their team.
+	// Urgent requests run before other requests of their team.
 	Urgent bool
-	// DeclaredRun is the run time that the caller declares: a size, not a deadline.
-	// Often far off; used as a hint until run times are measured.
+	// DeclaredRun is the run time declared by the caller. It is an estimate, not a
+	// limit, and often far off; it serves as a hint until run times are measured.
 	DeclaredRun time.Duration
 	Body        []byte
 }
