--- a/core/code_test.go
+++ b/core/code_test.go
@@ -25,7 +25,7 @@
 func TestCodesAreUniqueAndDescribed(t *testing.T) {
 	seen := map[string]bool{}
 	for _, info := range core.Codes() {
-		assert.Assert(t, !seen[info.Name], "name %s stands twice", info.Name)
+		assert.Assert(t, !seen[info.Name], "duplicate name %s", info.Name)
 		seen[info.Name] = true
 		assert.Equal(t, info.Code.String(), info.Name)
 		assert.Assert(t, info.Description != "")
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -29,7 +29,7 @@
 // longer than starts, so that started tasks keep their leases.
 func TestOwnershipRightsExpireInOrder(t *testing.T) {
 	var r lease.Ownership
-	assert.Assert(t, !r.MayOrderMachines(start) && !r.MayStartTasks(start) && !r.MayExtendLeases(start), "the zero value holds no right")
+	assert.Assert(t, !r.MayOrderMachines(start) && !r.MayStartTasks(start) && !r.MayExtendLeases(start), "the zero value must not grant any rights")
 	r.Confirm(start, start)
 	var w lease.Watcher
 	s := lease.Observation{Sent: start, Received: start, Owner: 7, Renewal: 7}
@@ -75,16 +75,16 @@
 	}
 	assert.Assert(t, !w.TakeoverDue(observe(0, 7)))
 	assert.Assert(t, !w.TakeoverDue(observe(800*time.Millisecond, 7)))
-	assert.Assert(t, !w.TakeoverDue(observe(900*time.Millisecond, 9)), "a renewal starts the wait anew")
+	assert.Assert(t, !w.TakeoverDue(observe(900*time.Millisecond, 9)), "a renewal must restart the wait")
 	assert.Assert(t, !w.TakeoverDue(observe(1700*time.Millisecond, 9)))
 	assert.Assert(t, w.TakeoverDue(observe(1900*time.Millisecond, 9)))
 }
 
 func TestImmediateTakeoverWithoutOwner(t *testing.T) {
 	for name, s := range map[string]lease.Observation{
-		"no owner":    {},
-		"vacant":      {Owner: 3, Renewal: 4, Vacant: true},
-		"former life": {Owner: 3, Renewal: 4, PreviousRun: true},
+		"no owner":     {},
+		"vacant":       {Owner: 3, Renewal: 4, Vacant: true},
+		"previous run": {Owner: 3, Renewal: 4, PreviousRun: true},
 	} {
 		var w lease.Watcher
 		assert.Assert(t, w.TakeoverDue(s), name)
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -89,5 +89,5 @@
 	capacity := relay.Capacity(0.2, 10)
 	zone := newCandidates(capacity, capacity, capacity, capacity, capacity, capacity, capacity, capacity, capacity, capacity, capacity)
 	assert.Equal(t, lateStarts(zone[:relay.CountNeeded(zone)], perSecond), 0)
-	assert.Assert(t, lateStarts(zone[:2], perSecond) > perSecond, "two of them would do")
+	assert.Assert(t, lateStarts(zone[:2], perSecond) > perSecond, "two low-capacity relays must not be enough for the burst")
 }
