--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -56,44 +56,44 @@
 
 // RecordAnswer records that a part has answered. It reports whether the part had been
 // failing.
-func (t *Breaker) RecordAnswer(now time.Time, p Part) (regained bool) {
-	t.RecordContact(now)
-	regained = t.failedParts[p] != nil
-	delete(t.failedParts, p)
+func (b *Breaker) RecordAnswer(now time.Time, p Part) (regained bool) {
+	b.RecordContact(now)
+	regained = b.failedParts[p] != nil
+	delete(b.failedParts, p)
 	return regained
 }
 
 // RecordContact records an answer that doesn't belong to a part.
-func (t *Breaker) RecordContact(now time.Time) {
-	if now.After(t.lastAnswer) {
-		t.lastAnswer = now
+func (b *Breaker) RecordContact(now time.Time) {
+	if now.After(b.lastAnswer) {
+		b.lastAnswer = now
 	}
-	t.nextProbeAt = time.Time{}
+	b.nextProbeAt = time.Time{}
 }
 
 // RecordFailure records that a call to a part was refused or not answered. It reports whether
 // the part had not been failing before.
-func (t *Breaker) RecordFailure(now time.Time, p Part) (lost bool) {
-	if t.failedParts == nil {
-		t.failedParts = map[Part]*failedPart{}
+func (b *Breaker) RecordFailure(now time.Time, p Part) (lost bool) {
+	if b.failedParts == nil {
+		b.failedParts = map[Part]*failedPart{}
 	}
-	if t.failedParts[p] != nil {
+	if b.failedParts[p] != nil {
 		return false
 	}
-	t.failedParts[p] = &failedPart{nextProbeAt: now.Add(partProbeInterval)}
+	b.failedParts[p] = &failedPart{nextProbeAt: now.Add(partProbeInterval)}
 	return true
 }
 
 // SinceLastAnswer returns the time since the last answer of the table.
-func (t *Breaker) SinceLastAnswer(now time.Time) time.Duration { return now.Sub(t.lastAnswer) }
+func (b *Breaker) SinceLastAnswer(now time.Time) time.Duration { return now.Sub(b.lastAnswer) }
 
 // Decide returns what to do with a call to a part. It assumes that the caller sends a call
 // for which it returns Probe.
-func (t *Breaker) Decide(now time.Time, p Part) Decision {
-	if t.SinceLastAnswer(now) > maxAnswerAge {
-		return allowProbe(now, &t.nextProbeAt, tableProbeInterval)
+func (b *Breaker) Decide(now time.Time, p Part) Decision {
+	if b.SinceLastAnswer(now) > maxAnswerAge {
+		return allowProbe(now, &b.nextProbeAt, tableProbeInterval)
 	}
-	if down := t.failedParts[p]; down != nil {
+	if down := b.failedParts[p]; down != nil {
 		return allowProbe(now, &down.nextProbeAt, partProbeInterval)
 	}
 	return Call
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -16,32 +16,32 @@
 // answer when it resumes. The answer confirms the ownership only as of the time of the
 // request: another process may own the fleet by then.
 func TestConfirmationCountsFromRequestTime(t *testing.T) {
-	var r lease.Ownership
-	r.Confirm(start, start)
+	var o lease.Ownership
+	o.Confirm(start, start)
 	resumed := start.Add(4 * time.Second)
-	assert.Assert(t, !r.MayOrderMachines(resumed))
-	assert.Assert(t, !r.MayStartTasks(resumed))
-	assert.Assert(t, !r.MayExtendLeases(resumed))
+	assert.Assert(t, !o.MayOrderMachines(resumed))
+	assert.Assert(t, !o.MayStartTasks(resumed))
+	assert.Assert(t, !o.MayExtendLeases(resumed))
 }
 
 // Machine orders must stop before another process can take over, because machines don't
 // check fences. Task starts may continue, because VMs do. Lease extensions must continue
 // longer than starts, so that started tasks keep their leases.
 func TestOwnershipRightsExpireInOrder(t *testing.T) {
-	var r lease.Ownership
-	assert.Assert(t, !r.MayOrderMachines(start) && !r.MayStartTasks(start) && !r.MayExtendLeases(start), "the zero value must not grant any rights")
-	r.Confirm(start, start)
+	var o lease.Ownership
+	assert.Assert(t, !o.MayOrderMachines(start) && !o.MayStartTasks(start) && !o.MayExtendLeases(start), "the zero value must not grant any rights")
+	o.Confirm(start, start)
 	var w lease.Watcher
 	s := lease.Observation{Sent: start, Received: start, Owner: 7, Renewal: 7}
 	assert.Assert(t, !w.TakeoverDue(s))
 	for s.Sent = start; !w.TakeoverDue(s); s.Sent = s.Sent.Add(time.Millisecond) {
-		assert.Assert(t, r.MayStartTasks(s.Sent))
+		assert.Assert(t, o.MayStartTasks(s.Sent))
 	}
-	assert.Assert(t, !r.MayOrderMachines(s.Sent))
+	assert.Assert(t, !o.MayOrderMachines(s.Sent))
 	for at := start; at.Before(start.Add(5 * time.Second)); at = at.Add(10 * time.Millisecond) {
-		assert.Assert(t, !r.MayStartTasks(at) || r.MayExtendLeases(at))
+		assert.Assert(t, !o.MayStartTasks(at) || o.MayExtendLeases(at))
 	}
-	assert.Assert(t, !r.MayExtendLeases(start.Add(5*time.Second)))
+	assert.Assert(t, !o.MayExtendLeases(start.Add(5*time.Second)))
 }
 
 // Guards against a renewal that takes effect while its answer is lost, and whose retry is
@@ -49,20 +49,20 @@
 // take over at any moment, so this process must not order machines, although it was the owner
 // when the retry was answered.
 func TestRetriedRenewalCountsFromFirstRequest(t *testing.T) {
-	var r lease.Ownership
+	var o lease.Ownership
 	retried := start.Add(900 * time.Millisecond)
-	r.Confirm(start, retried)
-	assert.Assert(t, !r.MayOrderMachines(retried))
-	assert.Assert(t, r.MayStartTasks(retried.Add(2*time.Second)))
+	o.Confirm(start, retried)
+	assert.Assert(t, !o.MayOrderMachines(retried))
+	assert.Assert(t, o.MayStartTasks(retried.Add(2*time.Second)))
 }
 
 // A confirmation of an older request that arrives late must not shorten the ownership.
 func TestOlderConfirmationIsIgnored(t *testing.T) {
-	var r lease.Ownership
-	r.Confirm(start.Add(time.Second), start.Add(time.Second))
-	r.Confirm(start, start)
-	assert.Assert(t, r.MayOrderMachines(start.Add(1600*time.Millisecond)))
-	assert.Assert(t, r.MayStartTasks(start.Add(3600*time.Millisecond)))
+	var o lease.Ownership
+	o.Confirm(start.Add(time.Second), start.Add(time.Second))
+	o.Confirm(start, start)
+	assert.Assert(t, o.MayOrderMachines(start.Add(1600*time.Millisecond)))
+	assert.Assert(t, o.MayStartTasks(start.Add(3600*time.Millisecond)))
 }
 
 // A watcher that repeatedly reads the same renewal takes over only when the renewal has
--- a/core/lease/ownership.go
+++ b/core/lease/ownership.go
@@ -41,10 +41,10 @@
 // sent that may have caused the renewal. Other processes may have seen the renewal since
 // then. They take over when it hasn't changed for takeoverSilence, regardless of later
 // confirmations.
-func (r *Ownership) Confirm(renewalSent, confirmationSent time.Time) {
-	extend(&r.machineOrdersUntil, renewalSent.Add(machineOrderPeriod))
-	extend(&r.taskStartsUntil, confirmationSent.Add(taskStartPeriod))
-	extend(&r.leaseExtensionsUntil, confirmationSent.Add(leaseExtensionPeriod))
+func (o *Ownership) Confirm(renewalSent, confirmationSent time.Time) {
+	extend(&o.machineOrdersUntil, renewalSent.Add(machineOrderPeriod))
+	extend(&o.taskStartsUntil, confirmationSent.Add(taskStartPeriod))
+	extend(&o.leaseExtensionsUntil, confirmationSent.Add(leaseExtensionPeriod))
 }
 
 // extend moves a deadline forward. It never moves it back, since answers may arrive out
@@ -57,13 +57,13 @@
 
 // MayOrderMachines reports whether the owner may order machines and move long-running
 // tasks.
-func (r *Ownership) MayOrderMachines(now time.Time) bool { return now.Before(r.machineOrdersUntil) }
+func (o *Ownership) MayOrderMachines(now time.Time) bool { return now.Before(o.machineOrdersUntil) }
 
 // MayStartTasks reports whether the owner may start tasks.
-func (r *Ownership) MayStartTasks(now time.Time) bool { return now.Before(r.taskStartsUntil) }
+func (o *Ownership) MayStartTasks(now time.Time) bool { return now.Before(o.taskStartsUntil) }
 
 // MayExtendLeases reports whether the owner may extend the leases of VMs.
-func (r *Ownership) MayExtendLeases(now time.Time) bool { return now.Before(r.leaseExtensionsUntil) }
+func (o *Ownership) MayExtendLeases(now time.Time) bool { return now.Before(o.leaseExtensionsUntil) }
 
 // MinClockRate is the slowest rate of a VM's clock relative to real time.
 const MinClockRate = 0.98
