--- a/core/job/state.go
+++ b/core/job/state.go
@@ -29,7 +29,7 @@
 	return "unknown"
 }
 
-// Final reports whether s is a final state.
+// Final reports whether the state can no longer change.
 func (s State) Final() bool { return s >= Completed }
 
 // Progress is the part of a job's state that is stored, so that another process can
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -127,8 +127,9 @@
 	assert.Equal(t, c.Estimate(later), job.VMClock(15_000))
 }
 
-// For an unreachable VM, a new owner waits for the former owner's last lease extension, the
-// longest lease on a slow clock and a start order in transit.
+// For an unreachable VM, a new owner waits until the former owner can no longer extend the
+// lease, the longest lease on a slow clock has expired and any start order in transit has
+// arrived.
 func TestInheritedLeaseEnd(t *testing.T) {
 	end := lease.InheritedLeaseEnd(start, 6*time.Second)
 	assert.Assert(t, end.Sub(start) > 3*time.Second+6122*time.Millisecond)
