--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -35,7 +35,7 @@
 )
 
 // String returns the decision in snake case.
-func (v Decision) String() string { return [...]string{"call", "probe", "refuse"}[v] }
+func (d Decision) String() string { return [...]string{"call", "probe", "refuse"}[d] }
 
 // Breaker tracks whether the table and its parts answer one process. The zero value has
 // received no answer.
--- a/core/contact/contact_test.go
+++ b/core/contact/contact_test.go
@@ -45,21 +45,21 @@
 // The whole table is unreachable. One call every 100 ms probes whether it has recovered. All
 // other calls are refused immediately, so that callers can turn to another process.
 func TestTableOutageIsProbed(t *testing.T) {
-	var c contact.Breaker
-	c.RecordAnswer(start, "a")
+	var b contact.Breaker
+	b.RecordAnswer(start, "a")
 	n := map[contact.Decision]int{}
 	for d := time.Second; d < 3*time.Second; d += 10 * time.Millisecond {
-		n[c.Decide(at(d), "a")]++
+		n[b.Decide(at(d), "a")]++
 	}
 	assert.Equal(t, n[contact.Probe], 20)
 	assert.Equal(t, n[contact.Refuse], 180)
-	c.RecordAnswer(at(3*time.Second), "b")
-	assert.Equal(t, c.Decide(at(3*time.Second), "a"), contact.Call)
+	b.RecordAnswer(at(3*time.Second), "b")
+	assert.Equal(t, b.Decide(at(3*time.Second), "a"), contact.Call)
 }
 
 // A process that has just started has received no answer, so its first call is a probe.
 func TestFirstCallIsAProbe(t *testing.T) {
-	var c contact.Breaker
-	assert.Equal(t, c.Decide(start, "a"), contact.Probe)
-	assert.Equal(t, c.Decide(start, "a"), contact.Refuse)
+	var b contact.Breaker
+	assert.Equal(t, b.Decide(start, "a"), contact.Probe)
+	assert.Equal(t, b.Decide(start, "a"), contact.Refuse)
 }
