--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -1,5 +1,6 @@
-// Package contact decides whether a call to the table is worth sending. The table
-// may be out of reach for this process or for all, wholly or in single parts.
+// Package contact implements a circuit breaker for calls to the table. The table may be
+// unreachable for this process or for all processes, either as a whole or in some of its
+// parts.
 package contact
 
 import "time"
@@ -8,92 +9,98 @@
 type Part string
 
 const (
-	// staleAfter is how old the table's last word may be, of any part, until it counts
-	// as out of reach. A weak entry VM reads every 450 ms; a slow table adds to that.
-	staleAfter = 700 * time.Millisecond
-	// probeTable and probePart are the pauses between the calls that find out whether
-	// the table, or one part of it, is back.
-	probeTable = 100 * time.Millisecond
-	probePart  = 200 * time.Millisecond
+	// maxAnswerAge is the age of the last answer, from any part, beyond which the table is
+	// considered unreachable. An entry VM with low capacity reads every 450 ms, and a slow
+	// table adds to that.
+	maxAnswerAge = 700 * time.Millisecond
+	// tableProbeInterval and partProbeInterval are the intervals between calls that probe
+	// whether the table, or one part of it, is reachable again.
+	tableProbeInterval = 100 * time.Millisecond
+	partProbeInterval  = 200 * time.Millisecond
 )
 
-// Verdict says what to do with a call.
-type Verdict int
+// Decision tells the caller of the table what to do with a call.
+type Decision int
 
-// The verdicts.
+// The decisions about a call.
 const (
-	// Call: nothing speaks against it.
-	Call Verdict = iota
-	// Probe: it is likely to fail; others of its kind are refused until it has ended.
+	// Call means that the call should be sent normally.
+	Call Decision = iota
+	// Probe means that the call should be sent although it is likely to fail. Other calls
+	// of its kind are refused until it has ended.
 	Probe
-	// Refuse: it would fail. The caller can go to another process at once.
+	// Refuse means that the call would fail and should not be sent. The caller can turn to
+	// another process immediately.
 	Refuse
 )
 
-// String returns the verdict in snake case.
-func (v Verdict) String() string { return [...]string{"call", "probe", "refuse"}[v] }
+// String returns the decision in snake case.
+func (d Decision) String() string { return [...]string{"call", "probe", "refuse"}[d] }
 
-// Table is what a process knows of the table. Its zero value has heard nothing.
+// Breaker tracks whether the table and its parts answer one process. The zero value has
+// received no answer.
 //
-// Whether a part answers is known from that part alone. When some parts are down and
-// the one with the owner's rows is among them, a process that went by that one refused
-// every caller, though most of their jobs could have been stored.
-type Table struct {
-	heard   time.Time
-	probeAt time.Time
-	parts   map[Part]*part
+// Each part is judged only by its own answers. If availability were judged by the part
+// that holds the owner's rows, an outage of that part would make a process refuse every
+// caller, although most of the jobs could be stored in other parts.
+type Breaker struct {
+	lastAnswer  time.Time
+	nextProbeAt time.Time
+	failedParts map[Part]*failedPart
 }
 
-// part is a part whose last call failed.
-type part struct {
-	probeAt time.Time
+// failedPart is the state of a part whose last call failed.
+type failedPart struct {
+	nextProbeAt time.Time
 }
 
-// Heard notes that a part has answered. It tells whether it hadn't before.
-func (t *Table) Heard(now time.Time, p Part) (regained bool) {
-	t.HeardAny(now)
-	regained = t.parts[p] != nil
-	delete(t.parts, p)
+// RecordAnswer records that a part has answered. It reports whether the part had been
+// failing.
+func (b *Breaker) RecordAnswer(now time.Time, p Part) (regained bool) {
+	b.RecordContact(now)
+	regained = b.failedParts[p] != nil
+	delete(b.failedParts, p)
 	return regained
 }
 
-// HeardAny notes an answer that is of no part.
-func (t *Table) HeardAny(now time.Time) {
-	if now.After(t.heard) {
-		t.heard = now
+// RecordContact records an answer that doesn't belong to a part.
+func (b *Breaker) RecordContact(now time.Time) {
+	if now.After(b.lastAnswer) {
+		b.lastAnswer = now
 	}
-	t.probeAt = time.Time{}
+	b.nextProbeAt = time.Time{}
 }
 
-// Failed notes that a part was asked and did not answer, or refused. It tells whether
-// it had answered before.
-func (t *Table) Failed(now time.Time, p Part) (lost bool) {
-	if t.parts == nil {
-		t.parts = map[Part]*part{}
+// RecordFailure records that a call to a part was refused or not answered. It reports whether
+// the part had not been failing before.
+func (b *Breaker) RecordFailure(now time.Time, p Part) (lost bool) {
+	if b.failedParts == nil {
+		b.failedParts = map[Part]*failedPart{}
 	}
-	if t.parts[p] != nil {
+	if b.failedParts[p] != nil {
 		return false
 	}
-	t.parts[p] = &part{probeAt: now.Add(probePart)}
+	b.failedParts[p] = &failedPart{nextProbeAt: now.Add(partProbeInterval)}
 	return true
 }
 
-// Age returns how old the table's last word is.
-func (t *Table) Age(now time.Time) time.Duration { return now.Sub(t.heard) }
+// SinceLastAnswer returns the time since the last answer of the table.
+func (b *Breaker) SinceLastAnswer(now time.Time) time.Duration { return now.Sub(b.lastAnswer) }
 
-// Decide says what to do with a call to a part. A probe is taken to be sent.
-func (t *Table) Decide(now time.Time, p Part) Verdict {
-	if t.Age(now) > staleAfter {
-		return probe(now, &t.probeAt, probeTable)
+// Decide returns what to do with a call to a part. It assumes that the caller sends a call
+// for which it returns Probe.
+func (b *Breaker) Decide(now time.Time, p Part) Decision {
+	if b.SinceLastAnswer(now) > maxAnswerAge {
+		return allowProbe(now, &b.nextProbeAt, tableProbeInterval)
 	}
-	if x := t.parts[p]; x != nil {
-		return probe(now, &x.probeAt, probePart)
+	if down := b.failedParts[p]; down != nil {
+		return allowProbe(now, &down.nextProbeAt, partProbeInterval)
 	}
 	return Call
 }
 
-// probe lets one call through in each pause.
-func probe(now time.Time, next *time.Time, pause time.Duration) Verdict {
+// allowProbe lets one call through per pause.
+func allowProbe(now time.Time, next *time.Time, pause time.Duration) Decision {
 	if now.Before(*next) {
 		return Refuse
 	}
--- a/core/job/configuration.go
+++ b/core/job/configuration.go
@@ -5,56 +5,61 @@
 	"time"
 )
 
-// ConfigVersion orders the configurations; a lower one never replaces a higher one.
+// ConfigVersion numbers the configurations. A configuration never replaces one with a
+// higher version.
 type ConfigVersion int64
 
-// Queue is where callers hand jobs in.
+// Queue accepts jobs from callers and determines how they run.
 type Queue struct {
-	Name     QueueName
-	Host     string
-	Prefix   string
-	Pool     PoolName
-	Priority int
-	Attempts int
-	Stretch  float64
-	// Latency is added to the stretched run time to give a job's objective.
-	Latency time.Duration
-	// Timeout bounds a call of the queue.
+	Name        QueueName
+	Host        string
+	Prefix      string
+	Pool        PoolName
+	Priority    int
+	MaxAttempts int
+	// Stretch is the factor by which a job's run time is multiplied to give its objective,
+	// the time by which it should be complete.
+	Stretch float64
+	// LatencyAllowance is added to the stretched run time to give the objective.
+	LatencyAllowance time.Duration
+	// Timeout limits the duration of a caller's call to the queue.
 	Timeout time.Duration
-	// Public queues need no key.
+	// Public queues accept calls without a key.
 	Public bool
-	// Advice is set when another service says which VMs may run a step.
-	Advice *Advice
+	// Approval is set if another service must approve the VMs that may run a step.
+	Approval *Approval
 }
 
-// Advice bounds the answers of the service that approves VMs for a step.
-type Advice struct {
+// Approval describes the response times of the service that approves VMs for a step
+// and the validity of its approvals.
+type Approval struct {
 	DecideTime  time.Duration
-	PerVM       time.Duration
+	TimePerVM   time.Duration
 	ValidPeriod time.Duration
 }
 
 // Pool is a group of VMs.
 type Pool struct {
 	Name PoolName
-	// Standby pools hold machines that are off.
+	// Standby pools contain machines that are switched off.
 	Standby bool
-	// Guarded VMs refuse what doesn't fit.
-	Guarded bool
+	// EnforcesCapacity is set if the pool's VMs refuse tasks that don't fit.
+	EnforcesCapacity bool
 }
 
 // Account is a client account.
 type Account struct {
 	Name AccountName
 	Keys []string
-	// Weight is the account's share when all is full, in jobs a second; 0 means that
-	// none is set.
+	// Weight is the account's share in jobs per second when the fleet is full. Zero
+	// means that no share is set.
 	Weight float64
-	// Cap bounds what the account has running; a zero field means no bound.
-	Cap Room
+	// Quota limits the total resources of the account's running tasks. A zero field
+	// means no limit.
+	Quota Resources
 }
 
-// Limits bound the calls that callers make.
+// Limits restrict the size and duration of callers' calls.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -62,7 +67,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of all that operators set.
+// Configuration is one version of the settings that operators control.
 type Configuration struct {
 	Version  ConfigVersion
 	Queues   []Queue
@@ -70,41 +75,41 @@
 	Accounts []Account
 	Limits   Limits
 
-	byHost map[string][]*Queue
-	byName map[QueueName]*Queue
-	byKey  map[string]AccountName
-	pools  map[PoolName]*Pool
-	caps   map[AccountName]*Account
+	queuesByHost      map[string][]*Queue
+	queuesByName      map[QueueName]*Queue
+	accountNamesByKey map[string]AccountName
+	poolsByName       map[PoolName]*Pool
+	accountsByName    map[AccountName]*Account
 }
 
-// Index prepares the look-ups. It must be called once before them.
+// Index builds the lookup tables. It must be called once before any lookup method.
 func (c *Configuration) Index() {
-	c.byHost = map[string][]*Queue{}
-	c.byName = map[QueueName]*Queue{}
-	c.byKey = map[string]AccountName{}
-	c.pools = map[PoolName]*Pool{}
-	c.caps = map[AccountName]*Account{}
+	c.queuesByHost = map[string][]*Queue{}
+	c.queuesByName = map[QueueName]*Queue{}
+	c.accountNamesByKey = map[string]AccountName{}
+	c.poolsByName = map[PoolName]*Pool{}
+	c.accountsByName = map[AccountName]*Account{}
 	for i := range c.Queues {
 		q := &c.Queues[i]
-		c.byHost[q.Host] = append(c.byHost[q.Host], q)
-		c.byName[q.Name] = q
+		c.queuesByHost[q.Host] = append(c.queuesByHost[q.Host], q)
+		c.queuesByName[q.Name] = q
 	}
 	for i := range c.Pools {
-		c.pools[c.Pools[i].Name] = &c.Pools[i]
+		c.poolsByName[c.Pools[i].Name] = &c.Pools[i]
 	}
 	for i := range c.Accounts {
 		a := &c.Accounts[i]
-		c.caps[a.Name] = a
+		c.accountsByName[a.Name] = a
 		for _, k := range a.Keys {
-			c.byKey[k] = a.Name
+			c.accountNamesByKey[k] = a.Name
 		}
 	}
 }
 
-// Route returns the queue whose prefix is the longest that path begins with, or
-// nil; rest is what follows the prefix.
+// Route returns the queue of the host with the longest prefix of path, or nil if there
+// is none, and the rest of the path after the prefix.
 func (c *Configuration) Route(host, path string) (q *Queue, rest string) {
-	for _, o := range c.byHost[host] {
+	for _, o := range c.queuesByHost[host] {
 		if strings.HasPrefix(path, o.Prefix) && (q == nil || len(o.Prefix) > len(q.Prefix)) {
 			q = o
 		}
@@ -115,17 +120,17 @@
 	return q, path[len(q.Prefix):]
 }
 
-// Queue returns the queue of that name, or nil.
-func (c *Configuration) Queue(n QueueName) *Queue { return c.byName[n] }
+// Queue returns the queue with the given name, or nil.
+func (c *Configuration) Queue(n QueueName) *Queue { return c.queuesByName[n] }
 
-// Pool returns the pool of that name, or nil.
-func (c *Configuration) Pool(n PoolName) *Pool { return c.pools[n] }
+// Pool returns the pool with the given name, or nil.
+func (c *Configuration) Pool(n PoolName) *Pool { return c.poolsByName[n] }
 
-// Account returns the account of that name, or nil.
-func (c *Configuration) Account(n AccountName) *Account { return c.caps[n] }
+// Account returns the client account with the given name, or nil.
+func (c *Configuration) Account(n AccountName) *Account { return c.accountsByName[n] }
 
-// KeyHolder returns the account whose key it is.
-func (c *Configuration) KeyHolder(key string) (AccountName, bool) {
-	a, ok := c.byKey[key]
+// AccountForKey returns the client account that key belongs to.
+func (c *Configuration) AccountForKey(key string) (AccountName, bool) {
+	a, ok := c.accountNamesByKey[key]
 	return a, ok
 }
--- a/core/job/machine.go
+++ b/core/job/machine.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Wave asks that machines have their upkeep.
+// Wave is an operator's request to maintain a set of machines.
 type Wave struct {
 	Number   int64
 	Machines []MachineID
-	// Within is the period in which all must have had it.
+	// Within is the period in which all machines must be maintained.
 	Within time.Duration
-	// AtOnce bounds the machines that are away at a time.
-	AtOnce int
+	// MaxConcurrent limits how many machines are unavailable at the same time.
+	MaxConcurrent int
 }
 
-// WaveState is shown to operators.
+// WaveState is the state of a wave that is shown to operators.
 type WaveState int
 
 // The states of a wave.
@@ -21,36 +21,37 @@
 	WaveCompleted
 )
 
-// MachineID names a machine; each of its lives is a VM.
+// MachineID identifies a machine. A machine runs as one VM after another.
 type MachineID string
 
-// MachineState is what the platform says of a machine.
+// MachineState is the state of a machine as reported by the platform.
 type MachineState string
 
 // The states of a machine.
 const (
-	MachineUp     MachineState = "up"
-	MachineMoving MachineState = "moving"
-	MachineUpkeep MachineState = "upkeep"
-	MachineDown   MachineState = "down"
+	MachineUp          MachineState = "up"
+	MachineMoving      MachineState = "moving"
+	MachineMaintenance MachineState = "upkeep"
+	MachineDown        MachineState = "down"
 )
 
-// Machine is one entry of the machines list.
+// Machine is one entry of the platform's list of machines.
 type Machine struct {
-	ID     MachineID
-	Pool   PoolName
-	State  MachineState
-	Zone   ZoneName
-	Labels []Label
-	Room   Room
-	// VM is the machine's present life; empty if it is off.
+	ID       MachineID
+	Pool     PoolName
+	State    MachineState
+	Zone     ZoneName
+	Labels   []Label
+	Capacity Resources
+	// VM identifies the VM that the machine currently runs as; empty if it is off.
 	VM VMID
 }
 
-// MachineRefusal says why an order for a machine was not carried out.
+// MachineRefusal is the reason why an order for a machine was not carried out.
 type MachineRefusal string
 
-// The reasons of the machines service.
+// The refusals of the machines service. MachineAccepted means that the order was
+// accepted.
 const (
 	MachineAccepted  MachineRefusal = ""
 	MachineFenced    MachineRefusal = "fence"
@@ -58,8 +59,8 @@
 	MachineOtherWave MachineRefusal = "wave"
 )
 
-// Holder signs the orders for a machine.
-type Holder struct {
+// OrderIssuer identifies the owner that issues orders for machines.
+type OrderIssuer struct {
 	Node  string
 	Fence Fence
 }
--- /dev/null
+++ b/core/lease/ownership.go
@@ -0,0 +1,82 @@
+// Package lease decides which process owns the fleet's jobs and VMs, and how long
+// tasks may keep running on a VM. Time is passed in as an argument. It must come
+// from a clock that also advances while the machine is suspended.
+package lease
+
+import "time"
+
+const (
+	// machineOrderPeriod is how long after its last confirmation the owner may order
+	// machines and move long-running tasks off VMs. It covers two renewals, which are a
+	// quarter of a second apart, and an answer of a slow table. It ends before another
+	// process may take over, because no fence protects these orders from a former owner.
+	machineOrderPeriod = 750 * time.Millisecond
+	// taskStartPeriod is how long after its last confirmation the owner may start tasks.
+	// It may extend past a takeover: the new owner's fence blocks starts on all VMs that
+	// it has reached, and for jobs that may run on other VMs the new owner waits until
+	// the tasks started there are over. While no process can reach the table, nobody
+	// takes over and callers' jobs continue.
+	taskStartPeriod = 2900 * time.Millisecond
+	// leaseExtensionPeriod is how long after its last confirmation the owner may extend
+	// the leases of VMs. It is long enough that short outages of the table end no tasks.
+	// It is limited so that a new owner knows when a VM that it can't reach is free.
+	leaseExtensionPeriod = 3 * time.Second
+	// takeoverSilence is how long the owner may go without a renewal before another
+	// process takes over. It is longer than machineOrderPeriod: an owner that reaches the
+	// table again in time remains the owner. New jobs don't start in the meantime.
+	takeoverSilence = 950 * time.Millisecond
+)
+
+// Ownership tracks how long this process may act as the owner after its last
+// confirmation. The zero value grants no rights.
+type Ownership struct {
+	machineOrdersUntil   time.Time
+	taskStartsUntil      time.Time
+	leaseExtensionsUntil time.Time
+}
+
+// Confirm records that the table confirmed a renewal. confirmationSent is when the call
+// was sent whose answer confirms that this process is the owner. Only until then is it
+// certain that no other process had taken over. renewalSent is when the first call was
+// sent that may have caused the renewal. Other processes may have seen the renewal since
+// then. They take over when it hasn't changed for takeoverSilence, regardless of later
+// confirmations.
+func (o *Ownership) Confirm(renewalSent, confirmationSent time.Time) {
+	extend(&o.machineOrdersUntil, renewalSent.Add(machineOrderPeriod))
+	extend(&o.taskStartsUntil, confirmationSent.Add(taskStartPeriod))
+	extend(&o.leaseExtensionsUntil, confirmationSent.Add(leaseExtensionPeriod))
+}
+
+// extend moves a deadline forward. It never moves it back, since answers may arrive out
+// of order.
+func extend(deadline *time.Time, until time.Time) {
+	if until.After(*deadline) {
+		*deadline = until
+	}
+}
+
+// MayOrderMachines reports whether the owner may order machines and move long-running
+// tasks.
+func (o *Ownership) MayOrderMachines(now time.Time) bool { return now.Before(o.machineOrdersUntil) }
+
+// MayStartTasks reports whether the owner may start tasks.
+func (o *Ownership) MayStartTasks(now time.Time) bool { return now.Before(o.taskStartsUntil) }
+
+// MayExtendLeases reports whether the owner may extend the leases of VMs.
+func (o *Ownership) MayExtendLeases(now time.Time) bool { return now.Before(o.leaseExtensionsUntil) }
+
+// MinClockRate is the slowest rate of a VM's clock relative to real time.
+const MinClockRate = 0.98
+
+// InheritedLeaseEnd returns the time by which all tasks that a former owner started on
+// an unreachable VM have ended, given the time of the takeover. The former owner may
+// have extended the leases for another leaseExtensionPeriod, and each lease lasts up to
+// maxLease on the VM's clock, which may be slow.
+func InheritedLeaseEnd(takeover time.Time, maxLease time.Duration) time.Time {
+	lease := time.Duration(float64(maxLease) / MinClockRate)
+	return takeover.Add(leaseExtensionPeriod + lease + startTransitMargin)
+}
+
+// startTransitMargin covers a start order that was in transit when the former owner's
+// right to start tasks ended.
+const startTransitMargin = time.Second
