--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -182,9 +182,9 @@
 		o.machineOrder(c.Machine, func(m *machine) { w.move(m, c.Pool) }, func(out schedule.Outcome, why job.MachineRefusal) {
 			o.scheduler.MoveAnswered(w.now, c, out, why)
 		})
-	case schedule.ShowWave:
+	case schedule.PublishWave:
 		w.judge.waveShown(c.State)
-	case schedule.Pace, schedule.Ask, schedule.Forget:
+	case schedule.Pace, schedule.RequestTickets, schedule.DeleteJob:
 	}
 }
 
@@ -340,8 +340,8 @@
 
 // Decided implements schedule.Observer.
 func (o *owner) Decided(d schedule.Decision) {
-	if d.What == schedule.TaskGivenUp {
+	if d.Kind == schedule.TaskGivenUp {
 		o.n.w.judge.gaveUp[d.Task] = true
 	}
-	o.n.w.tell("%s %s %v attempt %d vm %s: %s, age %s", o.n.name, d.What, d.Task, d.Attempt, d.VM, d.Reason, d.Age)
+	o.n.w.tell("%s %s %v attempt %d vm %s: %s, age %s", o.n.name, d.Kind, d.Task, d.Attempt, d.VM, d.Reason, d.Age)
 }
--- a/core/schedule/advice.go
+++ b/core/schedule/advice.go
@@ -13,7 +13,7 @@
 		return true
 	}
 	st := &o.steps[i]
-	if len(st.tickets) > 0 && a.now.Before(st.ticketsT) {
+	if len(st.tickets) > 0 && a.now.Before(st.ticketsUntil) {
 		return true
 	}
 	if st.asked && a.now.Before(st.askAt) {
@@ -29,7 +29,7 @@
 		return false
 	}
 	st.asked, st.askAt = true, a.now.Add(adviceRetry)
-	a.s.emit(Ask{Step: job.StepID{Job: j.ID, Occurrence: o.number, Step: i}, VMs: vms})
+	a.s.emit(RequestTickets{Step: job.StepID{Job: j.ID, Occurrence: o.number, Step: i}, VMs: vms})
 	return false
 }
 
@@ -50,7 +50,7 @@
 	}
 	st.asked = len(tickets) == 0
 	st.tickets = tickets
-	st.ticketsT = now.Add(valid - adviceMargin)
+	st.ticketsUntil = now.Add(valid - adviceMargin)
 }
 
 // dropTickets makes the step of a task ask anew.
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -207,11 +207,11 @@
 	}
 	r := &run{
 		task: id, attempt: n, vm: v, claim: st.def.Claim(), cost: st.def.Room, account: j.Terms.Account,
-		orderedAt: a.now, pace: 100, after: j.places.Get(v.id),
+		orderedAt: a.now, pace: 100, requiredSave: j.places.Get(v.id),
 	}
 	r.setKind(st.def)
-	r.suspect, r.trial = t.crashes.any(), t.crashes.onTrial()
-	s.record(j, t, r)
+	r.crashSuspect, r.isolated = t.crashes.any(), t.crashes.needsIsolation()
+	s.recordStart(j, t, r)
 	s.addRun(r, st, t)
 	if j.zone == "" {
 		j.zone = v.zone
@@ -219,7 +219,7 @@
 	if st.def.SameRack && st.rack == "" {
 		st.rack = v.rack
 	}
-	if r.after <= s.stored {
+	if r.requiredSave <= s.stored {
 		s.send(a.now, r)
 		return
 	}
@@ -233,7 +233,7 @@
 	}
 	j.placed = true
 	s.decided(Decision{
-		What: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), After: now.Sub(j.arrived),
+		Kind: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), After: now.Sub(j.arrived),
 		Slack: j.objective.Sub(now.Add(s.chain(j, j.current()))),
 	})
 }
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -63,8 +63,8 @@
 	VM       job.VMID
 }
 
-// Ask asks which VMs may run a step.
-type Ask struct {
+// RequestTickets asks which VMs may run a step.
+type RequestTickets struct {
 	Step job.StepID
 	VMs  []job.VMID
 }
@@ -108,30 +108,30 @@
 	Holder  string        `json:"holder"`
 }
 
-// Forget removes what is stored of a job that ended long ago.
-type Forget struct{ Job job.ID }
+// DeleteJob removes what is stored of a job that ended long ago.
+type DeleteJob struct{ Job job.ID }
 
-// ShowWave publishes a wave's state.
-type ShowWave struct {
+// PublishWave publishes a wave's state.
+type PublishWave struct {
 	Number int64
 	State  job.WaveState
 }
 
-func (Start) command()     {}
-func (Stop) command()      {}
-func (Pace) command()      {}
-func (Hold) command()      {}
-func (Save) command()      {}
-func (SaveVM) command()    {}
-func (DropVM) command()    {}
-func (SaveWave) command()  {}
-func (SaveOrder) command() {}
-func (DropOrder) command() {}
-func (Forget) command()    {}
-func (Ask) command()       {}
-func (Move) command()      {}
-func (Upkeep) command()    {}
-func (ShowWave) command()  {}
+func (Start) command()          {}
+func (Stop) command()           {}
+func (Pace) command()           {}
+func (Hold) command()           {}
+func (Save) command()           {}
+func (SaveVM) command()         {}
+func (DropVM) command()         {}
+func (SaveWave) command()       {}
+func (SaveOrder) command()      {}
+func (DropOrder) command()      {}
+func (DeleteJob) command()      {}
+func (RequestTickets) command() {}
+func (Move) command()           {}
+func (Upkeep) command()         {}
+func (PublishWave) command()    {}
 
 // SequenceOf returns the sequence of a save; ok is false if c is another command.
 func SequenceOf(c Command) (sequence int64, ok bool) {
@@ -191,7 +191,7 @@
 
 // Decision is one decision with what it rests on.
 type Decision struct {
-	What    What
+	Kind    DecisionKind
 	Job     job.ID
 	Task    job.TaskID
 	Attempt job.Attempt
@@ -205,39 +205,39 @@
 	Slack time.Duration
 }
 
-// What names a kind of decision.
-type What string
+// DecisionKind names a kind of decision.
+type DecisionKind string
 
 // The kinds of decisions.
 const (
-	JobAdopted    What = "job_adopted"
-	JobExcess     What = "job_beyond_share"
-	JobPlaced     What = "job_placed"
-	JobEnded      What = "job_ended"
-	JobCancelled  What = "job_cancelled"
-	TaskOrdered   What = "task_ordered"
-	TaskNotBegun  What = "task_not_begun"
-	TaskStarted   What = "task_started"
-	TaskEnded     What = "task_ended"
-	EndRedundant  What = "end_redundant"
-	TaskFreed     What = "task_freed"
-	TaskLostVM    What = "task_lost_vm"
-	TaskGivenUp   What = "task_given_up"
-	TaskStopping  What = "task_stopping"
-	TaskFound     What = "task_found"
-	VMFound       What = "vm_found"
-	VMSilent      What = "vm_silent"
-	VMBack        What = "vm_back"
-	VMReborn      What = "vm_reborn"
-	VMGone        What = "vm_gone"
-	VMDraining    What = "vm_draining"
-	VMSuspected   What = "vm_suspected"
-	VMSlow        What = "vm_slow"
-	VMVacated     What = "vm_vacated"
-	ZoneEvacuated What = "zone_evacuated"
-	ZoneReopened  What = "zone_reopened"
-	WaveChanged   What = "wave_changed"
-	MachineSeen   What = "machine_seen"
-	MachineMoved  What = "machine_moved"
-	MachineUpkept What = "machine_upkept"
+	JobAdopted     DecisionKind = "job_adopted"
+	JobBeyondShare DecisionKind = "job_beyond_share"
+	JobPlaced      DecisionKind = "job_placed"
+	JobEnded       DecisionKind = "job_ended"
+	JobCancelled   DecisionKind = "job_cancelled"
+	TaskOrdered    DecisionKind = "task_ordered"
+	TaskNotBegun   DecisionKind = "task_not_begun"
+	TaskStarted    DecisionKind = "task_started"
+	TaskEnded      DecisionKind = "task_ended"
+	EndRedundant   DecisionKind = "end_redundant"
+	TaskFreed      DecisionKind = "task_freed"
+	TaskLostVM     DecisionKind = "task_lost_vm"
+	TaskGivenUp    DecisionKind = "task_given_up"
+	TaskStopping   DecisionKind = "task_stopping"
+	TaskFound      DecisionKind = "task_found"
+	VMFound        DecisionKind = "vm_found"
+	VMSilent       DecisionKind = "vm_silent"
+	VMBack         DecisionKind = "vm_back"
+	VMReborn       DecisionKind = "vm_reborn"
+	VMGone         DecisionKind = "vm_gone"
+	VMDraining     DecisionKind = "vm_draining"
+	VMSuspected    DecisionKind = "vm_suspected"
+	VMSlow         DecisionKind = "vm_slow"
+	VMVacated      DecisionKind = "vm_vacated"
+	ZoneEvacuated  DecisionKind = "zone_evacuated"
+	ZoneReopened   DecisionKind = "zone_reopened"
+	WaveChanged    DecisionKind = "wave_changed"
+	MachineSeen    DecisionKind = "machine_seen"
+	MachineMoved   DecisionKind = "machine_moved"
+	MachineUpkept  DecisionKind = "machine_upkept"
 )
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -10,14 +10,14 @@
 	"lavenderpond/core/job"
 )
 
-// crashing plays VMs that crash and live anew under their IDs.
-type crashing struct {
+// crashHarness plays VMs that crash and live anew under their IDs.
+type crashHarness struct {
 	*harness
 	lives map[job.VMID]*life
 	// full VMs have no room for the moment.
 	full bool
-	// begun are starts that were ordered meanwhile.
-	begun []Start
+	// pendingStarts are starts that were ordered meanwhile.
+	pendingStarts []Start
 }
 
 // life is the present life of a VM.
@@ -26,9 +26,9 @@
 	since time.Time
 }
 
-// newCrashing returns VMs that take tasks.
-func newCrashing(t *testing.T, ids ...string) *crashing {
-	c := &crashing{harness: newHarness(t), lives: map[job.VMID]*life{}}
+// newCrashHarness returns VMs that take tasks.
+func newCrashHarness(t *testing.T, ids ...string) *crashHarness {
+	c := &crashHarness{harness: newHarness(t), lives: map[job.VMID]*life{}}
 	for _, id := range ids {
 		c.lives[job.VMID(id)] = &life{born: 1, since: c.now.Add(-time.Second)}
 	}
@@ -36,23 +36,23 @@
 	return c
 }
 
-func (c *crashing) report(vm job.VMID) job.Report {
+func (c *crashHarness) report(vm job.VMID) job.Report {
 	l := c.lives[vm]
 	return job.Report{Clock: job.VMClock(c.now.Sub(l.since).Milliseconds()), Born: l.born}
 }
 
 // confirm answers a start.
-func (c *crashing) confirm(o Start) { c.s.StartAnswered(c.now, o, Answered, c.report(o.VM)) }
+func (c *crashHarness) confirm(o Start) { c.s.StartAnswered(c.now, o, Answered, c.report(o.VM)) }
 
 // list answers a hold.
-func (c *crashing) list(vm job.VMID, running []job.RunningTask, ended ...job.End) {
+func (c *crashHarness) list(vm job.VMID, running []job.RunningTask, ended ...job.End) {
 	r := c.report(vm)
 	r.Lists, r.Running, r.Finished = true, running, ended
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Answered, r)
 }
 
 // listAll answers a hold of each VM but those left out, all of which run nothing.
-func (c *crashing) listAll(without ...job.VMID) {
+func (c *crashHarness) listAll(without ...job.VMID) {
 	for _, id := range c.s.VMs() {
 		out := false
 		for _, w := range without {
@@ -68,14 +68,14 @@
 }
 
 // crash ends a VM's life; it is back three seconds later, under the same ID.
-func (c *crashing) crash(vm job.VMID) {
+func (c *crashHarness) crash(vm job.VMID) {
 	c.step(30 * time.Millisecond)
-	c.goDark(vm, 3*time.Second)
+	c.silence(vm, 3*time.Second)
 	c.revive(vm)
 }
 
-// goDark makes a VM silent for a while, in which no task starts elsewhere.
-func (c *crashing) goDark(vm job.VMID, d time.Duration) {
+// silence makes a VM silent for a while, in which no task starts elsewhere.
+func (c *crashHarness) silence(vm job.VMID, d time.Duration) {
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Unanswered, job.Report{})
 	for until := c.now.Add(d); c.now.Before(until); {
 		c.listAll(vm)
@@ -84,7 +84,7 @@
 }
 
 // revive brings a VM back under the same ID.
-func (c *crashing) revive(vm job.VMID) {
+func (c *crashHarness) revive(vm job.VMID) {
 	l := c.lives[vm]
 	l.born++
 	l.since = c.now.Add(-10 * time.Millisecond)
@@ -94,10 +94,10 @@
 
 // startOf returns the next start of a task; false if there is none within 5 s. All VMs
 // answer with empty lists meanwhile, which ends nothing: the task has no run.
-func (c *crashing) startOf(task job.TaskID) (Start, bool) {
+func (c *crashHarness) startOf(task job.TaskID) (Start, bool) {
 	for range 50 {
-		starts := append(c.begun, only[Start](c.step(100*time.Millisecond))...)
-		c.begun = nil
+		starts := append(c.pendingStarts, only[Start](c.step(100*time.Millisecond))...)
+		c.pendingStarts = nil
 		for _, o := range starts {
 			if o.Order.Task == task {
 				return o, true
@@ -109,17 +109,17 @@
 }
 
 // answerStops answers the stops of runs that may not have begun.
-func (c *crashing) answerStops() {
+func (c *crashHarness) answerStops() {
 	commands := c.step(10 * time.Millisecond)
 	for _, x := range only[Stop](commands) {
 		c.s.StopAnswered(c.now, x, Answered, c.report(x.VM))
 	}
-	c.begun = append(c.begun, only[Start](commands)...)
+	c.pendingStarts = append(c.pendingStarts, only[Start](commands)...)
 }
 
 // startsUntilGivenUp hands in a job of one task, lets crash end each start of it, and returns
 // how often it was started.
-func (c *crashing) startsUntilGivenUp(step job.Step, crash func(o Start)) int {
+func (c *crashHarness) startsUntilGivenUp(step job.Step, crash func(o Start)) int {
 	c.job("j", "free", step)
 	for n := range 12 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
@@ -133,13 +133,13 @@
 }
 
 // checkStarts checks how often a task that crashes its VMs was started.
-func (c *crashing) checkStarts(n int) {
+func (c *crashHarness) checkStarts(n int) {
 	c.t.Helper()
-	assert.Assert(c.t, n >= 2 && n <= mostStarts, "%d starts", n)
+	assert.Assert(c.t, n >= 2 && n <= maxStarts, "%d starts", n)
 }
 
-// mostStarts is what the users allow: two more after the third crash.
-const mostStarts = 5
+// maxStarts is what the users allow: two more after the third crash.
+const maxStarts = 5
 
 // Guards against a task that takes down one VM after the other, since runs that end with
 // their VM count as nothing.
@@ -147,7 +147,7 @@
 	for _, after := range []time.Duration{0, 100 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
 		for _, step := range []job.Step{small, {Count: 1, Room: small.Room, Lasting: true}} {
 			t.Run(fmt.Sprintf("%s lasting %t", after, step.Lasting), func(t *testing.T) {
-				c := newCrashing(t, "one", "two", "three")
+				c := newCrashHarness(t, "one", "two", "three")
 				c.checkStarts(c.startsUntilGivenUp(step, func(o Start) {
 					c.confirm(o)
 					if after > 0 {
@@ -164,7 +164,7 @@
 
 // Guards against a task that crashes its VM before the start is answered.
 func TestTaskThatCrashesItsVMUnansweredIsGivenUp(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
 		c.crash(o.VM)
@@ -196,17 +196,17 @@
 		h.now = h.now.Add(time.Millisecond)
 		h.s.Machines(h.now, []job.Machine{{ID: "m-vm-0", Pool: poolA, State: job.MachineUp, VM: next}})
 	}
-	assert.Assert(t, n >= 2 && n <= mostStarts, "%d starts", n)
+	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 }
 
 // Guards against a crash that isn't counted since the VM is back only after the lease.
 func TestCrashCountsWhenTheVMIsBackAfterItsLease(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three", "four")
+	c := newCrashHarness(t, "one", "two", "three", "four")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.confirm(o)
 		c.step(30 * time.Millisecond)
 		c.full = true
-		c.goDark(o.VM, 8*time.Second)
+		c.silence(o.VM, 8*time.Second)
 		c.full = false
 		c.revive(o.VM)
 	}))
@@ -214,20 +214,20 @@
 
 // Guards against a count that is lost with its owner: each of many owners sees one crash.
 func TestCrashesOutlastTheirOwner(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.confirm(o)
 		c.step(30 * time.Millisecond)
-		c.goDark(o.VM, time.Second)
+		c.silence(o.VM, time.Second)
 		c.takeOver("j", small)
-		c.goDark(o.VM, 2*time.Second)
+		c.silence(o.VM, 2*time.Second)
 		c.revive(o.VM)
 		c.answerStops()
 	}))
 }
 
 // takeOver puts a new owner in place of this one, who reads what is stored.
-func (c *crashing) takeOver(id job.ID, steps ...job.Step) {
+func (c *crashHarness) takeOver(id job.ID, steps ...job.Step) {
 	former := c.s
 	c.s = New(Settings{
 		Fence: former.settings.Fence + 1, AttemptBase: former.settings.AttemptBase + 100, TookOver: c.now,
@@ -236,7 +236,7 @@
 	c.s.Configure(former.conf)
 	c.s.SetRights(former.rights)
 	for _, v := range former.vms.All() {
-		c.s.Inherit(v.rostered)
+		c.s.Inherit(v.rosterEntry)
 	}
 	if j := former.jobs.Get(id); j != nil {
 		p := j.progress()
@@ -249,7 +249,7 @@
 
 // Guards against a job that is given up since its VM was emptied in an orderly way.
 func TestVMThatLeavesIsNoCrash(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", small)
 	for range 6 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
@@ -264,7 +264,7 @@
 // Guards against innocent tasks that are lost again and again beside the one that crashes
 // their VM: those that lost a VM share none with each other.
 func TestTasksThatLostAVMAreKeptApart(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("bad", "free", small)
 	c.job("good", "free", small)
 	first := only[Start](c.step(0))
@@ -280,8 +280,8 @@
 }
 
 // Guards against lasting tasks that are given up after years with three crashes.
-func TestLastingTaskAtWorkIsCleared(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+func TestStableLastingTaskIsCleared(t *testing.T) {
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 1, Room: small.Room, Lasting: true})
 	for range 8 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
@@ -298,7 +298,7 @@
 
 // Guards against a lasting job that loses all of its tasks since one of them crashes VMs.
 func TestSiblingsOfAGivenUpLastingTaskGoOn(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 2, Room: small.Room, Lasting: true, MaxPerVM: 1, MayMiss: 1, HasMayMiss: true})
 	starts := only[Start](c.step(0))
 	assert.Equal(t, len(starts), 2)
@@ -321,22 +321,22 @@
 		}
 		assert.Equal(t, len(only[Stop](commands)), 0, "the sibling is at work")
 	}
-	assert.Assert(t, n >= 2 && n <= mostStarts, "%d starts", n)
+	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 	assert.Equal(t, c.s.jobs.Get("j").state, job.Running)
 }
 
 // Guards against one start too many of a task whose last VM may have crashed or be cut off.
-func TestTaskOnTheBrinkWaitsForTheFateOfItsVM(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three", "four", "five", "six")
+func TestTaskAtItsCrashLimitWaitsForItsVM(t *testing.T) {
+	c := newCrashHarness(t, "one", "two", "three", "four", "five", "six")
 	c.job("j", "free", small)
 	task := job.TaskID{Job: "j"}
-	for range crashesMost {
+	for range maxCrashes {
 		o, ok := c.startOf(task)
 		assert.Assert(t, ok)
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
 		c.step(30 * time.Millisecond)
-		c.goDark(o.VM, 8*time.Second)
-		if n := len(c.s.jobs.Get("j").occurrences[0].steps[0].tasks[0].crashes.attempts); n < crashesMost-1 {
+		c.silence(o.VM, 8*time.Second)
+		if n := len(c.s.jobs.Get("j").occurrences[0].steps[0].tasks[0].crashes.attempts); n < maxCrashes-1 {
 			c.revive(o.VM)
 			c.answerStops()
 			continue
@@ -351,7 +351,7 @@
 // Guards against innocent tasks that are blamed as if they had been alone on their VM, since the others there were freed first.
 func TestTasksThatLostAVMTogetherWereNotAlone(t *testing.T) {
 	for name, after := range map[string]time.Duration{"within the lease": 3 * time.Second, "after it": 8 * time.Second} {
-		c := newCrashing(t, "one", "two", "three")
+		c := newCrashHarness(t, "one", "two", "three")
 		c.job("j", "free", job.Step{Count: 3, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second})
 		starts := only[Start](c.step(0))
 		assert.Equal(t, len(starts), 3)
@@ -361,7 +361,7 @@
 		}
 		c.step(30 * time.Millisecond)
 		c.full = true
-		c.goDark(starts[0].VM, after)
+		c.silence(starts[0].VM, after)
 		c.revive(starts[0].VM)
 		for i, x := range c.s.jobs.Get("j").occurrences[0].steps[0].tasks {
 			assert.Equal(t, x.crashes.certain, 1, "%s, task %d", name, i)
@@ -371,11 +371,11 @@
 }
 
 // Guards against an innocent task that is given up since its last VM crashed under another one: nothing starts beside a task whose next crash is its last.
-func TestNothingStartsBesideATaskOnTrial(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+func TestNothingStartsBesideAnIsolatedTask(t *testing.T) {
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 1, Room: small.Room, Lasting: true})
 	task := job.TaskID{Job: "j"}
-	for range crashesMost - 1 {
+	for range maxCrashes - 1 {
 		o, ok := c.startOf(task)
 		assert.Assert(t, ok)
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
@@ -394,5 +394,5 @@
 		}
 		c.list(o.VM, []job.RunningTask{running(o, 100)})
 	}
-	assert.Equal(t, c.s.vms.Get(o.VM).trials, 0)
+	assert.Equal(t, c.s.vms.Get(o.VM).isolatedRuns, 0)
 }
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -23,12 +23,12 @@
 	for _, z := range zones {
 		next[z] = struct{}{}
 		if !s.evacuations.has(z) {
-			s.decided(Decision{What: ZoneEvacuated, Reason: string(z)})
+			s.decided(Decision{Kind: ZoneEvacuated, Reason: string(z)})
 		}
 	}
 	for _, z := range slices.Sorted(maps.Keys(s.evacuations)) {
 		if !next.has(z) {
-			s.decided(Decision{What: ZoneReopened, Reason: string(z)})
+			s.decided(Decision{Kind: ZoneReopened, Reason: string(z)})
 		}
 	}
 	s.evacuations = next
@@ -53,7 +53,7 @@
 		}
 		for _, r := range v.runs.All() {
 			if to := s.roomElsewhere(r, free[v.pool]); to >= 0 && s.mayMove(now, r) {
-				s.stop(now, r, "availability zone evacuated")
+				s.stopRun(now, r, "availability zone evacuated")
 				free[v.pool] = slices.Delete(free[v.pool], to, to+1)
 			}
 		}
@@ -77,6 +77,6 @@
 		return -1
 	}
 	return slices.IndexFunc(vms, func(v *vmState) bool {
-		return r.claim.Fits(v.free()) && st.suits(r.task.StepID(), v)
+		return r.claim.Fits(v.freeRoom()) && st.suits(r.task.StepID(), v)
 	})
 }
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -379,9 +379,9 @@
 func TestEndedJobsAreForgottenInTheEnd(t *testing.T) {
 	h := newHarness(t)
 	h.s.Ended(h.now, "old")
-	assert.Equal(t, len(only[Forget](h.step(5*time.Minute))), 0)
-	assert.Equal(t, one[Forget](h, h.step(7*time.Minute)).Job, job.ID("old"))
-	assert.Equal(t, len(only[Forget](h.step(7*time.Minute))), 0)
+	assert.Equal(t, len(only[DeleteJob](h.step(5*time.Minute))), 0)
+	assert.Equal(t, one[DeleteJob](h, h.step(7*time.Minute)).Job, job.ID("old"))
+	assert.Equal(t, len(only[DeleteJob](h.step(7*time.Minute))), 0)
 }
 
 // Two lasting tasks may not share a VM. Their pool has one; the other one's VMs
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -9,20 +9,20 @@
 	"lavenderpond/core/job"
 )
 
-// stale takes away the right that only an owner has that has proved its tenure just now.
-func (h *harness) stale() { h.s.SetRights(Rights{Start: true, Hold: true}) }
+// loseOrderRight takes away the right that only an owner has that has proved its tenure just now.
+func (h *harness) loseOrderRight() { h.s.SetRights(Rights{Start: true, Hold: true}) }
 
 // Guards against a former owner that starts a task again elsewhere since it can't reach its VM, where the present owner has noted the end.
 func TestFormerOwnerRestartsNothingThatLapsed(t *testing.T) {
-	c := newCrashing(t, "one", "two")
+	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
 	assert.Assert(t, ok)
 	c.confirm(o)
 	c.step(30 * time.Millisecond)
 	c.full = true
-	c.goDark(o.VM, 5*time.Second)
-	c.stale()
+	c.silence(o.VM, 5*time.Second)
+	c.loseOrderRight()
 	c.full = false
 	for range 20 {
 		c.listAll(o.VM)
@@ -35,12 +35,12 @@
 
 // Guards against a former owner that starts a task again since its VM lives anew: the end may have been noted before.
 func TestFormerOwnerRestartsNothingThatItsVMLost(t *testing.T) {
-	c := newCrashing(t, "one", "two")
+	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
 	assert.Assert(t, ok)
 	c.confirm(o)
-	c.stale()
+	c.loseOrderRight()
 	c.crash(o.VM)
 	for range 20 {
 		assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
@@ -56,7 +56,7 @@
 	h.ready("one")
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
-	h.stale()
+	h.loseOrderRight()
 	for range 110 {
 		h.lists("one", nil)
 		assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -16,8 +16,8 @@
 		if !task.open() || a.now.Before(task.notBefore) || a.s.mayHaveEnded(task) {
 			return
 		}
-		if task.saved != "" {
-			saved = task.saved
+		if task.checkpoint != "" {
+			saved = task.checkpoint
 		}
 	}
 	if !a.withinCap(j, st.def.Room.Times(len(st.tasks))) {
@@ -31,7 +31,7 @@
 	st.gangAttempt = max(st.gangAttempt, a.s.settings.AttemptBase) + 1
 	for t := range st.tasks {
 		task := &st.tasks[t]
-		task.saved, task.attempt = saved, st.gangAttempt
+		task.checkpoint, task.attempt = saved, st.gangAttempt
 		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
 		a.start(j, st, id, task, chosen[t], st.gangAttempt)
 	}
@@ -70,7 +70,7 @@
 		if (st.def.Requires != "" && !v.labels[st.def.Requires]) || (st.tickets != nil && st.tickets[v.id] == "") {
 			continue
 		}
-		free := v.free()
+		free := v.freeRoom()
 		claim := st.def.Claim()
 		for n := 0; len(chosen) < len(st.tasks) && claim.Fits(free); n++ {
 			if st.def.MaxPerVM > 0 && n >= st.def.MaxPerVM {
@@ -97,7 +97,7 @@
 	for i := range st.tasks {
 		for _, x := range slices.Clone(st.tasks[i].runs) {
 			if x != r && x.attempt == r.attempt {
-				s.stop(now, x, "a member of the gang did not begin")
+				s.stopRun(now, x, "a member of the gang did not begin")
 			}
 		}
 	}
--- a/core/schedule/look_test.go
+++ b/core/schedule/look_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, stop.Attempt, lost.Order.Attempt)
 	assert.Equal(t, len(only[Start](h.step(time.Millisecond))), 0, "it may still begin")
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock(), Born: 1})
-	look = looks(h.step(lookPause))
+	look = looks(h.step(lookInterval))
 	assert.Equal(t, len(look), 1)
 	h.answerLook(look[0])
 	again := one[Start](h, h.step(time.Millisecond))
@@ -68,7 +68,7 @@
 // A VM goes dark. Each start that it is still given stays with it for the whole
 // lease, and the caller's job is late. After the first start without an answer it
 // gets no more, until it is heard again.
-func TestDarkVMGetsNoMoreStarts(t *testing.T) {
+func TestSilentVMGetsNoMoreStarts(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -36,7 +36,7 @@
 			s.machines.Set(m.ID, x)
 		}
 		if x.State != m.State || x.VM != m.VM {
-			s.decided(Decision{What: MachineSeen, VM: m.VM, Reason: string(m.ID) + " " + string(m.State)})
+			s.decided(Decision{Kind: MachineSeen, VM: m.VM, Reason: string(m.ID) + " " + string(m.State)})
 		}
 		x.Machine, x.listedAt = m, asked
 		if v := s.vms.Get(m.VM); v != nil {
@@ -73,21 +73,21 @@
 // lifeOver takes in a proof that a VM's life has ended.
 func (s *Scheduler) lifeOver(now time.Time, v *vmState, why string) {
 	v.inheritedUntil = time.Time{}
-	v.over = true
-	s.crashedUnderLapsed(now, v)
+	v.lifeEnded = true
+	s.countLapsedCrashes(now, v)
 	var over []*run
 	for _, r := range v.runs.All() {
 		if r.phase == runPlanned {
 			s.release(now, r)
-		} else if r.unseen() || (r.phase == runConfirmed && r.confirmedAt.Before(now)) {
+		} else if r.onlyRecorded() || (r.phase == runConfirmed && r.confirmedAt.Before(now)) {
 			over = append(over, r)
 		}
 	}
 	for _, r := range over {
-		s.crashedUnder(now, r)
+		s.countCrash(now, r)
 	}
 	for _, r := range over {
-		s.freeUnseen(now, r, why)
+		s.freeWithUnknownEnd(now, r, why)
 	}
 }
 
--- a/core/schedule/noted_test.go
+++ b/core/schedule/noted_test.go
@@ -25,8 +25,8 @@
 	return noted
 }
 
-// begun returns the starts of this turn, n of them, which all have begun.
-func (h *harness) begun(n int) []Start {
+// confirmedStarts returns the starts of this turn, n of them, which all have begun.
+func (h *harness) confirmedStarts(n int) []Start {
 	h.t.Helper()
 	starts := only[Start](h.step(0))
 	assert.Equal(h.t, len(starts), n)
@@ -54,7 +54,7 @@
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", job.Step{Count: 2, Room: job.Room{CPU: 5000, MemMB: 100}, Estimate: time.Second})
-	starts := h.begun(2)
+	starts := h.confirmedStarts(2)
 	bad, good := starts[0], starts[1]
 	h.lists(string(bad.VM), nil, end(1, bad, job.EndedFailed))
 	bad = one[Start](h, h.step(100*time.Millisecond))
@@ -72,7 +72,7 @@
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", job.Step{Count: 2, Room: job.Room{CPU: 5000, MemMB: 100}, Estimate: time.Second, Gang: true})
-	starts := h.begun(2)
+	starts := h.confirmedStarts(2)
 	first, second := starts[0], starts[1]
 	h.lists(string(first.VM), nil, end(1, first, job.EndedDone))
 	done := one[Save](h, h.turn(time.Second))
--- a/core/schedule/notedorder_test.go
+++ b/core/schedule/notedorder_test.go
@@ -53,7 +53,7 @@
 	h.ready("one")
 	h.job("j", "free", small)
 	h.job("k", "free", small)
-	starts := h.begun(2)
+	starts := h.confirmedStarts(2)
 	h.lists("one", nil, end(1, starts[0], job.EndedDone))
 	h.step(0)
 	h.lists("one", nil, end(2, starts[1], job.EndedDone))
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -67,23 +67,23 @@
 
 // learnStep takes in the run times of all tasks of a step.
 func (s *Scheduler) learnStep(j *jobState, st *stepState) {
-	if len(st.took) < len(st.tasks) {
+	if len(st.runTimes) < len(st.tasks) {
 		// Some ran unseen, under a former owner or from a checkpoint.
 		return
 	}
 	sum := 0.0
-	for _, d := range st.took {
+	for _, d := range st.runTimes {
 		sum += math.Log(max(d.Seconds(), leastRun))
 	}
-	typical := math.Exp(sum / float64(len(st.took)))
-	j.typical = time.Duration(typical * float64(time.Second))
-	longest := slices.Max(st.took)
+	typical := math.Exp(sum / float64(len(st.runTimes)))
+	j.typicalRun = time.Duration(typical * float64(time.Second))
+	longest := slices.Max(st.runTimes)
 	spread := longest.Seconds() / typical
 	if spread >= slowFactor {
 		// A slow VM: objectives are meant for sound ones.
 		return
 	}
-	st.longest = longest
+	st.longestRun = longest
 	q := s.queue(j.Terms.Queue)
 	q.steps++
 	q.spread += max(learnWeight, 1/float64(q.steps)) * (spread - q.spread)
@@ -101,8 +101,8 @@
 // runTime predicts how long a task of the step runs: as long as those of the job's
 // earlier steps if they are known, else as those of the queue and the caller's guess say.
 func (s *Scheduler) runTime(j *jobState, st *job.Step) time.Duration {
-	if j.typical > 0 {
-		return j.typical
+	if j.typicalRun > 0 {
+		return j.typicalRun
 	}
 	guess := st.Estimate
 	if guess <= 0 {
@@ -131,7 +131,7 @@
 // its complete steps took counts as it was.
 func (s *Scheduler) wholeChain(j *jobState) time.Duration {
 	return longestPath(j.Body.Steps, func(i int) time.Duration {
-		if known := j.occurrences[0].steps[i].longest; known > 0 {
+		if known := j.occurrences[0].steps[i].longestRun; known > 0 {
 			return known
 		}
 		return s.stepTime(j, &j.Body.Steps[i])
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -12,7 +12,7 @@
 // ran notes that a job's step is complete and how long each of its tasks ran.
 func (h *harness) ran(j *jobState, step int, took ...time.Duration) {
 	st := &j.occurrences[0].steps[step]
-	st.took, st.done = took, len(took)
+	st.runTimes, st.done = took, len(took)
 	for _, d := range took {
 		h.s.learn(j, d)
 	}
@@ -76,6 +76,6 @@
 	h := newHarness(t)
 	j := h.newJob("j", pair)
 	h.ran(j, 0, time.Second)
-	assert.Equal(t, j.typical, time.Duration(0))
+	assert.Equal(t, j.typicalRun, time.Duration(0))
 	assert.Equal(t, h.s.queue("q").steps, 0)
 }
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -104,7 +104,7 @@
 	default:
 		c.rank = rankUseless
 	}
-	if j.excess {
+	if j.beyondShare {
 		c.rank = max(c.rank, rankExcess)
 	}
 	return c
--- a/core/schedule/order_test.go
+++ b/core/schedule/order_test.go
@@ -44,7 +44,7 @@
 			})
 			j := h.s.jobs.Get(job.ID(id))
 			j.Terms.Priority = rng.IntN(2)
-			j.excess = rng.IntN(4) == 0
+			j.beyondShare = rng.IntN(4) == 0
 			jobs = append(jobs, j)
 		}
 		h.now = h.now.Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
--- a/core/schedule/otherlife_test.go
+++ b/core/schedule/otherlife_test.go
@@ -88,7 +88,7 @@
 			h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
 		}
 	}
-	assert.Assert(t, h.now.Sub(begin) < lateOrder)
+	assert.Assert(t, h.now.Sub(begin) < maxOrderDelay)
 	h.s.VMSeen(h.now, job.VMEntry{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 3, Born: 2, Lists: true})
 	stops := only[Stop](h.step(0))
@@ -193,7 +193,7 @@
 }
 
 // Guards against orders to a former life that a new one carries out late: a hold that notes its ends, or a start.
-func TestOrdersToANewLifeBarThoseToTheFormer(t *testing.T) {
+func TestOrdersToANewLifeInvalidateThoseToTheFormer(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.s.Renewed(9)
--- a/core/schedule/place.go
+++ b/core/schedule/place.go
@@ -46,8 +46,8 @@
 	if v.vacating {
 		cost += costVacating
 	}
-	cost += costOfCrash(p.task, v)
-	if p.task.shunned == v.id {
+	cost += crashCost(p.task, v)
+	if p.task.avoidVM == v.id {
 		cost += costShunned
 	}
 	if p.step.def.NearRack != "" && v.rack != p.step.def.NearRack {
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -175,7 +175,7 @@
 		for i := range o.steps {
 			for t := range o.steps[i].tasks {
 				task := &o.steps[i].tasks[t]
-				if task.open() && (task.awaySince.IsZero() || now.Sub(task.awaySince) > waitingLong) {
+				if task.open() && (task.unavailableSince.IsZero() || now.Sub(task.unavailableSince) > waitingLong) {
 					n++
 				}
 			}
@@ -262,7 +262,7 @@
 			before[v.id] = true
 		}
 		v.vacating = false
-		if v.takesTasks() && !v.cordoned && v.lasting == 0 {
+		if v.acceptsTasks() && !v.cordoned && v.lasting == 0 {
 			vms = append(vms, sizing.VM{ID: v.id, Pool: v.pool, CPU: v.room.CPU, Used: v.used.CPU})
 		}
 	}
@@ -270,7 +270,7 @@
 		v := s.vms.Get(id)
 		v.vacating = true
 		if !before[id] {
-			s.decided(Decision{What: VMVacated, VM: id, Reason: string(v.pool)})
+			s.decided(Decision{Kind: VMVacated, VM: id, Reason: string(v.pool)})
 		}
 	}
 }
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -7,14 +7,14 @@
 	"lavenderpond/core/job"
 )
 
-// lapsedFor is how long it is remembered which runs were freed since their VM's lease was
+// lapsedRetention is how long it is remembered which runs were freed since their VM's lease was
 // over: the VM may turn out to have crashed.
-const lapsedFor = 30 * time.Second
+const lapsedRetention = 30 * time.Second
 
-// crashedUnderLapsed takes in that a VM's life was over when its lease seemed to run out.
-func (s *Scheduler) crashedUnderLapsed(now time.Time, v *vmState) {
+// countLapsedCrashes takes in that a VM's life was over when its lease seemed to run out.
+func (s *Scheduler) countLapsedCrashes(now time.Time, v *vmState) {
 	for _, r := range v.lapsed {
-		s.crashedUnder(now, r)
+		s.countCrash(now, r)
 	}
 	s.forgetLapsed(v)
 }
@@ -26,7 +26,7 @@
 		return
 	}
 	r.vm.lapsed = append(r.vm.lapsed, r)
-	r.vm.lapsedUntil = now.Add(lapsedFor)
+	r.vm.lapsedUntil = now.Add(lapsedRetention)
 	t.lapsed = append(t.lapsed, r)
 	s.markDirty(j)
 }
@@ -46,21 +46,21 @@
 	v.lapsed = nil
 }
 
-// mayBeTooMany tells whether the task must wait until it is known what became of the VMs
+// mayReachCrashLimit tells whether the task must wait until it is known what became of the VMs
 // where it lapsed: if they crashed, it must not start any more.
-func (t *taskState) mayBeTooMany() bool {
-	return len(t.lapsed) > 0 && len(t.crashes.attempts)+len(t.lapsed) >= crashesMost
+func (t *taskState) mayReachCrashLimit() bool {
+	return len(t.lapsed) > 0 && len(t.crashes.attempts)+len(t.lapsed) >= maxCrashes
 }
 
-// record stores a start before it is sent, if a new owner could not know of it else: it
+// recordStart stores a start before it is sent, if a new owner could not know of it else: it
 // must count a crash that this owner doesn't live to see.
-func (s *Scheduler) record(j *jobState, t *taskState, r *run) {
+func (s *Scheduler) recordStart(j *jobState, t *taskState, r *run) {
 	if !j.takenOver && !t.crashes.any() && len(t.lapsed) == 0 {
 		return
 	}
 	r.recorded = true
 	s.markDirty(j)
-	r.after = max(r.after, s.nextSave())
+	r.requiredSave = max(r.requiredSave, s.nextSave())
 }
 
 // restoreCrashes applies stored crashes.
@@ -83,14 +83,14 @@
 		st := &j.occurrences[x.Occurrence].steps[x.Step]
 		r := &run{
 			task: job.TaskID{Job: j.ID, Occurrence: x.Occurrence, Step: x.Step, Index: x.Task}, attempt: x.Attempt, vm: v,
-			phase: runUnanswered, adopted: true, recorded: true, suspect: t.crashes.any(),
+			phase: runUnanswered, adopted: true, recorded: true, crashSuspect: t.crashes.any(),
 			claim: st.def.Claim(), cost: st.def.Room, account: j.Terms.Account, pace: 100,
 		}
 		r.setKind(st.def)
 		t.attempt = max(t.attempt, x.Attempt)
 		switch {
 		case x.Born != 0 && v.born > x.Born:
-			s.crashedUnder(now, r)
+			s.countCrash(now, r)
 		case x.Lapsed:
 			s.lapse(now, r)
 		default:
@@ -99,8 +99,8 @@
 	}
 }
 
-// unseen tells whether the run is known from a former owner's record only.
-func (r *run) unseen() bool { return r.adopted && r.phase == runUnanswered }
+// onlyRecorded tells whether the run is known from a former owner's record only.
+func (r *run) onlyRecorded() bool { return r.adopted && r.phase == runUnanswered }
 
 // taskAt returns a task of the job, or nil.
 func (j *jobState) taskAt(occurrence, step, index int) *taskState {
@@ -123,16 +123,16 @@
 	}
 	for _, r := range t.runs {
 		if r.recorded {
-			p.Started = append(p.Started, r.start(false))
+			p.Started = append(p.Started, r.startRecord(false))
 		}
 	}
 	for _, r := range t.lapsed {
-		p.Started = append(p.Started, r.start(true))
+		p.Started = append(p.Started, r.startRecord(true))
 	}
 }
 
-// start returns what is stored of the run's start.
-func (r *run) start(lapsed bool) job.TaskStart {
+// startRecord returns what is stored of the run's start.
+func (r *run) startRecord(lapsed bool) job.TaskStart {
 	return job.TaskStart{
 		Occurrence: r.task.Occurrence, Step: r.task.Step, Task: r.task.Index, Attempt: r.attempt,
 		VM: r.vm.id, Born: r.vm.born, Lapsed: lapsed,
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -7,14 +7,14 @@
 	"lavenderpond/core/job"
 )
 
-// endsListed is how many ends a VM lists at a time.
-const endsListed = 500
+// maxListedEnds is how many ends a VM lists at a time.
+const maxListedEnds = 500
 
-// takeLists takes in a VM's lists of ends and of what runs.
-func (s *Scheduler) takeLists(now time.Time, v *vmState, r job.Report) {
+// applyLists takes in a VM's lists of ends and of what runs.
+func (s *Scheduler) applyLists(now time.Time, v *vmState, r job.Report) {
 	for _, e := range r.Finished {
-		if e.Number > v.seen {
-			s.takeEnd(now, v, e)
+		if e.Number > v.lastEnd {
+			s.handleEnd(now, v, e)
 		}
 	}
 	// A look may overtake a hold: what runs is taken from the newest list only.
@@ -22,40 +22,40 @@
 		return
 	}
 	v.listClock = r.Clock
-	v.lists++
+	v.listCount++
 	for i := range r.Running {
-		s.takeRunning(now, v, r.Clock, &r.Running[i])
+		s.applyRunning(now, v, r.Clock, &r.Running[i])
 	}
-	if len(r.Finished) >= endsListed {
+	if len(r.Finished) >= maxListedEnds {
 		// A run that isn't on the list may have ended behind those that are.
 		return
 	}
 	for _, x := range v.runs.All() {
-		if x.list != v.lists {
-			s.takeMissing(now, x, r.Clock)
+		if x.lastList != v.listCount {
+			s.applyMissing(now, x, r.Clock)
 		}
 	}
 }
 
-// takeEnd takes in the end of a run. It is noted at the VM, which then forgets it, only
+// handleEnd takes in the end of a run. It is noted at the VM, which then forgets it, only
 // once all that is known of its job is stored. That holds for an end that changes nothing
 // as well: what makes it redundant may not be stored yet.
-func (s *Scheduler) takeEnd(now time.Time, v *vmState, e job.End) {
-	v.seen = e.Number
+func (s *Scheduler) handleEnd(now time.Time, v *vmState, e job.End) {
+	v.lastEnd = e.Number
 	if !s.applyEnd(now, v, e) {
-		s.tellRedundant(v, e)
+		s.reportRedundantEnd(v, e)
 	}
 	save := s.saveOf(e.Task.Job)
-	if save <= s.stored && len(v.unsure) == 0 {
+	if save <= s.stored && len(v.unsavedEnds) == 0 {
 		v.noted = e.Number
 		return
 	}
-	v.unsure = append(v.unsure, unsavedEnd{number: e.Number, save: save})
+	v.unsavedEnds = append(v.unsavedEnds, unsavedEnd{number: e.Number, save: save})
 }
 
-// tellRedundant logs an end that decides nothing any more, though it would have if it had
+// reportRedundantEnd logs an end that decides nothing any more, though it would have if it had
 // come first.
-func (s *Scheduler) tellRedundant(v *vmState, e job.End) {
+func (s *Scheduler) reportRedundantEnd(v *vmState, e job.End) {
 	j, _, st, t := s.task(e.Task)
 	if j == nil || st.def.Lasting || (e.How != job.EndedDone && e.How != job.EndedFailed) {
 		return
@@ -67,7 +67,7 @@
 	case t.done:
 		why = "task is done"
 	}
-	s.decided(Decision{What: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: why})
+	s.decided(Decision{Kind: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: why})
 }
 
 // applyEnd applies an end to its task and tells whether it must be stored.
@@ -83,11 +83,11 @@
 		return false
 	}
 	s.decided(Decision{
-		What: TaskEnded, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: e.How.String(),
+		Kind: TaskEnded, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: e.How.String(),
 		Age: ranFor, After: now.Sub(j.arrived),
 	})
 	if e.Checkpoint != "" {
-		t.saved = e.Checkpoint
+		t.checkpoint = e.Checkpoint
 	}
 	if j.over() {
 		s.forgetClosed()
@@ -98,21 +98,21 @@
 		return s.taskDone(now, j, o, st, t, v, ranFor)
 	case e.How == job.EndedFailed:
 		if !st.def.Lasting {
-			s.judgeFailure(now, v)
+			s.countFailure(now, v)
 		}
 		return s.taskFailed(now, j, st, t, e, v)
 	}
 	return false
 }
 
-// wholly tells whether this owner has seen all of the run's work: one that went on
+// fullyObserved tells whether this owner has seen all of the run's work: one that went on
 // from a checkpoint or under a former owner has done a part before.
-func (r *run) wholly() bool { return !r.resumed && !r.adopted }
+func (r *run) fullyObserved() bool { return !r.resumed && !r.adopted }
 
 // ranFor returns how long the run took, or 0 if that isn't known of all of it.
 func (r *run) ranFor(now time.Time) time.Duration {
 	switch {
-	case !r.wholly():
+	case !r.fullyObserved():
 		return 0
 	case r.confirmedAt.IsZero():
 		return now.Sub(r.orderedAt)
@@ -125,10 +125,10 @@
 	if t.done {
 		return false
 	}
-	s.judgeSuccess(v)
+	s.countSuccess(v)
 	if ranFor > 0 {
 		s.learn(j, ranFor)
-		st.took = append(st.took, ranFor)
+		st.runTimes = append(st.runTimes, ranFor)
 	}
 	if st.def.Gang {
 		for i := range st.tasks {
@@ -143,7 +143,7 @@
 	j.ratedAt = time.Time{}
 	s.markDirty(j)
 	for _, other := range slices.Clone(t.runs) {
-		s.stop(now, other, "another run is done")
+		s.stopRun(now, other, "another run is done")
 	}
 	if !st.complete() {
 		return true
@@ -162,7 +162,7 @@
 
 // taskFailed takes in that a run has failed.
 func (s *Scheduler) taskFailed(now time.Time, j *jobState, st *stepState, t *taskState, e job.End, v *vmState) bool {
-	t.shunned = v.id
+	t.avoidVM = v.id
 	t.notBefore = now.Add(failurePause)
 	if st.def.Lasting {
 		t.notBefore = now
@@ -190,52 +190,52 @@
 // VM that fails all that it starts is known as such.
 const failurePause = 50 * time.Millisecond
 
-// takeRunning takes in one entry of the list of what runs.
-func (s *Scheduler) takeRunning(now time.Time, v *vmState, clock job.VMClock, e *job.RunningTask) {
+// applyRunning takes in one entry of the list of what runs.
+func (s *Scheduler) applyRunning(now time.Time, v *vmState, clock job.VMClock, e *job.RunningTask) {
 	r := v.runs.Get(runKey{e.Task, e.Attempt})
-	if r != nil && r.unseen() {
+	if r != nil && r.onlyRecorded() {
 		s.release(now, r)
 		r = nil
 	}
 	if r == nil {
-		s.foundRun(now, v, clock, e)
+		s.adoptRun(now, v, clock, e)
 		return
 	}
-	r.list = v.lists
+	r.lastList = v.listCount
 	if r.phase != runConfirmed {
-		s.confirm(now, r, clock)
+		s.confirmRun(now, r, clock)
 	}
 	r.confirmedClock = max(r.confirmedClock, clock)
 	r.percent, r.load, r.listedAt = e.Percent, e.Load, now
 	if e.Checkpoint != "" {
 		if _, _, _, t := s.task(e.Task); t != nil {
-			t.saved = e.Checkpoint
+			t.checkpoint = e.Checkpoint
 		}
 	}
-	s.seeAtWork(r)
+	s.updateAvailability(r)
 	s.clearCrashes(r)
-	s.watchPace(now, r)
+	s.checkProgress(now, r)
 }
 
-// seeAtWork notes whether a lasting task is at work.
-func (s *Scheduler) seeAtWork(r *run) {
+// updateAvailability notes whether a lasting task is at work.
+func (s *Scheduler) updateAvailability(r *run) {
 	_, _, st, t := s.task(r.task)
 	if t == nil || !st.def.Lasting {
 		return
 	}
 	if r.percent >= 100 && !r.stopping {
-		t.awaySince = time.Time{}
+		t.unavailableSince = time.Time{}
 	}
 }
 
-// foundRun takes in a run that this owner hasn't ordered: one of a former
+// adoptRun takes in a run that this owner hasn't ordered: one of a former
 // owner, or one that is not wanted any more.
-func (s *Scheduler) foundRun(now time.Time, v *vmState, clock job.VMClock, e *job.RunningTask) {
+func (s *Scheduler) adoptRun(now time.Time, v *vmState, clock job.VMClock, e *job.RunningTask) {
 	j, _, st, t := s.task(e.Task)
 	r := &run{
 		task: e.Task, attempt: e.Attempt, vm: v, phase: runConfirmed, confirmedClock: clock,
 		orderedAt: now, confirmedAt: now, percent: e.Percent, load: e.Load,
-		pace: 100, adopted: true, stray: j == nil, list: v.lists,
+		pace: 100, adopted: true, unknownJob: j == nil, lastList: v.listCount,
 	}
 	if j != nil {
 		r.claim, r.cost, r.account = st.def.Claim(), st.def.Room, j.Terms.Account
@@ -243,9 +243,9 @@
 	}
 	wanted := j != nil && !j.over() && !t.done && (t.live() == nil || st.def.Speculative)
 	s.addRun(r, st, t)
-	s.decided(Decision{What: TaskFound, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
+	s.decided(Decision{Kind: TaskFound, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
 	if !wanted {
-		s.stop(now, r, "not wanted")
+		s.stopRun(now, r, "not wanted")
 		return
 	}
 	t.attempt = max(t.attempt, e.Attempt)
@@ -253,23 +253,23 @@
 		st.gangAttempt = max(st.gangAttempt, e.Attempt)
 	}
 	if e.Checkpoint != "" {
-		t.saved = e.Checkpoint
+		t.checkpoint = e.Checkpoint
 	}
-	s.begin(j)
-	s.seeAtWork(r)
+	s.markBegun(j)
+	s.updateAvailability(r)
 }
 
-// takeMissing takes in that a list lacks a run, if the list is newer than all
+// applyMissing takes in that a list lacks a run, if the list is newer than all
 // that could still bring the run about.
-func (s *Scheduler) takeMissing(now time.Time, r *run, clock job.VMClock) {
+func (s *Scheduler) applyMissing(now time.Time, r *run, clock job.VMClock) {
 	switch {
 	case r.phase == runConfirmed && clock > r.confirmedClock+clockSlack:
-		s.free(now, r, "list lacks it")
+		s.freeRun(now, r, "list lacks it")
 	case r.phase == runUnanswered && clock > r.startBy+clockSlack && !r.stopping:
-		r.vm.lost = append(r.vm.lost, r)
-		s.free(now, r, "did not start in time")
+		r.vm.lostStarts = append(r.vm.lostStarts, r)
+		s.freeRun(now, r, "did not start in time")
 	case r.phase == runUnanswered && r.stopping && r.stopClock > 0 && clock > r.stopClock:
-		r.vm.lost = append(r.vm.lost, r)
-		s.free(now, r, "stopped before it began")
+		r.vm.lostStarts = append(r.vm.lostStarts, r)
+		s.freeRun(now, r, "stopped before it began")
 	}
 }
--- a/core/schedule/rooms.go
+++ b/core/schedule/rooms.go
@@ -37,7 +37,7 @@
 func newRooms(vms []*vmState, least job.Room) rooms {
 	r := rooms{slots: make([]slot, 0, len(vms))}
 	for _, v := range vms {
-		if least.Fits(v.free()) {
+		if least.Fits(v.freeRoom()) {
 			r.slots = append(r.slots, slot{v.freeShare(), v})
 			r.largest = max(r.largest, v.room.CPU)
 		}
@@ -85,11 +85,11 @@
 		if best >= 0 && x.free >= bestCost {
 			break
 		}
-		if !claim.Fits(x.vm.free()) {
+		if !claim.Fits(x.vm.freeRoom()) {
 			continue
 		}
 		onlyRoom = false
-		if !p.step.suits(p.id.StepID(), x.vm) || p.task.mustBeApart(a.now, x.vm) || !a.s.usable(a.now, x.vm) {
+		if !p.step.suits(p.id.StepID(), x.vm) || p.task.mustBeSeparate(a.now, x.vm) || !a.s.usable(a.now, x.vm) {
 			continue
 		}
 		if c := a.cost(p, x.vm); best < 0 || c < bestCost {
--- a/core/schedule/rooms_test.go
+++ b/core/schedule/rooms_test.go
@@ -14,7 +14,7 @@
 func chooseNaively(a *assignment, p placement) *vmState {
 	var best *vmState
 	for _, v := range a.vms {
-		fits := p.step.def.Claim().Fits(v.free())
+		fits := p.step.def.Claim().Fits(v.freeRoom())
 		if !fits || !p.step.suits(p.id.StepID(), v) || !a.s.usable(a.now, v) {
 			continue
 		}
@@ -41,7 +41,7 @@
 		v.labels["fast"] = true
 	}
 	if rng.IntN(8) == 0 {
-		v.suspect = begin.Add(1)
+		v.suspectUntil = begin.Add(1)
 	}
 	return v
 }
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -10,7 +10,7 @@
 // sendPlanned sends the starts whose saves are stored.
 func (s *Scheduler) sendPlanned(now time.Time) {
 	s.planned = slices.DeleteFunc(s.planned, func(r *run) bool {
-		if r.after > s.stored {
+		if r.requiredSave > s.stored {
 			return false
 		}
 		s.send(now, r)
@@ -25,22 +25,22 @@
 		return
 	}
 	j, _, st, t := s.task(r.task)
-	if t == nil || j.over() || !s.rights.Start || s.mayHaveEnded(t) || !v.takesTasks() || v.overfull() || !s.roomKnown(now, v) {
+	if t == nil || j.over() || !s.rights.Start || s.mayHaveEnded(t) || !v.acceptsTasks() || v.overbooked() || !s.roomKnown(now, v) {
 		s.release(now, r)
 		s.stopGang(now, r)
 		return
 	}
-	r.enter(runOrdered)
+	r.setPhase(runOrdered)
 	r.orderedAt = now
-	r.resumed = t.saved != ""
-	r.startBy = v.clock.Likely(now) + job.VMClock(startWithin.Milliseconds())
+	r.resumed = t.checkpoint != ""
+	r.startBy = v.clock.Likely(now) + job.VMClock(startWindow.Milliseconds())
 	v.leaseEnd = max(v.leaseEnd, r.startBy)
 	s.decided(Decision{
-		What: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.answered),
+		Kind: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.lastAnswer),
 		After: now.Sub(j.arrived),
 	})
 	s.emit(Start{VM: v.id, Life: v.born, Zone: v.zone, Order: job.StartOrder{
-		Task: r.task, Attempt: r.attempt, Spec: j.Body.Spec, Fence: v.fence, Checkpoint: t.saved,
+		Task: r.task, Attempt: r.attempt, Spec: j.Body.Spec, Fence: v.fence, Checkpoint: t.checkpoint,
 		Deadline: r.startBy, Ticket: st.tickets[v.id],
 	}})
 }
@@ -85,14 +85,14 @@
 	if r.fills {
 		v.fills += n
 	}
-	if r.suspect {
-		v.suspects += n
+	if r.crashSuspect {
+		v.crashSuspects += n
 	}
-	if r.trial {
-		v.trials += n
+	if r.isolated {
+		v.isolatedRuns += n
 	}
-	if r.stray {
-		v.strays += n
+	if r.unknownJob {
+		v.unknownRuns += n
 	}
 }
 
@@ -122,37 +122,37 @@
 	}
 	t.runs = slices.DeleteFunc(t.runs, func(o *run) bool { return o == r })
 	st.recount()
-	if st.def.Lasting && t.awaySince.IsZero() {
-		t.awaySince = now
+	if st.def.Lasting && t.unavailableSince.IsZero() {
+		t.unavailableSince = now
 	}
 }
 
-// freeUnseen releases a run of which its VM can't tell any more how it ended. It may have
+// freeWithUnknownEnd releases a run of which its VM can't tell any more how it ended. It may have
 // ended well, and another owner may know.
-func (s *Scheduler) freeUnseen(now time.Time, r *run, why string) {
+func (s *Scheduler) freeWithUnknownEnd(now time.Time, r *run, why string) {
 	if _, _, _, t := s.task(r.task); t != nil {
-		t.unseenEnd = true
+		t.endUnknown = true
 	}
-	s.free(now, r, why)
+	s.freeRun(now, r, why)
 }
 
 // mayHaveEnded tells whether a task may have ended well without this owner's knowledge: only
 // one that has proved its right just now can know of all ends.
-func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.unseenEnd && !s.rights.Order }
+func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.Order }
 
-// free releases a run that ended without a listed end.
-func (s *Scheduler) free(now time.Time, r *run, why string) {
+// freeRun releases a run that ended without a listed end.
+func (s *Scheduler) freeRun(now time.Time, r *run, why string) {
 	s.decided(Decision{
-		What: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
-		Age: now.Sub(r.vm.answered),
+		Kind: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
+		Age: now.Sub(r.vm.lastAnswer),
 	})
 	s.release(now, r)
 	s.stopGang(now, r)
 	s.forgetClosed()
 }
 
-// stop orders a run's end, once.
-func (s *Scheduler) stop(now time.Time, r *run, why string) {
+// stopRun orders a run's end, once.
+func (s *Scheduler) stopRun(now time.Time, r *run, why string) {
 	if r.stopping {
 		return
 	}
@@ -164,13 +164,13 @@
 	r.vm.stopping++
 	r.resendStop = now.Add(stopRetry)
 	s.decided(Decision{
-		What: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
+		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
 	})
-	s.emit(r.vm.stop(r))
+	s.emit(r.vm.stopOrder(r))
 }
 
-// stop returns the order to end a run on the VM.
-func (v *vmState) stop(r *run) Stop {
+// stopOrder returns the order to end a run on the VM.
+func (v *vmState) stopOrder(r *run) Stop {
 	return Stop{VM: v.id, Life: v.born, Fence: v.fence, Task: r.task, Attempt: r.attempt}
 }
 
@@ -182,13 +182,13 @@
 		}
 		r.resendStop = now.Add(stopRetry)
 		if r.stopClock == 0 || r.phase == runConfirmed {
-			s.emit(v.stop(r))
+			s.emit(v.stopOrder(r))
 		}
 	}
 }
 
-// begin notes that a job's first task has started.
-func (s *Scheduler) begin(j *jobState) {
+// markBegun notes that a job's first task has started.
+func (s *Scheduler) markBegun(j *jobState) {
 	if j.begun || j.over() {
 		return
 	}
@@ -197,9 +197,9 @@
 	s.markDirty(j)
 }
 
-// confirm notes that a run has started.
-func (s *Scheduler) confirm(now time.Time, r *run, clock job.VMClock) {
-	r.enter(runConfirmed)
+// confirmRun notes that a run has started.
+func (s *Scheduler) confirmRun(now time.Time, r *run, clock job.VMClock) {
+	r.setPhase(runConfirmed)
 	// A new life of the VM may have taken a start that was meant for the former
 	// one: its lease counts from here.
 	longest := clock + job.VMClock(s.settings.LeaseMax.Milliseconds())
@@ -207,10 +207,10 @@
 	v.leaseEnd = max(v.leaseEnd, min(r.startBy, longest))
 	r.confirmedAt = now
 	if !r.resumed {
-		r.markAt = now
+		r.progressAt = now
 	}
 	r.confirmedClock = max(r.confirmedClock, clock)
-	if r.begunAnew() && v.clock.Known() {
+	if r.confirmedByNewLife() && v.clock.Known() {
 		// A life that isn't known yet grants a whole lease, whatever the known one's clock says.
 		v.leaseEnd = max(v.leaseEnd, v.clock.Likely(now)+job.VMClock(s.settings.LeaseMax.Milliseconds()))
 	}
@@ -218,17 +218,17 @@
 	if j == nil {
 		return
 	}
-	s.begin(j)
+	s.markBegun(j)
 	s.decided(Decision{
-		What: TaskStarted, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
+		Kind: TaskStarted, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
 		Age: now.Sub(r.orderedAt), After: now.Sub(j.arrived),
 	})
 }
 
-// begunAnew tells whether a run was confirmed by a later life of its VM than the one for
+// confirmedByNewLife tells whether a run was confirmed by a later life of its VM than the one for
 // which it was ordered: answers to starts don't name the life, but its clock began anew.
-func (r *run) begunAnew() bool {
-	return r.phase == runConfirmed && r.confirmedClock < r.startBy-2*job.VMClock(startWithin.Milliseconds())
+func (r *run) confirmedByNewLife() bool {
+	return r.phase == runConfirmed && r.confirmedClock < r.startBy-2*job.VMClock(startWindow.Milliseconds())
 }
 
 // StartAnswered takes in what came of a start.
@@ -237,7 +237,7 @@
 	if v == nil {
 		return
 	}
-	if out == Answered && !s.heardFrom(now, v, c.Life, rep) {
+	if out == Answered && !s.recordAnswerFrom(now, v, c.Life, rep) {
 		return
 	}
 	r := v.runs.Get(runKey{c.Order.Task, c.Order.Attempt})
@@ -246,22 +246,22 @@
 	}
 	switch {
 	case out == Answered && rep.Refused == job.NotRefused:
-		s.confirm(now, r, rep.Clock)
+		s.confirmRun(now, r, rep.Clock)
 		return
 	case out == Unanswered:
-		r.enter(runUnanswered)
-		if v.answered.Before(r.orderedAt) {
-			v.suspect = now.Add(suspicion)
+		r.setPhase(runUnanswered)
+		if v.lastAnswer.Before(r.orderedAt) {
+			v.suspectUntil = now.Add(noAnswerPause)
 		}
 		return
 	case out == Answered && rep.Refused == job.RefusedRoom:
-		v.full(now)
+		v.markFull(now)
 	case out == Answered && rep.Refused == job.RefusedTicket:
 		s.dropTickets(c.Order.Task)
 	case out != Answered:
-		v.suspect = now.Add(suspicion)
+		v.suspectUntil = now.Add(noAnswerPause)
 	}
-	s.notBegun(now, r, out, rep.Refused)
+	s.releaseNotBegun(now, r, out, rep.Refused)
 }
 
 const (
@@ -270,31 +270,31 @@
 	// further refusal, fullDoublings times at most.
 	fullPause     = 200 * time.Millisecond
 	fullDoublings = 4
-	// fullMemory is how long after a pause a refusal still counts as a further one.
-	fullMemory = 2 * time.Second
+	// refusalWindow is how long after a pause a refusal still counts as a further one.
+	refusalWindow = 2 * time.Second
 )
 
-// full notes that the VM refused a task for want of room. Refusals of starts that were
+// markFull notes that the VM refused a task for want of room. Refusals of starts that were
 // on their way together count as one.
-func (v *vmState) full(now time.Time) {
+func (v *vmState) markFull(now time.Time) {
 	if now.Before(v.fullUntil) {
 		return
 	}
-	if now.Sub(v.fullUntil) > fullMemory {
+	if now.Sub(v.fullUntil) > refusalWindow {
 		v.refusals = 0
 	}
 	v.fullUntil = now.Add(fullPause << min(v.refusals, fullDoublings))
 	v.refusals++
 }
 
-// notBegun releases a run that is known not to have begun.
-func (s *Scheduler) notBegun(now time.Time, r *run, out Outcome, why job.Refusal) {
+// releaseNotBegun releases a run that is known not to have begun.
+func (s *Scheduler) releaseNotBegun(now time.Time, r *run, out Outcome, why job.Refusal) {
 	reason := out.String()
 	if out == Answered {
 		reason = why.String()
 	}
 	s.decided(Decision{
-		What: TaskNotBegun, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
+		Kind: TaskNotBegun, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 		Age: now.Sub(r.orderedAt),
 	})
 	s.release(now, r)
@@ -305,7 +305,7 @@
 // StopAnswered takes in what came of a stop.
 func (s *Scheduler) StopAnswered(now time.Time, c Stop, out Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
-	if v == nil || out != Answered || !s.heardFrom(now, v, c.Life, rep) {
+	if v == nil || out != Answered || !s.recordAnswerFrom(now, v, c.Life, rep) {
 		return
 	}
 	r := v.runs.Get(runKey{c.Task, c.Attempt})
@@ -313,7 +313,7 @@
 		r.stopClock = rep.Clock
 		if r.phase == runOrdered {
 			// The start was overtaken: it can't begin any more.
-			r.enter(runUnanswered)
+			r.setPhase(runUnanswered)
 		}
 	}
 }
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -28,7 +28,7 @@
 	case j.dirty:
 		return s.nextSave()
 	}
-	return j.saved
+	return j.lastSave
 }
 
 // flushSaves turns all that has changed into saves of one sequence.
@@ -44,7 +44,7 @@
 	}
 	s.dirtyWaves = nil
 	for _, j := range s.dirty {
-		j.dirty, j.saved = false, s.sequence
+		j.dirty, j.lastSave = false, s.sequence
 		s.emit(Save{Sequence: s.sequence, Job: j.ID, Progress: j.progress()})
 		if j.over() {
 			s.closing = append(s.closing, j)
@@ -60,7 +60,7 @@
 	s.sendPlanned(now)
 	s.sendHeld(now)
 	for _, v := range s.vms.All() {
-		v.noteStored(s.stored)
+		v.advanceNoted(s.stored)
 	}
 	s.forgetClosed()
 }
@@ -68,7 +68,7 @@
 // forgetClosed drops jobs whose end is stored and of which nothing can run.
 func (s *Scheduler) forgetClosed() {
 	s.closing = slices.DeleteFunc(s.closing, func(j *jobState) bool {
-		if j.saved > s.stored || j.hasRuns() {
+		if j.lastSave > s.stored || j.hasRuns() {
 			return false
 		}
 		s.jobs.Delete(j.ID)
@@ -93,7 +93,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
 		if now.Sub(s.ended[id]) > rememberEnded {
 			delete(s.ended, id)
-			s.emit(Forget{Job: id})
+			s.emit(DeleteJob{Job: id})
 		}
 	}
 }
@@ -146,7 +146,7 @@
 func (s *Scheduler) flushVMs() {
 	for _, id := range s.dirtyVMs {
 		if v := s.vms.Get(id); v != nil {
-			s.emit(SaveVM{Sequence: s.sequence, VM: v.rostered})
+			s.emit(SaveVM{Sequence: s.sequence, VM: v.rosterEntry})
 		} else {
 			s.emit(DropVM{Sequence: s.sequence, VM: id})
 		}
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -151,7 +151,7 @@
 		v.address, v.pool, v.born = r.Address, r.Pool, r.Born
 		s.setMachine(v, r.Machine)
 	}
-	v.rostered = r
+	v.rosterEntry = r
 	v.inheritedUntil = lease.InheritedEnd(s.settings.TookOver, s.settings.LeaseMax)
 	v.nextHold = s.settings.TookOver.Add(unlistedPause)
 	s.anyUnheard = true
@@ -187,7 +187,7 @@
 	}
 	st.objective, st.late = s.objective(st)
 	if !st.lasting && !inherited {
-		st.excess = s.conf != nil && s.shares.exceeds(now, s.conf.Account(j.Terms.Account))
+		st.beyondShare = s.conf != nil && s.shares.exceeds(now, s.conf.Account(j.Terms.Account))
 		left, all := s.work(st)
 		s.poolRecord(s.pool(st)).arrive(now, left)
 		s.queue(j.Terms.Queue).arrive(all)
@@ -196,9 +196,9 @@
 	if st.takenOver {
 		s.restoreStarts(now, st, p)
 	}
-	s.decided(Decision{What: JobAdopted, Job: j.ID, Reason: string(j.Terms.Queue)})
-	if st.excess {
-		s.decided(Decision{What: JobExcess, Job: j.ID, Reason: string(j.Terms.Account)})
+	s.decided(Decision{Kind: JobAdopted, Job: j.ID, Reason: string(j.Terms.Queue)})
+	if st.beyondShare {
+		s.decided(Decision{Kind: JobBeyondShare, Job: j.ID, Reason: string(j.Terms.Account)})
 	}
 }
 
@@ -245,7 +245,7 @@
 	if j == nil || j.over() {
 		return
 	}
-	s.decided(Decision{What: JobCancelled, Job: id, After: now.Sub(j.arrived)})
+	s.decided(Decision{Kind: JobCancelled, Job: id, After: now.Sub(j.arrived)})
 	s.finish(now, j, job.Cancelled)
 }
 
@@ -254,13 +254,13 @@
 	j.state, j.closedAt = state, now
 	s.markDirty(j)
 	s.decided(Decision{
-		What: JobEnded, Job: j.ID, Reason: state.String(), After: now.Sub(j.arrived), Slack: j.objective.Sub(now),
+		Kind: JobEnded, Job: j.ID, Reason: state.String(), After: now.Sub(j.arrived), Slack: j.objective.Sub(now),
 	})
 	for _, o := range j.occurrences {
 		for i := range o.steps {
 			for t := range o.steps[i].tasks {
 				for _, r := range slices.Clone(o.steps[i].tasks[t].runs) {
-					s.stop(now, r, "job "+state.String())
+					s.stopRun(now, r, "job "+state.String())
 				}
 			}
 		}
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -17,8 +17,8 @@
 
 // share is the jobs that an account may still hand in, as a token bucket.
 type share struct {
-	left float64
-	at   time.Time
+	tokens float64
+	at     time.Time
 }
 
 // exceeds takes in a job of the account and tells whether it is beyond its share. An
@@ -30,14 +30,14 @@
 	most := max(1, a.Weight*shareWindow.Seconds())
 	x := s[a.Name]
 	if x == nil {
-		x = &share{left: most, at: now}
+		x = &share{tokens: most, at: now}
 		s[a.Name] = x
 	}
-	x.left = min(most, x.left+a.Weight*now.Sub(x.at).Seconds())
+	x.tokens = min(most, x.tokens+a.Weight*now.Sub(x.at).Seconds())
 	x.at = now
-	if x.left < 1 {
+	if x.tokens < 1 {
 		return true
 	}
-	x.left--
+	x.tokens--
 	return false
 }
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -69,7 +69,7 @@
 
 // Over a long time an account gets its share and no more, however it spreads its jobs,
 // but for what it may use at once.
-func TestSharesAgainstNaive(t *testing.T) {
+func TestShareIsBoundedOverTime(t *testing.T) {
 	a := &job.Account{Name: "a", Weight: 3}
 	for _, pause := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, 330 * time.Millisecond, time.Second} {
 		s := shares{}
@@ -94,6 +94,6 @@
 		j := job.Job{ID: job.ID(fmt.Sprintf("j%02d", i)), Body: job.Body{Steps: []job.Step{small}}}
 		j.Terms = job.Terms{Queue: "q", Pool: poolA, Account: "hot"}
 		h.s.AddJob(h.now, j, nil, true)
-		assert.Assert(t, !h.s.jobs.Get(j.ID).excess)
+		assert.Assert(t, !h.s.jobs.Get(j.ID).beyondShare)
 	}
 }
--- a/core/schedule/slow_test.go
+++ b/core/schedule/slow_test.go
@@ -92,7 +92,7 @@
 // A new owner finds runs half done, a moment after it took over. Reckoned from then
 // their siblings would seem to take no time at all, and what runs at its usual pace
 // would be given up as slow.
-func TestFoundRunsAreNoMeasure(t *testing.T) {
+func TestAdoptedRunsAreNotCompared(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two", "three", "four")
 	wide := small
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -27,9 +27,9 @@
 	attempt job.Attempt
 	vm      *vmState
 	phase   runPhase
-	// after is the save that must be stored before the start is sent.
-	after int64
-	claim job.Room
+	// requiredSave is the save that must be stored before the start is sent.
+	requiredSave int64
+	claim        job.Room
 	// account pays with cost, which counts CPU that fills gaps too.
 	account job.AccountName
 	cost    job.Room
@@ -51,22 +51,22 @@
 	adopted bool
 	// recorded runs are stored with their job; suspect ones are of a task under which a
 	// VM has crashed.
-	recorded, suspect bool
-	// trial runs are of a task that is given up if its VM crashes once more.
-	trial bool
-	// stray runs are of a job that isn't known, so that their claim isn't either.
-	stray bool
+	recorded, crashSuspect bool
+	// isolated runs are of a task that is given up if its VM crashes once more.
+	isolated bool
+	// unknownJob runs are of a job that isn't known, so that their claim isn't either.
+	unknownJob bool
 	// lasting, serving and fills tell what kind of task it is.
 	lasting, serving, fills bool
 	// resumed is set if it went on from a checkpoint.
 	resumed bool
-	// list is the number of the VM's last list that showed the run.
-	list int64
+	// lastList is the number of the VM's last list that showed the run.
+	lastList int64
 	// listedAt is when a list last showed its progress; markAt and markPercent are
 	// the reading with which the next one is compared.
-	listedAt    time.Time
-	markAt      time.Time
-	markPercent int
+	listedAt        time.Time
+	progressAt      time.Time
+	progressPercent int
 }
 
 // setKind notes what kind of task runs.
@@ -74,8 +74,8 @@
 	r.lasting, r.serving, r.fills = def.Lasting, def.TailTarget > 0, def.Fills
 }
 
-// enter moves the run to another phase.
-func (r *run) enter(p runPhase) {
+// setPhase moves the run to another phase.
+func (r *run) setPhase(p runPhase) {
 	if r.phase == runOrdered {
 		r.vm.ordered--
 	}
@@ -86,32 +86,32 @@
 }
 
 type taskState struct {
-	done    bool
-	failed  []job.Attempt
-	runs    []*run
-	attempt job.Attempt
-	saved   job.Checkpoint
+	done       bool
+	failed     []job.Attempt
+	runs       []*run
+	attempt    job.Attempt
+	checkpoint job.Checkpoint
 	// notBefore delays the next start after a failure.
 	notBefore time.Time
-	// shunned is the VM where the last run failed.
-	shunned job.VMID
-	// awaySince is when a lasting task was last seen at work, or ended.
-	awaySince time.Time
-	// rescued counts the runs that were given up as slow.
-	rescued int
-	// unseenEnd is set once a run ended of which no list can tell any more.
-	unseenEnd bool
+	// avoidVM is the VM where the last run failed.
+	avoidVM job.VMID
+	// unavailableSince is when a lasting task was last seen at work, or ended.
+	unavailableSince time.Time
+	// slowStops counts the runs that were given up as slow.
+	slowStops int
+	// endUnknown is set once a run ended of which no list can tell any more.
+	endUnknown bool
 	// crashes are the VMs that crashed under it; until apartUntil it shares no VM with
 	// another such task.
-	crashes    crashes
-	apartUntil time.Time
+	crashes       crashes
+	separateUntil time.Time
 	// lapsed are the runs that were freed since their VM's lease was over.
 	lapsed []*run
 }
 
 // open tells whether the task waits for a start.
 func (t *taskState) open() bool {
-	return !t.done && len(t.runs) == 0 && !t.crashes.tooMany() && !t.mayBeTooMany()
+	return !t.done && len(t.runs) == 0 && !t.crashes.limitReached() && !t.mayReachCrashLimit()
 }
 
 // live returns the run of the task that isn't stopping, or nil.
@@ -131,16 +131,16 @@
 	// open counts the tasks that wait for a start.
 	open int
 	// tickets are the VMs that may run the step, where it needs advice.
-	tickets  map[job.VMID]string
-	ticketsT time.Time
-	asked    bool
-	askAt    time.Time
+	tickets      map[job.VMID]string
+	ticketsUntil time.Time
+	asked        bool
+	askAt        time.Time
 	// rack is where the step's first task went, if its tasks should share one.
 	rack job.Label
-	// took are the times of the runs that ended well.
-	took []time.Duration
-	// longest is the longest of them, once all tasks have ended.
-	longest time.Duration
+	// runTimes are the times of the runs that ended well.
+	runTimes []time.Duration
+	// longestRun is the longest of them, once all tasks have ended.
+	longestRun time.Duration
 	// gangAttempt is the attempt that all members share.
 	gangAttempt job.Attempt
 }
@@ -178,21 +178,21 @@
 	// takenOver jobs were begun by a former owner.
 	takenOver bool
 	lasting   bool
-	// excess is set if its account had handed in more than its share.
-	excess bool
+	// beyondShare is set if its account had handed in more than its share.
+	beyondShare bool
 	// objective is when the job is due to be complete.
 	objective time.Time
 	late      time.Time
 	// dirty is set while a save of the job is due; saved is the sequence of the last one.
-	dirty bool
-	saved int64
+	dirty    bool
+	lastSave int64
 	// closedAt is when the job was over.
 	closedAt time.Time
 	// places are the VMs on which a task may have been started, and the save that
 	// says so.
 	places ordered[job.VMID, int64]
-	// typical is the typical run time of its last complete step; 0 if none is.
-	typical time.Duration
+	// typicalRun is the typical run time of its last complete step; 0 if none is.
+	typicalRun time.Duration
 	// zone is where its first task went.
 	zone job.ZoneName
 	// rating is the job's place in the order of its pool, as of ratedAt.
@@ -236,65 +236,65 @@
 	// is ordered: their runs need not be looked at in each turn.
 	lasting, serving, fills int
 	stopping                int
-	// suspects counts the runs of tasks under which a VM has crashed.
-	suspects int
-	// trials counts the runs beside which nothing starts.
-	trials int
-	// strays counts the runs whose claim isn't known: how much room is free isn't either.
-	strays int
+	// crashSuspects counts the runs of tasks under which a VM has crashed.
+	crashSuspects int
+	// isolatedRuns counts the runs beside which nothing starts.
+	isolatedRuns int
+	// unknownRuns counts the runs whose claim isn't known: how much room is free isn't either.
+	unknownRuns int
 	// ordered counts the starts that wait for their answer.
 	ordered int
-	// doubtful VMs leave a start without an answer, and nothing was heard of them since.
-	doubtful bool
+	// unresponsive VMs leave a start without an answer, and nothing was heard of them since.
+	unresponsive bool
 	// looking is set while a look is on its way, which was sent at lookedAt.
 	looking  bool
 	lookedAt time.Time
 	// listClock is the VM's clock of the newest list taken in, lists their number.
 	listClock job.VMClock
-	lists     int64
+	listCount int64
 
-	// seen is the last end taken in, noted the last one that is stored.
-	seen   int64
-	noted  int64
-	unsure []unsavedEnd
+	// lastEnd is the last end taken in, noted the last one that is stored.
+	lastEnd     int64
+	noted       int64
+	unsavedEnds []unsavedEnd
 
 	firstSeen time.Time
 	// idleSince is when the VM last ran something.
 	idleSince time.Time
 	holding   bool
 	heldOnce  bool
-	// heldFirst is when it was: from then on it refuses a former owner's orders.
-	heldFirst time.Time
-	nextHold  time.Time
+	// firstHeldAt is when it was: from then on it refuses a former owner's orders.
+	firstHeldAt time.Time
+	nextHold    time.Time
 	// paceAt is when to look at the pace of filling tasks next.
-	paceAt   time.Time
-	answered time.Time
-	silent   bool
+	paceAt     time.Time
+	lastAnswer time.Time
+	silent     bool
 	// silentSince is when it was found silent.
-	silentSince time.Time
-	failures    int
+	silentSince  time.Time
+	holdFailures int
 	// failedRuns counts failed runs since the last that was done.
-	failedRuns int
-	suspect    time.Time
+	failedRuns   int
+	suspectUntil time.Time
 	// slowUntil is when the VM may get tasks again after one was slow there.
 	slowUntil time.Time
 	// fullUntil is when the VM may get tasks again after it refused one for want of
 	// room, refusals how often it did so in a row.
 	fullUntil time.Time
 	refusals  int
-	// rostered is what the roster says of the VM, inRoster the save of that: tasks may
+	// rosterEntry is what the roster says of the VM, inRoster the save of that: tasks may
 	// start here once it is stored.
-	rostered RosterVM
-	inRoster int64
+	rosterEntry RosterVM
+	rosterSave  int64
 	// cordoned VMs get no new tasks since their machine is due for upkeep.
 	cordoned bool
 	// vacating VMs get tasks only if no other has room.
 	vacating bool
-	// lost are starts without an answer that came too late for this life. A new
+	// lostStarts are starts without an answer that came too late for this life. A new
 	// life under the same ID would still carry them out.
-	lost []*run
-	// over is set once it is proved that the VM's life has ended.
-	over bool
+	lostStarts []*run
+	// lifeEnded is set once it is proved that the VM's life has ended.
+	lifeEnded bool
 	// lapsed are the runs that were freed since the lease was over, remembered until
 	// lapsedUntil if it isn't known by then whether the VM had crashed.
 	lapsed      []*run
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -27,7 +27,7 @@
 
 // Guards against a machine that gets orders of two owners within its lease, though the
 // former one's waited for the table, and against one that is barred for longer.
-func TestOrderIsOfLateFromItsSending(t *testing.T) {
+func TestOrderIsRecentFromItsSending(t *testing.T) {
 	h := newHarness(t)
 	h.s.Machines(h.now, []job.Machine{{ID: "m-1", Pool: off, State: job.MachineUp}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1"}, AtOnce: 1}, nil)
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -7,11 +7,11 @@
 	s.anyUnheard = false
 	for _, v := range s.vms.All() {
 		s.anyUnheard = s.anyUnheard || v.unheard()
-		if v.settled() {
+		if v.nothingDue() {
 			continue
 		}
 		s.expire(now, v)
-		s.look(now, v)
+		s.checkUnanswered(now, v)
 		if v.stopping > 0 {
 			s.repeatStops(now, v)
 		}
@@ -20,7 +20,7 @@
 		}
 		s.hold(now, v)
 	}
-	s.leaveDraining(now)
+	s.stopOnDraining(now)
 	s.leaveEvacuated(now)
 	s.forgetEnded(now)
 	s.pruneOrders(now)
@@ -32,15 +32,15 @@
 // heard yet.
 func (v *vmState) unheard() bool { return !v.heldOnce && !v.inheritedUntil.IsZero() }
 
-// settled tells whether nothing can be due on the VM: its hold is on its way, and no
+// nothingDue tells whether nothing can be due on the VM: its hold is on its way, and no
 // start or stop waits for its answer.
-func (v *vmState) settled() bool {
-	return v.holding && v.listed && !v.silent && !v.doubtful && v.ordered == 0 && v.stopping == 0 && v.fills == 0 && len(v.lost) == 0
+func (v *vmState) nothingDue() bool {
+	return v.holding && v.listed && !v.silent && !v.unresponsive && v.ordered == 0 && v.stopping == 0 && v.fills == 0 && len(v.lostStarts) == 0
 }
 
-// leaveDraining moves lasting tasks off VMs that leave. Other tasks may end in
+// stopOnDraining moves lasting tasks off VMs that leave. Other tasks may end in
 // time; those that don't end with the VM.
-func (s *Scheduler) leaveDraining(now time.Time) {
+func (s *Scheduler) stopOnDraining(now time.Time) {
 	for _, v := range s.vms.All() {
 		if !v.draining {
 			continue
@@ -48,7 +48,7 @@
 		for _, r := range v.runs.All() {
 			_, _, st, t := s.task(r.task)
 			if t != nil && st.def.Lasting && r.phase == runConfirmed && !v.silent {
-				s.stop(now, r, "VM leaves")
+				s.stopRun(now, r, "VM leaves")
 			}
 		}
 	}
--- a/core/schedule/upkeep.go
+++ b/core/schedule/upkeep.go
@@ -37,7 +37,7 @@
 		x.done[id] = true
 	}
 	s.waves.Set(w.Number, x)
-	s.decided(Decision{What: WaveChanged, Reason: "begun"})
+	s.decided(Decision{Kind: WaveChanged, Reason: "begun"})
 }
 
 // drive moves each wave on: empty machines, order their upkeep, wait for them.
@@ -58,7 +58,7 @@
 	s.countBack(now, w)
 	if !w.shownOnce {
 		w.shownOnce = true
-		s.emit(ShowWave{Number: w.Number, State: job.WaveRunning})
+		s.emit(PublishWave{Number: w.Number, State: job.WaveRunning})
 	}
 	var left []*machineState
 	for _, id := range w.Machines {
@@ -98,8 +98,8 @@
 
 func (s *Scheduler) completeWave(now time.Time, w *waveState) {
 	w.shown = job.WaveCompleted
-	s.decided(Decision{What: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
-	s.emit(ShowWave{Number: w.Number, State: job.WaveCompleted})
+	s.decided(Decision{Kind: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
+	s.emit(PublishWave{Number: w.Number, State: job.WaveCompleted})
 }
 
 // emptyNext cordons the machines that are next, and orders upkeep for those
@@ -145,7 +145,7 @@
 	m.answeredAt = now
 	switch {
 	case out == Answered && why == job.MachineAccepted:
-		s.decided(Decision{What: MachineUpkept, VM: m.before, Reason: string(m.ID)})
+		s.decided(Decision{Kind: MachineUpkept, VM: m.before, Reason: string(m.ID)})
 		if v := s.vms.Get(m.before); v != nil {
 			s.lifeOver(now, v, "its machine has its upkeep")
 		}
@@ -219,7 +219,7 @@
 func (s *Scheduler) moveLasting(now time.Time, v *vmState, why string) {
 	for _, r := range v.runs.All() {
 		if s.mayMove(now, r) {
-			s.stop(now, r, why)
+			s.stopRun(now, r, why)
 		}
 	}
 }
@@ -238,7 +238,7 @@
 // mayBeStopping tells whether a former owner may have ordered the run's end. The
 // VM lists it as at work until it has stopped; by then that end is listed.
 func (s *Scheduler) mayBeStopping(now time.Time, r *run) bool {
-	return r.adopted && now.Before(r.vm.heldFirst.Add(s.settings.TaskStop+busyWait))
+	return r.adopted && now.Before(r.vm.firstHeldAt.Add(s.settings.TaskStop+busyHoldWait))
 }
 
 // mayMiss tells whether a lasting step can spare the run now: as long as fewer
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// startWithin is how long after its sending a start may begin. It is short so
+	// startWindow is how long after its sending a start may begin. It is short so
 	// that an order that is carried out late is refused, and long against the
 	// round trip to a slow VM.
-	startWithin = 600 * time.Millisecond
+	startWindow = 600 * time.Millisecond
 	// stopRetry is the pause before a stop without an effect is repeated.
 	stopRetry = 600 * time.Millisecond
 	// clockSlack covers readings of VM clocks in whole milliseconds.
 	clockSlack job.VMClock = 5
-	// suspicion is how long a VM gets no new tasks after it left one unanswered.
-	suspicion = time.Second
+	// noAnswerPause is how long a VM gets no new tasks after it left one unanswered.
+	noAnswerPause = time.Second
 	// forgetAfter is how long a VM that isn't listed is still remembered.
 	forgetAfter = 3 * time.Second
 )
 
-// lateOrder is how long after its sending an order without an answer may still be
+// maxOrderDelay is how long after its sending an order without an answer may still be
 // carried out. A VM that crashes and lives anew under its ID starts its clock
 // anew, so that the start's deadline doesn't hold the order back there.
-const lateOrder = 13 * time.Second
+const maxOrderDelay = 13 * time.Second
 
-// rackMark is what the labels of racks begin with.
-const rackMark = "r"
+// rackLabelPrefix is what the labels of racks begin with.
+const rackLabelPrefix = "r"
 
 func (s *Scheduler) vm(id job.VMID) *vmState {
 	v := s.vms.Get(id)
@@ -45,11 +45,11 @@
 func (s *Scheduler) VMSeen(now time.Time, e job.VMEntry) {
 	v := s.vm(e.ID)
 	if v.firstSeen.IsZero() {
-		s.decided(Decision{What: VMFound, VM: e.ID, Reason: string(e.Pool)})
+		s.decided(Decision{Kind: VMFound, VM: e.ID, Reason: string(e.Pool)})
 		v.nextHold, v.firstSeen, v.idleSince = now, now, now
 	}
 	if e.Born != 0 && v.born != 0 && e.Born > v.born {
-		s.reborn(now, v, e.Born)
+		s.vmRestarted(now, v, e.Born)
 	}
 	v.listed, v.address, v.pool, v.zone = true, e.Address, e.Pool, e.Zone
 	if e.Room != v.room || e.Born != v.entryBorn {
@@ -63,10 +63,10 @@
 	if v.born == 0 {
 		v.born = e.Born
 	}
-	s.enroll(v)
+	s.updateRoster(v)
 	v.setLabels(e.Labels)
 	if e.Draining && !v.draining {
-		s.decided(Decision{What: VMDraining, VM: v.id, Reason: e.LeavesIn.String()})
+		s.decided(Decision{Kind: VMDraining, VM: v.id, Reason: e.LeavesIn.String()})
 	}
 	v.draining = e.Draining
 }
@@ -95,15 +95,15 @@
 	v.machine, v.host = id, s.machines.Get(id)
 }
 
-// enroll puts the VM into the roster, if that says something else of it; no task
+// updateRoster puts the VM into the roster, if that says something else of it; no task
 // starts there before it is stored.
-func (s *Scheduler) enroll(v *vmState) {
+func (s *Scheduler) updateRoster(v *vmState) {
 	r := RosterVM{ID: v.id, Address: v.address, Pool: v.pool, Born: v.born, Machine: v.machine}
-	if r == v.rostered {
+	if r == v.rosterEntry {
 		return
 	}
-	v.rostered = r
-	v.inRoster = s.nextSave()
+	v.rosterEntry = r
+	v.rosterSave = s.nextSave()
 	s.dirtyVMs = append(s.dirtyVMs, v.id)
 }
 
@@ -111,7 +111,7 @@
 	clear(v.labels)
 	for _, l := range labels {
 		v.labels[l] = true
-		if strings.HasPrefix(string(l), rackMark) && strings.ContainsAny(string(l), "0123456789") {
+		if strings.HasPrefix(string(l), rackLabelPrefix) && strings.ContainsAny(string(l), "0123456789") {
 			v.rack = l
 		}
 	}
@@ -125,7 +125,7 @@
 		return
 	}
 	v.listed, v.unlistedAt = false, now
-	s.decided(Decision{What: VMGone, VM: id})
+	s.decided(Decision{Kind: VMGone, VM: id})
 }
 
 // VMs returns the IDs of the VMs that are listed now.
@@ -150,27 +150,27 @@
 // VMCount returns the number of VMs that are known.
 func (s *Scheduler) VMCount() int { return s.vms.Len() }
 
-// reborn takes in that a VM has crashed and lives anew under the same ID: what
+// vmRestarted takes in that a VM has crashed and lives anew under the same ID: what
 // ran is gone, and its clock and numbers start anew. Starts without an answer
 // may still arrive and be carried out by the new life, whose clock is behind
 // their deadline; they are stopped by name before their tasks go elsewhere.
-func (s *Scheduler) reborn(now time.Time, v *vmState, born job.Born) {
-	s.decided(Decision{What: VMReborn, VM: v.id, Reason: fmt.Sprintf("%d ends of the former life are noted", v.noted)})
+func (s *Scheduler) vmRestarted(now time.Time, v *vmState, born job.Born) {
+	s.decided(Decision{Kind: VMReborn, VM: v.id, Reason: fmt.Sprintf("%d ends of the former life are noted", v.noted)})
 	v.born, v.fence = born, s.fence
 	v.clock, v.leaseEnd = lease.Clock{}, 0
-	v.seen, v.noted, v.unsure, v.listClock = 0, 0, nil, 0
+	v.lastEnd, v.noted, v.unsavedEnds, v.listClock = 0, 0, nil, 0
 	v.heldOnce, v.nextHold = false, now
-	s.enroll(v)
-	for _, r := range v.lost {
-		if now.Sub(r.orderedAt) < lateOrder {
-			s.emit(v.stop(r))
+	s.updateRoster(v)
+	for _, r := range v.lostStarts {
+		if now.Sub(r.orderedAt) < maxOrderDelay {
+			s.emit(v.stopOrder(r))
 		}
 	}
-	v.lost = nil
-	s.crashedUnderLapsed(now, v)
+	v.lostStarts = nil
+	s.countLapsedCrashes(now, v)
 	for _, r := range v.runs.All() {
-		if r.phase != runPlanned && !r.begunAnew() {
-			s.crashedUnder(now, r)
+		if r.phase != runPlanned && !r.confirmedByNewLife() {
+			s.countCrash(now, r)
 		}
 	}
 	for _, r := range v.runs.All() {
@@ -178,58 +178,58 @@
 			continue
 		}
 		r.stopClock = 0
-		if r.phase == runConfirmed && !r.begunAnew() {
-			s.freeUnseen(now, r, "VM lives anew")
+		if r.phase == runConfirmed && !r.confirmedByNewLife() {
+			s.freeWithUnknownEnd(now, r, "VM lives anew")
 			continue
 		}
-		r.enter(runUnanswered)
+		r.setPhase(runUnanswered)
 		r.confirmedClock = 0
-		s.stop(now, r, "VM lives anew")
+		s.stopRun(now, r, "VM lives anew")
 	}
 }
 
 // usable tells whether new tasks may start on the VM.
 func (s *Scheduler) usable(now time.Time, v *vmState) bool {
-	paused := v.doubtful || v.slow(now) || now.Before(v.suspect) || now.Before(v.fullUntil)
-	return v.takesTasks() && !v.cordoned && !paused && v.inRoster <= s.stored && v.strays == 0 && v.trials == 0 && s.roomKnown(now, v)
+	paused := v.unresponsive || v.slow(now) || now.Before(v.suspectUntil) || now.Before(v.fullUntil)
+	return v.acceptsTasks() && !v.cordoned && !paused && v.rosterSave <= s.stored && v.unknownRuns == 0 && v.isolatedRuns == 0 && s.roomKnown(now, v)
 }
 
-// free returns the room that nothing has taken. It is negative after the VM's capacity
+// freeRoom returns the room that nothing has taken. It is negative after the VM's capacity
 // has shrunk below what runs there.
-func (v *vmState) free() job.Room { return v.room.Minus(v.used) }
+func (v *vmState) freeRoom() job.Room { return v.room.Minus(v.used) }
 
-// overfull tells whether what is booked on the VM exceeds its capacity, or may do so.
-func (v *vmState) overfull() bool { return v.strays > 0 || !(job.Room{}).Fits(v.free()) }
+// overbooked tells whether what is booked on the VM exceeds its capacity, or may do so.
+func (v *vmState) overbooked() bool { return v.unknownRuns > 0 || !(job.Room{}).Fits(v.freeRoom()) }
 
-// takesTasks tells whether the VM is there for tasks, as far as is known.
-func (v *vmState) takesTasks() bool {
-	return v.described() && !v.draining && !v.evacuated && v.heldOnce && !v.silent && v.clock.Known()
+// acceptsTasks tells whether the VM is there for tasks, as far as is known.
+func (v *vmState) acceptsTasks() bool {
+	return v.entryCurrent() && !v.draining && !v.evacuated && v.heldOnce && !v.silent && v.clock.Known()
 }
 
-// described tells whether the directory lists the VM's present life. Another life may be
+// entryCurrent tells whether the directory lists the VM's present life. Another life may be
 // of another kind: its capacity and labels aren't known before its entry is there.
-func (v *vmState) described() bool { return v.listed && v.entryBorn >= v.born }
+func (v *vmState) entryCurrent() bool { return v.listed && v.entryBorn >= v.born }
 
-// leaseOver tells whether the lease of a silent VM is over for certain.
-func (v *vmState) leaseOver(now time.Time) bool {
+// leaseExpired tells whether the lease of a silent VM is over for certain.
+func (v *vmState) leaseExpired(now time.Time) bool {
 	if !v.clock.Known() {
 		return !v.inheritedUntil.IsZero() && !now.Before(v.inheritedUntil)
 	}
 	return v.clock.Earliest(now) > v.leaseEnd+clockSlack
 }
 
-// freeLapsed frees what ran on a VM whose lease has run out.
-func (s *Scheduler) freeLapsed(now time.Time, v *vmState) {
+// freeExpiredRuns frees what ran on a VM whose lease has run out.
+func (s *Scheduler) freeExpiredRuns(now time.Time, v *vmState) {
 	for _, r := range v.runs.All() {
-		if r.phase != runConfirmed && now.Sub(r.orderedAt) <= lateOrder {
+		if r.phase != runConfirmed && now.Sub(r.orderedAt) <= maxOrderDelay {
 			continue
 		}
-		if v.over {
-			s.crashedUnder(now, r)
+		if v.lifeEnded {
+			s.countCrash(now, r)
 		} else {
 			s.lapse(now, r)
 		}
-		s.freeUnseen(now, r, "lease ran out")
+		s.freeWithUnknownEnd(now, r, "lease ran out")
 	}
 }
 
@@ -244,8 +244,8 @@
 			}
 		}
 	}
-	if v.silent && v.runs.Len() > 0 && v.leaseOver(now) {
-		s.freeLapsed(now, v)
+	if v.silent && v.runs.Len() > 0 && v.leaseExpired(now) {
+		s.freeExpiredRuns(now, v)
 	}
 	if s.rights.Order && !now.Before(v.inheritedUntil) {
 		v.inheritedUntil = time.Time{}
@@ -253,11 +253,11 @@
 	if now.After(v.lapsedUntil) {
 		s.forgetLapsed(v)
 	}
-	for len(v.lost) > 0 && now.Sub(v.lost[0].orderedAt) > lateOrder {
-		v.lost = v.lost[1:]
+	for len(v.lostStarts) > 0 && now.Sub(v.lostStarts[0].orderedAt) > maxOrderDelay {
+		v.lostStarts = v.lostStarts[1:]
 	}
-	gone := !v.listed && v.runs.Len() == 0 && !now.Before(v.inheritedUntil) && now.Sub(v.answered) > forgetAfter && now.Sub(v.unlistedAt) > forgetAfter
-	if gone && !v.holding && len(v.lapsed) == 0 && len(v.lost) == 0 {
+	gone := !v.listed && v.runs.Len() == 0 && !now.Before(v.inheritedUntil) && now.Sub(v.lastAnswer) > forgetAfter && now.Sub(v.unlistedAt) > forgetAfter
+	if gone && !v.holding && len(v.lapsed) == 0 && len(v.lostStarts) == 0 {
 		s.vms.Delete(v.id)
 		s.dirtyVMs = append(s.dirtyVMs, v.id)
 	}
--- a/io/node/decisions.go
+++ b/io/node/decisions.go
@@ -25,24 +25,24 @@
 
 	mu      sync.Mutex
 	second  int64
-	written map[schedule.What]int
-	omitted map[schedule.What]int
+	written map[schedule.DecisionKind]int
+	omitted map[schedule.DecisionKind]int
 }
 
 // Decided implements schedule.Observer.
 func (l *decisionLog) Decided(d schedule.Decision) {
-	l.count(string(d.What))
-	switch d.What {
+	l.count(string(d.Kind))
+	switch d.Kind {
 	case schedule.TaskStarted:
 		l.elapsed("start_order", d.Age)
 	case schedule.JobEnded:
 		l.elapsed("job_"+d.Reason, d.After)
 	}
-	omitted, ok := l.admit(d.What)
+	omitted, ok := l.admit(d.Kind)
 	if !ok {
 		return
 	}
-	e := l.log.Info().Str("event", string(d.What))
+	e := l.log.Info().Str("event", string(d.Kind))
 	if d.Job != "" {
 		e.Str("job", string(d.Job))
 	}
@@ -71,15 +71,15 @@
 }
 
 // admit tells whether a line may be written, and how many were left out before it.
-func (l *decisionLog) admit(w schedule.What) (omitted int, ok bool) {
+func (l *decisionLog) admit(w schedule.DecisionKind) (omitted int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := bootNow().Unix(); now != l.second || l.written == nil {
 		l.second = now
-		l.written = map[schedule.What]int{}
+		l.written = map[schedule.DecisionKind]int{}
 	}
 	if l.omitted == nil {
-		l.omitted = map[schedule.What]int{}
+		l.omitted = map[schedule.DecisionKind]int{}
 	}
 	if l.written[w] >= linesPerSecond {
 		l.omitted[w]++
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -121,15 +121,15 @@
 		case schedule.Hold:
 			vm := o.orders.holdRoute(now, c)
 			o.workers.Go(func() { o.hold(ctx, vm, c) })
-		case schedule.Ask:
+		case schedule.RequestTickets:
 			o.workers.Go(func() { o.ask(ctx, c) })
 		case schedule.Upkeep:
 			o.workers.Go(func() { o.upkeep(ctx, c) })
 		case schedule.Move:
 			o.workers.Go(func() { o.move(ctx, c) })
-		case schedule.Forget:
+		case schedule.DeleteJob:
 			o.workers.Go(func() { o.forget(ctx, c) })
-		case schedule.ShowWave:
+		case schedule.PublishWave:
 			o.workers.Go(func() { o.showWave(ctx, c) })
 		}
 	}
@@ -190,7 +190,7 @@
 	o.send(ctx, holdAnswered{c, out, r})
 }
 
-func (o *owner) ask(ctx context.Context, c schedule.Ask) {
+func (o *owner) ask(ctx context.Context, c schedule.RequestTickets) {
 	callCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
 	a, err := o.node.advice.Ask(callCtx, c.Step, c.VMs)
@@ -231,7 +231,7 @@
 }
 
 // showWave publishes a wave's state until it is stored.
-func (o *owner) showWave(ctx context.Context, c schedule.ShowWave) {
+func (o *owner) showWave(ctx context.Context, c schedule.PublishWave) {
 	tx := platform.Transaction{Writes: []platform.Write{platform.WaveStatus(c.Number, c.State)}}
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
@@ -246,7 +246,7 @@
 
 // forget removes a job's rows, those as handed in first: a job without progress
 // would look new to the next owner. What fails is tried again by that one.
-func (o *owner) forget(ctx context.Context, c schedule.Forget) {
+func (o *owner) forget(ctx context.Context, c schedule.DeleteJob) {
 	callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	_, err := o.node.table.Apply(callCtx, platform.Transaction{Removals: []platform.RowKey{jobKey(c.Job), cancelKey(c.Job)}})
