--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -9,53 +9,55 @@
 )
 
 const (
-	// maxCrashes is how many VMs may crash under a task until it is given up.
+	// maxCrashes is how many VMs may crash under a task before it is given up.
 	maxCrashes = 4
-	// maxCrashesWithCause is the same if it was certainly running there, and one of the crashes
-	// can only be its own doing.
+	// maxCrashesWithCause is the limit for crashes under confirmed runs if at least one
+	// of them can only have been caused by the task.
 	maxCrashesWithCause = 3
-	// maxCrashesAtStart is the same for VMs that were found silent within crashAtStart of
-	// the task's start: that tells it from tasks that only ran beside another.
+	// maxCrashesAtStart is the limit for VMs that were found silent within
+	// startCrashWindow of the task's start. The short window excludes tasks that merely
+	// ran beside the one at fault.
 	maxCrashesAtStart = 2
 	startCrashWindow  = 100 * time.Millisecond
-	// separateFor is how long a task that has lost a VM waits for one without another such
-	// task, counted from the loss.
+	// separateFor is how long after its VM's crash a task waits for a VM without another
+	// such task.
 	separateFor = 2 * time.Second
-	// isolationWait is how long one whose next crash is the last waits for a VM without any
-	// task that may crash it.
+	// isolationWait is how long a task whose next crash is the last waits for a VM
+	// without any run that may crash it.
 	isolationWait = 4 * time.Second
-	// stableAfter is how long a run must last to show that its task crashes no VM.
+	// stableAfter is how long a run must last to show that its task doesn't crash VMs.
 	stableAfter = 5 * time.Second
 )
 
-// crashes are the VMs that crashed under a task. Its zero value is none.
+// crashes counts the VMs that crashed under a task. Its zero value means none.
 type crashes struct {
 	attempts []job.Attempt
-	// certain is how many came under a run that the VM had confirmed to this owner. Of these,
-	// atStart came within crashAtStart of the start, and alone while nothing else on the
-	// VM could have been the cause.
+	// certain counts the crashes under runs that the VM had confirmed to this owner. Of
+	// these, atStart counts those within startCrashWindow of the start, and alone those
+	// for which nothing else on the VM could be the cause.
 	certain, atStart, alone int
 }
 
 func (c crashes) any() bool { return len(c.attempts) > 0 }
 
-// String tells the counts.
+// String returns the counts as text.
 func (c crashes) String() string {
 	return fmt.Sprintf("%d VMs lost, %d certainly, %d at its start, %d alone", len(c.attempts), c.certain, c.atStart, c.alone)
 }
 
-// limitReached tells whether the task must not start any more.
+// limitReached reports whether the task must not start any more.
 func (c crashes) limitReached() bool {
 	toBlame := c.certain >= maxCrashesWithCause && c.alone > 0
 	return toBlame || c.atStart >= maxCrashesAtStart || len(c.attempts) >= maxCrashes
 }
 
-// needsIsolation tells whether the task is given up with its next crash. It runs alone then, so that
-// nothing else can be the cause.
+// needsIsolation reports whether the next crash is the last one allowed. The task then
+// runs alone, so that nothing else can be the cause.
 func (c crashes) needsIsolation() bool { return len(c.attempts) >= maxCrashes-1 }
 
-// countCrash takes in that a VM's life has ended under a run that is not released yet.
-// One that may not have begun counts too: the VM may have crashed before its answer.
+// countCrash counts the end of a VM's life against the task of a run that is not released
+// yet. A run that may not have begun counts too, since the VM may have crashed before it
+// answered.
 func (s *Scheduler) countCrash(now time.Time, r *run) {
 	j, _, _, t := s.task(r.task)
 	if t == nil || t.done || j.over() || r.vm.draining || slices.Contains(t.crashes.attempts, r.attempt) {
@@ -90,8 +92,8 @@
 	}
 }
 
-// giveUp ends a job of which a task must not start any more. The other tasks of a lasting
-// job go on: they serve without it.
+// giveUp ends a job because one of its tasks must not start any more. A lasting job goes
+// on with its remaining tasks.
 func (s *Scheduler) giveUp(now time.Time, j *jobState, r *run) {
 	s.decided(Decision{Kind: TaskGivenUp, Job: j.ID, Task: r.task, Reason: "VMs crash under it"})
 	if !j.lasting || j.noTaskCanRun() {
@@ -99,7 +101,7 @@
 	}
 }
 
-// noTaskCanRun tells whether no task of the job can run any more.
+// noTaskCanRun reports whether no task of the job can run any more.
 func (j *jobState) noTaskCanRun() bool {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
@@ -113,13 +115,13 @@
 	return true
 }
 
-// crashedAtStart tells whether the run had only just begun when its VM crashed, which was
-// before it was found silent.
+// crashedAtStart reports whether the run had only just begun when its VM crashed. The
+// crash came before the VM was found silent.
 func (r *run) crashedAtStart() bool {
 	return !r.adopted && r.vm.silent && r.vm.silentSince.Sub(r.orderedAt) <= startCrashWindow
 }
 
-// crashedAlone tells whether nothing else on the VM can have been the cause.
+// crashedAlone reports whether nothing else on the VM can have caused the crash.
 func (r *run) crashedAlone() bool {
 	for _, other := range r.vm.runs.All() {
 		if other != r && other.phase != runPlanned && !other.stable() {
@@ -129,12 +131,13 @@
 	return !slices.ContainsFunc(r.vm.lapsed, func(other *run) bool { return other != r && !other.stable() })
 }
 
-// stable tells whether the run had lasted for long at its VM's last word.
+// stable reports whether the run had already lasted for stableAfter at its VM's last
+// answer.
 func (r *run) stable() bool {
 	return r.phase == runConfirmed && r.vm.lastAnswer.Sub(r.confirmedAt) >= stableAfter
 }
 
-// clearCrashes forgets the crashes of a task that has been running for long.
+// clearCrashes resets the crash counts of a task whose run is stable.
 func (s *Scheduler) clearCrashes(r *run) {
 	j, _, _, t := s.task(r.task)
 	if t == nil || !t.crashes.any() || !r.stable() {
@@ -147,8 +150,9 @@
 	s.markDirty(j)
 }
 
-// mustBeSeparate tells whether a task that has lost a VM has to wait for another VM than one
-// with such a task: if that one crashes, it is known which of them is to blame.
+// mustBeSeparate reports whether a task that has lost a VM must avoid this VM because it
+// runs another such task. Keeping them apart shows which of them is at fault if a VM
+// crashes.
 func (t *taskState) mustBeSeparate(now time.Time, v *vmState) bool {
 	if !t.crashes.any() || !now.Before(t.separateUntil) {
 		return false
@@ -156,7 +160,7 @@
 	return v.crashSuspects > 0 || (t.crashes.needsIsolation() && v.anyUnstable())
 }
 
-// anyUnstable tells whether a run on the VM may still crash it.
+// anyUnstable reports whether a run on the VM may still crash it.
 func (v *vmState) anyUnstable() bool {
 	for _, r := range v.runs.All() {
 		if !r.stable() {
@@ -166,8 +170,8 @@
 	return false
 }
 
-// crashCost keeps tasks that have lost VMs away from each other and from all else that
-// would be lost with their next one.
+// crashCost keeps tasks that have lost VMs apart from each other, and from other tasks
+// that would be lost with their next VM.
 func crashCost(t *taskState, v *vmState) float64 {
 	switch {
 	case t.crashes.any():
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	// busyHoldWait is how long a VM that runs something may wait for an end before
-	// it answers a hold. The lease is renewed at least that often, so a VM that
-	// is cut off keeps its tasks for at least the longest lease less busyWait.
+	// busyHoldWait is how long a VM with runs may wait for an end before it answers a
+	// hold. The lease is renewed at least that often, so a VM that is cut off keeps its
+	// tasks for at least the longest lease less busyHoldWait.
 	busyHoldWait = 700 * time.Millisecond
-	// idleHoldWait is the same for a VM without tasks; it is the longest that VMs allow.
+	// idleHoldWait is the same for a VM without runs. It is the longest wait that VMs
+	// allow.
 	idleHoldWait = 2 * time.Second
-	// minHoldInterval is the least time between two holds, so that a VM that answers at
-	// once isn't called without end.
+	// minHoldInterval is the minimum time between two holds. It keeps a VM that answers
+	// immediately from being called in a tight loop.
 	minHoldInterval = 20 * time.Millisecond
-	// holdRetry is the pause after a hold that had no answer.
+	// holdRetry is the pause after an unanswered hold.
 	holdRetry = 250 * time.Millisecond
 )
 
-// hold orders the next hold of a VM if it is due.
+// hold sends the next hold to a VM if it is due. A hold renews the VM's lease and asks
+// for its lists.
 func (s *Scheduler) hold(now time.Time, v *vmState) {
 	if v.holding || now.Before(v.nextHold) || !s.rights.Hold || v.address == "" {
 		return
 	}
 	o := job.HoldOrder{Fence: v.fence, Noted: v.notedForHold()}
-	// An unanswered hold may be carried out later. One to a silent VM therefore
-	// extends nothing: else the lease of a VM that is gone would never run out here.
+	// An unanswered hold may be carried out later, so a hold to a silent VM doesn't
+	// extend the lease. Otherwise the lease of a VM that is gone would never expire for
+	// this owner.
 	if v.clock.Known() && !v.silent {
 		o.Deadline = v.clock.Likely(now) + job.VMClock(s.settings.LeaseMax.Milliseconds())
 		v.leaseEnd = max(v.leaseEnd, o.Deadline)
@@ -43,8 +46,8 @@
 	s.emit(Hold{VM: v.id, Order: o})
 }
 
-// notedForHold returns the number of the last end that the VM may forget. A silent VM may have
-// crashed: its new life under the same ID numbers its ends from 1 again.
+// notedForHold returns the number of the last end that the VM may delete. It is 0 for a
+// silent VM, which may have crashed: its next life numbers its ends from 1 again.
 func (v *vmState) notedForHold() int64 {
 	if v.silent {
 		return 0
@@ -52,7 +55,7 @@
 	return v.noted
 }
 
-// HoldAnswered takes in what came of a hold.
+// HoldAnswered handles the outcome of a hold.
 func (s *Scheduler) HoldAnswered(now time.Time, c Hold, out Outcome, r job.Report) {
 	v := s.vms.Get(c.VM)
 	if v == nil {
@@ -79,12 +82,14 @@
 	}
 	v.nextHold = now.Add(minHoldInterval)
 	if len(v.unsavedEnds) > 0 {
-		// The VM would answer at once with the same ends: wait until they are stored.
+		// The VM would answer immediately with the same ends, so wait until they are
+		// stored.
 		v.nextHold = now.Add(busyHoldWait)
 	}
 }
 
-// recordAnswer takes in that a VM has answered. It returns false if a former life did.
+// recordAnswer records that a VM has answered. It returns false if the answer is from a
+// previous life.
 func (s *Scheduler) recordAnswer(now time.Time, v *vmState, r job.Report) bool {
 	if r.Born != 0 && v.born != 0 && r.Born != v.born {
 		if r.Born < v.born {
@@ -105,8 +110,9 @@
 	return true
 }
 
-// recordAnswerFrom takes in an answer to an order for a life of the VM. One that doesn't name its
-// life says nothing once another life is known: its clock may be of either.
+// recordAnswerFrom records an answer to an order that was sent to the given life of the
+// VM. An answer that doesn't name its life is ignored if another life is known by now,
+// since its clock may belong to either.
 func (s *Scheduler) recordAnswerFrom(now time.Time, v *vmState, life job.Born, r job.Report) bool {
 	if r.Born == 0 && life != v.born {
 		return false
@@ -114,6 +120,7 @@
 	return s.recordAnswer(now, v, r)
 }
 
+// holdFailed handles a hold without a usable answer and schedules the next one.
 func (s *Scheduler) holdFailed(now time.Time, v *vmState, out Outcome, r job.Report) {
 	if out == Answered {
 		s.recordAnswer(now, v, r)
@@ -125,7 +132,7 @@
 	v.nextHold = now.Add(holdRetry * time.Duration(min(v.holdFailures, 4)))
 }
 
-// advanceNoted moves the last noted end up to what is stored.
+// advanceNoted advances the last noted end according to what is stored.
 func (v *vmState) advanceNoted(stored int64) {
 	n := 0
 	for n < len(v.unsavedEnds) && v.unsavedEnds[n].save <= stored {
--- a/core/schedule/look.go
+++ b/core/schedule/look.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// answerDue is how long after its sending a start should be answered: VMs answer
+	// answerDue is how long after it is sent a start should be answered. VMs answer
 	// within a few milliseconds.
 	answerDue = 150 * time.Millisecond
-	// lookInterval is the pause between two looks at a VM.
+	// lookInterval is the minimum time between two looks at a VM.
 	lookInterval = 50 * time.Millisecond
 )
 
-// checkUnanswered finds out about starts without an answer. Waiting until their deadline has
-// passed and the next list comes takes about a second, more than most jobs can
-// spare; and a VM that has gone dark would be given more tasks meanwhile, which
-// nobody can free for the whole of its lease. So a VM that leaves a start unanswered
-// gets no more until it is heard, and is asked what it runs. What isn't on the list
-// is stopped by name, which keeps it from beginning later, and then goes elsewhere.
+// checkUnanswered resolves starts without an answer. Waiting for the start's deadline and
+// the next list takes about a second, more than most jobs can spare. Meanwhile a VM that
+// is unreachable would be given more tasks, which can't be freed for the whole of its
+// lease. So a VM that leaves a start unanswered gets no more tasks until it answers, and
+// a look asks what it runs. A run that isn't on the list is stopped explicitly, which
+// keeps it from beginning later, and its task then starts elsewhere.
 func (s *Scheduler) checkUnanswered(now time.Time, v *vmState) {
 	v.unresponsive = false
 	if v.ordered == 0 && v.stopping == 0 {
@@ -42,13 +42,13 @@
 	s.emit(Hold{VM: v.id, Look: true, Order: job.HoldOrder{Fence: v.fence}})
 }
 
-// stopAccepted tells whether the VM has taken the stop of a start without an answer: it
-// runs if a list says so, and can't begin any more.
+// stopAccepted reports whether the VM has accepted the stop of an unanswered start. The
+// run exists only if a list shows it, and can't begin any more.
 func (r *run) stopAccepted() bool {
 	return r.phase == runUnanswered && r.stopping && r.stopClock > 0
 }
 
-// lookAnswered takes in what came of a look.
+// lookAnswered handles the outcome of a look.
 func (s *Scheduler) lookAnswered(now time.Time, v *vmState, out Outcome, r job.Report) {
 	v.looking = false
 	if out != Answered || !r.Lists || !s.recordAnswer(now, v, r) {
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -7,11 +7,12 @@
 	"lavenderpond/core/job"
 )
 
-// lapsedRetention is how long it is remembered which runs were freed since their VM's lease was
-// over: the VM may turn out to have crashed.
+// lapsedRetention is how long runs that were freed because their VM's lease expired are
+// remembered. The VM may turn out to have crashed.
 const lapsedRetention = 30 * time.Second
 
-// countLapsedCrashes takes in that a VM's life was over when its lease seemed to run out.
+// countLapsedCrashes counts a crash for the runs that were freed when the VM's lease
+// expired, once its life is known to have ended.
 func (s *Scheduler) countLapsedCrashes(now time.Time, v *vmState) {
 	for _, r := range v.lapsed {
 		s.countCrash(now, r)
@@ -19,7 +20,7 @@
 	s.forgetLapsed(v)
 }
 
-// lapse remembers a run that is freed since its VM's lease has run out.
+// lapse remembers a run that is freed because its VM's lease has expired.
 func (s *Scheduler) lapse(now time.Time, r *run) {
 	j, _, _, t := s.task(r.task)
 	if t == nil || j.over() {
@@ -31,8 +32,8 @@
 	s.markDirty(j)
 }
 
-// forgetLapsed forgets the lapsed runs of a VM: it is known what became of them, or never
-// will be.
+// forgetLapsed deletes the lapsed runs of a VM, because their fate is known or never will
+// be.
 func (s *Scheduler) forgetLapsed(v *vmState) {
 	for _, r := range v.lapsed {
 		j, _, st, t := s.task(r.task)
@@ -46,14 +47,14 @@
 	v.lapsed = nil
 }
 
-// mayReachCrashLimit tells whether the task must wait until it is known what became of the VMs
-// where it lapsed: if they crashed, it must not start any more.
+// mayReachCrashLimit reports whether the task would reach the crash limit if all VMs on
+// which it lapsed have crashed. It must not start until their fate is known.
 func (t *taskState) mayReachCrashLimit() bool {
 	return len(t.lapsed) > 0 && len(t.crashes.attempts)+len(t.lapsed) >= maxCrashes
 }
 
-// recordStart stores a start before it is sent, if a new owner could not know of it else: it
-// must count a crash that this owner doesn't live to see.
+// recordStart stores a start before it is sent if a new owner would not know of it
+// otherwise. A new owner must count a crash that this owner doesn't live to see.
 func (s *Scheduler) recordStart(j *jobState, t *taskState, r *run) {
 	if !j.takenOver && !t.crashes.any() && len(t.lapsed) == 0 {
 		return
@@ -63,7 +64,7 @@
 	r.requiredSave = max(r.requiredSave, s.nextSave())
 }
 
-// restoreCrashes applies stored crashes.
+// restoreCrashes restores stored crashes.
 func (j *jobState) restoreCrashes(p *job.Progress) {
 	for _, c := range p.Crashed {
 		if t := j.taskAt(c.Occurrence, c.Step, c.Task); t != nil {
@@ -73,7 +74,7 @@
 	}
 }
 
-// restoreStarts puts the recorded starts of a former owner back on their VMs.
+// restoreStarts restores the recorded starts of a previous owner on their VMs.
 func (s *Scheduler) restoreStarts(now time.Time, j *jobState, p *job.Progress) {
 	for _, x := range p.Started {
 		t, v := j.taskAt(x.Occurrence, x.Step, x.Task), s.vms.Get(x.VM)
@@ -99,7 +100,7 @@
 	}
 }
 
-// onlyRecorded tells whether the run is known from a former owner's record only.
+// onlyRecorded reports whether the run is known only from a previous owner's record.
 func (r *run) onlyRecorded() bool { return r.adopted && r.phase == runUnanswered }
 
 // taskAt returns a task of the job, or nil.
@@ -110,7 +111,7 @@
 	return &j.occurrences[occurrence].steps[step].tasks[index]
 }
 
-// addCrashes adds what must be stored of a task's crashes and recorded starts.
+// addCrashes adds a task's crashes and recorded starts to the progress to be stored.
 func (t *taskState) addCrashes(p *job.Progress, id job.TaskID) {
 	if t.done {
 		return
@@ -131,7 +132,7 @@
 	}
 }
 
-// startRecord returns what is stored of the run's start.
+// startRecord returns the stored form of the run's start.
 func (r *run) startRecord(lapsed bool) job.TaskStart {
 	return job.TaskStart{
 		Occurrence: r.task.Occurrence, Step: r.task.Step, Task: r.task.Index, Attempt: r.attempt,
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -7,17 +7,18 @@
 	"lavenderpond/core/job"
 )
 
-// maxListedEnds is how many ends a VM lists at a time.
+// maxListedEnds is the maximum number of ends that a VM lists at a time.
 const maxListedEnds = 500
 
-// applyLists takes in a VM's lists of ends and of what runs.
+// applyLists applies a VM's lists of ended and running tasks.
 func (s *Scheduler) applyLists(now time.Time, v *vmState, r job.Report) {
 	for _, e := range r.Finished {
 		if e.Number > v.lastEnd {
 			s.handleEnd(now, v, e)
 		}
 	}
-	// A look may overtake a hold: what runs is taken from the newest list only.
+	// The answer to a look may overtake that to a hold, so only the newest list of
+	// running tasks is applied.
 	if r.Clock < v.listClock {
 		return
 	}
@@ -27,7 +28,8 @@
 		s.applyRunning(now, v, r.Clock, &r.Running[i])
 	}
 	if len(r.Finished) >= maxListedEnds {
-		// A run that isn't on the list may have ended behind those that are.
+		// A run that is missing from the list may have ended without being among the
+		// listed ends.
 		return
 	}
 	for _, x := range v.runs.All() {
@@ -37,9 +39,9 @@
 	}
 }
 
-// handleEnd takes in the end of a run. It is noted at the VM, which then forgets it, only
-// once all that is known of its job is stored. That holds for an end that changes nothing
-// as well: what makes it redundant may not be stored yet.
+// handleEnd handles the end of a run. The end is noted at the VM, which then deletes it,
+// only once everything known of the job is stored. This includes redundant ends, since
+// what makes them redundant may not be stored yet.
 func (s *Scheduler) handleEnd(now time.Time, v *vmState, e job.End) {
 	v.lastEnd = e.Number
 	if !s.applyEnd(now, v, e) {
@@ -53,8 +55,7 @@
 	v.unsavedEnds = append(v.unsavedEnds, unsavedEnd{number: e.Number, save: save})
 }
 
-// reportRedundantEnd logs an end that decides nothing any more, though it would have if it had
-// come first.
+// reportRedundantEnd reports an end that has no effect because another event came first.
 func (s *Scheduler) reportRedundantEnd(v *vmState, e job.End) {
 	j, _, st, t := s.task(e.Task)
 	if j == nil || st.def.Lasting || (e.How != job.EndedDone && e.How != job.EndedFailed) {
@@ -70,7 +71,7 @@
 	s.decided(Decision{Kind: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: why})
 }
 
-// applyEnd applies an end to its task and tells whether it must be stored.
+// applyEnd applies an end to its task and reports whether it must be stored.
 func (s *Scheduler) applyEnd(now time.Time, v *vmState, e job.End) bool {
 	j, o, st, t := s.task(e.Task)
 	r := v.runs.Get(runKey{e.Task, e.Attempt})
@@ -105,11 +106,11 @@
 	return false
 }
 
-// fullyObserved tells whether this owner has seen all of the run's work: one that went on
-// from a checkpoint or under a former owner has done a part before.
+// fullyObserved reports whether this owner has observed the whole run. A run that resumed
+// from a checkpoint or started under a previous owner has done part of its work before.
 func (r *run) fullyObserved() bool { return !r.resumed && !r.adopted }
 
-// ranFor returns how long the run took, or 0 if that isn't known of all of it.
+// ranFor returns how long the run took, or 0 if part of its work was done earlier.
 func (r *run) ranFor(now time.Time) time.Duration {
 	switch {
 	case !r.fullyObserved():
@@ -120,7 +121,7 @@
 	return now.Sub(r.confirmedAt)
 }
 
-// taskDone takes in that a task has ended well.
+// taskDone handles the successful end of a task.
 func (s *Scheduler) taskDone(now time.Time, j *jobState, o *occurrence, st *stepState, t *taskState, v *vmState, ranFor time.Duration) bool {
 	if t.done {
 		return false
@@ -160,7 +161,7 @@
 	return true
 }
 
-// taskFailed takes in that a run has failed.
+// taskFailed handles a failed run.
 func (s *Scheduler) taskFailed(now time.Time, j *jobState, st *stepState, t *taskState, e job.End, v *vmState) bool {
 	t.avoidVM = v.id
 	t.notBefore = now.Add(failurePause)
@@ -172,7 +173,7 @@
 		return false
 	}
 	if st.def.Gang {
-		// A gang fails as one: one count stands for all members.
+		// A gang fails as a whole, so one count stands for all members.
 		t = &st.tasks[0]
 		if slices.Contains(t.failed, e.Attempt) {
 			return false
@@ -186,11 +187,11 @@
 	return true
 }
 
-// failurePause keeps a task whose run has failed from starting again before a
-// VM that fails all that it starts is known as such.
+// failurePause delays the next start of a task whose run has failed, so that a VM on
+// which every run fails is recognized first.
 const failurePause = 50 * time.Millisecond
 
-// applyRunning takes in one entry of the list of what runs.
+// applyRunning applies one entry of the list of running tasks.
 func (s *Scheduler) applyRunning(now time.Time, v *vmState, clock job.VMClock, e *job.RunningTask) {
 	r := v.runs.Get(runKey{e.Task, e.Attempt})
 	if r != nil && r.onlyRecorded() {
@@ -217,7 +218,7 @@
 	s.checkProgress(now, r)
 }
 
-// updateAvailability notes whether a lasting task is at work.
+// updateAvailability records that a lasting task is available.
 func (s *Scheduler) updateAvailability(r *run) {
 	_, _, st, t := s.task(r.task)
 	if t == nil || !st.def.Lasting {
@@ -228,8 +229,8 @@
 	}
 }
 
-// adoptRun takes in a run that this owner hasn't ordered: one of a former
-// owner, or one that is not wanted any more.
+// adoptRun adds a run that this owner hasn't ordered. Either a previous owner ordered it,
+// or it is no longer wanted.
 func (s *Scheduler) adoptRun(now time.Time, v *vmState, clock job.VMClock, e *job.RunningTask) {
 	j, _, st, t := s.task(e.Task)
 	r := &run{
@@ -259,8 +260,8 @@
 	s.updateAvailability(r)
 }
 
-// applyMissing takes in that a list lacks a run, if the list is newer than all
-// that could still bring the run about.
+// applyMissing handles a run that is missing from a list. It frees the run only if the
+// list is newer than anything that could still make it begin.
 func (s *Scheduler) applyMissing(now time.Time, r *run, clock job.VMClock) {
 	switch {
 	case r.phase == runConfirmed && clock > r.confirmedClock+clockSlack:
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -7,7 +7,7 @@
 	"lavenderpond/core/job"
 )
 
-// sendPlanned sends the starts whose saves are stored.
+// sendPlanned sends the planned starts whose saves are stored.
 func (s *Scheduler) sendPlanned(now time.Time) {
 	s.planned = slices.DeleteFunc(s.planned, func(r *run) bool {
 		if r.requiredSave > s.stored {
@@ -18,7 +18,7 @@
 	})
 }
 
-// send sends a planned start, if it can still be sent.
+// send sends a planned start, or releases the run if the task may not start any more.
 func (s *Scheduler) send(now time.Time, r *run) {
 	v := r.vm
 	if v.runs.Get(runKey{r.task, r.attempt}) != r {
@@ -45,8 +45,8 @@
 	}})
 }
 
-// mayRunUnheard tells whether a task of the job may run on a VM that this owner
-// hasn't heard yet.
+// mayRunUnheard reports whether a task of the job may run on a VM that this owner hasn't
+// heard from yet.
 func (s *Scheduler) mayRunUnheard(j *jobState) bool {
 	if !j.inherited || !s.anyUnheard {
 		return false
@@ -57,12 +57,13 @@
 			return true
 		}
 	}
-	// A VM that has been heard, or is free, stays so.
+	// A VM that was heard from, or that is free, stays so.
 	j.inherited = false
 	return false
 }
 
-// addRun books a run on its VM, its step and task (nil if unknown) and its account.
+// addRun books a run on its VM, its account, and its step and task, which are nil if
+// unknown.
 func (s *Scheduler) addRun(r *run, st *stepState, t *taskState) {
 	r.vm.runs.Set(runKey{r.task, r.attempt}, r)
 	r.vm.used = r.vm.used.Plus(r.claim)
@@ -74,7 +75,7 @@
 	}
 }
 
-// countKind adds n to the counts of the VM's runs of this kind.
+// countKind adds n to the VM's counters of runs of r's kinds.
 func (v *vmState) countKind(r *run, n int) {
 	if r.lasting {
 		v.lasting += n
@@ -96,7 +97,8 @@
 	}
 }
 
-// release takes a run off its VM, task and account: nothing of it can run any more.
+// release removes a run from its VM, task and account. The run must be certain not to
+// execute any more.
 func (s *Scheduler) release(now time.Time, r *run) {
 	k := runKey{r.task, r.attempt}
 	if r.vm.runs.Get(k) != r {
@@ -127,8 +129,8 @@
 	}
 }
 
-// freeWithUnknownEnd releases a run of which its VM can't tell any more how it ended. It may have
-// ended well, and another owner may know.
+// freeWithUnknownEnd frees a run whose VM can no longer report how it ended. It may have
+// completed, and another owner may know that.
 func (s *Scheduler) freeWithUnknownEnd(now time.Time, r *run, why string) {
 	if _, _, _, t := s.task(r.task); t != nil {
 		t.endUnknown = true
@@ -136,11 +138,11 @@
 	s.freeRun(now, r, why)
 }
 
-// mayHaveEnded tells whether a task may have ended well without this owner's knowledge: only
-// one that has proved its right just now can know of all ends.
+// mayHaveEnded reports whether a task may have completed without this owner's knowledge.
+// Only an owner that has just proved its right is sure to know of all ends.
 func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.Order }
 
-// freeRun releases a run that ended without a listed end.
+// freeRun releases a run that ended without being listed as ended.
 func (s *Scheduler) freeRun(now time.Time, r *run, why string) {
 	s.decided(Decision{
 		Kind: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
@@ -151,7 +153,7 @@
 	s.forgetClosed()
 }
 
-// stopRun orders a run's end, once.
+// stopRun orders a run's end. Further calls for the same run do nothing.
 func (s *Scheduler) stopRun(now time.Time, r *run, why string) {
 	if r.stopping {
 		return
@@ -174,7 +176,7 @@
 	return Stop{VM: v.id, Life: v.born, Fence: v.fence, Task: r.task, Attempt: r.attempt}
 }
 
-// repeatStops orders the end again of runs on the VM that are still there.
+// repeatStops sends the stop again for runs that are still on the VM.
 func (s *Scheduler) repeatStops(now time.Time, v *vmState) {
 	for _, r := range v.runs.All() {
 		if !r.stopping || now.Before(r.resendStop) {
@@ -187,7 +189,7 @@
 	}
 }
 
-// markBegun notes that a job's first task has started.
+// markBegun records that a job's first task has started.
 func (s *Scheduler) markBegun(j *jobState) {
 	if j.begun || j.over() {
 		return
@@ -197,11 +199,11 @@
 	s.markDirty(j)
 }
 
-// confirmRun notes that a run has started.
+// confirmRun records that a run has started.
 func (s *Scheduler) confirmRun(now time.Time, r *run, clock job.VMClock) {
 	r.setPhase(runConfirmed)
-	// A new life of the VM may have taken a start that was meant for the former
-	// one: its lease counts from here.
+	// A new life of the VM may have carried out a start that was sent to the previous
+	// one. Its lease counts from this clock reading.
 	longest := clock + job.VMClock(s.settings.LeaseMax.Milliseconds())
 	v := r.vm
 	v.leaseEnd = max(v.leaseEnd, min(r.startBy, longest))
@@ -211,7 +213,8 @@
 	}
 	r.confirmedClock = max(r.confirmedClock, clock)
 	if r.confirmedByNewLife() && v.clock.Known() {
-		// A life that isn't known yet grants a whole lease, whatever the known one's clock says.
+		// A life that isn't known yet grants a full lease, whatever the clock of the
+		// known life says.
 		v.leaseEnd = max(v.leaseEnd, v.clock.Likely(now)+job.VMClock(s.settings.LeaseMax.Milliseconds()))
 	}
 	j := s.jobs.Get(r.task.Job)
@@ -225,13 +228,14 @@
 	})
 }
 
-// confirmedByNewLife tells whether a run was confirmed by a later life of its VM than the one for
-// which it was ordered: answers to starts don't name the life, but its clock began anew.
+// confirmedByNewLife reports whether a run was confirmed by a later life of its VM than
+// the one it was ordered for. Answers to starts don't name the life, but the clock of a
+// new life starts again from zero.
 func (r *run) confirmedByNewLife() bool {
 	return r.phase == runConfirmed && r.confirmedClock < r.startBy-2*job.VMClock(startWindow.Milliseconds())
 }
 
-// StartAnswered takes in what came of a start.
+// StartAnswered handles the outcome of a start.
 func (s *Scheduler) StartAnswered(now time.Time, c Start, out Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
 	if v == nil {
@@ -265,17 +269,17 @@
 }
 
 const (
-	// fullPause keeps new tasks off a VM that said it is full until its next list. The
-	// news of a capacity that has shrunk may be later: the pause doubles with each
-	// further refusal, fullDoublings times at most.
+	// fullPause is how long a VM that refused a task for lack of room gets no new ones,
+	// unless a list comes first. Word of its reduced capacity may take longer, so the
+	// pause doubles with each further refusal, at most fullDoublings times.
 	fullPause     = 200 * time.Millisecond
 	fullDoublings = 4
-	// refusalWindow is how long after a pause a refusal still counts as a further one.
+	// refusalWindow is how long after a pause another refusal counts as a further one.
 	refusalWindow = 2 * time.Second
 )
 
-// markFull notes that the VM refused a task for want of room. Refusals of starts that were
-// on their way together count as one.
+// markFull records that the VM refused a task for lack of room. Refusals of starts that
+// were in flight at the same time count as one.
 func (v *vmState) markFull(now time.Time) {
 	if now.Before(v.fullUntil) {
 		return
@@ -302,7 +306,7 @@
 	s.forgetClosed()
 }
 
-// StopAnswered takes in what came of a stop.
+// StopAnswered handles the outcome of a stop.
 func (s *Scheduler) StopAnswered(now time.Time, c Stop, out Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
 	if v == nil || out != Answered || !s.recordAnswerFrom(now, v, c.Life, rep) {
@@ -312,7 +316,7 @@
 	if r != nil && rep.Refused == job.NotRefused {
 		r.stopClock = rep.Clock
 		if r.phase == runOrdered {
-			// The start was overtaken: it can't begin any more.
+			// The stop overtook the start, which can't begin any more.
 			r.setPhase(runUnanswered)
 		}
 	}
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// startWindow is how long after its sending a start may begin. It is short so
-	// that an order that is carried out late is refused, and long against the
-	// round trip to a slow VM.
+	// startWindow is how long after it is sent a start may begin. It is short so that the
+	// VM refuses an order that arrives late, and long against the round trip to a slow
+	// VM.
 	startWindow = 600 * time.Millisecond
-	// stopRetry is the pause before a stop without an effect is repeated.
+	// stopRetry is the pause before an ineffective stop is sent again.
 	stopRetry = 600 * time.Millisecond
-	// clockSlack covers readings of VM clocks in whole milliseconds.
+	// clockSlack allows for VM clocks that are read in whole milliseconds.
 	clockSlack job.VMClock = 5
-	// noAnswerPause is how long a VM gets no new tasks after it left one unanswered.
+	// noAnswerPause is how long a VM gets no new tasks after it left a start unanswered.
 	noAnswerPause = time.Second
-	// forgetAfter is how long a VM that isn't listed is still remembered.
+	// forgetAfter is how long a VM that is no longer listed is kept in memory.
 	forgetAfter = 3 * time.Second
 )
 
-// maxOrderDelay is how long after its sending an order without an answer may still be
-// carried out. A VM that crashes and lives anew under its ID starts its clock
-// anew, so that the start's deadline doesn't hold the order back there.
+// maxOrderDelay is how long after it was sent an unanswered order may still be carried
+// out. The start's deadline doesn't prevent that on a VM that crashed and restarted under
+// the same ID, because its clock starts again from zero.
 const maxOrderDelay = 13 * time.Second
 
-// rackLabelPrefix is what the labels of racks begin with.
+// rackLabelPrefix is the prefix of rack labels.
 const rackLabelPrefix = "r"
 
+// vm returns the state of a VM, which it creates if necessary.
 func (s *Scheduler) vm(id job.VMID) *vmState {
 	v := s.vms.Get(id)
 	if v == nil {
@@ -41,7 +42,7 @@
 	return v
 }
 
-// VMSeen takes in a VM's entry in the directory.
+// VMSeen applies a VM's entry in the directory.
 func (s *Scheduler) VMSeen(now time.Time, e job.VMEntry) {
 	v := s.vm(e.ID)
 	if v.firstSeen.IsZero() {
@@ -71,16 +72,15 @@
 	v.draining = e.Draining
 }
 
-// DirectoryRead notes that all changes of the directory are known that were made before
-// asOf.
+// DirectoryRead records that every change made to the directory before asOf is known.
 func (s *Scheduler) DirectoryRead(asOf time.Time) { s.directoryAsOf = asOf }
 
-// shrinkMargin covers a start that was sent by an old reading: on its way it may still be
-// carried out for startWithin, on a slow clock for longer.
+// shrinkMargin covers a start that was sent on the basis of an old reading. It may still
+// be carried out for startWindow, and for longer on a slow clock.
 const shrinkMargin = time.Second
 
-// roomKnown tells whether the VM's capacity is known well enough for a start. VMs that
-// refuse what doesn't fit look after it themselves.
+// roomKnown reports whether the VM's capacity is known well enough for a start. VMs in a
+// guarded pool refuse what doesn't fit by themselves.
 func (s *Scheduler) roomKnown(now time.Time, v *vmState) bool {
 	within := s.settings.ShrinkNotice
 	if within == 0 || now.Sub(s.directoryAsOf) < within-shrinkMargin {
@@ -90,13 +90,13 @@
 	return p != nil && p.Guarded
 }
 
-// setMachine notes which machine the VM lives on.
+// setMachine records which machine hosts the VM.
 func (s *Scheduler) setMachine(v *vmState, id job.MachineID) {
 	v.machine, v.host = id, s.machines.Get(id)
 }
 
-// updateRoster puts the VM into the roster, if that says something else of it; no task
-// starts there before it is stored.
+// updateRoster adds the VM to the roster, or updates its entry if that has changed. No
+// task starts on the VM before the entry is stored.
 func (s *Scheduler) updateRoster(v *vmState) {
 	r := RosterVM{ID: v.id, Address: v.address, Pool: v.pool, Born: v.born, Machine: v.machine}
 	if r == v.rosterEntry {
@@ -107,6 +107,7 @@
 	s.dirtyVMs = append(s.dirtyVMs, v.id)
 }
 
+// setLabels replaces the VM's labels, and sets its rack if one of them is a rack label.
 func (v *vmState) setLabels(labels []job.Label) {
 	clear(v.labels)
 	for _, l := range labels {
@@ -117,8 +118,8 @@
 	}
 }
 
-// VMUnlisted notes that a VM's entry is gone. That is no proof that it runs
-// nothing: only its lease is.
+// VMUnlisted records that a VM's entry is gone. Tasks may still run there until its lease
+// has expired.
 func (s *Scheduler) VMUnlisted(now time.Time, id job.VMID) {
 	v := s.vms.Get(id)
 	if v == nil || !v.listed {
@@ -128,7 +129,7 @@
 	s.decided(Decision{Kind: VMGone, VM: id})
 }
 
-// VMs returns the IDs of the VMs that are listed now.
+// VMs returns the IDs of the VMs that are currently listed.
 func (s *Scheduler) VMs() []job.VMID {
 	var out []job.VMID
 	for id, v := range s.vms.All() {
@@ -139,7 +140,7 @@
 	return out
 }
 
-// Location returns where a VM takes orders, and its availability zone.
+// Location returns the address at which a VM takes orders, and its availability zone.
 func (s *Scheduler) Location(id job.VMID) (address string, zone job.ZoneName) {
 	if v := s.vms.Get(id); v != nil {
 		return v.address, v.zone
@@ -147,13 +148,13 @@
 	return "", ""
 }
 
-// VMCount returns the number of VMs that are known.
+// VMCount returns the number of known VMs.
 func (s *Scheduler) VMCount() int { return s.vms.Len() }
 
-// vmRestarted takes in that a VM has crashed and lives anew under the same ID: what
-// ran is gone, and its clock and numbers start anew. Starts without an answer
-// may still arrive and be carried out by the new life, whose clock is behind
-// their deadline; they are stopped by name before their tasks go elsewhere.
+// vmRestarted handles a VM that crashed and restarted under the same ID. Its runs are
+// gone, and its clock and the numbers of its ends start again. Unanswered starts may
+// still arrive and be carried out, because the new clock is behind their deadlines. They
+// are stopped explicitly before their tasks start elsewhere.
 func (s *Scheduler) vmRestarted(now time.Time, v *vmState, born job.Born) {
 	s.decided(Decision{Kind: VMReborn, VM: v.id, Reason: fmt.Sprintf("%d ends of the former life are noted", v.noted)})
 	v.born, v.fence = born, s.fence
@@ -188,29 +189,31 @@
 	}
 }
 
-// usable tells whether new tasks may start on the VM.
+// usable reports whether new tasks may start on the VM.
 func (s *Scheduler) usable(now time.Time, v *vmState) bool {
 	paused := v.unresponsive || v.slow(now) || now.Before(v.suspectUntil) || now.Before(v.fullUntil)
 	return v.acceptsTasks() && !v.cordoned && !paused && v.rosterSave <= s.stored && v.unknownRuns == 0 && v.isolatedRuns == 0 && s.roomKnown(now, v)
 }
 
-// freeRoom returns the room that nothing has taken. It is negative after the VM's capacity
-// has shrunk below what runs there.
+// freeRoom returns the VM's unused capacity. It is negative if the capacity has shrunk
+// below what runs there.
 func (v *vmState) freeRoom() job.Room { return v.room.Minus(v.used) }
 
-// overbooked tells whether what is booked on the VM exceeds its capacity, or may do so.
+// overbooked reports whether the runs booked on the VM exceed its capacity, or may exceed
+// it.
 func (v *vmState) overbooked() bool { return v.unknownRuns > 0 || !(job.Room{}).Fits(v.freeRoom()) }
 
-// acceptsTasks tells whether the VM is there for tasks, as far as is known.
+// acceptsTasks reports whether the VM accepts tasks, as far as this owner knows.
 func (v *vmState) acceptsTasks() bool {
 	return v.entryCurrent() && !v.draining && !v.evacuated && v.heldOnce && !v.silent && v.clock.Known()
 }
 
-// entryCurrent tells whether the directory lists the VM's present life. Another life may be
-// of another kind: its capacity and labels aren't known before its entry is there.
+// entryCurrent reports whether the VM's directory entry belongs to its current life.
+// Capacity and labels may differ between lives, so they are unknown until the new entry
+// is there.
 func (v *vmState) entryCurrent() bool { return v.listed && v.entryBorn >= v.born }
 
-// leaseExpired tells whether the lease of a silent VM is over for certain.
+// leaseExpired reports whether the lease of a silent VM has certainly expired.
 func (v *vmState) leaseExpired(now time.Time) bool {
 	if !v.clock.Known() {
 		return !v.inheritedUntil.IsZero() && !now.Before(v.inheritedUntil)
@@ -218,7 +221,7 @@
 	return v.clock.Earliest(now) > v.leaseEnd+clockSlack
 }
 
-// freeExpiredRuns frees what ran on a VM whose lease has run out.
+// freeExpiredRuns frees the runs of a VM whose lease has expired.
 func (s *Scheduler) freeExpiredRuns(now time.Time, v *vmState) {
 	for _, r := range v.runs.All() {
 		if r.phase != runConfirmed && now.Sub(r.orderedAt) <= maxOrderDelay {
@@ -233,8 +236,8 @@
 	}
 }
 
-// expire frees what ran on VMs whose leases have run out, and forgets VMs that
-// are gone.
+// expire frees the runs of a VM whose lease has expired, and deletes the VM's state once
+// it is gone.
 func (s *Scheduler) expire(now time.Time, v *vmState) {
 	if v.silent {
 		for _, r := range v.runs.All() {
