--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -6,11 +6,12 @@
 	"lavenderpond/core/job"
 )
 
-// Command is what the scheduler wants done.
+// Command is an action that the scheduler wants carried out.
 type Command interface{ command() }
 
 // Start orders a task's start on a VM in an availability zone. Life is the VM's life as
-// known at its sending, since the answer needn't name the life that gives it.
+// known when the order is sent, since the answer doesn't always name the life that gives
+// it.
 type Start struct {
 	VM    job.VMID
 	Life  job.Born
@@ -18,7 +19,7 @@
 	Order job.StartOrder
 }
 
-// Stop orders a run's end on a VM. Life is as in a Start.
+// Stop orders the end of a run on a VM. Life is the same as in Start.
 type Stop struct {
 	VM      job.VMID
 	Life    job.Born
@@ -27,7 +28,7 @@
 	Attempt job.Attempt
 }
 
-// Pace sets the share at which a task works.
+// Pace sets how fast a filling task may work, in percent of its full speed.
 type Pace struct {
 	VM      job.VMID
 	Fence   job.Fence
@@ -36,34 +37,35 @@
 	Percent int
 }
 
-// Hold extends a VM's lease and asks for its lists. A look asks for them beside
-// the hold that is on its way.
+// Hold renews a VM's lease and asks for its lists. A look only asks for the lists, while
+// another hold may be in flight.
 type Hold struct {
 	VM    job.VMID
 	Order job.HoldOrder
 	Look  bool
 }
 
-// Save stores a job's progress. Saves must be stored in order of Sequence.
+// Save stores a job's progress. Saves must be stored in the order of Sequence.
 type Save struct {
 	Sequence int64
 	Job      job.ID
 	Progress job.Progress
 }
 
-// SaveVM stores that tasks may run on a VM, in order with the other saves.
+// SaveVM stores that tasks may run on a VM. It is ordered with the other saves.
 type SaveVM struct {
 	Sequence int64
 	VM       RosterVM
 }
 
-// DropVM stores that none can run there any more, in order with the other saves.
+// DropVM stores that no task can run on a VM any more. It is ordered with the other
+// saves.
 type DropVM struct {
 	Sequence int64
 	VM       job.VMID
 }
 
-// RequestTickets asks which VMs may run a step.
+// RequestTickets asks the queue's advice service which VMs may run a step.
 type RequestTickets struct {
 	Step job.StepID
 	VMs  []job.VMID
@@ -75,43 +77,43 @@
 	Pool    job.PoolName
 }
 
-// Upkeep orders a machine's upkeep.
+// Upkeep orders the maintenance of a machine in a wave.
 type Upkeep struct {
 	Machine job.MachineID
 	Wave    int64
 }
 
-// SaveWave stores which machines of a wave have had their upkeep, in order with
-// the other saves.
+// SaveWave stores which machines of a wave are done. It is ordered with the other saves.
 type SaveWave struct {
 	Sequence int64
 	Number   int64
 	Done     []job.MachineID
 }
 
-// SaveOrder stores that a machine may have been given an order of late, in order
+// SaveOrder stores that a machine may recently have been given an order. It is ordered
 // with the other saves.
 type SaveOrder struct {
 	Sequence int64
 	Order    MachineOrder
 }
 
-// DropOrder stores that its last order was long ago, in order with the other saves.
+// DropOrder stores that a machine's last order was long ago. It is ordered with the other
+// saves.
 type DropOrder struct {
 	Sequence int64
 	Machine  job.MachineID
 }
 
-// MachineOrder says who gave a machine an order of late.
+// MachineOrder names the holder that recently gave a machine an order.
 type MachineOrder struct {
 	Machine job.MachineID `json:"machine"`
 	Holder  string        `json:"holder"`
 }
 
-// DeleteJob removes what is stored of a job that ended long ago.
+// DeleteJob deletes the stored rows of a job that ended long ago.
 type DeleteJob struct{ Job job.ID }
 
-// PublishWave publishes a wave's state.
+// PublishWave publishes the state of a wave.
 type PublishWave struct {
 	Number int64
 	State  job.WaveState
@@ -133,7 +135,7 @@
 func (Upkeep) command()         {}
 func (PublishWave) command()    {}
 
-// SequenceOf returns the sequence of a save; ok is false if c is another command.
+// SequenceOf returns the sequence number of a save. ok is false for other commands.
 func SequenceOf(c Command) (sequence int64, ok bool) {
 	switch c := c.(type) {
 	case Save:
@@ -161,18 +163,18 @@
 	Born    job.Born      `json:"born,omitempty"`
 }
 
-// Outcome is what came of an order to a VM.
+// Outcome is the result of an order to a VM.
 type Outcome int
 
-// The outcomes.
+// Outcomes of an order.
 const (
 	// Answered: the report holds the answer, which may be a refusal.
 	Answered Outcome = iota
 	// NotDone: the order wasn't carried out and can't be any more.
 	NotDone
-	// Unanswered: it may have been carried out, or may be later.
+	// Unanswered: the order may have been carried out, or may still be.
 	Unanswered
-	// Unhealthy: the VM refused to do anything.
+	// Unhealthy: the VM refuses all orders.
 	Unhealthy
 	// OtherLife: another VM answers at the address.
 	OtherLife
@@ -183,13 +185,14 @@
 	return [...]string{"answered", "not_done", "unanswered", "unhealthy", "other_life"}[o]
 }
 
-// Observer is told of the scheduler's decisions, for logs and figures.
+// Observer receives the scheduler's decisions, for logs and metrics.
 type Observer interface {
-	// Decided is told of a decision about a task or job.
+	// Decided reports a decision about a task, job, VM, machine, wave or availability
+	// zone.
 	Decided(d Decision)
 }
 
-// Decision is one decision with what it rests on.
+// Decision describes one decision and the facts behind it.
 type Decision struct {
 	Kind    DecisionKind
 	Job     job.ID
@@ -197,18 +200,19 @@
 	Attempt job.Attempt
 	VM      job.VMID
 	Reason  string
-	// Age is how old the deciding knowledge is.
+	// Age is the age of the information behind the decision.
 	Age time.Duration
-	// After is how long after the job's arrival this happened.
+	// After is the time since the job's arrival.
 	After time.Duration
-	// Slack is the time left to the job's objective, less what the job is predicted to need.
+	// Slack is the time left until the job's objective, minus the time that the job is
+	// predicted to need.
 	Slack time.Duration
 }
 
 // DecisionKind names a kind of decision.
 type DecisionKind string
 
-// The kinds of decisions.
+// Kinds of decisions.
 const (
 	JobAdopted     DecisionKind = "job_adopted"
 	JobBeyondShare DecisionKind = "job_beyond_share"
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -6,23 +6,24 @@
 	"lavenderpond/core/job"
 )
 
-// shareWindow is the period over which an account may use its share unevenly: callers
-// come in bursts of some seconds.
+// shareWindow is the period over which an account may use its share unevenly. Callers
+// send jobs in bursts of some seconds.
 const shareWindow = 5 * time.Second
 
-// shares tells which jobs are beyond their accounts' shares. When all is full these
-// come last: an account that sends many times its usual would else make the jobs of all
-// others late, since its own arrive first. While there is room they run like any other.
+// shares tracks which jobs exceed their accounts' shares. Such jobs come last when
+// capacity is short, and run like any other job otherwise. Without this, an account that
+// sends many times its usual load would make the jobs of all other accounts late, because
+// its own jobs arrive first.
 type shares map[job.AccountName]*share
 
-// share is the jobs that an account may still hand in, as a token bucket.
+// share is a token bucket of the jobs that an account may still submit.
 type share struct {
 	tokens float64
 	at     time.Time
 }
 
-// exceeds takes in a job of the account and tells whether it is beyond its share. An
-// account without a weight has no share that could be exceeded.
+// exceeds counts a job of the account and reports whether it exceeds the account's share.
+// An account without a weight has no share to exceed.
 func (s shares) exceeds(now time.Time, a *job.Account) bool {
 	if a == nil || a.Weight <= 0 {
 		return false
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -7,35 +7,34 @@
 )
 
 const (
-	// progressInterval is the least time between two readings of a run's progress that are
-	// compared: VMs tell it in whole percents.
+	// progressInterval is the minimum time between two progress readings of a run that
+	// are compared. VMs report progress in whole percents.
 	progressInterval = 300 * time.Millisecond
-	// slowFactor is how many times as long as its siblings a run must be going to
-	// take to be slow. Of sound runs, one in a thousand takes 2.6 times the median of
-	// its step; slow VMs are slower by four to eight times.
+	// slowFactor is how many times longer than its siblings a run must be projected to
+	// take to count as slow. Of the runs on healthy VMs, one in a thousand takes 2.6
+	// times the median of its step. Slow VMs are slower by a factor of four to eight.
 	slowFactor = 3
-	// queueSlowFactor is the same against the usual run of the queue, for runs that have
-	// too few siblings. Run times of a queue vary by half a log unit.
+	// queueSlowFactor is the same factor against the usual run time of the queue, for
+	// runs with too few siblings. Run times within a queue vary by half a log unit.
 	queueSlowFactor = 6
-	// minSiblings is how many siblings on other VMs make a median.
+	// minSiblings is how many siblings on other VMs are needed for a median.
 	minSiblings = 3
-	// minProjectedPercent is the progress, in percent, from which a run's whole time is
-	// projected.
+	// minProjectedPercent is the progress from which a run's total time is projected.
 	minProjectedPercent = 8
-	// slowPause is how long a VM with a slow run gets no new tasks. Its other runs
-	// renew it.
+	// slowPause is how long a VM with a slow run gets no new tasks. Other slow runs there
+	// extend the pause.
 	slowPause = 2 * time.Second
-	// slowStopMargin is how many times as long as a new run elsewhere, with the stop of
-	// this one, a slow run must still be going to take to be given up.
+	// slowStopMargin is how many times longer the rest of a slow run must take than a new
+	// run elsewhere, including the stop of this one, for the slow run to be stopped.
 	slowStopMargin = 1.3
-	// maxSlowStops bounds how often one task is given up as slow.
+	// maxSlowStops limits how often the runs of one task are stopped as slow.
 	maxSlowStops = 2
 )
 
-// checkProgress compares the progress of a run with what its siblings need. A job is
-// late as soon as one of its tasks is: on a VM that is five times as slow, or where
-// tasks stand still, a job that could spare a second ends many seconds late. So the
-// VM gets no new tasks for a while, and the run goes elsewhere if that is sooner.
+// checkProgress compares the progress of a run with that of its siblings. A job is late
+// as soon as one of its tasks is: on a VM that is five times slower, or where tasks make
+// no progress, a job with a second to spare ends many seconds late. So the VM gets no new
+// tasks for a while, and the task moves to another VM if it ends sooner there.
 func (s *Scheduler) checkProgress(now time.Time, r *run) {
 	j, _, st, t := s.task(r.task)
 	if t == nil || st.def.Lasting || st.def.Fills || r.stopping || r.crashSuspect || j.over() {
@@ -52,7 +51,7 @@
 	moved := r.percent - r.progressPercent
 	r.progressAt, r.progressPercent = now, r.percent
 	usual, factor := s.usualRunTime(j, st, r)
-	// So much the run would have moved on if it took factor times the usual.
+	// The run would have progressed this far if it took factor times the usual run time.
 	least := 100 * span.Seconds() / (usual.Seconds() * factor)
 	if usual <= 0 || float64(moved) >= least || r.percent >= 100 {
 		return
@@ -69,7 +68,8 @@
 	}
 }
 
-// remainingTime predicts how long a run still takes that moved by so many percent in span.
+// remainingTime predicts how much longer a run takes that progressed by moved percent
+// within span.
 func remainingTime(span time.Duration, moved, percent int) time.Duration {
 	if moved <= 0 {
 		return math.MaxInt64
@@ -77,8 +77,8 @@
 	return time.Duration(float64(span) * float64(100-percent) / float64(moved))
 }
 
-// usualRunTime returns how long a run of the step usually takes, and how many times
-// that is slow. It is 0 if nothing is known.
+// usualRunTime returns how long a run of the step usually takes, and the factor from
+// which a run counts as slow. The time is 0 if nothing is known.
 func (s *Scheduler) usualRunTime(j *jobState, st *stepState, r *run) (time.Duration, float64) {
 	known := slices.Clone(st.runTimes)
 	for i := range st.tasks {
@@ -99,5 +99,5 @@
 	return time.Duration(math.Exp(q.logRun) * float64(time.Second)), queueSlowFactor
 }
 
-// slow tells whether the VM has had a slow run of late.
+// slow reports whether the VM has recently had a slow run.
 func (v *vmState) slow(now time.Time) bool { return now.Before(v.slowUntil) }
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -7,21 +7,22 @@
 	"lavenderpond/core/lease"
 )
 
-// runPhase is what is known of a run.
+// runPhase is the progress of a run's start, as known to the owner.
 type runPhase int
 
 const (
-	// runPlanned: its room is taken; the start isn't sent yet.
+	// runPlanned: the room is reserved, but the start is not sent yet.
 	runPlanned runPhase = iota
-	// runOrdered: the start is on its way.
+	// runOrdered: the start is sent and not answered yet.
 	runOrdered
-	// runUnanswered: the start had no answer; it may run.
+	// runUnanswered: the start had no answer, so the task may be running.
 	runUnanswered
-	// runConfirmed: the VM has said that it runs.
+	// runConfirmed: the VM has reported the run.
 	runConfirmed
 )
 
-// run is one start of a task on a VM, until nothing of it can run any more.
+// run is one start of a task on a VM. It is kept until it is certain not to execute any
+// more.
 type run struct {
 	task    job.TaskID
 	attempt job.Attempt
@@ -30,46 +31,48 @@
 	// requiredSave is the save that must be stored before the start is sent.
 	requiredSave int64
 	claim        job.Room
-	// account pays with cost, which counts CPU that fills gaps too.
+	// account is charged cost, which includes CPU that the task uses as filler.
 	account job.AccountName
 	cost    job.Room
 	// startBy is the start's deadline on the VM's clock.
 	startBy job.VMClock
-	// confirmedClock is the VM's clock when it confirmed the run.
+	// confirmedClock is the VM's clock reading when it last reported the run.
 	confirmedClock job.VMClock
 	orderedAt      time.Time
 	confirmedAt    time.Time
 	percent        int
 	load           int64
 	pace           int
-	// stopping is set once its end was ordered; resendStop is when to repeat that.
+	// stopping is set once a stop was ordered. resendStop is when to repeat it.
 	stopping   bool
 	resendStop time.Time
-	// stopClock is the VM's clock when it answered the stop; 0 if it hasn't.
+	// stopClock is the VM's clock reading when it answered the stop, or 0 if it hasn't.
 	stopClock job.VMClock
-	// adopted runs were started by a former owner.
+	// adopted runs were started by a previous owner.
 	adopted bool
-	// recorded runs are stored with their job; suspect ones are of a task under which a
-	// VM has crashed.
+	// recorded runs are stored with their job. crashSuspect runs belong to a task under
+	// which a VM has crashed.
 	recorded, crashSuspect bool
-	// isolated runs are of a task that is given up if its VM crashes once more.
+	// isolated runs belong to a task that is given up if its VM crashes once more.
+	// Nothing else starts on their VM.
 	isolated bool
-	// unknownJob runs are of a job that isn't known, so that their claim isn't either.
+	// unknownJob runs belong to a job that isn't known, so their claim isn't known
+	// either.
 	unknownJob bool
-	// lasting, serving and fills tell what kind of task it is.
+	// lasting, serving and fills describe the kind of task.
 	lasting, serving, fills bool
-	// resumed is set if it went on from a checkpoint.
+	// resumed is set if the run continued from a checkpoint.
 	resumed bool
-	// lastList is the number of the VM's last list that showed the run.
+	// lastList is the number of the VM's last list that contained the run.
 	lastList int64
-	// listedAt is when a list last showed its progress; markAt and markPercent are
-	// the reading with which the next one is compared.
+	// listedAt is when a list last contained the run. progressAt and progressPercent are
+	// the earlier reading that the next one is compared with.
 	listedAt        time.Time
 	progressAt      time.Time
 	progressPercent int
 }
 
-// setKind notes what kind of task runs.
+// setKind sets the kind of task that runs.
 func (r *run) setKind(def *job.Step) {
 	r.lasting, r.serving, r.fills = def.Lasting, def.TailTarget > 0, def.Fills
 }
@@ -85,6 +88,7 @@
 	r.phase = p
 }
 
+// taskState is the state of one task of a step.
 type taskState struct {
 	done       bool
 	failed     []job.Attempt
@@ -93,28 +97,29 @@
 	checkpoint job.Checkpoint
 	// notBefore delays the next start after a failure.
 	notBefore time.Time
-	// avoidVM is the VM where the last run failed.
+	// avoidVM is the VM on which the last run failed.
 	avoidVM job.VMID
-	// unavailableSince is when a lasting task was last seen at work, or ended.
+	// unavailableSince is when a lasting task's run ended. It is zero while the task is
+	// available.
 	unavailableSince time.Time
-	// slowStops counts the runs that were given up as slow.
+	// slowStops counts the runs that were stopped as slow.
 	slowStops int
-	// endUnknown is set once a run ended of which no list can tell any more.
+	// endUnknown is set once a run ended in a way that no list can report any more.
 	endUnknown bool
-	// crashes are the VMs that crashed under it; until apartUntil it shares no VM with
-	// another such task.
+	// crashes counts the VMs that crashed under the task. Until separateUntil the task
+	// shares no VM with another such task.
 	crashes       crashes
 	separateUntil time.Time
-	// lapsed are the runs that were freed since their VM's lease was over.
+	// lapsed are the runs that were freed because their VM's lease expired.
 	lapsed []*run
 }
 
-// open tells whether the task waits for a start.
+// open reports whether the task waits for a start.
 func (t *taskState) open() bool {
 	return !t.done && len(t.runs) == 0 && !t.crashes.limitReached() && !t.mayReachCrashLimit()
 }
 
-// live returns the run of the task that isn't stopping, or nil.
+// live returns a run of the task that isn't stopping, or nil.
 func (t *taskState) live() *run {
 	for _, r := range t.runs {
 		if !r.stopping {
@@ -124,30 +129,32 @@
 	return nil
 }
 
+// stepState is the state of one step of an occurrence.
 type stepState struct {
 	def   *job.Step
 	tasks []taskState
 	done  int
 	// open counts the tasks that wait for a start.
 	open int
-	// tickets are the VMs that may run the step, where it needs advice.
+	// tickets holds a ticket for each VM that may run the step, if its queue requires
+	// advice. They are used until ticketsUntil.
 	tickets      map[job.VMID]string
 	ticketsUntil time.Time
 	asked        bool
 	askAt        time.Time
-	// rack is where the step's first task went, if its tasks should share one.
+	// rack is where the step's first task was placed, if its tasks should share a rack.
 	rack job.Label
-	// runTimes are the times of the runs that ended well.
+	// runTimes are the durations of the successful runs.
 	runTimes []time.Duration
 	// longestRun is the longest of them, once all tasks have ended.
 	longestRun time.Duration
-	// gangAttempt is the attempt that all members share.
+	// gangAttempt is the attempt that all members of a gang share.
 	gangAttempt job.Attempt
 }
 
 func (s *stepState) complete() bool { return s.done == len(s.tasks) }
 
-// recount counts the open tasks after one has changed.
+// recount updates the count of open tasks after a task has changed.
 func (s *stepState) recount() {
 	s.open = 0
 	for i := range s.tasks {
@@ -157,6 +164,7 @@
 	}
 }
 
+// occurrence is one scheduled execution of a job's steps.
 type occurrence struct {
 	number int
 	due    time.Time
@@ -164,7 +172,7 @@
 	done   int
 }
 
-// jobState is a job that isn't over.
+// jobState is a job that isn't over, or whose end isn't stored yet.
 type jobState struct {
 	job.Job
 	arrived     time.Time
@@ -172,37 +180,41 @@
 	occurrences []*occurrence
 	doneCount   int
 	begun       bool
-	// placed is set once its first task has been given a VM.
+	// placed is set once the job's first task has been given a VM.
 	placed    bool
 	inherited bool
-	// takenOver jobs were begun by a former owner.
+	// takenOver jobs were begun by a previous owner.
 	takenOver bool
 	lasting   bool
-	// beyondShare is set if its account had handed in more than its share.
+	// beyondShare is set if the job's account had exceeded its share when the job
+	// arrived.
 	beyondShare bool
 	// objective is when the job is due to be complete.
 	objective time.Time
 	late      time.Time
-	// dirty is set while a save of the job is due; saved is the sequence of the last one.
+	// dirty is set while the job must be saved. lastSave is the sequence number of its
+	// last save.
 	dirty    bool
 	lastSave int64
-	// closedAt is when the job was over.
+	// closedAt is when the job ended.
 	closedAt time.Time
-	// places are the VMs on which a task may have been started, and the save that
-	// says so.
+	// places maps each VM on which a task may have been started to the save that records
+	// it.
 	places ordered[job.VMID, int64]
-	// typicalRun is the typical run time of its last complete step; 0 if none is.
+	// typicalRun is the typical run time of the last complete step, or 0 if there is
+	// none.
 	typicalRun time.Duration
-	// zone is where its first task went.
+	// zone is the availability zone of the job's first placed task.
 	zone job.ZoneName
-	// rating is the job's place in the order of its pool, as of ratedAt.
+	// rating is the job's rank in its pool, as of ratedAt.
 	rating  candidate
 	ratedAt time.Time
 }
 
 func (j *jobState) over() bool { return j.state.Final() }
 
-// vmState is one VM as this owner knows it.
+// vmState is the state of a VM as this owner knows it. A VM's life lasts until it crashes
+// or is replaced. The next life may have the same ID, and a greater born.
 type vmState struct {
 	id      job.VMID
 	address string
@@ -213,47 +225,50 @@
 	room    job.Room
 	used    job.Room
 	machine job.MachineID
-	// host is that machine as it is listed, or nil.
+	// host is that machine's state, or nil if it isn't listed.
 	host *machineState
 	born job.Born
-	// entryBorn is the life that the VM's entry in the directory is of.
+	// entryBorn is the life that the VM's directory entry belongs to.
 	entryBorn job.Born
-	// fence is above that of all orders that were sent to a former life: the new one
-	// refuses those that come late.
+	// fence is greater than that of all orders sent to a previous life, so the current
+	// life refuses those that arrive late.
 	fence job.Fence
-	// listed is set while the VM's entry stands in the directory.
+	// listed is set while the VM has an entry in the directory.
 	listed     bool
 	unlistedAt time.Time
 	draining   bool
-	// evacuated is set while the VM's availability zone is.
+	// evacuated is set while the VM's availability zone is being evacuated.
 	evacuated bool
 
 	clock lease.Clock
-	// leaseEnd is the latest deadline that any order carried.
+	// leaseEnd is the latest deadline of any order sent.
 	leaseEnd job.VMClock
 	runs     ordered[runKey, *run]
-	// lasting, serving and fills count the runs of each kind, stopping those whose end
-	// is ordered: their runs need not be looked at in each turn.
+	// lasting, serving and fills count the runs of each kind, and stopping the runs that
+	// were ordered to stop. The counters avoid a scan of all runs in each turn.
 	lasting, serving, fills int
 	stopping                int
 	// crashSuspects counts the runs of tasks under which a VM has crashed.
 	crashSuspects int
-	// isolatedRuns counts the runs beside which nothing starts.
+	// isolatedRuns counts the runs beside which nothing else may start.
 	isolatedRuns int
-	// unknownRuns counts the runs whose claim isn't known: how much room is free isn't either.
+	// unknownRuns counts the runs whose claim is unknown. While there are any, the free
+	// room is unknown too.
 	unknownRuns int
-	// ordered counts the starts that wait for their answer.
+	// ordered counts the starts that wait for an answer.
 	ordered int
-	// unresponsive VMs leave a start without an answer, and nothing was heard of them since.
+	// unresponsive VMs have left a start unanswered and haven't answered anything since.
 	unresponsive bool
-	// looking is set while a look is on its way, which was sent at lookedAt.
+	// looking is set while a look is in flight. lookedAt is when the last one was sent.
 	looking  bool
 	lookedAt time.Time
-	// listClock is the VM's clock of the newest list taken in, lists their number.
+	// listClock is the VM's clock reading of the newest list applied. listCount is the
+	// number of lists applied.
 	listClock job.VMClock
 	listCount int64
 
-	// lastEnd is the last end taken in, noted the last one that is stored.
+	// lastEnd is the number of the last end handled, and noted that of the last one that
+	// is stored. The VM may delete noted ends. unsavedEnds are those in between.
 	lastEnd     int64
 	noted       int64
 	unsavedEnds []unsavedEnd
@@ -263,47 +278,49 @@
 	idleSince time.Time
 	holding   bool
 	heldOnce  bool
-	// firstHeldAt is when it was: from then on it refuses a former owner's orders.
+	// firstHeldAt is when the first hold succeeded. From then on the VM refuses a
+	// previous owner's orders.
 	firstHeldAt time.Time
 	nextHold    time.Time
-	// paceAt is when to look at the pace of filling tasks next.
+	// paceAt is when to adjust the pace of filling tasks next.
 	paceAt     time.Time
 	lastAnswer time.Time
 	silent     bool
-	// silentSince is when it was found silent.
+	// silentSince is when the VM was found silent.
 	silentSince  time.Time
 	holdFailures int
-	// failedRuns counts failed runs since the last that was done.
+	// failedRuns counts the failed runs since the last successful one.
 	failedRuns   int
 	suspectUntil time.Time
-	// slowUntil is when the VM may get tasks again after one was slow there.
+	// slowUntil is when the VM may get tasks again after a slow run.
 	slowUntil time.Time
-	// fullUntil is when the VM may get tasks again after it refused one for want of
-	// room, refusals how often it did so in a row.
+	// fullUntil is when the VM may get tasks again after it refused one for lack of room.
+	// refusals counts such refusals in a row.
 	fullUntil time.Time
 	refusals  int
-	// rosterEntry is what the roster says of the VM, inRoster the save of that: tasks may
-	// start here once it is stored.
+	// rosterEntry is the VM's entry in the roster, and rosterSave the save that stores
+	// it. Tasks may start on the VM once that is stored.
 	rosterEntry RosterVM
 	rosterSave  int64
-	// cordoned VMs get no new tasks since their machine is due for upkeep.
+	// cordoned VMs get no new tasks because their machine is due for maintenance.
 	cordoned bool
-	// vacating VMs get tasks only if no other has room.
+	// vacating VMs get tasks only if no other VM has room.
 	vacating bool
-	// lostStarts are starts without an answer that came too late for this life. A new
-	// life under the same ID would still carry them out.
+	// lostStarts are unanswered starts that this life of the VM can no longer carry out.
+	// A new life under the same ID still could.
 	lostStarts []*run
-	// lifeEnded is set once it is proved that the VM's life has ended.
+	// lifeEnded is set once the VM's life is proved to have ended.
 	lifeEnded bool
-	// lapsed are the runs that were freed since the lease was over, remembered until
-	// lapsedUntil if it isn't known by then whether the VM had crashed.
+	// lapsed are the runs that were freed because the lease expired. They are kept until
+	// it is known whether the VM crashed, or until lapsedUntil.
 	lapsed      []*run
 	lapsedUntil time.Time
-	// inheritedUntil is when nothing of a former owner can run here any more, if the VM
-	// stays silent; zero once it is known what runs here.
+	// inheritedUntil is when no run of a previous owner can remain here if the VM stays
+	// silent. It is zero once the VM's runs are known.
 	inheritedUntil time.Time
 }
 
+// runKey identifies a run on a VM.
 type runKey struct {
 	task    job.TaskID
 	attempt job.Attempt
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Tick does what is due: holds, repeated stops, leases that ran out, upkeep.
+// Tick carries out the periodic work: holds, looks, repeated stops, expired leases,
+// evacuations, maintenance and pool sizes.
 func (s *Scheduler) Tick(now time.Time) {
 	s.anyUnheard = false
 	for _, v := range s.vms.All() {
@@ -28,18 +29,18 @@
 	s.size(now)
 }
 
-// unheard tells whether a former owner's tasks may run on the VM, which hasn't been
-// heard yet.
+// unheard reports whether a previous owner's tasks may run on the VM and this owner
+// hasn't heard from it yet.
 func (v *vmState) unheard() bool { return !v.heldOnce && !v.inheritedUntil.IsZero() }
 
-// nothingDue tells whether nothing can be due on the VM: its hold is on its way, and no
-// start or stop waits for its answer.
+// nothingDue reports whether the VM needs no work in this turn: its hold is in flight,
+// and no start or stop waits for an answer.
 func (v *vmState) nothingDue() bool {
 	return v.holding && v.listed && !v.silent && !v.unresponsive && v.ordered == 0 && v.stopping == 0 && v.fills == 0 && len(v.lostStarts) == 0
 }
 
-// stopOnDraining moves lasting tasks off VMs that leave. Other tasks may end in
-// time; those that don't end with the VM.
+// stopOnDraining stops lasting tasks on draining VMs, so that they move elsewhere. Other
+// tasks may end in time; those that don't are lost with the VM.
 func (s *Scheduler) stopOnDraining(now time.Time) {
 	for _, v := range s.vms.All() {
 		if !v.draining {
