--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -10,23 +10,23 @@
 	"lavenderpond/core/job"
 )
 
-// crashHarness plays VMs that crash and live anew under their IDs.
+// crashHarness simulates VMs that crash and restart under the same ID.
 type crashHarness struct {
 	*harness
 	lives map[job.VMID]*life
-	// full VMs have no room for the moment.
+	// full makes the VMs temporarily refuse tasks for lack of room.
 	full bool
-	// pendingStarts are starts that were ordered meanwhile.
+	// pendingStarts are starts that answerStops collected for startOf.
 	pendingStarts []Start
 }
 
-// life is the present life of a VM.
+// life is the current life of a VM.
 type life struct {
 	born  job.Born
 	since time.Time
 }
 
-// newCrashHarness returns VMs that take tasks.
+// newCrashHarness returns a harness with VMs that accept tasks.
 func newCrashHarness(t *testing.T, ids ...string) *crashHarness {
 	c := &crashHarness{harness: newHarness(t), lives: map[job.VMID]*life{}}
 	for _, id := range ids {
@@ -36,22 +36,23 @@
 	return c
 }
 
+// report returns a report by the current life of a VM.
 func (c *crashHarness) report(vm job.VMID) job.Report {
 	l := c.lives[vm]
 	return job.Report{Clock: job.VMClock(c.now.Sub(l.since).Milliseconds()), Born: l.born}
 }
 
-// confirm answers a start.
+// confirm answers a start positively.
 func (c *crashHarness) confirm(o Start) { c.s.StartAnswered(c.now, o, Answered, c.report(o.VM)) }
 
-// list answers a hold.
+// list answers a hold of a VM with the given lists.
 func (c *crashHarness) list(vm job.VMID, running []job.RunningTask, ended ...job.End) {
 	r := c.report(vm)
 	r.Lists, r.Running, r.Finished = true, running, ended
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Answered, r)
 }
 
-// listAll answers a hold of each VM but those left out, all of which run nothing.
+// listAll answers a hold of each VM, except those given, with empty lists.
 func (c *crashHarness) listAll(without ...job.VMID) {
 	for _, id := range c.s.VMs() {
 		out := false
@@ -67,14 +68,14 @@
 	}
 }
 
-// crash ends a VM's life; it is back three seconds later, under the same ID.
+// crash ends a VM's life. The VM returns three seconds later under the same ID.
 func (c *crashHarness) crash(vm job.VMID) {
 	c.step(30 * time.Millisecond)
 	c.silence(vm, 3*time.Second)
 	c.revive(vm)
 }
 
-// silence makes a VM silent for a while, in which no task starts elsewhere.
+// silence makes a VM silent for d and checks that no task starts elsewhere meanwhile.
 func (c *crashHarness) silence(vm job.VMID, d time.Duration) {
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Unanswered, job.Report{})
 	for until := c.now.Add(d); c.now.Before(until); {
@@ -83,7 +84,7 @@
 	}
 }
 
-// revive brings a VM back under the same ID.
+// revive restarts a VM under the same ID.
 func (c *crashHarness) revive(vm job.VMID) {
 	l := c.lives[vm]
 	l.born++
@@ -92,8 +93,8 @@
 	c.list(vm, nil)
 }
 
-// startOf returns the next start of a task; false if there is none within 5 s. All VMs
-// answer with empty lists meanwhile, which ends nothing: the task has no run.
+// startOf returns the next start of a task, or false if there is none within 5 s.
+// Meanwhile all VMs answer with empty lists, which end no run because the task has none.
 func (c *crashHarness) startOf(task job.TaskID) (Start, bool) {
 	for range 50 {
 		starts := append(c.pendingStarts, only[Start](c.step(100*time.Millisecond))...)
@@ -117,8 +118,8 @@
 	c.pendingStarts = append(c.pendingStarts, only[Start](commands)...)
 }
 
-// startsUntilGivenUp hands in a job of one task, lets crash end each start of it, and returns
-// how often it was started.
+// startsUntilGivenUp submits a job of one task, passes each start of it to crash, and
+// returns how often it was started.
 func (c *crashHarness) startsUntilGivenUp(step job.Step, crash func(o Start)) int {
 	c.job("j", "free", step)
 	for n := range 12 {
@@ -138,11 +139,11 @@
 	assert.Assert(c.t, n >= 2 && n <= maxStarts, "%d starts", n)
 }
 
-// maxStarts is what the users allow: two more after the third crash.
+// maxStarts is the most that users accept: two starts after the third crash.
 const maxStarts = 5
 
-// Guards against a task that takes down one VM after the other, since runs that end with
-// their VM count as nothing.
+// Guards against a task that crashes one VM after the other because runs that end with
+// their VM don't count as failed.
 func TestTaskThatCrashesItsVMsIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{0, 100 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
 		for _, step := range []job.Step{small, {Count: 1, Room: small.Room, Lasting: true}} {
@@ -172,7 +173,7 @@
 	}))
 }
 
-// Guards against a crash that isn't counted since the VM comes back under a new ID.
+// Guards against a crash that isn't counted because the VM returns under a new ID.
 func TestCrashCountsWhenTheMachineHasANewLife(t *testing.T) {
 	h := newHarness(t)
 	h.ready("vm-0")
@@ -199,7 +200,7 @@
 	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 }
 
-// Guards against a crash that isn't counted since the VM is back only after the lease.
+// Guards against a crash that isn't counted because the VM returns only after its lease.
 func TestCrashCountsWhenTheVMIsBackAfterItsLease(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three", "four")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
@@ -212,7 +213,8 @@
 	}))
 }
 
-// Guards against a count that is lost with its owner: each of many owners sees one crash.
+// Guards against crash counts that are lost with the owner. Each of many owners sees one
+// crash.
 func TestCrashesOutlastTheirOwner(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
@@ -226,7 +228,7 @@
 	}))
 }
 
-// takeOver puts a new owner in place of this one, who reads what is stored.
+// takeOver replaces the scheduler by that of a new owner, which reads what is stored.
 func (c *crashHarness) takeOver(id job.ID, steps ...job.Step) {
 	former := c.s
 	c.s = New(Settings{
@@ -247,7 +249,7 @@
 	}
 }
 
-// Guards against a job that is given up since its VM was emptied in an orderly way.
+// Guards against a job that is given up because its VM was drained.
 func TestVMThatLeavesIsNoCrash(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", small)
@@ -261,8 +263,8 @@
 	}
 }
 
-// Guards against innocent tasks that are lost again and again beside the one that crashes
-// their VM: those that lost a VM share none with each other.
+// Guards against harmless tasks that are lost repeatedly beside the one that crashes
+// their VM. Tasks that lost a VM must not share one.
 func TestTasksThatLostAVMAreKeptApart(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("bad", "free", small)
@@ -279,7 +281,7 @@
 	assert.Assert(t, again[0].VM != again[1].VM)
 }
 
-// Guards against lasting tasks that are given up after years with three crashes.
+// Guards against lasting tasks that are given up because of three crashes over years.
 func TestStableLastingTaskIsCleared(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 1, Room: small.Room, Lasting: true})
@@ -296,7 +298,8 @@
 	}
 }
 
-// Guards against a lasting job that loses all of its tasks since one of them crashes VMs.
+// Guards against a lasting job that loses all of its tasks because one of them crashes
+// VMs.
 func TestSiblingsOfAGivenUpLastingTaskGoOn(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 2, Room: small.Room, Lasting: true, MaxPerVM: 1, MayMiss: 1, HasMayMiss: true})
@@ -325,7 +328,8 @@
 	assert.Equal(t, c.s.jobs.Get("j").state, job.Running)
 }
 
-// Guards against one start too many of a task whose last VM may have crashed or be cut off.
+// Guards against one start too many of a task whose last VM may have crashed or only be
+// cut off.
 func TestTaskAtItsCrashLimitWaitsForItsVM(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three", "four", "five", "six")
 	c.job("j", "free", small)
@@ -348,7 +352,8 @@
 	}
 }
 
-// Guards against innocent tasks that are blamed as if they had been alone on their VM, since the others there were freed first.
+// Guards against harmless tasks that are blamed as if they had been alone on their VM
+// because the other tasks there were freed first.
 func TestTasksThatLostAVMTogetherWereNotAlone(t *testing.T) {
 	for name, after := range map[string]time.Duration{"within the lease": 3 * time.Second, "after it": 8 * time.Second} {
 		c := newCrashHarness(t, "one", "two", "three")
@@ -370,7 +375,8 @@
 	}
 }
 
-// Guards against an innocent task that is given up since its last VM crashed under another one: nothing starts beside a task whose next crash is its last.
+// Guards against a harmless task that is given up because its last VM crashed under
+// another task. Nothing may start beside a task whose next crash is the last.
 func TestNothingStartsBesideAnIsolatedTask(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 1, Room: small.Room, Lasting: true})
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -9,9 +9,9 @@
 	"lavenderpond/core/job"
 )
 
-// A VM loses power and never answers again. Each hold that is sent to it may
-// still be carried out for all its owner knows. If those holds extended the
-// lease, it would never run out, and the task would never run again.
+// Guards against a task that never runs again after its VM lost power. Each hold sent to
+// the VM may still be carried out, as far as the owner knows. If those holds extended the
+// lease, it would never expire.
 func TestLeaseOfSilentVMRunsOut(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -39,8 +39,8 @@
 	assert.Assert(t, h.now.Sub(begin) > 6*time.Second, "freed after %s, while its lease may last", h.now.Sub(begin))
 }
 
-// A start gets no answer. Its task may run until a list that was taken after the
-// start's deadline lacks it; an earlier list proves nothing.
+// Guards against a second run of a task whose start had no answer. Only a list taken
+// after the start's deadline proves that the task doesn't run.
 func TestUnansweredStartIsFreedByALaterList(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -56,9 +56,9 @@
 	assert.Assert(t, again.Order.Attempt > start.Order.Attempt)
 }
 
-// A start gets no answer and is freed; then its VM crashes and lives anew under
-// the same ID. The order may still arrive there, and the new life's clock is
-// behind its deadline: it is barred by name.
+// Guards against a start that a restarted VM carries out late. The unanswered start was
+// freed, and the VM then restarted under the same ID. The new clock is behind the start's
+// deadline, so the run must be stopped explicitly.
 func TestLostStartIsStoppedAtANewLife(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -74,8 +74,8 @@
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
 
-// A feed that resumes tells again of a job that has been run and forgotten since.
-// Running it anew would run every task of it twice.
+// Guards against a second execution of a whole job. A resumed feed may repeat a job that
+// has ended and been dropped from memory.
 func TestEndedJobIsNotRunAgain(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -90,8 +90,8 @@
 	assert.Equal(t, len(only[Start](h.step(time.Second))), 0)
 }
 
-// An end is noted at its VM only once it is stored: a VM forgets noted ends, and
-// an owner that dies in between would leave nobody who knows.
+// Guards against an end that is lost with its owner. A VM deletes noted ends, so an end
+// is noted only once it is stored.
 func TestEndIsStoredBeforeItIsNoted(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -111,9 +111,9 @@
 	assert.Equal(t, one[Hold](h, h.step(30*time.Millisecond)).Order.Noted, int64(1))
 }
 
-// A start goes to a VM whose hold is still waiting. The hold must have extended
-// the lease when it was sent: the start's own deadline is over long before the
-// next hold.
+// Guards against a lease that expires under a task started during a hold. The start's own
+// deadline passes long before the next hold, so the hold must have extended the lease
+// when it was sent.
 func TestIdleVMIsHeldWithADeadline(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -122,8 +122,8 @@
 	assert.Assert(t, hold.Order.Deadline >= h.clock()+5000, "%+v", hold.Order)
 }
 
-// A new owner can't reach a VM. What runs there isn't known: the VM's machine
-// must not have its upkeep, however empty it looks.
+// Guards against maintenance of a machine whose VM a new owner hasn't reached. The VM
+// looks empty, but what runs there isn't known.
 func TestUnheardVMIsNotTakenAway(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
@@ -141,8 +141,9 @@
 	assert.Equal(t, len(only[Upkeep](h.step(100*time.Millisecond))), 1)
 }
 
-// The machines list was asked for before the order for an upkeep was answered. It
-// still shows the machine as up; the next one may go only when a later list does.
+// Guards against a stale machines list that ends a maintenance. The list was requested
+// before the order was answered and still shows the machine as up. The next machine may
+// go only when a later list shows that.
 func TestOlderListDoesNotEndAnUpkeep(t *testing.T) {
 	h := newHarness(t)
 	list := func(asked time.Time, state job.MachineState) {
@@ -164,8 +165,8 @@
 	assert.Assert(t, second.Machine != first.Machine)
 }
 
-// An order is refused as busy since an earlier one, whose answer was lost, is
-// being carried out. The machine is away and counts against the wave's bound.
+// Guards against exceeding a wave's limit. A machine refuses an order as busy because an
+// earlier order, whose answer was lost, is being carried out. It counts as away.
 func TestBusyMachineCountsAsAway(t *testing.T) {
 	h := newHarness(t)
 	h.s.Machines(h.now, []job.Machine{
@@ -180,8 +181,8 @@
 	assert.Equal(t, len(only[Upkeep](h.step(time.Second))), 0)
 }
 
-// A lasting step may miss one task. One runs on a VM that has fallen silent, so
-// the upkeep of another one's VM has to wait.
+// Guards against more missing tasks than a lasting step allows. One task's VM is silent,
+// so the maintenance of the other's VM has to wait.
 func TestUpkeepWaitsWhileATaskIsAway(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -210,8 +211,8 @@
 	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 1)
 }
 
-// The first start on a VM is sent only once it is stored that the job may run
-// there: a new owner that can't reach the VM must know that it has to wait.
+// Guards against a start that is sent before it is stored that the job may run on the VM.
+// A new owner that can't reach the VM must know that it has to wait.
 func TestPlaceIsStoredBeforeTheStart(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -225,8 +226,8 @@
 	one[Start](h, h.s.Take())
 }
 
-// A new owner knows that a job may run on a VM out of reach, and that another may
-// not. Only the first waits.
+// Guards against jobs that wait without need. A new owner can't reach a VM; only jobs
+// that may run there wait for its lease.
 func TestOnlyJobsThatMayRunUnheardWait(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
@@ -245,8 +246,8 @@
 	assert.Equal(t, start.Order.Task.Job, job.ID("there"))
 }
 
-// An account has tasks on VMs that a new owner hasn't heard. They count against
-// its cap until it is certain that they are over.
+// Guards against exceeding an account's cap. Its tasks on VMs that a new owner hasn't
+// heard from count until they have certainly ended.
 func TestUnheardTasksCountAgainstTheCap(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
@@ -258,10 +259,10 @@
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
 }
 
-// A former owner is cut off from the table but not from its VMs. It has seen the end of
-// a step that the new owner hasn't, and starts the next one, which is wider. An account
-// would have more running than it may if only the steps counted that the new owner
-// knows to be next.
+// Guards against exceeding an account's cap. A previous owner is cut off from the table
+// but not from its VMs. It has seen the end of a step that the new owner hasn't, and
+// starts the next, wider step. So all later steps count as well, not only those that the
+// new owner knows to be next.
 func TestLaterUnheardStepsCountAgainstTheCap(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
@@ -276,9 +277,9 @@
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
 }
 
-// An owner doesn't reach the table for a second; another may have taken over and move
-// lasting tasks for the same upkeep. If both did, more tasks of a step would be away
-// than it may miss. What is to start still starts.
+// Guards against two owners that both move lasting tasks for the same maintenance, which
+// would take more tasks of a step away than it may miss. An owner that hasn't reached the
+// table for a second moves none. New tasks still start.
 func TestOldProofMovesNoLastingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -297,8 +298,9 @@
 	assert.Equal(t, len(only[Stop](h.step(0))), 1)
 }
 
-// The same machine gets orders from two owners in a row. The second one waits
-// until the first one's orders are long enough ago; other machines don't wait.
+// Guards against orders from two owners to the same machine in quick succession. The
+// second owner waits until the first one's orders are old enough, but not for other
+// machines.
 func TestMachineOfAFormerHolderWaits(t *testing.T) {
 	h := newHarness(t)
 	h.s = New(Settings{
@@ -313,8 +315,8 @@
 	assert.Equal(t, one[Upkeep](h, h.step(time.Second)).Machine, job.MachineID("m-1"))
 }
 
-// Jobs that fail use up their attempts and are shown as failed; an end that is
-// listed again after a take-over counts once.
+// Guards against a failed run that counts twice because its end is listed again after a
+// take-over. A job whose attempts are used up must end as failed.
 func TestFailedRunsAreCountedOnce(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -333,8 +335,8 @@
 	assert.Equal(t, saves[len(saves)-1].Progress.State, job.Failed)
 }
 
-// A cancelled job's runs are stopped, again and again until they are gone, and
-// nothing of it starts.
+// Guards against runs that survive the cancellation of their job. Stops are repeated
+// until the runs are gone, and nothing of the job starts.
 func TestCancelStopsWhatRuns(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -349,9 +351,9 @@
 	assert.Equal(t, len(only[Stop](commands))+len(only[Start](commands)), 0)
 }
 
-// A former owner has ordered a lasting task's end and is gone. Until it has
-// stopped, the VM lists the task as at work, and the new owner doesn't know of the
-// order. Another task of its step must not be stopped meanwhile.
+// Guards against stopping two tasks of a step that may miss only one. A previous owner
+// has ordered a lasting task's end. Until it has stopped, the VM lists the task as
+// available, and the new owner doesn't know of the order.
 func TestUpkeepWaitsForStopsOfAFormerOwner(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -374,8 +376,8 @@
 	assert.Equal(t, len(only[Stop](h.step(2*time.Second))), 0, "the other task is away")
 }
 
-// Rows of jobs that ended long ago go away, or each new owner would read all jobs
-// that there ever were. Until then a repeated submission is still the same job.
+// Guards against job rows that are never deleted, all of which each new owner would read.
+// Until they are deleted, a repeated submission must be recognized.
 func TestEndedJobsAreForgottenInTheEnd(t *testing.T) {
 	h := newHarness(t)
 	h.s.Ended(h.now, "old")
@@ -384,8 +386,9 @@
 	assert.Equal(t, len(only[DeleteJob](h.step(7*time.Minute))), 0)
 }
 
-// Two lasting tasks may not share a VM. Their pool has one; the other one's VMs
-// stand idle. A machine comes, or one task would never run.
+// Guards against a lasting task that never runs because its pool has too few VMs. Two
+// tasks must not share a VM, and their pool has only one while another pool has idle
+// machines. A machine must be moved.
 func TestPoolGetsVMsForLastingTasks(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -399,9 +402,9 @@
 	assert.Equal(t, one[Move](h, commands), Move{Machine: "m-off", Pool: poolA})
 }
 
-// A serving task finds room only beside a filling one. As its tail nears its
-// target the filling task is slowed, then halted, and sped up again once there is
-// room, before users have waited too long for seconds on end.
+// Guards against users who wait too long for seconds on end. A serving task finds room
+// only beside a filling one. As its tail latency nears the target, the filling task is
+// slowed and then halted. It is sped up again once there is room.
 func TestFillingTaskGivesWay(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -423,7 +426,7 @@
 	}
 }
 
-// Tasks that fill are not placed beside one that serves.
+// Guards against filling tasks that are placed beside a serving one.
 func TestFillingTaskKeepsAway(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -433,7 +436,8 @@
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 }
 
-// Guards against a run that is freed by a list of the very millisecond in which its VM took the stop: it may have begun in between.
+// Guards against a run that is freed by a list of the same millisecond in which its VM
+// accepted the stop. The run may have begun in between.
 func TestListOfTheStopsMillisecondFreesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -9,10 +9,12 @@
 	"lavenderpond/core/job"
 )
 
-// loseOrderRight takes away the right that only an owner has that has proved its tenure just now.
+// loseOrderRight removes the right that only an owner has that has recently proved its
+// tenure.
 func (h *harness) loseOrderRight() { h.s.SetRights(Rights{Start: true, Hold: true}) }
 
-// Guards against a former owner that starts a task again elsewhere since it can't reach its VM, where the present owner has noted the end.
+// Guards against a former owner that starts a task again elsewhere because it can't reach
+// the task's VM. The present owner may have noted the end there.
 func TestFormerOwnerRestartsNothingThatLapsed(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
@@ -33,7 +35,8 @@
 	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that starts a task again since its VM lives anew: the end may have been noted before.
+// Guards against a former owner that starts a task again because its VM has restarted.
+// The end may have been noted before.
 func TestFormerOwnerRestartsNothingThatItsVMLost(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
@@ -49,7 +52,8 @@
 	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that takes a VM out of its reach for free, where the present owner has found tasks.
+// Guards against a former owner that assumes an unreachable VM to be free. The present
+// owner may have found tasks there.
 func TestFormerOwnerStartsNothingThatMayRunUnheard(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -10,20 +10,23 @@
 	"lavenderpond/core/job"
 )
 
-// harness plays events against a scheduler, one VM after the other.
+// harness feeds events to a scheduler and collects its commands.
 type harness struct {
 	t   testing.TB
 	s   *Scheduler
 	now time.Time
 }
 
+// begin is the time at which each test starts.
 var begin = time.Unix(1_800_000_000, 0)
 
+// poolA is the pool of the tests' queue, and off a standby pool.
 const (
 	poolA = job.PoolName("a")
 	off   = job.PoolName("off")
 )
 
+// newHarness returns a harness with a configuration and all rights.
 func newHarness(t testing.TB) *harness {
 	h := &harness{t: t, now: begin}
 	h.s = New(Settings{
@@ -42,8 +45,8 @@
 	return h
 }
 
-// step lets d pass and returns the commands of one turn. What is saved is stored
-// at once.
+// step advances the time by d and returns the commands of three turns. Saves are stored
+// immediately.
 func (h *harness) step(d time.Duration) []Command {
 	h.now = h.now.Add(d)
 	var out []Command
@@ -59,14 +62,17 @@
 	return out
 }
 
+// store confirms c as stored if it is a save.
 func (h *harness) store(c Command) {
 	if sequence, ok := SequenceOf(c); ok {
 		h.s.Stored(h.now, sequence)
 	}
 }
 
+// seen feeds a VM's directory entry to the scheduler.
 func (h *harness) seen(id string) { h.seenInZone(id, "") }
 
+// seenInZone is seen for a VM in an availability zone.
 func (h *harness) seenInZone(id string, zone job.ZoneName) {
 	h.s.VMSeen(h.now, job.VMEntry{
 		ID: job.VMID(id), Pool: poolA, Address: id, Zone: zone, Room: job.Room{CPU: 8000, MemMB: 8000},
@@ -74,16 +80,17 @@
 	})
 }
 
-// clock is the reading of all VMs' clocks.
+// clock returns the clock reading of all VMs.
 func (h *harness) clock() job.VMClock { return job.VMClock(h.now.Sub(begin).Milliseconds()) + 1000 }
 
+// lists answers a hold of the VM with the given lists.
 func (h *harness) lists(id string, running []job.RunningTask, ended ...job.End) {
 	h.s.HoldAnswered(h.now, Hold{VM: job.VMID(id)}, Answered, job.Report{
 		Clock: h.clock(), Born: 1, Lists: true, Running: running, Finished: ended,
 	})
 }
 
-// ready brings VMs up to the point where they take tasks.
+// ready lets VMs appear and answer a hold, after which they accept tasks.
 func (h *harness) ready(ids ...string) {
 	for _, id := range ids {
 		h.seen(id)
@@ -95,21 +102,24 @@
 	h.step(30 * time.Millisecond)
 }
 
+// job adds a job of the given steps.
 func (h *harness) job(id string, account job.AccountName, steps ...job.Step) {
 	j := job.Job{ID: job.ID(id), Body: job.Body{Spec: "x", Steps: steps}}
 	j.Terms = job.Terms{Queue: "q", Pool: poolA, Account: account, Attempts: 2, Stretch: 1.6, Latency: time.Second}
 	h.s.AddJob(h.now, j, nil, false)
 }
 
-// confirm answers a start.
+// confirm answers a start positively.
 func (h *harness) confirm(c Start) {
 	h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1})
 }
 
+// running returns a list entry for the run that c started.
 func running(c Start, percent int) job.RunningTask {
 	return job.RunningTask{Task: c.Order.Task, Attempt: c.Order.Attempt, Percent: percent}
 }
 
+// only returns the commands of type T.
 func only[T Command](commands []Command) []T {
 	var out []T
 	for _, c := range commands {
@@ -120,7 +130,7 @@
 	return out
 }
 
-// one returns the only command of its kind.
+// one returns the only command of type T, and fails the test if there isn't exactly one.
 func one[T Command](h *harness, commands []Command) T {
 	h.t.Helper()
 	out := only[T](commands)
@@ -128,4 +138,5 @@
 	return out[0]
 }
 
+// small is a step of one short task.
 var small = job.Step{Count: 1, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second}
--- a/core/schedule/look_test.go
+++ b/core/schedule/look_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// looks returns the looks among commands.
+// looks returns the looks among the commands.
 func looks(commands []Command) []Hold {
 	var out []Hold
 	for _, h := range only[Hold](commands) {
@@ -20,15 +20,15 @@
 	return out
 }
 
-// answerLook answers a look with what runs on the VM.
+// answerLook answers a look with the given running tasks.
 func (h *harness) answerLook(c Hold, running ...job.RunningTask) {
 	h.s.HoldAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Lists: true, Running: running})
 }
 
-// A VM keeps a start back and carries it out seconds later. The caller's job would
-// wait for the start's timeout, its deadline and the next list, about a second;
-// what is due in two is late then. The VM is asked, the start is barred by name,
-// and the task begins elsewhere within a few turns.
+// Guards against a job that is late because a VM delays a start by seconds. Waiting for
+// the start's timeout, its deadline and the next list would take about a second, too long
+// for a job that is due in two. Instead the VM is asked, the start is stopped, and the
+// task starts elsewhere within a few turns.
 func TestUnansweredStartGoesElsewhereSoon(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -50,8 +50,8 @@
 	assert.Assert(t, again.Order.Attempt > lost.Order.Attempt)
 }
 
-// The start was carried out and only its answer is lost: the list shows the run,
-// and it goes on.
+// Guards against a run that is stopped because only the answer to its start was lost. The
+// list shows that it runs.
 func TestLostAnswerOfAStartCostsNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -65,9 +65,9 @@
 	assert.Equal(t, h.s.jobs.Get("j").state, job.Running)
 }
 
-// A VM goes dark. Each start that it is still given stays with it for the whole
-// lease, and the caller's job is late. After the first start without an answer it
-// gets no more, until it is heard again.
+// Guards against further starts on a VM that has become unreachable. Each would occupy
+// its task for the whole lease and make the job late. After the first unanswered start
+// the VM gets no more until it answers.
 func TestSilentVMGetsNoMoreStarts(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -80,8 +80,8 @@
 	assert.Equal(t, len(only[Start](h.step(time.Millisecond))), 1)
 }
 
-// A look is answered before a hold that was carried out earlier. The hold's list
-// is older: a run that has ended since must not come back to life with it.
+// Guards against a run that reappears after its end. The answer to a look arrives before
+// that to an earlier hold, whose list is older.
 func TestOlderListIsNotTaken(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/noted_test.go
+++ b/core/schedule/noted_test.go
@@ -9,12 +9,12 @@
 	"lavenderpond/core/job"
 )
 
-// end is the end of a run that was ordered.
+// end returns the end of the run that c started.
 func end(number int64, c Start, how job.Ending) job.End {
 	return job.End{Number: number, Task: c.Order.Task, Attempt: c.Order.Attempt, How: how}
 }
 
-// notedAt returns the highest number that a hold or look among the commands notes at the VM.
+// notedAt returns the highest number that a hold among the commands notes at the VM.
 func notedAt(commands []Command, vm job.VMID) int64 {
 	noted := int64(0)
 	for _, c := range only[Hold](commands) {
@@ -25,7 +25,7 @@
 	return noted
 }
 
-// confirmedStarts returns the starts of this turn, n of them, which all have begun.
+// confirmedStarts returns the n starts of the next turn, all of them confirmed.
 func (h *harness) confirmedStarts(n int) []Start {
 	h.t.Helper()
 	starts := only[Start](h.step(0))
@@ -36,8 +36,8 @@
 	return starts
 }
 
-// checkNotedOnceStored checks that the VM's first end is noted once the save is stored, and
-// not before.
+// checkNotedOnceStored checks that the VM's first end is noted once the save is stored,
+// and not before.
 func (h *harness) checkNotedOnceStored(vm job.VMID, save Save) {
 	h.t.Helper()
 	for range 20 {
@@ -48,8 +48,8 @@
 	assert.Equal(h.t, notedAt(h.turn(100*time.Millisecond), vm), int64(1))
 }
 
-// Guards against a VM that forgets a task's end while the rows still show the task's job as
-// running: a job fails, and its save is on its way when the end of a sibling is listed.
+// Guards against a VM that deletes a task's end while the stored job still counts as
+// running. The job fails, and its save is in flight when the end of a sibling is listed.
 func TestEndOfAFailedJobIsNotedOnceTheFailureIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -66,8 +66,8 @@
 	h.checkNotedOnceStored(good.VM, failure)
 }
 
-// Guards against VMs that forget the ends of a gang while the one end that stands for all
-// is not stored.
+// Guards against VMs that delete the ends of a gang before the one end that counts for
+// all members is stored.
 func TestEndsOfAGangAreNotedOnceOneIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -80,8 +80,8 @@
 	h.checkNotedOnceStored(second.VM, done)
 }
 
-// Guards against a new life of a VM that forgets its first ends: a hold that was sent
-// before the owner knew of that life carries a number of the former one.
+// Guards against a new life of a VM that deletes its first ends. A hold that was sent
+// before the owner knew of that life carries a number of the previous one.
 func TestHoldToASilentVMNotesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/notedorder_test.go
+++ b/core/schedule/notedorder_test.go
@@ -9,7 +9,8 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against an end that is noted, with all before it, while one before it is not stored.
+// Guards against an end that is noted, along with all before it, while one before it is
+// not stored.
 func TestEndBehindAnUnstoredOneIsNotNoted(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -26,7 +27,7 @@
 	assert.Equal(t, notedAt(h.turn(time.Second), "one"), int64(2))
 }
 
-// Guards against an end that is noted by the save of another one.
+// Guards against an end that is noted because the save of another one is stored.
 func TestStoredSaveNotesNoLaterEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -47,7 +48,8 @@
 	}
 }
 
-// Guards against numbers of a former life that count for the new one: its ends are passed over, or forgotten before anybody has seen them.
+// Guards against end numbers of a previous life that count for the new one. Its ends
+// would be skipped, or deleted before anyone has seen them.
 func TestNumbersOfAFormerLifeAreForgotten(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/otherlife_test.go
+++ b/core/schedule/otherlife_test.go
@@ -9,7 +9,9 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against a second run of a task that a new life has begun: answers to starts don't say which life gave them, and the directory tells of a new life before a list does.
+// Guards against a second run of a task that a new life of its VM has begun. Answers to
+// starts don't say which life gave them, and the directory may report a new life before a
+// list does.
 func TestStartThatANewLifeHasAnsweredIsNotFreed(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -30,7 +32,9 @@
 	assert.Assert(t, !h.s.jobs.Has("j"), "it is completed and stored")
 }
 
-// Guards against a lease that outlasts the owner's reckoning: a new life that takes a start grants a whole lease from then on, though the former life's deadlines are over sooner.
+// Guards against a lease that lasts longer than the owner assumes. A new life that
+// carries out a start grants a full lease from then on, although the deadlines of the
+// previous life pass earlier.
 func TestLeaseOfANewLifeCountsFromItsStart(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -54,7 +58,8 @@
 	}
 }
 
-// Guards against a new life that forgets its first ends: looks go to a VM that leaves a start unanswered, long before its hold fails and it counts as silent.
+// Guards against a new life that deletes its first ends. Looks go to a VM that leaves a
+// start unanswered, long before its hold fails and it counts as silent.
 func TestLookNotesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -72,7 +77,8 @@
 	assert.Equal(t, look[0].Order.Noted, int64(0))
 }
 
-// Guards against a start that a new life carries out late, its task being at work elsewhere: the VM is forgotten seconds before that can't happen any more.
+// Guards against a start that a new life carries out late while its task runs elsewhere.
+// The VM's state is deleted seconds before that becomes impossible.
 func TestLostStartIsStoppedAtANewLifeOfAForgottenVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -96,7 +102,8 @@
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
 
-// Guards against a second run of a task whose end is not among those that a VM lists at a time.
+// Guards against a second run of a task whose end is beyond the number of ends that a VM
+// lists at a time.
 func TestListWithoutAllEndsFreesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -115,7 +122,8 @@
 	assert.Assert(t, !h.s.jobs.Has("j"), "it is completed and stored")
 }
 
-// Guards against the clock of a former life that is taken for the new one's: a start that it has answered comes in after the directory told of the new life.
+// Guards against a clock reading of the previous life that is taken for one of the new
+// life. The answer to a start arrives after the directory reported the new life.
 func TestLateAnswerOfAFormerLifeIsNotTaken(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -142,7 +150,8 @@
 	assert.Assert(t, again[0].Order.Deadline < 5000, "deadline %d", again[0].Order.Deadline)
 }
 
-// Guards against a second run of a task that a former owner began in a new life without knowing of that life: the roster names the life before.
+// Guards against a second run of a task that a previous owner began on a new life without
+// knowing of that life. The roster names the life before it.
 func TestNewLifeOfAnInheritedVMIsHeardFirst(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
@@ -155,7 +164,8 @@
 	assert.Equal(t, len(only[Start](h.step(0))), 1)
 }
 
-// Guards against a second run of a task whose end doesn't fit into the first list that a new owner gets of its VM.
+// Guards against a second run of a task whose end doesn't fit into the first list that a
+// new owner gets from its VM.
 func TestVMIsHeardOnceItListsAllEnds(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
@@ -173,7 +183,8 @@
 	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 1)
 }
 
-// Guards against a run that is never freed: a stop that the former life took says nothing of the new one.
+// Guards against a run that is never freed. A stop that the previous life accepted
+// doesn't affect the new one.
 func TestStopTakenByAFormerLifeIsSentAgain(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -192,7 +203,8 @@
 	assert.Equal(t, h.s.vms.Get("one").runs.Len(), 0)
 }
 
-// Guards against orders to a former life that a new one carries out late: a hold that notes its ends, or a start.
+// Guards against orders to a previous life that a new one carries out late: a start, or a
+// hold that notes ends.
 func TestOrdersToANewLifeInvalidateThoseToTheFormer(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -10,7 +10,8 @@
 	"lavenderpond/core/job"
 )
 
-// newSharesHarness has two accounts with a share of two jobs a second each.
+// newSharesHarness returns a harness with two accounts, each with a share of two jobs a
+// second.
 func newSharesHarness(t testing.TB) *harness {
 	h := newHarness(t)
 	c := &job.Configuration{
@@ -24,9 +25,10 @@
 	return h
 }
 
-// One account sends forty jobs at once, another a single one a moment later. The VM
-// takes eight tasks at a time. The single job's caller is served with the next task
-// that ends; in the order of arrival it would wait for four rounds and be late.
+// Guards against an account that delays the jobs of others. One account sends forty jobs
+// at once, another a single job a moment later, and the VM takes eight tasks at a time.
+// The single job must start when the first tasks end. In order of arrival it would wait
+// for four rounds and be late.
 func TestHotAccountDoesNotHoldUpOthers(t *testing.T) {
 	h := newSharesHarness(t)
 	h.ready("one")
@@ -56,8 +58,7 @@
 	assert.Assert(t, place >= 0, "%v", next)
 }
 
-// What an account hands in beyond its share runs like any other job while there is
-// room: nothing is held back.
+// Guards against jobs beyond an account's share that are held back while there is room.
 func TestExcessRunsWhileThereIsRoom(t *testing.T) {
 	h := newSharesHarness(t)
 	h.ready("one", "two", "three", "four", "five")
@@ -67,8 +68,8 @@
 	assert.Equal(t, len(only[Start](h.step(0))), 40)
 }
 
-// Over a long time an account gets its share and no more, however it spreads its jobs,
-// but for what it may use at once.
+// Guards against an account that gets more than its share over a long time, apart from
+// the initial burst, or less, whatever the spacing of its jobs.
 func TestShareIsBoundedOverTime(t *testing.T) {
 	a := &job.Account{Name: "a", Weight: 3}
 	for _, pause := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, 330 * time.Millisecond, time.Second} {
@@ -86,8 +87,8 @@
 	}
 }
 
-// A new owner reads hundreds of jobs in a moment. They were handed in over a long time,
-// and nobody is beyond its share by that.
+// Guards against inherited jobs that count against their accounts' shares. A new owner
+// reads hundreds of jobs at once, but they were submitted over a long time.
 func TestInheritedJobsExceedNoShare(t *testing.T) {
 	h := newSharesHarness(t)
 	for i := range 100 {
--- a/core/schedule/slow_test.go
+++ b/core/schedule/slow_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// fourTasks starts a step of four tasks, each on a VM of its own.
+// fourTasks starts a step of four tasks, each on its own VM.
 func fourTasks(t *testing.T) (*harness, []Start) {
 	h := newHarness(t)
 	h.ready("one", "two", "three", "four", "five")
@@ -24,9 +24,9 @@
 	return h, starts
 }
 
-// A VM turns slow: one of four tasks is at a tenth when the others are half done.
-// The job would end when that one does, many seconds late. The task is stopped and
-// begins on another VM, and the slow one gets no more for a while.
+// Guards against a job that ends many seconds late because of one slow VM. One of four tasks
+// has done a tenth of what the others have, which are half done. It must be stopped and start
+// on another VM, and the slow VM must get no more tasks for a while.
 func TestSlowRunGoesElsewhere(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A task stands still while its VM answers: its progress doesn't move between two lists.
+// Guards against a task that makes no progress between two lists while its VM answers.
 func TestRunThatStandsStillGoesElsewhere(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
@@ -63,8 +63,9 @@
 	assert.Equal(t, one[Stop](h, h.step(time.Millisecond)).VM, starts[0].VM)
 }
 
-// The run times of a step differ. A task that takes 2.7 times as long as the others
-// may be on a sound VM, and giving it up would throw its work away.
+// Guards against stopping a run that is only longer than its siblings. The run times of a
+// step differ: a task that takes 2.7 times as long as the others may be on a healthy VM,
+// and a stop would lose its work.
 func TestLongerRunGoesOn(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
@@ -75,7 +76,7 @@
 	assert.Equal(t, len(only[Stop](h.step(time.Millisecond))), 0)
 }
 
-// A slow run that is nearly done ends sooner where it is.
+// Guards against stopping a slow run that ends sooner where it is.
 func TestSlowRunNearItsEndGoesOn(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
@@ -89,9 +90,9 @@
 	assert.Equal(t, len(only[Stop](h.step(time.Millisecond))), 0)
 }
 
-// A new owner finds runs half done, a moment after it took over. Reckoned from then
-// their siblings would seem to take no time at all, and what runs at its usual pace
-// would be given up as slow.
+// Guards against runs that are stopped as slow after a take-over. A new owner finds runs
+// that are half done. Measured from the take-over, their siblings would seem to take no
+// time at all.
 func TestAdoptedRunsAreNotCompared(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two", "three", "four")
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a new owner that calls hundreds of VMs that are gone before those that
-// are there: no task starts on a VM before it is held.
+// exist. No task starts on a VM before its first hold.
 func TestListedVMsAreHeldFirst(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "gone", Address: "gone", Pool: poolA, Machine: "m-gone"})
@@ -25,8 +25,9 @@
 	assert.Assert(t, held["gone"], "it may still run tasks, and is asked a little later")
 }
 
-// Guards against a machine that gets orders of two owners within its lease, though the
-// former one's waited for the table, and against one that is barred for longer.
+// Guards against a machine that gets orders from two owners within its lease because the
+// first owner's order waited for the table, and against a machine that is blocked for
+// longer than necessary.
 func TestOrderIsRecentFromItsSending(t *testing.T) {
 	h := newHarness(t)
 	h.s.Machines(h.now, []job.Machine{{ID: "m-1", Pool: off, State: job.MachineUp}})
@@ -46,8 +47,8 @@
 	assert.Assert(t, !h.s.recent.Has("m-1"))
 }
 
-// Guards against a second run of a task: a machines list that lags shows the life before
-// the one on which a former owner has started it.
+// Guards against a second run of a task. A machines list that lags behind shows the life
+// before the one on which a previous owner started the task.
 func TestLaggingListFreesNoVM(t *testing.T) {
 	old := job.Machine{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "former"}
 	for name, order := range map[string][]string{
@@ -72,7 +73,8 @@
 	}
 }
 
-// Guards against a job that waits out the lease of a VM whose machine has a newer life.
+// Guards against a job that waits for the end of a VM's lease although the machine has a
+// newer life.
 func TestNewerLifeFreesAVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
