--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -42,7 +42,7 @@
 
 // String returns the counts as text.
 func (c crashes) String() string {
-	return fmt.Sprintf("%d VMs lost, %d certainly, %d at its start, %d alone", len(c.attempts), c.certain, c.atStart, c.alone)
+	return fmt.Sprintf("%d VM crashes, %d under confirmed runs, %d at task start, %d alone", len(c.attempts), c.certain, c.atStart, c.alone)
 }
 
 // limitReached reports whether the task must not start any more.
@@ -95,7 +95,7 @@
 // giveUp ends a job because one of its tasks must not start any more. A lasting job goes
 // on with its remaining tasks.
 func (s *Scheduler) giveUp(now time.Time, j *jobState, r *run) {
-	s.decided(Decision{Kind: TaskGivenUp, Job: j.ID, Task: r.task, Reason: "VMs crash under it"})
+	s.decided(Decision{Kind: TaskGivenUp, Job: j.ID, Task: r.task, Reason: "VMs crashed under it"})
 	if !j.lasting || j.noTaskCanRun() {
 		s.finish(now, j, job.Failed)
 	}
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -80,7 +80,7 @@
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Unanswered, job.Report{})
 	for until := c.now.Add(d); c.now.Before(until); {
 		c.listAll(vm)
-		assert.Equal(c.t, len(only[Start](c.step(100*time.Millisecond))), 0, "started while it may run elsewhere")
+		assert.Equal(c.t, len(only[Start](c.step(100*time.Millisecond))), 0, "the task may still run elsewhere")
 	}
 }
 
@@ -129,7 +129,7 @@
 		}
 		crash(o)
 	}
-	c.t.Fatal("the task is started for ever")
+	c.t.Fatal("the task is never given up")
 	return 0
 }
 
@@ -157,7 +157,7 @@
 					}
 					c.crash(o.VM)
 				}))
-				assert.Assert(t, c.s.jobs.Get("j") == nil, "the job is over and stored")
+				assert.Assert(t, c.s.jobs.Get("j") == nil, "the end of the job is stored")
 			})
 		}
 	}
@@ -322,7 +322,7 @@
 			c.confirm(o)
 			n++
 		}
-		assert.Equal(t, len(only[Stop](commands)), 0, "the sibling is at work")
+		assert.Equal(t, len(only[Stop](commands)), 0, "the sibling is running")
 	}
 	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 	assert.Equal(t, c.s.jobs.Get("j").state, job.Running)
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	assert.Assert(t, freed)
-	assert.Assert(t, h.now.Sub(begin) > 6*time.Second, "freed after %s, while its lease may last", h.now.Sub(begin))
+	assert.Assert(t, h.now.Sub(begin) > 6*time.Second, "freed after %s, before its lease has certainly expired", h.now.Sub(begin))
 }
 
 // Guards against a second run of a task whose start had no answer. Only a list taken
@@ -328,7 +328,7 @@
 	end.Number = 2
 	h.lists(string(start.VM), nil, end)
 	second := one[Start](h, h.step(time.Second))
-	assert.Assert(t, second.VM != start.VM, "the VM where it failed is shunned")
+	assert.Assert(t, second.VM != start.VM, "a task avoids the VM where it failed")
 	h.confirm(second)
 	h.lists(string(second.VM), nil, job.End{Number: 1, Task: second.Order.Task, Attempt: second.Order.Attempt, How: job.EndedFailed})
 	saves := only[Save](h.step(0))
@@ -373,7 +373,7 @@
 	list()
 	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0)
 	list(job.End{Number: 1, Task: job.TaskID{Job: "j", Index: 1}, Attempt: 7, How: job.EndedStopped})
-	assert.Equal(t, len(only[Stop](h.step(2*time.Second))), 0, "the other task is away")
+	assert.Equal(t, len(only[Stop](h.step(2*time.Second))), 0, "the other task is unavailable")
 }
 
 // Guards against job rows that are never deleted, all of which each new owner would read.
--- a/core/schedule/otherlife_test.go
+++ b/core/schedule/otherlife_test.go
@@ -24,12 +24,12 @@
 		ID: start.VM, Pool: poolA, Address: string(start.VM), Room: job.Room{CPU: 8000, MemMB: 8000},
 		Machine: job.MachineID("m-" + string(start.VM)), Born: 2,
 	})
-	assert.Equal(t, len(only[Start](h.step(0))), 0, "it may run, or have ended, in the new life")
+	assert.Equal(t, len(only[Start](h.step(0))), 0, "the task may be running or have ended in the new life")
 	h.s.HoldAnswered(h.now, Hold{VM: start.VM}, Answered, job.Report{
 		Clock: 400, Born: 2, Lists: true, Finished: []job.End{end(1, start, job.EndedDone)},
 	})
 	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
-	assert.Assert(t, !h.s.jobs.Has("j"), "it is completed and stored")
+	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
 // Guards against a lease that lasts longer than the owner assumes. A new life that
@@ -54,7 +54,7 @@
 			}
 		}
 		h.lists(other, nil)
-		assert.Equal(t, len(only[Start](commands)), 0, "%s before the lease is over", leaseEnd.Sub(h.now))
+		assert.Equal(t, len(only[Start](commands)), 0, "%s before the lease expires", leaseEnd.Sub(h.now))
 	}
 }
 
@@ -116,10 +116,10 @@
 		ends = append(ends, job.End{Number: n + 1, Task: job.TaskID{Job: "other", Index: int(n)}, How: job.EndedDone})
 	}
 	h.lists(string(start.VM), nil, ends...)
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0, "its end may be listed next")
+	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0, "the next list may contain its end")
 	h.lists(string(start.VM), nil, end(501, start, job.EndedDone))
 	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
-	assert.Assert(t, !h.s.jobs.Has("j"), "it is completed and stored")
+	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
 // Guards against a clock reading of the previous life that is taken for one of the new
@@ -159,7 +159,7 @@
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 	h.s.VMSeen(h.now, job.VMEntry{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
-	assert.Equal(t, len(only[Start](h.step(30*time.Millisecond))), 0, "it may run there")
+	assert.Equal(t, len(only[Start](h.step(30*time.Millisecond))), 0, "the task may be running there")
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 900, Born: 2, Lists: true})
 	assert.Equal(t, len(only[Start](h.step(0))), 1)
 }
@@ -178,7 +178,7 @@
 		ends = append(ends, job.End{Number: n + 1, Task: job.TaskID{Job: "other", Index: int(n)}, How: job.EndedDone})
 	}
 	h.lists("one", nil, ends...)
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0, "its end may be listed next")
+	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0, "the next list may contain its end")
 	h.lists("one", nil)
 	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 1)
 }
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -144,7 +144,7 @@
 	j.ratedAt = time.Time{}
 	s.markDirty(j)
 	for _, other := range slices.Clone(t.runs) {
-		s.stopRun(now, other, "another run is done")
+		s.stopRun(now, other, "another run completed")
 	}
 	if !st.complete() {
 		return true
@@ -246,7 +246,7 @@
 	s.addRun(r, st, t)
 	s.decided(Decision{Kind: TaskFound, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
 	if !wanted {
-		s.stopRun(now, r, "not wanted")
+		s.stopRun(now, r, "no longer wanted")
 		return
 	}
 	t.attempt = max(t.attempt, e.Attempt)
@@ -265,7 +265,7 @@
 func (s *Scheduler) applyMissing(now time.Time, r *run, clock job.VMClock) {
 	switch {
 	case r.phase == runConfirmed && clock > r.confirmedClock+clockSlack:
-		s.freeRun(now, r, "list lacks it")
+		s.freeRun(now, r, "missing from the list")
 	case r.phase == runUnanswered && clock > r.startBy+clockSlack && !r.stopping:
 		r.vm.lostStarts = append(r.vm.lostStarts, r)
 		s.freeRun(now, r, "did not start in time")
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -22,7 +22,7 @@
 	for _, c := range only[Hold](h.step(unlistedPause)) {
 		held[string(c.VM)] = true
 	}
-	assert.Assert(t, held["gone"], "it may still run tasks, and is asked a little later")
+	assert.Assert(t, held["gone"], "it may still run tasks, so it is held later")
 }
 
 // Guards against a machine that gets orders from two owners within its lease because the
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -49,7 +49,7 @@
 		for _, r := range v.runs.All() {
 			_, _, st, t := s.task(r.task)
 			if t != nil && st.def.Lasting && r.phase == runConfirmed && !v.silent {
-				s.stopRun(now, r, "VM leaves")
+				s.stopRun(now, r, "VM is draining")
 			}
 		}
 	}
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -156,7 +156,7 @@
 // still arrive and be carried out, because the new clock is behind their deadlines. They
 // are stopped explicitly before their tasks start elsewhere.
 func (s *Scheduler) vmRestarted(now time.Time, v *vmState, born job.Born) {
-	s.decided(Decision{Kind: VMReborn, VM: v.id, Reason: fmt.Sprintf("%d ends of the former life are noted", v.noted)})
+	s.decided(Decision{Kind: VMReborn, VM: v.id, Reason: fmt.Sprintf("%d ends of the previous life were noted", v.noted)})
 	v.born, v.fence = born, s.fence
 	v.clock, v.leaseEnd = lease.Clock{}, 0
 	v.lastEnd, v.noted, v.unsavedEnds, v.listClock = 0, 0, nil, 0
@@ -180,12 +180,12 @@
 		}
 		r.stopClock = 0
 		if r.phase == runConfirmed && !r.confirmedByNewLife() {
-			s.freeWithUnknownEnd(now, r, "VM lives anew")
+			s.freeWithUnknownEnd(now, r, "VM restarted")
 			continue
 		}
 		r.setPhase(runUnanswered)
 		r.confirmedClock = 0
-		s.stopRun(now, r, "VM lives anew")
+		s.stopRun(now, r, "VM restarted")
 	}
 }
 
@@ -232,7 +232,7 @@
 		} else {
 			s.lapse(now, r)
 		}
-		s.freeWithUnknownEnd(now, r, "lease ran out")
+		s.freeWithUnknownEnd(now, r, "lease expired")
 	}
 }
 
