--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -47,8 +47,8 @@
 
 // limitReached reports whether the task must not start any more.
 func (c crashes) limitReached() bool {
-	toBlame := c.certain >= maxCrashesWithCause && c.alone > 0
-	return toBlame || c.atStart >= maxCrashesAtStart || len(c.attempts) >= maxCrashes
+	isCause := c.certain >= maxCrashesWithCause && c.alone > 0
+	return isCause || c.atStart >= maxCrashesAtStart || len(c.attempts) >= maxCrashes
 }
 
 // needsIsolation reports whether the next crash is the last one allowed. The task then
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -250,7 +250,7 @@
 }
 
 // Guards against a job that is given up because its VM was drained.
-func TestVMThatLeavesIsNoCrash(t *testing.T) {
+func TestDrainedVMIsNoCrash(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", small)
 	for range 6 {
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -124,7 +124,7 @@
 
 // Guards against maintenance of a machine whose VM a new owner hasn't reached. The VM
 // looks empty, but what runs there isn't known.
-func TestUnheardVMIsNotTakenAway(t *testing.T) {
+func TestMachineOfUnheardVMIsNotMaintained(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
 	h.seen("one")
@@ -378,7 +378,7 @@
 
 // Guards against job rows that are never deleted, all of which each new owner would read.
 // Until they are deleted, a repeated submission must be recognized.
-func TestEndedJobsAreForgottenInTheEnd(t *testing.T) {
+func TestEndedJobsAreDeletedEventually(t *testing.T) {
 	h := newHarness(t)
 	h.s.Ended(h.now, "old")
 	assert.Equal(t, len(only[DeleteJob](h.step(5*time.Minute))), 0)
@@ -405,7 +405,7 @@
 // Guards against users who wait too long for seconds on end. A serving task finds room
 // only beside a filling one. As its tail latency nears the target, the filling task is
 // slowed and then halted. It is sped up again once there is room.
-func TestFillingTaskGivesWay(t *testing.T) {
+func TestFillingTaskIsSlowedForServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("fill", "free", job.Step{Count: 1, Room: job.Room{CPU: 4000}, Fills: true, Estimate: time.Minute})
@@ -427,7 +427,7 @@
 }
 
 // Guards against filling tasks that are placed beside a serving one.
-func TestFillingTaskKeepsAway(t *testing.T) {
+func TestFillingTaskIsNotPlacedBesideServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("serve", "free", job.Step{Count: 1, Room: job.Room{CPU: 1000}, Lasting: true, TailTarget: 100 * time.Millisecond})
--- a/core/schedule/look.go
+++ b/core/schedule/look.go
@@ -25,17 +25,17 @@
 	if v.ordered == 0 && v.stopping == 0 {
 		return
 	}
-	wanted := false
+	needed := false
 	for _, r := range v.runs.All() {
 		switch {
 		case r.phase == runOrdered && now.Sub(r.orderedAt) > answerDue:
-			wanted = true
+			needed = true
 			v.unresponsive = v.unresponsive || v.lastAnswer.Before(r.orderedAt)
 		case r.stopAccepted():
-			wanted = true
+			needed = true
 		}
 	}
-	if !wanted || v.looking || now.Before(v.lookedAt.Add(lookInterval)) || !s.rights.Hold {
+	if !needed || v.looking || now.Before(v.lookedAt.Add(lookInterval)) || !s.rights.Hold {
 		return
 	}
 	v.looking, v.lookedAt = true, now
--- a/core/schedule/look_test.go
+++ b/core/schedule/look_test.go
@@ -52,7 +52,7 @@
 
 // Guards against a run that is stopped because only the answer to its start was lost. The
 // list shows that it runs.
-func TestLostAnswerOfAStartCostsNothing(t *testing.T) {
+func TestLostAnswerOfAStartStopsNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -77,7 +77,7 @@
 // rate returns the job's place in the order, which may be as old as rateEvery.
 func (s *Scheduler) rate(now time.Time, j *jobState) candidate {
 	if j.ratedAt.IsZero() || now.Sub(j.ratedAt) >= rateEvery {
-		j.objective, j.late = s.objective(j)
+		j.objective, j.lateLimit = s.objective(j)
 		j.rating, j.ratedAt = s.candidate(now, j), now
 	}
 	return j.rating
@@ -99,7 +99,7 @@
 	switch {
 	case !ready.After(j.objective):
 		c.rank = rankInTime
-	case !ready.After(j.late):
+	case !ready.After(j.lateLimit):
 		c.rank = rankLate
 	default:
 		c.rank = rankUseless
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -145,7 +145,7 @@
 				l.waiting += j.waitsLong(now)
 			}
 			lasting[p] = l
-		case now.Before(j.late) && !blocked:
+		case now.Before(j.lateLimit) && !blocked:
 			waiting[p] += s.waitingWork(j)
 		}
 	}
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -61,14 +61,14 @@
 	if j == nil || st.def.Lasting || (e.How != job.EndedDone && e.How != job.EndedFailed) {
 		return
 	}
-	why := "already counted"
+	reason := "already counted"
 	switch {
 	case j.over():
-		why = "job is " + j.state.String()
+		reason = "job is " + j.state.String()
 	case t.done:
-		why = "task is done"
+		reason = "task is done"
 	}
-	s.decided(Decision{Kind: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: why})
+	s.decided(Decision{Kind: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: reason})
 }
 
 // applyEnd applies an end to its task and reports whether it must be stored.
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -131,11 +131,11 @@
 
 // freeWithUnknownEnd frees a run whose VM can no longer report how it ended. It may have
 // completed, and another owner may know that.
-func (s *Scheduler) freeWithUnknownEnd(now time.Time, r *run, why string) {
+func (s *Scheduler) freeWithUnknownEnd(now time.Time, r *run, reason string) {
 	if _, _, _, t := s.task(r.task); t != nil {
 		t.endUnknown = true
 	}
-	s.freeRun(now, r, why)
+	s.freeRun(now, r, reason)
 }
 
 // mayHaveEnded reports whether a task may have completed without this owner's knowledge.
@@ -143,9 +143,9 @@
 func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.Order }
 
 // freeRun releases a run that ended without being listed as ended.
-func (s *Scheduler) freeRun(now time.Time, r *run, why string) {
+func (s *Scheduler) freeRun(now time.Time, r *run, reason string) {
 	s.decided(Decision{
-		Kind: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
+		Kind: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 		Age: now.Sub(r.vm.lastAnswer),
 	})
 	s.release(now, r)
@@ -154,7 +154,7 @@
 }
 
 // stopRun orders a run's end. Further calls for the same run do nothing.
-func (s *Scheduler) stopRun(now time.Time, r *run, why string) {
+func (s *Scheduler) stopRun(now time.Time, r *run, reason string) {
 	if r.stopping {
 		return
 	}
@@ -166,7 +166,7 @@
 	r.vm.stopping++
 	r.resendStop = now.Add(stopRetry)
 	s.decided(Decision{
-		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
+		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 	})
 	s.emit(r.vm.stopOrder(r))
 }
@@ -292,10 +292,10 @@
 }
 
 // releaseNotBegun releases a run that is known not to have begun.
-func (s *Scheduler) releaseNotBegun(now time.Time, r *run, out Outcome, why job.Refusal) {
+func (s *Scheduler) releaseNotBegun(now time.Time, r *run, out Outcome, refusal job.Refusal) {
 	reason := out.String()
 	if out == Answered {
-		reason = why.String()
+		reason = refusal.String()
 	}
 	s.decided(Decision{
 		Kind: TaskNotBegun, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -185,7 +185,7 @@
 		st.restore(p)
 		st.takenOver = inherited && len(p.VMs) > 0
 	}
-	st.objective, st.late = s.objective(st)
+	st.objective, st.lateLimit = s.objective(st)
 	if !st.lasting && !inherited {
 		st.beyondShare = s.conf != nil && s.shares.exceeds(now, s.conf.Account(j.Terms.Account))
 		left, all := s.work(st)
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -28,13 +28,13 @@
 	if a == nil || a.Weight <= 0 {
 		return false
 	}
-	most := max(1, a.Weight*shareWindow.Seconds())
+	capacity := max(1, a.Weight*shareWindow.Seconds())
 	x := s[a.Name]
 	if x == nil {
-		x = &share{tokens: most, at: now}
+		x = &share{tokens: capacity, at: now}
 		s[a.Name] = x
 	}
-	x.tokens = min(most, x.tokens+a.Weight*now.Sub(x.at).Seconds())
+	x.tokens = min(capacity, x.tokens+a.Weight*now.Sub(x.at).Seconds())
 	x.at = now
 	if x.tokens < 1 {
 		return true
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -29,7 +29,7 @@
 // at once, another a single job a moment later, and the VM takes eight tasks at a time.
 // The single job must start when the first tasks end. In order of arrival it would wait
 // for four rounds and be late.
-func TestHotAccountDoesNotHoldUpOthers(t *testing.T) {
+func TestHotAccountDoesNotDelayOthers(t *testing.T) {
 	h := newSharesHarness(t)
 	h.ready("one")
 	for i := range 40 {
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -48,15 +48,15 @@
 	if span < progressInterval {
 		return
 	}
-	moved := r.percent - r.progressPercent
+	progressed := r.percent - r.progressPercent
 	r.progressAt, r.progressPercent = now, r.percent
 	usual, factor := s.usualRunTime(j, st, r)
 	// The run would have progressed this far if it took factor times the usual run time.
-	least := 100 * span.Seconds() / (usual.Seconds() * factor)
-	if usual <= 0 || float64(moved) >= least || r.percent >= 100 {
+	minProgress := 100 * span.Seconds() / (usual.Seconds() * factor)
+	if usual <= 0 || float64(progressed) >= minProgress || r.percent >= 100 {
 		return
 	}
-	left := remainingTime(span, moved, r.percent)
+	left := remainingTime(span, progressed, r.percent)
 	r.vm.slowUntil = now.Add(slowPause)
 	s.decided(Decision{Kind: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, After: left})
 	if st.def.Gang || t.slowStops >= maxSlowStops {
@@ -68,13 +68,13 @@
 	}
 }
 
-// remainingTime predicts how much longer a run takes that progressed by moved percent
+// remainingTime predicts how much longer a run takes that progressed that many percent
 // within span.
-func remainingTime(span time.Duration, moved, percent int) time.Duration {
-	if moved <= 0 {
+func remainingTime(span time.Duration, progressed, percent int) time.Duration {
+	if progressed <= 0 {
 		return math.MaxInt64
 	}
-	return time.Duration(float64(span) * float64(100-percent) / float64(moved))
+	return time.Duration(float64(span) * float64(100-percent) / float64(progressed))
 }
 
 // usualRunTime returns how long a run of the step usually takes, and the factor from
--- a/core/schedule/slow_test.go
+++ b/core/schedule/slow_test.go
@@ -49,7 +49,7 @@
 }
 
 // Guards against a task that makes no progress between two lists while its VM answers.
-func TestRunThatStandsStillGoesElsewhere(t *testing.T) {
+func TestStalledRunGoesElsewhere(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
 	for _, c := range starts {
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -191,7 +191,7 @@
 	beyondShare bool
 	// objective is when the job is due to be complete.
 	objective time.Time
-	late      time.Time
+	lateLimit time.Time
 	// dirty is set while the job must be saved. lastSave is the sequence number of its
 	// last save.
 	dirty    bool
