--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -74,8 +74,8 @@
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
 
-// Guards against a second execution of a whole job. A resumed feed may repeat a job that
-// has ended and been dropped from memory.
+// Guards against a job whose tasks all run twice. A resumed feed may repeat a job that has
+// ended and been dropped from memory.
 func TestEndedJobIsNotRunAgain(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -90,8 +90,8 @@
 	assert.Equal(t, len(only[Start](h.step(time.Second))), 0)
 }
 
-// Guards against an end that is lost with its owner. A VM deletes noted ends, so an end
-// is noted only once it is stored.
+// Guards against an end that nobody knows of after its owner died. A VM deletes noted ends,
+// so an end is noted only once it is stored.
 func TestEndIsStoredBeforeItIsNoted(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -122,8 +122,8 @@
 	assert.Assert(t, hold.Order.Deadline >= h.clock()+5000, "%+v", hold.Order)
 }
 
-// Guards against maintenance of a machine whose VM a new owner hasn't reached. The VM
-// looks empty, but what runs there isn't known.
+// Guards against maintenance of a machine whose VM a new owner hasn't reached. What runs
+// there isn't known, so the machine must stay however empty the VM looks.
 func TestMachineOfUnheardVMIsNotMaintained(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -57,7 +57,7 @@
 			return true
 		}
 	}
-	// A VM that was heard from, or that is free, stays so.
+	// No VM of the job is unheard any more, and none can become so again.
 	j.inherited = false
 	return false
 }
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -189,7 +189,8 @@
 	// beyondShare is set if the job's account had exceeded its share when the job
 	// arrived.
 	beyondShare bool
-	// objective is when the job is due to be complete.
+	// objective is when the job is due to be complete. After lateLimit its result is of no
+	// use to its caller.
 	objective time.Time
 	lateLimit time.Time
 	// dirty is set while the job must be saved. lastSave is the sequence number of its
