--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -57,7 +57,7 @@
 			return true
 		}
 	}
-	// No VM of the job is unheard any more, and none can become so again.
+	// None of the job's VMs is unheard, and a VM doesn't become unheard again.
 	j.inherited = false
 	return false
 }
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -99,8 +99,8 @@
 	notBefore time.Time
 	// avoidVM is the VM on which the last run failed.
 	avoidVM job.VMID
-	// unavailableSince is when a lasting task's run ended. It is zero while the task is
-	// available.
+	// unavailableSince is when a lasting task's run ended. It is zero before the first run
+	// has ended, and again once the task is available.
 	unavailableSince time.Time
 	// slowStops counts the runs that were stopped as slow.
 	slowStops int
