--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -6,11 +6,12 @@
 	"lavenderpond/core/job"
 )
 
-// Command is what the scheduler wants done.
+// Command is an action that the scheduler wants carried out.
 type Command interface{ command() }
 
 // Start orders a task's start on a VM in an availability zone. Life is the VM's life as
-// known at its sending, since the answer needn't name the life that gives it.
+// known when the order is sent, since the answer doesn't always name the life that gives
+// it.
 type Start struct {
 	VM    job.VMID
 	Life  job.Born
@@ -18,7 +19,7 @@
 	Order job.StartOrder
 }
 
-// Stop orders a run's end on a VM. Life is as in a Start.
+// Stop orders the end of a run on a VM. Life is the same as in Start.
 type Stop struct {
 	VM      job.VMID
 	Life    job.Born
@@ -27,7 +28,7 @@
 	Attempt job.Attempt
 }
 
-// Pace sets the share at which a task works.
+// Pace sets how fast a filling task may work, in percent of its full speed.
 type Pace struct {
 	VM      job.VMID
 	Fence   job.Fence
@@ -36,35 +37,36 @@
 	Percent int
 }
 
-// Hold extends a VM's lease and asks for its lists. A look asks for them beside
-// the hold that is on its way.
+// Hold renews a VM's lease and asks for its lists. A look only asks for the lists, while
+// another hold may be in flight.
 type Hold struct {
 	VM    job.VMID
 	Order job.HoldOrder
 	Look  bool
 }
 
-// Save stores a job's progress. Saves must be stored in order of Sequence.
+// Save stores a job's progress. Saves must be stored in the order of Sequence.
 type Save struct {
 	Sequence int64
 	Job      job.ID
 	Progress job.Progress
 }
 
-// SaveVM stores that tasks may run on a VM, in order with the other saves.
+// SaveVM stores that tasks may run on a VM. It is ordered with the other saves.
 type SaveVM struct {
 	Sequence int64
 	VM       RosterVM
 }
 
-// DropVM stores that none can run there any more, in order with the other saves.
+// DropVM stores that no task can run on a VM any more. It is ordered with the other
+// saves.
 type DropVM struct {
 	Sequence int64
 	VM       job.VMID
 }
 
-// Ask asks which VMs may run a step.
-type Ask struct {
+// RequestTickets asks the queue's advice service which VMs may run a step.
+type RequestTickets struct {
 	Step job.StepID
 	VMs  []job.VMID
 }
@@ -75,65 +77,65 @@
 	Pool    job.PoolName
 }
 
-// Upkeep orders a machine's upkeep.
+// Upkeep orders the maintenance of a machine in a wave.
 type Upkeep struct {
 	Machine job.MachineID
 	Wave    int64
 }
 
-// SaveWave stores which machines of a wave have had their upkeep, in order with
-// the other saves.
+// SaveWave stores which machines of a wave are done. It is ordered with the other saves.
 type SaveWave struct {
 	Sequence int64
 	Number   int64
 	Done     []job.MachineID
 }
 
-// SaveOrder stores that a machine may have been given an order of late, in order
+// SaveOrder stores that a machine may recently have been given an order. It is ordered
 // with the other saves.
 type SaveOrder struct {
 	Sequence int64
 	Order    MachineOrder
 }
 
-// DropOrder stores that its last order was long ago, in order with the other saves.
+// DropOrder stores that a machine's last order was long ago. It is ordered with the other
+// saves.
 type DropOrder struct {
 	Sequence int64
 	Machine  job.MachineID
 }
 
-// MachineOrder says who gave a machine an order of late.
+// MachineOrder names the holder that recently gave a machine an order.
 type MachineOrder struct {
 	Machine job.MachineID `json:"machine"`
 	Holder  string        `json:"holder"`
 }
 
-// Forget removes what is stored of a job that ended long ago.
-type Forget struct{ Job job.ID }
+// DeleteJob deletes the stored rows of a job that ended long ago.
+type DeleteJob struct{ Job job.ID }
 
-// ShowWave publishes a wave's state.
-type ShowWave struct {
+// PublishWave publishes the state of a wave.
+type PublishWave struct {
 	Number int64
 	State  job.WaveState
 }
 
-func (Start) command()     {}
-func (Stop) command()      {}
-func (Pace) command()      {}
-func (Hold) command()      {}
-func (Save) command()      {}
-func (SaveVM) command()    {}
-func (DropVM) command()    {}
-func (SaveWave) command()  {}
-func (SaveOrder) command() {}
-func (DropOrder) command() {}
-func (Forget) command()    {}
-func (Ask) command()       {}
-func (Move) command()      {}
-func (Upkeep) command()    {}
-func (ShowWave) command()  {}
-
-// SequenceOf returns the sequence of a save; ok is false if c is another command.
+func (Start) command()          {}
+func (Stop) command()           {}
+func (Pace) command()           {}
+func (Hold) command()           {}
+func (Save) command()           {}
+func (SaveVM) command()         {}
+func (DropVM) command()         {}
+func (SaveWave) command()       {}
+func (SaveOrder) command()      {}
+func (DropOrder) command()      {}
+func (DeleteJob) command()      {}
+func (RequestTickets) command() {}
+func (Move) command()           {}
+func (Upkeep) command()         {}
+func (PublishWave) command()    {}
+
+// SequenceOf returns the sequence number of a save. ok is false for other commands.
 func SequenceOf(c Command) (sequence int64, ok bool) {
 	switch c := c.(type) {
 	case Save:
@@ -161,18 +163,18 @@
 	Born    job.Born      `json:"born,omitempty"`
 }
 
-// Outcome is what came of an order to a VM.
+// Outcome is the result of an order to a VM.
 type Outcome int
 
-// The outcomes.
+// Outcomes of an order.
 const (
 	// Answered: the report holds the answer, which may be a refusal.
 	Answered Outcome = iota
 	// NotDone: the order wasn't carried out and can't be any more.
 	NotDone
-	// Unanswered: it may have been carried out, or may be later.
+	// Unanswered: the order may have been carried out, or may still be.
 	Unanswered
-	// Unhealthy: the VM refused to do anything.
+	// Unhealthy: the VM refuses all orders.
 	Unhealthy
 	// OtherLife: another VM answers at the address.
 	OtherLife
@@ -183,61 +185,63 @@
 	return [...]string{"answered", "not_done", "unanswered", "unhealthy", "other_life"}[o]
 }
 
-// Observer is told of the scheduler's decisions, for logs and figures.
+// Observer receives the scheduler's decisions, for logs and metrics.
 type Observer interface {
-	// Decided is told of a decision about a task or job.
+	// Decided reports a decision about a task, job, VM, machine, wave or availability
+	// zone.
 	Decided(d Decision)
 }
 
-// Decision is one decision with what it rests on.
+// Decision describes one decision and the facts behind it.
 type Decision struct {
-	What    What
+	Kind    DecisionKind
 	Job     job.ID
 	Task    job.TaskID
 	Attempt job.Attempt
 	VM      job.VMID
 	Reason  string
-	// Age is how old the deciding knowledge is.
+	// Age is the age of the information behind the decision.
 	Age time.Duration
-	// After is how long after the job's arrival this happened.
+	// After is the time since the job's arrival.
 	After time.Duration
-	// Slack is the time left to the job's objective, less what the job is predicted to need.
+	// Slack is the time left until the job's objective, minus the time that the job is
+	// predicted to need.
 	Slack time.Duration
 }
 
-// What names a kind of decision.
-type What string
+// DecisionKind names a kind of decision.
+type DecisionKind string
 
-// The kinds of decisions.
+// Kinds of decisions.
 const (
-	JobAdopted    What = "job_adopted"
-	JobExcess     What = "job_beyond_share"
-	JobPlaced     What = "job_placed"
-	JobEnded      What = "job_ended"
-	JobCancelled  What = "job_cancelled"
-	TaskOrdered   What = "task_ordered"
-	TaskNotBegun  What = "task_not_begun"
-	TaskStarted   What = "task_started"
-	TaskEnded     What = "task_ended"
-	EndRedundant  What = "end_redundant"
-	TaskFreed     What = "task_freed"
-	TaskLostVM    What = "task_lost_vm"
-	TaskGivenUp   What = "task_given_up"
-	TaskStopping  What = "task_stopping"
-	TaskFound     What = "task_found"
-	VMFound       What = "vm_found"
-	VMSilent      What = "vm_silent"
-	VMBack        What = "vm_back"
-	VMReborn      What = "vm_reborn"
-	VMGone        What = "vm_gone"
-	VMDraining    What = "vm_draining"
-	VMSuspected   What = "vm_suspected"
-	VMSlow        What = "vm_slow"
-	VMVacated     What = "vm_vacated"
-	ZoneEvacuated What = "zone_evacuated"
-	ZoneReopened  What = "zone_reopened"
-	WaveChanged   What = "wave_changed"
-	MachineSeen   What = "machine_seen"
-	MachineMoved  What = "machine_moved"
-	MachineUpkept What = "machine_upkept"
+	JobAdopted     DecisionKind = "job_adopted"
+	JobBeyondShare DecisionKind = "job_beyond_share"
+	JobPlaced      DecisionKind = "job_placed"
+	JobEnded       DecisionKind = "job_ended"
+	JobCancelled   DecisionKind = "job_cancelled"
+	TaskOrdered    DecisionKind = "task_ordered"
+	TaskNotBegun   DecisionKind = "task_not_begun"
+	TaskStarted    DecisionKind = "task_started"
+	TaskEnded      DecisionKind = "task_ended"
+	EndRedundant   DecisionKind = "end_redundant"
+	TaskFreed      DecisionKind = "task_freed"
+	TaskLostVM     DecisionKind = "task_lost_vm"
+	TaskGivenUp    DecisionKind = "task_given_up"
+	TaskStopping   DecisionKind = "task_stopping"
+	TaskFound      DecisionKind = "task_found"
+	VMFound        DecisionKind = "vm_found"
+	VMSilent       DecisionKind = "vm_silent"
+	VMBack         DecisionKind = "vm_back"
+	VMReborn       DecisionKind = "vm_reborn"
+	VMGone         DecisionKind = "vm_gone"
+	VMDraining     DecisionKind = "vm_draining"
+	VMSuspected    DecisionKind = "vm_suspected"
+	VMSlow         DecisionKind = "vm_slow"
+	VMVacated      DecisionKind = "vm_vacated"
+	ZoneEvacuated  DecisionKind = "zone_evacuated"
+	ZoneReopened   DecisionKind = "zone_reopened"
+	WaveChanged    DecisionKind = "wave_changed"
+	MachineSeen    DecisionKind = "machine_seen"
+	MachineMoved   DecisionKind = "machine_moved"
+	MachineUpkept  DecisionKind = "machine_upkept"
 )
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -10,25 +10,25 @@
 	"lavenderpond/core/job"
 )
 
-// crashing plays VMs that crash and live anew under their IDs.
-type crashing struct {
+// crashHarness simulates VMs that crash and restart under the same ID.
+type crashHarness struct {
 	*harness
 	lives map[job.VMID]*life
-	// full VMs have no room for the moment.
+	// full makes the VMs temporarily refuse tasks for lack of room.
 	full bool
-	// begun are starts that were ordered meanwhile.
-	begun []Start
+	// pendingStarts are starts that answerStops collected for startOf.
+	pendingStarts []Start
 }
 
-// life is the present life of a VM.
+// life is the current life of a VM.
 type life struct {
 	born  job.Born
 	since time.Time
 }
 
-// newCrashing returns VMs that take tasks.
-func newCrashing(t *testing.T, ids ...string) *crashing {
-	c := &crashing{harness: newHarness(t), lives: map[job.VMID]*life{}}
+// newCrashHarness returns a harness with VMs that accept tasks.
+func newCrashHarness(t *testing.T, ids ...string) *crashHarness {
+	c := &crashHarness{harness: newHarness(t), lives: map[job.VMID]*life{}}
 	for _, id := range ids {
 		c.lives[job.VMID(id)] = &life{born: 1, since: c.now.Add(-time.Second)}
 	}
@@ -36,23 +36,24 @@
 	return c
 }
 
-func (c *crashing) report(vm job.VMID) job.Report {
+// report returns a report by the current life of a VM.
+func (c *crashHarness) report(vm job.VMID) job.Report {
 	l := c.lives[vm]
 	return job.Report{Clock: job.VMClock(c.now.Sub(l.since).Milliseconds()), Born: l.born}
 }
 
-// confirm answers a start.
-func (c *crashing) confirm(o Start) { c.s.StartAnswered(c.now, o, Answered, c.report(o.VM)) }
+// confirm answers a start positively.
+func (c *crashHarness) confirm(o Start) { c.s.StartAnswered(c.now, o, Answered, c.report(o.VM)) }
 
-// list answers a hold.
-func (c *crashing) list(vm job.VMID, running []job.RunningTask, ended ...job.End) {
+// list answers a hold of a VM with the given lists.
+func (c *crashHarness) list(vm job.VMID, running []job.RunningTask, ended ...job.End) {
 	r := c.report(vm)
 	r.Lists, r.Running, r.Finished = true, running, ended
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Answered, r)
 }
 
-// listAll answers a hold of each VM but those left out, all of which run nothing.
-func (c *crashing) listAll(without ...job.VMID) {
+// listAll answers a hold of each VM, except those given, with empty lists.
+func (c *crashHarness) listAll(without ...job.VMID) {
 	for _, id := range c.s.VMs() {
 		out := false
 		for _, w := range without {
@@ -67,24 +68,24 @@
 	}
 }
 
-// crash ends a VM's life; it is back three seconds later, under the same ID.
-func (c *crashing) crash(vm job.VMID) {
+// crash ends a VM's life. The VM returns three seconds later under the same ID.
+func (c *crashHarness) crash(vm job.VMID) {
 	c.step(30 * time.Millisecond)
-	c.goDark(vm, 3*time.Second)
+	c.silence(vm, 3*time.Second)
 	c.revive(vm)
 }
 
-// goDark makes a VM silent for a while, in which no task starts elsewhere.
-func (c *crashing) goDark(vm job.VMID, d time.Duration) {
+// silence makes a VM silent for d and checks that no task starts elsewhere meanwhile.
+func (c *crashHarness) silence(vm job.VMID, d time.Duration) {
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Unanswered, job.Report{})
 	for until := c.now.Add(d); c.now.Before(until); {
 		c.listAll(vm)
-		assert.Equal(c.t, len(only[Start](c.step(100*time.Millisecond))), 0, "started while it may run elsewhere")
+		assert.Equal(c.t, len(only[Start](c.step(100*time.Millisecond))), 0, "the task may still run elsewhere")
 	}
 }
 
-// revive brings a VM back under the same ID.
-func (c *crashing) revive(vm job.VMID) {
+// revive restarts a VM under the same ID.
+func (c *crashHarness) revive(vm job.VMID) {
 	l := c.lives[vm]
 	l.born++
 	l.since = c.now.Add(-10 * time.Millisecond)
@@ -92,12 +93,12 @@
 	c.list(vm, nil)
 }
 
-// startOf returns the next start of a task; false if there is none within 5 s. All VMs
-// answer with empty lists meanwhile, which ends nothing: the task has no run.
-func (c *crashing) startOf(task job.TaskID) (Start, bool) {
+// startOf returns the next start of a task, or false if there is none within 5 s.
+// Meanwhile all VMs answer with empty lists, which end no run because the task has none.
+func (c *crashHarness) startOf(task job.TaskID) (Start, bool) {
 	for range 50 {
-		starts := append(c.begun, only[Start](c.step(100*time.Millisecond))...)
-		c.begun = nil
+		starts := append(c.pendingStarts, only[Start](c.step(100*time.Millisecond))...)
+		c.pendingStarts = nil
 		for _, o := range starts {
 			if o.Order.Task == task {
 				return o, true
@@ -109,17 +110,17 @@
 }
 
 // answerStops answers the stops of runs that may not have begun.
-func (c *crashing) answerStops() {
+func (c *crashHarness) answerStops() {
 	commands := c.step(10 * time.Millisecond)
 	for _, x := range only[Stop](commands) {
 		c.s.StopAnswered(c.now, x, Answered, c.report(x.VM))
 	}
-	c.begun = append(c.begun, only[Start](commands)...)
+	c.pendingStarts = append(c.pendingStarts, only[Start](commands)...)
 }
 
-// startsUntilGivenUp hands in a job of one task, lets crash end each start of it, and returns
-// how often it was started.
-func (c *crashing) startsUntilGivenUp(step job.Step, crash func(o Start)) int {
+// startsUntilGivenUp submits a job of one task, passes each start of it to crash, and
+// returns how often it was started.
+func (c *crashHarness) startsUntilGivenUp(step job.Step, crash func(o Start)) int {
 	c.job("j", "free", step)
 	for n := range 12 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
@@ -128,26 +129,26 @@
 		}
 		crash(o)
 	}
-	c.t.Fatal("the task is started for ever")
+	c.t.Fatal("the task is never given up")
 	return 0
 }
 
 // checkStarts checks how often a task that crashes its VMs was started.
-func (c *crashing) checkStarts(n int) {
+func (c *crashHarness) checkStarts(n int) {
 	c.t.Helper()
-	assert.Assert(c.t, n >= 2 && n <= mostStarts, "%d starts", n)
+	assert.Assert(c.t, n >= 2 && n <= maxStarts, "%d starts", n)
 }
 
-// mostStarts is what the users allow: two more after the third crash.
-const mostStarts = 5
+// maxStarts is the most that users accept: two starts after the third crash.
+const maxStarts = 5
 
-// Guards against a task that takes down one VM after the other, since runs that end with
-// their VM count as nothing.
+// Guards against a task that crashes one VM after the other because runs that end with
+// their VM don't count as failed.
 func TestTaskThatCrashesItsVMsIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{0, 100 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
 		for _, step := range []job.Step{small, {Count: 1, Resources: small.Resources, LongRunning: true}} {
 			t.Run(fmt.Sprintf("%s lasting %t", after, step.LongRunning), func(t *testing.T) {
-				c := newCrashing(t, "one", "two", "three")
+				c := newCrashHarness(t, "one", "two", "three")
 				c.checkStarts(c.startsUntilGivenUp(step, func(o Start) {
 					c.confirm(o)
 					if after > 0 {
@@ -156,7 +157,7 @@
 					}
 					c.crash(o.VM)
 				}))
-				assert.Assert(t, c.s.jobs.Get("j") == nil, "the job is over and stored")
+				assert.Assert(t, c.s.jobs.Get("j") == nil, "the end of the job is stored")
 			})
 		}
 	}
@@ -164,7 +165,7 @@
 
 // Guards against a task that crashes its VM before the start is answered.
 func TestTaskThatCrashesItsVMUnansweredIsGivenUp(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
 		c.crash(o.VM)
@@ -172,7 +173,7 @@
 	}))
 }
 
-// Guards against a crash that isn't counted since the VM comes back under a new ID.
+// Guards against a crash that isn't counted because the VM returns under a new ID.
 func TestCrashCountsWhenTheMachineHasANewLife(t *testing.T) {
 	h := newHarness(t)
 	h.ready("vm-0")
@@ -196,38 +197,39 @@
 		h.now = h.now.Add(time.Millisecond)
 		h.s.Machines(h.now, []job.Machine{{ID: "m-vm-0", Pool: poolA, State: job.MachineUp, VM: next}})
 	}
-	assert.Assert(t, n >= 2 && n <= mostStarts, "%d starts", n)
+	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 }
 
-// Guards against a crash that isn't counted since the VM is back only after the lease.
+// Guards against a crash that isn't counted because the VM returns only after its lease.
 func TestCrashCountsWhenTheVMIsBackAfterItsLease(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three", "four")
+	c := newCrashHarness(t, "one", "two", "three", "four")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.confirm(o)
 		c.step(30 * time.Millisecond)
 		c.full = true
-		c.goDark(o.VM, 8*time.Second)
+		c.silence(o.VM, 8*time.Second)
 		c.full = false
 		c.revive(o.VM)
 	}))
 }
 
-// Guards against a count that is lost with its owner: each of many owners sees one crash.
+// Guards against crash counts that are lost with the owner. Each of many owners sees one
+// crash.
 func TestCrashesOutlastTheirOwner(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.confirm(o)
 		c.step(30 * time.Millisecond)
-		c.goDark(o.VM, time.Second)
+		c.silence(o.VM, time.Second)
 		c.takeOver("j", small)
-		c.goDark(o.VM, 2*time.Second)
+		c.silence(o.VM, 2*time.Second)
 		c.revive(o.VM)
 		c.answerStops()
 	}))
 }
 
-// takeOver puts a new owner in place of this one, who reads what is stored.
-func (c *crashing) takeOver(id job.ID, steps ...job.Step) {
+// takeOver replaces the scheduler by that of a new owner, which reads what is stored.
+func (c *crashHarness) takeOver(id job.ID, steps ...job.Step) {
 	former := c.s
 	c.s = New(Settings{
 		Fence: former.settings.Fence + 1, AttemptBase: former.settings.AttemptBase + 100, TookOver: c.now,
@@ -236,7 +238,7 @@
 	c.s.Configure(former.conf)
 	c.s.SetRights(former.rights)
 	for _, v := range former.vms.All() {
-		c.s.Inherit(v.rostered)
+		c.s.Inherit(v.rosterEntry)
 	}
 	if j := former.jobs.Get(id); j != nil {
 		p := j.progress()
@@ -247,9 +249,9 @@
 	}
 }
 
-// Guards against a job that is given up since its VM was emptied in an orderly way.
-func TestVMThatLeavesIsNoCrash(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+// Guards against a job that is given up because its VM was drained.
+func TestDrainedVMIsNoCrash(t *testing.T) {
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", small)
 	for range 6 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
@@ -261,10 +263,10 @@
 	}
 }
 
-// Guards against innocent tasks that are lost again and again beside the one that crashes
-// their VM: those that lost a VM share none with each other.
+// Guards against harmless tasks that are lost repeatedly beside the one that crashes
+// their VM. Tasks that lost a VM must not share one.
 func TestTasksThatLostAVMAreKeptApart(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("bad", "free", small)
 	c.job("good", "free", small)
 	first := only[Start](c.step(0))
@@ -279,9 +281,9 @@
 	assert.Assert(t, again[0].VM != again[1].VM)
 }
 
-// Guards against lasting tasks that are given up after years with three crashes.
-func TestLastingTaskAtWorkIsCleared(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+// Guards against lasting tasks that are given up because of three crashes over years.
+func TestStableLastingTaskIsCleared(t *testing.T) {
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 1, Resources: small.Resources, LongRunning: true})
 	for range 8 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
@@ -296,9 +298,10 @@
 	}
 }
 
-// Guards against a lasting job that loses all of its tasks since one of them crashes VMs.
+// Guards against a lasting job that loses all of its tasks because one of them crashes
+// VMs.
 func TestSiblingsOfAGivenUpLastingTaskGoOn(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 2, Resources: small.Resources, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true})
 	starts := only[Start](c.step(0))
 	assert.Equal(t, len(starts), 2)
@@ -319,24 +322,25 @@
 			c.confirm(o)
 			n++
 		}
-		assert.Equal(t, len(only[Stop](commands)), 0, "the sibling is at work")
+		assert.Equal(t, len(only[Stop](commands)), 0, "the sibling is running")
 	}
-	assert.Assert(t, n >= 2 && n <= mostStarts, "%d starts", n)
+	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 	assert.Equal(t, c.s.jobs.Get("j").state, job.Running)
 }
 
-// Guards against one start too many of a task whose last VM may have crashed or be cut off.
-func TestTaskOnTheBrinkWaitsForTheFateOfItsVM(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three", "four", "five", "six")
+// Guards against one start too many of a task whose last VM may have crashed or only be
+// cut off.
+func TestTaskAtItsCrashLimitWaitsForItsVM(t *testing.T) {
+	c := newCrashHarness(t, "one", "two", "three", "four", "five", "six")
 	c.job("j", "free", small)
 	task := job.TaskID{Job: "j"}
-	for range crashesMost {
+	for range maxCrashes {
 		o, ok := c.startOf(task)
 		assert.Assert(t, ok)
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
 		c.step(30 * time.Millisecond)
-		c.goDark(o.VM, 8*time.Second)
-		if n := len(c.s.jobs.Get("j").occurrences[0].steps[0].tasks[0].crashes.attempts); n < crashesMost-1 {
+		c.silence(o.VM, 8*time.Second)
+		if n := len(c.s.jobs.Get("j").occurrences[0].steps[0].tasks[0].crashes.attempts); n < maxCrashes-1 {
 			c.revive(o.VM)
 			c.answerStops()
 			continue
@@ -348,10 +352,11 @@
 	}
 }
 
-// Guards against innocent tasks that are blamed as if they had been alone on their VM, since the others there were freed first.
+// Guards against harmless tasks that are blamed as if they had been alone on their VM
+// because the other tasks there were freed first.
 func TestTasksThatLostAVMTogetherWereNotAlone(t *testing.T) {
 	for name, after := range map[string]time.Duration{"within the lease": 3 * time.Second, "after it": 8 * time.Second} {
-		c := newCrashing(t, "one", "two", "three")
+		c := newCrashHarness(t, "one", "two", "three")
 		c.job("j", "free", job.Step{Count: 3, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second})
 		starts := only[Start](c.step(0))
 		assert.Equal(t, len(starts), 3)
@@ -361,7 +366,7 @@
 		}
 		c.step(30 * time.Millisecond)
 		c.full = true
-		c.goDark(starts[0].VM, after)
+		c.silence(starts[0].VM, after)
 		c.revive(starts[0].VM)
 		for i, x := range c.s.jobs.Get("j").occurrences[0].steps[0].tasks {
 			assert.Equal(t, x.crashes.certain, 1, "%s, task %d", name, i)
@@ -370,12 +375,13 @@
 	}
 }
 
-// Guards against an innocent task that is given up since its last VM crashed under another one: nothing starts beside a task whose next crash is its last.
-func TestNothingStartsBesideATaskOnTrial(t *testing.T) {
-	c := newCrashing(t, "one", "two", "three")
+// Guards against a harmless task that is given up because its last VM crashed under
+// another task. Nothing may start beside a task whose next crash is the last.
+func TestNothingStartsBesideAnIsolatedTask(t *testing.T) {
+	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 1, Resources: small.Resources, LongRunning: true})
 	task := job.TaskID{Job: "j"}
-	for range crashesMost - 1 {
+	for range maxCrashes - 1 {
 		o, ok := c.startOf(task)
 		assert.Assert(t, ok)
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
@@ -394,5 +400,5 @@
 		}
 		c.list(o.VM, []job.RunningTask{running(o, 100)})
 	}
-	assert.Equal(t, c.s.vms.Get(o.VM).trials, 0)
+	assert.Equal(t, c.s.vms.Get(o.VM).isolatedRuns, 0)
 }
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -9,20 +9,22 @@
 	"lavenderpond/core/job"
 )
 
-// stale takes away the right that only an owner has that has proved its tenure just now.
-func (h *harness) stale() { h.s.SetRights(Rights{Start: true, Hold: true}) }
+// loseOrderRight removes the right that only an owner has that has recently proved its
+// tenure.
+func (h *harness) loseOrderRight() { h.s.SetRights(Rights{Start: true, Hold: true}) }
 
-// Guards against a former owner that starts a task again elsewhere since it can't reach its VM, where the present owner has noted the end.
+// Guards against a former owner that starts a task again elsewhere because it can't reach
+// the task's VM. The present owner may have noted the end there.
 func TestFormerOwnerRestartsNothingThatLapsed(t *testing.T) {
-	c := newCrashing(t, "one", "two")
+	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
 	assert.Assert(t, ok)
 	c.confirm(o)
 	c.step(30 * time.Millisecond)
 	c.full = true
-	c.goDark(o.VM, 5*time.Second)
-	c.stale()
+	c.silence(o.VM, 5*time.Second)
+	c.loseOrderRight()
 	c.full = false
 	for range 20 {
 		c.listAll(o.VM)
@@ -33,14 +35,15 @@
 	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that starts a task again since its VM lives anew: the end may have been noted before.
+// Guards against a former owner that starts a task again because its VM has restarted.
+// The end may have been noted before.
 func TestFormerOwnerRestartsNothingThatItsVMLost(t *testing.T) {
-	c := newCrashing(t, "one", "two")
+	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
 	assert.Assert(t, ok)
 	c.confirm(o)
-	c.stale()
+	c.loseOrderRight()
 	c.crash(o.VM)
 	for range 20 {
 		assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
@@ -49,14 +52,15 @@
 	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that takes a VM out of its reach for free, where the present owner has found tasks.
+// Guards against a former owner that assumes an unreachable VM to be free. The present
+// owner may have found tasks there.
 func TestFormerOwnerStartsNothingThatMayRunUnheard(t *testing.T) {
 	h := newHarness(t)
 	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
-	h.stale()
+	h.loseOrderRight()
 	for range 110 {
 		h.lists("one", nil)
 		assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -7,32 +7,33 @@
 	"lavenderpond/core/job"
 )
 
-// lapsedFor is how long it is remembered which runs were freed since their VM's lease was
-// over: the VM may turn out to have crashed.
-const lapsedFor = 30 * time.Second
+// lapsedRetention is how long runs that were freed because their VM's lease expired are
+// remembered. The VM may turn out to have crashed.
+const lapsedRetention = 30 * time.Second
 
-// crashedUnderLapsed takes in that a VM's life was over when its lease seemed to run out.
-func (s *Scheduler) crashedUnderLapsed(now time.Time, v *vmState) {
+// countLapsedCrashes counts a crash for the runs that were freed when the VM's lease
+// expired, once its life is known to have ended.
+func (s *Scheduler) countLapsedCrashes(now time.Time, v *vmState) {
 	for _, r := range v.lapsed {
-		s.crashedUnder(now, r)
+		s.countCrash(now, r)
 	}
 	s.forgetLapsed(v)
 }
 
-// lapse remembers a run that is freed since its VM's lease has run out.
+// lapse remembers a run that is freed because its VM's lease has expired.
 func (s *Scheduler) lapse(now time.Time, r *run) {
 	j, _, _, t := s.task(r.task)
 	if t == nil || j.over() {
 		return
 	}
 	r.vm.lapsed = append(r.vm.lapsed, r)
-	r.vm.lapsedUntil = now.Add(lapsedFor)
+	r.vm.lapsedUntil = now.Add(lapsedRetention)
 	t.lapsed = append(t.lapsed, r)
 	s.markDirty(j)
 }
 
-// forgetLapsed forgets the lapsed runs of a VM: it is known what became of them, or never
-// will be.
+// forgetLapsed deletes the lapsed runs of a VM, because their fate is known or never will
+// be.
 func (s *Scheduler) forgetLapsed(v *vmState) {
 	for _, r := range v.lapsed {
 		j, _, st, t := s.task(r.task)
@@ -46,24 +47,24 @@
 	v.lapsed = nil
 }
 
-// mayBeTooMany tells whether the task must wait until it is known what became of the VMs
-// where it lapsed: if they crashed, it must not start any more.
-func (t *taskState) mayBeTooMany() bool {
-	return len(t.lapsed) > 0 && len(t.crashes.attempts)+len(t.lapsed) >= crashesMost
+// mayReachCrashLimit reports whether the task would reach the crash limit if all VMs on
+// which it lapsed have crashed. It must not start until their fate is known.
+func (t *taskState) mayReachCrashLimit() bool {
+	return len(t.lapsed) > 0 && len(t.crashes.attempts)+len(t.lapsed) >= maxCrashes
 }
 
-// record stores a start before it is sent, if a new owner could not know of it else: it
-// must count a crash that this owner doesn't live to see.
-func (s *Scheduler) record(j *jobState, t *taskState, r *run) {
+// recordStart stores a start before it is sent if a new owner would not know of it
+// otherwise. A new owner must count a crash that this owner doesn't live to see.
+func (s *Scheduler) recordStart(j *jobState, t *taskState, r *run) {
 	if !j.takenOver && !t.crashes.any() && len(t.lapsed) == 0 {
 		return
 	}
 	r.recorded = true
 	s.markDirty(j)
-	r.after = max(r.after, s.nextSave())
+	r.requiredSave = max(r.requiredSave, s.nextSave())
 }
 
-// restoreCrashes applies stored crashes.
+// restoreCrashes restores stored crashes.
 func (j *jobState) restoreCrashes(p *job.Progress) {
 	for _, c := range p.Crashed {
 		if t := j.taskAt(c.Occurrence, c.Step, c.Task); t != nil {
@@ -73,7 +74,7 @@
 	}
 }
 
-// restoreStarts puts the recorded starts of a former owner back on their VMs.
+// restoreStarts restores the recorded starts of a previous owner on their VMs.
 func (s *Scheduler) restoreStarts(now time.Time, j *jobState, p *job.Progress) {
 	for _, x := range p.Started {
 		t, v := j.taskAt(x.Occurrence, x.Step, x.Task), s.vms.Get(x.VM)
@@ -83,14 +84,14 @@
 		st := &j.occurrences[x.Occurrence].steps[x.Step]
 		r := &run{
 			task: job.TaskID{Job: j.ID, Occurrence: x.Occurrence, Step: x.Step, Index: x.Task}, attempt: x.Attempt, vm: v,
-			phase: runUnanswered, adopted: true, recorded: true, suspect: t.crashes.any(),
+			phase: runUnanswered, adopted: true, recorded: true, crashSuspect: t.crashes.any(),
 			claim: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account, pace: 100,
 		}
 		r.setKind(st.def)
 		t.attempt = max(t.attempt, x.Attempt)
 		switch {
 		case x.Born != 0 && v.born > x.Born:
-			s.crashedUnder(now, r)
+			s.countCrash(now, r)
 		case x.LeaseExpired:
 			s.lapse(now, r)
 		default:
@@ -99,8 +100,8 @@
 	}
 }
 
-// unseen tells whether the run is known from a former owner's record only.
-func (r *run) unseen() bool { return r.adopted && r.phase == runUnanswered }
+// onlyRecorded reports whether the run is known only from a previous owner's record.
+func (r *run) onlyRecorded() bool { return r.adopted && r.phase == runUnanswered }
 
 // taskAt returns a task of the job, or nil.
 func (j *jobState) taskAt(occurrence, step, index int) *taskState {
@@ -110,7 +111,7 @@
 	return &j.occurrences[occurrence].steps[step].tasks[index]
 }
 
-// addCrashes adds what must be stored of a task's crashes and recorded starts.
+// addCrashes adds a task's crashes and recorded starts to the progress to be stored.
 func (t *taskState) addCrashes(p *job.Progress, id job.TaskID) {
 	if t.done {
 		return
@@ -123,16 +124,16 @@
 	}
 	for _, r := range t.runs {
 		if r.recorded {
-			p.Started = append(p.Started, r.start(false))
+			p.Started = append(p.Started, r.startRecord(false))
 		}
 	}
 	for _, r := range t.lapsed {
-		p.Started = append(p.Started, r.start(true))
+		p.Started = append(p.Started, r.startRecord(true))
 	}
 }
 
-// start returns what is stored of the run's start.
-func (r *run) start(lapsed bool) job.TaskStart {
+// startRecord returns the stored form of the run's start.
+func (r *run) startRecord(lapsed bool) job.TaskStart {
 	return job.TaskStart{
 		Occurrence: r.task.Occurrence, Step: r.task.Step, Task: r.task.Index, Attempt: r.attempt,
 		VM: r.vm.id, Born: r.vm.born, LeaseExpired: lapsed,
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -7,10 +7,10 @@
 	"lavenderpond/core/job"
 )
 
-// sendPlanned sends the starts whose saves are stored.
+// sendPlanned sends the planned starts whose saves are stored.
 func (s *Scheduler) sendPlanned(now time.Time) {
 	s.planned = slices.DeleteFunc(s.planned, func(r *run) bool {
-		if r.after > s.stored {
+		if r.requiredSave > s.stored {
 			return false
 		}
 		s.send(now, r)
@@ -18,35 +18,35 @@
 	})
 }
 
-// send sends a planned start, if it can still be sent.
+// send sends a planned start, or releases the run if the task may not start any more.
 func (s *Scheduler) send(now time.Time, r *run) {
 	v := r.vm
 	if v.runs.Get(runKey{r.task, r.attempt}) != r {
 		return
 	}
 	j, _, st, t := s.task(r.task)
-	if t == nil || j.over() || !s.rights.Start || s.mayHaveEnded(t) || !v.takesTasks() || v.overfull() || !s.roomKnown(now, v) {
+	if t == nil || j.over() || !s.rights.Start || s.mayHaveEnded(t) || !v.acceptsTasks() || v.overbooked() || !s.roomKnown(now, v) {
 		s.release(now, r)
 		s.stopGang(now, r)
 		return
 	}
-	r.enter(runOrdered)
+	r.setPhase(runOrdered)
 	r.orderedAt = now
-	r.resumed = t.saved != ""
-	r.startBy = v.clock.Estimate(now) + job.VMClock(startWithin.Milliseconds())
+	r.resumed = t.checkpoint != ""
+	r.startBy = v.clock.Estimate(now) + job.VMClock(startWindow.Milliseconds())
 	v.leaseEnd = max(v.leaseEnd, r.startBy)
 	s.decided(Decision{
-		What: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.answered),
+		Kind: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.lastAnswer),
 		After: now.Sub(j.arrived),
 	})
 	s.emit(Start{VM: v.id, Life: v.born, Zone: v.zone, Order: job.StartOrder{
-		Task: r.task, Attempt: r.attempt, Spec: j.Body.Spec, Fence: v.fence, Checkpoint: t.saved,
+		Task: r.task, Attempt: r.attempt, Spec: j.Body.Spec, Fence: v.fence, Checkpoint: t.checkpoint,
 		Deadline: r.startBy, Ticket: st.tickets[v.id],
 	}})
 }
 
-// mayRunUnheard tells whether a task of the job may run on a VM that this owner
-// hasn't heard yet.
+// mayRunUnheard reports whether a task of the job may run on a VM that this owner hasn't
+// heard from yet.
 func (s *Scheduler) mayRunUnheard(j *jobState) bool {
 	if !j.inherited || !s.anyUnheard {
 		return false
@@ -57,12 +57,13 @@
 			return true
 		}
 	}
-	// A VM that has been heard, or is free, stays so.
+	// None of the job's VMs is unheard, and a VM doesn't become unheard again.
 	j.inherited = false
 	return false
 }
 
-// addRun books a run on its VM, its step and task (nil if unknown) and its account.
+// addRun books a run on its VM, its account, and its step and task, which are nil if
+// unknown.
 func (s *Scheduler) addRun(r *run, st *stepState, t *taskState) {
 	r.vm.runs.Set(runKey{r.task, r.attempt}, r)
 	r.vm.used = r.vm.used.Add(r.claim)
@@ -74,7 +75,7 @@
 	}
 }
 
-// countKind adds n to the counts of the VM's runs of this kind.
+// countKind adds n to the VM's counters of runs of r's kinds.
 func (v *vmState) countKind(r *run, n int) {
 	if r.lasting {
 		v.lasting += n
@@ -85,18 +86,19 @@
 	if r.fills {
 		v.fills += n
 	}
-	if r.suspect {
-		v.suspects += n
+	if r.crashSuspect {
+		v.crashSuspects += n
 	}
-	if r.trial {
-		v.trials += n
+	if r.isolated {
+		v.isolatedRuns += n
 	}
-	if r.stray {
-		v.strays += n
+	if r.unknownJob {
+		v.unknownRuns += n
 	}
 }
 
-// release takes a run off its VM, task and account: nothing of it can run any more.
+// release removes a run from its VM, task and account. The run must be certain not to
+// execute any more.
 func (s *Scheduler) release(now time.Time, r *run) {
 	k := runKey{r.task, r.attempt}
 	if r.vm.runs.Get(k) != r {
@@ -122,37 +124,37 @@
 	}
 	t.runs = slices.DeleteFunc(t.runs, func(o *run) bool { return o == r })
 	st.recount()
-	if st.def.LongRunning && t.awaySince.IsZero() {
-		t.awaySince = now
+	if st.def.LongRunning && t.unavailableSince.IsZero() {
+		t.unavailableSince = now
 	}
 }
 
-// freeUnseen releases a run of which its VM can't tell any more how it ended. It may have
-// ended well, and another owner may know.
-func (s *Scheduler) freeUnseen(now time.Time, r *run, why string) {
+// freeWithUnknownEnd frees a run whose VM can no longer report how it ended. It may have
+// completed, and another owner may know that.
+func (s *Scheduler) freeWithUnknownEnd(now time.Time, r *run, reason string) {
 	if _, _, _, t := s.task(r.task); t != nil {
-		t.unseenEnd = true
+		t.endUnknown = true
 	}
-	s.free(now, r, why)
+	s.freeRun(now, r, reason)
 }
 
-// mayHaveEnded tells whether a task may have ended well without this owner's knowledge: only
-// one that has proved its right just now can know of all ends.
-func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.unseenEnd && !s.rights.Order }
+// mayHaveEnded reports whether a task may have completed without this owner's knowledge.
+// Only an owner that has just proved its right is sure to know of all ends.
+func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.Order }
 
-// free releases a run that ended without a listed end.
-func (s *Scheduler) free(now time.Time, r *run, why string) {
+// freeRun releases a run that ended without being listed as ended.
+func (s *Scheduler) freeRun(now time.Time, r *run, reason string) {
 	s.decided(Decision{
-		What: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
-		Age: now.Sub(r.vm.answered),
+		Kind: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
+		Age: now.Sub(r.vm.lastAnswer),
 	})
 	s.release(now, r)
 	s.stopGang(now, r)
 	s.forgetClosed()
 }
 
-// stop orders a run's end, once.
-func (s *Scheduler) stop(now time.Time, r *run, why string) {
+// stopRun orders a run's end. Further calls for the same run do nothing.
+func (s *Scheduler) stopRun(now time.Time, r *run, reason string) {
 	if r.stopping {
 		return
 	}
@@ -164,17 +166,17 @@
 	r.vm.stopping++
 	r.resendStop = now.Add(stopRetry)
 	s.decided(Decision{
-		What: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: why,
+		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 	})
-	s.emit(r.vm.stop(r))
+	s.emit(r.vm.stopOrder(r))
 }
 
-// stop returns the order to end a run on the VM.
-func (v *vmState) stop(r *run) Stop {
+// stopOrder returns the order to end a run on the VM.
+func (v *vmState) stopOrder(r *run) Stop {
 	return Stop{VM: v.id, Life: v.born, Fence: v.fence, Task: r.task, Attempt: r.attempt}
 }
 
-// repeatStops orders the end again of runs on the VM that are still there.
+// repeatStops sends the stop again for runs that are still on the VM.
 func (s *Scheduler) repeatStops(now time.Time, v *vmState) {
 	for _, r := range v.runs.All() {
 		if !r.stopping || now.Before(r.resendStop) {
@@ -182,13 +184,13 @@
 		}
 		r.resendStop = now.Add(stopRetry)
 		if r.stopClock == 0 || r.phase == runConfirmed {
-			s.emit(v.stop(r))
+			s.emit(v.stopOrder(r))
 		}
 	}
 }
 
-// begin notes that a job's first task has started.
-func (s *Scheduler) begin(j *jobState) {
+// markBegun records that a job's first task has started.
+func (s *Scheduler) markBegun(j *jobState) {
 	if j.begun || j.over() {
 		return
 	}
@@ -197,47 +199,49 @@
 	s.markDirty(j)
 }
 
-// confirm notes that a run has started.
-func (s *Scheduler) confirm(now time.Time, r *run, clock job.VMClock) {
-	r.enter(runConfirmed)
-	// A new life of the VM may have taken a start that was meant for the former
-	// one: its lease counts from here.
+// confirmRun records that a run has started.
+func (s *Scheduler) confirmRun(now time.Time, r *run, clock job.VMClock) {
+	r.setPhase(runConfirmed)
+	// A new life of the VM may have carried out a start that was sent to the previous
+	// one. Its lease counts from this clock reading.
 	longest := clock + job.VMClock(s.settings.LeaseMax.Milliseconds())
 	v := r.vm
 	v.leaseEnd = max(v.leaseEnd, min(r.startBy, longest))
 	r.confirmedAt = now
 	if !r.resumed {
-		r.markAt = now
+		r.progressAt = now
 	}
 	r.confirmedClock = max(r.confirmedClock, clock)
-	if r.begunAnew() && v.clock.Known() {
-		// A life that isn't known yet grants a whole lease, whatever the known one's clock says.
+	if r.confirmedByNewLife() && v.clock.Known() {
+		// A life that isn't known yet grants a full lease, whatever the clock of the
+		// known life says.
 		v.leaseEnd = max(v.leaseEnd, v.clock.Estimate(now)+job.VMClock(s.settings.LeaseMax.Milliseconds()))
 	}
 	j := s.jobs.Get(r.task.Job)
 	if j == nil {
 		return
 	}
-	s.begin(j)
+	s.markBegun(j)
 	s.decided(Decision{
-		What: TaskStarted, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
+		Kind: TaskStarted, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
 		Age: now.Sub(r.orderedAt), After: now.Sub(j.arrived),
 	})
 }
 
-// begunAnew tells whether a run was confirmed by a later life of its VM than the one for
-// which it was ordered: answers to starts don't name the life, but its clock began anew.
-func (r *run) begunAnew() bool {
-	return r.phase == runConfirmed && r.confirmedClock < r.startBy-2*job.VMClock(startWithin.Milliseconds())
+// confirmedByNewLife reports whether a run was confirmed by a later life of its VM than
+// the one it was ordered for. Answers to starts don't name the life, but the clock of a
+// new life starts again from zero.
+func (r *run) confirmedByNewLife() bool {
+	return r.phase == runConfirmed && r.confirmedClock < r.startBy-2*job.VMClock(startWindow.Milliseconds())
 }
 
-// StartAnswered takes in what came of a start.
+// StartAnswered handles the outcome of a start.
 func (s *Scheduler) StartAnswered(now time.Time, c Start, out Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
 	if v == nil {
 		return
 	}
-	if out == Answered && !s.heardFrom(now, v, c.Life, rep) {
+	if out == Answered && !s.recordAnswerFrom(now, v, c.Life, rep) {
 		return
 	}
 	r := v.runs.Get(runKey{c.Order.Task, c.Order.Attempt})
@@ -246,55 +250,55 @@
 	}
 	switch {
 	case out == Answered && rep.Refused == job.NotRefused:
-		s.confirm(now, r, rep.Clock)
+		s.confirmRun(now, r, rep.Clock)
 		return
 	case out == Unanswered:
-		r.enter(runUnanswered)
-		if v.answered.Before(r.orderedAt) {
-			v.suspect = now.Add(suspicion)
+		r.setPhase(runUnanswered)
+		if v.lastAnswer.Before(r.orderedAt) {
+			v.suspectUntil = now.Add(noAnswerPause)
 		}
 		return
 	case out == Answered && rep.Refused == job.RefusedCapacity:
-		v.full(now)
+		v.markFull(now)
 	case out == Answered && rep.Refused == job.RefusedTicket:
 		s.dropTickets(c.Order.Task)
 	case out != Answered:
-		v.suspect = now.Add(suspicion)
+		v.suspectUntil = now.Add(noAnswerPause)
 	}
-	s.notBegun(now, r, out, rep.Refused)
+	s.releaseNotBegun(now, r, out, rep.Refused)
 }
 
 const (
-	// fullPause keeps new tasks off a VM that said it is full until its next list. The
-	// news of a capacity that has shrunk may be later: the pause doubles with each
-	// further refusal, fullDoublings times at most.
+	// fullPause is how long a VM that refused a task for lack of room gets no new ones,
+	// unless a list comes first. Word of its reduced capacity may take longer, so the
+	// pause doubles with each further refusal, at most fullDoublings times.
 	fullPause     = 200 * time.Millisecond
 	fullDoublings = 4
-	// fullMemory is how long after a pause a refusal still counts as a further one.
-	fullMemory = 2 * time.Second
+	// refusalWindow is how long after a pause another refusal counts as a further one.
+	refusalWindow = 2 * time.Second
 )
 
-// full notes that the VM refused a task for want of room. Refusals of starts that were
-// on their way together count as one.
-func (v *vmState) full(now time.Time) {
+// markFull records that the VM refused a task for lack of room. Refusals of starts that
+// were in flight at the same time count as one.
+func (v *vmState) markFull(now time.Time) {
 	if now.Before(v.fullUntil) {
 		return
 	}
-	if now.Sub(v.fullUntil) > fullMemory {
+	if now.Sub(v.fullUntil) > refusalWindow {
 		v.refusals = 0
 	}
 	v.fullUntil = now.Add(fullPause << min(v.refusals, fullDoublings))
 	v.refusals++
 }
 
-// notBegun releases a run that is known not to have begun.
-func (s *Scheduler) notBegun(now time.Time, r *run, out Outcome, why job.Refusal) {
+// releaseNotBegun releases a run that is known not to have begun.
+func (s *Scheduler) releaseNotBegun(now time.Time, r *run, out Outcome, refusal job.Refusal) {
 	reason := out.String()
 	if out == Answered {
-		reason = why.String()
+		reason = refusal.String()
 	}
 	s.decided(Decision{
-		What: TaskNotBegun, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
+		Kind: TaskNotBegun, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 		Age: now.Sub(r.orderedAt),
 	})
 	s.release(now, r)
@@ -302,18 +306,18 @@
 	s.forgetClosed()
 }
 
-// StopAnswered takes in what came of a stop.
+// StopAnswered handles the outcome of a stop.
 func (s *Scheduler) StopAnswered(now time.Time, c Stop, out Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
-	if v == nil || out != Answered || !s.heardFrom(now, v, c.Life, rep) {
+	if v == nil || out != Answered || !s.recordAnswerFrom(now, v, c.Life, rep) {
 		return
 	}
 	r := v.runs.Get(runKey{c.Task, c.Attempt})
 	if r != nil && rep.Refused == job.NotRefused {
 		r.stopClock = rep.Clock
 		if r.phase == runOrdered {
-			// The start was overtaken: it can't begin any more.
-			r.enter(runUnanswered)
+			// The stop overtook the start, which can't begin any more.
+			r.setPhase(runUnanswered)
 		}
 	}
 }
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -7,88 +7,88 @@
 )
 
 const (
-	// paceSpan is the least time between two readings of a run's progress that are
-	// compared: VMs tell it in whole percents.
-	paceSpan = 300 * time.Millisecond
-	// slowFactor is how many times as long as its siblings a run must be going to
-	// take to be slow. Of sound runs, one in a thousand takes 2.6 times the median of
-	// its step; slow VMs are slower by four to eight times.
+	// progressInterval is the minimum time between two progress readings of a run that
+	// are compared. VMs report progress in whole percents.
+	progressInterval = 300 * time.Millisecond
+	// slowFactor is how many times longer than its siblings a run must be projected to
+	// take to count as slow. Of the runs on healthy VMs, one in a thousand takes 2.6
+	// times the median of its step. Slow VMs are slower by a factor of four to eight.
 	slowFactor = 3
-	// strayFactor is the same against the usual run of the queue, for runs that have
-	// too few siblings. Run times of a queue vary by half a log unit.
-	strayFactor = 6
-	// siblingsNeeded is how many siblings on other VMs make a median.
-	siblingsNeeded = 3
-	// projectFrom is the progress, in percent, from which a run's whole time is
-	// projected.
-	projectFrom = 8
-	// slowPause is how long a VM with a slow run gets no new tasks. Its other runs
-	// renew it.
+	// queueSlowFactor is the same factor against the usual run time of the queue, for
+	// runs with too few siblings. Run times within a queue vary by half a log unit.
+	queueSlowFactor = 6
+	// minSiblings is how many siblings on other VMs are needed for a median.
+	minSiblings = 3
+	// minProjectedPercent is the progress from which a run's total time is projected.
+	minProjectedPercent = 8
+	// slowPause is how long a VM with a slow run gets no new tasks. Other slow runs there
+	// extend the pause.
 	slowPause = 2 * time.Second
-	// rescueMargin is how many times as long as a new run elsewhere, with the stop of
-	// this one, a slow run must still be going to take to be given up.
-	rescueMargin = 1.3
-	// rescuesEach bounds how often one task is given up as slow.
-	rescuesEach = 2
+	// slowStopMargin is how many times longer the rest of a slow run must take than a new
+	// run elsewhere, including the stop of this one, for the slow run to be stopped.
+	slowStopMargin = 1.3
+	// maxSlowStops limits how often the runs of one task are stopped as slow.
+	maxSlowStops = 2
 )
 
-// watchPace compares the progress of a run with what its siblings need. A job is
-// late as soon as one of its tasks is: on a VM that is five times as slow, or where
-// tasks stand still, a job that could spare a second ends many seconds late. So the
-// VM gets no new tasks for a while, and the run goes elsewhere if that is sooner.
-func (s *Scheduler) watchPace(now time.Time, r *run) {
+// checkProgress compares the progress of a run with that of its siblings. A job is late
+// as soon as one of its tasks is: on a VM that is five times slower, or where tasks make
+// no progress, a job with a second to spare ends many seconds late. So the VM gets no new
+// tasks for a while, and the task moves to another VM if it ends sooner there.
+func (s *Scheduler) checkProgress(now time.Time, r *run) {
 	j, _, st, t := s.task(r.task)
-	if t == nil || st.def.LongRunning || st.def.SpareCPU || r.stopping || r.suspect || j.over() {
+	if t == nil || st.def.LongRunning || st.def.SpareCPU || r.stopping || r.crashSuspect || j.over() {
 		return
 	}
-	if r.markAt.IsZero() {
-		r.markAt, r.markPercent = now, r.percent
+	if r.progressAt.IsZero() {
+		r.progressAt, r.progressPercent = now, r.percent
 		return
 	}
-	span := now.Sub(r.markAt)
-	if span < paceSpan {
+	span := now.Sub(r.progressAt)
+	if span < progressInterval {
 		return
 	}
-	moved := r.percent - r.markPercent
-	r.markAt, r.markPercent = now, r.percent
-	usual, factor := s.usualRun(j, st, r)
-	// So much the run would have moved on if it took factor times the usual.
-	least := 100 * span.Seconds() / (usual.Seconds() * factor)
-	if usual <= 0 || float64(moved) >= least || r.percent >= 100 {
+	progressed := r.percent - r.progressPercent
+	r.progressAt, r.progressPercent = now, r.percent
+	usual, factor := s.usualRunTime(j, st, r)
+	// The run would have progressed this far if it took factor times the usual run time.
+	minProgress := 100 * span.Seconds() / (usual.Seconds() * factor)
+	if usual <= 0 || float64(progressed) >= minProgress || r.percent >= 100 {
 		return
 	}
-	left := remaining(span, moved, r.percent)
+	left := remainingTime(span, progressed, r.percent)
 	r.vm.slowUntil = now.Add(slowPause)
-	s.decided(Decision{What: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, After: left})
-	if st.def.Gang || t.rescued >= rescuesEach {
+	s.decided(Decision{Kind: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, After: left})
+	if st.def.Gang || t.slowStops >= maxSlowStops {
 		return
 	}
-	if left.Seconds() > rescueMargin*(usual+s.settings.TaskStop).Seconds() {
-		t.rescued++
-		s.stop(now, r, "slow")
+	if left.Seconds() > slowStopMargin*(usual+s.settings.TaskStop).Seconds() {
+		t.slowStops++
+		s.stopRun(now, r, "slow")
 	}
 }
 
-// remaining predicts how long a run still takes that moved by so many percent in span.
-func remaining(span time.Duration, moved, percent int) time.Duration {
-	if moved <= 0 {
+// remainingTime predicts how much longer a run takes that progressed that many percent
+// within span.
+func remainingTime(span time.Duration, progressed, percent int) time.Duration {
+	if progressed <= 0 {
 		return math.MaxInt64
 	}
-	return time.Duration(float64(span) * float64(100-percent) / float64(moved))
+	return time.Duration(float64(span) * float64(100-percent) / float64(progressed))
 }
 
-// usualRun returns how long a run of the step usually takes, and how many times
-// that is slow. It is 0 if nothing is known.
-func (s *Scheduler) usualRun(j *jobState, st *stepState, r *run) (time.Duration, float64) {
-	known := slices.Clone(st.took)
+// usualRunTime returns how long a run of the step usually takes, and the factor from
+// which a run counts as slow. The time is 0 if nothing is known.
+func (s *Scheduler) usualRunTime(j *jobState, st *stepState, r *run) (time.Duration, float64) {
+	known := slices.Clone(st.runTimes)
 	for i := range st.tasks {
 		for _, x := range st.tasks[i].runs {
-			if x.vm != r.vm && x.phase == runConfirmed && x.wholly() && x.percent >= projectFrom {
+			if x.vm != r.vm && x.phase == runConfirmed && x.fullyObserved() && x.percent >= minProjectedPercent {
 				known = append(known, x.listedAt.Sub(x.confirmedAt)*100/time.Duration(x.percent))
 			}
 		}
 	}
-	if len(known) >= siblingsNeeded {
+	if len(known) >= minSiblings {
 		slices.Sort(known)
 		return known[len(known)/2], slowFactor
 	}
@@ -96,8 +96,8 @@
 	if q.runs < learnedAfter {
 		return 0, 1
 	}
-	return time.Duration(math.Exp(q.logRun) * float64(time.Second)), strayFactor
+	return time.Duration(math.Exp(q.logRun) * float64(time.Second)), queueSlowFactor
 }
 
-// slow tells whether the VM has had a slow run of late.
+// slow reports whether the VM has recently had a slow run.
 func (v *vmState) slow(now time.Time) bool { return now.Before(v.slowUntil) }
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Tick does what is due: holds, repeated stops, leases that ran out, upkeep.
+// Tick carries out the periodic work: holds, looks, repeated stops, expired leases,
+// evacuations, maintenance and pool sizes.
 func (s *Scheduler) Tick(now time.Time) {
 	s.anyUnheard = false
 	for _, v := range s.vms.All() {
 		s.anyUnheard = s.anyUnheard || v.unheard()
-		if v.settled() {
+		if v.nothingDue() {
 			continue
 		}
 		s.expire(now, v)
-		s.look(now, v)
+		s.checkUnanswered(now, v)
 		if v.stopping > 0 {
 			s.repeatStops(now, v)
 		}
@@ -20,7 +21,7 @@
 		}
 		s.hold(now, v)
 	}
-	s.leaveDraining(now)
+	s.stopOnDraining(now)
 	s.leaveEvacuated(now)
 	s.forgetEnded(now)
 	s.pruneOrders(now)
@@ -28,19 +29,19 @@
 	s.size(now)
 }
 
-// unheard tells whether a former owner's tasks may run on the VM, which hasn't been
-// heard yet.
+// unheard reports whether a previous owner's tasks may run on the VM and this owner
+// hasn't heard from it yet.
 func (v *vmState) unheard() bool { return !v.heldOnce && !v.inheritedUntil.IsZero() }
 
-// settled tells whether nothing can be due on the VM: its hold is on its way, and no
-// start or stop waits for its answer.
-func (v *vmState) settled() bool {
-	return v.holding && v.listed && !v.silent && !v.doubtful && v.ordered == 0 && v.stopping == 0 && v.fills == 0 && len(v.lost) == 0
+// nothingDue reports whether the VM needs no work in this turn: its hold is in flight,
+// and no start or stop waits for an answer.
+func (v *vmState) nothingDue() bool {
+	return v.holding && v.listed && !v.silent && !v.unresponsive && v.ordered == 0 && v.stopping == 0 && v.fills == 0 && len(v.lostStarts) == 0
 }
 
-// leaveDraining moves lasting tasks off VMs that leave. Other tasks may end in
-// time; those that don't end with the VM.
-func (s *Scheduler) leaveDraining(now time.Time) {
+// stopOnDraining stops lasting tasks on draining VMs, so that they move elsewhere. Other
+// tasks may end in time; those that don't are lost with the VM.
+func (s *Scheduler) stopOnDraining(now time.Time) {
 	for _, v := range s.vms.All() {
 		if !v.draining {
 			continue
@@ -48,7 +49,7 @@
 		for _, r := range v.runs.All() {
 			_, _, st, t := s.task(r.task)
 			if t != nil && st.def.LongRunning && r.phase == runConfirmed && !v.silent {
-				s.stop(now, r, "VM leaves")
+				s.stopRun(now, r, "VM is draining")
 			}
 		}
 	}
