--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -47,17 +47,17 @@
 func (o *owner) restore(t *table) {
 	now := o.n.w.now
 	o.scheduler = schedule.New(schedule.Settings{
-		Holder: o.n.name, OrderedBefore: valuesByKey(t.orders),
+		Holder: o.n.name, FormerOrders: valuesByKey(t.orders),
 		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.turn * 10_000), TookOver: now,
-		LeaseMax: leaseMax, TaskStop: taskStop,
+		LeaseMax: leaseMax, TaskStopMax: taskStop,
 		MachineLease: 3 * time.Second,
 		Observer:     o,
 	})
 	s := o.scheduler
 	s.Configure(o.n.w.conf)
-	s.Evacuate(o.n.w.evacuations())
+	s.SetEvacuatedZones(o.n.w.evacuations())
 	for _, v := range valuesByKey(t.roster) {
-		s.Inherit(v)
+		s.AddInheritedVM(v)
 	}
 	o.takeJobs(now)
 	o.takeVMs(now)
@@ -126,7 +126,7 @@
 		if !o.n.cutFrom["table"] && !o.n.w.table.down && !o.n.w.table.turnedAway[o.n] {
 			o.takeJobs(o.n.w.now)
 			o.takeVMs(o.n.w.now)
-			o.scheduler.Evacuate(o.n.w.evacuations())
+			o.scheduler.SetEvacuatedZones(o.n.w.evacuations())
 		}
 		o.act()
 	})
@@ -141,7 +141,7 @@
 	o.scheduler.SetRights(schedule.Rights{Order: o.right.MayOrder(now), Start: o.right.MayStart(now), Hold: o.right.MayHold(now)})
 	o.scheduler.Tick(now)
 	o.scheduler.Assign(now, now)
-	for _, c := range o.scheduler.Take() {
+	for _, c := range o.scheduler.TakeCommands() {
 		o.carryOut(c)
 	}
 	o.commit()
@@ -307,7 +307,7 @@
 func (o *owner) stored(first, sent time.Time, version int64, saves []schedule.Command) {
 	o.renewal = version
 	o.right.Prove(first, sent)
-	o.scheduler.Renewed(job.Fence(version))
+	o.scheduler.RaiseFence(job.Fence(version))
 	o.renewAt = o.n.w.now.Add(renewEvery)
 	o.busy = false
 	last := int64(0)
@@ -316,7 +316,7 @@
 		last = max(last, sequence)
 	}
 	if last > 0 {
-		o.scheduler.Stored(o.n.w.now, last)
+		o.scheduler.SavesStored(o.n.w.now, last)
 	}
 	o.act()
 }
--- a/core/schedule/advice.go
+++ b/core/schedule/advice.go
@@ -8,7 +8,7 @@
 
 // approved tells whether the step may start, asking first where its queue needs that.
 func (a *assignment) approved(j *jobState, o *occurrence, i int) bool {
-	q := a.s.conf.Queue(j.Terms.Queue)
+	q := a.s.config.Queue(j.Terms.Queue)
 	if q == nil || q.Advice == nil {
 		return true
 	}
@@ -21,29 +21,29 @@
 	}
 	var vms []job.VMID
 	for _, v := range a.vms {
-		if len(vms) < adviceVMs && (st.def.Requires == "" || v.labels[st.def.Requires]) {
+		if len(vms) < adviceMaxVMs && (st.def.Requires == "" || v.labels[st.def.Requires]) {
 			vms = append(vms, v.id)
 		}
 	}
 	if len(vms) == 0 {
 		return false
 	}
-	st.asked, st.askAt = true, a.now.Add(adviceRetry)
+	st.asked, st.askAt = true, a.now.Add(adviceRetryDelay)
 	a.s.emit(Ask{Step: job.StepID{Job: j.ID, Occurrence: o.number, Step: i}, VMs: vms})
 	return false
 }
 
 const (
-	// adviceVMs bounds the VMs that one question names; each costs the service time.
-	adviceVMs = 30
-	// adviceRetry is the pause before a question without an answer is repeated.
-	adviceRetry = time.Second
+	// adviceMaxVMs bounds the VMs that one question names; each costs the service time.
+	adviceMaxVMs = 30
+	// adviceRetryDelay is the pause before a question without an answer is repeated.
+	adviceRetryDelay = time.Second
 	// adviceMargin is how much earlier than they run out tickets are given up.
 	adviceMargin = 200 * time.Millisecond
 )
 
-// Advised takes in which VMs may run a step. No tickets stand for a failed question.
-func (s *Scheduler) Advised(now time.Time, id job.StepID, tickets map[job.VMID]string, valid time.Duration) {
+// AdviceAnswered takes in which VMs may run a step. No tickets stand for a failed question.
+func (s *Scheduler) AdviceAnswered(now time.Time, id job.StepID, tickets map[job.VMID]string, valid time.Duration) {
 	_, _, st, _ := s.task(job.TaskID{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 	if st == nil {
 		return
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -10,10 +10,10 @@
 
 // Assign starts what can start. wall is the time of day, for due times.
 func (s *Scheduler) Assign(now, wall time.Time) {
-	if !s.rights.Start || s.conf == nil {
+	if !s.rights.Start || s.config == nil {
 		return
 	}
-	s.countUnheard(now)
+	s.countPossibleUsage(now)
 	waiting := map[job.PoolName]*poolQueue{}
 	for _, j := range s.jobs.All() {
 		if !j.over() {
@@ -33,7 +33,7 @@
 		if len(q.vms) == 0 {
 			continue
 		}
-		a := assignment{s: s, now: now, wall: wall, poolQueue: q, rooms: newRooms(q.vms, q.least)}
+		a := assignment{s: s, now: now, wall: wall, poolQueue: q, index: newVMIndex(q.vms, q.minClaim)}
 		for _, c := range s.candidates(now, q.jobs) {
 			a.startJob(c.job)
 		}
@@ -43,9 +43,9 @@
 // poolQueue is what waits for VMs of a pool, and the VMs that may get it.
 type poolQueue struct {
 	jobs []*jobState
-	// least is no more than what any waiting task claims.
-	least job.Room
-	vms   []*vmState
+	// minClaim is no more than what any waiting task claims.
+	minClaim job.Room
+	vms      []*vmState
 }
 
 // enqueue adds the job to its pool's queue if one of its tasks waits for nothing but room.
@@ -60,12 +60,12 @@
 			if q == nil {
 				p := s.pool(j)
 				if q = waiting[p]; q == nil {
-					q = &poolQueue{least: claim}
+					q = &poolQueue{minClaim: claim}
 					waiting[p] = q
 				}
 				q.jobs = append(q.jobs, j)
 			}
-			q.least = q.least.Least(claim)
+			q.minClaim = q.minClaim.Least(claim)
 		}
 	}
 }
@@ -75,9 +75,9 @@
 	s         *Scheduler
 	now, wall time.Time
 	*poolQueue
-	rooms rooms
-	// byRack are the VMs of each rack, once they were asked for.
-	byRack map[job.Label][]*vmState
+	index vmIndex
+	// vmsByRack are the VMs of each rack, once they were asked for.
+	vmsByRack map[job.Label][]*vmState
 }
 
 func (a *assignment) startJob(j *jobState) {
@@ -85,7 +85,7 @@
 		return
 	}
 	for _, o := range j.occurrences {
-		if !o.due.IsZero() && a.wall.Before(o.due.Add(dueSlack)) {
+		if !o.due.IsZero() && a.wall.Before(o.due.Add(dueTimeSlack)) {
 			return
 		}
 		for i := range o.steps {
@@ -96,8 +96,8 @@
 	}
 }
 
-// dueSlack keeps a start from coming before its due time by a coarse clock.
-const dueSlack = 20 * time.Millisecond
+// dueTimeSlack keeps a start from coming before its due time by a coarse clock.
+const dueTimeSlack = 20 * time.Millisecond
 
 // ready tells whether all steps that step i waits for are complete.
 func (o *occurrence) ready(i int) bool {
@@ -127,13 +127,13 @@
 			return
 		}
 		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
-		n := a.choose(placement{job: j, step: st, task: task, id: id})
+		n := a.chooseVM(placement{job: j, step: st, task: task, id: id})
 		if n < 0 {
 			// The other tasks of the step need the same room.
 			return
 		}
-		a.start(j, st, id, task, a.rooms.slots[n].vm, a.s.nextAttempt(task))
-		a.rooms.moved(n)
+		a.start(j, st, id, task, a.index.vms[n].vm, a.s.nextAttempt(task))
+		a.index.reposition(n)
 	}
 }
 
@@ -142,33 +142,33 @@
 	return t.attempt
 }
 
-// countUnheard counts what each account may have running on VMs that this owner
+// countPossibleUsage counts what each account may have running on VMs that this owner
 // hasn't heard yet: the tasks of jobs that were started there and have no run that is
 // known. The former owner may still go on with their later steps, since it knows ends
 // that this one doesn't.
-func (s *Scheduler) countUnheard(now time.Time) {
-	s.unheard = nil
-	if !s.anyUnheard {
+func (s *Scheduler) countPossibleUsage(now time.Time) {
+	s.possibleUsage = nil
+	if !s.anyUnreported {
 		return
 	}
 	for _, j := range s.jobs.All() {
 		if !j.inherited || !s.mayRunUnheard(j) {
 			continue
 		}
-		if s.unheard == nil {
-			s.unheard = map[job.AccountName]job.Room{}
+		if s.possibleUsage == nil {
+			s.possibleUsage = map[job.AccountName]job.Room{}
 		}
 		for _, o := range j.occurrences {
-			s.unheard[j.Terms.Account] = s.unheard[j.Terms.Account].Plus(o.mostUnknown())
+			s.possibleUsage[j.Terms.Account] = s.possibleUsage[j.Terms.Account].Plus(o.maxUnknownUsage())
 		}
 	}
 }
 
-// mostUnknown returns the most that tasks without a known run can take up at a time.
+// maxUnknownUsage returns the most that tasks without a known run can take up at a time.
 // Steps that wait for one another run one after the other.
-func (o *occurrence) mostUnknown() job.Room {
+func (o *occurrence) maxUnknownUsage() job.Room {
 	var sum, largest job.Room
-	inTurn := true
+	sequential := true
 	for i := range o.steps {
 		var r job.Room
 		for t := range o.steps[i].tasks {
@@ -177,9 +177,9 @@
 			}
 		}
 		sum, largest = sum.Plus(r), largest.Most(r)
-		inTurn = inTurn && (i == 0 || slices.Contains(o.steps[i].def.After, i-1))
+		sequential = sequential && (i == 0 || slices.Contains(o.steps[i].def.After, i-1))
 	}
-	if inTurn {
+	if sequential {
 		return largest
 	}
 	return sum
@@ -188,11 +188,11 @@
 // withinCap tells whether the job's account may have more running. What may
 // still run counts.
 func (a *assignment) withinCap(j *jobState, more job.Room) bool {
-	account := a.s.conf.Account(j.Terms.Account)
+	account := a.s.config.Account(j.Terms.Account)
 	if account == nil {
 		return true
 	}
-	after := a.s.running[j.Terms.Account].Plus(a.s.unheard[j.Terms.Account]).Plus(more)
+	after := a.s.usage[j.Terms.Account].Plus(a.s.possibleUsage[j.Terms.Account]).Plus(more)
 	limit := account.Cap
 	return (limit.CPU == 0 || after.CPU <= limit.CPU) &&
 		(limit.MemMB == 0 || after.MemMB <= limit.MemMB) &&
@@ -201,9 +201,9 @@
 
 func (a *assignment) start(j *jobState, st *stepState, id job.TaskID, t *taskState, v *vmState, n job.Attempt) {
 	s := a.s
-	s.notePlaced(a.now, j)
+	s.reportPlaced(a.now, j)
 	if !j.places.Has(v.id) {
-		a.addPlaces(j, v)
+		a.recordPlaces(j, v)
 	}
 	r := &run{
 		task: id, attempt: n, vm: v, claim: st.def.Claim(), cost: st.def.Room, account: j.Terms.Account,
@@ -219,34 +219,34 @@
 	if st.def.SameRack && st.rack == "" {
 		st.rack = v.rack
 	}
-	if r.after <= s.stored {
+	if r.after <= s.storedSequence {
 		s.send(a.now, r)
 		return
 	}
-	s.planned = append(s.planned, r)
+	s.plannedStarts = append(s.plannedStarts, r)
 }
 
-// notePlaced tells how the job was ranked when its first task was given a VM.
-func (s *Scheduler) notePlaced(now time.Time, j *jobState) {
+// reportPlaced tells how the job was ranked when its first task was given a VM.
+func (s *Scheduler) reportPlaced(now time.Time, j *jobState) {
 	if j.placed || j.lasting {
 		return
 	}
 	j.placed = true
 	s.decided(Decision{
 		What: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), After: now.Sub(j.arrived),
-		Slack: j.objective.Sub(now.Add(s.chain(j, j.current()))),
+		Slack: j.objective.Sub(now.Add(s.remainingTime(j, j.currentOccurrence()))),
 	})
 }
 
-// addPlaces stores that the job's tasks may run on the VM and on the others of its
+// recordPlaces stores that the job's tasks may run on the VM and on the others of its
 // rack. A new owner must know where they may run: else none of them could start
 // again while any VM is out of reach. Each place of its own costs a transaction
 // before the start, 0.3 s when the table is slow, and the next tasks likely go to
 // the same rack; VMs of a rack are lost together anyway.
-func (a *assignment) addPlaces(j *jobState, v *vmState) {
-	save := a.s.nextSave()
+func (a *assignment) recordPlaces(j *jobState, v *vmState) {
+	save := a.s.nextSaveSequence()
 	j.places.Set(v.id, save)
-	for _, n := range a.rack(v.rack) {
+	for _, n := range a.rackVMs(v.rack) {
 		if !j.places.Has(n.id) {
 			j.places.Set(n.id, save)
 		}
@@ -254,15 +254,15 @@
 	a.s.markDirty(j)
 }
 
-// rack returns the VMs of a rack; those without one share none.
-func (a *assignment) rack(rack job.Label) []*vmState {
-	if a.byRack == nil {
-		a.byRack = map[job.Label][]*vmState{}
+// rackVMs returns the VMs of a rack; those without one share none.
+func (a *assignment) rackVMs(rack job.Label) []*vmState {
+	if a.vmsByRack == nil {
+		a.vmsByRack = map[job.Label][]*vmState{}
 		for _, v := range a.vms {
 			if v.rack != "" {
-				a.byRack[v.rack] = append(a.byRack[v.rack], v)
+				a.vmsByRack[v.rack] = append(a.vmsByRack[v.rack], v)
 			}
 		}
 	}
-	return a.byRack[rack]
+	return a.vmsByRack[rack]
 }
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -25,12 +25,12 @@
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
-	saves := h.turn(0)
+	saves := h.turnWithoutStoring(0)
 	h.resize("one", 500)
 	for _, c := range saves {
 		h.store(c)
 	}
-	assert.Equal(t, len(only[Start](h.s.Take())), 0)
+	assert.Equal(t, len(only[Start](h.s.TakeCommands())), 0)
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.resize("one", 8000)
 	one[Start](h, h.step(0))
@@ -97,7 +97,7 @@
 	h.listOneAndOff()
 	h.job("j", "free", job.Step{Count: 2, Room: job.Room{CPU: 5000}, Lasting: true})
 	h.confirm(one[Start](h, h.step(0)))
-	assert.Equal(t, one[Move](h, h.step(waitingLong+sizeEvery)).Machine, job.MachineID("m-off"))
+	assert.Equal(t, one[Move](h, h.step(lastingWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
 // Guards against a lasting task that fits on no VM of its pool since they have shrunk,
@@ -108,7 +108,7 @@
 	h.listOneAndOff()
 	h.resize("one", 1000)
 	h.job("j", "free", job.Step{Count: 1, Room: job.Room{CPU: 2000}, Lasting: true})
-	assert.Equal(t, one[Move](h, h.step(waitingLong+sizeEvery)).Machine, job.MachineID("m-off"))
+	assert.Equal(t, one[Move](h, h.step(lastingWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
 // Guards against machines that are lent by the capacity of the list, which lags.
@@ -130,7 +130,7 @@
 	for _, guarded := range []bool{false, true} {
 		h := newHarness(t)
 		h.s.settings.ShrinkNotice = 3 * time.Second
-		h.s.conf.Pool(poolA).Guarded = guarded
+		h.s.config.Pool(poolA).Guarded = guarded
 		h.ready("one")
 		h.s.DirectoryRead(h.now)
 		h.job("j", "free", small)
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -171,9 +171,9 @@
 func costOfCrash(t *taskState, v *vmState) float64 {
 	switch {
 	case t.crashes.any():
-		return costSuspects*float64(v.suspects) + costCompany*(1-v.freeShare())
+		return costSuspect*float64(v.suspects) + costCrashRisk*(1-v.freeFraction())
 	case v.suspects > 0:
-		return costCompany
+		return costCrashRisk
 	}
 	return 0
 }
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -231,12 +231,12 @@
 	former := c.s
 	c.s = New(Settings{
 		Fence: former.settings.Fence + 1, AttemptBase: former.settings.AttemptBase + 100, TookOver: c.now,
-		LeaseMax: 6 * time.Second, TaskStop: 400 * time.Millisecond, MachineLease: 3 * time.Second, Holder: "here",
+		LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond, MachineLease: 3 * time.Second, Holder: "here",
 	})
-	c.s.Configure(former.conf)
+	c.s.Configure(former.config)
 	c.s.SetRights(former.rights)
 	for _, v := range former.vms.All() {
-		c.s.Inherit(v.rostered)
+		c.s.AddInheritedVM(v.rostered)
 	}
 	if j := former.jobs.Get(id); j != nil {
 		p := j.progress()
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -8,39 +8,39 @@
 	"lavenderpond/core/job"
 )
 
-// evacuations is a set of availability zones. Its zero value is empty.
-type evacuations map[job.ZoneName]struct{}
+// zoneSet is a set of availability zones. Its zero value is empty.
+type zoneSet map[job.ZoneName]struct{}
 
-func (e evacuations) has(z job.ZoneName) bool {
+func (e zoneSet) has(z job.ZoneName) bool {
 	_, ok := e[z]
 	return ok
 }
 
-// Evacuate says which availability zones are evacuated: no task starts there. What runs
+// SetEvacuatedZones says which availability zones are evacuated: no task starts there. What runs
 // there goes on to its end, except for lasting tasks, which move elsewhere.
-func (s *Scheduler) Evacuate(zones []job.ZoneName) {
-	next := evacuations{}
+func (s *Scheduler) SetEvacuatedZones(zones []job.ZoneName) {
+	next := zoneSet{}
 	for _, z := range zones {
 		next[z] = struct{}{}
-		if !s.evacuations.has(z) {
+		if !s.evacuatedZones.has(z) {
 			s.decided(Decision{What: ZoneEvacuated, Reason: string(z)})
 		}
 	}
-	for _, z := range slices.Sorted(maps.Keys(s.evacuations)) {
+	for _, z := range slices.Sorted(maps.Keys(s.evacuatedZones)) {
 		if !next.has(z) {
 			s.decided(Decision{What: ZoneReopened, Reason: string(z)})
 		}
 	}
-	s.evacuations = next
+	s.evacuatedZones = next
 	for _, v := range s.vms.All() {
 		v.evacuated = next.has(v.zone)
 	}
 }
 
-// leaveEvacuated moves lasting tasks out of evacuated zones, each once a VM elsewhere
+// relocateEvacuated moves lasting tasks out of evacuated zones, each once a VM elsewhere
 // has room for it.
-func (s *Scheduler) leaveEvacuated(now time.Time) {
-	if len(s.evacuations) == 0 || s.conf == nil {
+func (s *Scheduler) relocateEvacuated(now time.Time) {
+	if len(s.evacuatedZones) == 0 || s.config == nil {
 		return
 	}
 	var free map[job.PoolName][]*vmState
@@ -52,7 +52,7 @@
 			free = s.usableByPool(now)
 		}
 		for _, r := range v.runs.All() {
-			if to := s.roomElsewhere(r, free[v.pool]); to >= 0 && s.mayMove(now, r) {
+			if to := s.findVM(r, free[v.pool]); to >= 0 && s.mayRelocate(now, r) {
 				s.stop(now, r, "availability zone evacuated")
 				free[v.pool] = slices.Delete(free[v.pool], to, to+1)
 			}
@@ -70,13 +70,13 @@
 	return out
 }
 
-// roomElsewhere returns the index of a VM that could take the run's task, or -1.
-func (s *Scheduler) roomElsewhere(r *run, vms []*vmState) int {
+// findVM returns the index of a VM that could take the run's task, or -1.
+func (s *Scheduler) findVM(r *run, vms []*vmState) int {
 	_, _, st, _ := s.task(r.task)
 	if st == nil {
 		return -1
 	}
 	return slices.IndexFunc(vms, func(v *vmState) bool {
-		return r.claim.Fits(v.free()) && st.suits(r.task.StepID(), v)
+		return r.claim.Fits(v.free()) && st.mayRunOn(r.task.StepID(), v)
 	})
 }
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -21,12 +21,12 @@
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
-	h.s.Evacuate([]job.ZoneName{"east"})
+	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
 	h.readyIn("east", "two")
 	h.job("j", "free", small)
 	assert.Equal(t, len(only[Start](h.step(time.Second))), 0)
 	assert.Equal(t, one[Start](h, h.readyIn("west", "three")).VM, job.VMID("three"))
-	h.s.Evacuate(nil)
+	h.s.SetEvacuatedZones(nil)
 	h.job("k", "free", job.Step{Count: 1, Room: job.Room{CPU: 8000, MemMB: 100}})
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "the zone is not open again")
 }
@@ -38,9 +38,9 @@
 	h.job("j", "free", small)
 	h.s.Tick(h.now)
 	h.s.Assign(h.now, h.now)
-	commands := h.s.Take()
+	commands := h.s.TakeCommands()
 	assert.Equal(t, len(only[Start](commands)), 0, "the place is stored first")
-	h.s.Evacuate([]job.ZoneName{"east"})
+	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
 	for _, c := range commands {
 		h.store(c)
 	}
@@ -63,11 +63,11 @@
 		h.confirm(c)
 		h.lists(string(c.VM), []job.RunningTask{running(c, 100)})
 	}
-	h.s.Evacuate([]job.ZoneName{"east"})
+	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
 	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0, "there is no room elsewhere")
 	h.readyIn("west", "three")
 	h.readyIn("west", "four")
-	first := h.stopping()
+	first := h.stoppingRuns()
 	assert.Equal(t, len(first), 1, "one task may be away")
 	h.step(300 * time.Millisecond)
 	h.lists(string(first[0].vm.id), nil, job.End{Number: 1, Task: first[0].task, Attempt: first[0].attempt, How: job.EndedStopped})
@@ -76,14 +76,14 @@
 	h.confirm(again)
 	h.lists(string(again.VM), []job.RunningTask{running(again, 40)})
 	h.step(50 * time.Millisecond)
-	assert.Equal(t, len(h.stopping()), 0, "the first isn't at work yet")
+	assert.Equal(t, len(h.stoppingRuns()), 0, "the first isn't at work yet")
 	h.lists(string(again.VM), []job.RunningTask{running(again, 100)})
 	h.step(50 * time.Millisecond)
-	assert.Equal(t, len(h.stopping()), 1)
+	assert.Equal(t, len(h.stoppingRuns()), 1)
 }
 
-// stopping returns the runs whose end was ordered.
-func (h *harness) stopping() []*run {
+// stoppingRuns returns the runs whose end was ordered.
+func (h *harness) stoppingRuns() []*run {
 	var out []*run
 	for _, v := range h.s.vms.All() {
 		for _, r := range v.runs.All() {
@@ -107,9 +107,9 @@
 		{ID: "m-off-east", Pool: off, State: job.MachineUp, Zone: "east", Room: job.Room{CPU: 8000}},
 		{ID: "m-off-west", Pool: off, State: job.MachineUp, Zone: "west", Room: job.Room{CPU: 8000}},
 	})
-	h.s.Evacuate([]job.ZoneName{"east"})
-	rooms := h.s.poolRooms(h.now)
-	assert.Equal(t, rooms.have[poolA], int64(8000))
+	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
+	capacity := h.s.poolCapacity(h.now)
+	assert.Equal(t, capacity.available[poolA], int64(8000))
 	h.job("j", "free", job.Step{Count: 40, Room: job.Room{CPU: 1000, MemMB: 10}, Estimate: time.Second})
 	var moved []job.MachineID
 	for range 10 {
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -102,7 +102,7 @@
 	h.lists("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedDone})
 	h.now = h.now.Add(time.Second)
 	h.s.Tick(h.now)
-	commands := h.s.Take()
+	commands := h.s.TakeCommands()
 	assert.Equal(t, one[Hold](h, commands).Order.Noted, int64(0))
 	for _, c := range commands {
 		h.store(c)
@@ -126,7 +126,7 @@
 // must not have its upkeep, however empty it looks.
 func TestUnheardVMIsNotTakenAway(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
+	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
 	h.seen("one")
 	h.s.Machines(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, AtOnce: 1}, nil)
@@ -217,19 +217,19 @@
 	h.ready("one")
 	h.job("j", "free", small)
 	h.s.Assign(h.now, h.now)
-	commands := h.s.Take()
+	commands := h.s.TakeCommands()
 	assert.Equal(t, len(only[Start](commands)), 0)
 	save := one[Save](h, commands)
 	assert.DeepEqual(t, save.Progress.VMs, []job.VMID{"one"})
-	h.s.Stored(h.now, save.Sequence)
-	one[Start](h, h.s.Take())
+	h.s.SavesStored(h.now, save.Sequence)
+	one[Start](h, h.s.TakeCommands())
 }
 
 // A new owner knows that a job may run on a VM out of reach, and that another may
 // not. Only the first waits.
 func TestOnlyJobsThatMayRunUnheardWait(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
+	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
 	add := func(id string, vms ...job.VMID) {
 		j := job.Job{ID: job.ID(id), Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
@@ -249,7 +249,7 @@
 // its cap until it is certain that they are over.
 func TestUnheardTasksCountAgainstTheCap(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
+	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
 	wide := job.Step{Count: 4, Room: job.Room{CPU: 1000}, Estimate: time.Second}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{wide}}}
@@ -264,7 +264,7 @@
 // knows to be next.
 func TestLaterUnheardStepsCountAgainstTheCap(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
+	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
 	room := job.Room{CPU: 1000}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{
@@ -303,7 +303,7 @@
 	h := newHarness(t)
 	h.s = New(Settings{
 		Fence: 5, TookOver: begin, MachineLease: 3 * time.Second, Holder: "here",
-		OrderedBefore: []MachineOrder{{Machine: "m-1", Holder: "there"}},
+		FormerOrders: []MachineOrder{{Machine: "m-1", Holder: "there"}},
 	})
 	h.s.SetRights(Rights{Order: true, Start: true, Hold: true})
 	h.s.Machines(h.now, []job.Machine{{ID: "m-1", State: job.MachineUp}, {ID: "m-2", State: job.MachineUp}})
@@ -378,7 +378,7 @@
 // that there ever were. Until then a repeated submission is still the same job.
 func TestEndedJobsAreForgottenInTheEnd(t *testing.T) {
 	h := newHarness(t)
-	h.s.Ended(h.now, "old")
+	h.s.AddEndedJob(h.now, "old")
 	assert.Equal(t, len(only[Forget](h.step(5*time.Minute))), 0)
 	assert.Equal(t, one[Forget](h, h.step(7*time.Minute)).Job, job.ID("old"))
 	assert.Equal(t, len(only[Forget](h.step(7*time.Minute))), 0)
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -52,7 +52,7 @@
 // Guards against a former owner that takes a VM out of its reach for free, where the present owner has found tasks.
 func TestFormerOwnerStartsNothingThatMayRunUnheard(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
+	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -10,14 +10,14 @@
 // startGang starts all members of a gang, or none.
 func (a *assignment) startGang(j *jobState, o *occurrence, i int) {
 	st := &o.steps[i]
-	saved := job.Checkpoint("")
+	checkpoint := job.Checkpoint("")
 	for t := range st.tasks {
 		task := &st.tasks[t]
 		if !task.open() || a.now.Before(task.notBefore) || a.s.mayHaveEnded(task) {
 			return
 		}
 		if task.saved != "" {
-			saved = task.saved
+			checkpoint = task.saved
 		}
 	}
 	if !a.withinCap(j, st.def.Room.Times(len(st.tasks))) {
@@ -27,11 +27,11 @@
 	if chosen == nil {
 		return
 	}
-	defer func() { a.rooms = newRooms(a.vms, a.least) }()
+	defer func() { a.index = newVMIndex(a.vms, a.minClaim) }()
 	st.gangAttempt = max(st.gangAttempt, a.s.settings.AttemptBase) + 1
 	for t := range st.tasks {
 		task := &st.tasks[t]
-		task.saved, task.attempt = saved, st.gangAttempt
+		task.saved, task.attempt = checkpoint, st.gangAttempt
 		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
 		a.start(j, st, id, task, chosen[t], st.gangAttempt)
 	}
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -27,7 +27,7 @@
 func newHarness(t testing.TB) *harness {
 	h := &harness{t: t, now: begin}
 	h.s = New(Settings{
-		Fence: 5, AttemptBase: 100, TookOver: begin, LeaseMax: 6 * time.Second, TaskStop: 400 * time.Millisecond,
+		Fence: 5, AttemptBase: 100, TookOver: begin, LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond,
 		MachineLease: 3 * time.Second, Holder: "here",
 	})
 	c := &job.Configuration{
@@ -50,7 +50,7 @@
 	for range 3 {
 		h.s.Tick(h.now)
 		h.s.Assign(h.now, h.now)
-		commands := h.s.Take()
+		commands := h.s.TakeCommands()
 		out = append(out, commands...)
 		for _, c := range commands {
 			h.store(c)
@@ -61,7 +61,7 @@
 
 func (h *harness) store(c Command) {
 	if sequence, ok := SequenceOf(c); ok {
-		h.s.Stored(h.now, sequence)
+		h.s.SavesStored(h.now, sequence)
 	}
 }
 
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -14,15 +14,15 @@
 	listedAt time.Time
 	// answeredAt is when the last order was answered.
 	answeredAt time.Time
-	// waiting is set while an order has no answer yet, refused if it was refused.
-	waiting bool
-	refused bool
-	// before is the VM that lived on the machine when the order was sent.
-	before job.VMID
-	// retry is when an order without an answer, or one refused, may be given again.
-	retry time.Time
-	// to is the pool that the machine is on its way to; empty if it stays.
-	to job.PoolName
+	// awaitingAnswer is set while an order has no answer yet, refused if it was refused.
+	awaitingAnswer bool
+	refused        bool
+	// orderedVM is the VM that lived on the machine when the order was sent.
+	orderedVM job.VMID
+	// retryAt is when an order without an answer, or one refused, may be given again.
+	retryAt time.Time
+	// movingTo is the pool that the machine is on its way to; empty if it stays.
+	movingTo job.PoolName
 }
 
 // Machines takes in the machines list that was asked for at asked.
@@ -50,14 +50,14 @@
 	}
 	for _, v := range s.vms.All() {
 		s.setMachine(v, v.machine)
-		s.compareMachine(asked, v)
+		s.endReplacedLife(asked, v)
 	}
 }
 
-// compareMachine frees what ran on a VM whose machine is listed with a newer
+// endReplacedLife frees what ran on a VM whose machine is listed with a newer
 // life: a machine has one life at a time. This frees the tasks of a VM that
 // crashed seconds before its lease would.
-func (s *Scheduler) compareMachine(asked time.Time, v *vmState) {
+func (s *Scheduler) endReplacedLife(asked time.Time, v *vmState) {
 	m := v.host
 	if m == nil || m.VM == "" || m.VM == v.id || !v.firstSeen.Before(asked) {
 		return
@@ -67,26 +67,26 @@
 	if other := s.vms.Get(m.VM); other == nil || !other.listed || other.born <= v.born {
 		return
 	}
-	s.lifeOver(asked, v, "its machine has a newer life")
+	s.endLife(asked, v, "its machine has a newer life")
 }
 
-// lifeOver takes in a proof that a VM's life has ended.
-func (s *Scheduler) lifeOver(now time.Time, v *vmState, why string) {
+// endLife takes in a proof that a VM's life has ended.
+func (s *Scheduler) endLife(now time.Time, v *vmState, why string) {
 	v.inheritedUntil = time.Time{}
 	v.over = true
 	s.crashedUnderLapsed(now, v)
-	var over []*run
+	var ended []*run
 	for _, r := range v.runs.All() {
 		if r.phase == runPlanned {
 			s.release(now, r)
 		} else if r.unseen() || (r.phase == runConfirmed && r.confirmedAt.Before(now)) {
-			over = append(over, r)
+			ended = append(ended, r)
 		}
 	}
-	for _, r := range over {
+	for _, r := range ended {
 		s.crashedUnder(now, r)
 	}
-	for _, r := range over {
+	for _, r := range ended {
 		s.freeUnseen(now, r, why)
 	}
 }
@@ -97,16 +97,16 @@
 	if !s.rights.Order {
 		return false
 	}
-	o := s.recent.Get(id)
-	return o.holder == "" || o.holder == s.settings.Holder || now.After(o.at.Add(s.settings.MachineLease+machineSlack))
+	o := s.recentOrders.Get(id)
+	return o.holder == "" || o.holder == s.settings.Holder || now.After(o.at.Add(s.settings.MachineLease+formerOrderSlack))
 }
 
-// heldOrder is an order for a machine that waits until it is stored that the
+// pendingOrder is an order for a machine that waits until it is stored that the
 // machine has one: the next owner must know which machines to leave alone.
-type heldOrder struct {
-	after   int64
-	machine job.MachineID
-	command Command
+type pendingOrder struct {
+	saveSequence int64
+	machine      job.MachineID
+	command      Command
 }
 
 // recentOrder is an order that was given to a machine not long ago.
@@ -116,51 +116,51 @@
 	at time.Time
 }
 
-// recentPeriod is how long an order counts as one of late. The next owner may order the
+// recentOrderPeriod is how long an order counts as one of late. The next owner may order the
 // machine at once after that, so it covers all for which it waits else, and not more: a
 // new owner can't move machines with an order of late, and on a fleet whose queues burst
 // in turn most have one within eight seconds.
-func (s *Scheduler) recentPeriod() time.Duration {
-	return s.settings.MachineLease + machineSlack + onItsWay
+func (s *Scheduler) recentOrderPeriod() time.Duration {
+	return s.settings.MachineLease + formerOrderSlack + sendDelayMax
 }
 
-// onItsWay covers an order that takes long to be sent.
-const onItsWay = 500 * time.Millisecond
+// sendDelayMax covers an order that takes long to be sent.
+const sendDelayMax = 500 * time.Millisecond
 
 // orderMachine sends an order once it is stored that the machine has one.
 func (s *Scheduler) orderMachine(now time.Time, id job.MachineID, c Command) {
 	s.pruneOrders(now)
-	s.recent.Set(id, recentOrder{holder: s.settings.Holder, at: now})
+	s.recentOrders.Set(id, recentOrder{holder: s.settings.Holder, at: now})
 	s.dirtyOrders = append(s.dirtyOrders, id)
-	s.held = append(s.held, heldOrder{after: s.nextSave(), machine: id, command: c})
+	s.pendingOrders = append(s.pendingOrders, pendingOrder{saveSequence: s.nextSaveSequence(), machine: id, command: c})
 }
 
-// pruneOrdersEvery is how often machine orders are looked through for those that are
+// pruneOrdersInterval is how often machine orders are looked through for those that are
 // long ago.
-const pruneOrdersEvery = time.Second
+const pruneOrdersInterval = time.Second
 
 // pruneOrders forgets the orders that are long ago.
 func (s *Scheduler) pruneOrders(now time.Time) {
-	if now.Before(s.pruneOrdersAt) {
+	if now.Before(s.nextPruneOrders) {
 		return
 	}
-	s.pruneOrdersAt = now.Add(pruneOrdersEvery)
-	for id, o := range s.recent.All() {
-		if now.Sub(o.at) > s.recentPeriod() {
-			s.recent.Delete(id)
+	s.nextPruneOrders = now.Add(pruneOrdersInterval)
+	for id, o := range s.recentOrders.All() {
+		if now.Sub(o.at) > s.recentOrderPeriod() {
+			s.recentOrders.Delete(id)
 			s.dirtyOrders = append(s.dirtyOrders, id)
 		}
 	}
 }
 
-// sendHeld sends the orders whose saves are stored. One for a machine on which
+// sendPendingOrders sends the orders whose saves are stored. One for a machine on which
 // something has begun since counts as refused.
-func (s *Scheduler) sendHeld(now time.Time) {
-	s.held = slices.DeleteFunc(s.held, func(h heldOrder) bool {
-		if h.after > s.stored {
+func (s *Scheduler) sendPendingOrders(now time.Time) {
+	s.pendingOrders = slices.DeleteFunc(s.pendingOrders, func(o pendingOrder) bool {
+		if o.saveSequence > s.storedSequence {
 			return false
 		}
-		m := s.machines.Get(h.machine)
+		m := s.machines.Get(o.machine)
 		if m == nil {
 			return true
 		}
@@ -168,11 +168,11 @@
 		if s.rights.Order && (v == nil || v.runs.Len() == 0) {
 			// The order is as old as its sending, not as its decision: in a slow table
 			// seconds lie between.
-			s.recent.Set(h.machine, recentOrder{holder: s.settings.Holder, at: now})
-			s.emit(h.command)
+			s.recentOrders.Set(o.machine, recentOrder{holder: s.settings.Holder, at: now})
+			s.emit(o.command)
 			return true
 		}
-		switch c := h.command.(type) {
+		switch c := o.command.(type) {
 		case Move:
 			s.MoveAnswered(now, c, NotDone, job.MachineAccepted)
 		case Upkeep:
@@ -182,5 +182,5 @@
 	})
 }
 
-// machineSlack covers orders that a former owner sent while its right lasted.
-const machineSlack = 1500 * time.Millisecond
+// formerOrderSlack covers orders that a former owner sent while its right lasted.
+const formerOrderSlack = 1500 * time.Millisecond
--- a/core/schedule/noted_test.go
+++ b/core/schedule/noted_test.go
@@ -41,11 +41,11 @@
 func (h *harness) checkNotedOnceStored(vm job.VMID, save Save) {
 	h.t.Helper()
 	for range 20 {
-		assert.Equal(h.t, notedAt(h.turn(100*time.Millisecond), vm), int64(0))
+		assert.Equal(h.t, notedAt(h.turnWithoutStoring(100*time.Millisecond), vm), int64(0))
 	}
 	h.store(save)
 	h.lists(string(vm), nil)
-	assert.Equal(h.t, notedAt(h.turn(100*time.Millisecond), vm), int64(1))
+	assert.Equal(h.t, notedAt(h.turnWithoutStoring(100*time.Millisecond), vm), int64(1))
 }
 
 // Guards against a VM that forgets a task's end while the rows still show the task's job as
@@ -60,7 +60,7 @@
 	bad = one[Start](h, h.step(100*time.Millisecond))
 	h.confirm(bad)
 	h.lists(string(bad.VM), nil, end(2, bad, job.EndedFailed))
-	failure := one[Save](h, h.turn(100*time.Millisecond))
+	failure := one[Save](h, h.turnWithoutStoring(100*time.Millisecond))
 	assert.Equal(t, failure.Progress.State, job.Failed)
 	h.lists(string(good.VM), nil, end(1, good, job.EndedDone))
 	h.checkNotedOnceStored(good.VM, failure)
@@ -75,7 +75,7 @@
 	starts := h.begun(2)
 	first, second := starts[0], starts[1]
 	h.lists(string(first.VM), nil, end(1, first, job.EndedDone))
-	done := one[Save](h, h.turn(time.Second))
+	done := one[Save](h, h.turnWithoutStoring(time.Second))
 	h.lists(string(second.VM), nil, end(1, second, job.EndedDone))
 	h.checkNotedOnceStored(second.VM, done)
 }
--- a/core/schedule/notedorder_test.go
+++ b/core/schedule/notedorder_test.go
@@ -18,12 +18,12 @@
 	h.confirm(start)
 	unknown := job.End{Number: 2, Task: job.TaskID{Job: "unknown"}, How: job.EndedDone}
 	h.lists("one", nil, end(1, start, job.EndedDone), unknown)
-	save := one[Save](h, h.turn(time.Second))
+	save := one[Save](h, h.turnWithoutStoring(time.Second))
 	h.lists("one", nil, end(1, start, job.EndedDone), unknown)
-	assert.Equal(t, notedAt(h.turn(time.Second), "one"), int64(0))
+	assert.Equal(t, notedAt(h.turnWithoutStoring(time.Second), "one"), int64(0))
 	h.store(save)
 	h.lists("one", nil)
-	assert.Equal(t, notedAt(h.turn(time.Second), "one"), int64(2))
+	assert.Equal(t, notedAt(h.turnWithoutStoring(time.Second), "one"), int64(2))
 }
 
 // Guards against an end that is noted by the save of another one.
@@ -38,12 +38,12 @@
 	for i, c := range starts {
 		h.confirm(c)
 		h.lists("one", nil, end(int64(i+1), c, job.EndedDone))
-		saves = append(saves, one[Save](h, h.turn(time.Millisecond)))
+		saves = append(saves, one[Save](h, h.turnWithoutStoring(time.Millisecond)))
 	}
 	for i, c := range saves {
 		h.store(c)
 		h.lists("one", nil)
-		assert.Equal(t, notedAt(h.turn(time.Second), "one"), int64(i+1))
+		assert.Equal(t, notedAt(h.turnWithoutStoring(time.Second), "one"), int64(i+1))
 	}
 }
 
@@ -57,7 +57,7 @@
 	h.lists("one", nil, end(1, starts[0], job.EndedDone))
 	h.step(0)
 	h.lists("one", nil, end(2, starts[1], job.EndedDone))
-	unstored := one[Save](h, h.turn(time.Second))
+	unstored := one[Save](h, h.turnWithoutStoring(time.Second))
 	born := func(clock job.VMClock, ended ...job.End) {
 		h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: clock, Born: 2, Lists: true, Finished: ended})
 	}
@@ -70,5 +70,5 @@
 	next := one[Start](h, h.step(time.Millisecond))
 	h.s.StartAnswered(h.now, next, Answered, job.Report{Clock: 30, Born: 2})
 	born(1000, end(1, next, job.EndedDone))
-	assert.Equal(t, one[Save](h, h.turn(time.Second)).Progress.State, job.Completed)
+	assert.Equal(t, one[Save](h, h.turnWithoutStoring(time.Second)).Progress.State, job.Completed)
 }
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -9,12 +9,12 @@
 	"lavenderpond/core/job"
 )
 
-// ran notes that a job's step is complete and how long each of its tasks ran.
-func (h *harness) ran(j *jobState, step int, took ...time.Duration) {
+// completeStep notes that a job's step is complete and how long each of its tasks ran.
+func (h *harness) completeStep(j *jobState, step int, took ...time.Duration) {
 	st := &j.occurrences[0].steps[step]
 	st.took, st.done = took, len(took)
 	for _, d := range took {
-		h.s.learn(j, d)
+		h.s.learnRunTime(j, d)
 	}
 	h.s.learnStep(j, st)
 }
@@ -24,7 +24,7 @@
 	return h.s.jobs.Get(job.ID(id))
 }
 
-func near(t *testing.T, got, want time.Duration) {
+func assertNear(t *testing.T, got, want time.Duration) {
 	t.Helper()
 	assert.Assert(t, got > want*95/100 && got < want*105/100, "%s, want about %s", got, want)
 }
@@ -35,38 +35,38 @@
 // longest of its tasks, not as a typical one.
 func TestStepLastsAsItsLongestTask(t *testing.T) {
 	h := newHarness(t)
-	for i := range 2 * learnedAfter {
-		h.ran(h.newJob(string(rune('a'+i)), pair), 0, time.Second, 2*time.Second)
+	for i := range 2 * minSamples {
+		h.completeStep(h.newJob(string(rune('a'+i)), pair), 0, time.Second, 2*time.Second)
 	}
 	j := h.newJob("new", pair)
-	near(t, h.s.runTime(j, &pair), 1414*time.Millisecond)
-	near(t, h.s.chain(j, j.occurrences[0]), 2*time.Second)
-	near(t, j.objective.Sub(j.arrived), 3200*time.Millisecond+time.Second)
+	assertNear(t, h.s.predictRunTime(j, &pair), 1414*time.Millisecond)
+	assertNear(t, h.s.remainingTime(j, j.occurrences[0]), 2*time.Second)
+	assertNear(t, j.objective.Sub(j.arrived), 3200*time.Millisecond+time.Second)
 }
 
 // Guards against a long job that is given up as late, and a short one that is believed to
 // have time: once a step is over its tasks' times stand for the steps that follow.
 func TestOwnRunTimesStandForLaterSteps(t *testing.T) {
 	h := newHarness(t)
-	for i := range 2 * learnedAfter {
-		h.ran(h.newJob(string(rune('a'+i)), pair), 0, time.Second, time.Second)
+	for i := range 2 * minSamples {
+		h.completeStep(h.newJob(string(rune('a'+i)), pair), 0, time.Second, time.Second)
 	}
 	after := pair
 	after.After = []int{0}
 	j := h.newJob("long", pair, after)
-	h.ran(j, 0, 4*time.Second, 4*time.Second)
-	near(t, h.s.chain(j, j.occurrences[0]), 4*time.Second)
+	h.completeStep(j, 0, 4*time.Second, 4*time.Second)
+	assertNear(t, h.s.remainingTime(j, j.occurrences[0]), 4*time.Second)
 	due, _ := h.s.objective(j)
-	near(t, due.Sub(j.arrived), 8*time.Second*16/10+time.Second)
+	assertNear(t, due.Sub(j.arrived), 8*time.Second*16/10+time.Second)
 }
 
 // Guards against objectives that grow with the VMs' slowness: callers expect sound ones.
 func TestSlowRunsTeachNoSpread(t *testing.T) {
 	h := newHarness(t)
-	for i := range 2 * learnedAfter {
-		h.ran(h.newJob(string(rune('a'+i)), wide), 0, time.Second, time.Second, time.Second, 9*time.Second)
+	for i := range 2 * minSamples {
+		h.completeStep(h.newJob(string(rune('a'+i)), wide), 0, time.Second, time.Second, time.Second, 9*time.Second)
 	}
-	assert.Equal(t, h.s.queue("q").steps, 0)
+	assert.Equal(t, h.s.queueStats("q").steps, 0)
 }
 
 var wide = job.Step{Count: 4, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second}
@@ -75,7 +75,7 @@
 func TestUnseenRunsTeachNothing(t *testing.T) {
 	h := newHarness(t)
 	j := h.newJob("j", pair)
-	h.ran(j, 0, time.Second)
+	h.completeStep(j, 0, time.Second)
 	assert.Equal(t, j.typical, time.Duration(0))
-	assert.Equal(t, h.s.queue("q").steps, 0)
+	assert.Equal(t, h.s.queueStats("q").steps, 0)
 }
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -38,12 +38,12 @@
 }
 
 const (
-	// worthBase and worthOfWork make up a job's worth: a part for the job and a
+	// valueBase and worthOfWork make up a job's worth: a part for the job and a
 	// part in proportion to its work against the mean of its queue.
-	worthBase   = 0.3
-	worthOfWork = 0.7
-	// leastWork keeps the density of nearly finished jobs finite, in core-seconds.
-	leastWork = 0.05
+	valueBase            = 0.3
+	valuePerRelativeWork = 0.7
+	// minRemainingWork keeps the density of nearly finished jobs finite, in core-seconds.
+	minRemainingWork = 0.05
 )
 
 // candidates returns the jobs of a pool in the order in which they get room.
@@ -52,7 +52,7 @@
 func (s *Scheduler) candidates(now time.Time, jobs []*jobState) []candidate {
 	out := make([]candidate, 0, len(jobs))
 	for _, j := range jobs {
-		out = append(out, s.rate(now, j))
+		out = append(out, s.rateJob(now, j))
 	}
 	slices.SortFunc(out, compareCandidates)
 	return out
@@ -70,32 +70,32 @@
 	return cmp.Or(a.job.arrived.Compare(b.job.arrived), cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// rateEvery is how often a job's place in the order is worked out anew if none of its
+// ratingInterval is how often a job's place in the order is worked out anew if none of its
 // tasks has ended.
-const rateEvery = 50 * time.Millisecond
+const ratingInterval = 50 * time.Millisecond
 
-// rate returns the job's place in the order, which may be as old as rateEvery.
-func (s *Scheduler) rate(now time.Time, j *jobState) candidate {
-	if j.ratedAt.IsZero() || now.Sub(j.ratedAt) >= rateEvery {
+// rateJob returns the job's place in the order, which may be as old as rateEvery.
+func (s *Scheduler) rateJob(now time.Time, j *jobState) candidate {
+	if j.ratedAt.IsZero() || now.Sub(j.ratedAt) >= ratingInterval {
 		j.objective, j.late = s.objective(j)
-		j.rating, j.ratedAt = s.candidate(now, j), now
+		j.rating, j.ratedAt = s.newCandidate(now, j), now
 	}
 	return j.rating
 }
 
-func (s *Scheduler) candidate(now time.Time, j *jobState) candidate {
+func (s *Scheduler) newCandidate(now time.Time, j *jobState) candidate {
 	c := candidate{job: j, rank: rankLasting}
 	if j.lasting {
 		return c
 	}
 	left, all := s.work(j)
-	mean := s.queue(j.Terms.Queue).meanWork
+	mean := s.queueStats(j.Terms.Queue).meanWork
 	relative := 1.0
 	if mean > 0 {
 		relative = all / mean
 	}
-	c.density = (worthBase + worthOfWork*relative) / max(left, leastWork)
-	ready := now.Add(s.chain(j, j.current()))
+	c.density = (valueBase + valuePerRelativeWork*relative) / max(left, minRemainingWork)
+	ready := now.Add(s.remainingTime(j, j.currentOccurrence()))
 	switch {
 	case !ready.After(j.objective):
 		c.rank = rankInTime
@@ -110,8 +110,8 @@
 	return c
 }
 
-// current returns the first occurrence that isn't complete.
-func (j *jobState) current() *occurrence {
+// currentOccurrence returns the first occurrence that isn't complete.
+func (j *jobState) currentOccurrence() *occurrence {
 	for _, o := range j.occurrences {
 		if o.done < len(o.steps) {
 			return o
--- a/core/schedule/order_test.go
+++ b/core/schedule/order_test.go
@@ -49,16 +49,16 @@
 		}
 		h.now = h.now.Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
 		sorted := h.s.candidates(h.now, jobs)
-		left := jobs
+		remaining := jobs
 		for _, got := range sorted {
 			best := 0
-			for i := range left {
-				if comesBefore(h.s.candidate(h.now, left[i]), h.s.candidate(h.now, left[best])) {
+			for i := range remaining {
+				if comesBefore(h.s.newCandidate(h.now, remaining[i]), h.s.newCandidate(h.now, remaining[best])) {
 					best = i
 				}
 			}
-			assert.Equal(t, got.job.ID, left[best].ID, "round %d", round)
-			left = append(left[:best:best], left[best+1:]...)
+			assert.Equal(t, got.job.ID, remaining[best].ID, "round %d", round)
+			remaining = append(remaining[:best:best], remaining[best+1:]...)
 		}
 	}
 }
--- a/core/schedule/ordered.go
+++ b/core/schedule/ordered.go
@@ -2,9 +2,9 @@
 
 import "iter"
 
-// ordered is a map that is walked in the order of insertion: the same events
+// orderedMap is a map that is walked in the order of insertion: the same events
 // must always bring about the same commands. Its zero value is empty.
-type ordered[K comparable, V any] struct {
+type orderedMap[K comparable, V any] struct {
 	index   map[K]*entry[K, V]
 	entries []*entry[K, V]
 }
@@ -16,12 +16,12 @@
 	deleted bool
 }
 
-// compactFrom is the number of entries from which deleted ones are gathered before
+// minCompactEntries is the number of entries from which deleted ones are gathered before
 // they are taken out.
-const compactFrom = 32
+const minCompactEntries = 32
 
 // Get returns the value of k, or the zero value.
-func (o *ordered[K, V]) Get(k K) V {
+func (o *orderedMap[K, V]) Get(k K) V {
 	if e := o.index[k]; e != nil {
 		return e.value
 	}
@@ -30,13 +30,13 @@
 }
 
 // Has tells whether there is a value of k.
-func (o *ordered[K, V]) Has(k K) bool { return o.index[k] != nil }
+func (o *orderedMap[K, V]) Has(k K) bool { return o.index[k] != nil }
 
 // Len returns the number of values.
-func (o *ordered[K, V]) Len() int { return len(o.index) }
+func (o *orderedMap[K, V]) Len() int { return len(o.index) }
 
 // Set sets the value of k.
-func (o *ordered[K, V]) Set(k K, v V) {
+func (o *orderedMap[K, V]) Set(k K, v V) {
 	if e := o.index[k]; e != nil {
 		e.value = v
 		return
@@ -50,21 +50,21 @@
 }
 
 // Delete takes k out.
-func (o *ordered[K, V]) Delete(k K) {
+func (o *orderedMap[K, V]) Delete(k K) {
 	e := o.index[k]
 	if e == nil {
 		return
 	}
 	e.deleted = true
 	delete(o.index, k)
-	if n := len(o.entries); n < compactFrom || n > 2*len(o.index) {
+	if n := len(o.entries); n < minCompactEntries || n > 2*len(o.index) {
 		o.compact()
 	}
 }
 
 // compact takes the deleted entries out. It copies, so that a walk that is going
 // on holds.
-func (o *ordered[K, V]) compact() {
+func (o *orderedMap[K, V]) compact() {
 	live := make([]*entry[K, V], 0, len(o.index))
 	for _, e := range o.entries {
 		if !e.deleted {
@@ -75,7 +75,7 @@
 }
 
 // Keys returns the keys in order.
-func (o *ordered[K, V]) Keys() []K {
+func (o *orderedMap[K, V]) Keys() []K {
 	out := make([]K, 0, len(o.index))
 	for k := range o.All() {
 		out = append(out, k)
@@ -84,7 +84,7 @@
 }
 
 // All walks keys and values. Values may be set and deleted meanwhile.
-func (o *ordered[K, V]) All() iter.Seq2[K, V] {
+func (o *orderedMap[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, e := range o.entries {
 			if !e.deleted && !yield(e.key, e.value) {
--- a/core/schedule/otherlife_test.go
+++ b/core/schedule/otherlife_test.go
@@ -145,7 +145,7 @@
 // Guards against a second run of a task that a former owner began in a new life without knowing of that life: the roster names the life before.
 func TestNewLifeOfAnInheritedVMIsHeardFirst(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
+	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
@@ -158,7 +158,7 @@
 // Guards against a second run of a task whose end doesn't fit into the first list that a new owner gets of its VM.
 func TestVMIsHeardOnceItListsAllEnds(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
+	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
 	h.seen("one")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
@@ -182,7 +182,7 @@
 	start := one[Start](h, h.step(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.s.Cancel(h.now, "j")
-	stop := one[Stop](h, h.turn(0))
+	stop := one[Stop](h, h.turnWithoutStoring(0))
 	h.s.VMSeen(h.now, job.VMEntry{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock()})
 	again := only[Stop](h.step(stopRetry))
@@ -196,7 +196,7 @@
 func TestOrdersToANewLifeBarThoseToTheFormer(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.s.Renewed(9)
+	h.s.RaiseFence(9)
 	h.lists("one", nil)
 	assert.Equal(t, one[Hold](h, h.step(100*time.Millisecond)).Order.Fence, job.Fence(5))
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 10, Born: 2, Lists: true})
@@ -206,5 +206,5 @@
 	start := one[Start](h, h.step(0))
 	assert.Equal(t, start.Order.Fence, job.Fence(9))
 	h.s.Cancel(h.now, "j")
-	assert.Equal(t, one[Stop](h, h.turn(answerDue)).Fence, job.Fence(9))
+	assert.Equal(t, one[Stop](h, h.turnWithoutStoring(answerDue)).Fence, job.Fence(9))
 }
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// paceEvery is how often a VM's pace is set anew: a change shows in the loads of
+	// paceInterval is how often a VM's pace is set anew: a change shows in the loads of
 	// the last half second.
-	paceEvery = 500 * time.Millisecond
+	paceInterval = 500 * time.Millisecond
 	// paceStopAt, paceSlowAt and paceFreeAt are shares of a serving task's target.
 	// Tasks that fill are halted, halved or sped up as its tail passes them: well
 	// before it is over the target, since a change takes a while to show.
-	paceStopAt = 0.9
-	paceSlowAt = 0.7
-	paceFreeAt = 0.5
-	// paceStep is by how many percent they are sped up at a time, paceLeast below
+	paceHaltRatio  = 0.9
+	paceHalveRatio = 0.7
+	paceRaiseRatio = 0.5
+	// paceStepPercent is by how many percent they are sped up at a time, paceLeast below
 	// which they are halted instead of halved.
-	paceStep  = 20
-	paceLeast = 10
+	paceStepPercent = 20
+	paceMinPercent  = 10
 )
 
 // pace slows the tasks that fill a VM when a task that serves users there comes
@@ -25,7 +25,7 @@
 	if now.Before(v.paceAt) || v.silent {
 		return
 	}
-	worst, serving := 0.0, false
+	tailRatio, serving := 0.0, false
 	var fills []*run
 	for _, r := range v.runs.All() {
 		_, _, st, _ := s.task(r.task)
@@ -35,17 +35,17 @@
 			fills = append(fills, r)
 		case st.def.TailTarget > 0:
 			serving = true
-			worst = max(worst, float64(r.load)/float64(st.def.TailTarget.Milliseconds()))
+			tailRatio = max(tailRatio, float64(r.load)/float64(st.def.TailTarget.Milliseconds()))
 		}
 	}
 	if len(fills) == 0 {
 		return
 	}
-	v.paceAt = now.Add(paceEvery)
+	v.paceAt = now.Add(paceInterval)
 	for _, r := range fills {
 		percent := 100
 		if serving {
-			percent = nextPace(r.pace, worst)
+			percent = nextPace(r.pace, tailRatio)
 		}
 		if percent != r.pace {
 			r.pace = percent
@@ -56,16 +56,16 @@
 
 // nextPace returns the percent at which a filling task may go on beside a serving
 // one whose tail is at the share worst of its target.
-func nextPace(percent int, worst float64) int {
+func nextPace(percent int, tailRatio float64) int {
 	switch {
-	case worst >= paceStopAt:
+	case tailRatio >= paceHaltRatio:
 		return 0
-	case worst >= paceSlowAt && percent/2 < paceLeast:
+	case tailRatio >= paceHalveRatio && percent/2 < paceMinPercent:
 		return 0
-	case worst >= paceSlowAt:
+	case tailRatio >= paceHalveRatio:
 		return percent / 2
-	case worst < paceFreeAt:
-		return min(100, percent+paceStep)
+	case tailRatio < paceRaiseRatio:
+		return min(100, percent+paceStepPercent)
 	}
 	return percent
 }
--- a/core/schedule/place.go
+++ b/core/schedule/place.go
@@ -12,79 +12,79 @@
 
 // Costs of placing a task on a VM. Each outweighs all below it.
 const (
-	costShunned  = 1000.0
-	costSuspects = 500.0
-	costFarRack  = 100.0
-	costDisturbs = 30.0
-	costVacating = 20.0
-	costShared   = 10.0
-	costCompany  = 5.0
-	// costOpens keeps lasting tasks together: a VM with one can't be emptied
+	costFailedHere   = 1000.0
+	costSuspect      = 500.0
+	costOtherRack    = 100.0
+	costInterference = 30.0
+	costVacating     = 20.0
+	costSameStep     = 10.0
+	costCrashRisk    = 5.0
+	// costFirstLasting keeps lasting tasks together: a VM with one can't be emptied
 	// without stopping it.
-	costOpens = 3.0
+	costFirstLasting = 3.0
 	// costOtherZone keeps the tasks of a job in one availability zone: a job is late
 	// as soon as one of its tasks is, and a zone that is cut off then holds up those
 	// jobs that run in it and not all that have a task there.
 	costOtherZone = 0.3
-	// costNewPlace prefers VMs where the job has run tasks: that these are its places
+	// costNewVM prefers VMs where the job has run tasks: that these are its places
 	// is stored already, so the task starts a transaction earlier.
-	costNewPlace = 0.2
+	costNewVM = 0.2
 )
 
 func (a *assignment) cost(p placement, v *vmState) float64 {
 	// Tasks are packed: of VMs that are equal else, the one with the least room left
 	// takes the task, so that others stay empty for wide tasks, upkeep and other pools.
-	cost := v.freeShare()
+	cost := v.freeFraction()
 	if p.step.def.Lasting {
-		cost += a.costOfLasting(p, v)
+		cost += a.lastingCost(p, v)
 	} else {
-		cost += costOfNewPlace(p.job, v)
+		cost += localityCost(p.job, v)
 	}
 	if p.step.def.Fills || p.step.def.TailTarget > 0 {
-		cost += costDisturbs * float64(v.disturbed(p.step.def))
+		cost += costInterference * float64(v.interferingRuns(p.step.def))
 	}
 	if v.vacating {
 		cost += costVacating
 	}
 	cost += costOfCrash(p.task, v)
 	if p.task.shunned == v.id {
-		cost += costShunned
+		cost += costFailedHere
 	}
 	if p.step.def.NearRack != "" && v.rack != p.step.def.NearRack {
-		cost += costFarRack
+		cost += costOtherRack
 	}
 	return cost
 }
 
-// freeShare is the part of the VM's CPU that nothing has taken.
-func (v *vmState) freeShare() float64 {
+// freeFraction is the part of the VM's CPU that nothing has taken.
+func (v *vmState) freeFraction() float64 {
 	return float64(v.room.CPU-v.used.CPU) / float64(max(1, v.room.CPU))
 }
 
-// costOfNewPlace keeps a job in one zone and on VMs where it has run tasks.
-func costOfNewPlace(j *jobState, v *vmState) float64 {
+// localityCost keeps a job in one zone and on VMs where it has run tasks.
+func localityCost(j *jobState, v *vmState) float64 {
 	cost := 0.0
 	if j.zone != "" && j.zone != v.zone {
 		cost += costOtherZone
 	}
 	if j.places.Len() > 0 && !j.places.Has(v.id) {
-		cost += costNewPlace
+		cost += costNewVM
 	}
 	return cost
 }
 
-// costOfLasting spreads the tasks of a lasting step over VMs.
-func (a *assignment) costOfLasting(p placement, v *vmState) float64 {
-	cost := costShared * float64(v.runsOfStep(p.id.StepID()))
+// lastingCost spreads the tasks of a lasting step over VMs.
+func (a *assignment) lastingCost(p placement, v *vmState) float64 {
+	cost := costSameStep * float64(v.runsOfStep(p.id.StepID()))
 	if v.lasting == 0 {
-		cost += costOpens
+		cost += costFirstLasting
 	}
 	return cost
 }
 
-// disturbed counts the runs on the VM that a task of the step would disturb or
+// interferingRuns counts the runs on the VM that a task of the step would disturb or
 // be disturbed by.
-func (v *vmState) disturbed(def *job.Step) int {
+func (v *vmState) interferingRuns(def *job.Step) int {
 	n := 0
 	if def.Fills {
 		n += v.serving
@@ -95,8 +95,8 @@
 	return n
 }
 
-// suits tells whether a task of the step may run on the VM if that has room.
-func (st *stepState) suits(step job.StepID, v *vmState) bool {
+// mayRunOn tells whether a task of the step may run on the VM if that has room.
+func (st *stepState) mayRunOn(step job.StepID, v *vmState) bool {
 	if st.def.Requires != "" && !v.labels[st.def.Requires] {
 		return false
 	}
@@ -107,7 +107,7 @@
 		return false
 	}
 	// A filling task has other places, or may wait; a serving one would suffer.
-	return !st.def.Fills || v.disturbed(st.def) == 0
+	return !st.def.Fills || v.interferingRuns(st.def) == 0
 }
 
 // runsOfStep counts the runs of one step of one occurrence on the VM; what is
--- a/core/schedule/place_test.go
+++ b/core/schedule/place_test.go
@@ -9,15 +9,15 @@
 	"lavenderpond/core/job"
 )
 
-// turn plays one turn and stores nothing, as while the table is slow.
-func (h *harness) turn(d time.Duration) []Command {
+// turnWithoutStoring plays one turn and stores nothing, as while the table is slow.
+func (h *harness) turnWithoutStoring(d time.Duration) []Command {
 	h.now = h.now.Add(d)
 	h.s.Tick(h.now)
 	h.s.Assign(h.now, h.now)
-	return h.s.Take()
+	return h.s.TakeCommands()
 }
 
-func done(c Start) job.End {
+func endedWell(c Start) job.End {
 	return job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone}
 }
 
@@ -53,10 +53,10 @@
 		mine, other = other, mine
 	}
 	// Both tasks end, and the VM of the first step takes no more.
-	h.lists(string(mine.VM), nil, done(mine))
-	h.lists(string(other.VM), nil, done(other))
+	h.lists(string(mine.VM), nil, endedWell(mine))
+	h.lists(string(other.VM), nil, endedWell(other))
 	h.s.vms.Get(mine.VM).draining = true
-	next := one[Start](h, h.turn(10*time.Millisecond))
+	next := one[Start](h, h.turnWithoutStoring(10*time.Millisecond))
 	assert.Equal(t, next.VM, other.VM)
 	assert.Equal(t, next.Order.Task, job.TaskID{Job: "j", Step: 1})
 }
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -29,8 +29,8 @@
 	return h
 }
 
-// seenIn lists a VM of a pool and its machine.
-func (h *harness) seenIn(pool job.PoolName, ids ...string) {
+// listVMs lists a VM of a pool and its machine.
+func (h *harness) listVMs(pool job.PoolName, ids ...string) {
 	for _, id := range ids {
 		h.s.VMSeen(h.now, job.VMEntry{
 			ID: job.VMID(id), Pool: pool, Address: id, Room: job.Room{CPU: 8000, MemMB: 8000},
@@ -67,7 +67,7 @@
 }
 
 func (h *harness) jobOf(queue job.QueueName, id string, steps ...job.Step) job.Job {
-	q := h.s.conf.Queue(queue)
+	q := h.s.config.Queue(queue)
 	j := job.Job{ID: job.ID(id), Body: job.Body{Spec: "x", Steps: steps}}
 	j.Terms = job.Terms{Queue: queue, Pool: q.Pool, Account: "free", Attempts: 2, Stretch: q.Stretch, Latency: q.Latency}
 	return j
@@ -89,17 +89,17 @@
 func TestJobThatCannotStartTakesNoMachines(t *testing.T) {
 	h := newPoolsHarness(t)
 	wide := job.Step{Count: 40, Room: job.Room{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second}
-	h.s.Inherit(RosterVM{ID: "far", Address: "far", Pool: poolB, Born: 1})
+	h.s.AddInheritedVM(RosterVM{ID: "far", Address: "far", Pool: poolB, Born: 1})
 	h.s.AddJob(h.now, h.jobOf("qb", "cut", wide), &job.Progress{State: job.Running, VMs: []job.VMID{"far"}}, true)
-	h.seenIn(poolA, "a1")
-	h.seenIn(poolB, "b1", "b2", "b3", "b4", "far")
+	h.listVMs(poolA, "a1")
+	h.listVMs(poolB, "b1", "b2", "b3", "b4", "far")
 	h.step(0)
 	for _, id := range []string{"a1", "b1", "b2", "b3", "b4"} {
 		h.lists(id, nil)
 	}
 	h.listMachines()
 	h.jobIn("qa", "burst", wide)
-	moves := movesOf(h.step(unheardGrace + 200*time.Millisecond))
+	moves := movesOf(h.step(firstReportGrace + 200*time.Millisecond))
 	assert.Equal(t, len(moves[poolB]), 0)
 	assert.Assert(t, len(moves[poolA]) >= 3, "%v", moves)
 }
@@ -110,8 +110,8 @@
 // another falls idle and moves at once.
 func TestVMIsVacatedForAPoolThatLacks(t *testing.T) {
 	h := newPoolsHarness(t)
-	h.seenIn(poolA, "a1")
-	h.seenIn(poolB, "b1", "b2")
+	h.listVMs(poolA, "a1")
+	h.listVMs(poolB, "b1", "b2")
 	h.step(0)
 	for _, id := range []string{"a1", "b1", "b2"} {
 		h.lists(id, nil)
@@ -131,22 +131,22 @@
 	assert.Assert(t, starts[0].VM != starts[1].VM)
 	h.now = h.now.Add(2 * time.Second)
 	h.jobIn("qa", "burst", job.Step{Count: 60, Room: job.Room{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second})
-	h.step(sizeEvery)
-	var on []job.VMID
+	h.step(sizingInterval)
+	var nextVMs []job.VMID
 	moved := 0
 	for i, c := range starts {
 		h.lists(string(c.VM), nil, job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone})
-		commands := h.step(sizeEvery)
+		commands := h.step(sizingInterval)
 		for _, n := range only[Start](commands) {
 			if h.s.jobs.Get(n.Order.Task.Job).Terms.Pool == poolB {
-				on = append(on, n.VM)
+				nextVMs = append(nextVMs, n.VM)
 				h.confirm(n)
 			}
 		}
 		moved += len(only[Move](commands))
-		assert.Equal(t, len(on), i+1, fmt.Sprint(commands))
+		assert.Equal(t, len(nextVMs), i+1, fmt.Sprint(commands))
 	}
-	moved += len(only[Move](h.step(sizeEvery)))
-	assert.Equal(t, on[0], on[1], "the next steps keep both VMs of the pool")
+	moved += len(only[Move](h.step(sizingInterval)))
+	assert.Equal(t, nextVMs[0], nextVMs[1], "the next steps keep both VMs of the pool")
 	assert.Equal(t, moved, 1, "no machine came free for the burst")
 }
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -60,7 +60,7 @@
 	}
 	r.recorded = true
 	s.markDirty(j)
-	r.after = max(r.after, s.nextSave())
+	r.after = max(r.after, s.nextSaveSequence())
 }
 
 // restoreCrashes applies stored crashes.
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -45,8 +45,8 @@
 	if !s.applyEnd(now, v, e) {
 		s.tellRedundant(v, e)
 	}
-	save := s.saveOf(e.Task.Job)
-	if save <= s.stored && len(v.unsure) == 0 {
+	save := s.saveSequenceOf(e.Task.Job)
+	if save <= s.storedSequence && len(v.unsure) == 0 {
 		v.noted = e.Number
 		return
 	}
@@ -127,7 +127,7 @@
 	}
 	s.judgeSuccess(v)
 	if ranFor > 0 {
-		s.learn(j, ranFor)
+		s.learnRunTime(j, ranFor)
 		st.took = append(st.took, ranFor)
 	}
 	if st.def.Gang {
@@ -180,7 +180,7 @@
 	}
 	t.failed = append(t.failed, e.Attempt)
 	s.markDirty(j)
-	if len(t.failed) >= s.attempts(j) {
+	if len(t.failed) >= s.maxAttempts(j) {
 		s.finish(now, j, job.Failed)
 	}
 	return true
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -9,8 +9,8 @@
 
 // sendPlanned sends the starts whose saves are stored.
 func (s *Scheduler) sendPlanned(now time.Time) {
-	s.planned = slices.DeleteFunc(s.planned, func(r *run) bool {
-		if r.after > s.stored {
+	s.plannedStarts = slices.DeleteFunc(s.plannedStarts, func(r *run) bool {
+		if r.after > s.storedSequence {
 			return false
 		}
 		s.send(now, r)
@@ -48,7 +48,7 @@
 // mayRunUnheard tells whether a task of the job may run on a VM that this owner
 // hasn't heard yet.
 func (s *Scheduler) mayRunUnheard(j *jobState) bool {
-	if !j.inherited || !s.anyUnheard {
+	if !j.inherited || !s.anyUnreported {
 		return false
 	}
 	for id := range j.places.All() {
@@ -67,7 +67,7 @@
 	r.vm.runs.Set(runKey{r.task, r.attempt}, r)
 	r.vm.used = r.vm.used.Plus(r.claim)
 	r.vm.countKind(r, 1)
-	s.running[r.account] = s.running[r.account].Plus(r.cost)
+	s.usage[r.account] = s.usage[r.account].Plus(r.cost)
 	if t != nil {
 		t.runs = append(t.runs, r)
 		st.recount()
@@ -112,7 +112,7 @@
 		r.vm.stopping--
 	}
 	r.vm.idleSince = now
-	s.running[r.account] = s.running[r.account].Minus(r.cost)
+	s.usage[r.account] = s.usage[r.account].Minus(r.cost)
 	j, _, st, t := s.task(r.task)
 	if t == nil {
 		return
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -11,56 +11,56 @@
 func (s *Scheduler) markDirty(j *jobState) {
 	if !j.dirty {
 		j.dirty = true
-		s.dirty = append(s.dirty, j)
+		s.dirtyJobs = append(s.dirtyJobs, j)
 	}
 }
 
-// nextSave returns the sequence of the save that will hold what is dirty now.
-func (s *Scheduler) nextSave() int64 { return s.sequence + 1 }
+// nextSaveSequence returns the sequence of the save that will hold what is dirty now.
+func (s *Scheduler) nextSaveSequence() int64 { return s.saveSequence + 1 }
 
-// saveOf returns the sequence of the save that holds all that is known of a job; 0 if
+// saveSequenceOf returns the sequence of the save that holds all that is known of a job; 0 if
 // nothing of it needs one.
-func (s *Scheduler) saveOf(id job.ID) int64 {
+func (s *Scheduler) saveSequenceOf(id job.ID) int64 {
 	j := s.jobs.Get(id)
 	switch {
 	case j == nil:
 		return 0
 	case j.dirty:
-		return s.nextSave()
+		return s.nextSaveSequence()
 	}
 	return j.saved
 }
 
 // flushSaves turns all that has changed into saves of one sequence.
 func (s *Scheduler) flushSaves() {
-	if len(s.dirty) == 0 && len(s.dirtyVMs) == 0 && len(s.dirtyOrders) == 0 && len(s.dirtyWaves) == 0 {
+	if len(s.dirtyJobs) == 0 && len(s.dirtyVMs) == 0 && len(s.dirtyOrders) == 0 && len(s.dirtyWaves) == 0 {
 		return
 	}
-	s.sequence++
+	s.saveSequence++
 	s.flushVMs()
 	s.flushOrders()
 	for _, w := range s.dirtyWaves {
-		s.emit(SaveWave{Sequence: s.sequence, Number: w.Number, Done: slices.Sorted(maps.Keys(w.done))})
+		s.emit(SaveWave{Sequence: s.saveSequence, Number: w.Number, Done: slices.Sorted(maps.Keys(w.done))})
 	}
 	s.dirtyWaves = nil
-	for _, j := range s.dirty {
-		j.dirty, j.saved = false, s.sequence
-		s.emit(Save{Sequence: s.sequence, Job: j.ID, Progress: j.progress()})
+	for _, j := range s.dirtyJobs {
+		j.dirty, j.saved = false, s.saveSequence
+		s.emit(Save{Sequence: s.saveSequence, Job: j.ID, Progress: j.progress()})
 		if j.over() {
 			s.closing = append(s.closing, j)
 		}
 	}
-	s.dirty = s.dirty[:0]
+	s.dirtyJobs = s.dirtyJobs[:0]
 }
 
-// Stored notes that all saves up to the sequence are stored, and sends what
+// SavesStored notes that all saves up to the sequence are stored, and sends what
 // waited for them.
-func (s *Scheduler) Stored(now time.Time, sequence int64) {
-	s.stored = max(s.stored, sequence)
+func (s *Scheduler) SavesStored(now time.Time, sequence int64) {
+	s.storedSequence = max(s.storedSequence, sequence)
 	s.sendPlanned(now)
-	s.sendHeld(now)
+	s.sendPendingOrders(now)
 	for _, v := range s.vms.All() {
-		v.noteStored(s.stored)
+		v.noteStored(s.storedSequence)
 	}
 	s.forgetClosed()
 }
@@ -68,7 +68,7 @@
 // forgetClosed drops jobs whose end is stored and of which nothing can run.
 func (s *Scheduler) forgetClosed() {
 	s.closing = slices.DeleteFunc(s.closing, func(j *jobState) bool {
-		if j.saved > s.stored || j.hasRuns() {
+		if j.saved > s.storedSequence || j.hasRuns() {
 			return false
 		}
 		s.jobs.Delete(j.ID)
@@ -77,21 +77,21 @@
 	})
 }
 
-// rememberEnded is how long an ended job is remembered and its rows are kept: far
+// endedRetention is how long an ended job is remembered and its rows are kept: far
 // longer than a feed can be behind or a caller asks for its state.
-const rememberEnded = 10 * time.Minute
+const endedRetention = 10 * time.Minute
 
-// Ended notes a job that a former owner saw to its end.
-func (s *Scheduler) Ended(now time.Time, id job.ID) { s.ended[id] = now }
+// AddEndedJob notes a job that a former owner saw to its end.
+func (s *Scheduler) AddEndedJob(now time.Time, id job.ID) { s.ended[id] = now }
 
 // forgetEnded drops the IDs of jobs that ended long ago.
 func (s *Scheduler) forgetEnded(now time.Time) {
-	if now.Before(s.forgetAt) {
+	if now.Before(s.nextForgetEnded) {
 		return
 	}
-	s.forgetAt = now.Add(rememberEnded / 10)
+	s.nextForgetEnded = now.Add(endedRetention / 10)
 	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
-		if now.Sub(s.ended[id]) > rememberEnded {
+		if now.Sub(s.ended[id]) > endedRetention {
 			delete(s.ended, id)
 			s.emit(Forget{Job: id})
 		}
@@ -146,9 +146,9 @@
 func (s *Scheduler) flushVMs() {
 	for _, id := range s.dirtyVMs {
 		if v := s.vms.Get(id); v != nil {
-			s.emit(SaveVM{Sequence: s.sequence, VM: v.rostered})
+			s.emit(SaveVM{Sequence: s.saveSequence, VM: v.rostered})
 		} else {
-			s.emit(DropVM{Sequence: s.sequence, VM: id})
+			s.emit(DropVM{Sequence: s.saveSequence, VM: id})
 		}
 	}
 	s.dirtyVMs = nil
@@ -157,10 +157,10 @@
 // flushOrders saves which machines have been given an order of late.
 func (s *Scheduler) flushOrders() {
 	for _, id := range s.dirtyOrders {
-		if o := s.recent.Get(id); o.holder != "" {
-			s.emit(SaveOrder{Sequence: s.sequence, Order: MachineOrder{Machine: id, Holder: o.holder}})
+		if o := s.recentOrders.Get(id); o.holder != "" {
+			s.emit(SaveOrder{Sequence: s.saveSequence, Order: MachineOrder{Machine: id, Holder: o.holder}})
 		} else {
-			s.emit(DropOrder{Sequence: s.sequence, Machine: id})
+			s.emit(DropOrder{Sequence: s.saveSequence, Machine: id})
 		}
 	}
 	s.dirtyOrders = nil
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -21,8 +21,8 @@
 	TookOver time.Time
 	// LeaseMax is the longest lease that a VM grants.
 	LeaseMax time.Duration
-	// TaskStop bounds how long a task takes to stop.
-	TaskStop time.Duration
+	// TaskStopMax bounds how long a task takes to stop.
+	TaskStopMax time.Duration
 	// ShrinkNotice is how long a VM's capacity that has shrunk may still be relied on; 0
 	// means no bound.
 	ShrinkNotice time.Duration
@@ -30,9 +30,9 @@
 	MachineLease time.Duration
 	// Holder signs this owner's orders for machines.
 	Holder string
-	// OrderedBefore are the machines that may have been given an order shortly
+	// FormerOrders are the machines that may have been given an order shortly
 	// before the take-over.
-	OrderedBefore []MachineOrder
+	FormerOrders []MachineOrder
 	// Observer is told of decisions; nil for none.
 	Observer Observer
 }
@@ -40,51 +40,51 @@
 // Scheduler is the owner's knowledge of jobs and VMs.
 type Scheduler struct {
 	settings Settings
-	conf     *job.Configuration
-	jobs     ordered[job.ID, *jobState]
-	vms      ordered[job.VMID, *vmState]
+	config   *job.Configuration
+	jobs     orderedMap[job.ID, *jobState]
+	vms      orderedMap[job.VMID, *vmState]
 	// ended remembers jobs that are over and stored, and since when.
 	ended map[job.ID]time.Time
-	// running is what each client account has running, or may have.
-	running map[job.AccountName]job.Room
-	// unheard is what each may have running beyond that, on VMs not heard yet.
-	unheard  map[job.AccountName]job.Room
-	commands []Command
-	dirty    []*jobState
-	// sequence numbers the saves; stored is the last that is stored.
-	sequence int64
-	stored   int64
-	closing  []*jobState
-	// planned are starts, and held machine orders, that wait for a save.
-	planned []*run
-	held    []heldOrder
-	// recent are the machines with an order of late.
-	recent      ordered[job.MachineID, recentOrder]
-	dirtyOrders []job.MachineID
-	dirtyVMs    []job.VMID
-	dirtyWaves  []*waveState
-	// forgetAt is when to look next for ended jobs to forget.
-	forgetAt time.Time
-	rights   Rights
+	// usage is what each client account has running, or may have.
+	usage map[job.AccountName]job.Room
+	// possibleUsage is what each may have running beyond that, on VMs not heard yet.
+	possibleUsage map[job.AccountName]job.Room
+	commands      []Command
+	dirtyJobs     []*jobState
+	// saveSequence numbers the saves; stored is the last that is stored.
+	saveSequence   int64
+	storedSequence int64
+	closing        []*jobState
+	// plannedStarts are starts, and held machine orders, that wait for a save.
+	plannedStarts []*run
+	pendingOrders []pendingOrder
+	// recentOrders are the machines with an order of late.
+	recentOrders orderedMap[job.MachineID, recentOrder]
+	dirtyOrders  []job.MachineID
+	dirtyVMs     []job.VMID
+	dirtyWaves   []*waveState
+	// nextForgetEnded is when to look next for ended jobs to forget.
+	nextForgetEnded time.Time
+	rights          Rights
 	// fence guards lives of VMs that begin from now on.
 	fence    job.Fence
-	queues   map[job.QueueName]*queueRecord
-	machines ordered[job.MachineID, *machineState]
+	queues   map[job.QueueName]*queueStats
+	machines orderedMap[job.MachineID, *machineState]
 	// directoryAsOf is up to when all changes of the directory are known.
 	directoryAsOf time.Time
-	waves         ordered[int64, *waveState]
-	// evacuations are the availability zones in which nothing may start.
-	evacuations evacuations
-	pools       map[job.PoolName]*poolRecord
-	shares      shares
-	sizeAt      time.Time
-	// anyUnheard is set while a VM hasn't been heard on which a former owner may
+	waves         orderedMap[int64, *waveState]
+	// evacuatedZones are the availability zones in which nothing may start.
+	evacuatedZones zoneSet
+	pools          map[job.PoolName]*poolStats
+	shares         shares
+	nextSizing     time.Time
+	// anyUnreported is set while a VM hasn't been heard on which a former owner may
 	// still run tasks.
-	anyUnheard bool
-	// pruneOrdersAt is when to look next for machine orders that are long ago.
-	pruneOrdersAt time.Time
-	backlog       map[job.QueueName]int
-	backlogAt     time.Time
+	anyUnreported bool
+	// nextPruneOrders is when to look next for machine orders that are long ago.
+	nextPruneOrders time.Time
+	backlog         map[job.QueueName]int
+	backlogExpires  time.Time
 }
 
 // New returns a scheduler that knows nothing yet.
@@ -93,24 +93,24 @@
 		settings: s,
 		fence:    s.Fence,
 		ended:    map[job.ID]time.Time{},
-		running:  map[job.AccountName]job.Room{},
-		queues:   map[job.QueueName]*queueRecord{},
-		pools:    map[job.PoolName]*poolRecord{},
+		usage:    map[job.AccountName]job.Room{},
+		queues:   map[job.QueueName]*queueStats{},
+		pools:    map[job.PoolName]*poolStats{},
 		shares:   shares{},
 	}
 	// Kept among this owner's own, so that the next owner knows of them too.
-	for _, o := range s.OrderedBefore {
-		out.recent.Set(o.Machine, recentOrder{holder: o.Holder, at: s.TookOver})
+	for _, o := range s.FormerOrders {
+		out.recentOrders.Set(o.Machine, recentOrder{holder: o.Holder, at: s.TookOver})
 	}
 	return out
 }
 
 // Configure puts a configuration in force; a lower version than the present one is ignored.
 func (s *Scheduler) Configure(c *job.Configuration) {
-	if s.conf != nil && c.Version < s.conf.Version {
+	if s.config != nil && c.Version < s.config.Version {
 		return
 	}
-	s.conf = c
+	s.config = c
 }
 
 // Rights are what the owner may still do, by the age of its last proof.
@@ -124,12 +124,12 @@
 // SetRights says what the owner may still do at this moment.
 func (s *Scheduler) SetRights(r Rights) { s.rights = r }
 
-// Renewed takes in a version at which the table has confirmed this owner's right. It is below
+// RaiseFence takes in a version at which the table has confirmed this owner's right. It is below
 // the fence of any later owner.
-func (s *Scheduler) Renewed(version job.Fence) { s.fence = max(s.fence, version) }
+func (s *Scheduler) RaiseFence(version job.Fence) { s.fence = max(s.fence, version) }
 
-// Take returns the commands since the last call.
-func (s *Scheduler) Take() []Command {
+// TakeCommands returns the commands since the last call.
+func (s *Scheduler) TakeCommands() []Command {
 	s.flushSaves()
 	out := s.commands
 	s.commands = nil
@@ -144,8 +144,8 @@
 	}
 }
 
-// Inherit notes a VM on which the former owner may have started tasks.
-func (s *Scheduler) Inherit(r RosterVM) {
+// AddInheritedVM notes a VM on which the former owner may have started tasks.
+func (s *Scheduler) AddInheritedVM(r RosterVM) {
 	v := s.vm(r.ID)
 	if v.address == "" {
 		v.address, v.pool, v.born = r.Address, r.Pool, r.Born
@@ -153,13 +153,13 @@
 	}
 	v.rostered = r
 	v.inheritedUntil = lease.InheritedEnd(s.settings.TookOver, s.settings.LeaseMax)
-	v.nextHold = s.settings.TookOver.Add(unlistedPause)
-	s.anyUnheard = true
+	v.nextHold = s.settings.TookOver.Add(unlistedHoldDelay)
+	s.anyUnreported = true
 }
 
-// unlistedPause is how long after a take-over the VMs are left alone that the directory
+// unlistedHoldDelay is how long after a take-over the VMs are left alone that the directory
 // doesn't list: those that it lists are held first.
-const unlistedPause = 700 * time.Millisecond
+const unlistedHoldDelay = 700 * time.Millisecond
 
 // AddJob takes in a job and what is stored of its progress. inherited tells
 // that a former owner may have started tasks of it.
@@ -187,10 +187,10 @@
 	}
 	st.objective, st.late = s.objective(st)
 	if !st.lasting && !inherited {
-		st.excess = s.conf != nil && s.shares.exceeds(now, s.conf.Account(j.Terms.Account))
+		st.excess = s.config != nil && s.shares.exceeds(now, s.config.Account(j.Terms.Account))
 		left, all := s.work(st)
-		s.poolRecord(s.pool(st)).arrive(now, left)
-		s.queue(j.Terms.Queue).arrive(all)
+		s.poolStats(s.pool(st)).addArrival(now, left)
+		s.queueStats(j.Terms.Queue).addJob(all)
 	}
 	s.jobs.Set(j.ID, st)
 	if st.takenOver {
@@ -267,16 +267,16 @@
 	}
 }
 
-// backlogEvery is how often the backlog is counted.
-const backlogEvery = 100 * time.Millisecond
+// backlogInterval is how often the backlog is counted.
+const backlogInterval = 100 * time.Millisecond
 
 // Backlog counts the jobs of each queue that haven't begun. The count is as old as
 // backlogEvery at the most, and must not be changed.
 func (s *Scheduler) Backlog(now time.Time) map[job.QueueName]int {
-	if s.backlog != nil && now.Before(s.backlogAt) {
+	if s.backlog != nil && now.Before(s.backlogExpires) {
 		return s.backlog
 	}
-	s.backlog, s.backlogAt = s.countBacklog(), now.Add(backlogEvery)
+	s.backlog, s.backlogExpires = s.countBacklog(), now.Add(backlogInterval)
 	return s.backlog
 }
 
@@ -293,18 +293,18 @@
 // pool returns the pool that runs a job's tasks: the one that the queue has
 // now, or if the queue is gone the one that it had.
 func (s *Scheduler) pool(j *jobState) job.PoolName {
-	if s.conf != nil {
-		if q := s.conf.Queue(j.Terms.Queue); q != nil {
+	if s.config != nil {
+		if q := s.config.Queue(j.Terms.Queue); q != nil {
 			return q.Pool
 		}
 	}
 	return j.Terms.Pool
 }
 
-// attempts returns how many failed runs end a job.
-func (s *Scheduler) attempts(j *jobState) int {
-	if s.conf != nil {
-		if q := s.conf.Queue(j.Terms.Queue); q != nil && q.Attempts > 0 {
+// maxAttempts returns how many failed runs end a job.
+func (s *Scheduler) maxAttempts(j *jobState) int {
+	if s.config != nil {
+		if q := s.config.Queue(j.Terms.Queue); q != nil && q.Attempts > 0 {
 			return q.Attempts
 		}
 	}
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -12,9 +12,9 @@
 	"lavenderpond/core/job"
 )
 
-// shrinking is a few VMs whose capacity changes while tasks run there, and which fall
+// shrinkingFleet is a few VMs whose capacity changes while tasks run there, and which fall
 // silent at times.
-type shrinking struct {
+type shrinkingFleet struct {
 	*harness
 	rng     *rand.Rand
 	guarded bool
@@ -25,22 +25,22 @@
 
 // shrinkingEvent is something that happens later.
 type shrinkingEvent struct {
-	at time.Time
-	do func()
+	at  time.Time
+	run func()
 }
 
 type shrinkingVM struct {
 	id string
 	// cpu is its capacity, told what it last said of it.
-	cpu, told int64
-	silent    bool
-	lease     job.VMClock
-	runs      []*shrinkingRun
-	// late are starts without an answer that may still be carried out.
-	late   []*shrinkingRun
-	barred map[job.TaskID]job.Attempt
-	ended  []job.End
-	number int64
+	cpu, reportedCPU int64
+	silent           bool
+	lease            job.VMClock
+	runs             []*shrinkingRun
+	// unansweredStarts are starts without an answer that may still be carried out.
+	unansweredStarts []*shrinkingRun
+	barredAttempt    map[job.TaskID]job.Attempt
+	ended            []job.End
+	number           int64
 }
 
 type shrinkingRun struct {
@@ -50,17 +50,17 @@
 	deadline job.VMClock
 }
 
-// in does something after d.
-func (f *shrinking) in(d time.Duration, do func()) {
+// after does something after d.
+func (f *shrinkingFleet) after(d time.Duration, do func()) {
 	f.events = append(f.events, shrinkingEvent{f.now.Add(d), do})
 }
 
 // between returns a duration in milliseconds from least to below most.
-func (f *shrinking) between(least, most int) time.Duration {
+func (f *shrinkingFleet) between(least, most int) time.Duration {
 	return time.Duration(least+f.rng.IntN(most-least)) * time.Millisecond
 }
 
-func (f *shrinking) vm(id job.VMID) *shrinkingVM {
+func (f *shrinkingFleet) vm(id job.VMID) *shrinkingVM {
 	return f.vms[slices.IndexFunc(f.vms, func(v *shrinkingVM) bool { return v.id == string(id) })]
 }
 
@@ -70,7 +70,7 @@
 	for _, r := range v.runs {
 		sum += r.cpu
 	}
-	for _, r := range v.late {
+	for _, r := range v.unansweredStarts {
 		if v.mayBegin(r, clock) {
 			sum += r.cpu
 		}
@@ -79,15 +79,15 @@
 }
 
 func (v *shrinkingVM) mayBegin(r *shrinkingRun, clock job.VMClock) bool {
-	return clock <= r.deadline && v.barred[r.task] < r.attempt
+	return clock <= r.deadline && v.barredAttempt[r.task] < r.attempt
 }
 
 // begin lets a task run for a while.
-func (f *shrinking) begin(v *shrinkingVM, r *shrinkingRun) {
+func (f *shrinkingFleet) begin(v *shrinkingVM, r *shrinkingRun) {
 	v.runs = append(v.runs, r)
 	v.lease = max(v.lease, r.deadline)
 	if !f.steps[r.task.Job].Lasting {
-		f.in(f.between(50, 1500), func() { v.end(r, job.EndedDone) })
+		f.after(f.between(50, 1500), func() { v.end(r, job.EndedDone) })
 	}
 }
 
@@ -99,11 +99,11 @@
 	v.runs = slices.Delete(v.runs, i, i+1)
 	v.number++
 	v.ended = append(v.ended, job.End{Number: v.number, Task: r.task, Attempt: r.attempt, How: how})
-	v.barred[r.task] = max(v.barred[r.task], r.attempt)
+	v.barredAttempt[r.task] = max(v.barredAttempt[r.task], r.attempt)
 }
 
 // lapse ends what runs once the lease is over.
-func (f *shrinking) lapse(v *shrinkingVM) {
+func (f *shrinkingFleet) lapse(v *shrinkingVM) {
 	if f.clock() <= v.lease {
 		return
 	}
@@ -112,25 +112,25 @@
 	}
 }
 
-func (f *shrinking) report() job.Report { return job.Report{Clock: f.clock(), Born: 1} }
+func (f *shrinkingFleet) report() job.Report { return job.Report{Clock: f.clock(), Born: 1} }
 
 // start carries a start out, and asserts that there is room for it.
-func (f *shrinking) start(c Start) {
+func (f *shrinkingFleet) start(c Start) {
 	v := f.vm(c.VM)
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Room.CPU, c.Order.Deadline}
 	used := v.used(f.clock())
-	assert.Assert(f.t, used+r.cpu <= v.told, "%v on %s: %d and %d of %d", r.task, v.id, used, r.cpu, v.told)
+	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: %d and %d of %d", r.task, v.id, used, r.cpu, v.reportedCPU)
 	answer := func(out Outcome, rep job.Report) { f.s.StartAnswered(f.now, c, out, rep) }
 	switch {
 	case v.silent || f.rng.IntN(20) == 0:
-		v.late = append(v.late, r)
-		f.in(f.between(1, 900), func() {
+		v.unansweredStarts = append(v.unansweredStarts, r)
+		f.after(f.between(1, 900), func() {
 			if v.mayBegin(r, f.clock()) {
 				f.begin(v, r)
 			}
-			v.late = slices.DeleteFunc(v.late, func(o *shrinkingRun) bool { return o == r })
+			v.unansweredStarts = slices.DeleteFunc(v.unansweredStarts, func(o *shrinkingRun) bool { return o == r })
 		})
-		f.in(f.between(300, 1000), func() { answer(Unanswered, job.Report{}) })
+		f.after(f.between(300, 1000), func() { answer(Unanswered, job.Report{}) })
 	case f.guarded && used+r.cpu > v.cpu:
 		rep := f.report()
 		rep.Refused = job.RefusedRoom
@@ -141,22 +141,22 @@
 	}
 }
 
-func (f *shrinking) stop(c Stop) {
+func (f *shrinkingFleet) stop(c Stop) {
 	v := f.vm(c.VM)
 	if v.silent {
 		f.s.StopAnswered(f.now, c, Unanswered, job.Report{})
 		return
 	}
-	v.barred[c.Task] = max(v.barred[c.Task], c.Attempt)
+	v.barredAttempt[c.Task] = max(v.barredAttempt[c.Task], c.Attempt)
 	for _, r := range v.runs {
 		if r.task == c.Task && r.attempt <= c.Attempt {
-			f.in(f.between(10, 400), func() { v.end(r, job.EndedStopped) })
+			f.after(f.between(10, 400), func() { v.end(r, job.EndedStopped) })
 		}
 	}
 	f.s.StopAnswered(f.now, c, Answered, f.report())
 }
 
-func (f *shrinking) hold(c Hold) {
+func (f *shrinkingFleet) hold(c Hold) {
 	v := f.vm(c.VM)
 	if v.silent {
 		f.s.HoldAnswered(f.now, c, Unanswered, job.Report{})
@@ -173,7 +173,7 @@
 }
 
 // turn plays one turn and carries out what is ordered.
-func (f *shrinking) turn() {
+func (f *shrinkingFleet) turn() {
 	f.now = f.now.Add(10 * time.Millisecond)
 	due := f.events
 	f.events = nil
@@ -182,7 +182,7 @@
 			f.events = append(f.events, e)
 			continue
 		}
-		e.do()
+		e.run()
 		f.carryOut()
 	}
 	for _, v := range f.vms {
@@ -193,37 +193,37 @@
 	f.carryOut()
 }
 
-func (f *shrinking) carryOut() {
-	for _, c := range f.s.Take() {
+func (f *shrinkingFleet) carryOut() {
+	for _, c := range f.s.TakeCommands() {
 		switch c := c.(type) {
 		case Start:
 			f.start(c)
 		case Stop:
-			f.in(f.between(0, 40), func() { f.stop(c) })
+			f.after(f.between(0, 40), func() { f.stop(c) })
 		case Hold:
-			f.in(f.between(0, 200), func() { f.hold(c) })
+			f.after(f.between(0, 200), func() { f.hold(c) })
 		default:
-			f.in(f.between(0, 300), func() { f.store(c) })
+			f.after(f.between(0, 300), func() { f.store(c) })
 		}
 	}
 }
 
 // resize changes a VM's capacity. The news of one that guards it may be late.
-func (f *shrinking) resize(v *shrinkingVM, cpu int64) {
+func (f *shrinkingFleet) resize(v *shrinkingVM, cpu int64) {
 	v.cpu = cpu
 	tell := func() {
-		v.told = v.cpu
+		v.reportedCPU = v.cpu
 		f.harness.resize(v.id, v.cpu)
 	}
 	if !f.guarded {
 		tell()
 		return
 	}
-	f.in(f.between(0, 1500), tell)
+	f.after(f.between(0, 1500), tell)
 }
 
 // submit hands a job in.
-func (f *shrinking) submit(n int) {
+func (f *shrinkingFleet) submit(n int) {
 	def := job.Step{Count: 1 + f.rng.IntN(4), Room: job.Room{CPU: 200 + f.rng.Int64N(3800)}, Estimate: time.Second}
 	def.Gang, def.Lasting = f.rng.IntN(5) == 0, f.rng.IntN(9) == 0
 	id := job.ID(fmt.Sprintf("j-%d", n))
@@ -232,7 +232,7 @@
 }
 
 // disturb changes something, every few turns.
-func (f *shrinking) disturb(turn int) {
+func (f *shrinkingFleet) disturb(turn int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
 	case 0, 1:
@@ -246,10 +246,10 @@
 	}
 }
 
-func newShrinking(t *testing.T, seed uint64, guarded bool) *shrinking {
-	f := &shrinking{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), guarded: guarded, steps: map[job.ID]job.Step{}}
+func newShrinking(t *testing.T, seed uint64, guarded bool) *shrinkingFleet {
+	f := &shrinkingFleet{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), guarded: guarded, steps: map[job.ID]job.Step{}}
 	for _, id := range []string{"one", "two", "three"} {
-		v := &shrinkingVM{id: id, barred: map[job.TaskID]job.Attempt{}, lease: 6000}
+		v := &shrinkingVM{id: id, barredAttempt: map[job.TaskID]job.Attempt{}, lease: 6000}
 		v.runs = []*shrinkingRun{{task: job.TaskID{Job: job.ID("former-" + id)}, attempt: 7, cpu: f.rng.Int64N(8000), deadline: 6000}}
 		f.vms = append(f.vms, v)
 		f.resize(v, 8000)
--- a/core/schedule/sizing/sizing.go
+++ b/core/schedule/sizing/sizing.go
@@ -21,8 +21,8 @@
 	Have int64
 	// Used is the CPU that its tasks fill, with the loss of packing.
 	Used int64
-	// Wish is the pool's claim to machines that no pool needs, against those of the others.
-	Wish float64
+	// SpareWeight is the pool's claim to machines that no pool needs, against those of the others.
+	SpareWeight float64
 }
 
 // Machine is a machine that could move: it runs nothing.
@@ -35,8 +35,8 @@
 	IdleSince time.Time
 	// Vacated is set if its VM was emptied so that it can move.
 	Vacated bool
-	// off is set if it stands in a standby pool.
-	off bool
+	// standby is set if it stands in a standby pool.
+	standby bool
 }
 
 // Move takes a machine into another pool.
@@ -47,8 +47,8 @@
 }
 
 const (
-	// lendAfter is how long a machine stands idle before another pool may have it.
-	lendAfter = 150 * time.Millisecond
+	// minIdle is how long a machine stands idle before another pool may have it.
+	minIdle = 150 * time.Millisecond
 )
 
 // Plan returns the moves to make now. Pools that lack the most come first. They
@@ -58,11 +58,11 @@
 // burst found its machines a move later than it needed them.
 func Plan(now time.Time, pools []Pool, machines []Machine) []Move {
 	p := newPlan(pools, machines)
-	lacking := p.lacking()
-	for _, x := range lacking {
+	short := p.underprovisioned()
+	for _, x := range short {
 		p.fill(now, x)
 	}
-	if len(lacking) == 0 {
+	if len(short) == 0 {
 		p.spread(now)
 	}
 	return p.moves
@@ -71,12 +71,12 @@
 type plan struct {
 	pools    map[job.PoolName]*Pool
 	machines []Machine
-	taken    map[job.MachineID]bool
+	moved    map[job.MachineID]bool
 	moves    []Move
 }
 
 func newPlan(pools []Pool, machines []Machine) *plan {
-	p := &plan{pools: map[job.PoolName]*Pool{}, machines: slices.Clone(machines), taken: map[job.MachineID]bool{}}
+	p := &plan{pools: map[job.PoolName]*Pool{}, machines: slices.Clone(machines), moved: map[job.MachineID]bool{}}
 	for _, x := range pools {
 		p.pools[x.Name] = &x
 	}
@@ -84,7 +84,7 @@
 	// that are off stand last, since those that run cost something where they are.
 	for i := range p.machines {
 		x := p.pools[p.machines[i].Pool]
-		p.machines[i].off = x != nil && x.Standby
+		p.machines[i].standby = x != nil && x.Standby
 	}
 	slices.SortFunc(p.machines, compareMachines)
 	return p
@@ -92,9 +92,9 @@
 
 func compareMachines(a, b Machine) int {
 	switch {
-	case a.off != b.off && b.off:
+	case a.standby != b.standby && b.standby:
 		return -1
-	case a.off != b.off:
+	case a.standby != b.standby:
 		return 1
 	case !a.IdleSince.Equal(b.IdleSince):
 		return b.IdleSince.Compare(a.IdleSince)
@@ -102,8 +102,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// lacking returns the pools that need more than they have, the worst first.
-func (p *plan) lacking() []*Pool {
+// underprovisioned returns the pools that need more than they have, the worst first.
+func (p *plan) underprovisioned() []*Pool {
 	var out []*Pool
 	for _, x := range p.pools {
 		if !x.Standby && x.Need > x.Have {
@@ -122,25 +122,25 @@
 		if to.Need-to.Have < m.CPU/2 {
 			return
 		}
-		if p.taken[m.ID] || m.Pool == to.Name || !p.spares(now, m) {
+		if p.moved[m.ID] || m.Pool == to.Name || !p.canSpare(now, m) {
 			continue
 		}
 		p.move(m, to)
 	}
 }
 
-// spares tells whether the machine's pool can do without it.
-func (p *plan) spares(now time.Time, m Machine) bool {
-	if m.off {
+// canSpare tells whether the machine's pool can do without it.
+func (p *plan) canSpare(now time.Time, m Machine) bool {
+	if m.standby {
 		return true
 	}
 	from := p.pools[m.Pool]
-	rested := m.Vacated || now.Sub(m.IdleSince) >= lendAfter
-	return from != nil && rested && from.Have-m.CPU >= from.Need
+	idleLongEnough := m.Vacated || now.Sub(m.IdleSince) >= minIdle
+	return from != nil && idleLongEnough && from.Have-m.CPU >= from.Need
 }
 
 func (p *plan) move(m Machine, to *Pool) {
-	p.taken[m.ID] = true
+	p.moved[m.ID] = true
 	if from := p.pools[m.Pool]; !from.Standby {
 		from.Have -= m.CPU
 	}
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -48,9 +48,9 @@
 // The idle machines go to all pools that have burst of late, and then stay there.
 func TestIdleMachinesSpread(t *testing.T) {
 	pools := []sizing.Pool{
-		{Name: "after", Need: vmCPU, Have: 13 * vmCPU, Wish: 12 * vmCPU},
-		{Name: "next", Need: vmCPU, Have: vmCPU, Wish: 12 * vmCPU},
-		{Name: "third", Need: vmCPU, Have: vmCPU, Wish: 12 * vmCPU},
+		{Name: "after", Need: vmCPU, Have: 13 * vmCPU, SpareWeight: 12 * vmCPU},
+		{Name: "next", Need: vmCPU, Have: vmCPU, SpareWeight: 12 * vmCPU},
+		{Name: "third", Need: vmCPU, Have: vmCPU, SpareWeight: 12 * vmCPU},
 		{Name: "never", Need: vmCPU, Have: vmCPU},
 		{Name: "off", Standby: true},
 	}
@@ -144,9 +144,9 @@
 		for _, id := range sizing.Vacate(pools, vms) {
 			out[id] = true
 		}
-		lack, vacated := int64(0), int64(0)
+		shortfall, vacated := int64(0), int64(0)
 		for _, p := range pools {
-			lack += max(0, p.Need-p.Have)
+			shortfall += max(0, p.Need-p.Have)
 			left, heaviest, lightest := p.Have, int64(-1), int64(vmCPU+1)
 			for _, v := range vms {
 				switch {
@@ -162,7 +162,7 @@
 			assert.Assert(t, heaviest < 0 || left >= max(p.Need, p.Used), "round %d: %s is left short", round, p.Name)
 			assert.Assert(t, heaviest <= lightest, "round %d: %s keeps a VM with less on it", round, p.Name)
 		}
-		assert.Assert(t, vacated <= lack+vmCPU/2, "round %d: %d vacated, %d lacked", round, vacated, lack)
+		assert.Assert(t, vacated <= shortfall+vmCPU/2, "round %d: %d vacated, %d lacked", round, vacated, shortfall)
 	}
 }
 
--- a/core/schedule/sizing/vacate.go
+++ b/core/schedule/sizing/vacate.go
@@ -21,10 +21,10 @@
 // queue that bursts next waits for seconds. No more VMs are vacated than other pools
 // lack, and none that its pool needs for what it runs.
 func Vacate(pools []Pool, vms []VM) []job.VMID {
-	lack := int64(0)
+	shortfall := int64(0)
 	for _, p := range pools {
 		if !p.Standby {
-			lack += max(0, p.Need-p.Have)
+			shortfall += max(0, p.Need-p.Have)
 		}
 	}
 	byLoad := slices.SortedFunc(slices.Values(vms), func(a, b VM) int {
@@ -40,12 +40,12 @@
 		}
 		spare := p.Have - max(p.Need, p.Used)
 		for _, v := range byLoad {
-			if v.Pool != p.Name || spare < v.CPU || lack < v.CPU/2 {
+			if v.Pool != p.Name || spare < v.CPU || shortfall < v.CPU/2 {
 				continue
 			}
 			out = append(out, v.ID)
 			spare -= v.CPU
-			lack -= v.CPU
+			shortfall -= v.CPU
 		}
 	}
 	return out
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -63,7 +63,7 @@
 	if st.def.Gang || t.rescued >= rescuesEach {
 		return
 	}
-	if left.Seconds() > rescueMargin*(usual+s.settings.TaskStop).Seconds() {
+	if left.Seconds() > rescueMargin*(usual+s.settings.TaskStopMax).Seconds() {
 		t.rescued++
 		s.stop(now, r, "slow")
 	}
@@ -92,11 +92,11 @@
 		slices.Sort(known)
 		return known[len(known)/2], slowFactor
 	}
-	q := s.queue(j.Terms.Queue)
-	if q.runs < learnedAfter {
+	q := s.queueStats(j.Terms.Queue)
+	if q.runs < minSamples {
 		return 0, 1
 	}
-	return time.Duration(math.Exp(q.logRun) * float64(time.Second)), strayFactor
+	return time.Duration(math.Exp(q.meanLogRunTime) * float64(time.Second)), strayFactor
 }
 
 // slow tells whether the VM has had a slow run of late.
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -190,7 +190,7 @@
 	closedAt time.Time
 	// places are the VMs on which a task may have been started, and the save that
 	// says so.
-	places ordered[job.VMID, int64]
+	places orderedMap[job.VMID, int64]
 	// typical is the typical run time of its last complete step; 0 if none is.
 	typical time.Duration
 	// zone is where its first task went.
@@ -231,7 +231,7 @@
 	clock lease.Clock
 	// leaseEnd is the latest deadline that any order carried.
 	leaseEnd job.VMClock
-	runs     ordered[runKey, *run]
+	runs     orderedMap[runKey, *run]
 	// lasting, serving and fills count the runs of each kind, stopping those whose end
 	// is ordered: their runs need not be looked at in each turn.
 	lasting, serving, fills int
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -13,13 +13,13 @@
 // are there: no task starts on a VM before it is held.
 func TestListedVMsAreHeldFirst(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "gone", Address: "gone", Pool: poolA, Machine: "m-gone"})
-	h.s.Inherit(RosterVM{ID: "there", Address: "there", Pool: poolA, Machine: "m-there"})
+	h.s.AddInheritedVM(RosterVM{ID: "gone", Address: "gone", Pool: poolA, Machine: "m-gone"})
+	h.s.AddInheritedVM(RosterVM{ID: "there", Address: "there", Pool: poolA, Machine: "m-there"})
 	h.seen("there")
 	assert.Equal(t, string(one[Hold](h, h.step(0)).VM), "there")
 	h.lists("there", nil)
 	held := map[string]bool{}
-	for _, c := range only[Hold](h.step(unlistedPause)) {
+	for _, c := range only[Hold](h.step(unlistedHoldDelay)) {
 		held[string(c.VM)] = true
 	}
 	assert.Assert(t, held["gone"], "it may still run tasks, and is asked a little later")
@@ -32,18 +32,18 @@
 	h.s.Machines(h.now, []job.Machine{{ID: "m-1", Pool: off, State: job.MachineUp}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1"}, AtOnce: 1}, nil)
 	h.s.Tick(h.now)
-	saves := h.s.Take()
+	saves := h.s.TakeCommands()
 	h.now = h.now.Add(4 * time.Second)
 	for _, c := range saves {
 		h.store(c)
 	}
-	one[Upkeep](h, h.s.Take())
-	h.now = h.now.Add(h.s.recentPeriod() - time.Second)
+	one[Upkeep](h, h.s.TakeCommands())
+	h.now = h.now.Add(h.s.recentOrderPeriod() - time.Second)
 	h.s.pruneOrders(h.now)
-	assert.Assert(t, h.s.recent.Has("m-1"))
+	assert.Assert(t, h.s.recentOrders.Has("m-1"))
 	h.now = h.now.Add(2 * time.Second)
 	h.s.pruneOrders(h.now)
-	assert.Assert(t, !h.s.recent.Has("m-1"))
+	assert.Assert(t, !h.s.recentOrders.Has("m-1"))
 }
 
 // Guards against a second run of a task: a machines list that lags shows the life before
@@ -55,7 +55,7 @@
 		"after it":             {"directory", "machines"},
 	} {
 		h := newHarness(t)
-		h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
+		h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
 		h.ready("two")
 		j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 		h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
@@ -75,7 +75,7 @@
 // Guards against a job that waits out the lease of a VM whose machine has a newer life.
 func TestNewerLifeFreesAVM(t *testing.T) {
 	h := newHarness(t)
-	h.s.Inherit(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
+	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -4,9 +4,9 @@
 
 // Tick does what is due: holds, repeated stops, leases that ran out, upkeep.
 func (s *Scheduler) Tick(now time.Time) {
-	s.anyUnheard = false
+	s.anyUnreported = false
 	for _, v := range s.vms.All() {
-		s.anyUnheard = s.anyUnheard || v.unheard()
+		s.anyUnreported = s.anyUnreported || v.unheard()
 		if v.settled() {
 			continue
 		}
@@ -21,11 +21,11 @@
 		s.hold(now, v)
 	}
 	s.leaveDraining(now)
-	s.leaveEvacuated(now)
+	s.relocateEvacuated(now)
 	s.forgetEnded(now)
 	s.pruneOrders(now)
-	s.drive(now)
-	s.size(now)
+	s.advanceWaves(now)
+	s.sizePools(now)
 }
 
 // unheard tells whether a former owner's tasks may run on the VM, which hasn't been
--- a/core/schedule/turn_bench_test.go
+++ b/core/schedule/turn_bench_test.go
@@ -8,9 +8,9 @@
 	"lavenderpond/core/job"
 )
 
-// fleetOf returns a harness with pools of VMs that are full of tasks, and waiting
+// newFullFleet returns a harness with pools of VMs that are full of tasks, and waiting
 // jobs that find no room.
-func fleetOf(t testing.TB, vms, waiting int) *harness {
+func newFullFleet(t testing.TB, vms, waiting int) *harness {
 	h := newHarness(t)
 	pools := []job.PoolName{"a", "b", "c", "d", "e"}
 	c := &job.Configuration{Version: 2}
@@ -57,12 +57,12 @@
 		{50, 0}, {50, 100}, {350, 0}, {350, 500}, {1100, 0}, {1100, 1000}, {3000, 0}, {3000, 3000},
 	} {
 		b.Run(fmt.Sprintf("%d VMs, %d waiting", n.vms, n.waiting), func(b *testing.B) {
-			h := fleetOf(b, n.vms, n.waiting)
+			h := newFullFleet(b, n.vms, n.waiting)
 			for b.Loop() {
 				h.s.Tick(h.now)
 				h.s.Assign(h.now, h.now)
 				h.s.Backlog(h.now)
-				h.s.Take()
+				h.s.TakeCommands()
 			}
 		})
 	}
--- a/core/schedule/upkeep.go
+++ b/core/schedule/upkeep.go
@@ -11,19 +11,19 @@
 // waveState is a wave that isn't over.
 type waveState struct {
 	job.Wave
-	arrived   time.Time
-	done      map[job.MachineID]bool
-	away      map[job.MachineID]bool
-	shown     job.WaveState
-	shownOnce bool
+	arrived        time.Time
+	done           map[job.MachineID]bool
+	inUpkeep       map[job.MachineID]bool
+	publishedState job.WaveState
+	published      bool
 }
 
 const (
-	// upkeepAhead is how many machines beyond the wave's bound are emptied ahead,
+	// cordonAhead is how many machines beyond the wave's bound are emptied ahead,
 	// so that the next is empty when one comes back.
-	upkeepAhead = 1
-	// machineRetry is the pause before an order that wasn't carried out is repeated.
-	machineRetry = 500 * time.Millisecond
+	cordonAhead = 1
+	// machineRetryDelay is the pause before an order that wasn't carried out is repeated.
+	machineRetryDelay = 500 * time.Millisecond
 )
 
 // AddWave takes in a wave and which of its machines are done already, as far as
@@ -32,7 +32,7 @@
 	if s.waves.Get(w.Number) != nil {
 		return
 	}
-	x := &waveState{Wave: w, arrived: now, done: map[job.MachineID]bool{}, away: map[job.MachineID]bool{}}
+	x := &waveState{Wave: w, arrived: now, done: map[job.MachineID]bool{}, inUpkeep: map[job.MachineID]bool{}}
 	for _, id := range done {
 		x.done[id] = true
 	}
@@ -40,50 +40,50 @@
 	s.decided(Decision{What: WaveChanged, Reason: "begun"})
 }
 
-// drive moves each wave on: empty machines, order their upkeep, wait for them.
-func (s *Scheduler) drive(now time.Time) {
+// advanceWaves moves each wave on: empty machines, order their upkeep, wait for them.
+func (s *Scheduler) advanceWaves(now time.Time) {
 	cordoned := map[job.MachineID]bool{}
 	for _, w := range s.waves.All() {
-		if w.shown != job.WaveCompleted || !w.shownOnce {
-			s.driveWave(now, w, cordoned)
+		if w.publishedState != job.WaveCompleted || !w.published {
+			s.advanceWave(now, w, cordoned)
 		}
 	}
 	for _, v := range s.vms.All() {
 		m := v.host
-		v.cordoned = m != nil && (m.to != "" || (len(cordoned) > 0 && cordoned[m.ID]))
+		v.cordoned = m != nil && (m.movingTo != "" || (len(cordoned) > 0 && cordoned[m.ID]))
 	}
 }
 
-func (s *Scheduler) driveWave(now time.Time, w *waveState, cordoned map[job.MachineID]bool) {
-	s.countBack(now, w)
-	if !w.shownOnce {
-		w.shownOnce = true
+func (s *Scheduler) advanceWave(now time.Time, w *waveState, cordoned map[job.MachineID]bool) {
+	s.collectReturned(now, w)
+	if !w.published {
+		w.published = true
 		s.emit(ShowWave{Number: w.Number, State: job.WaveRunning})
 	}
-	var left []*machineState
+	var remaining []*machineState
 	for _, id := range w.Machines {
 		m := s.machines.Get(id)
-		if w.done[id] || m == nil || m.to != "" {
+		if w.done[id] || m == nil || m.movingTo != "" {
 			continue
 		}
-		if m.State == job.MachineUpkeep && !w.away[id] {
+		if m.State == job.MachineUpkeep && !w.inUpkeep[id] {
 			// A former owner has ordered it.
-			w.away[id] = true
+			w.inUpkeep[id] = true
 		}
-		if w.away[id] {
+		if w.inUpkeep[id] {
 			cordoned[id] = true
 			continue
 		}
-		left = append(left, m)
+		remaining = append(remaining, m)
 	}
-	if len(left) == 0 && len(w.away) == 0 && s.machines.Len() > 0 && s.waveDone(w) {
+	if len(remaining) == 0 && len(w.inUpkeep) == 0 && s.machines.Len() > 0 && s.waveDone(w) {
 		s.completeWave(now, w)
 		return
 	}
-	slices.SortFunc(left, func(a, b *machineState) int {
-		return cmp.Or(cmp.Compare(s.emptyCost(a), s.emptyCost(b)), cmp.Compare(a.ID, b.ID))
+	slices.SortFunc(remaining, func(a, b *machineState) int {
+		return cmp.Or(cmp.Compare(s.evictionCost(a), s.evictionCost(b)), cmp.Compare(a.ID, b.ID))
 	})
-	s.emptyNext(now, w, left, cordoned)
+	s.upkeepNext(now, w, remaining, cordoned)
 }
 
 // waveDone tells whether all machines of the wave that are still there are done.
@@ -97,18 +97,18 @@
 }
 
 func (s *Scheduler) completeWave(now time.Time, w *waveState) {
-	w.shown = job.WaveCompleted
+	w.publishedState = job.WaveCompleted
 	s.decided(Decision{What: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
 	s.emit(ShowWave{Number: w.Number, State: job.WaveCompleted})
 }
 
-// emptyNext cordons the machines that are next, and orders upkeep for those
+// upkeepNext cordons the machines that are next, and orders upkeep for those
 // that are empty, never more than the wave's bound at a time.
-func (s *Scheduler) emptyNext(now time.Time, w *waveState, left []*machineState, cordoned map[job.MachineID]bool) {
+func (s *Scheduler) upkeepNext(now time.Time, w *waveState, remaining []*machineState, cordoned map[job.MachineID]bool) {
 	slots := max(1, w.AtOnce)
 	emptying := 0
-	for _, m := range left {
-		if len(w.away)+emptying >= slots+upkeepAhead {
+	for _, m := range remaining {
+		if len(w.inUpkeep)+emptying >= slots+cordonAhead {
 			return
 		}
 		v := s.vms.Get(m.VM)
@@ -119,19 +119,19 @@
 		emptying++
 		cordoned[m.ID] = true
 		if v != nil && v.runs.Len() > 0 {
-			s.moveLasting(now, v, "upkeep")
+			s.relocateLasting(now, v, "upkeep")
 			continue
 		}
-		if len(w.away) < slots && m.State == job.MachineUp && s.mayOrderMachine(now, m.ID) && !now.Before(m.retry) {
+		if len(w.inUpkeep) < slots && m.State == job.MachineUp && s.mayOrderMachine(now, m.ID) && !now.Before(m.retryAt) {
 			s.orderUpkeep(now, w, m)
 		}
 	}
 }
 
 func (s *Scheduler) orderUpkeep(now time.Time, w *waveState, m *machineState) {
-	w.away[m.ID] = true
-	m.waiting, m.before = true, m.VM
-	m.retry, m.refused = time.Time{}, false
+	w.inUpkeep[m.ID] = true
+	m.awaitingAnswer, m.orderedVM = true, m.VM
+	m.retryAt, m.refused = time.Time{}, false
 	s.orderMachine(now, m.ID, Upkeep{Machine: m.ID, Wave: w.Number})
 }
 
@@ -141,22 +141,22 @@
 	if m == nil || w == nil {
 		return
 	}
-	m.waiting = false
+	m.awaitingAnswer = false
 	m.answeredAt = now
 	switch {
 	case out == Answered && why == job.MachineAccepted:
-		s.decided(Decision{What: MachineUpkept, VM: m.before, Reason: string(m.ID)})
-		if v := s.vms.Get(m.before); v != nil {
-			s.lifeOver(now, v, "its machine has its upkeep")
+		s.decided(Decision{What: MachineUpkept, VM: m.orderedVM, Reason: string(m.ID)})
+		if v := s.vms.Get(m.orderedVM); v != nil {
+			s.endLife(now, v, "its machine has its upkeep")
 		}
 	case out == Unanswered:
 		// It may be carried out later: it is asked for again until that is known.
-		m.retry = now.Add(machineRetry)
+		m.retryAt = now.Add(machineRetryDelay)
 	case out == NotDone:
-		delete(w.away, m.ID)
-		m.retry = now.Add(machineRetry)
+		delete(w.inUpkeep, m.ID)
+		m.retryAt = now.Add(machineRetryDelay)
 	case why == job.MachineOtherWave:
-		delete(w.away, m.ID)
+		delete(w.inUpkeep, m.ID)
 		w.done[m.ID] = true
 	default:
 		// A busy machine may be away on an earlier order whose answer was lost: it
@@ -165,33 +165,33 @@
 	}
 }
 
-// countBack notes the machines that are back from their upkeep: another life
+// collectReturned notes the machines that are back from their upkeep: another life
 // runs on them, or after an accepted order the list says that they are up again.
-func (s *Scheduler) countBack(now time.Time, w *waveState) {
+func (s *Scheduler) collectReturned(now time.Time, w *waveState) {
 	for _, id := range w.Machines {
-		if !w.away[id] {
+		if !w.inUpkeep[id] {
 			continue
 		}
 		m := s.machines.Get(id)
 		if m == nil {
-			delete(w.away, id)
+			delete(w.inUpkeep, id)
 			continue
 		}
-		if m.waiting {
+		if m.awaitingAnswer {
 			continue
 		}
-		if !m.retry.IsZero() && now.After(m.retry) {
-			m.retry, m.waiting = time.Time{}, true
+		if !m.retryAt.IsZero() && now.After(m.retryAt) {
+			m.retryAt, m.awaitingAnswer = time.Time{}, true
 			s.orderMachine(now, id, Upkeep{Machine: id, Wave: w.Number})
 			continue
 		}
 		// A list that was asked for before the order's answer may be older than the order.
-		if m.State != job.MachineUp || !m.retry.IsZero() || !m.listedAt.After(m.answeredAt) {
+		if m.State != job.MachineUp || !m.retryAt.IsZero() || !m.listedAt.After(m.answeredAt) {
 			continue
 		}
-		delete(w.away, id)
+		delete(w.inUpkeep, id)
 		if m.refused {
-			m.retry = now.Add(machineRetry)
+			m.retryAt = now.Add(machineRetryDelay)
 			continue
 		}
 		w.done[id] = true
@@ -199,8 +199,8 @@
 	}
 }
 
-// emptyCost orders machines by what has to be moved off them.
-func (s *Scheduler) emptyCost(m *machineState) float64 {
+// evictionCost orders machines by what has to be moved off them.
+func (s *Scheduler) evictionCost(m *machineState) float64 {
 	v := s.vms.Get(m.VM)
 	if v == nil {
 		return 0
@@ -215,19 +215,19 @@
 	return cost
 }
 
-// moveLasting moves lasting tasks off a VM, as far as their steps may miss tasks.
-func (s *Scheduler) moveLasting(now time.Time, v *vmState, why string) {
+// relocateLasting moves lasting tasks off a VM, as far as their steps may miss tasks.
+func (s *Scheduler) relocateLasting(now time.Time, v *vmState, why string) {
 	for _, r := range v.runs.All() {
-		if s.mayMove(now, r) {
+		if s.mayRelocate(now, r) {
 			s.stop(now, r, why)
 		}
 	}
 }
 
-// mayMove tells whether a lasting task may be stopped to start again elsewhere. A new
+// mayRelocate tells whether a lasting task may be stopped to start again elsewhere. A new
 // owner may do the same at the same time, each counting only its own stops, so it
 // takes the right that ends before another can take over.
-func (s *Scheduler) mayMove(now time.Time, r *run) bool {
+func (s *Scheduler) mayRelocate(now time.Time, r *run) bool {
 	if !s.rights.Order || r.stopping || r.phase != runConfirmed {
 		return false
 	}
@@ -238,7 +238,7 @@
 // mayBeStopping tells whether a former owner may have ordered the run's end. The
 // VM lists it as at work until it has stopped; by then that end is listed.
 func (s *Scheduler) mayBeStopping(now time.Time, r *run) bool {
-	return r.adopted && now.Before(r.vm.heldFirst.Add(s.settings.TaskStop+busyWait))
+	return r.adopted && now.Before(r.vm.heldFirst.Add(s.settings.TaskStopMax+busyWait))
 }
 
 // mayMiss tells whether a lasting step can spare the run now: as long as fewer
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -56,7 +56,7 @@
 		v.fullUntil, v.refusals = time.Time{}, 0
 	}
 	v.room, v.entryBorn = e.Room, e.Born
-	v.evacuated = s.evacuations.has(v.zone)
+	v.evacuated = s.evacuatedZones.has(v.zone)
 	if e.Machine != "" {
 		s.setMachine(v, e.Machine)
 	}
@@ -86,7 +86,7 @@
 	if within == 0 || now.Sub(s.directoryAsOf) < within-shrinkMargin {
 		return true
 	}
-	p := s.conf.Pool(v.pool)
+	p := s.config.Pool(v.pool)
 	return p != nil && p.Guarded
 }
 
@@ -103,7 +103,7 @@
 		return
 	}
 	v.rostered = r
-	v.inRoster = s.nextSave()
+	v.inRoster = s.nextSaveSequence()
 	s.dirtyVMs = append(s.dirtyVMs, v.id)
 }
 
@@ -191,7 +191,7 @@
 // usable tells whether new tasks may start on the VM.
 func (s *Scheduler) usable(now time.Time, v *vmState) bool {
 	paused := v.doubtful || v.slow(now) || now.Before(v.suspect) || now.Before(v.fullUntil)
-	return v.takesTasks() && !v.cordoned && !paused && v.inRoster <= s.stored && v.strays == 0 && v.trials == 0 && s.roomKnown(now, v)
+	return v.takesTasks() && !v.cordoned && !paused && v.inRoster <= s.storedSequence && v.strays == 0 && v.trials == 0 && s.roomKnown(now, v)
 }
 
 // free returns the room that nothing has taken. It is negative after the VM's capacity
--- a/core/schedule/rooms_test.go
+++ b/core/schedule/vmindex_test.go
@@ -10,12 +10,12 @@
 	"lavenderpond/core/job"
 )
 
-// chooseNaively looks at all VMs of the pool.
-func chooseNaively(a *assignment, p placement) *vmState {
+// chooseExhaustively looks at all VMs of the pool.
+func chooseExhaustively(a *assignment, p placement) *vmState {
 	var best *vmState
 	for _, v := range a.vms {
 		fits := p.step.def.Claim().Fits(v.free())
-		if !fits || !p.step.suits(p.id.StepID(), v) || !a.s.usable(a.now, v) {
+		if !fits || !p.step.mayRunOn(p.id.StepID(), v) || !a.s.usable(a.now, v) {
 			continue
 		}
 		if best == nil || a.cost(p, v) < a.cost(p, best) {
@@ -71,22 +71,22 @@
 		for i := range 1 + rng.IntN(30) {
 			vms = append(vms, randomVM(rng, i))
 		}
-		a := &assignment{s: New(Settings{}), now: begin, poolQueue: &poolQueue{vms: vms}, rooms: newRooms(vms, job.Room{})}
+		a := &assignment{s: New(Settings{}), now: begin, poolQueue: &poolQueue{vms: vms}, index: newVMIndex(vms, job.Room{})}
 		for range 40 {
 			def := randomStep(rng)
 			p := placement{job: &jobState{zone: "b"}, step: &stepState{def: &def}, task: &taskState{}}
 			p.job.places.Set(vms[0].id, 1)
-			want := chooseNaively(a, p)
-			n := a.choose(p)
+			want := chooseExhaustively(a, p)
+			n := a.chooseVM(p)
 			if want == nil {
 				assert.Equal(t, n, -1, "round %d", round)
 				continue
 			}
 			assert.Assert(t, n >= 0, "round %d: %s has room", round, want.id)
-			got := a.rooms.slots[n].vm
+			got := a.index.vms[n].vm
 			assert.Equal(t, a.cost(p, got), a.cost(p, want), "round %d", round)
 			got.used = got.used.Plus(def.Claim())
-			a.rooms.moved(n)
+			a.index.reposition(n)
 		}
 	}
 }
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -31,7 +31,7 @@
 		})
 	}
 	c := newCommitter(nil)
-	c.add(s.Take())
+	c.add(s.TakeCommands())
 	rows := 0
 	for {
 		saves, _ := c.next()
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -110,12 +110,12 @@
 	o.reconfigure(now)
 	vms := decodeRows[schedule.RosterVM](l.vms, o.log)
 	for _, id := range slices.Sorted(maps.Keys(vms)) {
-		o.scheduler.Inherit(vms[id])
+		o.scheduler.AddInheritedVM(vms[id])
 	}
 	known := o.decodeProgress(l.progress)
 	for _, id := range slices.Sorted(maps.Keys(known)) {
 		if known[id].State.Final() {
-			o.scheduler.Ended(now, id)
+			o.scheduler.AddEndedJob(now, id)
 		}
 	}
 	o.takeJobs(now, l.jobs, known)
@@ -126,16 +126,16 @@
 func (o *owner) newScheduler(before []schedule.MachineOrder) *schedule.Scheduler {
 	b := o.node.settings.Bounds
 	return schedule.New(schedule.Settings{
-		Holder:        o.node.settings.Node,
-		OrderedBefore: before,
-		Fence:         job.Fence(o.tenure.fence),
-		AttemptBase:   job.Attempt(o.tenure.turn * attemptsPerTurn),
-		TookOver:      o.tookOver,
-		LeaseMax:      b.LeaseMax,
-		TaskStop:      b.TaskStop,
-		ShrinkNotice:  b.Contact,
-		MachineLease:  b.MachineLease,
-		Observer:      o.node.observer,
+		Holder:       o.node.settings.Node,
+		FormerOrders: before,
+		Fence:        job.Fence(o.tenure.fence),
+		AttemptBase:  job.Attempt(o.tenure.turn * attemptsPerTurn),
+		TookOver:     o.tookOver,
+		LeaseMax:     b.LeaseMax,
+		TaskStopMax:  b.TaskStop,
+		ShrinkNotice: b.Contact,
+		MachineLease: b.MachineLease,
+		Observer:     o.node.observer,
 	})
 }
 
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -163,7 +163,7 @@
 	if o.node.view.changes() != o.view {
 		o.reconfigure(now)
 	}
-	o.scheduler.Renewed(job.Fence(o.tenure.lastRenewal()))
+	o.scheduler.RaiseFence(job.Fence(o.tenure.lastRenewal()))
 	o.scheduler.SetRights(schedule.Rights{
 		Order: o.tenure.mayOrder(now), Start: o.mayStart(now), Hold: o.tenure.mayHold(now),
 	})
@@ -171,7 +171,7 @@
 	o.scheduler.Tick(now)
 	o.scheduler.Assign(now, time.Now())
 	o.backlog.set(o.scheduler.Backlog(now))
-	o.carryOut(ctx, o.scheduler.Take())
+	o.carryOut(ctx, o.scheduler.TakeCommands())
 }
 
 // drain takes in the events that are there already.
@@ -196,7 +196,7 @@
 	case directoryRead:
 		s.DirectoryRead(e.asOf)
 	case stored:
-		s.Stored(now, e.sequence)
+		s.SavesStored(now, e.sequence)
 	case startAnswered:
 		s.StartAnswered(now, e.order, e.outcome, e.report)
 	case stopAnswered:
@@ -210,7 +210,7 @@
 	case moveAnswered:
 		s.MoveAnswered(now, e.order, e.outcome, e.refusal)
 	case advised:
-		s.Advised(now, e.step, e.approvals.Tickets, e.approvals.Valid)
+		s.AdviceAnswered(now, e.step, e.approvals.Tickets, e.approvals.Valid)
 	case reconfigured:
 		// The turn looks at the view.
 	}
@@ -219,7 +219,7 @@
 // reconfigure passes the operators' view to the scheduler.
 func (o *owner) reconfigure(now time.Time) {
 	o.view = o.node.view.changes()
-	o.scheduler.Evacuate(o.node.view.evacuations())
+	o.scheduler.SetEvacuatedZones(o.node.view.evacuations())
 	if c := o.node.view.configuration(); c != nil {
 		o.scheduler.Configure(c)
 	}
