--- a/core/schedule/advice.go
+++ b/core/schedule/advice.go
@@ -6,7 +6,8 @@
 	"lavenderpond/core/job"
 )
 
-// approved tells whether the step may start, asking first where its queue needs that.
+// approved reports whether the step may start. If its queue requires advice and there is none
+// yet, it asks for it.
 func (a *assignment) approved(j *jobState, o *occurrence, i int) bool {
 	q := a.s.config.Queue(j.Terms.Queue)
 	if q == nil || q.Advice == nil {
@@ -34,15 +35,17 @@
 }
 
 const (
-	// adviceMaxVMs bounds the VMs that one question names; each costs the service time.
+	// adviceMaxVMs bounds the number of VMs in one request. Each VM adds to the time that the
+	// advice service needs.
 	adviceMaxVMs = 30
-	// adviceRetryDelay is the pause before a question without an answer is repeated.
+	// adviceRetryDelay is the pause before a request without an answer is repeated.
 	adviceRetryDelay = time.Second
-	// adviceMargin is how much earlier than they run out tickets are given up.
+	// adviceMargin is how long before their expiry tickets are no longer used.
 	adviceMargin = 200 * time.Millisecond
 )
 
-// AdviceAnswered takes in which VMs may run a step. No tickets stand for a failed question.
+// AdviceAnswered handles the answer on which VMs may run a step. Without tickets, the request
+// has failed.
 func (s *Scheduler) AdviceAnswered(now time.Time, id job.StepID, tickets map[job.VMID]string, valid time.Duration) {
 	_, _, st, _ := s.task(job.TaskID{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 	if st == nil {
@@ -53,7 +56,7 @@
 	st.ticketsT = now.Add(valid - adviceMargin)
 }
 
-// dropTickets makes the step of a task ask anew.
+// dropTickets discards the tickets of a task's step, so that advice is requested again.
 func (s *Scheduler) dropTickets(t job.TaskID) {
 	if _, _, st, _ := s.task(t); st != nil {
 		st.tickets, st.asked = nil, false
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -8,7 +8,8 @@
 	"lavenderpond/core/job"
 )
 
-// Assign starts what can start. wall is the time of day, for due times.
+// Assign starts every task that can start. wall is the time of day, to which the due times of
+// occurrences are compared.
 func (s *Scheduler) Assign(now, wall time.Time) {
 	if !s.rights.Start || s.config == nil {
 		return
@@ -40,15 +41,15 @@
 	}
 }
 
-// poolQueue is what waits for VMs of a pool, and the VMs that may get it.
+// poolQueue holds the jobs that wait for VMs of a pool, and the usable VMs of that pool.
 type poolQueue struct {
 	jobs []*jobState
-	// minClaim is no more than what any waiting task claims.
+	// minClaim is a lower bound of the claims of all waiting tasks.
 	minClaim job.Room
 	vms      []*vmState
 }
 
-// enqueue adds the job to its pool's queue if one of its tasks waits for nothing but room.
+// enqueue adds the job to the queue of its pool if one of its tasks waits only for room.
 func (s *Scheduler) enqueue(waiting map[job.PoolName]*poolQueue, j *jobState) {
 	var q *poolQueue
 	for _, o := range j.occurrences {
@@ -70,16 +71,17 @@
 	}
 }
 
-// assignment is one round of starts in a pool.
+// assignment is one round of task starts in a pool.
 type assignment struct {
 	s         *Scheduler
 	now, wall time.Time
 	*poolQueue
 	index vmIndex
-	// vmsByRack are the VMs of each rack, once they were asked for.
+	// vmsByRack holds the VMs of each rack. It is filled on first use.
 	vmsByRack map[job.Label][]*vmState
 }
 
+// startJob starts the tasks of a job that can start, as far as there is room.
 func (a *assignment) startJob(j *jobState) {
 	if j.inherited && a.s.mayRunUnheard(j) {
 		return
@@ -96,10 +98,10 @@
 	}
 }
 
-// dueTimeSlack keeps a start from coming before its due time by a coarse clock.
+// dueTimeSlack keeps an occurrence from starting before its due time when the clock is coarse.
 const dueTimeSlack = 20 * time.Millisecond
 
-// ready tells whether all steps that step i waits for are complete.
+// ready reports whether all steps that step i depends on are complete.
 func (o *occurrence) ready(i int) bool {
 	for _, after := range o.steps[i].def.After {
 		if !o.steps[after].complete() {
@@ -109,6 +111,7 @@
 	return true
 }
 
+// startStep starts the open tasks of a step, as far as there is room.
 func (a *assignment) startStep(j *jobState, o *occurrence, i int) {
 	st := &o.steps[i]
 	if !a.approved(j, o, i) {
@@ -129,7 +132,7 @@
 		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
 		n := a.chooseVM(placement{job: j, step: st, task: task, id: id})
 		if n < 0 {
-			// The other tasks of the step need the same room.
+			// The step's other tasks need the same room.
 			return
 		}
 		a.start(j, st, id, task, a.index.vms[n].vm, a.s.nextAttempt(task))
@@ -137,15 +140,16 @@
 	}
 }
 
+// nextAttempt returns the number of the task's next attempt.
 func (s *Scheduler) nextAttempt(t *taskState) job.Attempt {
 	t.attempt = max(t.attempt, s.settings.AttemptBase) + 1
 	return t.attempt
 }
 
-// countPossibleUsage counts what each account may have running on VMs that this owner
-// hasn't heard yet: the tasks of jobs that were started there and have no run that is
-// known. The former owner may still go on with their later steps, since it knows ends
-// that this one doesn't.
+// countPossibleUsage sums up what each account may be running on VMs that have not reported to
+// this owner: the tasks without a known run of jobs that were started there. The former owner
+// knows of ends that this owner hasn't seen, so it may already have started later steps of
+// these jobs.
 func (s *Scheduler) countPossibleUsage(now time.Time) {
 	s.possibleUsage = nil
 	if !s.anyUnreported {
@@ -164,8 +168,8 @@
 	}
 }
 
-// maxUnknownUsage returns the most that tasks without a known run can take up at a time.
-// Steps that wait for one another run one after the other.
+// maxUnknownUsage returns the most room that tasks without a known run can take at any one
+// time. If each step depends on the one before it, only one step runs at a time.
 func (o *occurrence) maxUnknownUsage() job.Room {
 	var sum, largest job.Room
 	sequential := true
@@ -185,8 +189,8 @@
 	return sum
 }
 
-// withinCap tells whether the job's account may have more running. What may
-// still run counts.
+// withinCap reports whether the job's account stays within its cap if it runs this much more.
+// Tasks that may still be running count.
 func (a *assignment) withinCap(j *jobState, more job.Room) bool {
 	account := a.s.config.Account(j.Terms.Account)
 	if account == nil {
@@ -199,6 +203,8 @@
 		(limit.GPU == 0 || after.GPU <= limit.GPU)
 }
 
+// start books a run of the task on the VM and sends the start as soon as the save that
+// records the VM as one of the job's places is stored.
 func (a *assignment) start(j *jobState, st *stepState, id job.TaskID, t *taskState, v *vmState, n job.Attempt) {
 	s := a.s
 	s.reportPlaced(a.now, j)
@@ -226,7 +232,7 @@
 	s.plannedStarts = append(s.plannedStarts, r)
 }
 
-// reportPlaced tells how the job was ranked when its first task was given a VM.
+// reportPlaced reports the rank that the job had when its first task was given a VM.
 func (s *Scheduler) reportPlaced(now time.Time, j *jobState) {
 	if j.placed || j.lasting {
 		return
@@ -238,11 +244,11 @@
 	})
 }
 
-// recordPlaces stores that the job's tasks may run on the VM and on the others of its
-// rack. A new owner must know where they may run: else none of them could start
-// again while any VM is out of reach. Each place of its own costs a transaction
-// before the start, 0.3 s when the table is slow, and the next tasks likely go to
-// the same rack; VMs of a rack are lost together anyway.
+// recordPlaces marks the VM and all others of its rack as places where the job's tasks may run,
+// to be stored before the start. Without this record a new owner could not restart any of the
+// tasks while any VM is out of reach. Storing each VM separately would cost a transaction
+// before each start, which takes 0.3 s when the table is slow. The job's next tasks are likely
+// to go to the same rack, and the VMs of a rack fail together anyway.
 func (a *assignment) recordPlaces(j *jobState, v *vmState) {
 	save := a.s.nextSaveSequence()
 	j.places.Set(v.id, save)
@@ -254,7 +260,7 @@
 	a.s.markDirty(j)
 }
 
-// rackVMs returns the VMs of a rack; those without one share none.
+// rackVMs returns the VMs of a rack. VMs without a rack label belong to none.
 func (a *assignment) rackVMs(rack job.Label) []*vmState {
 	if a.vmsByRack == nil {
 		a.vmsByRack = map[job.Label][]*vmState{}
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// entryOf is what a VM with this much CPU says of itself.
+// entryOf returns the directory entry of a VM with this much CPU.
 func entryOf(id string, cpu int64, born job.Born) job.VMEntry {
 	return job.VMEntry{
 		ID: job.VMID(id), Pool: poolA, Address: id, Room: job.Room{CPU: cpu, MemMB: 8000},
@@ -17,10 +17,10 @@
 	}
 }
 
-// resize tells that a VM's capacity has changed.
+// resize updates the directory entry of a VM whose capacity has changed.
 func (h *harness) resize(id string, cpu int64) { h.s.VMSeen(h.now, entryOf(id, cpu, 1)) }
 
-// Guards against a start that waited for its save while the VM's room shrank.
+// Guards against sending a planned start after the VM has shrunk while the save was pending.
 func TestPlannedStartIsSentOnlyIfItFits(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -36,7 +36,7 @@
 	one[Start](h, h.step(0))
 }
 
-// Guards against starts beside a run whose room nobody knows, until that has ended.
+// Guards against starting tasks beside a run whose size is unknown before it has ended.
 func TestRunOfAnUnknownJobKeepsTasksOff(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -50,7 +50,7 @@
 	one[Start](h, h.step(0))
 }
 
-// Guards against starts by the capacity and labels of a VM's former life.
+// Guards against starts that rely on the capacity and labels of a VM's former life.
 func TestNewLifeTakesTasksOnceItsEntryIsThere(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -65,7 +65,8 @@
 	one[Start](h, h.step(0))
 }
 
-// Guards against starts that are refused again and again while the news of a shrink is late.
+// Guards against starts that are refused again and again because the news of a shrunken VM is
+// late.
 func TestRefusalsForRoomGrowRarer(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -82,7 +83,7 @@
 	one[Start](h, h.step(0))
 }
 
-// listOneAndOff tells of the machine of the VM "one" and of one that is off.
+// listOneAndOff lists the machine of the VM "one" and a machine that is off.
 func (h *harness) listOneAndOff() {
 	h.s.Machines(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Room: job.Room{CPU: 8000}},
@@ -90,7 +91,8 @@
 	})
 }
 
-// Guards against a lasting task that may share its VM, finds no room, and gets no machine.
+// Guards against a pool that gets no machine although one of its lasting tasks, which may share
+// a VM, finds no room.
 func TestPoolGetsAVMForALastingTaskThatMayShare(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -100,8 +102,8 @@
 	assert.Equal(t, one[Move](h, h.step(lastingWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
-// Guards against a lasting task that fits on no VM of its pool since they have shrunk,
-// and gets no machine.
+// Guards against a pool that gets no machine although a lasting task fits on none of its VMs
+// since they have shrunk.
 func TestPoolGetsAVMWhenItsOwnHaveShrunk(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -111,7 +113,8 @@
 	assert.Equal(t, one[Move](h, h.step(lastingWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
-// Guards against machines that are lent by the capacity of the list, which lags.
+// Guards against moving machines by the capacity in the machine list, which lags behind that of
+// the VM.
 func TestMachineIsLentByItsVMsPresentRoom(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -16,8 +16,9 @@
 	return ok
 }
 
-// SetEvacuatedZones says which availability zones are evacuated: no task starts there. What runs
-// there goes on to its end, except for lasting tasks, which move elsewhere.
+// SetEvacuatedZones sets which availability zones are evacuated. No task starts in an evacuated
+// zone. Tasks that run there continue to their end, except for lasting tasks, which move
+// elsewhere.
 func (s *Scheduler) SetEvacuatedZones(zones []job.ZoneName) {
 	next := zoneSet{}
 	for _, z := range zones {
@@ -37,8 +38,8 @@
 	}
 }
 
-// relocateEvacuated moves lasting tasks out of evacuated zones, each once a VM elsewhere
-// has room for it.
+// relocateEvacuated moves lasting tasks out of evacuated zones, each one as soon as a VM
+// elsewhere has room for it.
 func (s *Scheduler) relocateEvacuated(now time.Time) {
 	if len(s.evacuatedZones) == 0 || s.config == nil {
 		return
@@ -60,6 +61,7 @@
 	}
 }
 
+// usableByPool returns the VMs of each pool on which tasks may start.
 func (s *Scheduler) usableByPool(now time.Time) map[job.PoolName][]*vmState {
 	out := map[job.PoolName][]*vmState{}
 	for _, v := range s.vms.All() {
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// readyIn brings up a VM in an availability zone and returns what that led to.
+// readyIn brings up a VM in an availability zone and returns the commands that follow.
 func (h *harness) readyIn(zone job.ZoneName, id string) []Command {
 	h.seenInZone(id, zone)
 	h.step(0)
@@ -17,7 +17,8 @@
 	return h.step(30 * time.Millisecond)
 }
 
-// Guards against starts in an evacuated zone, also on VMs that are listed there later.
+// Guards against starts in an evacuated zone, including starts on VMs that are listed there
+// after the evacuation.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
@@ -31,7 +32,7 @@
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "the zone is not open again")
 }
 
-// Guards against a start that was decided before the evacuation and waits for its save.
+// Guards against sending a start that was planned before the evacuation and waits for its save.
 func TestPlannedStartIsNotSentIntoAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
@@ -48,8 +49,8 @@
 	assert.Equal(t, one[Start](h, h.readyIn("west", "two")).VM, job.VMID("two"))
 }
 
-// Guards against lasting tasks that stay in an evacuated zone, that leave it before there
-// is room elsewhere, or more at a time than their step may miss.
+// Guards against lasting tasks that stay in an evacuated zone, that leave before there is room
+// elsewhere, or that leave in greater number than their step may miss.
 func TestLastingTasksLeaveAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
@@ -82,7 +83,7 @@
 	assert.Equal(t, len(h.stoppingRuns()), 1)
 }
 
-// stoppingRuns returns the runs whose end was ordered.
+// stoppingRuns returns the runs that were ordered to stop.
 func (h *harness) stoppingRuns() []*run {
 	var out []*run
 	for _, v := range h.s.vms.All() {
@@ -95,8 +96,8 @@
 	return out
 }
 
-// Guards against pools that count on VMs of an evacuated zone, and against moves of its
-// machines, which bring no room.
+// Guards against counting VMs of an evacuated zone as capacity, and against moving its
+// machines, which adds none.
 func TestEvacuatedZoneBringsNoRoom(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -7,7 +7,7 @@
 	"lavenderpond/core/job"
 )
 
-// startGang starts all members of a gang, or none.
+// startGang starts either all members of a gang or none.
 func (a *assignment) startGang(j *jobState, o *occurrence, i int) {
 	st := &o.steps[i]
 	checkpoint := job.Checkpoint("")
@@ -37,8 +37,8 @@
 	}
 }
 
-// chooseGang returns a VM for each member of a gang, or nil if not all have room.
-// Members that want one rack get it if any rack has room for all.
+// chooseGang returns a VM for each member of a gang, or nil if there is no room for all.
+// Members that ask for a common rack get one if any rack has room for all of them.
 func (a *assignment) chooseGang(st *stepState) []*vmState {
 	if st.def.SameRack {
 		for _, rack := range a.racks() {
@@ -50,6 +50,7 @@
 	return a.packGang(st, "")
 }
 
+// racks returns the racks of the pool's VMs.
 func (a *assignment) racks() []job.Label {
 	var out []job.Label
 	for _, v := range a.vms {
@@ -60,7 +61,8 @@
 	return out
 }
 
-// packGang places all members on VMs of the rack (any if empty), or returns nil.
+// packGang assigns all members to VMs of the rack, or of any rack if it is empty. It returns
+// nil if they don't all fit.
 func (a *assignment) packGang(st *stepState, rack job.Label) []*vmState {
 	var chosen []*vmState
 	for _, v := range a.vms {
@@ -86,9 +88,9 @@
 	return chosen
 }
 
-// stopGang stops the other members of a gang of which one did not begin. They would
-// wait for it until they give up, seconds later, and the gang can't start again
-// before: stopped, it starts again within a second.
+// stopGang stops the other members of a gang when one did not begin. Otherwise they would wait
+// for the missing member for seconds until they give up, and the gang could not restart before
+// that. Once stopped, it restarts within a second.
 func (s *Scheduler) stopGang(now time.Time, r *run) {
 	_, _, st, _ := s.task(r.task)
 	if st == nil || !st.def.Gang {
--- a/core/schedule/gang_test.go
+++ b/core/schedule/gang_test.go
@@ -9,9 +9,9 @@
 	"lavenderpond/core/job"
 )
 
-// A VM refuses one member of a gang. The other one would wait for it for seconds and
-// end alone, its time wasted and the caller's job late. It is stopped at once, and
-// the gang begins anew when it has ended.
+// Guards against a gang that starts incomplete. When a VM refuses one member, the other would
+// wait for it for seconds and end alone, and the job would be late. The other member must be
+// stopped at once, and the gang must restart when it has ended.
 func TestGangThatDoesNotBeginWholeIsStopped(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two", "three")
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -7,25 +7,26 @@
 	"lavenderpond/core/job"
 )
 
-// machineState is a machine as the platform lists it.
+// machineState is a machine as the platform lists it, with the state of its latest order.
 type machineState struct {
 	job.Machine
-	// listedAt is when the list was asked for that says so.
+	// listedAt is when the machine list that showed this state was requested.
 	listedAt time.Time
 	// answeredAt is when the last order was answered.
 	answeredAt time.Time
-	// awaitingAnswer is set while an order has no answer yet, refused if it was refused.
+	// awaitingAnswer is set while an order has no answer yet, refused if the last order was
+	// refused.
 	awaitingAnswer bool
 	refused        bool
-	// orderedVM is the VM that lived on the machine when the order was sent.
+	// orderedVM is the VM that ran on the machine when the order was sent.
 	orderedVM job.VMID
-	// retryAt is when an order without an answer, or one refused, may be given again.
+	// retryAt is when an order that got no answer or was refused may be given again.
 	retryAt time.Time
-	// movingTo is the pool that the machine is on its way to; empty if it stays.
+	// movingTo is the pool that the machine is moving to; empty if it stays.
 	movingTo job.PoolName
 }
 
-// Machines takes in the machines list that was asked for at asked.
+// Machines takes in a list of machines that was requested at asked.
 func (s *Scheduler) Machines(asked time.Time, list []job.Machine) {
 	present := map[job.MachineID]bool{}
 	for _, m := range list {
@@ -54,23 +55,23 @@
 	}
 }
 
-// endReplacedLife frees what ran on a VM whose machine is listed with a newer
-// life: a machine has one life at a time. This frees the tasks of a VM that
-// crashed seconds before its lease would.
+// endReplacedLife frees the runs of a VM whose machine is listed with a newer life. A machine
+// has one life at a time, so the older one has ended. After a crash this frees the tasks
+// seconds before the VM's lease runs out.
 func (s *Scheduler) endReplacedLife(asked time.Time, v *vmState) {
 	m := v.host
 	if m == nil || m.VM == "" || m.VM == v.id || !v.firstSeen.Before(asked) {
 		return
 	}
-	// The list lags: it may show the life before this one. The directory knows which of
-	// them is newer.
+	// The list lags and may show the life before this one. The directory tells which of the two
+	// is newer.
 	if other := s.vms.Get(m.VM); other == nil || !other.listed || other.born <= v.born {
 		return
 	}
 	s.endLife(asked, v, "its machine has a newer life")
 }
 
-// endLife takes in a proof that a VM's life has ended.
+// endLife handles a proof that a VM's life has ended.
 func (s *Scheduler) endLife(now time.Time, v *vmState, why string) {
 	v.inheritedUntil = time.Time{}
 	v.over = true
@@ -91,8 +92,8 @@
 	}
 }
 
-// mayOrderMachine tells whether a former owner's order for the machine is long
-// enough ago.
+// mayOrderMachine reports whether the owner may order the machine: a former owner's order for
+// it must be long enough ago.
 func (s *Scheduler) mayOrderMachine(now time.Time, id job.MachineID) bool {
 	if !s.rights.Order {
 		return false
@@ -101,33 +102,34 @@
 	return o.holder == "" || o.holder == s.settings.Holder || now.After(o.at.Add(s.settings.MachineLease+formerOrderSlack))
 }
 
-// pendingOrder is an order for a machine that waits until it is stored that the
-// machine has one: the next owner must know which machines to leave alone.
+// pendingOrder is an order for a machine. It is held back until it is stored that the machine
+// has an order, since the next owner must know which machines to leave alone.
 type pendingOrder struct {
 	saveSequence int64
 	machine      job.MachineID
 	command      Command
 }
 
-// recentOrder is an order that was given to a machine not long ago.
+// recentOrder is an order that was given to a machine recently.
 type recentOrder struct {
 	holder string
-	// at is when it was given, or if a former owner gave it the take-over.
+	// at is when the order was given, or the time of the take-over if a former owner gave it.
 	at time.Time
 }
 
-// recentOrderPeriod is how long an order counts as one of late. The next owner may order the
-// machine at once after that, so it covers all for which it waits else, and not more: a
-// new owner can't move machines with an order of late, and on a fleet whose queues burst
-// in turn most have one within eight seconds.
+// recentOrderPeriod is how long an order counts as recent. The next owner may order the machine
+// at once after that, so the period covers everything that it would otherwise wait for. It is
+// no longer than that: a new owner can't move machines with a recent order, and on a fleet
+// whose queues burst in turn most machines are given one within eight seconds.
 func (s *Scheduler) recentOrderPeriod() time.Duration {
 	return s.settings.MachineLease + formerOrderSlack + sendDelayMax
 }
 
-// sendDelayMax covers an order that takes long to be sent.
+// sendDelayMax is the longest delay between giving an order and sending it that
+// recentOrderPeriod allows for.
 const sendDelayMax = 500 * time.Millisecond
 
-// orderMachine sends an order once it is stored that the machine has one.
+// orderMachine sends an order as soon as it is stored that the machine has one.
 func (s *Scheduler) orderMachine(now time.Time, id job.MachineID, c Command) {
 	s.pruneOrders(now)
 	s.recentOrders.Set(id, recentOrder{holder: s.settings.Holder, at: now})
@@ -135,11 +137,10 @@
 	s.pendingOrders = append(s.pendingOrders, pendingOrder{saveSequence: s.nextSaveSequence(), machine: id, command: c})
 }
 
-// pruneOrdersInterval is how often machine orders are looked through for those that are
-// long ago.
+// pruneOrdersInterval is how often machine orders that are no longer recent are removed.
 const pruneOrdersInterval = time.Second
 
-// pruneOrders forgets the orders that are long ago.
+// pruneOrders removes machine orders that are no longer recent.
 func (s *Scheduler) pruneOrders(now time.Time) {
 	if now.Before(s.nextPruneOrders) {
 		return
@@ -153,8 +154,8 @@
 	}
 }
 
-// sendPendingOrders sends the orders whose saves are stored. One for a machine on which
-// something has begun since counts as refused.
+// sendPendingOrders sends the orders whose saves are stored. An order for a machine on which a
+// task has begun in the meantime counts as refused.
 func (s *Scheduler) sendPendingOrders(now time.Time) {
 	s.pendingOrders = slices.DeleteFunc(s.pendingOrders, func(o pendingOrder) bool {
 		if o.saveSequence > s.storedSequence {
@@ -166,8 +167,8 @@
 		}
 		v := s.vms.Get(m.VM)
 		if s.rights.Order && (v == nil || v.runs.Len() == 0) {
-			// The order is as old as its sending, not as its decision: in a slow table
-			// seconds lie between.
+			// The order's age counts from its sending and not from the decision: when the table
+			// is slow, seconds lie between them.
 			s.recentOrders.Set(o.machine, recentOrder{holder: s.settings.Holder, at: now})
 			s.emit(o.command)
 			return true
@@ -182,5 +183,5 @@
 	})
 }
 
-// formerOrderSlack covers orders that a former owner sent while its right lasted.
+// formerOrderSlack covers orders that a former owner sent while it still had the right to.
 const formerOrderSlack = 1500 * time.Millisecond
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -7,10 +7,10 @@
 	"lavenderpond/core/schedule/sizing"
 )
 
-// moveRetryDelay is the pause before a move without an answer is ordered again.
+// moveRetryDelay is the pause before a move that got no answer is ordered again.
 const moveRetryDelay = 700 * time.Millisecond
 
-// idleMachines returns the machines that run nothing and are due for nothing.
+// idleMachines returns the machines that run nothing and that no other operation needs.
 func (s *Scheduler) idleMachines(now time.Time) []sizing.Machine {
 	var out []sizing.Machine
 	for id, m := range s.machines.All() {
@@ -23,7 +23,8 @@
 			if v == nil || v.runs.Len() > 0 || !s.usable(now, v) || v.machine != id || v.room.CPU == 0 {
 				continue
 			}
-			// The list lags behind what the VM says of itself, by which its pool's room is counted.
+			// The machine list lags behind what the VM reports itself, from which the capacity
+			// of its pool is counted.
 			x.CPU, x.IdleSince, x.Vacated = v.room.CPU, v.idleSince, v.vacating
 		}
 		out = append(out, x)
@@ -31,14 +32,14 @@
 	return out
 }
 
-// mayMoveMachine tells whether the machine can be ordered into another pool, and would bring
-// room there.
+// mayMoveMachine reports whether the machine can be ordered into another pool and would add
+// capacity there.
 func (s *Scheduler) mayMoveMachine(now time.Time, m *machineState) bool {
 	stays := m.State == job.MachineUp && m.movingTo == "" && !s.inUpkeep(m.ID)
 	return stays && !now.Before(m.retryAt) && !s.evacuatedZones.has(m.Zone) && s.mayOrderMachine(now, m.ID)
 }
 
-// inUpkeep tells whether a wave has the machine's upkeep under way.
+// inUpkeep reports whether a maintenance wave has the machine's upkeep in progress.
 func (s *Scheduler) inUpkeep(id job.MachineID) bool {
 	for _, w := range s.waves.All() {
 		if w.inUpkeep[id] {
@@ -48,6 +49,7 @@
 	return false
 }
 
+// orderMove orders a machine into another pool and cordons its VM.
 func (s *Scheduler) orderMove(now time.Time, x sizing.Move) {
 	m := s.machines.Get(x.Machine)
 	m.movingTo, m.awaitingAnswer, m.orderedVM = x.To, true, m.VM
@@ -59,7 +61,7 @@
 	s.orderMachine(now, x.Machine, Move{Machine: x.Machine, Pool: x.To})
 }
 
-// MoveAnswered takes in what came of a move.
+// MoveAnswered handles the outcome of a move.
 func (s *Scheduler) MoveAnswered(now time.Time, c Move, out Outcome, why job.MachineRefusal) {
 	m := s.machines.Get(c.Machine)
 	if m == nil || m.movingTo != c.Pool {
@@ -73,7 +75,8 @@
 			s.endLife(now, v, "its machine moves")
 		}
 	case out == Unanswered:
-		// It may be carried out at any time: the VM gets nothing until that is known.
+		// The move may be carried out at any time, so the VM gets no tasks until its outcome is
+		// known.
 		m.retryAt = now.Add(moveRetryDelay)
 	default:
 		m.movingTo = ""
@@ -81,8 +84,8 @@
 	}
 }
 
-// trackMoves ends the moves that the list shows as done, and repeats those
-// without an answer.
+// trackMoves completes the moves that the machine list shows as done, and repeats those that
+// got no answer.
 func (s *Scheduler) trackMoves(now time.Time) {
 	for id, m := range s.machines.All() {
 		if m.movingTo == "" || m.awaitingAnswer {
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -8,13 +8,13 @@
 	"lavenderpond/core/job"
 )
 
-// queueRecord is what was learned of a queue's tasks.
+// queueStats are the learned run times and sizes of the jobs of a queue.
 type queueStats struct {
 	// meanLogRunTime is the running mean of the logarithm of run times in seconds.
 	meanLogRunTime float64
 	runs           int
-	// stragglerRatio is the running mean of how much longer the longest task of a step runs than
-	// a typical one, over so many steps.
+	// stragglerRatio is the running mean, over steps samples, of the run time of the longest
+	// task of a step divided by that of a typical one.
 	stragglerRatio float64
 	steps          int
 	// meanWork is the running mean of jobs' work in core-seconds.
@@ -23,25 +23,26 @@
 }
 
 const (
-	// minSampleWeight is the weight of a new run time once many are known.
+	// minSampleWeight is the weight of a new sample once many are known.
 	minSampleWeight = 0.05
-	// estimateWeight is the weight of the caller's estimate against what was
-	// learned of the queue: estimates are off by up to 0.9 of a log unit, run
-	// times of a queue vary by about half of one.
+	// estimateWeight is the weight of the caller's estimate against the queue's learned run
+	// time. Estimates are off by up to 0.9 of a log unit; run times of a queue vary by about
+	// half of one.
 	estimateWeight = 0.25
-	// minSamples is how many run times make what was learned usable.
+	// minSamples is the number of samples from which learned values are used.
 	minSamples = 10
-	// minRunSeconds keeps logarithms of run times finite, in seconds.
+	// minRunSeconds keeps the logarithms of run times finite.
 	minRunSeconds = 0.01
-	// defaultEstimate is assumed of a task without an estimate.
+	// defaultEstimate is used for tasks without an estimate.
 	defaultEstimate = time.Second
-	// uselessFactor is how many times its objective a job may take and still be of
-	// some use to its caller.
+	// uselessFactor is how many times its allowed time a job may take and still be of some use
+	// to its caller.
 	uselessFactor = 3
-	// defaultStretch is used where the queue has none.
+	// defaultStretch is used for queues that set none.
 	defaultStretch = 1.5
 )
 
+// queueStats returns the statistics of a queue, which are created on first use.
 func (s *Scheduler) queueStats(n job.QueueName) *queueStats {
 	q := s.queues[n]
 	if q == nil {
@@ -51,13 +52,13 @@
 	return q
 }
 
-// addJob takes in the work of a new job, in core-seconds.
+// addJob adds the work of a new job, in core-seconds.
 func (q *queueStats) addJob(work float64) {
 	q.jobs++
 	q.meanWork += max(minSampleWeight, 1/float64(q.jobs)) * (work - q.meanWork)
 }
 
-// learnRunTime takes in how long a task ran.
+// learnRunTime adds the run time of a task to the queue's statistics.
 func (s *Scheduler) learnRunTime(j *jobState, ranFor time.Duration) {
 	q := s.queueStats(j.Terms.Queue)
 	q.runs++
@@ -65,10 +66,11 @@
 	q.meanLogRunTime += w * (math.Log(max(ranFor.Seconds(), minRunSeconds)) - q.meanLogRunTime)
 }
 
-// learnStep takes in the run times of all tasks of a step.
+// learnStep adds the run times of all tasks of a step to the statistics of the queue.
 func (s *Scheduler) learnStep(j *jobState, st *stepState) {
 	if len(st.took) < len(st.tasks) {
-		// Some ran unseen, under a former owner or from a checkpoint.
+		// Some tasks ran under a former owner or from a checkpoint, so their full run times are
+		// unknown.
 		return
 	}
 	sum := 0.0
@@ -80,7 +82,7 @@
 	longest := slices.Max(st.took)
 	spread := longest.Seconds() / typical
 	if spread >= slowFactor {
-		// A slow VM: objectives are meant for sound ones.
+		// A VM was slow. Objectives assume healthy VMs.
 		return
 	}
 	st.longest = longest
@@ -89,7 +91,7 @@
 	q.stragglerRatio += max(minSampleWeight, 1/float64(q.steps)) * (spread - q.stragglerRatio)
 }
 
-// predictStepTime predicts how long a step takes: as long as its longest task.
+// predictStepTime predicts how long a step takes, which is as long as its longest task.
 func (s *Scheduler) predictStepTime(j *jobState, st *job.Step) time.Duration {
 	d := s.predictRunTime(j, st)
 	if q := s.queueStats(j.Terms.Queue); q.steps >= minSamples {
@@ -98,8 +100,9 @@
 	return d
 }
 
-// predictRunTime predicts how long a task of the step runs: as long as those of the job's
-// earlier steps if they are known, else as those of the queue and the caller's guess say.
+// predictRunTime predicts how long a task of the step runs: as long as those of the job's last
+// complete step if there is one, else a weighted mean of the queue's run times and the caller's
+// estimate.
 func (s *Scheduler) predictRunTime(j *jobState, st *job.Step) time.Duration {
 	if j.typical > 0 {
 		return j.typical
@@ -116,8 +119,7 @@
 	return time.Duration(math.Exp(l) * float64(time.Second))
 }
 
-// remainingTime predicts how long the job takes if nothing holds it up, counting only
-// steps that aren't complete.
+// remainingTime predicts how long the job's incomplete steps take if nothing delays them.
 func (s *Scheduler) remainingTime(j *jobState, o *occurrence) time.Duration {
 	return longestPath(j.Body.Steps, func(i int) time.Duration {
 		if o.steps[i].complete() {
@@ -127,8 +129,8 @@
 	})
 }
 
-// totalTime predicts the same for the job's first occurrence from its beginning: what
-// its complete steps took counts as it was.
+// totalTime predicts how long the job's first occurrence takes from its beginning if nothing
+// delays it. Complete steps count with the time that they took.
 func (s *Scheduler) totalTime(j *jobState) time.Duration {
 	return longestPath(j.Body.Steps, func(i int) time.Duration {
 		if known := j.occurrences[0].steps[i].longest; known > 0 {
@@ -138,8 +140,8 @@
 	})
 }
 
-// longestPath returns how long the steps take if each begins as soon as those that it
-// waits for are over.
+// longestPath returns how long the steps take if each begins as soon as those that it depends
+// on are complete.
 func longestPath(steps []job.Step, takes func(i int) time.Duration) time.Duration {
 	ends := make([]time.Duration, len(steps))
 	longest := time.Duration(0)
@@ -153,7 +155,7 @@
 	return longest
 }
 
-// objective predicts when the job is due, and from when on it is of no use.
+// objective predicts when the job is due, and from when on its result is useless.
 func (s *Scheduler) objective(j *jobState) (due, useless time.Time) {
 	stretch := j.Terms.Stretch
 	if stretch <= 0 {
@@ -163,7 +165,7 @@
 	return j.arrived.Add(allowed), j.arrived.Add(uselessFactor * allowed)
 }
 
-// work predicts the core-seconds that a job still needs, and all that it needs.
+// work predicts the core-seconds that the job still needs, and those that it needs in total.
 func (s *Scheduler) work(j *jobState) (left, all float64) {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// completeStep notes that a job's step is complete and how long each of its tasks ran.
+// completeStep marks a job's step as complete, with the run times of its tasks.
 func (h *harness) completeStep(j *jobState, step int, took ...time.Duration) {
 	st := &j.occurrences[0].steps[step]
 	st.took, st.done = took, len(took)
@@ -31,8 +31,8 @@
 
 var pair = job.Step{Count: 2, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: 1400 * time.Millisecond}
 
-// Guards against jobs that are believed in time and end late: a step lasts as long as the
-// longest of its tasks, not as a typical one.
+// Guards against jobs that are predicted to be in time but end late: a step takes as long as
+// the longest of its tasks and not as long as a typical one.
 func TestStepLastsAsItsLongestTask(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
@@ -44,8 +44,9 @@
 	assertNear(t, j.objective.Sub(j.arrived), 3200*time.Millisecond+time.Second)
 }
 
-// Guards against a long job that is given up as late, and a short one that is believed to
-// have time: once a step is over its tasks' times stand for the steps that follow.
+// Guards against a long job that is treated as late too early, and a short one whose slack is
+// overestimated. Once a step is complete, the run times of its tasks must be used for the later
+// steps.
 func TestOwnRunTimesStandForLaterSteps(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
@@ -60,7 +61,7 @@
 	assertNear(t, due.Sub(j.arrived), 8*time.Second*16/10+time.Second)
 }
 
-// Guards against objectives that grow with the VMs' slowness: callers expect sound ones.
+// Guards against objectives that grow when VMs are slow: callers expect those of healthy VMs.
 func TestSlowRunsTeachNoSpread(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
@@ -71,7 +72,7 @@
 
 var wide = job.Step{Count: 4, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second}
 
-// A step with a run that this owner hasn't seen whole teaches nothing.
+// A step with a run that this owner hasn't seen in full must not change the statistics.
 func TestUnseenRunsTeachNothing(t *testing.T) {
 	h := newHarness(t)
 	j := h.newJob("j", pair)
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// rank sorts jobs into groups, the first served first.
+// rank divides jobs into groups. The group with the lowest value is served first.
 type rank int
 
 const (
-	// rankLasting: tasks that serve users or run for long must be back at work
+	// rankLasting: a lasting task serves users or runs for long, and must be running again
 	// within seconds of any end.
 	rankLasting rank = iota
-	// rankInTime: the job can be complete by its objective.
+	// rankInTime: the job can complete by its objective.
 	rankInTime
-	// rankLate: it can only be complete late, at a small part of its worth.
+	// rankLate: the job can only complete late, when it is worth a small part of its value.
 	rankLate
-	// rankExcess: its account has handed in more than its share.
+	// rankExcess: the job's account has submitted more than its share.
 	rankExcess
-	// rankUseless: nobody waits for it any more, but it was accepted.
+	// rankUseless: nobody waits for the job any more, but it was accepted and still has to run.
 	rankUseless
 )
 
@@ -32,23 +32,22 @@
 type candidate struct {
 	job  *jobState
 	rank rank
-	// density is the worth of completing the job for each core-second that it
-	// still needs.
+	// density is the value of completing the job per core-second that it still needs.
 	density float64
 }
 
 const (
-	// valueBase and worthOfWork make up a job's worth: a part for the job and a
-	// part in proportion to its work against the mean of its queue.
+	// A job's value is valueBase, plus valuePerRelativeWork times its work divided by the mean
+	// work of its queue.
 	valueBase            = 0.3
 	valuePerRelativeWork = 0.7
-	// minRemainingWork keeps the density of nearly finished jobs finite, in core-seconds.
+	// minRemainingWork, in core-seconds, keeps the density of nearly finished jobs finite.
 	minRemainingWork = 0.05
 )
 
-// candidates returns the jobs of a pool in the order in which they get room.
-// When not all can be in time, those come first that bring the most for the
-// room that they still need; late ones come after all that are in time.
+// candidates returns the jobs of a pool in the order in which they get room. If not all can be
+// in time, those with the highest value per core-second that they still need come first. Late
+// jobs come after all that can be in time.
 func (s *Scheduler) candidates(now time.Time, jobs []*jobState) []candidate {
 	out := make([]candidate, 0, len(jobs))
 	for _, j := range jobs {
@@ -58,6 +57,7 @@
 	return out
 }
 
+// compareCandidates orders candidates by rank, priority, density and arrival.
 func compareCandidates(a, b candidate) int {
 	switch {
 	case a.rank != b.rank:
@@ -70,11 +70,10 @@
 	return cmp.Or(a.job.arrived.Compare(b.job.arrived), cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// ratingInterval is how often a job's place in the order is worked out anew if none of its
-// tasks has ended.
+// ratingInterval is how often the rating of a job is recomputed if none of its tasks has ended.
 const ratingInterval = 50 * time.Millisecond
 
-// rateJob returns the job's place in the order, which may be as old as rateEvery.
+// rateJob returns the rating of the job, which may be up to ratingInterval old.
 func (s *Scheduler) rateJob(now time.Time, j *jobState) candidate {
 	if j.ratedAt.IsZero() || now.Sub(j.ratedAt) >= ratingInterval {
 		j.objective, j.late = s.objective(j)
@@ -83,6 +82,7 @@
 	return j.rating
 }
 
+// newCandidate computes the rank and density of a job.
 func (s *Scheduler) newCandidate(now time.Time, j *jobState) candidate {
 	c := candidate{job: j, rank: rankLasting}
 	if j.lasting {
--- a/core/schedule/order_test.go
+++ b/core/schedule/order_test.go
@@ -11,7 +11,7 @@
 	"lavenderpond/core/job"
 )
 
-// comesBefore is the order as a person would state it.
+// comesBefore states the order of candidates in its simplest form.
 func comesBefore(a, b candidate) bool {
 	if a.rank != b.rank {
 		return a.rank < b.rank
@@ -28,8 +28,8 @@
 	return a.job.ID < b.job.ID
 }
 
-// The sorted candidates against a naive selection, one by one, of the job that
-// comes before all others.
+// The sorted candidates must match a selection that repeatedly picks the job that comes before
+// all others.
 func TestOrderAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 50 {
@@ -63,8 +63,7 @@
 	}
 }
 
-// A job that can't be in time any more comes after all that can, however little
-// it needs.
+// A job that can no longer be in time comes after all that can, however little work it needs.
 func TestLateJobsComeLast(t *testing.T) {
 	h := newHarness(t)
 	h.job("late", "free", small)
--- a/core/schedule/ordered.go
+++ b/core/schedule/ordered.go
@@ -2,22 +2,23 @@
 
 import "iter"
 
-// orderedMap is a map that is walked in the order of insertion: the same events
-// must always bring about the same commands. Its zero value is empty.
+// orderedMap is a map that is iterated in insertion order, so that the same events always lead
+// to the same commands. Its zero value is empty.
 type orderedMap[K comparable, V any] struct {
 	index   map[K]*entry[K, V]
 	entries []*entry[K, V]
 }
 
-// entry is one key and its value. A walk that goes on sees that it was deleted.
+// entry is a key with its value. An iteration in progress skips entries that are marked as
+// deleted.
 type entry[K comparable, V any] struct {
 	key     K
 	value   V
 	deleted bool
 }
 
-// minCompactEntries is the number of entries from which deleted ones are gathered before
-// they are taken out.
+// minCompactEntries is the number of entries from which deleted entries are kept for a while
+// and removed together.
 const minCompactEntries = 32
 
 // Get returns the value of k, or the zero value.
@@ -29,7 +30,7 @@
 	return none
 }
 
-// Has tells whether there is a value of k.
+// Has reports whether the map has a value for k.
 func (o *orderedMap[K, V]) Has(k K) bool { return o.index[k] != nil }
 
 // Len returns the number of values.
@@ -49,7 +50,7 @@
 	o.entries = append(o.entries, e)
 }
 
-// Delete takes k out.
+// Delete removes k.
 func (o *orderedMap[K, V]) Delete(k K) {
 	e := o.index[k]
 	if e == nil {
@@ -62,8 +63,8 @@
 	}
 }
 
-// compact takes the deleted entries out. It copies, so that a walk that is going
-// on holds.
+// compact removes the deleted entries. It copies the slice, so that iterations in progress stay
+// valid.
 func (o *orderedMap[K, V]) compact() {
 	live := make([]*entry[K, V], 0, len(o.index))
 	for _, e := range o.entries {
@@ -74,7 +75,7 @@
 	o.entries = live
 }
 
-// Keys returns the keys in order.
+// Keys returns the keys in insertion order.
 func (o *orderedMap[K, V]) Keys() []K {
 	out := make([]K, 0, len(o.index))
 	for k := range o.All() {
@@ -83,7 +84,7 @@
 	return out
 }
 
-// All walks keys and values. Values may be set and deleted meanwhile.
+// All iterates over keys and values. Values may be set and deleted during the iteration.
 func (o *orderedMap[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, e := range o.entries {
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// paceInterval is how often a VM's pace is set anew: a change shows in the loads of
-	// the last half second.
+	// paceInterval is how often the pace of a VM's filler tasks is adjusted. A change shows in
+	// the loads of the last half second.
 	paceInterval = 500 * time.Millisecond
-	// paceStopAt, paceSlowAt and paceFreeAt are shares of a serving task's target.
-	// Tasks that fill are halted, halved or sped up as its tail passes them: well
-	// before it is over the target, since a change takes a while to show.
+	// These are the ratios of a serving task's tail latency to its target at which filler tasks
+	// are halted, halved and sped up. They are well below 1 since a change takes a while to
+	// show.
 	paceHaltRatio  = 0.9
 	paceHalveRatio = 0.7
 	paceRaiseRatio = 0.5
-	// paceStepPercent is by how many percent they are sped up at a time, paceLeast below
-	// which they are halted instead of halved.
+	// paceStepPercent is by how much filler tasks are sped up at a time. A task whose pace
+	// would fall below paceMinPercent is halted instead of halved.
 	paceStepPercent = 20
 	paceMinPercent  = 10
 )
 
-// pace slows the tasks that fill a VM when a task that serves users there comes
-// near its target. Placement keeps both apart; they meet when the serving task
-// had no other place.
+// pace slows down the filler tasks on a VM when a serving task there comes near its latency
+// target. Placement keeps the two apart; they share a VM only when the serving task had no
+// other place.
 func (s *Scheduler) pace(now time.Time, v *vmState) {
 	if now.Before(v.paceAt) || v.silent {
 		return
@@ -54,8 +54,8 @@
 	}
 }
 
-// nextPace returns the percent at which a filling task may go on beside a serving
-// one whose tail is at the share worst of its target.
+// nextPace returns the pace, in percent, of a filler task beside a serving task whose tail
+// latency is tailRatio times its target.
 func nextPace(percent int, tailRatio float64) int {
 	switch {
 	case tailRatio >= paceHaltRatio:
--- a/core/schedule/place.go
+++ b/core/schedule/place.go
@@ -2,7 +2,7 @@
 
 import "lavenderpond/core/job"
 
-// placement is a task that wants a VM.
+// placement is a task that needs a VM.
 type placement struct {
 	job  *jobState
 	step *stepState
@@ -10,30 +10,37 @@
 	id   job.TaskID
 }
 
-// Costs of placing a task on a VM. Each outweighs all below it.
+// Costs of placing a task on a VM. Each outweighs all those below it.
 const (
-	costFailedHere   = 1000.0
-	costSuspect      = 500.0
-	costOtherRack    = 100.0
+	// costFailedHere applies to the VM where the last run of the task failed.
+	costFailedHere = 1000.0
+	// costSuspect applies to each run on the VM of another task under which VMs have crashed.
+	costSuspect   = 500.0
+	costOtherRack = 100.0
+	// costInterference applies to each run on the VM that the task would slow down or be
+	// slowed down by.
 	costInterference = 30.0
 	costVacating     = 20.0
-	costSameStep     = 10.0
-	costCrashRisk    = 5.0
-	// costFirstLasting keeps lasting tasks together: a VM with one can't be emptied
+	// costSameStep applies to each run of the same lasting step on the VM.
+	costSameStep = 10.0
+	// costCrashRisk keeps tasks under which VMs have crashed apart from other tasks.
+	costCrashRisk = 5.0
+	// costFirstLasting keeps lasting tasks together: a VM that runs one can't be emptied
 	// without stopping it.
 	costFirstLasting = 3.0
-	// costOtherZone keeps the tasks of a job in one availability zone: a job is late
-	// as soon as one of its tasks is, and a zone that is cut off then holds up those
-	// jobs that run in it and not all that have a task there.
+	// costOtherZone keeps the tasks of a job in one availability zone. A job is late as soon as
+	// one of its tasks is, so that a zone that is cut off then delays only the jobs that run in
+	// it, and not all that have a task there.
 	costOtherZone = 0.3
-	// costNewVM prefers VMs where the job has run tasks: that these are its places
-	// is stored already, so the task starts a transaction earlier.
+	// costNewVM prefers VMs that are stored as places of the job: there the task starts one
+	// transaction earlier.
 	costNewVM = 0.2
 )
 
+// cost returns the cost of placing a task on the VM.
 func (a *assignment) cost(p placement, v *vmState) float64 {
-	// Tasks are packed: of VMs that are equal else, the one with the least room left
-	// takes the task, so that others stay empty for wide tasks, upkeep and other pools.
+	// Tasks are packed: among VMs that are otherwise equal, the one with the least free CPU
+	// takes the task. The others stay empty for wide tasks, upkeep and other pools.
 	cost := v.freeFraction()
 	if p.step.def.Lasting {
 		cost += a.lastingCost(p, v)
@@ -56,12 +63,12 @@
 	return cost
 }
 
-// freeFraction is the part of the VM's CPU that nothing has taken.
+// freeFraction returns the fraction of the VM's CPU that is free.
 func (v *vmState) freeFraction() float64 {
 	return float64(v.room.CPU-v.used.CPU) / float64(max(1, v.room.CPU))
 }
 
-// localityCost keeps a job in one zone and on VMs where it has run tasks.
+// localityCost keeps a job in one availability zone and on VMs where it has already run tasks.
 func localityCost(j *jobState, v *vmState) float64 {
 	cost := 0.0
 	if j.zone != "" && j.zone != v.zone {
@@ -82,8 +89,8 @@
 	return cost
 }
 
-// interferingRuns counts the runs on the VM that a task of the step would disturb or
-// be disturbed by.
+// interferingRuns counts the runs on the VM that a task of the step would slow down or be
+// slowed down by.
 func (v *vmState) interferingRuns(def *job.Step) int {
 	n := 0
 	if def.Fills {
@@ -95,7 +102,8 @@
 	return n
 }
 
-// mayRunOn tells whether a task of the step may run on the VM if that has room.
+// mayRunOn reports whether a task of the step may run on the VM, leaving aside whether the VM
+// has room for it.
 func (st *stepState) mayRunOn(step job.StepID, v *vmState) bool {
 	if st.def.Requires != "" && !v.labels[st.def.Requires] {
 		return false
@@ -106,12 +114,12 @@
 	if st.tickets != nil && st.tickets[v.id] == "" {
 		return false
 	}
-	// A filling task has other places, or may wait; a serving one would suffer.
+	// A filler task can go elsewhere or wait; a serving task beside it would be slowed down.
 	return !st.def.Fills || v.interferingRuns(st.def) == 0
 }
 
-// runsOfStep counts the runs of one step of one occurrence on the VM; what is
-// being stopped still counts.
+// runsOfStep counts the runs of one step of one occurrence on the VM, including those that are
+// being stopped.
 func (v *vmState) runsOfStep(step job.StepID) int {
 	n := 0
 	for k := range v.runs.All() {
--- a/core/schedule/place_test.go
+++ b/core/schedule/place_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// turnWithoutStoring plays one turn and stores nothing, as while the table is slow.
+// turnWithoutStoring runs one turn and stores none of its saves, as if the table were slow.
 func (h *harness) turnWithoutStoring(d time.Duration) []Command {
 	h.now = h.now.Add(d)
 	h.s.Tick(h.now)
@@ -21,9 +21,9 @@
 	return job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone}
 }
 
-// The table is slow. A job's first task has begun; the second step needs the other
-// VM of the rack. If that one had to be stored as a place of the job first, the
-// caller would wait for another transaction of 0.3 s before each step.
+// Guards against a transaction before each step of a job, which takes 0.3 s while the table is
+// slow. When the first task is stored as started on one VM of a rack, a second step must start
+// on the rack's other VM without another save.
 func TestRackIsStoredAsOnePlace(t *testing.T) {
 	h := newHarness(t)
 	for _, id := range []string{"one", "two"} {
@@ -52,7 +52,7 @@
 	if mine.Order.Task.Job == "k" {
 		mine, other = other, mine
 	}
-	// Both tasks end, and the VM of the first step takes no more.
+	// Both tasks end, and the VM of the first step takes no more tasks.
 	h.lists(string(mine.VM), nil, endedWell(mine))
 	h.lists(string(other.VM), nil, endedWell(other))
 	h.s.vms.Get(mine.VM).draining = true
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -9,38 +9,41 @@
 )
 
 const (
-	// sizingInterval is how often pools are sized.
+	// sizingInterval is how often pools are resized.
 	sizingInterval = 100 * time.Millisecond
-	// arrivalDecay is the period over which the arrival of work is averaged.
-	// Bursts last some seconds; a shorter one takes single large jobs for a burst.
+	// arrivalDecay is the time constant over which the arrival rate of work is averaged. Bursts
+	// last some seconds; with a shorter time constant a single large job would look like a
+	// burst.
 	arrivalDecay = 900 * time.Millisecond
-	// targetWait is how fast waiting work should be begun. A machine arrives 1.5 s
-	// after its order, when a burst of four seconds is already waiting; below this
+	// targetWait is the time within which waiting work should begin. A machine arrives 1.5 s
+	// after its order, when a burst of four seconds is already waiting. With a shorter target,
 	// pools take machines from each other.
 	targetWait = 400 * time.Millisecond
-	// packingFraction is the part of a VM's room that tasks of mixed sizes fill.
+	// packingFraction is the fraction of a VM's room that tasks of mixed sizes fill.
 	packingFraction = 0.85
-	// peakDecay is the period over which a pool's largest need is forgotten: longer than
-	// queues take to burst in turn.
+	// peakDecay is the time constant with which a pool's peak need decays. It is longer than it
+	// takes all queues to burst in turn.
 	peakDecay = 30 * time.Second
-	// lastingSpareVMs is how many VMs a pool has beyond what its lasting tasks
-	// need if they may not share VMs, so that one that ends can start elsewhere.
+	// lastingSpareVMs is how many VMs a pool has beyond the number that its lasting tasks need
+	// if they may not share VMs, so that a task that ends can start elsewhere.
 	lastingSpareVMs = 1
-	// lastingWaitThreshold is how long a lasting task finds no room until its pool gets a
-	// VM for it.
+	// lastingWaitThreshold is how long a lasting task waits for room before its pool gets a VM
+	// for it.
 	lastingWaitThreshold = 200 * time.Millisecond
 )
 
-// poolStats is what was learned of a pool's demand.
+// poolStats tracks the demand for a pool.
 type poolStats struct {
-	// arrival is the work that arrives, in core-seconds a second.
+	// arrival is the arrival rate of work, in core-seconds per second.
 	arrival   float64
 	arrivalAt time.Time
-	// peak is the largest need of late, in thousandths of a core, no more than the fleet.
+	// peak is the decaying maximum of the pool's need, in thousandths of a core. It never
+	// exceeds the capacity of the fleet.
 	peak   float64
 	peakAt time.Time
 }
 
+// poolStats returns the statistics of a pool, which are created on first use.
 func (s *Scheduler) poolStats(p job.PoolName) *poolStats {
 	r := s.pools[p]
 	if r == nil {
@@ -50,12 +53,13 @@
 	return r
 }
 
-// addArrival adds work in core-seconds to the average.
+// addArrival adds work, in core-seconds, to the average arrival rate.
 func (r *poolStats) addArrival(now time.Time, work float64) {
 	r.decayArrivals(now)
 	r.arrival += work / arrivalDecay.Seconds()
 }
 
+// decayArrivals lets the arrival rate decay up to now.
 func (r *poolStats) decayArrivals(now time.Time) {
 	if !r.arrivalAt.IsZero() {
 		r.arrival *= math.Exp(-now.Sub(r.arrivalAt).Seconds() / arrivalDecay.Seconds())
@@ -63,7 +67,7 @@
 	r.arrivalAt = now
 }
 
-// updatePeak remembers the largest need.
+// updatePeak raises the decayed peak to the present need if that is larger.
 func (r *poolStats) updatePeak(now time.Time, need float64) {
 	if !r.peakAt.IsZero() {
 		r.peak *= math.Exp(-now.Sub(r.peakAt).Seconds() / peakDecay.Seconds())
@@ -72,7 +76,7 @@
 	r.peak = max(r.peak, need)
 }
 
-// sizePools orders machines into other pools as demand moves on.
+// sizePools orders machines from pool to pool as demand shifts.
 func (s *Scheduler) sizePools(now time.Time) {
 	if s.config == nil || s.machines.Len() == 0 || now.Before(s.nextSizing) {
 		return
@@ -86,7 +90,7 @@
 	s.chooseVacating(pools)
 }
 
-// poolNeeds returns what each pool needs and has.
+// poolNeeds returns what each pool needs and what it has.
 func (s *Scheduler) poolNeeds(now time.Time) []sizing.Pool {
 	waiting, lasting := s.demand(now)
 	capacity := s.poolCapacity(now)
@@ -112,13 +116,13 @@
 // lastingDemand is what the lasting tasks of a pool need.
 type lastingDemand struct {
 	cpu int64
-	// minVMs is how many VMs the widest step needs if it may share none, or few.
+	// minVMs is the number of VMs that the widest step with a bound on tasks per VM needs.
 	minVMs int
-	// waiting counts the tasks that found no room.
+	// waiting counts the tasks that have found no room.
 	waiting int64
 }
 
-// requiredVMs returns how many VMs the pool needs for tasks that may not share them.
+// requiredVMs returns the number of VMs that the pool needs for tasks that may not share a VM.
 func (l *lastingDemand) requiredVMs() int64 {
 	if l.minVMs == 0 {
 		return 0
@@ -126,9 +130,10 @@
 	return int64(l.minVMs + lastingSpareVMs)
 }
 
-// demand returns, for each pool, the waiting work in core-seconds that is still
-// of use, and what lasting tasks need. A job that may still run on a VM not heard yet
-// can't start anything: room for it would stand empty while other queues wait.
+// demand returns the waiting work of each pool, in core-seconds, as far as it is still of use,
+// and what the pool's lasting tasks need. A job that may still run on a VM that has not
+// reported yet is left out: it can't start anything, so capacity for it would stand empty while
+// other queues wait.
 func (s *Scheduler) demand(now time.Time) (waiting map[job.PoolName]float64, lasting map[job.PoolName]lastingDemand) {
 	waiting, lasting = map[job.PoolName]float64{}, map[job.PoolName]lastingDemand{}
 	for _, j := range s.jobs.All() {
@@ -152,7 +157,7 @@
 	return waiting, lasting
 }
 
-// add counts the tasks of a lasting job.
+// add adds the tasks of a lasting job.
 func (l *lastingDemand) add(j *jobState) {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
@@ -165,7 +170,8 @@
 	}
 }
 
-// longWaitingTasks counts the tasks of a lasting job that have found no room for a while.
+// longWaitingTasks counts the tasks of a lasting job that have waited for room for longer than
+// lastingWaitThreshold.
 func (j *jobState) longWaitingTasks(now time.Time) int64 {
 	if now.Sub(j.arrived) <= lastingWaitThreshold {
 		return 0
@@ -184,7 +190,7 @@
 	return n
 }
 
-// waitingWork returns the core-seconds of a job's tasks that could start now.
+// waitingWork returns the core-seconds of the job's tasks that could start now.
 func (s *Scheduler) waitingWork(j *jobState) float64 {
 	sum := 0.0
 	for _, o := range j.occurrences {
@@ -199,16 +205,17 @@
 	return sum
 }
 
-// poolCapacity is the CPU in pools, in thousandths of a core.
+// poolCapacity is the CPU of each pool, in thousandths of a core.
 type poolCapacity struct {
-	// available counts the VMs that take tasks, and machines on their way.
+	// available counts the VMs that take tasks, and machines that are on their way to the pool.
 	available map[job.PoolName]int64
-	// used is what runs on those VMs.
+	// used is the CPU that runs take on those VMs.
 	used map[job.PoolName]int64
-	// largestVMCPU is that of the largest VM before any of them shrank.
+	// largestVMCPU is the CPU of the largest VM, as it is before any VM shrinks.
 	largestVMCPU int64
 }
 
+// poolCapacity sums up the capacity and its use for each pool.
 func (s *Scheduler) poolCapacity(now time.Time) poolCapacity {
 	r := poolCapacity{available: map[job.PoolName]int64{}, used: map[job.PoolName]int64{}}
 	for _, v := range s.vms.All() {
@@ -242,18 +249,18 @@
 	return sum
 }
 
-// firstReportGrace is how long a VM counts as room before it is first heard.
+// firstReportGrace is how long a VM counts as capacity before its first report.
 const firstReportGrace = 300 * time.Millisecond
 
-// countsAsCapacity tells whether the VM is room for its pool. After a take-over while a zone is
-// cut off, all its VMs are listed and none is heard: if they counted, their pools
-// would seem to have room and get no machines.
+// countsAsCapacity reports whether the VM counts as capacity of its pool. After a take-over
+// while a zone is cut off, all VMs of that zone are listed and none has reported. If they
+// counted, their pools would seem to have room and would get no machines.
 func (v *vmState) countsAsCapacity(now time.Time) bool {
 	heard := v.heldOnce || now.Sub(v.firstSeen) < firstReportGrace
 	return v.listed && !v.draining && !v.evacuated && !v.silent && !v.cordoned && heard
 }
 
-// chooseVacating chooses the VMs that are to fall idle, so that their machines can move.
+// chooseVacating selects the VMs that should become idle so that their machines can move.
 func (s *Scheduler) chooseVacating(pools []sizing.Pool) {
 	var vms []sizing.VM
 	wasVacating := map[job.VMID]bool{}
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -12,7 +12,8 @@
 
 const poolB = job.PoolName("b")
 
-// newPoolsHarness has two queues with a pool each, and machines that may move.
+// newPoolsHarness returns a harness with two queues that have a pool each, and whose machines
+// may move.
 func newPoolsHarness(t testing.TB) *harness {
 	h := newHarness(t)
 	c := &job.Configuration{
@@ -29,7 +30,7 @@
 	return h
 }
 
-// listVMs lists a VM of a pool and its machine.
+// listVMs lists VMs of a pool in the directory.
 func (h *harness) listVMs(pool job.PoolName, ids ...string) {
 	for _, id := range ids {
 		h.s.VMSeen(h.now, job.VMEntry{
@@ -39,7 +40,7 @@
 	}
 }
 
-// listMachines tells of one machine for each VM.
+// listMachines lists one machine for each VM.
 func (h *harness) listMachines() {
 	var ids []string
 	for id := range h.s.vms.All() {
@@ -48,7 +49,7 @@
 	h.listMachinesOf(ids...)
 }
 
-// listMachinesOf tells of the machines of these VMs.
+// listMachinesOf lists the machines of these VMs.
 func (h *harness) listMachinesOf(ids ...string) {
 	var list []job.Machine
 	for _, n := range ids {
@@ -61,7 +62,7 @@
 	h.s.Machines(h.now, list)
 }
 
-// jobIn hands a job of a queue in.
+// jobIn submits a job to a queue.
 func (h *harness) jobIn(queue job.QueueName, id string, steps ...job.Step) {
 	h.s.AddJob(h.now, h.jobOf(queue, id, steps...), nil, false)
 }
@@ -73,7 +74,7 @@
 	return j
 }
 
-// movesOf sorts moves by where they go.
+// movesOf groups the moved machines by destination pool.
 func movesOf(commands []Command) map[job.PoolName][]job.MachineID {
 	out := map[job.PoolName][]job.MachineID{}
 	for _, m := range only[Move](commands) {
@@ -82,10 +83,10 @@
 	return out
 }
 
-// An owner takes over while a zone is cut off. A wide job may still run there and
-// can't start again before that is known, so it has no use for room. If it counted,
-// the idle machines would go to its pool and stand there, while the callers of the
-// queue that bursts wait for them.
+// Guards against moving machines to a pool for a job that can't start. After a take-over while
+// a zone is cut off, a wide job may still run there and must not start again until that is
+// known. If its demand counted, the idle machines would stand unused in its pool while the
+// callers of the queue that bursts wait for them.
 func TestJobThatCannotStartTakesNoMachines(t *testing.T) {
 	h := newPoolsHarness(t)
 	wide := job.Step{Count: 40, Room: job.Room{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second}
@@ -104,10 +105,9 @@
 	assert.Assert(t, len(moves[poolA]) >= 3, "%v", moves)
 }
 
-// A pool has more room than it uses, but a little runs on each of its VMs, and the
-// jobs there would go on with their next steps on them. None would ever be idle and
-// could help the queue that bursts. Their next steps share a VM instead, so that
-// another falls idle and moves at once.
+// Guards against a pool with spare capacity whose machines never become idle because a little
+// runs on each of its VMs. When another pool is short, the next steps of its jobs must share a
+// VM, so that the other VM becomes idle and its machine moves at once.
 func TestVMIsVacatedForAPoolThatLacks(t *testing.T) {
 	h := newPoolsHarness(t)
 	h.listVMs(poolA, "a1")
@@ -127,7 +127,7 @@
 	for _, c := range starts {
 		h.confirm(c)
 	}
-	// The two ran on different VMs, since one hasn't the memory for both.
+	// The two ran on different VMs, since neither VM has the memory for both.
 	assert.Assert(t, starts[0].VM != starts[1].VM)
 	h.now = h.now.Add(2 * time.Second)
 	h.jobIn("qa", "burst", job.Step{Count: 60, Room: job.Room{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second})
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -8,6 +8,7 @@
 	"lavenderpond/core/job"
 )
 
+// markDirty makes the next save include the job.
 func (s *Scheduler) markDirty(j *jobState) {
 	if !j.dirty {
 		j.dirty = true
@@ -15,11 +16,11 @@
 	}
 }
 
-// nextSaveSequence returns the sequence of the save that will hold what is dirty now.
+// nextSaveSequence returns the sequence of the save that will contain all present changes.
 func (s *Scheduler) nextSaveSequence() int64 { return s.saveSequence + 1 }
 
-// saveSequenceOf returns the sequence of the save that holds all that is known of a job; 0 if
-// nothing of it needs one.
+// saveSequenceOf returns the sequence of the save that contains everything known of a job, or 0
+// if the job needs no save.
 func (s *Scheduler) saveSequenceOf(id job.ID) int64 {
 	j := s.jobs.Get(id)
 	switch {
@@ -31,7 +32,7 @@
 	return j.saved
 }
 
-// flushSaves turns all that has changed into saves of one sequence.
+// flushSaves issues saves with one common sequence for everything that has changed.
 func (s *Scheduler) flushSaves() {
 	if len(s.dirtyJobs) == 0 && len(s.dirtyVMs) == 0 && len(s.dirtyOrders) == 0 && len(s.dirtyWaves) == 0 {
 		return
@@ -53,7 +54,7 @@
 	s.dirtyJobs = s.dirtyJobs[:0]
 }
 
-// SavesStored notes that all saves up to the sequence are stored, and sends what
+// SavesStored records that all saves up to the sequence are stored, and sends the commands that
 // waited for them.
 func (s *Scheduler) SavesStored(now time.Time, sequence int64) {
 	s.storedSequence = max(s.storedSequence, sequence)
@@ -65,7 +66,7 @@
 	s.forgetClosed()
 }
 
-// forgetClosed drops jobs whose end is stored and of which nothing can run.
+// forgetClosed drops jobs whose final state is stored and of which nothing can run any more.
 func (s *Scheduler) forgetClosed() {
 	s.closing = slices.DeleteFunc(s.closing, func(j *jobState) bool {
 		if j.saved > s.storedSequence || j.hasRuns() {
@@ -77,14 +78,14 @@
 	})
 }
 
-// endedRetention is how long an ended job is remembered and its rows are kept: far
-// longer than a feed can be behind or a caller asks for its state.
+// endedRetention is how long an ended job is remembered and its rows are kept. It is far longer
+// than a feed can lag behind, or a caller asks for the job's state.
 const endedRetention = 10 * time.Minute
 
-// AddEndedJob notes a job that a former owner saw to its end.
+// AddEndedJob adds a job that ended under a former owner.
 func (s *Scheduler) AddEndedJob(now time.Time, id job.ID) { s.ended[id] = now }
 
-// forgetEnded drops the IDs of jobs that ended long ago.
+// forgetEnded forgets the jobs that ended more than endedRetention ago.
 func (s *Scheduler) forgetEnded(now time.Time) {
 	if now.Before(s.nextForgetEnded) {
 		return
@@ -98,6 +99,7 @@
 	}
 }
 
+// hasRuns reports whether any task of the job has a run.
 func (j *jobState) hasRuns() bool {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
@@ -111,8 +113,8 @@
 	return false
 }
 
-// progress returns what must be stored of the job. A job that is over needs no
-// details: nothing of it will ever start again.
+// progress returns the part of the job's state that must be stored. A job that is over needs no
+// details, since none of its tasks will start again.
 func (j *jobState) progress() job.Progress {
 	p := job.Progress{State: j.state}
 	if j.over() {
@@ -141,8 +143,8 @@
 	return p
 }
 
-// flushVMs saves what has changed in the roster. Each VM has a row of its own: the
-// table bounds the size of a row, and one for 350 VMs is beyond it.
+// flushVMs saves the changes of the roster. Each VM has a row of its own: the table bounds the
+// size of a row, and a single row for 350 VMs would exceed it.
 func (s *Scheduler) flushVMs() {
 	for _, id := range s.dirtyVMs {
 		if v := s.vms.Get(id); v != nil {
@@ -154,7 +156,7 @@
 	s.dirtyVMs = nil
 }
 
-// flushOrders saves which machines have been given an order of late.
+// flushOrders saves which machines were given an order recently.
 func (s *Scheduler) flushOrders() {
 	for _, id := range s.dirtyOrders {
 		if o := s.recentOrders.Get(id); o.holder != "" {
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -1,6 +1,6 @@
-// Package schedule decides which task runs on which VM, and keeps what is known
-// of both. It has no clock, network or goroutine: events come in with the time,
-// commands come out.
+// Package schedule decides which task runs on which VM, and tracks the state of both. It uses
+// no clock, network or goroutines: callers pass in events together with the current time, and
+// collect the resulting commands.
 package schedule
 
 import (
@@ -11,83 +11,90 @@
 	"lavenderpond/core/lease"
 )
 
-// Settings are what a Scheduler starts from.
+// Settings configure a Scheduler.
 type Settings struct {
-	// Fence guards VMs against former owners.
+	// Fence is the fencing token that lets VMs refuse the orders of former owners.
 	Fence job.Fence
-	// AttemptBase is below every attempt of this owner and above all of former ones.
+	// AttemptBase is below every attempt number of this owner and above those of all former
+	// owners.
 	AttemptBase job.Attempt
 	// TookOver is when this owner took over.
 	TookOver time.Time
 	// LeaseMax is the longest lease that a VM grants.
 	LeaseMax time.Duration
-	// TaskStopMax bounds how long a task takes to stop.
+	// TaskStopMax is the longest time that a task takes to stop.
 	TaskStopMax time.Duration
-	// ShrinkNotice is how long a VM's capacity that has shrunk may still be relied on; 0
-	// means no bound.
+	// ShrinkNotice is how long a VM's former capacity may still be relied on after it has
+	// shrunk; 0 means without limit.
 	ShrinkNotice time.Duration
-	// MachineLease is how soon orders for a machine may follow a former holder's.
+	// MachineLease is how long this owner leaves a machine alone after an order of a former
+	// holder.
 	MachineLease time.Duration
-	// Holder signs this owner's orders for machines.
+	// Holder identifies this owner in its orders for machines.
 	Holder string
-	// FormerOrders are the machines that may have been given an order shortly
-	// before the take-over.
+	// FormerOrders lists the machines that may have been given an order shortly before the
+	// take-over.
 	FormerOrders []MachineOrder
-	// Observer is told of decisions; nil for none.
+	// Observer receives the scheduler's decisions; it may be nil.
 	Observer Observer
 }
 
-// Scheduler is the owner's knowledge of jobs and VMs.
+// Scheduler holds what the owner knows of jobs, VMs and machines.
 type Scheduler struct {
 	settings Settings
 	config   *job.Configuration
 	jobs     orderedMap[job.ID, *jobState]
 	vms      orderedMap[job.VMID, *vmState]
-	// ended remembers jobs that are over and stored, and since when.
+	// ended holds the jobs whose final state is stored, with the time at which they ended.
 	ended map[job.ID]time.Time
-	// usage is what each client account has running, or may have.
+	// usage is the room that each client account's running tasks take, including tasks that may
+	// be running.
 	usage map[job.AccountName]job.Room
-	// possibleUsage is what each may have running beyond that, on VMs not heard yet.
+	// possibleUsage is what each account may be using in addition, on VMs that have not
+	// reported to this owner yet.
 	possibleUsage map[job.AccountName]job.Room
 	commands      []Command
 	dirtyJobs     []*jobState
-	// saveSequence numbers the saves; stored is the last that is stored.
+	// saveSequence is the sequence of the latest save, storedSequence that of the latest save
+	// that is stored.
 	saveSequence   int64
 	storedSequence int64
-	closing        []*jobState
-	// plannedStarts are starts, and held machine orders, that wait for a save.
+	// closing holds the jobs that are over but not yet forgotten.
+	closing []*jobState
+	// plannedStarts and pendingOrders are starts of tasks and orders for machines that wait
+	// until a save is stored.
 	plannedStarts []*run
 	pendingOrders []pendingOrder
-	// recentOrders are the machines with an order of late.
+	// recentOrders holds the machines that were given an order recently.
 	recentOrders orderedMap[job.MachineID, recentOrder]
 	dirtyOrders  []job.MachineID
 	dirtyVMs     []job.VMID
 	dirtyWaves   []*waveState
-	// nextForgetEnded is when to look next for ended jobs to forget.
+	// nextForgetEnded is when to look for ended jobs to forget again.
 	nextForgetEnded time.Time
 	rights          Rights
-	// fence guards lives of VMs that begin from now on.
+	// fence is the fencing token for VM lives that begin from this point on.
 	fence    job.Fence
 	queues   map[job.QueueName]*queueStats
 	machines orderedMap[job.MachineID, *machineState]
-	// directoryAsOf is up to when all changes of the directory are known.
+	// directoryAsOf is the time up to which all changes to the directory are known.
 	directoryAsOf time.Time
 	waves         orderedMap[int64, *waveState]
-	// evacuatedZones are the availability zones in which nothing may start.
+	// evacuatedZones are the availability zones in which no task may start.
 	evacuatedZones zoneSet
 	pools          map[job.PoolName]*poolStats
 	shares         shares
 	nextSizing     time.Time
-	// anyUnreported is set while a VM hasn't been heard on which a former owner may
-	// still run tasks.
+	// anyUnreported is set while a VM on which a former owner's tasks may still run has not
+	// reported to this owner.
 	anyUnreported bool
-	// nextPruneOrders is when to look next for machine orders that are long ago.
+	// nextPruneOrders is when to look for machine orders that are no longer recent again.
 	nextPruneOrders time.Time
 	backlog         map[job.QueueName]int
 	backlogExpires  time.Time
 }
 
-// New returns a scheduler that knows nothing yet.
+// New returns a scheduler that knows no jobs or VMs yet.
 func New(s Settings) *Scheduler {
 	out := &Scheduler{
 		settings: s,
@@ -98,14 +105,14 @@
 		pools:    map[job.PoolName]*poolStats{},
 		shares:   shares{},
 	}
-	// Kept among this owner's own, so that the next owner knows of them too.
+	// These orders are stored with this owner's own, so that the next owner knows of them too.
 	for _, o := range s.FormerOrders {
 		out.recentOrders.Set(o.Machine, recentOrder{holder: o.Holder, at: s.TookOver})
 	}
 	return out
 }
 
-// Configure puts a configuration in force; a lower version than the present one is ignored.
+// Configure puts a configuration in force. A version below the present one is ignored.
 func (s *Scheduler) Configure(c *job.Configuration) {
 	if s.config != nil && c.Version < s.config.Version {
 		return
@@ -113,22 +120,23 @@
 	s.config = c
 }
 
-// Rights are what the owner may still do, by the age of its last proof.
+// Rights are the kinds of orders that the owner may give. They depend on the age of the last
+// proof that it is still the owner.
 type Rights struct {
-	// Order is for machines, and for moving lasting tasks.
+	// Order permits orders for machines, and moving lasting tasks.
 	Order bool
-	// Start is for tasks, Hold for extending leases on VMs.
+	// Start permits starting tasks, Hold extending leases on VMs.
 	Start, Hold bool
 }
 
-// SetRights says what the owner may still do at this moment.
+// SetRights sets what the owner may do at this moment.
 func (s *Scheduler) SetRights(r Rights) { s.rights = r }
 
-// RaiseFence takes in a version at which the table has confirmed this owner's right. It is below
-// the fence of any later owner.
+// RaiseFence raises the fencing token to a table version at which this owner's right was
+// confirmed. That version is below the fencing token of any later owner.
 func (s *Scheduler) RaiseFence(version job.Fence) { s.fence = max(s.fence, version) }
 
-// TakeCommands returns the commands since the last call.
+// TakeCommands returns the commands that were issued since the last call.
 func (s *Scheduler) TakeCommands() []Command {
 	s.flushSaves()
 	out := s.commands
@@ -136,15 +144,17 @@
 	return out
 }
 
+// emit issues a command.
 func (s *Scheduler) emit(c Command) { s.commands = append(s.commands, c) }
 
+// decided reports a decision to the observer, if there is one.
 func (s *Scheduler) decided(d Decision) {
 	if s.settings.Observer != nil {
 		s.settings.Observer.Decided(d)
 	}
 }
 
-// AddInheritedVM notes a VM on which the former owner may have started tasks.
+// AddInheritedVM adds a VM on which the former owner may have started tasks.
 func (s *Scheduler) AddInheritedVM(r RosterVM) {
 	v := s.vm(r.ID)
 	if v.address == "" {
@@ -157,17 +167,17 @@
 	s.anyUnreported = true
 }
 
-// unlistedHoldDelay is how long after a take-over the VMs are left alone that the directory
-// doesn't list: those that it lists are held first.
+// unlistedHoldDelay is how long after a take-over the first hold is sent to VMs that the
+// directory doesn't list, so that the listed VMs are held first.
 const unlistedHoldDelay = 700 * time.Millisecond
 
-// AddJob takes in a job and what is stored of its progress. inherited tells
-// that a former owner may have started tasks of it.
+// AddJob adds a job with its stored progress, or nil if none is stored. inherited is set if a
+// former owner may have started tasks of the job.
 func (s *Scheduler) AddJob(now time.Time, j job.Job, p *job.Progress, inherited bool) {
 	if s.jobs.Get(j.ID) != nil || (p != nil && p.State.Final()) {
 		return
 	}
-	// A feed may tell of a job again that has been run and forgotten since.
+	// A feed may deliver a job again after it has ended and was forgotten.
 	if _, over := s.ended[j.ID]; over {
 		return
 	}
@@ -239,7 +249,7 @@
 	j.restoreCrashes(p)
 }
 
-// Cancel ends a job on its caller's wish. An unknown job needs nothing.
+// Cancel ends a job at its caller's request. An unknown job is ignored.
 func (s *Scheduler) Cancel(now time.Time, id job.ID) {
 	j := s.jobs.Get(id)
 	if j == nil || j.over() {
@@ -249,7 +259,7 @@
 	s.finish(now, j, job.Cancelled)
 }
 
-// finish gives a job its final state and stops what still runs of it.
+// finish sets the final state of a job and stops its remaining runs.
 func (s *Scheduler) finish(now time.Time, j *jobState, state job.State) {
 	j.state, j.closedAt = state, now
 	s.markDirty(j)
@@ -270,8 +280,8 @@
 // backlogInterval is how often the backlog is counted.
 const backlogInterval = 100 * time.Millisecond
 
-// Backlog counts the jobs of each queue that haven't begun. The count is as old as
-// backlogEvery at the most, and must not be changed.
+// Backlog returns the number of jobs in each queue that have not begun. The result may be up to
+// backlogInterval old and must not be modified.
 func (s *Scheduler) Backlog(now time.Time) map[job.QueueName]int {
 	if s.backlog != nil && now.Before(s.backlogExpires) {
 		return s.backlog
@@ -280,6 +290,7 @@
 	return s.backlog
 }
 
+// countBacklog counts the jobs of each queue that have not begun.
 func (s *Scheduler) countBacklog() map[job.QueueName]int {
 	out := map[job.QueueName]int{}
 	for _, j := range s.jobs.All() {
@@ -290,8 +301,8 @@
 	return out
 }
 
-// pool returns the pool that runs a job's tasks: the one that the queue has
-// now, or if the queue is gone the one that it had.
+// pool returns the pool that runs the job's tasks: the present pool of its queue, or the one
+// named in the job's terms if the queue no longer exists.
 func (s *Scheduler) pool(j *jobState) job.PoolName {
 	if s.config != nil {
 		if q := s.config.Queue(j.Terms.Queue); q != nil {
@@ -301,7 +312,7 @@
 	return j.Terms.Pool
 }
 
-// maxAttempts returns how many failed runs end a job.
+// maxAttempts returns the number of failed runs of a task that end the job.
 func (s *Scheduler) maxAttempts(j *jobState) int {
 	if s.config != nil {
 		if q := s.config.Queue(j.Terms.Queue); q != nil && q.Attempts > 0 {
@@ -311,6 +322,7 @@
 	return max(1, j.Terms.Attempts)
 }
 
+// task returns a task with its step, occurrence and job, or nil for all if it is unknown.
 func (s *Scheduler) task(t job.TaskID) (*jobState, *occurrence, *stepState, *taskState) {
 	j := s.jobs.Get(t.Job)
 	if j == nil || t.Occurrence >= len(j.occurrences) || t.Step >= len(j.Body.Steps) || t.Occurrence < 0 || t.Step < 0 {
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -12,8 +12,8 @@
 	"lavenderpond/core/job"
 )
 
-// shrinkingFleet is a few VMs whose capacity changes while tasks run there, and which fall
-// silent at times.
+// shrinkingFleet simulates a few VMs whose capacity changes while they run tasks, and which
+// stop answering at times.
 type shrinkingFleet struct {
 	*harness
 	rng     *rand.Rand
@@ -23,7 +23,7 @@
 	events  []shrinkingEvent
 }
 
-// shrinkingEvent is something that happens later.
+// shrinkingEvent is an event that is due later.
 type shrinkingEvent struct {
 	at  time.Time
 	run func()
@@ -31,12 +31,12 @@
 
 type shrinkingVM struct {
 	id string
-	// cpu is its capacity, told what it last said of it.
+	// cpu is the VM's capacity, reportedCPU the capacity that the scheduler was last told.
 	cpu, reportedCPU int64
 	silent           bool
 	lease            job.VMClock
 	runs             []*shrinkingRun
-	// unansweredStarts are starts without an answer that may still be carried out.
+	// unansweredStarts are starts that got no answer but may still be carried out.
 	unansweredStarts []*shrinkingRun
 	barredAttempt    map[job.TaskID]job.Attempt
 	ended            []job.End
@@ -50,7 +50,7 @@
 	deadline job.VMClock
 }
 
-// after does something after d.
+// after schedules an event in d.
 func (f *shrinkingFleet) after(d time.Duration, do func()) {
 	f.events = append(f.events, shrinkingEvent{f.now.Add(d), do})
 }
@@ -64,7 +64,7 @@
 	return f.vms[slices.IndexFunc(f.vms, func(v *shrinkingVM) bool { return v.id == string(id) })]
 }
 
-// used is the CPU of all that runs on the VM or may yet begin there.
+// used returns the CPU of all tasks that run on the VM or may still begin there.
 func (v *shrinkingVM) used(clock job.VMClock) int64 {
 	sum := int64(0)
 	for _, r := range v.runs {
@@ -82,7 +82,7 @@
 	return clock <= r.deadline && v.barredAttempt[r.task] < r.attempt
 }
 
-// begin lets a task run for a while.
+// begin starts a task, which ends after a while unless it is a lasting task.
 func (f *shrinkingFleet) begin(v *shrinkingVM, r *shrinkingRun) {
 	v.runs = append(v.runs, r)
 	v.lease = max(v.lease, r.deadline)
@@ -102,7 +102,7 @@
 	v.barredAttempt[r.task] = max(v.barredAttempt[r.task], r.attempt)
 }
 
-// lapse ends what runs once the lease is over.
+// lapse ends all runs once the VM's lease is over.
 func (f *shrinkingFleet) lapse(v *shrinkingVM) {
 	if f.clock() <= v.lease {
 		return
@@ -114,7 +114,7 @@
 
 func (f *shrinkingFleet) report() job.Report { return job.Report{Clock: f.clock(), Born: 1} }
 
-// start carries a start out, and asserts that there is room for it.
+// start carries out a start, and asserts that there is room for it.
 func (f *shrinkingFleet) start(c Start) {
 	v := f.vm(c.VM)
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Room.CPU, c.Order.Deadline}
@@ -172,7 +172,7 @@
 	f.s.HoldAnswered(f.now, c, Answered, rep)
 }
 
-// turn plays one turn and carries out what is ordered.
+// turn runs one turn and carries out the resulting commands.
 func (f *shrinkingFleet) turn() {
 	f.now = f.now.Add(10 * time.Millisecond)
 	due := f.events
@@ -208,7 +208,7 @@
 	}
 }
 
-// resize changes a VM's capacity. The news of one that guards it may be late.
+// resize changes a VM's capacity. If VMs are guarded, the scheduler may learn of it late.
 func (f *shrinkingFleet) resize(v *shrinkingVM, cpu int64) {
 	v.cpu = cpu
 	tell := func() {
@@ -222,7 +222,7 @@
 	f.after(f.between(0, 1500), tell)
 }
 
-// submit hands a job in.
+// submit adds a random job.
 func (f *shrinkingFleet) submit(n int) {
 	def := job.Step{Count: 1 + f.rng.IntN(4), Room: job.Room{CPU: 200 + f.rng.Int64N(3800)}, Estimate: time.Second}
 	def.Gang, def.Lasting = f.rng.IntN(5) == 0, f.rng.IntN(9) == 0
@@ -231,7 +231,7 @@
 	f.job(string(id), "free", def)
 }
 
-// disturb changes something, every few turns.
+// disturb makes a random change every few turns.
 func (f *shrinkingFleet) disturb(turn int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
@@ -255,14 +255,14 @@
 		f.resize(v, 8000)
 	}
 	for n := range 4 {
-		// Numbers that no turn has.
+		// Negative numbers don't collide with those of turns.
 		f.submit(-1 - n)
 	}
 	return f
 }
 
-// Guards against starts beyond the capacity of a VM that shrinks and grows, and against
-// work that doesn't go on once there is room.
+// Guards against starts beyond the capacity of a VM that shrinks and grows, and against jobs
+// that don't complete once there is room.
 func TestShrinkingVMs(t *testing.T) {
 	for seed := range uint64(80) {
 		f := newShrinking(t, seed, seed%2 == 0)
--- a/core/schedule/sizing/sizing.go
+++ b/core/schedule/sizing/sizing.go
@@ -1,5 +1,5 @@
-// Package sizing decides which machines change their pool: queues burst in turn
-// to more than their own pool holds while the fleet as a whole has room.
+// Package sizing decides which machines move to another pool. Queues take turns in bursting to
+// more work than their own pool can hold, while the fleet as a whole has room.
 package sizing
 
 import (
@@ -10,22 +10,22 @@
 	"lavenderpond/core/job"
 )
 
-// Pool is what one pool needs and has.
+// Pool is what a pool needs and what it has.
 type Pool struct {
 	Name job.PoolName
 	// Standby pools hold machines that are off.
 	Standby bool
 	// Need is the CPU that the pool should have, in thousandths of a core.
 	Need int64
-	// Have is the CPU of its VMs that take tasks, and of machines on their way.
+	// Have is the CPU of its VMs that take tasks, and of machines on their way to it.
 	Have int64
-	// Used is the CPU that its tasks fill, with the loss of packing.
+	// Used is the CPU that its tasks need, including what is lost to packing.
 	Used int64
-	// SpareWeight is the pool's claim to machines that no pool needs, against those of the others.
+	// SpareWeight is the pool's weight in dividing up machines that no pool needs.
 	SpareWeight float64
 }
 
-// Machine is a machine that could move: it runs nothing.
+// Machine is an idle machine, which could move.
 type Machine struct {
 	ID   job.MachineID
 	Pool job.PoolName
@@ -35,7 +35,7 @@
 	IdleSince time.Time
 	// Vacated is set if its VM was emptied so that it can move.
 	Vacated bool
-	// standby is set if it stands in a standby pool.
+	// standby is set if the machine is in a standby pool.
 	standby bool
 }
 
@@ -47,15 +47,16 @@
 }
 
 const (
-	// minIdle is how long a machine stands idle before another pool may have it.
+	// minIdle is how long a machine must be idle before another pool may have it.
 	minIdle = 150 * time.Millisecond
 )
 
-// Plan returns the moves to make now. Pools that lack the most come first. They
-// get idle machines that other pools can spare, and then machines that are off. If none
-// lacks any, idle machines go where they may be needed next.
-// No machine is switched off again: the queues burst one after the other, and each
-// burst found its machines a move later than it needed them.
+// Plan returns the moves to make now. Pools with the largest shortfall come first. They get
+// idle machines that other pools can spare, and then machines that are off. If no pool is
+// short, idle machines go to where they are likely to be needed next.
+//
+// Machines are never switched off again: queues burst one after the other, and each burst would
+// get its machines one move too late.
 func Plan(now time.Time, pools []Pool, machines []Machine) []Move {
 	p := newPlan(pools, machines)
 	short := p.underprovisioned()
@@ -68,6 +69,8 @@
 	return p.moves
 }
 
+// plan is the state of one planning round. Its pools reflect the moves that are already
+// planned.
 type plan struct {
 	pools    map[job.PoolName]*Pool
 	machines []Machine
@@ -80,8 +83,8 @@
 	for _, x := range pools {
 		p.pools[x.Name] = &x
 	}
-	// The last to fall idle go first, so that the others stay as they are; machines
-	// that are off stand last, since those that run cost something where they are.
+	// The machine that became idle last goes first, so that the others stay as they are.
+	// Machines that are off come last, since the running ones cost something where they are.
 	for i := range p.machines {
 		x := p.pools[p.machines[i].Pool]
 		p.machines[i].standby = x != nil && x.Standby
@@ -90,6 +93,7 @@
 	return p
 }
 
+// compareMachines orders machines by preference for moving.
 func compareMachines(a, b Machine) int {
 	switch {
 	case a.standby != b.standby && b.standby:
@@ -102,7 +106,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// underprovisioned returns the pools that need more than they have, the worst first.
+// underprovisioned returns the pools that need more than they have, the largest shortfall
+// first.
 func (p *plan) underprovisioned() []*Pool {
 	var out []*Pool
 	for _, x := range p.pools {
@@ -116,9 +121,10 @@
 	return out
 }
 
+// fill moves machines to a pool until its shortfall is covered.
 func (p *plan) fill(now time.Time, to *Pool) {
 	for _, m := range p.machines {
-		// A machine for less than half of its room isn't worth its move.
+		// A move isn't worthwhile if less than half of the machine is needed.
 		if to.Need-to.Have < m.CPU/2 {
 			return
 		}
@@ -129,7 +135,7 @@
 	}
 }
 
-// canSpare tells whether the machine's pool can do without it.
+// canSpare reports whether the machine's pool can do without it.
 func (p *plan) canSpare(now time.Time, m Machine) bool {
 	if m.standby {
 		return true
@@ -139,6 +145,7 @@
 	return from != nil && idleLongEnough && from.Have-m.CPU >= from.Need
 }
 
+// move adds a move to the plan.
 func (p *plan) move(m Machine, to *Pool) {
 	p.moved[m.ID] = true
 	if from := p.pools[m.Pool]; !from.Standby {
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -20,8 +20,8 @@
 	return sizing.Machine{ID: job.MachineID(id), Pool: job.PoolName(pool), CPU: vmCPU, IdleSince: now.Add(-since)}
 }
 
-// One queue bursts to more than its pool holds while the others are nearly
-// empty: their idle machines move, and then those that are off.
+// A queue bursts to more than its pool holds while the other queues are nearly empty. Their
+// idle machines move first, then machines that are off.
 func TestBurstTakesIdleMachines(t *testing.T) {
 	pools := []sizing.Pool{
 		{Name: "burst", Need: 6 * vmCPU, Have: 3 * vmCPU},
@@ -35,17 +35,16 @@
 	assert.Equal(t, fmt.Sprint(moves), "[{q1 quiet burst} {q2 quiet burst} {s1 off burst}]")
 }
 
-// A machine that ran something a moment ago isn't lent: its queue's next task is
-// likely on its way.
+// A machine that became idle a moment ago stays: its queue's next task is likely on its way.
 func TestJustIdleStays(t *testing.T) {
 	pools := []sizing.Pool{{Name: "burst", Need: 3 * vmCPU}, {Name: "quiet", Have: 2 * vmCPU}}
 	moves := sizing.Plan(now, pools, []sizing.Machine{idle("q1", "quiet", 10*time.Millisecond)})
 	assert.Equal(t, len(moves), 0)
 }
 
-// A burst is over and its pool's machines stand idle. The queues burst in turn: the next
-// one's first callers would find one VM there, and the others a second and a half later.
-// The idle machines go to all pools that have burst of late, and then stay there.
+// Guards against a burst that finds only one VM in its pool, and waits 1.5 seconds for the idle
+// machines of the pool that had the last burst. Idle machines must be spread over all pools
+// with a recent burst, and then stay there.
 func TestIdleMachinesSpread(t *testing.T) {
 	pools := []sizing.Pool{
 		{Name: "after", Need: vmCPU, Have: 13 * vmCPU, SpareWeight: 12 * vmCPU},
@@ -79,9 +78,9 @@
 	assert.Equal(t, len(sizing.Plan(now, pools, machines)), 0, "they go on moving")
 }
 
-// Whatever the demand: no machine moves twice, into its own pool or out of a
-// pool that then lacks room, and no pool gets more than it lacks and one machine.
-// What a naive search over single moves would still find is nothing.
+// For random fleets, no machine moves twice, into its own pool, or out of a pool that would
+// then be short, and no pool gets more than its shortfall and one machine. An exhaustive search
+// over single moves must find no useful move that the plan left out.
 func TestPlanAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 500 {
@@ -134,8 +133,8 @@
 	return pools, machines
 }
 
-// Whatever the fleet: the VMs vacated are no more than other pools lack, leave each
-// pool what it needs and uses, and no VM with less on it stays instead.
+// For random fleets, the vacated VMs must not exceed what other pools are short of, must leave
+// each pool what it needs and uses, and must be the least loaded ones of their pool.
 func TestVacateAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 500 {
--- a/core/schedule/sizing/spread.go
+++ b/core/schedule/sizing/spread.go
@@ -7,18 +7,20 @@
 )
 
 const (
-	// spreadMinIdle is how long a machine stands idle before it goes where it may be
-	// needed next.
+	// spreadMinIdle is how long a machine must be idle before it goes to where it is likely to
+	// be needed next.
 	spreadMinIdle = time.Second
-	// spreadThresholdHalves is by how many halves of a machine a pool must be beyond its part, and
-	// another short of its own, so that machines don't go back and forth.
+	// spreadThresholdHalves is a threshold in halves of a machine. A machine moves only if its
+	// pool is above its share, and the receiving pool below its own, by at least this much.
+	// This keeps machines from moving back and forth.
 	spreadThresholdHalves = 3
 )
 
-// spread sends idle machines that no pool needs where they may be needed next, in
-// proportion to the pools' wishes. A machine arrives a second and a half after its order,
-// so a burst's first callers find what is there already: after a burst that was all the
-// idle machines of the pool that had it, and one to five VMs in the next one's.
+// spread divides idle machines that no pool needs among the pools in proportion to their
+// weights, so that the next burst finds them in place. A machine arrives 1.5 seconds after its
+// order, so the first callers of a burst depend on what is already there. Without spreading,
+// all idle machines stay in the pool that had the last burst, and the next pool has one to five
+// VMs.
 func (p *plan) spread(now time.Time) {
 	spare, totalWeight := p.spareCapacity()
 	if totalWeight <= 0 {
@@ -37,7 +39,7 @@
 	}
 }
 
-// spareCapacity returns the CPU that no pool needs, and the sum of the pools' wishes.
+// spareCapacity returns the CPU that no pool needs, and the sum of the pools' weights.
 func (p *plan) spareCapacity() (cpu int64, totalWeight float64) {
 	for _, x := range p.pools {
 		if !x.Standby {
@@ -48,7 +50,7 @@
 	return cpu, totalWeight
 }
 
-// mostUnderShare returns the pool that is the least beyond its part.
+// mostUnderShare returns the pool with the smallest surplus over its share.
 func (p *plan) mostUnderShare(surplus func(x *Pool) int64) *Pool {
 	var least *Pool
 	for _, n := range slices.Sorted(maps.Keys(p.pools)) {
--- a/core/schedule/sizing/vacate.go
+++ b/core/schedule/sizing/vacate.go
@@ -7,7 +7,7 @@
 	"lavenderpond/core/job"
 )
 
-// VM is a VM that runs no lasting task, with the CPU that its tasks fill.
+// VM is a VM that runs no lasting task, with the CPU that its tasks use.
 type VM struct {
 	ID   job.VMID
 	Pool job.PoolName
@@ -15,11 +15,11 @@
 	Used int64
 }
 
-// Vacate returns the VMs that should get no more tasks while others of their pool have
-// room. Only an idle machine can move. After a burst its pool's tasks lie scattered over
-// twenty VMs or more, half empty, and go on with their next steps where they are; the
-// queue that bursts next waits for seconds. No more VMs are vacated than other pools
-// lack, and none that its pool needs for what it runs.
+// Vacate returns the VMs that should get no more tasks while others of their pool have room.
+// Only an idle machine can move. After a burst, the tasks of a pool are scattered over twenty
+// or more half-empty VMs and continue with their next steps there, while the queue that bursts
+// next would wait for seconds. Vacate picks no more VMs than the other pools are short of, and
+// none that its pool needs for the tasks it runs.
 func Vacate(pools []Pool, vms []VM) []job.VMID {
 	shortfall := int64(0)
 	for _, p := range pools {
--- a/core/schedule/turn_bench_test.go
+++ b/core/schedule/turn_bench_test.go
@@ -8,8 +8,7 @@
 	"lavenderpond/core/job"
 )
 
-// newFullFleet returns a harness with pools of VMs that are full of tasks, and waiting
-// jobs that find no room.
+// newFullFleet returns a harness with pools of VMs that are full, and jobs that wait for room.
 func newFullFleet(t testing.TB, vms, waiting int) *harness {
 	h := newHarness(t)
 	pools := []job.PoolName{"a", "b", "c", "d", "e"}
@@ -50,8 +49,7 @@
 	return h
 }
 
-// BenchmarkTurn is one turn of the owner's loop on a fleet that is full, with
-// jobs that wait.
+// BenchmarkTurn measures one turn of the owner's loop on a full fleet with waiting jobs.
 func BenchmarkTurn(b *testing.B) {
 	for _, n := range []struct{ vms, waiting int }{
 		{50, 0}, {50, 100}, {350, 0}, {350, 500}, {1100, 0}, {1100, 1000}, {3000, 0}, {3000, 3000},
--- a/core/schedule/upkeep.go
+++ b/core/schedule/upkeep.go
@@ -8,7 +8,9 @@
 	"lavenderpond/core/job"
 )
 
-// waveState is a wave that isn't over.
+// waveState is a maintenance wave that isn't over. done and inUpkeep are the machines that had
+// their upkeep and those that have it now; published is set once the wave was published as
+// running.
 type waveState struct {
 	job.Wave
 	arrived        time.Time
@@ -19,15 +21,15 @@
 }
 
 const (
-	// cordonAhead is how many machines beyond the wave's bound are emptied ahead,
-	// so that the next is empty when one comes back.
+	// cordonAhead is how many machines are emptied in advance beyond the wave's bound, so that
+	// the next one is empty when one comes back.
 	cordonAhead = 1
 	// machineRetryDelay is the pause before an order that wasn't carried out is repeated.
 	machineRetryDelay = 500 * time.Millisecond
 )
 
-// AddWave takes in a wave and which of its machines are done already, as far as
-// that is stored; a wave that is known is left as it is.
+// AddWave adds a wave, with those of its machines that are stored as done. A wave that is
+// already known is left unchanged.
 func (s *Scheduler) AddWave(now time.Time, w job.Wave, done []job.MachineID) {
 	if s.waves.Get(w.Number) != nil {
 		return
@@ -40,7 +42,8 @@
 	s.decided(Decision{What: WaveChanged, Reason: "begun"})
 }
 
-// advanceWaves moves each wave on: empty machines, order their upkeep, wait for them.
+// advanceWaves advances each wave: it empties machines, orders their upkeep and waits for them
+// to come back.
 func (s *Scheduler) advanceWaves(now time.Time) {
 	cordoned := map[job.MachineID]bool{}
 	for _, w := range s.waves.All() {
@@ -54,6 +57,7 @@
 	}
 }
 
+// advanceWave advances one wave and adds the machines to cordon for it to cordoned.
 func (s *Scheduler) advanceWave(now time.Time, w *waveState, cordoned map[job.MachineID]bool) {
 	s.collectReturned(now, w)
 	if !w.published {
@@ -67,7 +71,7 @@
 			continue
 		}
 		if m.State == job.MachineUpkeep && !w.inUpkeep[id] {
-			// A former owner has ordered it.
+			// A former owner ordered the upkeep.
 			w.inUpkeep[id] = true
 		}
 		if w.inUpkeep[id] {
@@ -86,7 +90,7 @@
 	s.upkeepNext(now, w, remaining, cordoned)
 }
 
-// waveDone tells whether all machines of the wave that are still there are done.
+// waveDone reports whether all machines of the wave that still exist are done.
 func (s *Scheduler) waveDone(w *waveState) bool {
 	for _, id := range w.Machines {
 		if s.machines.Get(id) != nil && !w.done[id] {
@@ -96,14 +100,15 @@
 	return true
 }
 
+// completeWave publishes the wave as completed.
 func (s *Scheduler) completeWave(now time.Time, w *waveState) {
 	w.publishedState = job.WaveCompleted
 	s.decided(Decision{What: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
 	s.emit(ShowWave{Number: w.Number, State: job.WaveCompleted})
 }
 
-// upkeepNext cordons the machines that are next, and orders upkeep for those
-// that are empty, never more than the wave's bound at a time.
+// upkeepNext cordons the next machines and orders upkeep for those that are empty. The number
+// of machines in upkeep never exceeds the wave's bound.
 func (s *Scheduler) upkeepNext(now time.Time, w *waveState, remaining []*machineState, cordoned map[job.MachineID]bool) {
 	slots := max(1, w.AtOnce)
 	emptying := 0
@@ -113,7 +118,7 @@
 		}
 		v := s.vms.Get(m.VM)
 		if m.VM != "" && (v == nil || !v.heldOnce || v.silent) {
-			// What runs on a VM that hasn't been heard isn't known.
+			// What runs on the VM is unknown until it has reported.
 			continue
 		}
 		emptying++
@@ -128,6 +133,7 @@
 	}
 }
 
+// orderUpkeep orders the upkeep of a machine.
 func (s *Scheduler) orderUpkeep(now time.Time, w *waveState, m *machineState) {
 	w.inUpkeep[m.ID] = true
 	m.awaitingAnswer, m.orderedVM = true, m.VM
@@ -135,7 +141,7 @@
 	s.orderMachine(now, m.ID, Upkeep{Machine: m.ID, Wave: w.Number})
 }
 
-// UpkeepAnswered takes in what came of an order for upkeep.
+// UpkeepAnswered handles the outcome of an order for upkeep.
 func (s *Scheduler) UpkeepAnswered(now time.Time, c Upkeep, out Outcome, why job.MachineRefusal) {
 	m, w := s.machines.Get(c.Machine), s.waves.Get(c.Wave)
 	if m == nil || w == nil {
@@ -150,7 +156,7 @@
 			s.endLife(now, v, "its machine has its upkeep")
 		}
 	case out == Unanswered:
-		// It may be carried out later: it is asked for again until that is known.
+		// The order may be carried out later, so it is repeated until its outcome is known.
 		m.retryAt = now.Add(machineRetryDelay)
 	case out == NotDone:
 		delete(w.inUpkeep, m.ID)
@@ -159,14 +165,14 @@
 		delete(w.inUpkeep, m.ID)
 		w.done[m.ID] = true
 	default:
-		// A busy machine may be away on an earlier order whose answer was lost: it
-		// counts as away until the list says that it is up.
+		// The machine may be in upkeep on an earlier order whose answer was lost. It counts as
+		// in upkeep until the machine list shows it as up.
 		m.refused = true
 	}
 }
 
-// collectReturned notes the machines that are back from their upkeep: another life
-// runs on them, or after an accepted order the list says that they are up again.
+// collectReturned marks the machines that are back from their upkeep as done: those that a list
+// requested after the order was accepted shows as up.
 func (s *Scheduler) collectReturned(now time.Time, w *waveState) {
 	for _, id := range w.Machines {
 		if !w.inUpkeep[id] {
@@ -185,7 +191,8 @@
 			s.orderMachine(now, id, Upkeep{Machine: id, Wave: w.Number})
 			continue
 		}
-		// A list that was asked for before the order's answer may be older than the order.
+		// A list that was requested before the order was answered may show the state before the
+		// order.
 		if m.State != job.MachineUp || !m.retryAt.IsZero() || !m.listedAt.After(m.answeredAt) {
 			continue
 		}
@@ -199,7 +206,7 @@
 	}
 }
 
-// evictionCost orders machines by what has to be moved off them.
+// evictionCost ranks machines by how much has to be moved off them.
 func (s *Scheduler) evictionCost(m *machineState) float64 {
 	v := s.vms.Get(m.VM)
 	if v == nil {
@@ -224,9 +231,9 @@
 	}
 }
 
-// mayRelocate tells whether a lasting task may be stopped to start again elsewhere. A new
-// owner may do the same at the same time, each counting only its own stops, so it
-// takes the right that ends before another can take over.
+// mayRelocate reports whether a lasting task may be stopped in order to start elsewhere. A new
+// owner may do the same at the same time while each owner counts only its own stops, so this
+// requires the right that ends before another owner can take over.
 func (s *Scheduler) mayRelocate(now time.Time, r *run) bool {
 	if !s.rights.Order || r.stopping || r.phase != runConfirmed {
 		return false
@@ -235,15 +242,16 @@
 	return j != nil && !j.over() && st.def.Lasting && s.mayMiss(now, st, r)
 }
 
-// mayBeStopping tells whether a former owner may have ordered the run's end. The
-// VM lists it as at work until it has stopped; by then that end is listed.
+// mayBeStopping reports whether a former owner may have ordered the run to stop. The VM lists
+// such a run as running until it has stopped; once this returns false, the VM's list would show
+// its end.
 func (s *Scheduler) mayBeStopping(now time.Time, r *run) bool {
 	return r.adopted && now.Before(r.vm.heldFirst.Add(s.settings.TaskStopMax+busyWait))
 }
 
-// mayMiss tells whether a lasting step can spare the run now: as long as fewer
-// other tasks are away than the step allows. A task counts as away from its
-// stop until it is seen at work again.
+// mayMiss reports whether a lasting step can spare the run now, which requires that fewer other
+// tasks are missing than the step allows. A task counts as missing from its stop until it is
+// listed as fully running again.
 func (s *Scheduler) mayMiss(now time.Time, st *stepState, r *run) bool {
 	away := 0
 	for i := range st.tasks {
--- a/core/schedule/vmindex.go
+++ b/core/schedule/vmindex.go
@@ -8,24 +8,25 @@
 	"lavenderpond/core/job"
 )
 
-// vmIndex is the VMs of a pool in the order of their free CPU, the fullest first. A
-// task goes to the fullest VM that has room unless something else speaks against it,
-// so that a choice looks at a few VMs and not at the whole pool.
+// vmIndex holds the VMs of a pool, sorted by free CPU with the fullest first. A task goes to
+// the fullest VM that has room unless other costs outweigh that, so a choice examines only a
+// few VMs instead of the whole pool.
 type vmIndex struct {
 	vms []indexedVM
 	// largestCPU is the CPU of the largest VM.
 	largestCPU int64
-	// unplaceable are claims that no VM had room for. Room only shrinks while tasks are
-	// placed, so that none has room for a larger one either.
+	// unplaceable holds claims for which no VM had room. Free room only shrinks while tasks are
+	// placed, so a larger claim finds no room either.
 	unplaceable []job.Room
 }
 
-// indexedVM is a VM and the part of its CPU that is free.
+// indexedVM is a VM with the fraction of its CPU that is free.
 type indexedVM struct {
 	freeFraction float64
 	vm           *vmState
 }
 
+// compareByFreeCPU orders VMs by their free CPU, then by ID.
 func compareByFreeCPU(a, b indexedVM) int {
 	if a.freeFraction != b.freeFraction {
 		return cmp.Compare(a.freeFraction, b.freeFraction)
@@ -33,7 +34,7 @@
 	return cmp.Compare(a.vm.id, b.vm.id)
 }
 
-// newVMIndex returns the rooms of those of vms that have room for claims of this size.
+// newVMIndex returns an index of those vms that have room for a claim of size least.
 func newVMIndex(vms []*vmState, least job.Room) vmIndex {
 	r := vmIndex{vms: make([]indexedVM, 0, len(vms))}
 	for _, v := range vms {
@@ -52,7 +53,7 @@
 	return sort.Search(len(r.vms), func(i int) bool { return r.vms[i].freeFraction >= least })
 }
 
-// reposition puts the VM at index i where it belongs after its free CPU has changed.
+// reposition restores the order after the free CPU of the VM at index i has changed.
 func (r *vmIndex) reposition(i int) {
 	s := indexedVM{r.vms[i].vm.freeFraction(), r.vms[i].vm}
 	r.vms = slices.Delete(r.vms, i, i+1)
@@ -60,18 +61,19 @@
 	r.vms = slices.Insert(r.vms, at, s)
 }
 
-// hasNoRoom tells whether no VM has room for the claim, as far as that is known.
+// hasNoRoom reports whether no VM is known to have room for the claim.
 func (r *vmIndex) hasNoRoom(claim job.Room) bool {
 	return slices.ContainsFunc(r.unplaceable, func(x job.Room) bool { return x.Fits(claim) })
 }
 
-// noteNoRoom notes that no VM has room for the claim.
+// noteNoRoom records that no VM has room for the claim.
 func (r *vmIndex) noteNoRoom(claim job.Room) {
 	r.unplaceable = slices.DeleteFunc(r.unplaceable, func(x job.Room) bool { return claim.Fits(x) })
 	r.unplaceable = append(r.unplaceable, claim)
 }
 
-// chooseVM returns the index of the VM for a task, or -1 if none has room.
+// chooseVM returns the index of the VM with the lowest cost for a task, or -1 if no VM can take
+// it.
 func (a *assignment) chooseVM(p placement) int {
 	claim := p.step.def.Claim()
 	if a.index.hasNoRoom(claim) {
@@ -81,7 +83,7 @@
 	noRoom := true
 	for i := a.index.firstCandidate(claim); i < len(a.index.vms); i++ {
 		x := a.index.vms[i]
-		// No cost is below the free part.
+		// The cost of a VM is never below its free fraction.
 		if best >= 0 && x.freeFraction >= bestCost {
 			break
 		}
--- a/core/schedule/vmindex_test.go
+++ b/core/schedule/vmindex_test.go
@@ -10,7 +10,7 @@
 	"lavenderpond/core/job"
 )
 
-// chooseExhaustively looks at all VMs of the pool.
+// chooseExhaustively picks the best VM by examining all VMs of the pool.
 func chooseExhaustively(a *assignment, p placement) *vmState {
 	var best *vmState
 	for _, v := range a.vms {
@@ -63,7 +63,7 @@
 	return st
 }
 
-// Guards against an index of room that passes over the best VM, or over the only one.
+// Guards against an index that skips the best VM, or the only one with room.
 func TestChooseAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for round := range 400 {
