--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -60,7 +60,7 @@
 	h.job("j", "free", small)
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.resize("one", 8000)
-	assert.Equal(t, len(only[Start](h.step(0))), 0, "the entry is of the former life")
+	assert.Equal(t, len(only[Start](h.step(0))), 0, "task started while the entry is of the former life")
 	h.s.VMSeen(h.now, entryOf("one", 8000, 2))
 	one[Start](h, h.step(0))
 }
@@ -78,7 +78,7 @@
 			h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedRoom})
 		}
 	}
-	assert.Assert(t, refused <= 10, "%d starts in 10 s", refused)
+	assert.Assert(t, refused <= 10, "%d starts refused within 10 s", refused)
 	h.resize("one", 4000)
 	one[Start](h, h.step(0))
 }
@@ -125,7 +125,7 @@
 	assert.Equal(t, len(idle), 1)
 	assert.Equal(t, idle[0].CPU, int64(8000))
 	h.resize("one", 0)
-	assert.Equal(t, len(h.s.idleMachines(h.now)), 0, "it would bring no room")
+	assert.Equal(t, len(h.s.idleMachines(h.now)), 0, "machine without capacity counts as idle")
 }
 
 // Guards against starts on VMs that may have shrunk since the directory was last read.
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -29,7 +29,7 @@
 	assert.Equal(t, one[Start](h, h.readyIn("west", "three")).VM, job.VMID("three"))
 	h.s.SetEvacuatedZones(nil)
 	h.job("k", "free", job.Step{Count: 1, Room: job.Room{CPU: 8000, MemMB: 100}})
-	assert.Equal(t, len(only[Start](h.step(0))), 1, "the zone is not open again")
+	assert.Equal(t, len(only[Start](h.step(0))), 1, "no start after the evacuation ended")
 }
 
 // Guards against sending a start that was planned before the evacuation and waits for its save.
@@ -40,7 +40,7 @@
 	h.s.Tick(h.now)
 	h.s.Assign(h.now, h.now)
 	commands := h.s.TakeCommands()
-	assert.Equal(t, len(only[Start](commands)), 0, "the place is stored first")
+	assert.Equal(t, len(only[Start](commands)), 0, "start sent before its save is stored")
 	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
 	for _, c := range commands {
 		h.store(c)
@@ -65,11 +65,11 @@
 		h.lists(string(c.VM), []job.RunningTask{running(c, 100)})
 	}
 	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
-	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0, "there is no room elsewhere")
+	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0, "task stopped although no VM elsewhere has room")
 	h.readyIn("west", "three")
 	h.readyIn("west", "four")
 	first := h.stoppingRuns()
-	assert.Equal(t, len(first), 1, "one task may be away")
+	assert.Equal(t, len(first), 1, "want one task stopped at a time")
 	h.step(300 * time.Millisecond)
 	h.lists(string(first[0].vm.id), nil, job.End{Number: 1, Task: first[0].task, Attempt: first[0].attempt, How: job.EndedStopped})
 	again := one[Start](h, h.step(0))
@@ -77,7 +77,7 @@
 	h.confirm(again)
 	h.lists(string(again.VM), []job.RunningTask{running(again, 40)})
 	h.step(50 * time.Millisecond)
-	assert.Equal(t, len(h.stoppingRuns()), 0, "the first isn't at work yet")
+	assert.Equal(t, len(h.stoppingRuns()), 0, "second task stopped before the first is fully running")
 	h.lists(string(again.VM), []job.RunningTask{running(again, 100)})
 	h.step(50 * time.Millisecond)
 	assert.Equal(t, len(h.stoppingRuns()), 1)
--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -99,7 +99,7 @@
 	for i := range st.tasks {
 		for _, x := range slices.Clone(st.tasks[i].runs) {
 			if x != r && x.attempt == r.attempt {
-				s.stop(now, x, "a member of the gang did not begin")
+				s.stop(now, x, "a gang member did not start")
 			}
 		}
 	}
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -68,7 +68,7 @@
 	if other := s.vms.Get(m.VM); other == nil || !other.listed || other.born <= v.born {
 		return
 	}
-	s.endLife(asked, v, "its machine has a newer life")
+	s.endLife(asked, v, "machine runs a newer VM life")
 }
 
 // endLife handles a proof that a VM's life has ended.
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -72,7 +72,7 @@
 	case out == Answered && why == job.MachineAccepted:
 		m.answeredAt = now
 		if v := s.vms.Get(m.orderedVM); v != nil {
-			s.endLife(now, v, "its machine moves")
+			s.endLife(now, v, "machine moves to another pool")
 		}
 	case out == Unanswered:
 		// The move may be carried out at any time, so the VM gets no tasks until its outcome is
--- a/core/schedule/place_test.go
+++ b/core/schedule/place_test.go
@@ -43,7 +43,7 @@
 	h.job("j", "free", wide, second)
 	h.job("k", "free", wide)
 	first := only[Start](h.step(10 * time.Millisecond))
-	assert.Equal(t, len(first), 2, "each on a VM of its own")
+	assert.Equal(t, len(first), 2, "want both jobs started, each on its own VM")
 	for _, c := range first {
 		h.confirm(c)
 	}
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -147,6 +147,6 @@
 		assert.Equal(t, len(nextVMs), i+1, fmt.Sprint(commands))
 	}
 	moved += len(only[Move](h.step(sizingInterval)))
-	assert.Equal(t, nextVMs[0], nextVMs[1], "the next steps keep both VMs of the pool")
-	assert.Equal(t, moved, 1, "no machine came free for the burst")
+	assert.Equal(t, nextVMs[0], nextVMs[1], "next steps run on different VMs")
+	assert.Equal(t, moved, 1, "want one machine moved to the pool that bursts")
 }
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -119,7 +119,7 @@
 	v := f.vm(c.VM)
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Room.CPU, c.Order.Deadline}
 	used := v.used(f.clock())
-	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: %d and %d of %d", r.task, v.id, used, r.cpu, v.reportedCPU)
+	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: used CPU %d plus claim %d exceeds capacity %d", r.task, v.id, used, r.cpu, v.reportedCPU)
 	answer := func(out Outcome, rep job.Report) { f.s.StartAnswered(f.now, c, out, rep) }
 	switch {
 	case v.silent || f.rng.IntN(20) == 0:
@@ -282,6 +282,6 @@
 		for end := f.now.Add(30 * time.Second); f.s.jobs.Len() > 0 && f.now.Before(end); {
 			f.turn()
 		}
-		assert.Equal(t, f.s.jobs.Len(), 0, "seed %d: %v", seed, f.s.jobs.Keys())
+		assert.Equal(t, f.s.jobs.Len(), 0, "seed %d: jobs not ended: %v", seed, f.s.jobs.Keys())
 	}
 }
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	assert.Equal(t, fmt.Sprint(to), "map[next:3 third:3]")
-	assert.Equal(t, len(sizing.Plan(now, pools, machines)), 0, "they go on moving")
+	assert.Equal(t, len(sizing.Plan(now, pools, machines)), 0, "machines keep moving")
 }
 
 // For random fleets, no machine moves twice, into its own pool, or out of a pool that would
@@ -97,9 +97,9 @@
 			moved[m.Machine] = true
 			if m.From != "off" {
 				have[m.From] -= vmCPU
-				assert.Assert(t, have[m.From] >= need[m.From], "round %d: %v leaves its pool short", round, m)
+				assert.Assert(t, have[m.From] >= need[m.From], "round %d: %v leaves its former pool short", round, m)
 			}
-			assert.Assert(t, have[m.To] < need[m.To], "round %d: %v isn't needed", round, m)
+			assert.Assert(t, have[m.To] < need[m.To], "round %d: %v moves a machine that isn't needed", round, m)
 			have[m.To] += vmCPU
 		}
 		for _, m := range machines {
@@ -159,9 +159,9 @@
 				}
 			}
 			assert.Assert(t, heaviest < 0 || left >= max(p.Need, p.Used), "round %d: %s is left short", round, p.Name)
-			assert.Assert(t, heaviest <= lightest, "round %d: %s keeps a VM with less on it", round, p.Name)
+			assert.Assert(t, heaviest <= lightest, "round %d: %s keeps a less loaded VM", round, p.Name)
 		}
-		assert.Assert(t, vacated <= shortfall+vmCPU/2, "round %d: %d vacated, %d lacked", round, vacated, shortfall)
+		assert.Assert(t, vacated <= shortfall+vmCPU/2, "round %d: CPU of vacated VMs is %d, shortfall is %d", round, vacated, shortfall)
 	}
 }
 
--- a/core/schedule/upkeep.go
+++ b/core/schedule/upkeep.go
@@ -153,7 +153,7 @@
 	case out == Answered && why == job.MachineAccepted:
 		s.decided(Decision{What: MachineUpkept, VM: m.orderedVM, Reason: string(m.ID)})
 		if v := s.vms.Get(m.orderedVM); v != nil {
-			s.endLife(now, v, "its machine has its upkeep")
+			s.endLife(now, v, "machine is in upkeep")
 		}
 	case out == Unanswered:
 		// The order may be carried out later, so it is repeated until its outcome is known.
--- a/core/schedule/vmindex_test.go
+++ b/core/schedule/vmindex_test.go
@@ -82,7 +82,7 @@
 				assert.Equal(t, n, -1, "round %d", round)
 				continue
 			}
-			assert.Assert(t, n >= 0, "round %d: %s has room", round, want.id)
+			assert.Assert(t, n >= 0, "round %d: no VM chosen, but %s has room", round, want.id)
 			got := a.index.vms[n].vm
 			assert.Equal(t, a.cost(p, got), a.cost(p, want), "round %d", round)
 			got.used = got.used.Plus(def.Claim())
