--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against starting tasks beside a run whose size is unknown before it has ended.
-func TestRunOfAnUnknownJobKeepsTasksOff(t *testing.T) {
+func TestRunOfAnUnknownJobBlocksStarts(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	stray := job.RunningTask{Task: job.TaskID{Job: "stray"}, Attempt: 7}
@@ -51,7 +51,7 @@
 }
 
 // Guards against starts that rely on the capacity and labels of a VM's former life.
-func TestNewLifeTakesTasksOnceItsEntryIsThere(t *testing.T) {
+func TestNewLifeTakesTasksOnceListed(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.now = h.now.Add(time.Second)
@@ -67,7 +67,7 @@
 
 // Guards against starts that are refused again and again because the news of a shrunken VM is
 // late.
-func TestRefusalsForRoomGrowRarer(t *testing.T) {
+func TestRefusedStartsBackOff(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -104,7 +104,7 @@
 
 // Guards against a pool that gets no machine although a lasting task fits on none of its VMs
 // since they have shrunk.
-func TestPoolGetsAVMWhenItsOwnHaveShrunk(t *testing.T) {
+func TestPoolGetsAVMWhenItsOwnVMsHaveShrunk(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.listOneAndOff()
@@ -115,7 +115,7 @@
 
 // Guards against moving machines by the capacity in the machine list, which lags behind that of
 // the VM.
-func TestMachineIsLentByItsVMsPresentRoom(t *testing.T) {
+func TestIdleMachineHasTheCapacityOfItsVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.s.Machines(h.now, []job.Machine{
@@ -129,7 +129,7 @@
 }
 
 // Guards against starts on VMs that may have shrunk since the directory was last read.
-func TestOldDirectoryStartsNothingThatIsntGuarded(t *testing.T) {
+func TestOutdatedDirectoryAllowsOnlyGuardedStarts(t *testing.T) {
 	for _, guarded := range []bool{false, true} {
 		h := newHarness(t)
 		h.s.settings.ShrinkNotice = 3 * time.Second
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -98,7 +98,7 @@
 
 // Guards against counting VMs of an evacuated zone as capacity, and against moving its
 // machines, which adds none.
-func TestEvacuatedZoneBringsNoRoom(t *testing.T) {
+func TestEvacuatedZoneAddsNoCapacity(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
 	h.readyIn("west", "two")
--- a/core/schedule/gang_test.go
+++ b/core/schedule/gang_test.go
@@ -12,7 +12,7 @@
 // Guards against a gang that starts incomplete. When a VM refuses one member, the other would
 // wait for it for seconds and end alone, and the job would be late. The other member must be
 // stopped at once, and the gang must restart when it has ended.
-func TestGangThatDoesNotBeginWholeIsStopped(t *testing.T) {
+func TestIncompleteGangIsStopped(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two", "three")
 	gang := small
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -33,7 +33,7 @@
 
 // Guards against jobs that are predicted to be in time but end late: a step takes as long as
 // the longest of its tasks and not as long as a typical one.
-func TestStepLastsAsItsLongestTask(t *testing.T) {
+func TestStepTakesAsLongAsItsLongestTask(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
 		h.completeStep(h.newJob(string(rune('a'+i)), pair), 0, time.Second, 2*time.Second)
@@ -47,7 +47,7 @@
 // Guards against a long job that is treated as late too early, and a short one whose slack is
 // overestimated. Once a step is complete, the run times of its tasks must be used for the later
 // steps.
-func TestOwnRunTimesStandForLaterSteps(t *testing.T) {
+func TestOwnRunTimesPredictLaterSteps(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
 		h.completeStep(h.newJob(string(rune('a'+i)), pair), 0, time.Second, time.Second)
@@ -62,7 +62,7 @@
 }
 
 // Guards against objectives that grow when VMs are slow: callers expect those of healthy VMs.
-func TestSlowRunsTeachNoSpread(t *testing.T) {
+func TestSlowRunsDontChangeStragglerRatio(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
 		h.completeStep(h.newJob(string(rune('a'+i)), wide), 0, time.Second, time.Second, time.Second, 9*time.Second)
@@ -73,7 +73,7 @@
 var wide = job.Step{Count: 4, Room: job.Room{CPU: 1000, MemMB: 100}, Estimate: time.Second}
 
 // A step with a run that this owner hasn't seen in full must not change the statistics.
-func TestUnseenRunsTeachNothing(t *testing.T) {
+func TestPartlySeenStepsDontChangeStatistics(t *testing.T) {
 	h := newHarness(t)
 	j := h.newJob("j", pair)
 	h.completeStep(j, 0, time.Second)
--- a/core/schedule/order_test.go
+++ b/core/schedule/order_test.go
@@ -30,7 +30,7 @@
 
 // The sorted candidates must match a selection that repeatedly picks the job that comes before
 // all others.
-func TestOrderAgainstNaive(t *testing.T) {
+func TestOrderMatchesNaiveSelection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 50 {
 		h := newHarness(t)
--- a/core/schedule/place_test.go
+++ b/core/schedule/place_test.go
@@ -24,7 +24,7 @@
 // Guards against a transaction before each step of a job, which takes 0.3 s while the table is
 // slow. When the first task is stored as started on one VM of a rack, a second step must start
 // on the rack's other VM without another save.
-func TestRackIsStoredAsOnePlace(t *testing.T) {
+func TestAllVMsOfARackAreStoredTogether(t *testing.T) {
 	h := newHarness(t)
 	for _, id := range []string{"one", "two"} {
 		h.s.VMSeen(h.now, job.VMEntry{
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -36,7 +36,7 @@
 }
 
 // A machine that became idle a moment ago stays: its queue's next task is likely on its way.
-func TestJustIdleStays(t *testing.T) {
+func TestRecentlyIdleMachineStays(t *testing.T) {
 	pools := []sizing.Pool{{Name: "burst", Need: 3 * vmCPU}, {Name: "quiet", Have: 2 * vmCPU}}
 	moves := sizing.Plan(now, pools, []sizing.Machine{idle("q1", "quiet", 10*time.Millisecond)})
 	assert.Equal(t, len(moves), 0)
@@ -81,7 +81,7 @@
 // For random fleets, no machine moves twice, into its own pool, or out of a pool that would
 // then be short, and no pool gets more than its shortfall and one machine. An exhaustive search
 // over single moves must find no useful move that the plan left out.
-func TestPlanAgainstNaive(t *testing.T) {
+func TestPlanMatchesExhaustiveSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 500 {
 		pools, machines := randomFleet(rng)
@@ -135,7 +135,7 @@
 
 // For random fleets, the vacated VMs must not exceed what other pools are short of, must leave
 // each pool what it needs and uses, and must be the least loaded ones of their pool.
-func TestVacateAgainstNaive(t *testing.T) {
+func TestVacateTakesOnlySpareVMs(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 500 {
 		pools, vms := randomLoad(rng)
--- a/core/schedule/vmindex_test.go
+++ b/core/schedule/vmindex_test.go
@@ -64,7 +64,7 @@
 }
 
 // Guards against an index that skips the best VM, or the only one with room.
-func TestChooseAgainstNaive(t *testing.T) {
+func TestChooseVMMatchesExhaustiveSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for round := range 400 {
 		var vms []*vmState
