--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -80,15 +80,15 @@
 	typical := math.Exp(sum / float64(len(st.took)))
 	j.typical = time.Duration(typical * float64(time.Second))
 	longest := slices.Max(st.took)
-	spread := longest.Seconds() / typical
-	if spread >= slowFactor {
+	ratio := longest.Seconds() / typical
+	if ratio >= slowFactor {
 		// A VM was slow. Objectives assume healthy VMs.
 		return
 	}
 	st.longest = longest
 	q := s.queueStats(j.Terms.Queue)
 	q.steps++
-	q.stragglerRatio += max(minSampleWeight, 1/float64(q.steps)) * (spread - q.stragglerRatio)
+	q.stragglerRatio += max(minSampleWeight, 1/float64(q.steps)) * (ratio - q.stragglerRatio)
 }
 
 // predictStepTime predicts how long a step takes, which is as long as its longest task.
@@ -107,15 +107,15 @@
 	if j.typical > 0 {
 		return j.typical
 	}
-	guess := st.Estimate
-	if guess <= 0 {
-		guess = defaultEstimate
+	estimate := st.Estimate
+	if estimate <= 0 {
+		estimate = defaultEstimate
 	}
 	q := s.queueStats(j.Terms.Queue)
 	if q.runs < minSamples {
-		return guess
+		return estimate
 	}
-	l := estimateWeight*math.Log(guess.Seconds()) + (1-estimateWeight)*q.meanLogRunTime
+	l := estimateWeight*math.Log(estimate.Seconds()) + (1-estimateWeight)*q.meanLogRunTime
 	return time.Duration(math.Exp(l) * float64(time.Second))
 }
 
@@ -142,14 +142,14 @@
 
 // longestPath returns how long the steps take if each begins as soon as those that it depends
 // on are complete.
-func longestPath(steps []job.Step, takes func(i int) time.Duration) time.Duration {
+func longestPath(steps []job.Step, duration func(i int) time.Duration) time.Duration {
 	ends := make([]time.Duration, len(steps))
 	longest := time.Duration(0)
 	for i := range steps {
 		for _, a := range steps[i].After {
 			ends[i] = max(ends[i], ends[a])
 		}
-		ends[i] += takes(i)
+		ends[i] += duration(i)
 		longest = max(longest, ends[i])
 	}
 	return longest
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -131,9 +131,9 @@
 }
 
 // demand returns the waiting work of each pool, in core-seconds, as far as it is still of use,
-// and what the pool's lasting tasks need. A job that may still run on a VM that has not
-// reported yet is left out: it can't start anything, so capacity for it would stand empty while
-// other queues wait.
+// and what the pool's lasting tasks need. Waiting tasks of a job that may still run on a VM that
+// has not reported yet are left out: they can't start, so capacity for them would stand empty
+// while other queues wait.
 func (s *Scheduler) demand(now time.Time) (waiting map[job.PoolName]float64, lasting map[job.PoolName]lastingDemand) {
 	waiting, lasting = map[job.PoolName]float64{}, map[job.PoolName]lastingDemand{}
 	for _, j := range s.jobs.All() {
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -51,8 +51,8 @@
 }
 
 // after schedules an event in d.
-func (f *shrinkingFleet) after(d time.Duration, do func()) {
-	f.events = append(f.events, shrinkingEvent{f.now.Add(d), do})
+func (f *shrinkingFleet) after(d time.Duration, run func()) {
+	f.events = append(f.events, shrinkingEvent{f.now.Add(d), run})
 }
 
 // between returns a duration in milliseconds from least to below most.
--- a/core/schedule/upkeep.go
+++ b/core/schedule/upkeep.go
@@ -253,7 +253,7 @@
 // tasks are missing than the step allows. A task counts as missing from its stop until it is
 // listed as fully running again.
 func (s *Scheduler) mayMiss(now time.Time, st *stepState, r *run) bool {
-	away := 0
+	missing := 0
 	for i := range st.tasks {
 		t := &st.tasks[i]
 		if i == r.task.Index {
@@ -261,11 +261,11 @@
 		}
 		x := t.live()
 		if x == nil || x.percent < 100 || x.phase != runConfirmed || x.vm.silent || s.mayBeStopping(now, x) {
-			away++
+			missing++
 		}
 	}
 	if !st.def.HasMayMiss {
-		return away == 0
+		return missing == 0
 	}
-	return away < st.def.MayMiss
+	return missing < st.def.MayMiss
 }
