--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -61,8 +61,8 @@
 	return out
 }
 
-// packGang assigns all members to VMs of the rack, or of any rack if it is empty. It returns
-// nil if they don't all fit.
+// packGang assigns all members to VMs of the rack, or to any VMs of the pool if rack is empty.
+// It returns nil if they don't all fit.
 func (a *assignment) packGang(st *stepState, rack job.Label) []*vmState {
 	var chosen []*vmState
 	for _, v := range a.vms {
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -44,8 +44,8 @@
 	assertNear(t, j.objective.Sub(j.arrived), 3200*time.Millisecond+time.Second)
 }
 
-// Guards against a long job that is treated as late too early, and a short one whose slack is
-// overestimated. Once a step is complete, the run times of its tasks must be used for the later
+// Guards against giving up a long job as late, and against overestimating the slack of a short
+// one. Once a step is complete, the run times of its tasks must be used for the later
 // steps.
 func TestOwnRunTimesPredictLaterSteps(t *testing.T) {
 	h := newHarness(t)
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -6,9 +6,9 @@
 	// paceInterval is how often the pace of a VM's filler tasks is adjusted. A change shows in
 	// the loads of the last half second.
 	paceInterval = 500 * time.Millisecond
-	// These are the ratios of a serving task's tail latency to its target at which filler tasks
-	// are halted, halved and sped up. They are well below 1 since a change takes a while to
-	// show.
+	// The pace of filler tasks depends on the ratio of a serving task's tail latency to its
+	// target. From paceHaltRatio on they are halted, from paceHalveRatio on halved, and below
+	// paceRaiseRatio sped up. The ratios are well below 1 since a change takes a while to show.
 	paceHaltRatio  = 0.9
 	paceHalveRatio = 0.7
 	paceRaiseRatio = 0.5
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -70,7 +70,7 @@
 	dirtyOrders  []job.MachineID
 	dirtyVMs     []job.VMID
 	dirtyWaves   []*waveState
-	// nextForgetEnded is when to look for ended jobs to forget again.
+	// nextForgetEnded is the next time to look for ended jobs to forget.
 	nextForgetEnded time.Time
 	rights          Rights
 	// fence is the fencing token for VM lives that begin from this point on.
@@ -88,7 +88,7 @@
 	// anyUnreported is set while a VM on which a former owner's tasks may still run has not
 	// reported to this owner.
 	anyUnreported bool
-	// nextPruneOrders is when to look for machine orders that are no longer recent again.
+	// nextPruneOrders is the next time to remove machine orders that are no longer recent.
 	nextPruneOrders time.Time
 	backlog         map[job.QueueName]int
 	backlogExpires  time.Time
