--- a/core/schedule/advice.go
+++ b/core/schedule/advice.go
@@ -6,9 +6,10 @@
 	"lavenderpond/core/job"
 )
 
-// approved tells whether the step may start, asking first where its queue needs that.
+// approved reports whether the step may start. If its queue requires advice and there is none
+// yet, it asks for it.
 func (a *assignment) approved(j *jobState, o *occurrence, i int) bool {
-	q := a.s.conf.Queue(j.Terms.Queue)
+	q := a.s.config.Queue(j.Terms.Queue)
 	if q == nil || q.Approval == nil {
 		return true
 	}
@@ -21,29 +22,31 @@
 	}
 	var vms []job.VMID
 	for _, v := range a.vms {
-		if len(vms) < adviceVMs && (st.def.Requires == "" || v.labels[st.def.Requires]) {
+		if len(vms) < adviceMaxVMs && (st.def.Requires == "" || v.labels[st.def.Requires]) {
 			vms = append(vms, v.id)
 		}
 	}
 	if len(vms) == 0 {
 		return false
 	}
-	st.asked, st.askAt = true, a.now.Add(adviceRetry)
+	st.asked, st.askAt = true, a.now.Add(adviceRetryDelay)
 	a.s.emit(RequestTickets{Step: job.StepID{Job: j.ID, Occurrence: o.number, Step: i}, VMs: vms})
 	return false
 }
 
 const (
-	// adviceVMs bounds the VMs that one question names; each costs the service time.
-	adviceVMs = 30
-	// adviceRetry is the pause before a question without an answer is repeated.
-	adviceRetry = time.Second
-	// adviceMargin is how much earlier than they run out tickets are given up.
+	// adviceMaxVMs bounds the number of VMs in one request. Each VM adds to the time that the
+	// advice service needs.
+	adviceMaxVMs = 30
+	// adviceRetryDelay is the pause before a request without an answer is repeated.
+	adviceRetryDelay = time.Second
+	// adviceMargin is how long before their expiry tickets are no longer used.
 	adviceMargin = 200 * time.Millisecond
 )
 
-// Advised takes in which VMs may run a step. No tickets stand for a failed question.
-func (s *Scheduler) Advised(now time.Time, id job.StepID, tickets map[job.VMID]string, valid time.Duration) {
+// AdviceAnswered handles the answer on which VMs may run a step. Without tickets, the request
+// has failed.
+func (s *Scheduler) AdviceAnswered(now time.Time, id job.StepID, tickets map[job.VMID]string, valid time.Duration) {
 	_, _, st, _ := s.task(job.TaskID{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 	if st == nil {
 		return
@@ -53,7 +56,7 @@
 	st.ticketsUntil = now.Add(valid - adviceMargin)
 }
 
-// dropTickets makes the step of a task ask anew.
+// dropTickets discards the tickets of a task's step, so that advice is requested again.
 func (s *Scheduler) dropTickets(t job.TaskID) {
 	if _, _, st, _ := s.task(t); st != nil {
 		st.tickets, st.asked = nil, false
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -8,12 +8,13 @@
 	"lavenderpond/core/job"
 )
 
-// Assign starts what can start. wall is the time of day, for due times.
+// Assign starts every task that can start. wall is the time of day, to which the due times of
+// occurrences are compared.
 func (s *Scheduler) Assign(now, wall time.Time) {
-	if !s.rights.Start || s.conf == nil {
+	if !s.rights.Start || s.config == nil {
 		return
 	}
-	s.countUnheard(now)
+	s.countPossibleUsage(now)
 	waiting := map[job.PoolName]*poolQueue{}
 	for _, j := range s.jobs.All() {
 		if !j.over() {
@@ -33,22 +34,22 @@
 		if len(q.vms) == 0 {
 			continue
 		}
-		a := assignment{s: s, now: now, wall: wall, poolQueue: q, rooms: newRooms(q.vms, q.least)}
+		a := assignment{s: s, now: now, wall: wall, poolQueue: q, index: newVMIndex(q.vms, q.minClaim)}
 		for _, c := range s.candidates(now, q.jobs) {
 			a.startJob(c.job)
 		}
 	}
 }
 
-// poolQueue is what waits for VMs of a pool, and the VMs that may get it.
+// poolQueue holds the jobs that wait for VMs of a pool, and the usable VMs of that pool.
 type poolQueue struct {
 	jobs []*jobState
-	// least is no more than what any waiting task claims.
-	least job.Resources
-	vms   []*vmState
+	// minClaim is a lower bound of the claims of all waiting tasks.
+	minClaim job.Resources
+	vms      []*vmState
 }
 
-// enqueue adds the job to its pool's queue if one of its tasks waits for nothing but room.
+// enqueue adds the job to the queue of its pool if one of its tasks waits only for room.
 func (s *Scheduler) enqueue(waiting map[job.PoolName]*poolQueue, j *jobState) {
 	var q *poolQueue
 	for _, o := range j.occurrences {
@@ -60,32 +61,33 @@
 			if q == nil {
 				p := s.pool(j)
 				if q = waiting[p]; q == nil {
-					q = &poolQueue{least: claim}
+					q = &poolQueue{minClaim: claim}
 					waiting[p] = q
 				}
 				q.jobs = append(q.jobs, j)
 			}
-			q.least = q.least.Min(claim)
+			q.minClaim = q.minClaim.Min(claim)
 		}
 	}
 }
 
-// assignment is one round of starts in a pool.
+// assignment is one round of task starts in a pool.
 type assignment struct {
 	s         *Scheduler
 	now, wall time.Time
 	*poolQueue
-	rooms rooms
-	// byRack are the VMs of each rack, once they were asked for.
-	byRack map[job.Label][]*vmState
+	index vmIndex
+	// vmsByRack holds the VMs of each rack. It is filled on first use.
+	vmsByRack map[job.Label][]*vmState
 }
 
+// startJob starts the tasks of a job that can start, as far as there is room.
 func (a *assignment) startJob(j *jobState) {
 	if j.inherited && a.s.mayRunUnheard(j) {
 		return
 	}
 	for _, o := range j.occurrences {
-		if !o.due.IsZero() && a.wall.Before(o.due.Add(dueSlack)) {
+		if !o.due.IsZero() && a.wall.Before(o.due.Add(dueTimeSlack)) {
 			return
 		}
 		for i := range o.steps {
@@ -96,10 +98,10 @@
 	}
 }
 
-// dueSlack keeps a start from coming before its due time by a coarse clock.
-const dueSlack = 20 * time.Millisecond
+// dueTimeSlack keeps an occurrence from starting before its due time when the clock is coarse.
+const dueTimeSlack = 20 * time.Millisecond
 
-// ready tells whether all steps that step i waits for are complete.
+// ready reports whether all steps that step i depends on are complete.
 func (o *occurrence) ready(i int) bool {
 	for _, after := range o.steps[i].def.After {
 		if !o.steps[after].complete() {
@@ -109,6 +111,7 @@
 	return true
 }
 
+// startStep starts the open tasks of a step, as far as there is room.
 func (a *assignment) startStep(j *jobState, o *occurrence, i int) {
 	st := &o.steps[i]
 	if !a.approved(j, o, i) {
@@ -127,48 +130,49 @@
 			return
 		}
 		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
-		n := a.choose(placement{job: j, step: st, task: task, id: id})
+		n := a.chooseVM(placement{job: j, step: st, task: task, id: id})
 		if n < 0 {
-			// The other tasks of the step need the same room.
+			// The step's other tasks need the same room.
 			return
 		}
-		a.start(j, st, id, task, a.rooms.slots[n].vm, a.s.nextAttempt(task))
-		a.rooms.moved(n)
+		a.start(j, st, id, task, a.index.vms[n].vm, a.s.nextAttempt(task))
+		a.index.reposition(n)
 	}
 }
 
+// nextAttempt returns the number of the task's next attempt.
 func (s *Scheduler) nextAttempt(t *taskState) job.Attempt {
 	t.attempt = max(t.attempt, s.settings.AttemptBase) + 1
 	return t.attempt
 }
 
-// countUnheard counts what each account may have running on VMs that this owner
-// hasn't heard yet: the tasks of jobs that were started there and have no run that is
-// known. The former owner may still go on with their later steps, since it knows ends
-// that this one doesn't.
-func (s *Scheduler) countUnheard(now time.Time) {
-	s.unheard = nil
-	if !s.anyUnheard {
+// countPossibleUsage sums up what each account may be running on VMs that have not reported to
+// this owner: the tasks without a known run of jobs that were started there. The former owner
+// knows of ends that this owner hasn't seen, so it may already have started later steps of
+// these jobs.
+func (s *Scheduler) countPossibleUsage(now time.Time) {
+	s.possibleUsage = nil
+	if !s.anyUnreported {
 		return
 	}
 	for _, j := range s.jobs.All() {
 		if !j.inherited || !s.mayRunUnheard(j) {
 			continue
 		}
-		if s.unheard == nil {
-			s.unheard = map[job.AccountName]job.Resources{}
+		if s.possibleUsage == nil {
+			s.possibleUsage = map[job.AccountName]job.Resources{}
 		}
 		for _, o := range j.occurrences {
-			s.unheard[j.Terms.Account] = s.unheard[j.Terms.Account].Add(o.mostUnknown())
+			s.possibleUsage[j.Terms.Account] = s.possibleUsage[j.Terms.Account].Add(o.maxUnknownUsage())
 		}
 	}
 }
 
-// mostUnknown returns the most that tasks without a known run can take up at a time.
-// Steps that wait for one another run one after the other.
-func (o *occurrence) mostUnknown() job.Resources {
+// maxUnknownUsage returns the most room that tasks without a known run can take at any one
+// time. If each step depends on the one before it, only one step runs at a time.
+func (o *occurrence) maxUnknownUsage() job.Resources {
 	var sum, largest job.Resources
-	inTurn := true
+	sequential := true
 	for i := range o.steps {
 		var r job.Resources
 		for t := range o.steps[i].tasks {
@@ -177,33 +181,35 @@
 			}
 		}
 		sum, largest = sum.Add(r), largest.Max(r)
-		inTurn = inTurn && (i == 0 || slices.Contains(o.steps[i].def.After, i-1))
+		sequential = sequential && (i == 0 || slices.Contains(o.steps[i].def.After, i-1))
 	}
-	if inTurn {
+	if sequential {
 		return largest
 	}
 	return sum
 }
 
-// withinCap tells whether the job's account may have more running. What may
-// still run counts.
+// withinCap reports whether the job's account stays within its cap if it runs this much more.
+// Tasks that may still be running count.
 func (a *assignment) withinCap(j *jobState, more job.Resources) bool {
-	account := a.s.conf.Account(j.Terms.Account)
+	account := a.s.config.Account(j.Terms.Account)
 	if account == nil {
 		return true
 	}
-	after := a.s.running[j.Terms.Account].Add(a.s.unheard[j.Terms.Account]).Add(more)
+	after := a.s.usage[j.Terms.Account].Add(a.s.possibleUsage[j.Terms.Account]).Add(more)
 	limit := account.Quota
 	return (limit.CPU == 0 || after.CPU <= limit.CPU) &&
 		(limit.MemMB == 0 || after.MemMB <= limit.MemMB) &&
 		(limit.GPU == 0 || after.GPU <= limit.GPU)
 }
 
+// start books a run of the task on the VM and sends the start as soon as the save that
+// records the VM as one of the job's places is stored.
 func (a *assignment) start(j *jobState, st *stepState, id job.TaskID, t *taskState, v *vmState, n job.Attempt) {
 	s := a.s
-	s.notePlaced(a.now, j)
+	s.reportPlaced(a.now, j)
 	if !j.places.Has(v.id) {
-		a.addPlaces(j, v)
+		a.recordPlaces(j, v)
 	}
 	r := &run{
 		task: id, attempt: n, vm: v, claim: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account,
@@ -219,34 +225,34 @@
 	if st.def.SameRack && st.rack == "" {
 		st.rack = v.rack
 	}
-	if r.requiredSave <= s.stored {
+	if r.requiredSave <= s.storedSequence {
 		s.send(a.now, r)
 		return
 	}
-	s.planned = append(s.planned, r)
+	s.plannedStarts = append(s.plannedStarts, r)
 }
 
-// notePlaced tells how the job was ranked when its first task was given a VM.
-func (s *Scheduler) notePlaced(now time.Time, j *jobState) {
+// reportPlaced reports the rank that the job had when its first task was given a VM.
+func (s *Scheduler) reportPlaced(now time.Time, j *jobState) {
 	if j.placed || j.lasting {
 		return
 	}
 	j.placed = true
 	s.decided(Decision{
 		Kind: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), After: now.Sub(j.arrived),
-		Slack: j.objective.Sub(now.Add(s.chain(j, j.current()))),
+		Slack: j.objective.Sub(now.Add(s.remainingTime(j, j.currentOccurrence()))),
 	})
 }
 
-// addPlaces stores that the job's tasks may run on the VM and on the others of its
-// rack. A new owner must know where they may run: else none of them could start
-// again while any VM is out of reach. Each place of its own costs a transaction
-// before the start, 0.3 s when the table is slow, and the next tasks likely go to
-// the same rack; VMs of a rack are lost together anyway.
-func (a *assignment) addPlaces(j *jobState, v *vmState) {
-	save := a.s.nextSave()
+// recordPlaces marks the VM and all others of its rack as places where the job's tasks may run,
+// to be stored before the start. Without this record a new owner could not restart any of the
+// tasks while any VM is out of reach. Storing each VM separately would cost a transaction
+// before each start, which takes 0.3 s when the table is slow. The job's next tasks are likely
+// to go to the same rack, and the VMs of a rack fail together anyway.
+func (a *assignment) recordPlaces(j *jobState, v *vmState) {
+	save := a.s.nextSaveSequence()
 	j.places.Set(v.id, save)
-	for _, n := range a.rack(v.rack) {
+	for _, n := range a.rackVMs(v.rack) {
 		if !j.places.Has(n.id) {
 			j.places.Set(n.id, save)
 		}
@@ -254,15 +260,15 @@
 	a.s.markDirty(j)
 }
 
-// rack returns the VMs of a rack; those without one share none.
-func (a *assignment) rack(rack job.Label) []*vmState {
-	if a.byRack == nil {
-		a.byRack = map[job.Label][]*vmState{}
+// rackVMs returns the VMs of a rack. VMs without a rack label belong to none.
+func (a *assignment) rackVMs(rack job.Label) []*vmState {
+	if a.vmsByRack == nil {
+		a.vmsByRack = map[job.Label][]*vmState{}
 		for _, v := range a.vms {
 			if v.rack != "" {
-				a.byRack[v.rack] = append(a.byRack[v.rack], v)
+				a.vmsByRack[v.rack] = append(a.vmsByRack[v.rack], v)
 			}
 		}
 	}
-	return a.byRack[rack]
+	return a.vmsByRack[rack]
 }
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// entryOf is what a VM with this much CPU says of itself.
+// entryOf returns the directory entry of a VM with this much CPU.
 func entryOf(id string, cpu int64, born job.Born) job.VMRecord {
 	return job.VMRecord{
 		ID: job.VMID(id), Pool: poolA, Address: id, Capacity: job.Resources{CPU: cpu, MemMB: 8000},
@@ -17,27 +17,27 @@
 	}
 }
 
-// resize tells that a VM's capacity has changed.
+// resize updates the directory entry of a VM whose capacity has changed.
 func (h *harness) resize(id string, cpu int64) { h.s.VMSeen(h.now, entryOf(id, cpu, 1)) }
 
-// Guards against a start that waited for its save while the VM's room shrank.
+// Guards against sending a planned start after the VM has shrunk while the save was pending.
 func TestPlannedStartIsSentOnlyIfItFits(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
-	saves := h.turn(0)
+	saves := h.turnWithoutStoring(0)
 	h.resize("one", 500)
 	for _, c := range saves {
 		h.store(c)
 	}
-	assert.Equal(t, len(only[Start](h.s.Take())), 0)
+	assert.Equal(t, len(only[Start](h.s.TakeCommands())), 0)
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.resize("one", 8000)
 	one[Start](h, h.step(0))
 }
 
-// Guards against starts beside a run whose room nobody knows, until that has ended.
-func TestRunOfAnUnknownJobKeepsTasksOff(t *testing.T) {
+// Guards against starting tasks beside a run whose size is unknown before it has ended.
+func TestRunOfAnUnknownJobBlocksStarts(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	stray := job.RunningTask{Task: job.TaskID{Job: "stray"}, Attempt: 7}
@@ -50,8 +50,8 @@
 	one[Start](h, h.step(0))
 }
 
-// Guards against starts by the capacity and labels of a VM's former life.
-func TestNewLifeTakesTasksOnceItsEntryIsThere(t *testing.T) {
+// Guards against starts that rely on the capacity and labels of a VM's former life.
+func TestNewLifeTakesTasksOnceListed(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.now = h.now.Add(time.Second)
@@ -60,13 +60,14 @@
 	h.job("j", "free", small)
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.resize("one", 8000)
-	assert.Equal(t, len(only[Start](h.step(0))), 0, "the entry is of the former life")
+	assert.Equal(t, len(only[Start](h.step(0))), 0, "task started while the entry is of the former life")
 	h.s.VMSeen(h.now, entryOf("one", 8000, 2))
 	one[Start](h, h.step(0))
 }
 
-// Guards against starts that are refused again and again while the news of a shrink is late.
-func TestRefusalsForRoomGrowRarer(t *testing.T) {
+// Guards against starts that are refused again and again because the news of a shrunken VM is
+// late.
+func TestRefusedStartsBackOff(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -77,12 +78,12 @@
 			h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedCapacity})
 		}
 	}
-	assert.Assert(t, refused <= 10, "%d starts in 10 s", refused)
+	assert.Assert(t, refused <= 10, "%d starts refused within 10 s", refused)
 	h.resize("one", 4000)
 	one[Start](h, h.step(0))
 }
 
-// listOneAndOff tells of the machine of the VM "one" and of one that is off.
+// listOneAndOff lists the machine of the VM "one" and a machine that is off.
 func (h *harness) listOneAndOff() {
 	h.s.Machines(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
@@ -90,29 +91,31 @@
 	})
 }
 
-// Guards against a lasting task that may share its VM, finds no room, and gets no machine.
+// Guards against a pool that gets no machine although one of its lasting tasks, which may share
+// a VM, finds no room.
 func TestPoolGetsAVMForALastingTaskThatMayShare(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.listOneAndOff()
 	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}, LongRunning: true})
 	h.confirm(one[Start](h, h.step(0)))
-	assert.Equal(t, one[Move](h, h.step(waitingLong+sizeEvery)).Machine, job.MachineID("m-off"))
+	assert.Equal(t, one[Move](h, h.step(lastingWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
-// Guards against a lasting task that fits on no VM of its pool since they have shrunk,
-// and gets no machine.
-func TestPoolGetsAVMWhenItsOwnHaveShrunk(t *testing.T) {
+// Guards against a pool that gets no machine although a lasting task fits on none of its VMs
+// since they have shrunk.
+func TestPoolGetsAVMWhenItsOwnVMsHaveShrunk(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.listOneAndOff()
 	h.resize("one", 1000)
 	h.job("j", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 2000}, LongRunning: true})
-	assert.Equal(t, one[Move](h, h.step(waitingLong+sizeEvery)).Machine, job.MachineID("m-off"))
+	assert.Equal(t, one[Move](h, h.step(lastingWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
-// Guards against machines that are lent by the capacity of the list, which lags.
-func TestMachineIsLentByItsVMsPresentRoom(t *testing.T) {
+// Guards against moving machines by the capacity in the machine list, which lags behind that of
+// the VM.
+func TestIdleMachineHasTheCapacityOfItsVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.s.Machines(h.now, []job.Machine{
@@ -122,15 +125,15 @@
 	assert.Equal(t, len(idle), 1)
 	assert.Equal(t, idle[0].CPU, int64(8000))
 	h.resize("one", 0)
-	assert.Equal(t, len(h.s.idleMachines(h.now)), 0, "it would bring no room")
+	assert.Equal(t, len(h.s.idleMachines(h.now)), 0, "machine without capacity counts as idle")
 }
 
 // Guards against starts on VMs that may have shrunk since the directory was last read.
-func TestOldDirectoryStartsNothingThatIsntGuarded(t *testing.T) {
+func TestOutdatedDirectoryAllowsOnlyGuardedStarts(t *testing.T) {
 	for _, guarded := range []bool{false, true} {
 		h := newHarness(t)
 		h.s.settings.ShrinkNotice = 3 * time.Second
-		h.s.conf.Pool(poolA).EnforcesCapacity = guarded
+		h.s.config.Pool(poolA).EnforcesCapacity = guarded
 		h.ready("one")
 		h.s.DirectoryRead(h.now)
 		h.job("j", "free", small)
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -175,9 +175,9 @@
 func crashCost(t *taskState, v *vmState) float64 {
 	switch {
 	case t.crashes.any():
-		return costSuspects*float64(v.crashSuspects) + costCompany*(1-v.freeShare())
+		return costSuspect*float64(v.crashSuspects) + costCrashRisk*(1-v.freeFraction())
 	case v.crashSuspects > 0:
-		return costCompany
+		return costCrashRisk
 	}
 	return 0
 }
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// readyIn brings up a VM in an availability zone and returns what that led to.
+// readyIn brings up a VM in an availability zone and returns the commands that follow.
 func (h *harness) readyIn(zone job.ZoneName, id string) []Command {
 	h.seenInZone(id, zone)
 	h.step(0)
@@ -17,30 +17,31 @@
 	return h.step(30 * time.Millisecond)
 }
 
-// Guards against starts in an evacuated zone, also on VMs that are listed there later.
+// Guards against starts in an evacuated zone, including starts on VMs that are listed there
+// after the evacuation.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
-	h.s.Evacuate([]job.ZoneName{"east"})
+	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
 	h.readyIn("east", "two")
 	h.job("j", "free", small)
 	assert.Equal(t, len(only[Start](h.step(time.Second))), 0)
 	assert.Equal(t, one[Start](h, h.readyIn("west", "three")).VM, job.VMID("three"))
-	h.s.Evacuate(nil)
+	h.s.SetEvacuatedZones(nil)
 	h.job("k", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 8000, MemMB: 100}})
-	assert.Equal(t, len(only[Start](h.step(0))), 1, "the zone is not open again")
+	assert.Equal(t, len(only[Start](h.step(0))), 1, "no start after the evacuation ended")
 }
 
-// Guards against a start that was decided before the evacuation and waits for its save.
+// Guards against sending a start that was planned before the evacuation and waits for its save.
 func TestPlannedStartIsNotSentIntoAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
 	h.job("j", "free", small)
 	h.s.Tick(h.now)
 	h.s.Assign(h.now, h.now)
-	commands := h.s.Take()
-	assert.Equal(t, len(only[Start](commands)), 0, "the place is stored first")
-	h.s.Evacuate([]job.ZoneName{"east"})
+	commands := h.s.TakeCommands()
+	assert.Equal(t, len(only[Start](commands)), 0, "start sent before its save is stored")
+	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
 	for _, c := range commands {
 		h.store(c)
 	}
@@ -48,8 +49,8 @@
 	assert.Equal(t, one[Start](h, h.readyIn("west", "two")).VM, job.VMID("two"))
 }
 
-// Guards against lasting tasks that stay in an evacuated zone, that leave it before there
-// is room elsewhere, or more at a time than their step may miss.
+// Guards against lasting tasks that stay in an evacuated zone, that leave before there is room
+// elsewhere, or that leave in greater number than their step may miss.
 func TestLastingTasksLeaveAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
@@ -63,12 +64,12 @@
 		h.confirm(c)
 		h.lists(string(c.VM), []job.RunningTask{running(c, 100)})
 	}
-	h.s.Evacuate([]job.ZoneName{"east"})
-	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0, "there is no room elsewhere")
+	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
+	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0, "task stopped although no VM elsewhere has room")
 	h.readyIn("west", "three")
 	h.readyIn("west", "four")
-	first := h.stopping()
-	assert.Equal(t, len(first), 1, "one task may be away")
+	first := h.stoppingRuns()
+	assert.Equal(t, len(first), 1, "want one task stopped at a time")
 	h.step(300 * time.Millisecond)
 	h.lists(string(first[0].vm.id), nil, job.End{Number: 1, Task: first[0].task, Attempt: first[0].attempt, How: job.EndedStopped})
 	again := one[Start](h, h.step(0))
@@ -76,14 +77,14 @@
 	h.confirm(again)
 	h.lists(string(again.VM), []job.RunningTask{running(again, 40)})
 	h.step(50 * time.Millisecond)
-	assert.Equal(t, len(h.stopping()), 0, "the first isn't at work yet")
+	assert.Equal(t, len(h.stoppingRuns()), 0, "second task stopped before the first is fully running")
 	h.lists(string(again.VM), []job.RunningTask{running(again, 100)})
 	h.step(50 * time.Millisecond)
-	assert.Equal(t, len(h.stopping()), 1)
+	assert.Equal(t, len(h.stoppingRuns()), 1)
 }
 
-// stopping returns the runs whose end was ordered.
-func (h *harness) stopping() []*run {
+// stoppingRuns returns the runs that were ordered to stop.
+func (h *harness) stoppingRuns() []*run {
 	var out []*run
 	for _, v := range h.s.vms.All() {
 		for _, r := range v.runs.All() {
@@ -95,9 +96,9 @@
 	return out
 }
 
-// Guards against pools that count on VMs of an evacuated zone, and against moves of its
-// machines, which bring no room.
-func TestEvacuatedZoneBringsNoRoom(t *testing.T) {
+// Guards against counting VMs of an evacuated zone as capacity, and against moving its
+// machines, which adds none.
+func TestEvacuatedZoneAddsNoCapacity(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
 	h.readyIn("west", "two")
@@ -107,9 +108,9 @@
 		{ID: "m-off-east", Pool: off, State: job.MachineUp, Zone: "east", Capacity: job.Resources{CPU: 8000}},
 		{ID: "m-off-west", Pool: off, State: job.MachineUp, Zone: "west", Capacity: job.Resources{CPU: 8000}},
 	})
-	h.s.Evacuate([]job.ZoneName{"east"})
-	rooms := h.s.poolRooms(h.now)
-	assert.Equal(t, rooms.have[poolA], int64(8000))
+	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
+	capacity := h.s.poolCapacity(h.now)
+	assert.Equal(t, capacity.available[poolA], int64(8000))
 	h.job("j", "free", job.Step{Count: 40, Resources: job.Resources{CPU: 1000, MemMB: 10}, Estimate: time.Second})
 	var moved []job.MachineID
 	for range 10 {
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -30,7 +30,7 @@
 func newHarness(t testing.TB) *harness {
 	h := &harness{t: t, now: begin}
 	h.s = New(Settings{
-		Fence: 5, AttemptBase: 100, TookOver: begin, LeaseMax: 6 * time.Second, TaskStop: 400 * time.Millisecond,
+		Fence: 5, AttemptBase: 100, TookOver: begin, LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond,
 		MachineLease: 3 * time.Second, Holder: "here",
 	})
 	c := &job.Configuration{
@@ -53,7 +53,7 @@
 	for range 3 {
 		h.s.Tick(h.now)
 		h.s.Assign(h.now, h.now)
-		commands := h.s.Take()
+		commands := h.s.TakeCommands()
 		out = append(out, commands...)
 		for _, c := range commands {
 			h.store(c)
@@ -65,7 +65,7 @@
 // store confirms c as stored if it is a save.
 func (h *harness) store(c Command) {
 	if sequence, ok := SequenceOf(c); ok {
-		h.s.Stored(h.now, sequence)
+		h.s.SavesStored(h.now, sequence)
 	}
 }
 
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// rank sorts jobs into groups, the first served first.
+// rank divides jobs into groups. The group with the lowest value is served first.
 type rank int
 
 const (
-	// rankLasting: tasks that serve users or run for long must be back at work
+	// rankLasting: a lasting task serves users or runs for long, and must be running again
 	// within seconds of any end.
 	rankLasting rank = iota
-	// rankInTime: the job can be complete by its objective.
+	// rankInTime: the job can complete by its objective.
 	rankInTime
-	// rankLate: it can only be complete late, at a small part of its worth.
+	// rankLate: the job can only complete late, when it is worth a small part of its value.
 	rankLate
-	// rankExcess: its account has handed in more than its share.
+	// rankExcess: the job's account has submitted more than its share.
 	rankExcess
-	// rankUseless: nobody waits for it any more, but it was accepted.
+	// rankUseless: nobody waits for the job any more, but it was accepted and still has to run.
 	rankUseless
 )
 
@@ -32,32 +32,32 @@
 type candidate struct {
 	job  *jobState
 	rank rank
-	// density is the worth of completing the job for each core-second that it
-	// still needs.
+	// density is the value of completing the job per core-second that it still needs.
 	density float64
 }
 
 const (
-	// worthBase and worthOfWork make up a job's worth: a part for the job and a
-	// part in proportion to its work against the mean of its queue.
-	worthBase   = 0.3
-	worthOfWork = 0.7
-	// leastWork keeps the density of nearly finished jobs finite, in core-seconds.
-	leastWork = 0.05
+	// A job's value is valueBase, plus valuePerRelativeWork times its work divided by the mean
+	// work of its queue.
+	valueBase            = 0.3
+	valuePerRelativeWork = 0.7
+	// minRemainingWork, in core-seconds, keeps the density of nearly finished jobs finite.
+	minRemainingWork = 0.05
 )
 
-// candidates returns the jobs of a pool in the order in which they get room.
-// When not all can be in time, those come first that bring the most for the
-// room that they still need; late ones come after all that are in time.
+// candidates returns the jobs of a pool in the order in which they get room. If not all can be
+// in time, those with the highest value per core-second that they still need come first. Late
+// jobs come after all that can be in time.
 func (s *Scheduler) candidates(now time.Time, jobs []*jobState) []candidate {
 	out := make([]candidate, 0, len(jobs))
 	for _, j := range jobs {
-		out = append(out, s.rate(now, j))
+		out = append(out, s.rateJob(now, j))
 	}
 	slices.SortFunc(out, compareCandidates)
 	return out
 }
 
+// compareCandidates orders candidates by rank, priority, density and arrival.
 func compareCandidates(a, b candidate) int {
 	switch {
 	case a.rank != b.rank:
@@ -70,32 +70,32 @@
 	return cmp.Or(a.job.arrived.Compare(b.job.arrived), cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// rateEvery is how often a job's place in the order is worked out anew if none of its
-// tasks has ended.
-const rateEvery = 50 * time.Millisecond
+// ratingInterval is how often the rating of a job is recomputed if none of its tasks has ended.
+const ratingInterval = 50 * time.Millisecond
 
-// rate returns the job's place in the order, which may be as old as rateEvery.
-func (s *Scheduler) rate(now time.Time, j *jobState) candidate {
-	if j.ratedAt.IsZero() || now.Sub(j.ratedAt) >= rateEvery {
+// rateJob returns the rating of the job, which may be up to ratingInterval old.
+func (s *Scheduler) rateJob(now time.Time, j *jobState) candidate {
+	if j.ratedAt.IsZero() || now.Sub(j.ratedAt) >= ratingInterval {
 		j.objective, j.lateLimit = s.objective(j)
-		j.rating, j.ratedAt = s.candidate(now, j), now
+		j.rating, j.ratedAt = s.newCandidate(now, j), now
 	}
 	return j.rating
 }
 
-func (s *Scheduler) candidate(now time.Time, j *jobState) candidate {
+// newCandidate computes the rank and density of a job.
+func (s *Scheduler) newCandidate(now time.Time, j *jobState) candidate {
 	c := candidate{job: j, rank: rankLasting}
 	if j.lasting {
 		return c
 	}
 	left, all := s.work(j)
-	mean := s.queue(j.Terms.Queue).meanWork
+	mean := s.queueStats(j.Terms.Queue).meanWork
 	relative := 1.0
 	if mean > 0 {
 		relative = all / mean
 	}
-	c.density = (worthBase + worthOfWork*relative) / max(left, leastWork)
-	ready := now.Add(s.chain(j, j.current()))
+	c.density = (valueBase + valuePerRelativeWork*relative) / max(left, minRemainingWork)
+	ready := now.Add(s.remainingTime(j, j.currentOccurrence()))
 	switch {
 	case !ready.After(j.objective):
 		c.rank = rankInTime
@@ -110,8 +110,8 @@
 	return c
 }
 
-// current returns the first occurrence that isn't complete.
-func (j *jobState) current() *occurrence {
+// currentOccurrence returns the first occurrence that isn't complete.
+func (j *jobState) currentOccurrence() *occurrence {
 	for _, o := range j.occurrences {
 		if o.done < len(o.steps) {
 			return o
--- a/core/schedule/order_test.go
+++ b/core/schedule/order_test.go
@@ -11,7 +11,7 @@
 	"lavenderpond/core/job"
 )
 
-// comesBefore is the order as a person would state it.
+// comesBefore states the order of candidates in its simplest form.
 func comesBefore(a, b candidate) bool {
 	if a.rank != b.rank {
 		return a.rank < b.rank
@@ -28,9 +28,9 @@
 	return a.job.ID < b.job.ID
 }
 
-// The sorted candidates against a naive selection, one by one, of the job that
-// comes before all others.
-func TestOrderAgainstNaive(t *testing.T) {
+// The sorted candidates must match a selection that repeatedly picks the job that comes before
+// all others.
+func TestOrderMatchesNaiveSelection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 50 {
 		h := newHarness(t)
@@ -49,22 +49,21 @@
 		}
 		h.now = h.now.Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
 		sorted := h.s.candidates(h.now, jobs)
-		left := jobs
+		remaining := jobs
 		for _, got := range sorted {
 			best := 0
-			for i := range left {
-				if comesBefore(h.s.candidate(h.now, left[i]), h.s.candidate(h.now, left[best])) {
+			for i := range remaining {
+				if comesBefore(h.s.newCandidate(h.now, remaining[i]), h.s.newCandidate(h.now, remaining[best])) {
 					best = i
 				}
 			}
-			assert.Equal(t, got.job.ID, left[best].ID, "round %d", round)
-			left = append(left[:best:best], left[best+1:]...)
+			assert.Equal(t, got.job.ID, remaining[best].ID, "round %d", round)
+			remaining = append(remaining[:best:best], remaining[best+1:]...)
 		}
 	}
 }
 
-// A job that can't be in time any more comes after all that can, however little
-// it needs.
+// A job that can no longer be in time comes after all that can, however little work it needs.
 func TestLateJobsComeLast(t *testing.T) {
 	h := newHarness(t)
 	h.job("late", "free", small)
--- a/core/schedule/ordered.go
+++ b/core/schedule/ordered.go
@@ -2,26 +2,27 @@
 
 import "iter"
 
-// ordered is a map that is walked in the order of insertion: the same events
-// must always bring about the same commands. Its zero value is empty.
-type ordered[K comparable, V any] struct {
+// orderedMap is a map that is iterated in insertion order, so that the same events always lead
+// to the same commands. Its zero value is empty.
+type orderedMap[K comparable, V any] struct {
 	index   map[K]*entry[K, V]
 	entries []*entry[K, V]
 }
 
-// entry is one key and its value. A walk that goes on sees that it was deleted.
+// entry is a key with its value. An iteration in progress skips entries that are marked as
+// deleted.
 type entry[K comparable, V any] struct {
 	key     K
 	value   V
 	deleted bool
 }
 
-// compactFrom is the number of entries from which deleted ones are gathered before
-// they are taken out.
-const compactFrom = 32
+// minCompactEntries is the number of entries from which deleted entries are kept for a while
+// and removed together.
+const minCompactEntries = 32
 
 // Get returns the value of k, or the zero value.
-func (o *ordered[K, V]) Get(k K) V {
+func (o *orderedMap[K, V]) Get(k K) V {
 	if e := o.index[k]; e != nil {
 		return e.value
 	}
@@ -29,14 +30,14 @@
 	return none
 }
 
-// Has tells whether there is a value of k.
-func (o *ordered[K, V]) Has(k K) bool { return o.index[k] != nil }
+// Has reports whether the map has a value for k.
+func (o *orderedMap[K, V]) Has(k K) bool { return o.index[k] != nil }
 
 // Len returns the number of values.
-func (o *ordered[K, V]) Len() int { return len(o.index) }
+func (o *orderedMap[K, V]) Len() int { return len(o.index) }
 
 // Set sets the value of k.
-func (o *ordered[K, V]) Set(k K, v V) {
+func (o *orderedMap[K, V]) Set(k K, v V) {
 	if e := o.index[k]; e != nil {
 		e.value = v
 		return
@@ -49,22 +50,22 @@
 	o.entries = append(o.entries, e)
 }
 
-// Delete takes k out.
-func (o *ordered[K, V]) Delete(k K) {
+// Delete removes k.
+func (o *orderedMap[K, V]) Delete(k K) {
 	e := o.index[k]
 	if e == nil {
 		return
 	}
 	e.deleted = true
 	delete(o.index, k)
-	if n := len(o.entries); n < compactFrom || n > 2*len(o.index) {
+	if n := len(o.entries); n < minCompactEntries || n > 2*len(o.index) {
 		o.compact()
 	}
 }
 
-// compact takes the deleted entries out. It copies, so that a walk that is going
-// on holds.
-func (o *ordered[K, V]) compact() {
+// compact removes the deleted entries. It copies the slice, so that iterations in progress stay
+// valid.
+func (o *orderedMap[K, V]) compact() {
 	live := make([]*entry[K, V], 0, len(o.index))
 	for _, e := range o.entries {
 		if !e.deleted {
@@ -74,8 +75,8 @@
 	o.entries = live
 }
 
-// Keys returns the keys in order.
-func (o *ordered[K, V]) Keys() []K {
+// Keys returns the keys in insertion order.
+func (o *orderedMap[K, V]) Keys() []K {
 	out := make([]K, 0, len(o.index))
 	for k := range o.All() {
 		out = append(out, k)
@@ -83,8 +84,8 @@
 	return out
 }
 
-// All walks keys and values. Values may be set and deleted meanwhile.
-func (o *ordered[K, V]) All() iter.Seq2[K, V] {
+// All iterates over keys and values. Values may be set and deleted during the iteration.
+func (o *orderedMap[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, e := range o.entries {
 			if !e.deleted && !yield(e.key, e.value) {
--- a/core/schedule/place_test.go
+++ b/core/schedule/place_test.go
@@ -9,22 +9,22 @@
 	"lavenderpond/core/job"
 )
 
-// turn plays one turn and stores nothing, as while the table is slow.
-func (h *harness) turn(d time.Duration) []Command {
+// turnWithoutStoring runs one turn and stores none of its saves, as if the table were slow.
+func (h *harness) turnWithoutStoring(d time.Duration) []Command {
 	h.now = h.now.Add(d)
 	h.s.Tick(h.now)
 	h.s.Assign(h.now, h.now)
-	return h.s.Take()
+	return h.s.TakeCommands()
 }
 
-func done(c Start) job.End {
+func endedWell(c Start) job.End {
 	return job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone}
 }
 
-// The table is slow. A job's first task has begun; the second step needs the other
-// VM of the rack. If that one had to be stored as a place of the job first, the
-// caller would wait for another transaction of 0.3 s before each step.
-func TestRackIsStoredAsOnePlace(t *testing.T) {
+// Guards against a transaction before each step of a job, which takes 0.3 s while the table is
+// slow. When the first task is stored as started on one VM of a rack, a second step must start
+// on the rack's other VM without another save.
+func TestAllVMsOfARackAreStoredTogether(t *testing.T) {
 	h := newHarness(t)
 	for _, id := range []string{"one", "two"} {
 		h.s.VMSeen(h.now, job.VMRecord{
@@ -43,7 +43,7 @@
 	h.job("j", "free", wide, second)
 	h.job("k", "free", wide)
 	first := only[Start](h.step(10 * time.Millisecond))
-	assert.Equal(t, len(first), 2, "each on a VM of its own")
+	assert.Equal(t, len(first), 2, "want both jobs started, each on its own VM")
 	for _, c := range first {
 		h.confirm(c)
 	}
@@ -52,11 +52,11 @@
 	if mine.Order.Task.Job == "k" {
 		mine, other = other, mine
 	}
-	// Both tasks end, and the VM of the first step takes no more.
-	h.lists(string(mine.VM), nil, done(mine))
-	h.lists(string(other.VM), nil, done(other))
+	// Both tasks end, and the VM of the first step takes no more tasks.
+	h.lists(string(mine.VM), nil, endedWell(mine))
+	h.lists(string(other.VM), nil, endedWell(other))
 	h.s.vms.Get(mine.VM).draining = true
-	next := one[Start](h, h.turn(10*time.Millisecond))
+	next := one[Start](h, h.turnWithoutStoring(10*time.Millisecond))
 	assert.Equal(t, next.VM, other.VM)
 	assert.Equal(t, next.Order.Task, job.TaskID{Job: "j", Step: 1})
 }
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -12,7 +12,8 @@
 
 const poolB = job.PoolName("b")
 
-// newPoolsHarness has two queues with a pool each, and machines that may move.
+// newPoolsHarness returns a harness with two queues that have a pool each, and whose machines
+// may move.
 func newPoolsHarness(t testing.TB) *harness {
 	h := newHarness(t)
 	c := &job.Configuration{
@@ -29,8 +30,8 @@
 	return h
 }
 
-// seenIn lists a VM of a pool and its machine.
-func (h *harness) seenIn(pool job.PoolName, ids ...string) {
+// listVMs lists VMs of a pool in the directory.
+func (h *harness) listVMs(pool job.PoolName, ids ...string) {
 	for _, id := range ids {
 		h.s.VMSeen(h.now, job.VMRecord{
 			ID: job.VMID(id), Pool: pool, Address: id, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
@@ -39,7 +40,7 @@
 	}
 }
 
-// listMachines tells of one machine for each VM.
+// listMachines lists one machine for each VM.
 func (h *harness) listMachines() {
 	var ids []string
 	for id := range h.s.vms.All() {
@@ -48,7 +49,7 @@
 	h.listMachinesOf(ids...)
 }
 
-// listMachinesOf tells of the machines of these VMs.
+// listMachinesOf lists the machines of these VMs.
 func (h *harness) listMachinesOf(ids ...string) {
 	var list []job.Machine
 	for _, n := range ids {
@@ -61,19 +62,19 @@
 	h.s.Machines(h.now, list)
 }
 
-// jobIn hands a job of a queue in.
+// jobIn submits a job to a queue.
 func (h *harness) jobIn(queue job.QueueName, id string, steps ...job.Step) {
 	h.s.AddJob(h.now, h.jobOf(queue, id, steps...), nil, false)
 }
 
 func (h *harness) jobOf(queue job.QueueName, id string, steps ...job.Step) job.Job {
-	q := h.s.conf.Queue(queue)
+	q := h.s.config.Queue(queue)
 	j := job.Job{ID: job.ID(id), Body: job.Body{Spec: "x", Steps: steps}}
 	j.Terms = job.Terms{Queue: queue, Pool: q.Pool, Account: "free", MaxAttempts: 2, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
 	return j
 }
 
-// movesOf sorts moves by where they go.
+// movesOf groups the moved machines by destination pool.
 func movesOf(commands []Command) map[job.PoolName][]job.MachineID {
 	out := map[job.PoolName][]job.MachineID{}
 	for _, m := range only[Move](commands) {
@@ -82,36 +83,35 @@
 	return out
 }
 
-// An owner takes over while a zone is cut off. A wide job may still run there and
-// can't start again before that is known, so it has no use for room. If it counted,
-// the idle machines would go to its pool and stand there, while the callers of the
-// queue that bursts wait for them.
+// Guards against moving machines to a pool for a job that can't start. After a take-over while
+// a zone is cut off, a wide job may still run there and must not start again until that is
+// known. If its demand counted, the idle machines would stand unused in its pool while the
+// callers of the queue that bursts wait for them.
 func TestJobThatCannotStartTakesNoMachines(t *testing.T) {
 	h := newPoolsHarness(t)
 	wide := job.Step{Count: 40, Resources: job.Resources{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second}
-	h.s.Inherit(RosterVM{ID: "far", Address: "far", Pool: poolB, Born: 1})
+	h.s.AddInheritedVM(RosterVM{ID: "far", Address: "far", Pool: poolB, Born: 1})
 	h.s.AddJob(h.now, h.jobOf("qb", "cut", wide), &job.Progress{State: job.Running, VMs: []job.VMID{"far"}}, true)
-	h.seenIn(poolA, "a1")
-	h.seenIn(poolB, "b1", "b2", "b3", "b4", "far")
+	h.listVMs(poolA, "a1")
+	h.listVMs(poolB, "b1", "b2", "b3", "b4", "far")
 	h.step(0)
 	for _, id := range []string{"a1", "b1", "b2", "b3", "b4"} {
 		h.lists(id, nil)
 	}
 	h.listMachines()
 	h.jobIn("qa", "burst", wide)
-	moves := movesOf(h.step(unheardGrace + 200*time.Millisecond))
+	moves := movesOf(h.step(firstReportGrace + 200*time.Millisecond))
 	assert.Equal(t, len(moves[poolB]), 0)
 	assert.Assert(t, len(moves[poolA]) >= 3, "%v", moves)
 }
 
-// A pool has more room than it uses, but a little runs on each of its VMs, and the
-// jobs there would go on with their next steps on them. None would ever be idle and
-// could help the queue that bursts. Their next steps share a VM instead, so that
-// another falls idle and moves at once.
-func TestVMIsVacatedForAPoolThatLacks(t *testing.T) {
+// Guards against a pool with spare capacity whose machines never become idle because a little
+// runs on each of its VMs. When another pool is short, the next steps of its jobs must share a
+// VM, so that the other VM becomes idle and its machine moves at once.
+func TestVMIsVacatedForAPoolThatIsShort(t *testing.T) {
 	h := newPoolsHarness(t)
-	h.seenIn(poolA, "a1")
-	h.seenIn(poolB, "b1", "b2")
+	h.listVMs(poolA, "a1")
+	h.listVMs(poolB, "b1", "b2")
 	h.step(0)
 	for _, id := range []string{"a1", "b1", "b2"} {
 		h.lists(id, nil)
@@ -127,26 +127,26 @@
 	for _, c := range starts {
 		h.confirm(c)
 	}
-	// The two ran on different VMs, since one hasn't the memory for both.
+	// The two ran on different VMs, since neither VM has the memory for both.
 	assert.Assert(t, starts[0].VM != starts[1].VM)
 	h.now = h.now.Add(2 * time.Second)
 	h.jobIn("qa", "burst", job.Step{Count: 60, Resources: job.Resources{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second})
-	h.step(sizeEvery)
-	var on []job.VMID
+	h.step(sizingInterval)
+	var nextVMs []job.VMID
 	moved := 0
 	for i, c := range starts {
 		h.lists(string(c.VM), nil, job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone})
-		commands := h.step(sizeEvery)
+		commands := h.step(sizingInterval)
 		for _, n := range only[Start](commands) {
 			if h.s.jobs.Get(n.Order.Task.Job).Terms.Pool == poolB {
-				on = append(on, n.VM)
+				nextVMs = append(nextVMs, n.VM)
 				h.confirm(n)
 			}
 		}
 		moved += len(only[Move](commands))
-		assert.Equal(t, len(on), i+1, fmt.Sprint(commands))
+		assert.Equal(t, len(nextVMs), i+1, fmt.Sprint(commands))
 	}
-	moved += len(only[Move](h.step(sizeEvery)))
-	assert.Equal(t, on[0], on[1], "the next steps keep both VMs of the pool")
-	assert.Equal(t, moved, 1, "no machine came free for the burst")
+	moved += len(only[Move](h.step(sizingInterval)))
+	assert.Equal(t, nextVMs[0], nextVMs[1], "next steps run on different VMs")
+	assert.Equal(t, moved, 1, "want one machine moved to the pool that bursts")
 }
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -61,7 +61,7 @@
 	}
 	r.recorded = true
 	s.markDirty(j)
-	r.requiredSave = max(r.requiredSave, s.nextSave())
+	r.requiredSave = max(r.requiredSave, s.nextSaveSequence())
 }
 
 // restoreCrashes restores stored crashes.
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -47,8 +47,8 @@
 	if !s.applyEnd(now, v, e) {
 		s.reportRedundantEnd(v, e)
 	}
-	save := s.saveOf(e.Task.Job)
-	if save <= s.stored && len(v.unsavedEnds) == 0 {
+	save := s.saveSequenceOf(e.Task.Job)
+	if save <= s.storedSequence && len(v.unsavedEnds) == 0 {
 		v.noted = e.Number
 		return
 	}
@@ -128,7 +128,7 @@
 	}
 	s.countSuccess(v)
 	if ranFor > 0 {
-		s.learn(j, ranFor)
+		s.learnRunTime(j, ranFor)
 		st.runTimes = append(st.runTimes, ranFor)
 	}
 	if st.def.Gang {
@@ -181,7 +181,7 @@
 	}
 	t.failed = append(t.failed, e.Attempt)
 	s.markDirty(j)
-	if len(t.failed) >= s.attempts(j) {
+	if len(t.failed) >= s.maxAttempts(j) {
 		s.finish(now, j, job.Failed)
 	}
 	return true
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -8,67 +8,68 @@
 	"lavenderpond/core/job"
 )
 
+// markDirty makes the next save include the job.
 func (s *Scheduler) markDirty(j *jobState) {
 	if !j.dirty {
 		j.dirty = true
-		s.dirty = append(s.dirty, j)
+		s.dirtyJobs = append(s.dirtyJobs, j)
 	}
 }
 
-// nextSave returns the sequence of the save that will hold what is dirty now.
-func (s *Scheduler) nextSave() int64 { return s.sequence + 1 }
+// nextSaveSequence returns the sequence of the save that will contain all present changes.
+func (s *Scheduler) nextSaveSequence() int64 { return s.saveSequence + 1 }
 
-// saveOf returns the sequence of the save that holds all that is known of a job; 0 if
-// nothing of it needs one.
-func (s *Scheduler) saveOf(id job.ID) int64 {
+// saveSequenceOf returns the sequence of the save that contains everything known of a job, or 0
+// if the job needs no save.
+func (s *Scheduler) saveSequenceOf(id job.ID) int64 {
 	j := s.jobs.Get(id)
 	switch {
 	case j == nil:
 		return 0
 	case j.dirty:
-		return s.nextSave()
+		return s.nextSaveSequence()
 	}
 	return j.lastSave
 }
 
-// flushSaves turns all that has changed into saves of one sequence.
+// flushSaves issues saves with one common sequence for everything that has changed.
 func (s *Scheduler) flushSaves() {
-	if len(s.dirty) == 0 && len(s.dirtyVMs) == 0 && len(s.dirtyOrders) == 0 && len(s.dirtyWaves) == 0 {
+	if len(s.dirtyJobs) == 0 && len(s.dirtyVMs) == 0 && len(s.dirtyOrders) == 0 && len(s.dirtyWaves) == 0 {
 		return
 	}
-	s.sequence++
+	s.saveSequence++
 	s.flushVMs()
 	s.flushOrders()
 	for _, w := range s.dirtyWaves {
-		s.emit(SaveWave{Sequence: s.sequence, Number: w.Number, Done: slices.Sorted(maps.Keys(w.done))})
+		s.emit(SaveWave{Sequence: s.saveSequence, Number: w.Number, Done: slices.Sorted(maps.Keys(w.done))})
 	}
 	s.dirtyWaves = nil
-	for _, j := range s.dirty {
-		j.dirty, j.lastSave = false, s.sequence
-		s.emit(Save{Sequence: s.sequence, Job: j.ID, Progress: j.progress()})
+	for _, j := range s.dirtyJobs {
+		j.dirty, j.lastSave = false, s.saveSequence
+		s.emit(Save{Sequence: s.saveSequence, Job: j.ID, Progress: j.progress()})
 		if j.over() {
 			s.closing = append(s.closing, j)
 		}
 	}
-	s.dirty = s.dirty[:0]
+	s.dirtyJobs = s.dirtyJobs[:0]
 }
 
-// Stored notes that all saves up to the sequence are stored, and sends what
+// SavesStored records that all saves up to the sequence are stored, and sends the commands that
 // waited for them.
-func (s *Scheduler) Stored(now time.Time, sequence int64) {
-	s.stored = max(s.stored, sequence)
+func (s *Scheduler) SavesStored(now time.Time, sequence int64) {
+	s.storedSequence = max(s.storedSequence, sequence)
 	s.sendPlanned(now)
-	s.sendHeld(now)
+	s.sendPendingOrders(now)
 	for _, v := range s.vms.All() {
-		v.advanceNoted(s.stored)
+		v.advanceNoted(s.storedSequence)
 	}
 	s.forgetClosed()
 }
 
-// forgetClosed drops jobs whose end is stored and of which nothing can run.
+// forgetClosed drops jobs whose final state is stored and of which nothing can run any more.
 func (s *Scheduler) forgetClosed() {
 	s.closing = slices.DeleteFunc(s.closing, func(j *jobState) bool {
-		if j.lastSave > s.stored || j.hasRuns() {
+		if j.lastSave > s.storedSequence || j.hasRuns() {
 			return false
 		}
 		s.jobs.Delete(j.ID)
@@ -77,27 +78,28 @@
 	})
 }
 
-// rememberEnded is how long an ended job is remembered and its rows are kept: far
-// longer than a feed can be behind or a caller asks for its state.
-const rememberEnded = 10 * time.Minute
+// endedRetention is how long an ended job is remembered and its rows are kept. It is far longer
+// than a feed can lag behind, or a caller asks for the job's state.
+const endedRetention = 10 * time.Minute
 
-// Ended notes a job that a former owner saw to its end.
-func (s *Scheduler) Ended(now time.Time, id job.ID) { s.ended[id] = now }
+// AddEndedJob adds a job that ended under a former owner.
+func (s *Scheduler) AddEndedJob(now time.Time, id job.ID) { s.ended[id] = now }
 
-// forgetEnded drops the IDs of jobs that ended long ago.
+// forgetEnded forgets the jobs that ended more than endedRetention ago.
 func (s *Scheduler) forgetEnded(now time.Time) {
-	if now.Before(s.forgetAt) {
+	if now.Before(s.nextForgetEnded) {
 		return
 	}
-	s.forgetAt = now.Add(rememberEnded / 10)
+	s.nextForgetEnded = now.Add(endedRetention / 10)
 	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
-		if now.Sub(s.ended[id]) > rememberEnded {
+		if now.Sub(s.ended[id]) > endedRetention {
 			delete(s.ended, id)
 			s.emit(DeleteJob{Job: id})
 		}
 	}
 }
 
+// hasRuns reports whether any task of the job has a run.
 func (j *jobState) hasRuns() bool {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
@@ -111,8 +113,8 @@
 	return false
 }
 
-// progress returns what must be stored of the job. A job that is over needs no
-// details: nothing of it will ever start again.
+// progress returns the part of the job's state that must be stored. A job that is over needs no
+// details, since none of its tasks will start again.
 func (j *jobState) progress() job.Progress {
 	p := job.Progress{State: j.state}
 	if j.over() {
@@ -141,26 +143,26 @@
 	return p
 }
 
-// flushVMs saves what has changed in the roster. Each VM has a row of its own: the
-// table bounds the size of a row, and one for 350 VMs is beyond it.
+// flushVMs saves the changes of the roster. Each VM has a row of its own: the table bounds the
+// size of a row, and a single row for 350 VMs would exceed it.
 func (s *Scheduler) flushVMs() {
 	for _, id := range s.dirtyVMs {
 		if v := s.vms.Get(id); v != nil {
-			s.emit(SaveVM{Sequence: s.sequence, VM: v.rosterEntry})
+			s.emit(SaveVM{Sequence: s.saveSequence, VM: v.rosterEntry})
 		} else {
-			s.emit(DropVM{Sequence: s.sequence, VM: id})
+			s.emit(DropVM{Sequence: s.saveSequence, VM: id})
 		}
 	}
 	s.dirtyVMs = nil
 }
 
-// flushOrders saves which machines have been given an order of late.
+// flushOrders saves which machines were given an order recently.
 func (s *Scheduler) flushOrders() {
 	for _, id := range s.dirtyOrders {
-		if o := s.recent.Get(id); o.holder != "" {
-			s.emit(SaveOrder{Sequence: s.sequence, Order: MachineOrder{Machine: id, Holder: o.holder}})
+		if o := s.recentOrders.Get(id); o.holder != "" {
+			s.emit(SaveOrder{Sequence: s.saveSequence, Order: MachineOrder{Machine: id, Holder: o.holder}})
 		} else {
-			s.emit(DropOrder{Sequence: s.sequence, Machine: id})
+			s.emit(DropOrder{Sequence: s.saveSequence, Machine: id})
 		}
 	}
 	s.dirtyOrders = nil
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -12,9 +12,9 @@
 	"lavenderpond/core/job"
 )
 
-// shrinking is a few VMs whose capacity changes while tasks run there, and which fall
-// silent at times.
-type shrinking struct {
+// shrinkingFleet simulates a few VMs whose capacity changes while they run tasks, and which
+// stop answering at times.
+type shrinkingFleet struct {
 	*harness
 	rng     *rand.Rand
 	guarded bool
@@ -23,24 +23,24 @@
 	events  []shrinkingEvent
 }
 
-// shrinkingEvent is something that happens later.
+// shrinkingEvent is an event that is due later.
 type shrinkingEvent struct {
-	at time.Time
-	do func()
+	at  time.Time
+	run func()
 }
 
 type shrinkingVM struct {
 	id string
-	// cpu is its capacity, told what it last said of it.
-	cpu, told int64
-	silent    bool
-	lease     job.VMClock
-	runs      []*shrinkingRun
-	// late are starts without an answer that may still be carried out.
-	late   []*shrinkingRun
-	barred map[job.TaskID]job.Attempt
-	ended  []job.End
-	number int64
+	// cpu is the VM's capacity, reportedCPU the capacity that the scheduler was last told.
+	cpu, reportedCPU int64
+	silent           bool
+	lease            job.VMClock
+	runs             []*shrinkingRun
+	// unansweredStarts are starts that got no answer but may still be carried out.
+	unansweredStarts []*shrinkingRun
+	barredAttempt    map[job.TaskID]job.Attempt
+	ended            []job.End
+	number           int64
 }
 
 type shrinkingRun struct {
@@ -50,27 +50,27 @@
 	deadline job.VMClock
 }
 
-// in does something after d.
-func (f *shrinking) in(d time.Duration, do func()) {
-	f.events = append(f.events, shrinkingEvent{f.now.Add(d), do})
+// after schedules an event in d.
+func (f *shrinkingFleet) after(d time.Duration, run func()) {
+	f.events = append(f.events, shrinkingEvent{f.now.Add(d), run})
 }
 
 // between returns a duration in milliseconds from least to below most.
-func (f *shrinking) between(least, most int) time.Duration {
+func (f *shrinkingFleet) between(least, most int) time.Duration {
 	return time.Duration(least+f.rng.IntN(most-least)) * time.Millisecond
 }
 
-func (f *shrinking) vm(id job.VMID) *shrinkingVM {
+func (f *shrinkingFleet) vm(id job.VMID) *shrinkingVM {
 	return f.vms[slices.IndexFunc(f.vms, func(v *shrinkingVM) bool { return v.id == string(id) })]
 }
 
-// used is the CPU of all that runs on the VM or may yet begin there.
+// used returns the CPU of all tasks that run on the VM or may still begin there.
 func (v *shrinkingVM) used(clock job.VMClock) int64 {
 	sum := int64(0)
 	for _, r := range v.runs {
 		sum += r.cpu
 	}
-	for _, r := range v.late {
+	for _, r := range v.unansweredStarts {
 		if v.mayBegin(r, clock) {
 			sum += r.cpu
 		}
@@ -79,15 +79,15 @@
 }
 
 func (v *shrinkingVM) mayBegin(r *shrinkingRun, clock job.VMClock) bool {
-	return clock <= r.deadline && v.barred[r.task] < r.attempt
+	return clock <= r.deadline && v.barredAttempt[r.task] < r.attempt
 }
 
-// begin lets a task run for a while.
-func (f *shrinking) begin(v *shrinkingVM, r *shrinkingRun) {
+// begin starts a task, which ends after a while unless it is a lasting task.
+func (f *shrinkingFleet) begin(v *shrinkingVM, r *shrinkingRun) {
 	v.runs = append(v.runs, r)
 	v.lease = max(v.lease, r.deadline)
 	if !f.steps[r.task.Job].LongRunning {
-		f.in(f.between(50, 1500), func() { v.end(r, job.EndedDone) })
+		f.after(f.between(50, 1500), func() { v.end(r, job.EndedDone) })
 	}
 }
 
@@ -99,11 +99,11 @@
 	v.runs = slices.Delete(v.runs, i, i+1)
 	v.number++
 	v.ended = append(v.ended, job.End{Number: v.number, Task: r.task, Attempt: r.attempt, How: how})
-	v.barred[r.task] = max(v.barred[r.task], r.attempt)
+	v.barredAttempt[r.task] = max(v.barredAttempt[r.task], r.attempt)
 }
 
-// lapse ends what runs once the lease is over.
-func (f *shrinking) lapse(v *shrinkingVM) {
+// lapse ends all runs once the VM's lease is over.
+func (f *shrinkingFleet) lapse(v *shrinkingVM) {
 	if f.clock() <= v.lease {
 		return
 	}
@@ -112,25 +112,25 @@
 	}
 }
 
-func (f *shrinking) report() job.Report { return job.Report{Clock: f.clock(), Born: 1} }
+func (f *shrinkingFleet) report() job.Report { return job.Report{Clock: f.clock(), Born: 1} }
 
-// start carries a start out, and asserts that there is room for it.
-func (f *shrinking) start(c Start) {
+// start carries out a start, and asserts that there is room for it.
+func (f *shrinkingFleet) start(c Start) {
 	v := f.vm(c.VM)
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Resources.CPU, c.Order.Deadline}
 	used := v.used(f.clock())
-	assert.Assert(f.t, used+r.cpu <= v.told, "%v on %s: %d and %d of %d", r.task, v.id, used, r.cpu, v.told)
+	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: used CPU %d plus claim %d exceeds capacity %d", r.task, v.id, used, r.cpu, v.reportedCPU)
 	answer := func(out Outcome, rep job.Report) { f.s.StartAnswered(f.now, c, out, rep) }
 	switch {
 	case v.silent || f.rng.IntN(20) == 0:
-		v.late = append(v.late, r)
-		f.in(f.between(1, 900), func() {
+		v.unansweredStarts = append(v.unansweredStarts, r)
+		f.after(f.between(1, 900), func() {
 			if v.mayBegin(r, f.clock()) {
 				f.begin(v, r)
 			}
-			v.late = slices.DeleteFunc(v.late, func(o *shrinkingRun) bool { return o == r })
+			v.unansweredStarts = slices.DeleteFunc(v.unansweredStarts, func(o *shrinkingRun) bool { return o == r })
 		})
-		f.in(f.between(300, 1000), func() { answer(Unanswered, job.Report{}) })
+		f.after(f.between(300, 1000), func() { answer(Unanswered, job.Report{}) })
 	case f.guarded && used+r.cpu > v.cpu:
 		rep := f.report()
 		rep.Refused = job.RefusedCapacity
@@ -141,22 +141,22 @@
 	}
 }
 
-func (f *shrinking) stop(c Stop) {
+func (f *shrinkingFleet) stop(c Stop) {
 	v := f.vm(c.VM)
 	if v.silent {
 		f.s.StopAnswered(f.now, c, Unanswered, job.Report{})
 		return
 	}
-	v.barred[c.Task] = max(v.barred[c.Task], c.Attempt)
+	v.barredAttempt[c.Task] = max(v.barredAttempt[c.Task], c.Attempt)
 	for _, r := range v.runs {
 		if r.task == c.Task && r.attempt <= c.Attempt {
-			f.in(f.between(10, 400), func() { v.end(r, job.EndedStopped) })
+			f.after(f.between(10, 400), func() { v.end(r, job.EndedStopped) })
 		}
 	}
 	f.s.StopAnswered(f.now, c, Answered, f.report())
 }
 
-func (f *shrinking) hold(c Hold) {
+func (f *shrinkingFleet) hold(c Hold) {
 	v := f.vm(c.VM)
 	if v.silent {
 		f.s.HoldAnswered(f.now, c, Unanswered, job.Report{})
@@ -172,8 +172,8 @@
 	f.s.HoldAnswered(f.now, c, Answered, rep)
 }
 
-// turn plays one turn and carries out what is ordered.
-func (f *shrinking) turn() {
+// turn runs one turn and carries out the resulting commands.
+func (f *shrinkingFleet) turn() {
 	f.now = f.now.Add(10 * time.Millisecond)
 	due := f.events
 	f.events = nil
@@ -182,7 +182,7 @@
 			f.events = append(f.events, e)
 			continue
 		}
-		e.do()
+		e.run()
 		f.carryOut()
 	}
 	for _, v := range f.vms {
@@ -193,37 +193,37 @@
 	f.carryOut()
 }
 
-func (f *shrinking) carryOut() {
-	for _, c := range f.s.Take() {
+func (f *shrinkingFleet) carryOut() {
+	for _, c := range f.s.TakeCommands() {
 		switch c := c.(type) {
 		case Start:
 			f.start(c)
 		case Stop:
-			f.in(f.between(0, 40), func() { f.stop(c) })
+			f.after(f.between(0, 40), func() { f.stop(c) })
 		case Hold:
-			f.in(f.between(0, 200), func() { f.hold(c) })
+			f.after(f.between(0, 200), func() { f.hold(c) })
 		default:
-			f.in(f.between(0, 300), func() { f.store(c) })
+			f.after(f.between(0, 300), func() { f.store(c) })
 		}
 	}
 }
 
-// resize changes a VM's capacity. The news of one that guards it may be late.
-func (f *shrinking) resize(v *shrinkingVM, cpu int64) {
+// resize changes a VM's capacity. If VMs are guarded, the scheduler may learn of it late.
+func (f *shrinkingFleet) resize(v *shrinkingVM, cpu int64) {
 	v.cpu = cpu
 	tell := func() {
-		v.told = v.cpu
+		v.reportedCPU = v.cpu
 		f.harness.resize(v.id, v.cpu)
 	}
 	if !f.guarded {
 		tell()
 		return
 	}
-	f.in(f.between(0, 1500), tell)
+	f.after(f.between(0, 1500), tell)
 }
 
-// submit hands a job in.
-func (f *shrinking) submit(n int) {
+// submit adds a random job.
+func (f *shrinkingFleet) submit(n int) {
 	def := job.Step{Count: 1 + f.rng.IntN(4), Resources: job.Resources{CPU: 200 + f.rng.Int64N(3800)}, Estimate: time.Second}
 	def.Gang, def.LongRunning = f.rng.IntN(5) == 0, f.rng.IntN(9) == 0
 	id := job.ID(fmt.Sprintf("j-%d", n))
@@ -231,8 +231,8 @@
 	f.job(string(id), "free", def)
 }
 
-// disturb changes something, every few turns.
-func (f *shrinking) disturb(turn int) {
+// disturb makes a random change every few turns.
+func (f *shrinkingFleet) disturb(turn int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
 	case 0, 1:
@@ -246,23 +246,23 @@
 	}
 }
 
-func newShrinking(t *testing.T, seed uint64, guarded bool) *shrinking {
-	f := &shrinking{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), guarded: guarded, steps: map[job.ID]job.Step{}}
+func newShrinking(t *testing.T, seed uint64, guarded bool) *shrinkingFleet {
+	f := &shrinkingFleet{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), guarded: guarded, steps: map[job.ID]job.Step{}}
 	for _, id := range []string{"one", "two", "three"} {
-		v := &shrinkingVM{id: id, barred: map[job.TaskID]job.Attempt{}, lease: 6000}
+		v := &shrinkingVM{id: id, barredAttempt: map[job.TaskID]job.Attempt{}, lease: 6000}
 		v.runs = []*shrinkingRun{{task: job.TaskID{Job: job.ID("former-" + id)}, attempt: 7, cpu: f.rng.Int64N(8000), deadline: 6000}}
 		f.vms = append(f.vms, v)
 		f.resize(v, 8000)
 	}
 	for n := range 4 {
-		// Numbers that no turn has.
+		// Negative numbers don't collide with those of turns.
 		f.submit(-1 - n)
 	}
 	return f
 }
 
-// Guards against starts beyond the capacity of a VM that shrinks and grows, and against
-// work that doesn't go on once there is room.
+// Guards against starts beyond the capacity of a VM that shrinks and grows, and against jobs
+// that don't complete once there is room.
 func TestShrinkingVMs(t *testing.T) {
 	for seed := range uint64(80) {
 		f := newShrinking(t, seed, seed%2 == 0)
@@ -282,6 +282,6 @@
 		for end := f.now.Add(30 * time.Second); f.s.jobs.Len() > 0 && f.now.Before(end); {
 			f.turn()
 		}
-		assert.Equal(t, f.s.jobs.Len(), 0, "seed %d: %v", seed, f.s.jobs.Keys())
+		assert.Equal(t, f.s.jobs.Len(), 0, "seed %d: jobs not ended: %v", seed, f.s.jobs.Keys())
 	}
 }
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -62,7 +62,7 @@
 	if st.def.Gang || t.slowStops >= maxSlowStops {
 		return
 	}
-	if left.Seconds() > slowStopMargin*(usual+s.settings.TaskStop).Seconds() {
+	if left.Seconds() > slowStopMargin*(usual+s.settings.TaskStopMax).Seconds() {
 		t.slowStops++
 		s.stopRun(now, r, "slow")
 	}
@@ -92,11 +92,11 @@
 		slices.Sort(known)
 		return known[len(known)/2], slowFactor
 	}
-	q := s.queue(j.Terms.Queue)
-	if q.runs < learnedAfter {
+	q := s.queueStats(j.Terms.Queue)
+	if q.runs < minSamples {
 		return 0, 1
 	}
-	return time.Duration(math.Exp(q.logRun) * float64(time.Second)), queueSlowFactor
+	return time.Duration(math.Exp(q.meanLogRunTime) * float64(time.Second)), queueSlowFactor
 }
 
 // slow reports whether the VM has recently had a slow run.
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -201,7 +201,7 @@
 	closedAt time.Time
 	// places maps each VM on which a task may have been started to the save that records
 	// it.
-	places ordered[job.VMID, int64]
+	places orderedMap[job.VMID, int64]
 	// typicalRun is the typical run time of the last complete step, or 0 if there is
 	// none.
 	typicalRun time.Duration
@@ -244,7 +244,7 @@
 	clock lease.Clock
 	// leaseEnd is the latest deadline of any order sent.
 	leaseEnd job.VMClock
-	runs     ordered[runKey, *run]
+	runs     orderedMap[runKey, *run]
 	// lasting, serving and fills count the runs of each kind, and stopping the runs that
 	// were ordered to stop. The counters avoid a scan of all runs in each turn.
 	lasting, serving, fills int
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -5,9 +5,9 @@
 // Tick carries out the periodic work: holds, looks, repeated stops, expired leases,
 // evacuations, maintenance and pool sizes.
 func (s *Scheduler) Tick(now time.Time) {
-	s.anyUnheard = false
+	s.anyUnreported = false
 	for _, v := range s.vms.All() {
-		s.anyUnheard = s.anyUnheard || v.unheard()
+		s.anyUnreported = s.anyUnreported || v.unheard()
 		if v.nothingDue() {
 			continue
 		}
@@ -22,11 +22,11 @@
 		s.hold(now, v)
 	}
 	s.stopOnDraining(now)
-	s.leaveEvacuated(now)
+	s.relocateEvacuated(now)
 	s.forgetEnded(now)
 	s.pruneOrders(now)
-	s.drive(now)
-	s.size(now)
+	s.advanceWaves(now)
+	s.sizePools(now)
 }
 
 // unheard reports whether a previous owner's tasks may run on the VM and this owner
--- a/core/schedule/turn_bench_test.go
+++ b/core/schedule/turn_bench_test.go
@@ -8,9 +8,8 @@
 	"lavenderpond/core/job"
 )
 
-// fleetOf returns a harness with pools of VMs that are full of tasks, and waiting
-// jobs that find no room.
-func fleetOf(t testing.TB, vms, waiting int) *harness {
+// newFullFleet returns a harness with pools of VMs that are full, and jobs that wait for room.
+func newFullFleet(t testing.TB, vms, waiting int) *harness {
 	h := newHarness(t)
 	pools := []job.PoolName{"a", "b", "c", "d", "e"}
 	c := &job.Configuration{Version: 2}
@@ -50,19 +49,18 @@
 	return h
 }
 
-// BenchmarkTurn is one turn of the owner's loop on a fleet that is full, with
-// jobs that wait.
+// BenchmarkTurn measures one turn of the owner's loop on a full fleet with waiting jobs.
 func BenchmarkTurn(b *testing.B) {
 	for _, n := range []struct{ vms, waiting int }{
 		{50, 0}, {50, 100}, {350, 0}, {350, 500}, {1100, 0}, {1100, 1000}, {3000, 0}, {3000, 3000},
 	} {
 		b.Run(fmt.Sprintf("%d VMs, %d waiting", n.vms, n.waiting), func(b *testing.B) {
-			h := fleetOf(b, n.vms, n.waiting)
+			h := newFullFleet(b, n.vms, n.waiting)
 			for b.Loop() {
 				h.s.Tick(h.now)
 				h.s.Assign(h.now, h.now)
 				h.s.Backlog(h.now)
-				h.s.Take()
+				h.s.TakeCommands()
 			}
 		})
 	}
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -57,7 +57,7 @@
 		v.fullUntil, v.refusals = time.Time{}, 0
 	}
 	v.room, v.entryBorn = e.Capacity, e.Born
-	v.evacuated = s.evacuations.has(v.zone)
+	v.evacuated = s.evacuatedZones.has(v.zone)
 	if e.Machine != "" {
 		s.setMachine(v, e.Machine)
 	}
@@ -86,7 +86,7 @@
 	if within == 0 || now.Sub(s.directoryAsOf) < within-shrinkMargin {
 		return true
 	}
-	p := s.conf.Pool(v.pool)
+	p := s.config.Pool(v.pool)
 	return p != nil && p.EnforcesCapacity
 }
 
@@ -103,7 +103,7 @@
 		return
 	}
 	v.rosterEntry = r
-	v.rosterSave = s.nextSave()
+	v.rosterSave = s.nextSaveSequence()
 	s.dirtyVMs = append(s.dirtyVMs, v.id)
 }
 
@@ -192,7 +192,7 @@
 // usable reports whether new tasks may start on the VM.
 func (s *Scheduler) usable(now time.Time, v *vmState) bool {
 	paused := v.unresponsive || v.slow(now) || now.Before(v.suspectUntil) || now.Before(v.fullUntil)
-	return v.acceptsTasks() && !v.cordoned && !paused && v.rosterSave <= s.stored && v.unknownRuns == 0 && v.isolatedRuns == 0 && s.roomKnown(now, v)
+	return v.acceptsTasks() && !v.cordoned && !paused && v.rosterSave <= s.storedSequence && v.unknownRuns == 0 && v.isolatedRuns == 0 && s.roomKnown(now, v)
 }
 
 // freeRoom returns the VM's unused capacity. It is negative if the capacity has shrunk
--- /dev/null
+++ b/core/schedule/vmindex.go
@@ -0,0 +1,105 @@
+package schedule
+
+import (
+	"cmp"
+	"slices"
+	"sort"
+
+	"lavenderpond/core/job"
+)
+
+// vmIndex holds the VMs of a pool, sorted by free CPU with the fullest first. A task goes to
+// the fullest VM that has room unless other costs outweigh that, so a choice examines only a
+// few VMs instead of the whole pool.
+type vmIndex struct {
+	vms []indexedVM
+	// largestCPU is the CPU of the largest VM.
+	largestCPU int64
+	// unplaceable holds claims for which no VM had room. Free room only shrinks while tasks are
+	// placed, so a larger claim finds no room either.
+	unplaceable []job.Resources
+}
+
+// indexedVM is a VM with the fraction of its CPU that is free.
+type indexedVM struct {
+	freeFraction float64
+	vm           *vmState
+}
+
+// compareByFreeCPU orders VMs by their free CPU, then by ID.
+func compareByFreeCPU(a, b indexedVM) int {
+	if a.freeFraction != b.freeFraction {
+		return cmp.Compare(a.freeFraction, b.freeFraction)
+	}
+	return cmp.Compare(a.vm.id, b.vm.id)
+}
+
+// newVMIndex returns an index of those vms that have room for a claim of size least.
+func newVMIndex(vms []*vmState, least job.Resources) vmIndex {
+	r := vmIndex{vms: make([]indexedVM, 0, len(vms))}
+	for _, v := range vms {
+		if least.FitsIn(v.freeRoom()) {
+			r.vms = append(r.vms, indexedVM{v.freeFraction(), v})
+			r.largestCPU = max(r.largestCPU, v.room.CPU)
+		}
+	}
+	slices.SortFunc(r.vms, compareByFreeCPU)
+	return r
+}
+
+// firstCandidate returns the index of the first VM that may have room for the claim.
+func (r *vmIndex) firstCandidate(claim job.Resources) int {
+	least := float64(claim.CPU) / float64(max(1, r.largestCPU))
+	return sort.Search(len(r.vms), func(i int) bool { return r.vms[i].freeFraction >= least })
+}
+
+// reposition restores the order after the free CPU of the VM at index i has changed.
+func (r *vmIndex) reposition(i int) {
+	s := indexedVM{r.vms[i].vm.freeFraction(), r.vms[i].vm}
+	r.vms = slices.Delete(r.vms, i, i+1)
+	at, _ := slices.BinarySearchFunc(r.vms, s, compareByFreeCPU)
+	r.vms = slices.Insert(r.vms, at, s)
+}
+
+// hasNoRoom reports whether no VM is known to have room for the claim.
+func (r *vmIndex) hasNoRoom(claim job.Resources) bool {
+	return slices.ContainsFunc(r.unplaceable, func(x job.Resources) bool { return x.FitsIn(claim) })
+}
+
+// noteNoRoom records that no VM has room for the claim.
+func (r *vmIndex) noteNoRoom(claim job.Resources) {
+	r.unplaceable = slices.DeleteFunc(r.unplaceable, func(x job.Resources) bool { return claim.FitsIn(x) })
+	r.unplaceable = append(r.unplaceable, claim)
+}
+
+// chooseVM returns the index of the VM with the lowest cost for a task, or -1 if no VM can take
+// it.
+func (a *assignment) chooseVM(p placement) int {
+	claim := p.step.def.Reservation()
+	if a.index.hasNoRoom(claim) {
+		return -1
+	}
+	best, bestCost := -1, 0.0
+	noRoom := true
+	for i := a.index.firstCandidate(claim); i < len(a.index.vms); i++ {
+		x := a.index.vms[i]
+		// The cost of a VM is never below its free fraction.
+		if best >= 0 && x.freeFraction >= bestCost {
+			break
+		}
+		if !claim.FitsIn(x.vm.freeRoom()) {
+			continue
+		}
+		noRoom = false
+		if !p.step.mayRunOn(p.id.StepID(), x.vm) || p.task.mustBeSeparate(a.now, x.vm) || !a.s.usable(a.now, x.vm) {
+			continue
+		}
+		if c := a.cost(p, x.vm); best < 0 || c < bestCost {
+			best, bestCost = i, c
+		}
+	}
+	if noRoom {
+		a.index.noteNoRoom(claim)
+	}
+	return best
+}
