--- a/core/experiment/replay/demand.go
+++ b/core/experiment/replay/demand.go
@@ -26,7 +26,7 @@
 	entry      *entry
 	queueIndex int
 
-	tries retry.Tries
+	tries retry.FailedTargets
 	// full are targets that were full just now; they don't count as tries.
 	retries, visits int
 	state           jobState
--- a/core/experiment/replay/simulation.go
+++ b/core/experiment/replay/simulation.go
@@ -158,8 +158,8 @@
 	s.figures.refuse(s.now, j)
 }
 
-func (s *simulation) want(j *job) route.Want {
-	return route.Want{
+func (s *simulation) want(j *job) route.Criteria {
+	return route.Criteria{
 		Pool: poolID(j.queueIndex), Overflow: s.policy.Overflow, Urgent: j.item.Urgent,
 		Tried: j.tries.Targets(), NoProbe: !j.kind.Idempotent,
 	}
@@ -194,7 +194,7 @@
 }
 
 func (s *simulation) dispatchOne(e *entry, q core.QueueID, overflow bool) bool {
-	if e.router.Idle(s.now, route.Want{Pool: poolOf(q), Overflow: overflow, Urgent: true}) <= 0 {
+	if e.router.Idle(s.now, route.Criteria{Pool: poolOf(q), Overflow: overflow, Urgent: true}) <= 0 {
 		return false
 	}
 	var vm core.VMID
@@ -308,7 +308,7 @@
 			return
 		}
 	}
-	if !retry.Safe(p, j.kind.Idempotent) {
+	if !retry.SafeToRetry(p, j.kind.Idempotent) {
 		s.figures.unknown(j)
 		return
 	}
--- a/core/home/dispatch.go
+++ b/core/home/dispatch.go
@@ -48,7 +48,7 @@
 		return
 	}
 	// Urgent: whether an item is, is known when it is offered.
-	want := route.Want{Pool: pool, Overflow: overflow && to == anyPool, Urgent: true}
+	want := route.Criteria{Pool: pool, Overflow: overflow && to == anyPool, Urgent: true}
 	for h.Queue.Len(q) > 0 && h.Router.Idle(now, want) > 0 {
 		var vm core.VMID
 		item, ok := h.Queue.Pop(now, q, func(item queue.Item) bool {
@@ -64,7 +64,7 @@
 }
 
 // ready says whether item may start now, and where. It takes the team's slot.
-func (h *Home) ready(now time.Time, item queue.Item, want route.Want) (core.VMID, bool) {
+func (h *Home) ready(now time.Time, item queue.Item, want route.Criteria) (core.VMID, bool) {
 	r := h.records[item.Key]
 	if r == nil || h.stopping && !r.mirrored || now.Before(r.notBefore) || !now.Before(h.Rights.RightUntil(now, item.Key)) {
 		return "", false
@@ -84,14 +84,14 @@
 	// The slot is counted until the target's lease has certainly ended by every
 	// clock, unless the end of the task is certain earlier.
 	if !h.Limiter.Acquire(now, item.Key, r.request.Deadline.Add(h.Times.SkewBound)) {
-		h.Limiter.Wanted(now, item.Key.Team)
+		h.Limiter.RecordDemand(now, item.Key.Team)
 		return "", false
 	}
 	return vm, true
 }
 
 // pick chooses a target for r, of its own pool if one has a slot.
-func (h *Home) pick(now time.Time, r *record, want route.Want) (core.VMID, bool) {
+func (h *Home) pick(now time.Time, r *record, want route.Criteria) (core.VMID, bool) {
 	own := want
 	own.Overflow = false
 	vm, ok := h.Router.Pick(now, own)
--- a/core/home/property_test.go
+++ b/core/home/property_test.go
@@ -185,7 +185,7 @@
 		b.wait(3 * time.Second)
 		b.do(Asked{Key: key("a"), Finding: FoundNothing{}})
 		assert.Equal(t, b.limits.Running(b.now, "lyra") == 1, !off)
-		assert.Equal(t, b.home.Router.Idle(b.now, route.Want{Pool: "p"}), core.Slots(2))
+		assert.Equal(t, b.home.Router.Idle(b.now, route.Criteria{Pool: "p"}), core.Slots(2))
 		assert.Equal(t, b.limits.Running(epoch.Add(10*time.Second), "lyra") == 1, !off)
 		assert.Equal(t, b.limits.Running(epoch.Add(10251*time.Millisecond), "lyra"), core.Slots(0))
 	}
--- a/core/home/session_test.go
+++ b/core/home/session_test.go
@@ -82,7 +82,7 @@
 	return n
 }
 
-func (f *fakeLimiter) Wanted(time.Time, core.TeamID) {}
+func (f *fakeLimiter) RecordDemand(time.Time, core.TeamID) {}
 
 // bench is a home with fakes around it that writes down all that happens.
 type bench struct {
--- a/core/home/submit.go
+++ b/core/home/submit.go
@@ -34,7 +34,7 @@
 		return
 	}
 	pool, overflow, _ := h.Config.Pool(now, e.Request.Queue)
-	idle := h.Router.Idle(now, route.Want{Pool: pool, Overflow: overflow, Urgent: e.Request.Urgent})
+	idle := h.Router.Idle(now, route.Criteria{Pool: pool, Overflow: overflow, Urgent: e.Request.Urgent})
 	if refusal, ok := h.Queue.Push(now, itemOf(now, e.Request), idle); !ok {
 		h.reply(e.Waiter, key, refusal)
 		return
--- a/core/key/ring.go
+++ b/core/key/ring.go
@@ -11,12 +11,12 @@
 	"lavenderpond/core/table"
 )
 
-// DefaultTrust is how long the list is trusted after its last evidence, unless
+// DefaultMaxStaleness is how long the list is trusted after its last evidence, unless
 // Ring.Trust says otherwise. docs/design/keys.md weighs it.
-const DefaultTrust = 10 * time.Second
+const DefaultMaxStaleness = 10 * time.Second
 
-// MaxTrust is the greatest value of Ring.Trust.
-const MaxTrust = 15 * time.Minute
+// MaxStalenessLimit is the greatest value of Ring.Trust.
+const MaxStalenessLimit = 15 * time.Minute
 
 // Withdrawal is the fact that a key ended. Facts are only ever added, and adding
 // one twice changes nothing, so they may be told in any order and any number of
@@ -35,9 +35,9 @@
 	Zone core.ZoneID
 	// Zones are all zones of the fleet, the own one included.
 	Zones []core.ZoneID
-	// Trust is how long the list is trusted after its last evidence. Zero means
+	// MaxStaleness is how long the list is trusted after its last evidence. Zero means
 	// DefaultTrust.
-	Trust time.Duration
+	MaxStaleness time.Duration
 	// Started is when this run of the entry began, by its own clock. Zero: only the
 	// entry's own contact with the table lets it join.
 	Started time.Time
@@ -47,24 +47,24 @@
 	// haven't been read from the table yet.
 	withdrawn  map[core.KeyDigest]bool
 	unrecorded map[core.KeyDigest]Withdrawal
-	// complete is the send time of the last contact with the table, own or a peer's,
+	// tableReadAt is the send time of the last contact with the table, own or a peer's,
 	// whose withdrawals this ring holds.
-	complete time.Time
-	contacts map[core.ZoneID]time.Time
+	tableReadAt  time.Time
+	zoneContacts map[core.ZoneID]time.Time
 	// joined is true once the ring surely held what its zone had been told before this
 	// run began. A restarted entry has forgotten it, and speaks for its zone only then.
 	joined bool
 
 	// Switched on in tests only, to see the safeguards fail.
-	unsafe unsafe
+	disabled disabledSafeguards
 }
 
 // unsafe names the safeguards that a test switches off.
-type unsafe struct {
-	trustAlways    bool
-	forgetWithdraw bool
-	joinAtOnce     bool
-	anyZone        bool
+type disabledSafeguards struct {
+	alwaysFresh       bool
+	forgetWithdrawals bool
+	joinImmediately   bool
+	acceptSingleZone  bool
 }
 
 // Apply takes in rows under "key/" and returns the digests that ended with them.
@@ -73,7 +73,7 @@
 func (r *Ring) Apply(rows []table.Row) []core.KeyDigest {
 	var ended []core.KeyDigest
 	for _, row := range rows {
-		d, ok := digestOf(row.Key)
+		d, ok := digestFromKey(row.Key)
 		if !ok {
 			continue
 		}
@@ -83,11 +83,11 @@
 		}
 		put(&r.teams, d, k.Team)
 		if !k.Withdrawn {
-			r.regrant(d)
+			r.applyGrant(d)
 			continue
 		}
 		delete(r.unrecorded, d)
-		if r.end(d) {
+		if r.markWithdrawn(d) {
 			ended = append(ended, d)
 		}
 	}
@@ -99,7 +99,7 @@
 func (r *Ring) Withdraw(withdrawals ...Withdrawal) []core.KeyDigest {
 	var ended []core.KeyDigest
 	for _, w := range withdrawals {
-		if r.end(w.Digest) {
+		if r.markWithdrawn(w.Digest) {
 			put(&r.unrecorded, w.Digest, w)
 			ended = append(ended, w.Digest)
 		}
@@ -125,57 +125,57 @@
 // Complete tells that the ring holds every withdrawal that the table held when this
 // entry's own read left, at sent.
 func (r *Ring) Complete(sent time.Time) {
-	r.complete = later(r.complete, sent)
+	r.tableReadAt = latest(r.tableReadAt, sent)
 	r.joined = true
 }
 
-// Heard tells of an answer from an entry of zone z, which has joined, to a message
+// RecordZoneContact tells of an answer from an entry of zone z, which has joined, to a message
 // that left here at sent. All that it told was taken in before.
-func (r *Ring) Heard(z core.ZoneID, sent time.Time) {
-	put(&r.contacts, z, later(r.contacts[z], sent))
+func (r *Ring) RecordZoneContact(z core.ZoneID, sent time.Time) {
+	put(&r.zoneContacts, z, latest(r.zoneContacts[z], sent))
 	if z == r.Zone && !r.Started.IsZero() && !sent.Before(r.Started) {
 		r.joined = true
 	}
-	r.join()
+	r.tryJoin()
 }
 
-// join lets the ring speak for its zone if what it was told by others covers the
+// tryJoin lets the ring speak for its zone if what it was told by others covers the
 // time before this run began.
-func (r *Ring) join() {
+func (r *Ring) tryJoin() {
 	if r.joined || r.Started.IsZero() {
 		return
 	}
-	r.joined = r.unsafe.joinAtOnce || !r.complete.Before(r.Started) || !r.zoneEvidence().Before(r.Started)
+	r.joined = r.disabled.joinImmediately || !r.tableReadAt.Before(r.Started) || !r.zoneMajorityAt().Before(r.Started)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-// Evidence returns the instant up to which the ring surely holds all accepted
+// CompleteAsOf returns the instant up to which the ring surely holds all accepted
 // withdrawals: the later of the table's word and that of a majority of zones. A
 // withdrawal is accepted once the table and a majority of zones have it, or all
 // zones, so each kind of evidence meets it. Demanding every zone instead would let
 // the loss of one zone during a table outage stop all the others.
-func (r *Ring) Evidence() time.Time { return later(r.complete, r.zoneEvidence()) }
+func (r *Ring) CompleteAsOf() time.Time { return latest(r.tableReadAt, r.zoneMajorityAt()) }
 
-// zoneEvidence returns the latest instant since which a majority of zones was heard,
+// zoneMajorityAt returns the latest instant since which a majority of zones was heard,
 // or zero. The own zone counts without being heard once the ring has joined.
-func (r *Ring) zoneEvidence() time.Time {
+func (r *Ring) zoneMajorityAt() time.Time {
 	needed := len(r.Zones)/2 + 1
 	if r.joined {
 		needed--
 	}
-	if r.unsafe.anyZone {
+	if r.disabled.acceptSingleZone {
 		needed = min(needed, 1)
 	}
 	var heard []time.Time
 	for _, z := range r.Zones {
-		if z != r.Zone && !r.contacts[z].IsZero() {
-			heard = append(heard, r.contacts[z])
+		if z != r.Zone && !r.zoneContacts[z].IsZero() {
+			heard = append(heard, r.zoneContacts[z])
 		}
 	}
 	if needed == 0 || len(heard) < needed {
@@ -185,24 +185,24 @@
 	return heard[needed-1]
 }
 
-// TrustedUntil returns when the list stops being trusted, if nothing is heard.
-func (r *Ring) TrustedUntil() time.Time {
-	evidence := r.Evidence()
+// FreshUntil returns when the list stops being trusted, if nothing is heard.
+func (r *Ring) FreshUntil() time.Time {
+	evidence := r.CompleteAsOf()
 	if evidence.IsZero() {
 		return time.Time{}
 	}
-	trust := r.Trust
+	trust := r.MaxStaleness
 	if trust == 0 {
-		trust = DefaultTrust
+		trust = DefaultMaxStaleness
 	}
-	return evidence.Add(min(trust, MaxTrust))
+	return evidence.Add(min(trust, MaxStalenessLimit))
 }
 
 // Fresh reports whether the list is trusted at now. In a fleet of one zone an entry
 // that has joined is told everything directly.
 func (r *Ring) Fresh(now time.Time) bool {
 	alone := r.joined && len(r.Zones) == 1
-	return alone || r.unsafe.trustAlways || now.Before(r.TrustedUntil())
+	return alone || r.disabled.alwaysFresh || now.Before(r.FreshUntil())
 }
 
 // Check decides whether a request of team may be accepted under the digest of the
@@ -232,7 +232,7 @@
 // Len returns how many digests the ring knows, and how many of them ended.
 func (r *Ring) Len() (known, withdrawn int) { return len(r.teams), len(r.withdrawn) }
 
-func (r *Ring) end(d core.KeyDigest) bool {
+func (r *Ring) markWithdrawn(d core.KeyDigest) bool {
 	if r.withdrawn[d] {
 		return false
 	}
@@ -240,16 +240,16 @@
 	return true
 }
 
-// regrant does nothing: a row without the mark may be older than a withdrawal that
+// applyGrant does nothing: a row without the mark may be older than a withdrawal that
 // was told directly, so it never ends one. The test's switch shows what would
 // happen.
-func (r *Ring) regrant(d core.KeyDigest) {
-	if r.unsafe.forgetWithdraw {
+func (r *Ring) applyGrant(d core.KeyDigest) {
+	if r.disabled.forgetWithdrawals {
 		delete(r.withdrawn, d)
 	}
 }
 
-func digestOf(key table.Key) (core.KeyDigest, bool) {
+func digestFromKey(key table.Key) (core.KeyDigest, bool) {
 	if len(key) <= len(table.PrefixKey) || key[:len(table.PrefixKey)] != table.PrefixKey {
 		return "", false
 	}
--- a/core/key/session_test.go
+++ b/core/key/session_test.go
@@ -26,7 +26,7 @@
 	at := func(seconds int, what string, ended ...core.KeyDigest) {
 		now := testStart.Add(time.Duration(seconds) * time.Second)
 		fmt.Fprintf(&b, "%3ds %s: %d ended, %d to record, trusted until %s\n", seconds, what,
-			len(ended), len(r.Unrecorded()), r.TrustedUntil().Format("15:04:05"))
+			len(ended), len(r.Unrecorded()), r.FreshUntil().Format("15:04:05"))
 		for name, d := range []core.KeyDigest{good, leaked, late} {
 			code, ok := r.Check(now, testTeam, d)
 			fmt.Fprintf(&b, "     %-7s %t %s\n", []string{"good", "leaked", "late"}[name], ok, code)
@@ -42,7 +42,7 @@
 	at(6, "told again", r.Withdraw(Withdrawal{Digest: leaked, Team: testTeam, Author: "ana"})...)
 	at(7, "an older row comes from a peer", r.Apply([]table.Row{row(leaked, 1, false), row(late, 1, false)})...)
 	at(17, "nothing heard")
-	r.Heard("zb", testStart.Add(18*time.Second))
+	r.RecordZoneContact("zb", testStart.Add(18*time.Second))
 	at(18, "zone zb heard: two of three zones")
 	at(25, "an old answer of zc, told by a peer", r.Merge(Summary{Contacts: map[core.ZoneID]time.Time{"zc": testStart}, Joined: true}, true, testSkew)...)
 	at(33, "nothing heard")
--- a/core/key/summary.go
+++ b/core/key/summary.go
@@ -21,7 +21,7 @@
 
 // Summary returns what to tell a peer.
 func (r *Ring) Summary() Summary {
-	return Summary{Complete: r.complete, Contacts: maps.Clone(r.contacts), Joined: r.joined, Withdrawals: r.Unrecorded()}
+	return Summary{Complete: r.tableReadAt, Contacts: maps.Clone(r.zoneContacts), Joined: r.joined, Withdrawals: r.Unrecorded()}
 }
 
 // Merge takes in a peer's summary, and returns the digests that ended with it. The
@@ -33,13 +33,13 @@
 		return ended
 	}
 	if !s.Complete.IsZero() {
-		r.complete = later(r.complete, s.Complete.Add(-skew))
+		r.tableReadAt = latest(r.tableReadAt, s.Complete.Add(-skew))
 	}
 	for z, at := range s.Contacts {
 		if z != r.Zone {
-			put(&r.contacts, z, later(r.contacts[z], at.Add(-skew)))
+			put(&r.zoneContacts, z, latest(r.zoneContacts[z], at.Add(-skew)))
 		}
 	}
-	r.join()
+	r.tryJoin()
 	return ended
 }
--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -13,33 +13,33 @@
 	"lavenderpond/core/table"
 )
 
-// demand is a fleet of entries with teams whose demand rotates: each team bursts to
+// demandSimulation is a fleet of entries with teams whose demand rotates: each team bursts to
 // five times its mean in turn, and is at a twentieth of it in between.
-type demand struct {
-	r         *rand.Rand
-	now       time.Time
-	table     table.Memory
-	ledgers   []*Ledger
-	since     []table.Revision
-	teams     []core.TeamID
-	limits    map[core.TeamID]core.Slots
-	sent      int
-	conflicts int
-	starts    int
-	refused   int
-	n         int
+type demandSimulation struct {
+	r               *rand.Rand
+	now             time.Time
+	table           table.Memory
+	ledgers         []*Ledger
+	polledRevisions []table.Revision
+	teams           []core.TeamID
+	limits          map[core.TeamID]core.Slots
+	sentMoves       int
+	conflicts       int
+	starts          int
+	refused         int
+	requestCount    int
 }
 
 const (
 	demandLimit = 240
 	// demandTick is coarser than the driver's, to keep the benchmark short.
-	demandTick = 250 * time.Millisecond
-	demandTurn = 8 * time.Second
-	demandRun  = 2 * time.Second
+	demandTick    = 250 * time.Millisecond
+	demandBurst   = 8 * time.Second
+	demandRunTime = 2 * time.Second
 )
 
-func newDemand(teams, zones, perZone int, u unsafe) *demand {
-	d := &demand{r: rand.New(rand.NewPCG(1, 8)), now: testStart, limits: map[core.TeamID]core.Slots{}}
+func newDemandSimulation(teams, zones, perZone int, disabled disabledSafeguards) *demandSimulation {
+	d := &demandSimulation{r: rand.New(rand.NewPCG(1, 8)), now: testStart, limits: map[core.TeamID]core.Slots{}}
 	for i := range teams {
 		team := core.TeamID(fmt.Sprintf("team%04d", i))
 		d.teams = append(d.teams, team)
@@ -48,15 +48,15 @@
 	for i := range zones * perZone {
 		zone := core.ZoneID(fmt.Sprint("z", i/perZone))
 		self := core.NewEntryID(fmt.Sprintf("e%02d", i), d.now)
-		d.ledgers = append(d.ledgers, &Ledger{Self: self, Zone: zone, unsafe: u})
-		d.since = append(d.since, 0)
+		d.ledgers = append(d.ledgers, &Ledger{Self: self, Zone: zone, disabled: disabled})
+		d.polledRevisions = append(d.polledRevisions, 0)
 	}
-	d.tellMembers()
+	d.deliverMembers()
 	return d
 }
 
-// tellMembers tells each entry those of its zone, which have all just started.
-func (d *demand) tellMembers() {
+// deliverMembers tells each entry those of its zone, which have all just started.
+func (d *demandSimulation) deliverMembers() {
 	members := make(map[core.ZoneID][]core.EntryID)
 	for _, l := range d.ledgers {
 		members[l.Zone] = append(members[l.Zone], l.Self)
@@ -67,30 +67,30 @@
 	}
 }
 
-func (d *demand) tick() {
+func (d *demandSimulation) tick() {
 	d.now = d.now.Add(demandTick)
 	for i, l := range d.ledgers {
-		d.work(l)
-		d.step(l)
+		d.generateLoad(l)
+		d.driverRound(l)
 		if d.now.UnixMilli()%1000 == 0 {
-			d.carry(l, l.Handle(d.now, Polled{Sent: d.now, Rows: d.table.Changes(table.PrefixAllotment, d.since[i])}))
-			d.since[i] = d.table.Revision()
+			d.execute(l, l.Handle(d.now, Polled{Sent: d.now, Rows: d.table.Changes(table.PrefixAllotment, d.polledRevisions[i])}))
+			d.polledRevisions[i] = d.table.Revision()
 		}
 	}
 }
 
-// step is a round of the ledger's driver without a poll.
-func (d *demand) step(l *Ledger) {
+// driverRound is a round of the ledger's driver without a poll.
+func (d *demandSimulation) driverRound(l *Ledger) {
 	if d.table.Revision() == 0 {
 		var t table.Transaction
 		_ = t.Set(table.ConfigHead, struct{}{})
 		_ = d.table.Transact(t)
 	}
-	d.carry(l, l.Handle(d.now, Limits{Head: d.table.Read(table.ConfigHead), Limits: d.limits}))
-	d.carry(l, l.Handle(d.now, Tick{}))
+	d.execute(l, l.Handle(d.now, Limits{Head: d.table.Read(table.ConfigHead), Limits: d.limits}))
+	d.execute(l, l.Handle(d.now, Tick{}))
 }
 
-func (d *demand) carry(l *Ledger, commands []Command) {
+func (d *demandSimulation) execute(l *Ledger, commands []Command) {
 	for len(commands) > 0 {
 		var next []Command
 		for _, c := range commands {
@@ -101,7 +101,7 @@
 					ZoneRow: d.table.Read(table.ZoneAllotmentKey(c.Team, l.Zone)),
 				})...)
 			case Move:
-				d.sent++
+				d.sentMoves++
 				m := Moved{ID: c.ID, Result: ResultApplied}
 				if d.table.Transact(c.Transaction) != nil {
 					d.conflicts++
@@ -114,11 +114,11 @@
 	}
 }
 
-// work offers the entry its part of each team's demand; a tenth of the teams bursts.
-func (d *demand) work(l *Ledger) {
-	turn := int(d.now.Sub(testStart) / demandTurn)
+// generateLoad offers the entry its part of each team's demand; a tenth of the teams bursts.
+func (d *demandSimulation) generateLoad(l *Ledger) {
+	turn := int(d.now.Sub(testStart) / demandBurst)
 	for i, team := range d.teams {
-		mean := float64(demandLimit) / 6 / float64(len(d.ledgers)) * float64(demandTick) / float64(demandRun)
+		mean := float64(demandLimit) / 6 / float64(len(d.ledgers)) * float64(demandTick) / float64(demandRunTime)
 		if i%10 == turn%10 {
 			mean *= 5
 		} else {
@@ -126,13 +126,13 @@
 		}
 		for mean > 0 && d.r.Float64() < mean {
 			mean--
-			d.n++
-			key := core.RequestKey{Team: team, ID: core.RequestID(fmt.Sprint(d.n))}
-			if l.Acquire(d.now, key, d.now.Add(demandRun)) {
+			d.requestCount++
+			key := core.RequestKey{Team: team, ID: core.RequestID(fmt.Sprint(d.requestCount))}
+			if l.Acquire(d.now, key, d.now.Add(demandRunTime)) {
 				d.starts++
 			} else {
 				d.refused++
-				l.Wanted(d.now, team)
+				l.RecordDemand(d.now, team)
 			}
 		}
 	}
@@ -142,28 +142,28 @@
 // rotating demand: cold, in the first turn of all teams, and after two turns, with and without fresh reads before them.
 func BenchmarkMoves(b *testing.B) {
 	for _, size := range []struct{ teams, zones, perZone int }{{62, 3, 2}, {155, 7, 2}, {620, 7, 6}} {
-		for _, u := range []unsafe{{}, {staleRows: true}} {
-			b.Run(fmt.Sprintf("teams=%d/entries=%d/fresh=%t", size.teams, size.zones*size.perZone, !u.staleRows), func(b *testing.B) {
-				d := newDemand(size.teams, size.zones, size.perZone, u)
+		for _, disabled := range []disabledSafeguards{{}, {staleRows: true}} {
+			b.Run(fmt.Sprintf("teams=%d/entries=%d/fresh=%t", size.teams, size.zones*size.perZone, !disabled.staleRows), func(b *testing.B) {
+				d := newDemandSimulation(size.teams, size.zones, size.perZone, disabled)
 				perSecond := int(time.Second / demandTick)
 				cold, peak, coldWaits := 0, 0, 0.0
 				for second := range 170 {
-					before := d.sent
+					before := d.sentMoves
 					for range perSecond {
 						d.tick()
 					}
-					peak = max(peak, d.sent-before)
+					peak = max(peak, d.sentMoves-before)
 					if second == 79 {
-						cold, coldWaits = d.sent, 100*float64(d.refused)/float64(d.starts+d.refused)
+						cold, coldWaits = d.sentMoves, 100*float64(d.refused)/float64(d.starts+d.refused)
 					}
 				}
-				d.sent, d.conflicts, d.starts, d.refused = 0, 0, 0, 0
+				d.sentMoves, d.conflicts, d.starts, d.refused = 0, 0, 0, 0
 				for b.Loop() {
 					for range perSecond {
 						d.tick()
 					}
 				}
-				b.ReportMetric(float64(d.sent)/float64(b.N), "transactions/s")
+				b.ReportMetric(float64(d.sentMoves)/float64(b.N), "transactions/s")
 				b.ReportMetric(float64(cold)/80, "cold-transactions/s")
 				b.ReportMetric(coldWaits, "%cold-waits")
 				b.ReportMetric(float64(peak), "cold-peak/s")
@@ -180,16 +180,16 @@
 func BenchmarkLedgerMemory(b *testing.B) {
 	for _, teams := range []int{62, 155, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			var d *demand
+			var d *demandSimulation
 			before := heapInUse()
 			for b.Loop() {
-				d = newDemand(teams, 1, 1, unsafe{})
+				d = newDemandSimulation(teams, 1, 1, disabledSafeguards{})
 				l := d.ledgers[0]
 				for _, team := range d.teams {
-					l.Wanted(d.now, team)
+					l.RecordDemand(d.now, team)
 				}
 				for range 3 {
-					d.step(l)
+					d.driverRound(l)
 				}
 				for i, team := range d.teams {
 					for n := range 10 {
--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -11,13 +11,13 @@
 
 // decide returns what to do next about one team: settle what is open, read what is
 // unknown, else move parts.
-func (l *Ledger) decide(now time.Time, team core.TeamID, a *allotment) []Command {
+func (l *Ledger) decide(now time.Time, team core.TeamID, a *teamAllotment) []Command {
 	a.running.expire(now)
-	if m := a.move; m != nil && m.conflicted.IsZero() {
-		if m.resend.IsZero() || now.Before(m.resend) {
+	if m := a.move; m != nil && m.conflictedAt.IsZero() {
+		if m.resendAt.IsZero() || now.Before(m.resendAt) {
 			return nil
 		}
-		m.resend = time.Time{}
+		m.resendAt = time.Time{}
 		return []Command{m.Move}
 	}
 	if a.move == nil && now.Before(a.retryAt) {
@@ -34,68 +34,68 @@
 }
 
 // readRows asks for the rows, unless a read is under way.
-func (l *Ledger) readRows(now time.Time, team core.TeamID, a *allotment) []Command {
-	if now.Before(a.readSent.Add(rereadAfter)) {
+func (l *Ledger) readRows(now time.Time, team core.TeamID, a *teamAllotment) []Command {
+	if now.Before(a.readSentAt.Add(rereadAfter)) {
 		return nil
 	}
-	a.readSent = now
+	a.readSentAt = now
 	return []Command{ReadRows{Team: team}}
 }
 
 // needsRead reports whether the rows have to be read before anything else. After a
 // limit change that nobody waits for, the next poll will do.
-func (l *Ledger) needsRead(now time.Time, a *allotment) bool {
-	return !a.known || a.move != nil || l.wants(now, a) && !l.rowsAt(a).After(a.lowered)
+func (l *Ledger) needsRead(now time.Time, a *teamAllotment) bool {
+	return !a.known || a.move != nil || l.hasDemand(now, a) && !l.rowsAsOf(a).After(a.loweredAt)
 }
 
 // draft is a move in the making.
 type draft struct {
-	team TeamRow
-	zone ZoneRow
-	part core.Slots
+	team  TeamRow
+	zone  ZoneRow
+	slots core.Slots
 	// cleared are the zones whose rows the move empties.
 	cleared []core.ZoneID
-	// worth is true if the move is worth a write.
-	worth bool
+	// worthwhile is true if the move is worth a write.
+	worthwhile bool
 }
 
 // plan opens the move that the rows call for if it is worth a write.
-func (l *Ledger) plan(now time.Time, team core.TeamID, a *allotment) []Command {
+func (l *Ledger) plan(now time.Time, team core.TeamID, a *teamAllotment) []Command {
 	d := l.draft(now, a)
-	if !d.worth {
+	if !d.worthwhile {
 		return nil
 	}
-	if now.After(a.fresh.Add(freshFor)) && !l.unsafe.staleRows {
+	if now.After(a.refreshedAt.Add(maxRowAge)) && !l.disabled.staleRows {
 		// Two reads are cheaper than a write that meets a conflict.
 		return l.readRows(now, team, a)
 	}
 	d.team.Limit = a.limit
-	setPart(&d.zone.Entries, l.Self, d.part)
-	setPart(&d.team.Zones, l.Zone, d.zone.Sum())
-	return l.open(team, a, d)
+	setSlots(&d.zone.Entries, l.Self, d.slots)
+	setSlots(&d.team.Zones, l.Zone, d.zone.Sum())
+	return l.startMove(team, a, d)
 }
 
 // draft returns the move that the rows call for.
-func (l *Ledger) draft(now time.Time, a *allotment) draft {
-	d := draft{team: a.team.clone(), zone: a.zone.clone(), part: a.part}
-	dropEnded(d.team.Wanted, now)
-	dropEnded(d.zone.Wanted, now)
+func (l *Ledger) draft(now time.Time, a *teamAllotment) draft {
+	d := draft{team: a.team.clone(), zone: a.zone.clone(), slots: a.slots}
+	dropExpired(d.team.Wanted, now)
+	dropExpired(d.zone.Wanted, now)
 	l.reclaimEntries(now, &d)
 	l.reclaimZones(now, &d)
-	l.size(now, a, &d)
+	l.adjust(now, a, &d)
 	return d
 }
 
-// open makes the move of a draft the allotment's open one.
-func (l *Ledger) open(team core.TeamID, a *allotment, d draft) []Command {
+// startMove makes the move of a draft the allotment's open one.
+func (l *Ledger) startMove(team core.TeamID, a *teamAllotment, d draft) []Command {
 	teamKey, zoneKey := table.TeamAllotmentKey(team), table.ZoneAllotmentKey(team, l.Zone)
 	var t table.Transaction
-	t.Check(table.Row{Key: teamKey, Version: a.teamRow.Version})
-	t.Check(table.Row{Key: zoneKey, Version: a.zoneRow.Version})
-	if d.part > a.part && !l.unsafe.noHeadCheck {
+	t.Check(table.Row{Key: teamKey, Version: a.teamTableRow.Version})
+	t.Check(table.Row{Key: zoneKey, Version: a.zoneTableRow.Version})
+	if d.slots > a.slots && !l.disabled.noHeadCheck {
 		// A limit that was lowered since this entry last looked must not be handed out:
 		// the head's version has moved then, and the table refuses.
-		t.Check(l.head)
+		t.Check(l.configHead)
 	}
 	if t.Set(teamKey, d.team) != nil || t.Set(zoneKey, d.zone) != nil {
 		return nil
@@ -107,9 +107,9 @@
 	}
 	l.lastMove++
 	m := &openMove{
-		Move:    Move{ID: l.lastMove, Team: team, Transaction: t},
-		smaller: min(a.part, d.part), after: d.part, team: d.team, zone: d.zone,
-		teamVersion: a.teamRow.Version, zoneVersion: a.zoneRow.Version,
+		Move:     Move{ID: l.lastMove, Team: team, Transaction: t},
+		minSlots: min(a.slots, d.slots), slotsAfter: d.slots, team: d.team, zone: d.zone,
+		teamVersion: a.teamTableRow.Version, zoneVersion: a.zoneTableRow.Version,
 	}
 	a.move = m
 	put(&l.moves, m.ID, team)
@@ -129,118 +129,118 @@
 		end, marked := d.zone.Reclaim[e]
 		switch {
 		case e == l.Self:
-		case marked && !now.Before(end), l.gone[e] && l.unsafe.reclaimAtOnce:
+		case marked && !now.Before(end), l.goneEntries[e] && l.disabled.reclaimImmediately:
 			delete(d.zone.Entries, e)
 			delete(d.zone.Reclaim, e)
-			d.worth = true
-		case !marked && l.gone[e]:
-			put(&d.zone.Reclaim, e, l.lastLease(now))
-			d.worth = true
+			d.worthwhile = true
+		case !marked && l.goneEntries[e]:
+			put(&d.zone.Reclaim, e, l.lastLeaseEnd(now))
+			d.worthwhile = true
 		}
 	}
-	setPart(&d.team.Zones, l.Zone, d.zone.Sum())
+	setSlots(&d.team.Zones, l.Zone, d.zone.Sum())
 }
 
 // reclaimZones frees the parts of zones that an operator attested to be down, once
 // no lease granted there can still run.
 func (l *Ledger) reclaimZones(now time.Time, d *draft) {
-	for _, z := range slices.Sorted(maps.Keys(l.down)) {
-		since := l.down[z]
-		if z == l.Zone || d.team.Zones[z] == 0 || (now.Before(l.lastLease(since)) && !l.unsafe.reclaimAtOnce) {
+	for _, z := range slices.Sorted(maps.Keys(l.downZones)) {
+		since := l.downZones[z]
+		if z == l.Zone || d.team.Zones[z] == 0 || (now.Before(l.lastLeaseEnd(since)) && !l.disabled.reclaimImmediately) {
 			continue
 		}
 		delete(d.team.Zones, z)
 		delete(d.team.Wanted, z)
 		d.cleared = append(d.cleared, z)
-		d.worth = true
+		d.worthwhile = true
 	}
 }
 
-// lastLease returns when every lease has ended that was granted before t, on any
+// lastLeaseEnd returns when every lease has ended that was granted before t, on any
 // clock: the granting clock, the target's and the reader's each add a skew.
-func (l *Ledger) lastLease(t time.Time) time.Time {
+func (l *Ledger) lastLeaseEnd(t time.Time) time.Time {
 	return t.Add(l.maxLifetime() + 3*l.skew())
 }
 
-// size sets the part that the entry should have. A part stays where it is until
+// adjust sets the part that the entry should have. A part stays where it is until
 // someone else waits for it: limits of teams are independent, so an idle part costs
 // nothing, and giving it back and fetching it again costs two writes.
-func (l *Ledger) size(now time.Time, a *allotment, d *draft) {
+func (l *Ledger) adjust(now time.Time, a *teamAllotment, d *draft) {
 	running := a.running.count()
-	if l.unsafe.giveRunning {
+	if l.disabled.giveBackRunning {
 		running = 0
 	}
-	idle := max(0, d.part-running)
+	idle := max(0, d.slots-running)
 	free := a.limit - d.team.Sum()
-	wants := l.wants(now, a)
-	starving := l.starving(now, d)
-	even := l.even(now, a.limit, d)
+	wants := l.hasDemand(now, a)
+	starving := l.countStarved(now, d)
+	even := l.evenShare(now, a.limit, d)
 	switch {
 	case l.stopping:
-		l.give(d, idle)
+		l.giveBack(d, idle)
 	case free < 0:
-		l.give(d, min(idle, -free))
+		l.giveBack(d, min(idle, -free))
 	case starving > 0:
-		l.share(d, idle, free, even, starving, wants)
-	case wants && d.part == 0:
-		l.takeFirst(now, a, d)
+		l.yieldToStarved(d, idle, free, even, starving, wants)
+	case wants && d.slots == 0:
+		l.takeInitial(now, a, d)
 	case wants && idle == 0:
-		l.take(d, min(free, l.step(now, a, d)))
+		l.take(d, min(free, l.increment(now, a, d)))
 	case wants:
 	case d.team.Short.After(now) && free <= 0:
-		l.give(d, min(idle, d.part-a.used.peak(now)))
-	case !now.Before(a.used.last.Add(l.unusedFor())):
+		l.giveBack(d, min(idle, d.slots-a.usage.peak(now)))
+	case !now.Before(a.usage.lastUsed.Add(l.retention())):
 		// The least part stays. It would be asked for again as the first one, and the
 		// table would get both moves for every entry and team.
-		l.give(d, min(idle, d.part-reserve(a.limit)))
+		l.giveBack(d, min(idle, d.slots-minAllotment(a.limit)))
 	}
-	l.mark(now, wants && free <= 0 && d.part <= a.part, even, d)
+	l.updateMarks(now, wants && free <= 0 && d.slots <= a.slots, even, d)
 }
 
-// unusedFor returns how long a part stays that nobody asks for and nothing uses. It is
+// retention returns how long a part stays that nobody asks for and nothing uses. It is
 // another for each entry: if all gave back at the same time, most moves would conflict.
-func (l *Ledger) unusedFor() time.Duration {
-	spread := l.place(int(unusedFor / time.Second))
-	return unusedFor + time.Duration(spread)*time.Second
+func (l *Ledger) retention() time.Duration {
+	spread := l.spreadOffset(int(unusedRetention / time.Second))
+	return unusedRetention + time.Duration(spread)*time.Second
 }
 
-// share makes room for others that have less than their even part.
-func (l *Ledger) share(d *draft, idle, free, even core.Slots, starving int, wants bool) {
+// yieldToStarved makes room for others that have less than their even part.
+func (l *Ledger) yieldToStarved(d *draft, idle, free, even core.Slots, starving int, wants bool) {
 	switch {
 	case !wants && free <= 0:
-		l.give(d, min(idle, core.Slots(starving)))
-	case d.part > even && free <= 0:
-		l.give(d, min(idle, d.part-even, core.Slots(starving)))
-	case wants && idle == 0 && d.part < max(1, even):
-		l.take(d, min(free, max(1, even)-d.part))
+		l.giveBack(d, min(idle, core.Slots(starving)))
+	case d.slots > even && free <= 0:
+		l.giveBack(d, min(idle, d.slots-even, core.Slots(starving)))
+	case wants && idle == 0 && d.slots < max(1, even):
+		l.take(d, min(free, max(1, even)-d.slots))
 	}
 }
 
-// step returns how much to take at once: as much again as the part or about an entry's
+// increment returns how much to take at once: as much again as the part or about an entry's
 // share of what is free, or single slots while the limit is short.
-func (l *Ledger) step(now time.Time, a *allotment, d *draft) core.Slots {
+func (l *Ledger) increment(now time.Time, a *teamAllotment, d *draft) core.Slots {
 	if d.team.Short.After(now) {
 		return 1
 	}
 	const entries = 32
-	return max(d.part, reserve(a.limit), (a.limit-d.team.Sum())/entries)
+	return max(d.slots, minAllotment(a.limit), (a.limit-d.team.Sum())/entries)
 }
 
-// wants reports whether a request waits here for want of allotment.
-func (l *Ledger) wants(now time.Time, a *allotment) bool {
-	_, down := l.down[l.Zone]
-	return !l.stopping && !down && l.head.Version > 0 && !a.wanted.IsZero() && now.Before(a.wanted.Add(wantFor))
+// hasDemand reports whether a request waits here for want of allotment.
+func (l *Ledger) hasDemand(now time.Time, a *teamAllotment) bool {
+	_, down := l.downZones[l.Zone]
+	return !l.stopping && !down && l.configHead.Version > 0 && !a.demandAt.IsZero() && now.Before(a.demandAt.Add(demandTTL))
 }
 
-// starving counts the other zones, and other entries of this one, in which an entry
+// countStarved counts the other zones, and other entries of this one, in which an entry
 // waits with less than its even part.
-func (l *Ledger) starving(now time.Time, d *draft) int {
-	return othersWant(d.team.Wanted, l.Zone, now) + othersWant(d.zone.Wanted, l.Self, now)
+func (l *Ledger) countStarved(now time.Time, d *draft) int {
+	return countOtherMarks(d.team.Wanted, l.Zone, now) + countOtherMarks(d.zone.Wanted, l.Self, now)
 }
 
-// even returns the entry's even part of the limit among those who hold or want one,
+// evenShare returns the entry's even part of the limit among those who hold or want one,
 // among zones first, then within the zone, rounded down.
-func (l *Ledger) even(now time.Time, limit core.Slots, d *draft) core.Slots {
+func (l *Ledger) evenShare(now time.Time, limit core.Slots, d *draft) core.Slots {
 	zones := claimants(d.team.Zones, d.team.Wanted, l.Zone, now)
 	entries := claimants(d.zone.Entries, d.zone.Wanted, l.Self, now)
 	return limit / core.Slots(zones*entries)
@@ -248,41 +248,41 @@
 
 // ceiling bounds what runs here while others wait with less than their even part of a
 // limit that is all given out: work that ends makes room for them.
-func (a *allotment) ceiling(now time.Time, l *Ledger) core.Slots {
+func (a *teamAllotment) ceiling(now time.Time, l *Ledger) core.Slots {
 	d := draft{team: a.team, zone: a.zone}
-	if a.team.Sum() < a.limit || l.starving(now, &d) == 0 {
+	if a.team.Sum() < a.limit || l.countStarved(now, &d) == 0 {
 		return a.limit
 	}
-	return max(1, l.even(now, a.limit, &d))
+	return max(1, l.evenShare(now, a.limit, &d))
 }
 
-func (l *Ledger) give(d *draft, n core.Slots) {
+func (l *Ledger) giveBack(d *draft, n core.Slots) {
 	if n > 0 {
-		d.part -= n
-		d.worth = true
+		d.slots -= n
+		d.worthwhile = true
 	}
 }
 
 func (l *Ledger) take(d *draft, n core.Slots) {
 	if n > 0 {
-		d.part += n
-		d.worth = true
+		d.slots += n
+		d.worthwhile = true
 	}
 }
 
-// mark sets or clears the marks by which entries ask others for a part. One mark of a
+// updateMarks sets or clears the marks by which entries ask others for a part. One mark of a
 // short limit serves all, so that a burst doesn't cost a write for each entry.
-func (l *Ledger) mark(now time.Time, waits bool, even core.Slots, d *draft) {
+func (l *Ledger) updateMarks(now time.Time, waits bool, even core.Slots, d *draft) {
 	_, marked := d.zone.Wanted[l.Self]
-	less := d.part == 0 || d.part < even
+	less := d.slots == 0 || d.slots < even
 	switch {
 	case waits && less && !marked:
-		put(&d.zone.Wanted, l.Self, now.Add(markFor))
-		put(&d.team.Wanted, l.Zone, now.Add(markFor))
-		d.worth = true
+		put(&d.zone.Wanted, l.Self, now.Add(demandMarkTTL))
+		put(&d.team.Wanted, l.Zone, now.Add(demandMarkTTL))
+		d.worthwhile = true
 	case waits && !less && !d.team.Short.After(now):
-		d.team.Short = now.Add(markFor)
-		d.worth = true
+		d.team.Short = now.Add(demandMarkTTL)
+		d.worthwhile = true
 	case marked && !less:
 		delete(d.zone.Wanted, l.Self)
 		if len(d.zone.Wanted) == 0 {
@@ -291,8 +291,8 @@
 	}
 }
 
-// reserve is the least part worth asking for.
-func reserve(limit core.Slots) core.Slots {
+// minAllotment is the least part worth asking for.
+func minAllotment(limit core.Slots) core.Slots {
 	const entries = 64
 	return max(1, limit/entries)
 }
--- a/core/limit/dump.go
+++ b/core/limit/dump.go
@@ -29,8 +29,8 @@
 	for _, team := range l.Teams() {
 		a := l.teams[team]
 		dump = append(dump, TeamDump{
-			Team: team, Limit: a.limit, Part: a.part, Running: a.running.count(), GivenOut: a.team.Sum(),
-			Above: l.Above(team), Paused: l.paused(a), Settling: a.move != nil,
+			Team: team, Limit: a.limit, Part: a.slots, Running: a.running.count(), GivenOut: a.team.Sum(),
+			Above: l.Excess(team), Paused: l.startsPaused(a), Settling: a.move != nil,
 		})
 	}
 	return dump
--- a/core/limit/event.go
+++ b/core/limit/event.go
@@ -58,9 +58,9 @@
 	Result Result
 }
 
-// Gone tells that an entry's process has certainly ended. Entries of other zones
+// EntryGone tells that an entry's process has certainly ended. Entries of other zones
 // are ignored.
-type Gone struct{ Entry core.EntryID }
+type EntryGone struct{ Entry core.EntryID }
 
 // ZoneDown tells an operator's attestation about a zone, since an instant, or that
 // it was taken back.
@@ -84,15 +84,15 @@
 // all that doesn't run.
 type Stop struct{}
 
-func (Limits) isEvent()   {}
-func (RowsRead) isEvent() {}
-func (Polled) isEvent()   {}
-func (Moved) isEvent()    {}
-func (Gone) isEvent()     {}
-func (ZoneDown) isEvent() {}
-func (Members) isEvent()  {}
-func (Tick) isEvent()     {}
-func (Stop) isEvent()     {}
+func (Limits) isEvent()    {}
+func (RowsRead) isEvent()  {}
+func (Polled) isEvent()    {}
+func (Moved) isEvent()     {}
+func (EntryGone) isEvent() {}
+func (ZoneDown) isEvent()  {}
+func (Members) isEvent()   {}
+func (Tick) isEvent()      {}
+func (Stop) isEvent()      {}
 
 // MoveID numbers the moves of one Ledger.
 type MoveID uint64
--- a/core/limit/first_test.go
+++ b/core/limit/initial_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/core/table"
 )
 
-// members tells n the entries of its zone and one that may have ended.
-func (w *world) members(n *node) Members {
+// membersOf tells n the entries of its zone and one that may have ended.
+func (w *simulation) membersOf(n *testEntry) Members {
 	m := Members{Zones: []core.ZoneID{"z0", "z1", "z2"}}
 	for _, other := range w.entries {
 		if other.ledger.Zone == n.ledger.Zone {
@@ -47,24 +47,24 @@
 
 // checkRows holds the parts that the rows give out against a limit that stays, and each
 // zone's part against those of its entries.
-func (w *world) checkRows() {
-	if w.limits {
+func (w *simulation) checkRows() {
+	if w.changeLimits {
 		return
 	}
 	var team TeamRow
 	_ = w.table.Read(table.TeamAllotmentKey(testTeam)).Decode(&team)
-	w.overGiven = max(w.overGiven, team.Sum()-w.limit)
+	w.maxOverAllotted = max(w.maxOverAllotted, team.Sum()-w.limit)
 	for z, n := range team.Zones {
 		var zone ZoneRow
 		_ = w.table.Read(table.ZoneAllotmentKey(testTeam, z)).Decode(&zone)
-		w.overGiven = max(w.overGiven, zone.Sum()-n)
+		w.maxOverAllotted = max(w.maxOverAllotted, zone.Sum()-n)
 	}
 }
 
 // A part that is given to an entry which won't use it is lost to the team until its
 // last lease could have ended. An entry takes its first part; who else of its zone gets
 // one depends on who has started lately, who holds one and what is left of the limit.
-func TestFirstPartsGoToNewcomers(t *testing.T) {
+func TestInitialAllotmentsGoToNewEntries(t *testing.T) {
 	now := testStart
 	id := func(name string, ago time.Duration) core.EntryID { return core.NewEntryID(name, now.Add(-ago)) }
 	self, peer := id("a", 0), id("b", time.Second)
@@ -91,12 +91,12 @@
 			_ = rows.Set(table.ZoneAllotmentKey(testTeam, "z1"), ZoneRow{Entries: test.held})
 		}
 		assert.NilError(t, m.Transact(rows))
-		d := &demand{now: now, table: m, limits: map[core.TeamID]core.Slots{testTeam: test.limit}}
-		l.Wanted(now, testTeam)
+		d := &demandSimulation{now: now, table: m, limits: map[core.TeamID]core.Slots{testTeam: test.limit}}
+		l.RecordDemand(now, testTeam)
 		members := slices.Sorted(slices.Values(append(test.others, self)))
-		d.carry(l, l.Handle(now, Members{Entries: members, Zones: []core.ZoneID{"z1", "z2", "z3"}}))
-		d.carry(l, l.Handle(now, Gone{Entry: test.gone}))
-		d.step(l)
+		d.execute(l, l.Handle(now, Members{Entries: members, Zones: []core.ZoneID{"z1", "z2", "z3"}}))
+		d.execute(l, l.Handle(now, EntryGone{Entry: test.gone}))
+		d.driverRound(l)
 		var zone ZoneRow
 		assert.NilError(t, d.table.Read(table.ZoneAllotmentKey(testTeam, "z1")).Decode(&zone))
 		assert.Equal(t, len(zone.Entries), test.want, "%s: %v", test.name, zone.Entries)
@@ -107,17 +107,17 @@
 // teams a second and entry, ten rounds a second, and an answer of the table a round
 // after what was asked.
 type coldStart struct {
-	*demand
+	*demandSimulation
 	perSecond int
 	inboxes   [][]Event
 	reads     int
 	seconds   int
 }
 
-const coldStartPatience = 300
+const coldStartMaxSeconds = 300
 
 func newColdStart(teams, zones, perZone int, members bool) *coldStart {
-	c := &coldStart{demand: newDemand(teams, zones, perZone, unsafe{}), perSecond: 5}
+	c := &coldStart{demandSimulation: newDemandSimulation(teams, zones, perZone, disabledSafeguards{}), perSecond: 5}
 	c.inboxes = make([][]Event, len(c.ledgers))
 	for _, l := range c.ledgers {
 		if !members {
@@ -132,10 +132,10 @@
 
 // run lets seconds pass until every entry holds a part of each team's limit.
 func (c *coldStart) run() *coldStart {
-	for c.seconds < coldStartPatience && c.lacking() > 0 {
+	for c.seconds < coldStartMaxSeconds && c.missingAllotments() > 0 {
 		for _, l := range c.ledgers {
-			for _, team := range l.NextFirstParts(c.teams, c.perSecond) {
-				l.Wanted(c.now, team)
+			for _, team := range l.NextInitialAllotments(c.teams, c.perSecond) {
+				l.RecordDemand(c.now, team)
 			}
 		}
 		c.second()
@@ -158,8 +158,8 @@
 	l := c.ledgers[i]
 	inbox := append(c.inboxes[i], Limits{Head: c.table.Read(table.ConfigHead), Limits: c.limits}, Tick{})
 	if c.now.UnixMilli()%1000 == 0 {
-		inbox = append(inbox, Polled{Sent: c.now, First: c.since[i] == 0, Rows: c.table.Changes(table.PrefixAllotment, c.since[i])})
-		c.since[i] = c.table.Revision()
+		inbox = append(inbox, Polled{Sent: c.now, First: c.polledRevisions[i] == 0, Rows: c.table.Changes(table.PrefixAllotment, c.polledRevisions[i])})
+		c.polledRevisions[i] = c.table.Revision()
 	}
 	c.inboxes[i] = nil
 	for _, e := range inbox {
@@ -178,7 +178,7 @@
 			ZoneRow: c.table.Read(table.ZoneAllotmentKey(command.Team, l.Zone)),
 		}
 	case Move:
-		c.sent++
+		c.sentMoves++
 		if c.table.Transact(command.Transaction) != nil {
 			c.conflicts++
 			return Moved{ID: command.ID, Result: ResultConflict}
@@ -188,11 +188,11 @@
 	return nil
 }
 
-// lacking counts the parts that are still missing.
-func (c *coldStart) lacking() int {
+// missingAllotments counts the parts that are still missing.
+func (c *coldStart) missingAllotments() int {
 	n := 0
 	for _, l := range c.ledgers {
-		n += len(l.NextFirstParts(c.teams, len(c.teams)))
+		n += len(l.NextInitialAllotments(c.teams, len(c.teams)))
 	}
 	return n
 }
@@ -205,13 +205,13 @@
 	sent, applied := make(map[bool]int), make(map[bool]int)
 	for _, members := range []bool{false, true} {
 		c := newColdStart(teams, zones, perZone, members).run()
-		sent[members], applied[members] = c.sent, c.sent-c.conflicts
-		t.Logf("peers known %t: %d transactions, %d of them conflicts, %d reads, %d s", members, c.sent, c.conflicts, c.reads, c.seconds)
+		sent[members], applied[members] = c.sentMoves, c.sentMoves-c.conflicts
+		t.Logf("peers known %t: %d transactions, %d of them conflicts, %d reads, %d s", members, c.sentMoves, c.conflicts, c.reads, c.seconds)
 		for range 10 {
 			c.second()
 		}
 		// What was given is kept.
-		assert.Equal(t, c.lacking(), 0)
+		assert.Equal(t, c.missingAllotments(), 0)
 		for _, team := range c.teams {
 			var r TeamRow
 			assert.NilError(t, c.table.Read(table.TeamAllotmentKey(team)).Decode(&r))
@@ -229,11 +229,11 @@
 		b.Run(fmt.Sprintf("teams=620/entries=42/peers=%t", members), func(b *testing.B) {
 			for b.Loop() {
 				c := newColdStart(620, 7, 6, members).run()
-				b.ReportMetric(float64(c.sent), "transactions")
+				b.ReportMetric(float64(c.sentMoves), "transactions")
 				b.ReportMetric(float64(c.conflicts), "conflicts")
 				b.ReportMetric(float64(c.reads), "reads")
 				b.ReportMetric(float64(c.seconds), "s")
-				b.ReportMetric(float64(c.lacking()), "lacking")
+				b.ReportMetric(float64(c.missingAllotments()), "lacking")
 			}
 		})
 	}
@@ -243,16 +243,16 @@
 // at the same time, from a fleet that runs nothing: parts that nobody used were given
 // back whole, and then asked for again as first parts. The fleet starts and idles for
 // two hours.
-func TestIdlePartsStay(t *testing.T) {
+func TestIdleAllotmentsAreKept(t *testing.T) {
 	const teams, zones, perZone = 10, 3, 2
 	c := newColdStart(teams, zones, perZone, true).run()
-	first := c.sent
+	first := c.sentMoves
 	for range 2 * 60 {
 		c.now = c.now.Add(time.Minute - time.Second)
 		c.run().second()
 	}
-	t.Logf("%d transactions at the start, %d in the two hours after it", first, c.sent-first)
-	assert.Equal(t, c.lacking(), 0)
+	t.Logf("%d transactions at the start, %d in the two hours after it", first, c.sentMoves-first)
+	assert.Equal(t, c.missingAllotments(), 0)
 	// One for each part that shrinks to the least one.
-	assert.Assert(t, c.sent-first <= teams*zones*perZone*3/2)
+	assert.Assert(t, c.sentMoves-first <= teams*zones*perZone*3/2)
 }
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -26,58 +26,58 @@
 
 // world runs real Ledgers over a table in memory, and keeps the targets' own record
 // of what runs. The verdict is taken from that record alone.
-type world struct {
-	r       *rand.Rand
-	now     time.Time
-	table   table.Memory
-	isDown  bool
-	limit   core.Slots
-	version core.Version
-	entries []*node
-	late    []table.Transaction
-	gone    []core.EntryID
-	runs    []run
-	unsafe  unsafe
-	// limits is true if the limit is raised and lowered on the way.
-	limits bool
-	// calm is true if the test itself makes the faults.
-	calm bool
-	// restful is true while no new work comes.
-	restful     bool
+type simulation struct {
+	r             *rand.Rand
+	now           time.Time
+	table         table.Memory
+	tableDown     bool
+	limit         core.Slots
+	headVersion   core.Version
+	entries       []*testEntry
+	delayedWrites []table.Transaction
+	gone          []core.EntryID
+	runs          []targetRun
+	unsafe        disabledSafeguards
+	// changeLimits is true if the limit is raised and lowered on the way.
+	changeLimits bool
+	// scriptedFaults is true if the test itself makes the faults.
+	scriptedFaults bool
+	// noNewWork is true while no new work comes.
+	noNewWork   bool
 	next        int
-	worst       core.Slots
+	maxExcess   core.Slots
 	served      int
 	lostAnswers int
 	moves       int
-	// given counts parts that an entry gave to another one.
-	given int
-	// overGiven is by how much the parts in the rows exceeded a limit that stays.
-	overGiven core.Slots
+	// givenToOthers counts parts that an entry gave to another one.
+	givenToOthers int
+	// maxOverAllotted is by how much the parts in the rows exceeded a limit that stays.
+	maxOverAllotted core.Slots
 }
 
 // node is one run of an entry's daemon.
-type node struct {
-	ledger *Ledger
-	paused time.Time
-	// cut entries reach nothing, blind ones not the table, late ones hear no config.
-	cut, blind, late bool
-	// most is the greatest limit in force since the entry last heard of one.
-	most    core.Slots
-	inbox   []Event
-	running []core.RequestKey
-	polled  table.Revision
-	first   bool
+type testEntry struct {
+	ledger      *Ledger
+	pausedUntil time.Time
+	// isolated entries reach nothing, blind ones not the table, late ones hear no config.
+	isolated, cutFromTable, cutFromConfig bool
+	// maxLimitSinceUpdate is the greatest limit in force since the entry last heard of one.
+	maxLimitSinceUpdate core.Slots
+	inbox               []Event
+	running             []core.RequestKey
+	polledRevision      table.Revision
+	firstPoll           bool
 }
 
-// run is a target's record of one request.
-type run struct {
+// targetRun is a target's record of one request.
+type targetRun struct {
 	key   core.RequestKey
 	until time.Time
-	node  *node
+	entry *testEntry
 }
 
-func newWorld(seed uint64, u unsafe, limits bool) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 1)), now: testStart, limit: 12, unsafe: u, limits: limits}
+func newSimulation(seed uint64, disabled disabledSafeguards, changeLimits bool) *simulation {
+	w := &simulation{r: rand.New(rand.NewPCG(seed, 1)), now: testStart, limit: 12, unsafe: disabled, changeLimits: changeLimits}
 	w.setLimit(12)
 	for i := range 6 {
 		w.entries = append(w.entries, w.start(i))
@@ -85,43 +85,43 @@
 	return w
 }
 
-func (w *world) start(i int) *node {
+func (w *simulation) start(i int) *testEntry {
 	w.next++
-	return &node{first: true, ledger: &Ledger{
+	return &testEntry{firstPoll: true, ledger: &Ledger{
 		Self: core.NewEntryID(fmt.Sprintf("e%d", i), w.now), Zone: core.ZoneID(fmt.Sprintf("z%d", i/2)),
-		MaxLifetime: testLifetime, Skew: testSkew, unsafe: w.unsafe,
+		MaxLifetime: testLifetime, Skew: testSkew, disabled: w.unsafe,
 	}}
 }
 
-func (w *world) setLimit(n core.Slots) {
+func (w *simulation) setLimit(n core.Slots) {
 	w.limit = n
-	w.version++
+	w.headVersion++
 	var t table.Transaction
-	_ = t.Set(table.ConfigHead, config.Head{Version: w.version})
+	_ = t.Set(table.ConfigHead, config.Head{Version: w.headVersion})
 	_ = w.table.Transact(t)
 }
 
-func (w *world) chance(percent int) bool { return w.r.IntN(100) < percent }
+func (w *simulation) chance(percent int) bool { return w.r.IntN(100) < percent }
 
 // step lets one instant pass: faults, deliveries, ticks, work.
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now = w.now.Add(testStep)
 	w.endRuns()
-	if !w.calm {
-		w.faults()
+	if !w.scriptedFaults {
+		w.injectFaults()
 	}
 	for _, n := range w.entries {
-		if w.now.Before(n.paused) {
+		if w.now.Before(n.pausedUntil) {
 			continue
 		}
 		inbox := n.inbox
 		n.inbox = nil
 		for _, e := range inbox {
-			w.carry(n, n.ledger.Handle(w.now, e))
+			w.execute(n, n.ledger.Handle(w.now, e))
 		}
-		w.hear(n)
-		w.carry(n, n.ledger.Handle(w.now, Tick{}))
-		w.work(n)
+		w.deliverLimits(n)
+		w.execute(n, n.ledger.Handle(w.now, Tick{}))
+		w.generateLoad(n)
 	}
 	for _, n := range w.entries {
 		// A paused entry's answers arrive while it sleeps.
@@ -132,73 +132,73 @@
 	w.checkRows()
 }
 
-func (w *world) faults() {
+func (w *simulation) injectFaults() {
 	if w.chance(1) {
-		w.isDown = !w.isDown
+		w.tableDown = !w.tableDown
 	}
-	if len(w.late) > 0 && w.chance(20) {
+	if len(w.delayedWrites) > 0 && w.chance(20) {
 		// A write whose answer was lost takes effect only now.
-		_ = w.table.Transact(w.late[0])
-		w.late = w.late[1:]
+		_ = w.table.Transact(w.delayedWrites[0])
+		w.delayedWrites = w.delayedWrites[1:]
 	}
 	i := w.r.IntN(len(w.entries))
 	n := w.entries[i]
 	switch w.r.IntN(40) {
 	case 0:
-		n.paused = w.now.Add(time.Duration(w.r.IntN(60)) * testStep)
+		n.pausedUntil = w.now.Add(time.Duration(w.r.IntN(60)) * testStep)
 	case 1:
-		n.cut = !n.cut
+		n.isolated = !n.isolated
 	case 5:
-		n.blind = !n.blind
+		n.cutFromTable = !n.cutFromTable
 	case 4:
-		n.late = !n.late
+		n.cutFromConfig = !n.cutFromConfig
 	case 2:
 		w.gone = append(w.gone, n.ledger.Self)
 		w.entries[i] = w.start(i)
 	case 3:
-		if w.limits && w.chance(60) {
+		if w.changeLimits && w.chance(60) {
 			w.setLimit(core.Slots(4 + w.r.IntN(16)))
 		}
 	}
 	for _, n := range w.entries {
-		n.most = max(n.most, w.limit)
+		n.maxLimitSinceUpdate = max(n.maxLimitSinceUpdate, w.limit)
 	}
 	if w.chance(90) {
 		return
 	}
 	for _, n := range w.entries {
 		for _, e := range w.gone[max(0, len(w.gone)-12):] {
-			n.inbox = append(n.inbox, Gone{Entry: e})
+			n.inbox = append(n.inbox, EntryGone{Entry: e})
 		}
-		n.inbox = append(n.inbox, w.members(n))
+		n.inbox = append(n.inbox, w.membersOf(n))
 	}
 }
 
-// hear tells an entry that isn't cut off the limit in force. A late one still
+// deliverLimits tells an entry that isn't cut off the limit in force. A late one still
 // reaches the table.
-func (w *world) hear(n *node) {
-	if n.cut || n.late {
+func (w *simulation) deliverLimits(n *testEntry) {
+	if n.isolated || n.cutFromConfig {
 		return
 	}
-	n.most = w.limit
-	w.carry(n, n.ledger.Handle(w.now, Limits{
+	n.maxLimitSinceUpdate = w.limit
+	w.execute(n, n.ledger.Handle(w.now, Limits{
 		Head: w.table.Read(table.ConfigHead), Limits: map[core.TeamID]core.Slots{testTeam: w.limit},
 	}))
 }
 
-func (w *world) poll(n *node) {
-	if w.isDown || n.cut || n.blind {
+func (w *simulation) poll(n *testEntry) {
+	if w.tableDown || n.isolated || n.cutFromTable {
 		return
 	}
-	n.inbox = append(n.inbox, Polled{Sent: w.now, First: n.first, Rows: w.table.Changes(table.PrefixAllotment, n.polled)})
-	n.first, n.polled = false, w.table.Revision()
+	n.inbox = append(n.inbox, Polled{Sent: w.now, First: n.firstPoll, Rows: w.table.Changes(table.PrefixAllotment, n.polledRevision)})
+	n.firstPoll, n.polledRevision = false, w.table.Revision()
 }
 
-func (w *world) carry(n *node, commands []Command) {
+func (w *simulation) execute(n *testEntry, commands []Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case ReadRows:
-			if w.isDown || n.cut || n.blind {
+			if w.tableDown || n.isolated || n.cutFromTable {
 				continue
 			}
 			n.inbox = append(n.inbox, RowsRead{
@@ -211,16 +211,16 @@
 	}
 }
 
-func (w *world) transact(n *node, t table.Transaction) Result {
+func (w *simulation) transact(n *testEntry, t table.Transaction) Result {
 	w.moves++
-	w.given += givenToOthers(n.ledger.Self, t)
+	w.givenToOthers += givenToOthers(n.ledger.Self, t)
 	switch {
-	case w.isDown || n.cut || n.blind:
+	case w.tableDown || n.isolated || n.cutFromTable:
 		return ResultNotSent
-	case !w.calm && w.chance(10):
+	case !w.scriptedFaults && w.chance(10):
 		w.lostAnswers++
 		if w.chance(50) {
-			w.late = append(w.late, t)
+			w.delayedWrites = append(w.delayedWrites, t)
 		} else {
 			_ = w.table.Transact(t)
 		}
@@ -231,37 +231,37 @@
 	return ResultApplied
 }
 
-// work starts and ends requests at an entry as its home would.
-func (w *world) work(n *node) {
+// generateLoad starts and ends requests at an entry as its home would.
+func (w *simulation) generateLoad(n *testEntry) {
 	for range w.r.IntN(4) {
-		if w.restful {
+		if w.noNewWork {
 			break
 		}
 		key := core.RequestKey{Team: testTeam, ID: core.RequestID(fmt.Sprint(w.next))}
 		w.next++
 		until := w.now.Add(time.Duration(1+w.r.IntN(int(testLifetime/testStep))) * testStep)
 		if !n.ledger.Acquire(w.now, key, until) {
-			n.ledger.Wanted(w.now, testTeam)
+			n.ledger.RecordDemand(w.now, testTeam)
 			continue
 		}
 		w.served++
 		n.running = append(n.running, key)
-		w.runs = append(w.runs, run{key: key, until: until, node: n})
-		w.check(n)
+		w.runs = append(w.runs, targetRun{key: key, until: until, entry: n})
+		w.recordExcess(n)
 	}
 	if len(n.running) > 0 && w.chance(40) {
 		w.release(n)
 	}
 }
 
-// check looks at the overlap on the targets at each start: never more than the
+// recordExcess looks at the overlap on the targets at each start: never more than the
 // limit in force. An entry that is cut off can't hear of a lowered one; its starts
 // stay within the greatest limit since it last heard.
-func (w *world) check(n *node) {
-	w.worst = max(w.worst, core.Slots(len(w.runs))-n.most)
+func (w *simulation) recordExcess(n *testEntry) {
+	w.maxExcess = max(w.maxExcess, core.Slots(len(w.runs))-n.maxLimitSinceUpdate)
 }
 
-func (w *world) release(n *node) {
+func (w *simulation) release(n *testEntry) {
 	key := n.running[0]
 	n.running = n.running[1:]
 	if w.chance(20) {
@@ -278,7 +278,7 @@
 
 // endRuns ends what is at its lease deadline by the target's clock, which may be
 // behind by the skew.
-func (w *world) endRuns() {
+func (w *simulation) endRuns() {
 	rest := w.runs[:0]
 	for _, r := range w.runs {
 		if w.now.Before(r.until.Add(testSkew)) {
@@ -288,16 +288,16 @@
 	w.runs = rest
 }
 
-func (w *world) run() *world { return w.steps(testSteps) }
+func (w *simulation) run() *simulation { return w.steps(testSteps) }
 
-func (w *world) steps(n int) *world {
+func (w *simulation) steps(n int) *simulation {
 	for range n {
 		w.step()
 	}
 	return w
 }
 
-func (w *world) parts() string {
+func (w *simulation) dumpEntries() string {
 	var b strings.Builder
 	for _, n := range w.entries {
 		fmt.Fprintf(&b, "%s %+v\n", n.ledger.Self, n.ledger.Dump())
@@ -306,25 +306,25 @@
 }
 
 const (
-	testSeeds   = 100
-	neededSeeds = 30
+	testSeeds      = 100
+	safeguardSeeds = 30
 )
 
 // The caller sees a refusal, never a team above its limit. Entries lose the answers
 // of moves, pause, die and restart, zones are cut off and the table goes down, in any
 // order and at once, without and with changes of the limit in flight. What the targets
 // ran at the same time is held against the limit.
-func TestLimitHolds(t *testing.T) {
-	for _, limits := range []bool{false, true} {
+func TestRunningStaysWithinLimit(t *testing.T) {
+	for _, changeLimits := range []bool{false, true} {
 		served, moves, lost, given := 0, 0, 0, 0
 		for seed := range uint64(testSeeds) {
-			w := newWorld(seed, unsafe{}, limits).run()
-			assert.Assert(t, w.worst <= 0, "seed %d: %d above the limit\n%s", seed, w.worst, w.parts())
-			assert.Assert(t, w.overGiven <= 0, "seed %d: parts of %d above the limit", seed, w.overGiven)
-			served, moves, lost, given = served+w.served, moves+w.moves, lost+w.lostAnswers, given+w.given
+			w := newSimulation(seed, disabledSafeguards{}, changeLimits).run()
+			assert.Assert(t, w.maxExcess <= 0, "seed %d: %d above the limit\n%s", seed, w.maxExcess, w.dumpEntries())
+			assert.Assert(t, w.maxOverAllotted <= 0, "seed %d: parts of %d above the limit", seed, w.maxOverAllotted)
+			served, moves, lost, given = served+w.served, moves+w.moves, lost+w.lostAnswers, given+w.givenToOthers
 		}
 		t.Logf("limit changes %t: %d seeds, %d started, %d sendings of moves, %d answers lost, %d parts given to others at a zone's first move, 0 above the limit",
-			limits, testSeeds, served, moves, lost, given)
+			changeLimits, testSeeds, served, moves, lost, given)
 		assert.Assert(t, served > testSeeds*200)
 		assert.Assert(t, given > testSeeds/2)
 	}
@@ -333,44 +333,44 @@
 // Each safeguard is needed: with it switched off, the targets run more than the
 // limit at once in some seeds.
 func TestLimitSafeguardsAreNeeded(t *testing.T) {
-	for name, u := range map[string]unsafe{
-		"a move is used before it is settled":      {useBeforeSettled: true},
-		"a dead entry's part is reclaimed at once": {reclaimAtOnce: true},
-		"a lowered limit doesn't stop starts":      {ignoreLowered: true},
+	for name, disabled := range map[string]disabledSafeguards{
+		"a move is used before it is settled":      {useUnsettledMoves: true},
+		"a dead entry's part is reclaimed at once": {reclaimImmediately: true},
+		"a lowered limit doesn't stop starts":      {ignoreLoweredLimits: true},
 	} {
-		broken, worst := 0, core.Slots(0)
-		for seed := range uint64(neededSeeds) {
-			w := newWorld(seed, u, true).run()
-			if w.worst > 0 {
-				broken++
+		failedSeeds, maxExcess := 0, core.Slots(0)
+		for seed := range uint64(safeguardSeeds) {
+			w := newSimulation(seed, disabled, true).run()
+			if w.maxExcess > 0 {
+				failedSeeds++
 			}
-			worst = max(worst, w.worst)
+			maxExcess = max(maxExcess, w.maxExcess)
 		}
-		t.Logf("%s: %d of %d seeds above the limit, by %d at worst", name, broken, neededSeeds, worst)
-		assert.Check(t, broken > 0, name)
+		t.Logf("%s: %d of %d seeds above the limit, by %d at worst", name, failedSeeds, safeguardSeeds, maxExcess)
+		assert.Check(t, failedSeeds > 0, name)
 	}
 }
 
 // The limit is lowered while one entry hears no configuration, and another one then
 // loses the table. The late entry would hand itself what the others gave back, and the
 // blind one, which saw the parts fit the lowered limit, would start on top of that.
-func TestLateEntryTakesNothing(t *testing.T) {
-	worst := map[bool]core.Slots{}
-	for _, off := range []bool{false, true} {
-		for seed := range uint64(neededSeeds) {
-			w := newWorld(seed, unsafe{noHeadCheck: off}, false)
-			w.calm = true
+func TestEntryWithStaleConfigTakesNothing(t *testing.T) {
+	maxExcess := map[bool]core.Slots{}
+	for _, disabled := range []bool{false, true} {
+		for seed := range uint64(safeguardSeeds) {
+			w := newSimulation(seed, disabledSafeguards{noHeadCheck: disabled}, false)
+			w.scriptedFaults = true
 			late, blind := w.entries[0], w.entries[1]
 			w.steps(100)
-			late.late, late.blind = true, true
+			late.cutFromConfig, late.cutFromTable = true, true
 			w.setLimit(6)
 			w.steps(300)
-			late.blind, blind.blind = false, true
+			late.cutFromTable, blind.cutFromTable = false, true
 			w.steps(300)
-			worst[off] = max(worst[off], w.worst)
+			maxExcess[disabled] = max(maxExcess[disabled], w.maxExcess)
 		}
 	}
-	t.Logf("%d seeds: by %d above the limit at worst; with the check of the head off, by %d", neededSeeds, worst[false], worst[true])
-	assert.Assert(t, worst[false] <= 0)
-	assert.Assert(t, worst[true] > 0)
+	t.Logf("%d seeds: by %d above the limit at worst; with the check of the head off, by %d", safeguardSeeds, maxExcess[false], maxExcess[true])
+	assert.Assert(t, maxExcess[false] <= 0)
+	assert.Assert(t, maxExcess[true] > 0)
 }
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -23,6 +23,6 @@
 	Release(key core.RequestKey)
 	// Running returns how many slots the team holds here.
 	Running(now time.Time, team core.TeamID) core.Slots
-	// Wanted tells that a request of team waits for want of allotment.
-	Wanted(now time.Time, team core.TeamID)
+	// RecordDemand tells that a request of team waits for want of allotment.
+	RecordDemand(now time.Time, team core.TeamID)
 }
--- a/core/limit/rows.go
+++ b/core/limit/rows.go
@@ -45,8 +45,8 @@
 	return ZoneRow{Entries: maps.Clone(r.Entries), Reclaim: maps.Clone(r.Reclaim), Wanted: maps.Clone(r.Wanted)}
 }
 
-// valid reports whether no part is negative, which no move writes.
-func valid[K comparable](parts map[K]core.Slots) bool {
+// nonNegative reports whether no part is negative, which no move writes.
+func nonNegative[K comparable](parts map[K]core.Slots) bool {
 	for _, n := range parts {
 		if n < 0 {
 			return false
@@ -63,8 +63,8 @@
 	return total
 }
 
-// setPart stores n under key; parts of zero aren't kept.
-func setPart[K comparable](parts *map[K]core.Slots, key K, n core.Slots) {
+// setSlots stores n under key; parts of zero aren't kept.
+func setSlots[K comparable](parts *map[K]core.Slots, key K, n core.Slots) {
 	if n == 0 {
 		delete(*parts, key)
 		return
@@ -79,13 +79,13 @@
 	(*m)[key] = value
 }
 
-// dropEnded removes marks whose end has passed.
-func dropEnded[K comparable](marks map[K]time.Time, now time.Time) {
+// dropExpired removes marks whose end has passed.
+func dropExpired[K comparable](marks map[K]time.Time, now time.Time) {
 	maps.DeleteFunc(marks, func(_ K, end time.Time) bool { return !end.After(now) })
 }
 
-// othersWant counts the marks of others than self that stand at now.
-func othersWant[K comparable](marks map[K]time.Time, self K, now time.Time) int {
+// countOtherMarks counts the marks of others than self that stand at now.
+func countOtherMarks[K comparable](marks map[K]time.Time, self K, now time.Time) int {
 	n := 0
 	for key, end := range marks {
 		if key != self && end.After(now) {
--- a/core/limit/running.go
+++ b/core/limit/running.go
@@ -7,47 +7,47 @@
 	"lavenderpond/core/deadline"
 )
 
-// running counts the slots that a team holds at this entry. The zero value is
+// runningSlots counts the slots that a team holds at this entry. The zero value is
 // empty.
-type running struct {
-	byEnd deadline.Heap[*slot]
-	byKey map[core.RequestKey][]*slot
+type runningSlots struct {
+	byExpiry deadline.Heap[*slot]
+	byKey    map[core.RequestKey][]*slot
 }
 
 // slot is held until it is released or its lease has certainly ended.
 type slot struct {
-	key   core.RequestKey
-	end   time.Time
-	index int
+	key       core.RequestKey
+	expiresAt time.Time
+	heapIndex int
 }
 
 // Deadline implements deadline.Item.
-func (s *slot) Deadline() time.Time { return s.end }
+func (s *slot) Deadline() time.Time { return s.expiresAt }
 
 // Place implements deadline.Item.
-func (s *slot) Place() *int { return &s.index }
+func (s *slot) Place() *int { return &s.heapIndex }
 
-func (r *running) count() core.Slots { return core.Slots(r.byEnd.Len()) }
+func (r *runningSlots) count() core.Slots { return core.Slots(r.byExpiry.Len()) }
 
-func (r *running) add(key core.RequestKey, end time.Time) {
-	s := &slot{key: key, end: end}
-	r.byEnd.Push(s)
+func (r *runningSlots) add(key core.RequestKey, end time.Time) {
+	s := &slot{key: key, expiresAt: end}
+	r.byExpiry.Push(s)
 	put(&r.byKey, key, append(r.byKey[key], s))
 }
 
 // release gives back every slot of key. A request that was sent to two targets
 // holds two.
-func (r *running) release(key core.RequestKey) {
+func (r *runningSlots) release(key core.RequestKey) {
 	for _, s := range r.byKey[key] {
-		r.byEnd.Remove(s)
+		r.byExpiry.Remove(s)
 	}
 	delete(r.byKey, key)
 }
 
 // expire gives back the slots whose lease has ended by now.
-func (r *running) expire(now time.Time) {
-	for s, due := r.byEnd.Due(now); due; s, due = r.byEnd.Due(now) {
-		r.byEnd.Remove(s)
+func (r *runningSlots) expire(now time.Time) {
+	for s, due := r.byExpiry.Due(now); due; s, due = r.byExpiry.Due(now) {
+		r.byExpiry.Remove(s)
 		rest := r.byKey[s.key]
 		for i := range rest {
 			if rest[i] == s {
--- a/core/limit/schedule_test.go
+++ b/core/limit/schedule_test.go
@@ -18,15 +18,15 @@
 func TestQuietAllotmentsNeedNoMove(t *testing.T) {
 	quiet := 0
 	for seed := range uint64(testSeeds) {
-		w := newWorld(seed, unsafe{}, true)
+		w := newSimulation(seed, disabledSafeguards{}, true)
 		for i := range testSteps {
-			w.restful = i%600 >= 100
+			w.noNewWork = i%600 >= 100
 			if i%400 == 199 {
 				w.attest("z0", i%800 == 199)
 			}
 			w.step()
 			for _, n := range w.entries {
-				quiet += w.checkQuiet(t, seed, n)
+				quiet += w.checkQuietAllotments(t, seed, n)
 			}
 		}
 	}
@@ -34,22 +34,22 @@
 	assert.Assert(t, quiet > testSeeds*20)
 }
 
-// checkQuiet returns the number of allotments that aren't looked at soon.
-func (w *world) checkQuiet(t *testing.T, seed uint64, n *node) int {
+// checkQuietAllotments returns the number of allotments that aren't looked at soon.
+func (w *simulation) checkQuietAllotments(t *testing.T, seed uint64, n *testEntry) int {
 	quiet := 0
 	for team, a := range n.ledger.teams {
-		if w.now.Before(n.paused) || !a.lookAt.After(w.now.Add(lookEvery)) {
+		if w.now.Before(n.pausedUntil) || !a.decideAt.After(w.now.Add(decideInterval)) {
 			continue
 		}
 		quiet++
 		d := n.ledger.draft(w.now, a)
-		assert.Assert(t, !d.worth, "seed %d, %s at %s: %s is not looked at until %s", seed, n.ledger.Self, w.now, team, a.lookAt)
+		assert.Assert(t, !d.worthwhile, "seed %d, %s at %s: %s is not looked at until %s", seed, n.ledger.Self, w.now, team, a.decideAt)
 	}
 	return quiet
 }
 
 // attest tells all entries that are not paused an operator's attestation.
-func (w *world) attest(z core.ZoneID, down bool) {
+func (w *simulation) attest(z core.ZoneID, down bool) {
 	for _, n := range w.entries {
 		n.inbox = append(n.inbox, ZoneDown{Zone: z, Down: down, Since: w.now})
 	}
@@ -60,21 +60,21 @@
 func BenchmarkIdle(b *testing.B) {
 	for _, teams := range []int{6, 60, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			d := newDemand(teams, 1, 1, unsafe{})
+			d := newDemandSimulation(teams, 1, 1, disabledSafeguards{})
 			l := d.ledgers[0]
 			for _, team := range d.teams {
-				l.Wanted(d.now, team)
+				l.RecordDemand(d.now, team)
 			}
 			d.settle(l)
 			for b.Loop() {
 				for range 10 {
 					d.now = d.now.Add(100 * time.Millisecond)
 					for z := range 7 {
-						d.carry(l, l.Handle(d.now, ZoneDown{Zone: core.ZoneID(fmt.Sprint("z", z))}))
+						d.execute(l, l.Handle(d.now, ZoneDown{Zone: core.ZoneID(fmt.Sprint("z", z))}))
 					}
 					d.idleRound(l)
 				}
-				d.carry(l, l.Handle(d.now, Polled{Sent: d.now, Rows: d.table.Changes(table.PrefixAllotment, d.table.Revision())}))
+				d.execute(l, l.Handle(d.now, Polled{Sent: d.now, Rows: d.table.Changes(table.PrefixAllotment, d.table.Revision())}))
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N), "us/s")
 		})
@@ -82,12 +82,12 @@
 }
 
 // settle moves the first parts, and lets the wish for them pass.
-func (d *demand) settle(l *Ledger) {
+func (d *demandSimulation) settle(l *Ledger) {
 	for range 100 {
 		d.now = d.now.Add(100 * time.Millisecond)
-		d.step(l)
+		d.driverRound(l)
 	}
 }
 
 // idleRound is the driver's round when the head hasn't moved.
-func (d *demand) idleRound(l *Ledger) { d.carry(l, l.Handle(d.now, Tick{})) }
+func (d *demandSimulation) idleRound(l *Ledger) { d.execute(l, l.Handle(d.now, Tick{})) }
--- a/core/limit/session_test.go
+++ b/core/limit/session_test.go
@@ -16,24 +16,24 @@
 
 // session is two entries of two zones and their table, written down as it goes.
 type session struct {
-	b    strings.Builder
-	m    table.Memory
-	now  time.Time
-	a, z *Ledger
-	// lose is true while answers of moves are lost; off entries do nothing.
-	lose bool
-	off  *Ledger
+	b     strings.Builder
+	table table.Memory
+	now   time.Time
+	a, z  *Ledger
+	// loseAnswers is true while answers of moves are lost; off entries do nothing.
+	loseAnswers bool
+	stopped     *Ledger
 }
 
-func (s *session) say(format string, args ...any) { fmt.Fprintf(&s.b, format+"\n", args...) }
+func (s *session) printf(format string, args ...any) { fmt.Fprintf(&s.b, format+"\n", args...) }
 
 func (s *session) handle(l *Ledger, e Event) {
 	for _, c := range l.Handle(s.now, e) {
 		switch c := c.(type) {
 		case ReadRows:
 			s.handle(l, RowsRead{
-				Sent: s.now.Add(time.Millisecond), Team: c.Team, TeamRow: s.m.Read(table.TeamAllotmentKey(c.Team)),
-				ZoneRow: s.m.Read(table.ZoneAllotmentKey(c.Team, l.Zone)),
+				Sent: s.now.Add(time.Millisecond), Team: c.Team, TeamRow: s.table.Read(table.TeamAllotmentKey(c.Team)),
+				ZoneRow: s.table.Read(table.ZoneAllotmentKey(c.Team, l.Zone)),
 			})
 		case Move:
 			s.move(l, c)
@@ -43,30 +43,30 @@
 
 func (s *session) move(l *Ledger, c Move) {
 	result := ResultApplied
-	if s.m.Transact(c.Transaction) != nil {
+	if s.table.Transact(c.Transaction) != nil {
 		result = ResultConflict
 	}
-	if s.lose {
+	if s.loseAnswers {
 		result = ResultUnknown
 	}
-	s.say("  %s sends move %d: %s", l.Self, c.ID, []string{"answer lost", "applied", "conflict", "not sent"}[result])
+	s.printf("  %s sends move %d: %s", l.Self, c.ID, []string{"answer lost", "applied", "conflict", "not sent"}[result])
 	s.handle(l, Moved{ID: c.ID, Result: result})
 }
 
-// on returns the ledgers whose entries run.
-func (s *session) on() []*Ledger {
-	if s.off == s.z {
+// active returns the ledgers whose entries run.
+func (s *session) active() []*Ledger {
+	if s.stopped == s.z {
 		return []*Ledger{s.a}
 	}
 	return []*Ledger{s.a, s.z}
 }
 
-func (s *session) limit(n core.Slots) {
+func (s *session) setLimit(n core.Slots) {
 	var t table.Transaction
 	_ = t.Set(table.ConfigHead, config.Head{})
-	_ = s.m.Transact(t)
-	for _, l := range s.on() {
-		s.handle(l, Limits{Head: s.m.Read(table.ConfigHead), Limits: map[core.TeamID]core.Slots{testTeam: n}})
+	_ = s.table.Transact(t)
+	for _, l := range s.active() {
+		s.handle(l, Limits{Head: s.table.Read(table.ConfigHead), Limits: map[core.TeamID]core.Slots{testTeam: n}})
 	}
 }
 
@@ -78,26 +78,26 @@
 		key := core.RequestKey{Team: testTeam, ID: core.RequestID(fmt.Sprint(l.Self, s.now.Unix(), started))}
 		if !l.Acquire(s.now, key, s.now.Add(d)) {
 			started--
-			l.Wanted(s.now, testTeam)
+			l.RecordDemand(s.now, testTeam)
 		}
 	}
-	s.say("  %s starts %d of %d", l.Self, started, n)
+	s.printf("  %s starts %d of %d", l.Self, started, n)
 }
 
 func (s *session) at(seconds int, what string, do func()) {
 	s.now = testStart.Add(time.Duration(seconds) * time.Second)
-	s.say("%ds %s", seconds, what)
+	s.printf("%ds %s", seconds, what)
 	do()
 	for range 3 {
-		for _, l := range s.on() {
-			s.handle(l, Polled{Sent: s.now.Add(time.Millisecond), Rows: s.m.Changes(table.PrefixAllotment, 0)})
+		for _, l := range s.active() {
+			s.handle(l, Polled{Sent: s.now.Add(time.Millisecond), Rows: s.table.Changes(table.PrefixAllotment, 0)})
 			s.handle(l, Tick{})
 		}
 	}
 	for _, l := range []*Ledger{s.a, s.z} {
-		s.say("  %s %+v", l.Self, l.Dump())
+		s.printf("  %s %+v", l.Self, l.Dump())
 	}
-	s.say("  row %s", s.m.Read(table.TeamAllotmentKey(testTeam)).Value)
+	s.printf("  row %s", s.table.Read(table.TeamAllotmentKey(testTeam)).Value)
 }
 
 // TestSession is the life of a limit: handed out, wanted elsewhere, lowered below what
@@ -106,24 +106,24 @@
 	s := &session{now: testStart}
 	s.a = &Ledger{Self: "a#1", Zone: "za", MaxLifetime: time.Minute}
 	s.z = &Ledger{Self: "z#1", Zone: "zz", MaxLifetime: time.Minute}
-	s.at(0, "the team's first request comes at a", func() { s.start(s.a, 1, 0); s.limit(4) })
+	s.at(0, "the team's first request comes at a", func() { s.start(s.a, 1, 0); s.setLimit(4) })
 	s.at(1, "a runs what it may", func() { s.start(s.a, 8, 30*time.Second) })
 	s.at(2, "a takes the rest, and says that it is short", func() { s.start(s.a, 8, 30*time.Second) })
-	s.at(3, "z wants a part", func() { s.start(s.z, 1, 0); s.limit(4) })
+	s.at(3, "z wants a part", func() { s.start(s.z, 1, 0); s.setLimit(4) })
 	s.at(20, "a may start no more than its even part", func() { s.start(s.a, 1, time.Second); s.start(s.z, 1, 0) })
 	s.at(33, "work of a ends", func() { s.start(s.z, 1, 0) })
 	s.at(34, "both run", func() { s.start(s.a, 4, 20*time.Second); s.start(s.z, 4, 20*time.Second) })
-	s.at(35, "the limit is lowered below what runs", func() { s.limit(1) })
+	s.at(35, "the limit is lowered below what runs", func() { s.setLimit(1) })
 	s.at(36, "nothing new starts", func() { s.start(s.a, 1, time.Second); s.start(s.z, 1, time.Second) })
 	s.at(56, "work ends, parts are given back", func() { s.start(s.z, 1, 10*time.Second) })
-	s.at(57, "the limit is raised, and z's move loses its answer", func() { s.lose = true; s.start(s.z, 3, time.Minute); s.limit(3) })
-	s.at(58, "z uses the smaller outcome only", func() { s.lose = false; s.start(s.z, 3, time.Minute) })
+	s.at(57, "the limit is raised, and z's move loses its answer", func() { s.loseAnswers = true; s.start(s.z, 3, time.Minute); s.setLimit(3) })
+	s.at(58, "z uses the smaller outcome only", func() { s.loseAnswers = false; s.start(s.z, 3, time.Minute) })
 	s.at(60, "z's move was sent again and read back", func() { s.start(s.z, 3, time.Minute) })
 	s.at(61, "z died, as an entry of its zone knows", func() {
 		s.z = &Ledger{Self: "z#2", Zone: "zz", MaxLifetime: time.Minute}
 		s.start(s.z, 1, 0)
-		s.limit(3)
-		s.handle(s.z, Gone{Entry: "z#1"})
+		s.setLimit(3)
+		s.handle(s.z, EntryGone{Entry: "z#1"})
 	})
 	s.at(120, "leases of the dead entry may still run", func() { s.start(s.z, 1, 0) })
 	s.at(123, "its last lease has ended", func() { s.start(s.z, 1, 0) })
@@ -135,24 +135,24 @@
 // its part only once the last lease that its entries could grant has ended.
 func TestZoneDown(t *testing.T) {
 	first := map[bool]int{}
-	for _, off := range []bool{false, true} {
+	for _, disabled := range []bool{false, true} {
 		s := &session{now: testStart}
-		s.a = &Ledger{Self: "a#1", Zone: "za", MaxLifetime: time.Minute, unsafe: unsafe{reclaimAtOnce: off}}
+		s.a = &Ledger{Self: "a#1", Zone: "za", MaxLifetime: time.Minute, disabled: disabledSafeguards{reclaimImmediately: disabled}}
 		s.z = &Ledger{Self: "z#1", Zone: "zz", MaxLifetime: time.Minute}
-		s.at(0, "", func() { s.start(s.z, 1, 0); s.limit(2) })
+		s.at(0, "", func() { s.start(s.z, 1, 0); s.setLimit(2) })
 		s.at(1, "", func() { s.start(s.z, 2, 50*time.Second) })
 		s.at(2, "z holds all", func() { s.start(s.z, 2, time.Minute) })
-		s.off = s.z
+		s.stopped = s.z
 		s.handle(s.a, ZoneDown{Zone: "zz", Down: true, Since: s.now})
-		for second := 3; first[off] == 0; second++ {
-			s.at(second, "", func() { s.start(s.a, 1, time.Minute); s.limit(2) })
+		for second := 3; first[disabled] == 0; second++ {
+			s.at(second, "", func() { s.start(s.a, 1, time.Minute); s.setLimit(2) })
 			if s.a.Running(s.now, testTeam) > 0 {
-				first[off] = second
+				first[disabled] = second
 			}
 		}
 		// The zone comes back and reads its rows: it holds nothing any more.
-		s.off = nil
-		s.at(first[off]+1, "", func() {})
+		s.stopped = nil
+		s.at(first[disabled]+1, "", func() {})
 		assert.Assert(t, !s.z.Acquire(s.now, core.RequestKey{Team: testTeam}, s.now))
 	}
 	t.Logf("leases granted in zz end at second 62 at the latest; others start at second %d, at once reclaimed at %d", first[false], first[true])
@@ -161,24 +161,24 @@
 
 // The limit is lowered to half of what runs. Had a given back the part in which its
 // long work runs, z would start again on top of it when its own short work ends.
-func TestRunningPartsStay(t *testing.T) {
+func TestRunningAllotmentsAreKept(t *testing.T) {
 	most := map[bool]core.Slots{}
-	for _, off := range []bool{false, true} {
+	for _, disabled := range []bool{false, true} {
 		s := &session{now: testStart}
-		s.a = &Ledger{Self: "a#1", Zone: "za", unsafe: unsafe{giveRunning: off}}
-		s.z = &Ledger{Self: "z#1", Zone: "zz", unsafe: unsafe{giveRunning: off}}
+		s.a = &Ledger{Self: "a#1", Zone: "za", disabled: disabledSafeguards{giveBackRunning: disabled}}
+		s.z = &Ledger{Self: "z#1", Zone: "zz", disabled: disabledSafeguards{giveBackRunning: disabled}}
 		var t0 table.Transaction
 		_ = t0.Set(table.TeamAllotmentKey(testTeam), TeamRow{Limit: 4, Zones: map[core.ZoneID]core.Slots{"za": 2, "zz": 2}})
 		_ = t0.Set(table.ZoneAllotmentKey(testTeam, "za"), ZoneRow{Entries: map[core.EntryID]core.Slots{"a#1": 2}})
 		_ = t0.Set(table.ZoneAllotmentKey(testTeam, "zz"), ZoneRow{Entries: map[core.EntryID]core.Slots{"z#1": 2}})
-		assert.NilError(t, s.m.Transact(t0))
-		s.at(0, "", func() { s.start(s.a, 1, 0); s.start(s.z, 1, 0); s.limit(4) })
+		assert.NilError(t, s.table.Transact(t0))
+		s.at(0, "", func() { s.start(s.a, 1, 0); s.start(s.z, 1, 0); s.setLimit(4) })
 		s.at(1, "", func() { s.start(s.a, 2, time.Minute); s.start(s.z, 2, 5*time.Second) })
-		s.at(2, "", func() { s.limit(2) })
+		s.at(2, "", func() { s.setLimit(2) })
 		for second := 3; second < 50; second++ {
 			s.at(second, "", func() { s.start(s.z, 2, time.Second) })
 			if second > 10 {
-				most[off] = max(most[off], s.a.Running(s.now, testTeam)+s.z.Running(s.now, testTeam))
+				most[disabled] = max(most[disabled], s.a.Running(s.now, testTeam)+s.z.Running(s.now, testTeam))
 			}
 		}
 	}
@@ -196,7 +196,7 @@
 	f.Add([]byte(`{`), []byte(`null`))
 	f.Fuzz(func(t *testing.T, team, zone []byte) {
 		l := &Ledger{Self: "a#1", Zone: "za"}
-		l.Wanted(testStart, testTeam)
+		l.RecordDemand(testStart, testTeam)
 		l.Handle(testStart, Limits{Head: table.Row{Key: table.ConfigHead, Version: 1}, Limits: map[core.TeamID]core.Slots{testTeam: 4}})
 		l.Handle(testStart, RowsRead{
 			Sent: testStart.Add(time.Second), Team: testTeam,
--- a/core/limit/usage.go
+++ b/core/limit/usage.go
@@ -6,34 +6,34 @@
 	"lavenderpond/core"
 )
 
-// usage keeps the greatest number of running slots of the last idleFor to twice
+// peakUsage keeps the greatest number of running slots of the last idleFor to twice
 // idleFor. The zero value has seen nothing.
-type usage struct {
-	until         time.Time
-	current, past core.Slots
-	last          time.Time
+type peakUsage struct {
+	windowEnd         time.Time
+	current, previous core.Slots
+	lastUsed          time.Time
 }
 
-func (u *usage) observe(now time.Time, n core.Slots) {
-	u.turn(now)
+func (u *peakUsage) observe(now time.Time, n core.Slots) {
+	u.rotate(now)
 	u.current = max(u.current, n)
-	u.last = now
+	u.lastUsed = now
 }
 
-func (u *usage) peak(now time.Time) core.Slots {
-	u.turn(now)
-	return max(u.current, u.past)
+func (u *peakUsage) peak(now time.Time) core.Slots {
+	u.rotate(now)
+	return max(u.current, u.previous)
 }
 
-// turn starts a new period once the current one is over.
-func (u *usage) turn(now time.Time) {
-	if now.Before(u.until) {
+// rotate starts a new period once the current one is over.
+func (u *peakUsage) rotate(now time.Time) {
+	if now.Before(u.windowEnd) {
 		return
 	}
-	u.past = u.current
-	if !now.Before(u.until.Add(idleFor)) {
-		u.past = 0
+	u.previous = u.current
+	if !now.Before(u.windowEnd.Add(usageWindow)) {
+		u.previous = 0
 	}
 	u.current = 0
-	u.until = now.Add(idleFor)
+	u.windowEnd = now.Add(usageWindow)
 }
--- a/core/queue/fair/admit.go
+++ b/core/queue/fair/admit.go
@@ -13,19 +13,19 @@
 	// hold (a dynamic threshold, Choudhury and Hahne 1998). One team alone gets
 	// four fifths of the bound; a rival always finds places left.
 	bufferFactor = 4
-	// minReturn and maxReturn bound how far off a come-back time is.
-	minReturn = 250 * time.Millisecond
-	maxReturn = 30 * time.Second
+	// minRetryDelay and maxReturn bound how far off a come-back time is.
+	minRetryDelay = 250 * time.Millisecond
+	maxRetryDelay = 30 * time.Second
 )
 
 // admit refuses what would not fit or would be late. It returns the wait that it
 // predicts, before correction.
-func (f *Queue) admit(now time.Time, s *state, t *team, item queue.Item, idle core.Slots) (time.Duration, core.NotRun, bool) {
-	if !f.fits(s, t) {
+func (f *Queue) admit(now time.Time, s *queueState, t *team, item queue.Item, idle core.Slots) (time.Duration, core.NotRun, bool) {
+	if !f.hasRoom(s, t) {
 		return 0, f.refuse(now, s, core.CodeQueueFull, "the queue has no place left for the team"), false
 	}
 	predicted := f.predictWait(s, t, item, idle)
-	wait := s.correction(item.Urgent).apply(predicted)
+	wait := s.correctionFor(item.Urgent).apply(predicted)
 	run := f.shortestRun(s, t)
 	if wait > 0 && now.Add(wait+run).After(item.Deadline) {
 		return 0, f.refuse(now, s, core.CodeWouldBeLate, "predicted wait "+wait.Round(time.Millisecond).String()), false
@@ -33,11 +33,11 @@
 	return predicted, core.NotRun{}, true
 }
 
-// fits reports whether the queue has a place for one more item of t. Without the
+// hasRoom reports whether the queue has a place for one more item of t. Without the
 // threshold a flood of one team would fill the queue and the others' requests be
 // refused, whatever their shares.
-func (f *Queue) fits(s *state, t *team) bool {
-	bound := f.bound(s.id)
+func (f *Queue) hasRoom(s *queueState, t *team) bool {
+	bound := f.maxQueued(s.id)
 	free := bound - s.waiting
 	if free <= 0 {
 		return false
@@ -47,7 +47,7 @@
 	return float64(t.waiting()) < threshold
 }
 
-func (f *Queue) bound(q core.QueueID) int {
+func (f *Queue) maxQueued(q core.QueueID) int {
 	if f.MaxQueued == nil {
 		return DefaultMaxQueued
 	}
@@ -58,13 +58,13 @@
 }
 
 // activeWeight returns the number and the weight of the teams that wait, with t.
-func (f *Queue) activeWeight(s *state, t *team) (int, float64) {
+func (f *Queue) activeWeight(s *queueState, t *team) (int, float64) {
 	active, total := 0, 0.0
 	for _, other := range s.heaps[byAny].teams {
 		active++
 		total += other.weight
 	}
-	if t.place[byAny] == 0 {
+	if t.heapIndex[byAny] == 0 {
 		active++
 		total += t.weight
 	}
@@ -77,16 +77,16 @@
 //
 // Two bounds hold, and the lower one is returned: the whole backlog served in
 // order, and the time until the queue's virtual time reaches the item's tag.
-func (f *Queue) predictWait(s *state, t *team, item queue.Item, idle core.Slots) time.Duration {
+func (f *Queue) predictWait(s *queueState, t *team, item queue.Item, idle core.Slots) time.Duration {
 	ahead, own := s.waiting, t.waiting()
 	if item.Urgent {
-		ahead, own = s.urgent, t.urgent.live()
+		ahead, own = s.urgent, t.urgent.liveCount()
 	}
 	if int(idle) > ahead {
 		return 0
 	}
 	slots := float64(s.running + int(idle))
-	if slots == 0 || !s.runs.trusted() {
+	if slots == 0 || !s.runTimes.trusted() {
 		return 0
 	}
 	mean := s.meanRun().Seconds()
@@ -94,20 +94,20 @@
 	_, total := f.activeWeight(s, t)
 	lead := max(0, t.virtual-s.virtual)
 	if item.Urgent {
-		lead = max(0, lead-urgentAhead*mean/t.weight)
+		lead = max(0, lead-urgentLeadRuns*mean/t.weight)
 	}
 	tag := lead + float64(own+1)*f.predictRun(s, t, item).Seconds()/t.weight
-	return seconds(min(backlog, tag*total/slots))
+	return secondsToDuration(min(backlog, tag*total/slots))
 }
 
 // predictRun returns the expected run time of item: as measured for its team, or
 // for its queue, or as declared.
-func (f *Queue) predictRun(s *state, t *team, item queue.Item) time.Duration {
+func (f *Queue) predictRun(s *queueState, t *team, item queue.Item) time.Duration {
 	switch {
-	case t.runs.trusted():
-		return seconds(t.runs.mean)
-	case s.runs.trusted():
-		return seconds(s.runs.mean)
+	case t.runTimes.trusted():
+		return secondsToDuration(t.runTimes.mean)
+	case s.runTimes.trusted():
+		return secondsToDuration(s.runTimes.mean)
 	case item.DeclaredRun > 0:
 		return item.DeclaredRun
 	}
@@ -116,19 +116,19 @@
 
 // shortestRun returns a run time that hardly any of the team's items stays below.
 // A declared time isn't used: it would refuse work for being declared too long.
-func (f *Queue) shortestRun(s *state, t *team) time.Duration {
+func (f *Queue) shortestRun(s *queueState, t *team) time.Duration {
 	switch {
-	case t.runs.trusted():
-		return seconds(t.runs.low)
-	case s.runs.trusted():
-		return seconds(s.runs.low)
+	case t.runTimes.trusted():
+		return secondsToDuration(t.runTimes.low)
+	case s.runTimes.trusted():
+		return secondsToDuration(s.runTimes.low)
 	}
 	return 0
 }
 
-func (s *state) meanRun() time.Duration {
-	if s.runs.trusted() {
-		return seconds(s.runs.mean)
+func (s *queueState) meanRun() time.Duration {
+	if s.runTimes.trusted() {
+		return secondsToDuration(s.runTimes.mean)
 	}
 	return fallbackRun
 }
@@ -136,20 +136,20 @@
 // refuse answers NotRun with a time to come back. Times are handed out one after
 // the other at the rate at which slots come free, with jitter, so refused callers
 // return about as fast as they can be served and never together.
-func (f *Queue) refuse(now time.Time, s *state, code core.Code, detail string) core.NotRun {
+func (f *Queue) refuse(now time.Time, s *queueState, code core.Code, detail string) core.NotRun {
 	step := s.meanRun() / time.Duration(max(1, s.running))
-	earliest := now.Add(minReturn)
-	if s.nextReturn.Before(earliest) {
-		s.nextReturn = earliest
+	earliest := now.Add(minRetryDelay)
+	if s.nextRetryAt.Before(earliest) {
+		s.nextRetryAt = earliest
 	}
-	at := s.nextReturn
-	if at.After(now.Add(maxReturn)) {
+	at := s.nextRetryAt
+	if at.After(now.Add(maxRetryDelay)) {
 		// More callers than can be served within maxReturn: spread evenly.
-		at = earliest.Add(time.Duration(f.random().Int64N(int64(maxReturn - minReturn))))
+		at = earliest.Add(time.Duration(f.random().Int64N(int64(maxRetryDelay - minRetryDelay))))
 	} else {
-		s.nextReturn = at.Add(step)
+		s.nextRetryAt = at.Add(step)
 	}
-	jitter := time.Duration(f.random().Int64N(int64(minReturn)))
+	jitter := time.Duration(f.random().Int64N(int64(minRetryDelay)))
 	return core.NotRun{Code: code, ComeBackAt: at.Add(jitter), Detail: detail}
 }
 
--- a/core/queue/fair/bench_test.go
+++ b/core/queue/fair/bench_test.go
@@ -9,9 +9,9 @@
 	"lavenderpond/core/queue"
 )
 
-// filled returns a queue with n items of the given number of teams.
-func filled(teams, n int) (*Queue, []queue.Item) {
-	f := &Queue{MaxQueued: bounded(1 << 30)}
+// filledQueue returns a queue with n items of the given number of teams.
+func filledQueue(teams, n int) (*Queue, []queue.Item) {
+	f := &Queue{MaxQueued: fixedBound(1 << 30)}
 	var items []queue.Item
 	for k := range n {
 		i := item(fmt.Sprint("team", k%teams), k, k%5 == 0, time.Hour+time.Duration(k*7919%100000)*time.Millisecond)
@@ -21,10 +21,10 @@
 	return f, items
 }
 
-func sizes(b *testing.B, run func(b *testing.B, f *Queue, items []queue.Item)) {
+func runForSizes(b *testing.B, run func(b *testing.B, f *Queue, items []queue.Item)) {
 	for _, teams := range []int{6, 62, 620} {
 		for _, n := range []int{1e3, 1e4, 1e5} {
-			f, items := filled(teams, n)
+			f, items := filledQueue(teams, n)
 			b.Run(fmt.Sprintf("teams=%d/items=%d", teams, n), func(b *testing.B) {
 				b.ReportAllocs()
 				run(b, f, items)
@@ -35,9 +35,9 @@
 
 // BenchmarkPopPush takes an item, observes its run and pushes it again.
 func BenchmarkPopPush(b *testing.B) {
-	sizes(b, func(b *testing.B, f *Queue, _ []queue.Item) {
+	runForSizes(b, func(b *testing.B, f *Queue, _ []queue.Item) {
 		for b.Loop() {
-			i, _ := f.Pop(t0, q, always)
+			i, _ := f.Pop(t0, q, acceptAll)
 			f.Observe(t0, q, i.Key.Team, time.Second)
 			f.Push(t0, i, 1<<30)
 		}
@@ -46,7 +46,7 @@
 
 // BenchmarkRemovePush cancels an item and pushes it again.
 func BenchmarkRemovePush(b *testing.B) {
-	sizes(b, func(b *testing.B, f *Queue, items []queue.Item) {
+	runForSizes(b, func(b *testing.B, f *Queue, items []queue.Item) {
 		for k := 0; b.Loop(); k++ {
 			i := items[k%len(items)]
 			f.Remove(i.Key)
@@ -59,12 +59,12 @@
 func BenchmarkRemove(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5} {
 		b.Run(fmt.Sprintf("items=%d", n), func(b *testing.B) {
-			f, items := filled(62, n)
+			f, items := filledQueue(62, n)
 			k := 0
 			for b.Loop() {
 				if k == n {
 					b.StopTimer()
-					f, items = filled(62, n)
+					f, items = filledQueue(62, n)
 					k = 0
 					b.StartTimer()
 				}
@@ -78,7 +78,7 @@
 // BenchmarkPopBlocked pops while all teams but one are at their limit.
 func BenchmarkPopBlocked(b *testing.B) {
 	for _, teams := range []int{6, 62, 620} {
-		f, _ := filled(teams, 10000)
+		f, _ := filledQueue(teams, 10000)
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			for b.Loop() {
 				i, _ := f.Pop(t0, q, func(i queue.Item) bool { return i.Key.Team == "team0" })
@@ -98,7 +98,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				f, _ := filled(62, n)
+				f, _ := filledQueue(62, n)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				per = float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
--- a/core/queue/fair/differential_test.go
+++ b/core/queue/fair/differential_test.go
@@ -12,17 +12,17 @@
 	"lavenderpond/core/queue"
 )
 
-// naive is fair queueing as one would write it down: it looks at every item. All
+// naiveQueue is fair queueing as one would write it down: it looks at every item. All
 // runs take a second and all shares are given by the team's name.
-type naive struct {
+type naiveQueue struct {
 	items   []queue.Item
 	virtual map[core.TeamID]float64
-	last    float64
+	lastTag float64
 }
 
 func share(t core.TeamID) int { return int(t[len(t)-1]-'0') + 1 }
 
-func (n *naive) waiting(team core.TeamID) bool {
+func (n *naiveQueue) waiting(team core.TeamID) bool {
 	for _, i := range n.items {
 		if i.Key.Team == team {
 			return true
@@ -31,21 +31,21 @@
 	return false
 }
 
-func (n *naive) push(i queue.Item) {
+func (n *naiveQueue) push(i queue.Item) {
 	if len(n.items) == 0 {
 		// A new busy period; nothing runs, so all are level.
 		clear(n.virtual)
-		n.last = 0
+		n.lastTag = 0
 	}
 	if !n.waiting(i.Key.Team) {
-		n.virtual[i.Key.Team] = max(n.virtual[i.Key.Team], n.last)
+		n.virtual[i.Key.Team] = max(n.virtual[i.Key.Team], n.lastTag)
 	}
 	n.items = append(n.items, i)
 }
 
 // best returns the index of the item to pop: the team furthest behind, by name
 // if level; its urgent work before its normal work; the earliest deadline first.
-func (n *naive) best(allowed func(queue.Item) bool) int {
+func (n *naiveQueue) best(allowed func(queue.Item) bool) int {
 	best := -1
 	for k, i := range n.items {
 		if allowed(i) && (best < 0 || n.before(i, n.items[best])) {
@@ -55,7 +55,7 @@
 	return best
 }
 
-func (n *naive) before(a, b queue.Item) bool {
+func (n *naiveQueue) before(a, b queue.Item) bool {
 	va, vb := n.virtual[a.Key.Team], n.virtual[b.Key.Team]
 	switch {
 	case va != vb:
@@ -68,14 +68,14 @@
 	return a.Deadline.Before(b.Deadline)
 }
 
-func (n *naive) pop(blocked core.TeamID) (queue.Item, bool) {
-	first := n.best(always)
+func (n *naiveQueue) pop(blocked core.TeamID) (queue.Item, bool) {
+	first := n.best(acceptAll)
 	if first < 0 {
 		return queue.Item{}, false
 	}
 	least := n.virtual[n.items[first].Key.Team]
 	k := n.best(func(i queue.Item) bool {
-		ahead := float64(urgentAhead) / float64(share(i.Key.Team))
+		ahead := float64(urgentLeadRuns) / float64(share(i.Key.Team))
 		return i.Urgent && i.Key.Team != blocked && n.virtual[i.Key.Team] <= least+ahead
 	})
 	if k < 0 {
@@ -86,12 +86,12 @@
 	}
 	i := n.items[k]
 	n.remove(i.Key)
-	n.last = max(n.last, least)
+	n.lastTag = max(n.lastTag, least)
 	n.virtual[i.Key.Team] += 1 / float64(share(i.Key.Team))
 	return i, true
 }
 
-func (n *naive) remove(key core.RequestKey) bool {
+func (n *naiveQueue) remove(key core.RequestKey) bool {
 	for k, i := range n.items {
 		if i.Key == key {
 			n.items = append(n.items[:k], n.items[k+1:]...)
@@ -104,8 +104,8 @@
 func TestAgainstNaiveFairQueue(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		f := Queue{Share: share, MaxQueued: bounded(1 << 20)}
-		n := naive{virtual: map[core.TeamID]float64{}}
+		f := Queue{Share: share, MaxQueued: fixedBound(1 << 20)}
+		n := naiveQueue{virtual: map[core.TeamID]float64{}}
 		// Deadlines stand apart by more than run times are ever estimated to differ.
 		deadlines := rng.Perm(300)
 		for step := range 300 {
--- a/core/queue/fair/estimate.go
+++ b/core/queue/fair/estimate.go
@@ -41,13 +41,13 @@
 
 func (e *estimate) trusted() bool { return e.samples >= minSamples }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 const (
-	// correctionKeep is how much of the sums a new wait leaves.
-	correctionKeep = 0.98
-	minCorrection  = 0.5
-	maxCorrection  = 4
+	// correctionDecay is how much of the sums a new wait leaves.
+	correctionDecay = 0.98
+	minCorrection   = 0.5
+	maxCorrection   = 4
 )
 
 // correction learns by how much waits differ from their predictions, which know
@@ -56,13 +56,13 @@
 type correction struct{ predicted, waited float64 }
 
 func (c *correction) add(predicted, waited time.Duration) {
-	c.predicted = c.predicted*correctionKeep + predicted.Seconds()
-	c.waited = c.waited*correctionKeep + waited.Seconds()
+	c.predicted = c.predicted*correctionDecay + predicted.Seconds()
+	c.waited = c.waited*correctionDecay + waited.Seconds()
 }
 
 func (c *correction) apply(wait time.Duration) time.Duration {
 	if c.predicted == 0 {
 		return wait
 	}
-	return seconds(wait.Seconds() * min(max(c.waited/c.predicted, minCorrection), maxCorrection))
+	return secondsToDuration(wait.Seconds() * min(max(c.waited/c.predicted, minCorrection), maxCorrection))
 }
--- a/core/queue/fair/fair.go
+++ b/core/queue/fair/fair.go
@@ -21,13 +21,13 @@
 const (
 	// DefaultMaxQueued bounds a queue for which no bound is set.
 	DefaultMaxQueued = 1000
-	// urgentAhead is how many runs a team's urgent work may be ahead of the
+	// urgentLeadRuns is how many runs a team's urgent work may be ahead of the
 	// team's share. It is what a VM holds, so urgent work finds a slot at once and
 	// a flood of it can't starve another team.
-	urgentAhead = 8
-	// maxProbes bounds how many items of one team a Pop offers to ready, urgent and
+	urgentLeadRuns = 8
+	// maxOffersPerTeam bounds how many items of one team a Pop offers to ready, urgent and
 	// normal ones each.
-	maxProbes = 2
+	maxOffersPerTeam = 2
 	// fallbackRun is the run time assumed where none is declared or measured.
 	fallbackRun = time.Second
 )
@@ -46,41 +46,41 @@
 	// Rand spreads come-back times. Entries should be seeded differently.
 	Rand *rand.Rand
 
-	queues   map[core.QueueID]*state
+	queues   map[core.QueueID]*queueState
 	entries  map[core.RequestKey]*entry
-	expiry   lane
+	expiry   lazyHeap
 	sequence uint64
-	// off switches safeguards off, in tests only.
-	off switches
+	// disabled switches safeguards off, in tests only.
+	disabled disabledSafeguards
 }
 
 // switches name the safeguards that a test may switch off to see it fail.
-type switches struct {
+type disabledSafeguards struct {
 	fairness, urgentBound, expiryCheck, probing, reordering, lazyRemoval bool
 }
 
 var _ queue.Queue = (*Queue)(nil)
 
-// state is one queue.
-type state struct {
+// queueState is one queue.
+type queueState struct {
 	id    core.QueueID
 	teams map[core.TeamID]*team
 	// heaps are the teams with waiting items, by virtual time.
-	heaps [orders]teamHeap
+	heaps [numOrders]teamHeap
 	// period counts the busy periods: a new one starts when an item is pushed and
 	// none waits.
 	period int
 	// virtual is the lowest tag of a team with waiting items at the last pop.
 	virtual float64
-	// lightest is the lowest weight that any of the teams had.
-	lightest float64
+	// minWeight is the lowest weight that any of the teams had.
+	minWeight float64
 	// waiting, urgent and running count items of all teams.
 	waiting, urgent, running int
-	runs                     estimate
-	// waits and urgentWaits correct the predicted waits.
-	waits, urgentWaits correction
-	// nextReturn is the next come-back time to hand out.
-	nextReturn time.Time
+	runTimes                 estimate
+	// waitCorrection and urgentWaits correct the predicted waits.
+	waitCorrection, urgentWaitCorrection correction
+	// nextRetryAt is the next come-back time to hand out.
+	nextRetryAt time.Time
 }
 
 // Push implements queue.Queue.
@@ -91,38 +91,38 @@
 	if !now.Before(item.Deadline) {
 		return core.NotRun{Code: core.CodeDeadlinePassed, Detail: "send it with a later deadline"}, false
 	}
-	s := f.state(item.Queue)
-	t := f.team(s, item.Key.Team)
+	s := f.stateOf(item.Queue)
+	t := f.teamOf(s, item.Key.Team)
 	predicted, refusal, ok := f.admit(now, s, t, item, idleSlots)
 	if !ok {
 		return refusal, false
 	}
 	f.insert(s, t, &entry{
-		item: item, team: t, pushed: now, predicted: predicted,
+		item: item, team: t, pushedAt: now, predictedWait: predicted,
 		startBy: item.Deadline.Add(-f.shortestRun(s, t)),
 	})
 	return core.NotRun{}, true
 }
 
-func (f *Queue) insert(s *state, t *team, e *entry) {
+func (f *Queue) insert(s *queueState, t *team, e *entry) {
 	item := e.item
 	if s.waiting == 0 {
 		s.period++
 		s.virtual = 0
 	}
 	if t.waiting() == 0 {
-		t.join(s)
+		t.activate(s)
 	}
 	f.sequence++
 	e.sequence = f.sequence
 	f.entries[item.Key] = e
 	f.expiry.push(e)
-	t.lane(item.Urgent).push(e)
+	t.waitingHeap(item.Urgent).push(e)
 	s.waiting++
 	if item.Urgent {
 		s.urgent++
 	}
-	s.place(t)
+	s.updateHeaps(t)
 }
 
 // Pop implements queue.Queue.
@@ -137,67 +137,67 @@
 	}
 	s.virtual = max(s.virtual, s.heaps[byAny].min().virtual)
 	f.remove(e)
-	s.correction(e.item.Urgent).add(e.predicted, now.Sub(e.pushed))
+	s.correctionFor(e.item.Urgent).add(e.predictedWait, now.Sub(e.pushedAt))
 	s.running++
 	e.team.charge(f.predictRun(s, e.team, e.item))
-	s.place(e.team)
+	s.updateHeaps(e.team)
 	return e.item, true
 }
 
 // next finds the entry to pop: urgent work of a team that isn't too far ahead of
 // its share, then the team furthest behind.
-func (f *Queue) next(now time.Time, s *state, ready func(queue.Item) bool) *entry {
+func (f *Queue) next(now time.Time, s *queueState, ready func(queue.Item) bool) *entry {
 	if least := s.heaps[byAny].min(); least != nil && s.urgent > 0 {
 		if e := f.scan(now, s, byUrgent, f.urgentBound(s, least.virtual), ready); e != nil {
 			return e
 		}
 	}
-	return f.scan(now, s, byAny, bound{}, ready)
+	return f.scan(now, s, byAny, tagBound{}, ready)
 }
 
-// bound limits the tags of the teams that a scan serves. Its zero value doesn't.
-type bound struct {
+// tagBound limits the tags of the teams that a scan serves. Its zero value doesn't.
+type tagBound struct {
 	limited bool
 	// tag is the bound of a team without a lead, lead that of a team of weight one,
 	// and lightest the lowest weight that a team may have.
-	tag, lead, lightest float64
+	tag, lead, minWeight float64
 }
 
-func (b bound) allows(t *team) bool {
+func (b tagBound) allows(t *team) bool {
 	return !b.limited || t.virtual <= b.tag+b.lead/t.weight
 }
 
-// ends reports whether no team with a tag of t's or later can be allowed.
-func (b bound) ends(t *team) bool {
-	return b.limited && t.virtual > b.tag+b.lead/b.lightest
+// excludesRest reports whether no team with a tag of t's or later can be allowed.
+func (b tagBound) excludesRest(t *team) bool {
+	return b.limited && t.virtual > b.tag+b.lead/b.minWeight
 }
 
 // urgentBound lets urgent work be ahead of the tag of the team furthest behind by
 // a few runs. Without it, one team's flood of urgent work would starve the rest.
-func (f *Queue) urgentBound(s *state, tag float64) bound {
-	return bound{
-		limited: !f.off.urgentBound,
-		tag:     tag, lead: urgentAhead * s.meanRun().Seconds(), lightest: s.lightest,
+func (f *Queue) urgentBound(s *queueState, tag float64) tagBound {
+	return tagBound{
+		limited: !f.disabled.urgentBound,
+		tag:     tag, lead: urgentLeadRuns * s.meanRun().Seconds(), minWeight: s.minWeight,
 	}
 }
 
 // scan offers items to ready, in the order of the teams' tags. A team that isn't
 // ready, for instance at its limit, is passed over and keeps its place.
-func (f *Queue) scan(now time.Time, s *state, o order, b bound, ready func(queue.Item) bool) *entry {
+func (f *Queue) scan(now time.Time, s *queueState, o order, b tagBound, ready func(queue.Item) bool) *entry {
 	h := &s.heaps[o]
-	var passed []*team
+	var skipped []*team
 	var found *entry
-	for h.Len() > 0 && !b.ends(h.min()) {
+	for h.Len() > 0 && !b.excludesRest(h.min()) {
 		t := h.min()
 		if b.allows(t) {
 			found = f.offer(now, t, o, ready)
 		}
-		if found != nil || f.off.probing {
+		if found != nil || f.disabled.probing {
 			break
 		}
-		passed = append(passed, heap.Pop(h).(*team))
+		skipped = append(skipped, heap.Pop(h).(*team))
 	}
-	for _, t := range passed {
+	for _, t := range skipped {
 		heap.Push(h, t)
 	}
 	return found
@@ -205,22 +205,22 @@
 
 // offer returns an item of t that is in time and ready, urgent ones first.
 func (f *Queue) offer(now time.Time, t *team, o order, ready func(queue.Item) bool) *entry {
-	if e := f.offerLane(now, &t.urgent, ready); e != nil || o == byUrgent {
+	if e := f.offerFrom(now, &t.urgent, ready); e != nil || o == byUrgent {
 		return e
 	}
-	return f.offerLane(now, &t.normal, ready)
+	return f.offerFrom(now, &t.normal, ready)
 }
 
-// offerLane offers the lane's first entry and then a few others. A single item
+// offerFrom offers the lane's first entry and then a few others. A single item
 // may be unready, for instance in back-off, and must not hold up those behind it;
 // but a team at its limit must not cost a call for each of its items.
-func (f *Queue) offerLane(now time.Time, l *lane, ready func(queue.Item) bool) *entry {
+func (f *Queue) offerFrom(now time.Time, l *lazyHeap, ready func(queue.Item) bool) *entry {
 	e := l.peek()
 	if e == nil || f.inTime(now, e) && ready(e.item) {
 		return e
 	}
 	others := l.entries[1:]
-	for range min(maxProbes-1, len(others)) {
+	for range min(maxOffersPerTeam-1, len(others)) {
 		e = others[f.random().IntN(len(others))]
 		if f.inTime(now, e) && ready(e.item) {
 			return e
@@ -232,7 +232,7 @@
 // inTime reports whether e waits and can still be in time. Items that can't stay
 // for Expired, which answers them.
 func (f *Queue) inTime(now time.Time, e *entry) bool {
-	return !e.gone && (f.off.expiryCheck || now.Before(e.startBy))
+	return !e.removed && (f.disabled.expiryCheck || now.Before(e.startBy))
 }
 
 // Expired implements queue.Queue.
@@ -240,7 +240,7 @@
 	var expired []queue.Item
 	for e := f.expiry.peek(); e != nil && !now.Before(e.startBy); e = f.expiry.peek() {
 		f.remove(e)
-		f.queues[e.item.Queue].correction(e.item.Urgent).add(e.predicted, now.Sub(e.pushed))
+		f.queues[e.item.Queue].correctionFor(e.item.Urgent).add(e.predictedWait, now.Sub(e.pushedAt))
 		expired = append(expired, e.item)
 	}
 	return expired
@@ -258,30 +258,30 @@
 func (f *Queue) remove(e *entry) {
 	s := f.queues[e.item.Queue]
 	delete(f.entries, e.item.Key)
-	e.gone = true
-	e.team.lane(e.item.Urgent).markGone(f.off)
-	f.expiry.markGone(f.off)
+	e.removed = true
+	e.team.waitingHeap(e.item.Urgent).markRemoved(f.disabled)
+	f.expiry.markRemoved(f.disabled)
 	s.waiting--
 	if e.item.Urgent {
 		s.urgent--
 	}
-	s.place(e.team)
+	s.updateHeaps(e.team)
 }
 
 // Observe implements queue.Queue. A run of zero gives the charge of an item back
 // that was popped and did not run.
 func (f *Queue) Observe(_ time.Time, q core.QueueID, id core.TeamID, run time.Duration) {
-	s := f.state(q)
-	t := f.team(s, id)
+	s := f.stateOf(q)
+	t := f.teamOf(s, id)
 	if t.running > 0 {
 		s.running--
 	}
 	t.settle(run)
 	if run > 0 {
-		t.runs.add(run)
-		s.runs.add(run)
+		t.runTimes.add(run)
+		s.runTimes.add(run)
 	}
-	s.place(t)
+	s.updateHeaps(t)
 }
 
 // Len implements queue.Queue.
@@ -304,54 +304,54 @@
 	return queues
 }
 
-func (f *Queue) state(q core.QueueID) *state {
+func (f *Queue) stateOf(q core.QueueID) *queueState {
 	if f.queues == nil {
-		f.queues = make(map[core.QueueID]*state)
+		f.queues = make(map[core.QueueID]*queueState)
 		f.entries = make(map[core.RequestKey]*entry)
 	}
 	s := f.queues[q]
 	if s == nil {
-		s = &state{id: q, teams: make(map[core.TeamID]*team)}
+		s = &queueState{id: q, teams: make(map[core.TeamID]*team)}
 		s.heaps[byUrgent].order = byUrgent
 		f.queues[q] = s
 	}
 	return s
 }
 
-func (f *Queue) team(s *state, id core.TeamID) *team {
+func (f *Queue) teamOf(s *queueState, id core.TeamID) *team {
 	t := s.teams[id]
 	if t == nil {
 		t = &team{id: id}
 		s.teams[id] = t
 	}
 	t.weight = f.weight(id)
-	if s.lightest == 0 || t.weight < s.lightest {
-		s.lightest = t.weight
+	if s.minWeight == 0 || t.weight < s.minWeight {
+		s.minWeight = t.weight
 	}
 	return t
 }
 
 func (f *Queue) weight(id core.TeamID) float64 {
-	if f.Share == nil || f.off.fairness {
+	if f.Share == nil || f.disabled.fairness {
 		return 1
 	}
 	return float64(max(1, f.Share(id)))
 }
 
-func (s *state) correction(urgent bool) *correction {
+func (s *queueState) correctionFor(urgent bool) *correction {
 	if urgent {
-		return &s.urgentWaits
+		return &s.urgentWaitCorrection
 	}
-	return &s.waits
+	return &s.waitCorrection
 }
 
-// place puts t where it belongs in both heaps.
-func (s *state) place(t *team) {
-	s.heaps[byAny].keep(t, t.waiting() > 0)
-	s.heaps[byUrgent].keep(t, t.urgent.live() > 0)
+// updateHeaps puts t where it belongs in both heaps.
+func (s *queueState) updateHeaps(t *team) {
+	s.heaps[byAny].update(t, t.waiting() > 0)
+	s.heaps[byUrgent].update(t, t.urgent.liveCount() > 0)
 }
 
-func (t *team) lane(urgent bool) *lane {
+func (t *team) waitingHeap(urgent bool) *lazyHeap {
 	if urgent {
 		return &t.urgent
 	}
--- a/core/queue/fair/lane.go
+++ b/core/queue/fair/lazy_heap.go
@@ -14,65 +14,65 @@
 	// startBy is the deadline less the shortest run that is likely: work that
 	// starts later would be stopped at its deadline and wasted.
 	startBy time.Time
-	// pushed and predicted are when the item came and the wait it was told, to
+	// pushedAt and predicted are when the item came and the wait it was told, to
 	// correct later predictions.
-	pushed    time.Time
-	predicted time.Duration
+	pushedAt      time.Time
+	predictedWait time.Duration
 	// sequence orders items of equal startBy by arrival.
 	sequence uint64
-	// gone marks an entry that left the queue and has yet to leave its lanes.
-	gone bool
+	// removed marks an entry that left the queue and has yet to leave its lanes.
+	removed bool
 }
 
-// lane is a heap of entries by startBy that drops removed entries lazily.
+// lazyHeap is a heap of entries by startBy that drops removed entries lazily.
 //
 // A cancellation only marks its entry, so a wave of cancellations costs O(1)
 // each. Marked entries leave when they come to the top, or all at once when they
 // outnumber the others, so memory stays within twice the waiting items.
-type lane struct {
+type lazyHeap struct {
 	entries entryHeap
-	gone    int
+	removed int
 }
 
-func (l *lane) push(e *entry) { heap.Push(&l.entries, e) }
+func (l *lazyHeap) push(e *entry) { heap.Push(&l.entries, e) }
 
-// live returns how many entries wait in the lane.
-func (l *lane) live() int { return len(l.entries) - l.gone }
+// liveCount returns how many entries wait in the lane.
+func (l *lazyHeap) liveCount() int { return len(l.entries) - l.removed }
 
 // peek returns the entry with the earliest startBy, or nil.
-func (l *lane) peek() *entry {
+func (l *lazyHeap) peek() *entry {
 	for len(l.entries) > 0 {
-		if !l.entries[0].gone {
+		if !l.entries[0].removed {
 			return l.entries[0]
 		}
 		heap.Pop(&l.entries)
-		l.gone--
+		l.removed--
 	}
 	return nil
 }
 
-// markGone counts an entry of the lane as removed.
-func (l *lane) markGone(off switches) {
-	l.gone++
-	if off.lazyRemoval || 2*l.gone > len(l.entries) {
-		l.compact(off)
+// markRemoved counts an entry of the lane as removed.
+func (l *lazyHeap) markRemoved(disabled disabledSafeguards) {
+	l.removed++
+	if disabled.lazyRemoval || 2*l.removed > len(l.entries) {
+		l.compact(disabled)
 	}
 }
 
 // compact drops the marked entries. The order is made anew: what is left of a heap
 // is none, and entries would be served in an order that depends on which were
 // cancelled first.
-func (l *lane) compact(off switches) {
+func (l *lazyHeap) compact(disabled disabledSafeguards) {
 	kept := l.entries[:0]
 	for _, e := range l.entries {
-		if !e.gone {
+		if !e.removed {
 			kept = append(kept, e)
 		}
 	}
 	clear(l.entries[len(kept):])
 	l.entries = kept
-	l.gone = 0
-	if !off.reordering {
+	l.removed = 0
+	if !disabled.reordering {
 		heap.Init(&l.entries)
 	}
 }
--- a/core/queue/fair/property_test.go
+++ b/core/queue/fair/property_test.go
@@ -18,7 +18,7 @@
 
 var t0 = time.Unix(1_800_000_000, 0).UTC()
 
-func always(queue.Item) bool { return true }
+func acceptAll(queue.Item) bool { return true }
 
 func item(team string, n int, urgent bool, within time.Duration) queue.Item {
 	return queue.Item{
@@ -27,35 +27,35 @@
 	}
 }
 
-func bounded(n int) func(core.QueueID) int { return func(core.QueueID) int { return n } }
+func fixedBound(n int) func(core.QueueID) int { return func(core.QueueID) int { return n } }
 
 // Each property holds with every safeguard on and is seen to fail with its own
 // switched off.
 func TestProperties(t *testing.T) {
 	for _, p := range []struct {
-		name  string
-		off   switches
-		check func(off switches, rng *rand.Rand) error
+		name     string
+		disabled disabledSafeguards
+		check    func(off disabledSafeguards, rng *rand.Rand) error
 	}{
-		{"weighted shares", switches{fairness: true}, sharesHold},
-		{"urgent flood starves nobody", switches{urgentBound: true}, urgentIsBounded},
-		{"never expired", switches{expiryCheck: true}, neverExpired},
-		{"work conserving", switches{probing: true}, workConserving},
+		{"weighted shares", disabledSafeguards{fairness: true}, sharesHold},
+		{"urgent flood starves nobody", disabledSafeguards{urgentBound: true}, urgentIsBounded},
+		{"never expired", disabledSafeguards{expiryCheck: true}, neverExpired},
+		{"work conserving", disabledSafeguards{probing: true}, workConserving},
 	} {
 		t.Run(p.name, func(t *testing.T) {
-			red := 0
+			failedSeeds := 0
 			var first error
 			for seed := range uint64(200) {
-				assert.NilError(t, p.check(switches{}, rand.New(rand.NewPCG(seed, 1))), "seed %d", seed)
-				if err := p.check(p.off, rand.New(rand.NewPCG(seed, 1))); err != nil {
-					red++
+				assert.NilError(t, p.check(disabledSafeguards{}, rand.New(rand.NewPCG(seed, 1))), "seed %d", seed)
+				if err := p.check(p.disabled, rand.New(rand.NewPCG(seed, 1))); err != nil {
+					failedSeeds++
 					if first == nil {
 						first = fmt.Errorf("seed %d: %w", seed, err)
 					}
 				}
 			}
-			t.Logf("switched off: red on %d of 200 seeds, first: %v", red, first)
-			assert.Assert(t, red > 0, "the property can't fail")
+			t.Logf("switched off: red on %d of 200 seeds, first: %v", failedSeeds, first)
+			assert.Assert(t, failedSeeds > 0, "the property can't fail")
 		})
 	}
 }
@@ -63,9 +63,9 @@
 // sharesHold serves teams that always wait and runs of unlike lengths. Slot time
 // by share may differ by no more than what is running, as each team had at most
 // a slot's run charged before it was measured.
-func sharesHold(off switches, rng *rand.Rand) error {
+func sharesHold(disabled disabledSafeguards, rng *rand.Rand) error {
 	shares := map[core.TeamID]int{"a": 1, "b": 2, "c": 1 + rng.IntN(6), "d": 9}
-	f := Queue{Share: func(t core.TeamID) int { return shares[t] }, MaxQueued: bounded(1 << 20), off: off}
+	f := Queue{Share: func(t core.TeamID) int { return shares[t] }, MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	got := map[core.TeamID]float64{}
 	longest := 0.0
 	for n := range 300 {
@@ -74,11 +74,11 @@
 		}
 	}
 	for range 250 {
-		i, _ := f.Pop(t0, q, always)
+		i, _ := f.Pop(t0, q, acceptAll)
 		run := 0.1 + rng.ExpFloat64()
 		longest = math.Max(longest, run)
 		got[i.Key.Team] += run
-		f.Observe(t0, q, i.Key.Team, seconds(run))
+		f.Observe(t0, q, i.Key.Team, secondsToDuration(run))
 	}
 	for a := range shares {
 		for b := range shares {
@@ -93,8 +93,8 @@
 
 // urgentIsBounded floods with one team's urgent work. The other team gets half of
 // the runs, but for those that urgent work may be ahead.
-func urgentIsBounded(off switches, rng *rand.Rand) error {
-	f := Queue{MaxQueued: bounded(1 << 20), off: off}
+func urgentIsBounded(disabled disabledSafeguards, rng *rand.Rand) error {
+	f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	const n = 200
 	for i := range n {
 		f.Push(t0, item("flood", i, true, 24*time.Hour), 1<<20)
@@ -102,21 +102,21 @@
 	}
 	calm, served := 0, 100+rng.IntN(n-100)
 	for range served {
-		i, _ := f.Pop(t0, q, always)
+		i, _ := f.Pop(t0, q, acceptAll)
 		if i.Key.Team == "calm" {
 			calm++
 		}
 		f.Observe(t0, q, i.Key.Team, time.Second)
 	}
-	if calm < served/2-urgentAhead {
+	if calm < served/2-urgentLeadRuns {
 		return fmt.Errorf("calm got %d of %d runs", calm, served)
 	}
 	return nil
 }
 
 // neverExpired pops at random times, with and without Expired before it.
-func neverExpired(off switches, rng *rand.Rand) error {
-	f := Queue{off: off}
+func neverExpired(disabled disabledSafeguards, rng *rand.Rand) error {
+	f := Queue{disabled: disabled}
 	now := t0
 	for n := range 100 {
 		f.Push(now, item("a", n, rng.IntN(2) == 0, time.Duration(rng.IntN(20))*time.Second), 1<<20)
@@ -124,7 +124,7 @@
 		if rng.IntN(4) == 0 {
 			f.Expired(now)
 		}
-		if i, ok := f.Pop(now, q, always); ok && !now.Before(i.Deadline) {
+		if i, ok := f.Pop(now, q, acceptAll); ok && !now.Before(i.Deadline) {
 			return fmt.Errorf("popped at %v past the deadline %v", now, i.Deadline)
 		}
 	}
@@ -133,8 +133,8 @@
 
 // workConserving keeps some teams at their limit. A Pop must find the work of any
 // other team.
-func workConserving(off switches, rng *rand.Rand) error {
-	f := Queue{MaxQueued: bounded(1 << 20), off: off}
+func workConserving(disabled disabledSafeguards, rng *rand.Rand) error {
+	f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	free := map[core.TeamID]int{}
 	for n := range 100 {
 		team := fmt.Sprint("team", rng.IntN(10))
@@ -166,25 +166,25 @@
 // and each cancelled id must be gone at once. Without a new order after the compaction
 // of a lane, what is served first depends on which cancellation came last.
 func TestCancelOrderDoesNotMatter(t *testing.T) {
-	red, firstRed := 0, uint64(0)
+	failedSeeds, firstFailedSeed := 0, uint64(0)
 	for seed := range uint64(100) {
-		assert.Assert(t, cancelledAlike(t, switches{}, seed), "seed %d", seed)
-		if !cancelledAlike(t, switches{reordering: true}, seed) {
-			red++
-			if red == 1 {
-				firstRed = seed
+		assert.Assert(t, cancelOrderIrrelevant(t, disabledSafeguards{}, seed), "seed %d", seed)
+		if !cancelOrderIrrelevant(t, disabledSafeguards{reordering: true}, seed) {
+			failedSeeds++
+			if failedSeeds == 1 {
+				firstFailedSeed = seed
 			}
 		}
 	}
-	t.Logf("switched off: red on %d of 100 seeds, first %d", red, firstRed)
-	assert.Assert(t, red > 0, "the property can't fail")
+	t.Logf("switched off: red on %d of 100 seeds, first %d", failedSeeds, firstFailedSeed)
+	assert.Assert(t, failedSeeds > 0, "the property can't fail")
 }
 
-// cancelledAlike cancels 60 of 100 items in two orders and compares what is served.
-func cancelledAlike(t *testing.T, off switches, seed uint64) bool {
+// cancelOrderIrrelevant cancels 60 of 100 items in two orders and compares what is served.
+func cancelOrderIrrelevant(t *testing.T, disabled disabledSafeguards, seed uint64) bool {
 	cancelled := rand.New(rand.NewPCG(seed, 2)).Perm(100)[:60]
 	serve := func() (served []core.RequestKey) {
-		f := Queue{off: off}
+		f := Queue{disabled: disabled}
 		for n := range 100 {
 			f.Push(t0, item(fmt.Sprint("team", n%7), n, n%3 == 0, time.Duration(1+n%11)*time.Minute), 1<<20)
 		}
@@ -192,7 +192,7 @@
 			key := core.RequestKey{Team: core.TeamID(fmt.Sprint("team", n%7)), ID: core.RequestID(fmt.Sprint(n))}
 			assert.Assert(t, f.Remove(key) && !f.Remove(key), "seed %d", seed)
 		}
-		for i, ok := f.Pop(t0, q, always); ok; i, ok = f.Pop(t0, q, always) {
+		for i, ok := f.Pop(t0, q, acceptAll); ok; i, ok = f.Pop(t0, q, acceptAll) {
 			served = append(served, i.Key)
 		}
 		return served
@@ -207,40 +207,40 @@
 // A wave of cancellations hits a long queue. Each costs the same whatever waits: an
 // entry is looked at again only when a lane is compacted, and a lane is compacted only
 // when half of it is gone. Compacted at each cancellation, a wave of n costs n squared.
-func TestCancellationCostsTheSame(t *testing.T) {
-	perCancellation := func(off switches, n int) float64 {
-		f := Queue{MaxQueued: bounded(1 << 20), off: off}
+func TestCancellationCostIsConstant(t *testing.T) {
+	perCancellation := func(disabled disabledSafeguards, n int) float64 {
+		f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 		for i := range n {
 			f.Push(t0, item("a", i, false, time.Hour), 1<<20)
 		}
-		lanes := []*lane{&f.expiry, &f.queues[q].teams["a"].normal}
-		lookedAt := 0
+		lanes := []*lazyHeap{&f.expiry, &f.queues[q].teams["a"].normal}
+		examined := 0
 		for i := range n {
 			before := []int{len(lanes[0].entries), len(lanes[1].entries)}
 			assert.Assert(t, f.Remove(core.RequestKey{Team: "a", ID: core.RequestID(fmt.Sprint(i))}))
 			for k, l := range lanes {
 				if len(l.entries) < before[k] {
-					lookedAt += before[k]
+					examined += before[k]
 				}
-				assert.Assert(t, len(l.entries) <= 2*l.live(), "%d entries kept for %d", len(l.entries), l.live())
+				assert.Assert(t, len(l.entries) <= 2*l.liveCount(), "%d entries kept for %d", len(l.entries), l.liveCount())
 			}
 		}
-		return float64(lookedAt) / float64(n)
+		return float64(examined) / float64(n)
 	}
 	for _, n := range []int{1000, 4000} {
-		green, red := perCancellation(switches{}, n), perCancellation(switches{lazyRemoval: true}, n)
-		t.Logf("%d cancellations look at %.1f entries each; with compaction each time at %.0f", n, green, red)
-		assert.Assert(t, green <= 4.1 && red > float64(n)/2)
+		lazy, eager := perCancellation(disabledSafeguards{}, n), perCancellation(disabledSafeguards{lazyRemoval: true}, n)
+		t.Logf("%d cancellations look at %.1f entries each; with compaction each time at %.0f", n, lazy, eager)
+		assert.Assert(t, lazy <= 4.1 && eager > float64(n)/2)
 	}
 }
 
 // A burst is refused while it waits for slots. The callers' come-back times must
 // be in the future, and about as far apart as slots come free.
 func TestComeBackTimesAreSpread(t *testing.T) {
-	f := Queue{MaxQueued: bounded(50)}
+	f := Queue{MaxQueued: fixedBound(50)}
 	for n := range 10 {
 		f.Push(t0, item("a", n, false, time.Hour), 1<<20)
-		f.Pop(t0, q, always)
+		f.Pop(t0, q, acceptAll)
 		f.Observe(t0, q, "a", time.Second)
 	}
 	var times []time.Time
@@ -253,7 +253,7 @@
 	assert.Assert(t, len(times) > 100, "%d refused", len(times))
 	perSecond := map[int]int{}
 	for _, at := range times {
-		assert.Assert(t, !at.Before(t0.Add(minReturn)) && at.Before(t0.Add(maxReturn+time.Second)), at.String())
+		assert.Assert(t, !at.Before(t0.Add(minRetryDelay)) && at.Before(t0.Add(maxRetryDelay+time.Second)), at.String())
 		perSecond[int(at.Sub(t0).Seconds())]++
 	}
 	for second, n := range perSecond {
--- a/core/queue/fair/team.go
+++ b/core/queue/fair/team.go
@@ -15,7 +15,7 @@
 	byAny order = iota
 	// byUrgent holds the teams with a waiting urgent item.
 	byUrgent
-	orders
+	numOrders
 )
 
 // team is one team's part of a queue.
@@ -27,27 +27,27 @@
 	// period is the busy period that virtual belongs to.
 	period int
 	// normal and urgent hold the waiting items.
-	normal, urgent lane
+	normal, urgent lazyHeap
 	// running counts items popped and not yet observed, and charged is the run
 	// time in seconds that the team was charged for them.
-	running int
-	charged float64
-	runs    estimate
+	running        int
+	chargedSeconds float64
+	runTimes       estimate
 	// place is the team's index in each heap of teams, plus one; zero if absent.
-	place [orders]int
+	heapIndex [numOrders]int
 }
 
-func (t *team) waiting() int { return t.normal.live() + t.urgent.live() }
+func (t *team) waiting() int { return t.normal.liveCount() + t.urgent.liveCount() }
 
-// join sets the tag of a team that begins to wait. In a new busy period it is
+// activate sets the tag of a team that begins to wait. In a new busy period it is
 // charged with what it still runs: slots it took while there were enough for all
 // were nobody's loss, but those that it still holds count. Else it starts level
 // with the others at least: idle time earns no arrears, which would let it take
 // every slot for as long as it was away.
-func (t *team) join(s *state) {
+func (t *team) activate(s *queueState) {
 	if t.period != s.period {
 		t.period = s.period
-		t.virtual = t.charged / t.weight
+		t.virtual = t.chargedSeconds / t.weight
 	}
 	t.virtual = max(t.virtual, s.virtual)
 }
@@ -55,7 +55,7 @@
 // charge advances the team's tag by a run of the predicted length.
 func (t *team) charge(run time.Duration) {
 	t.running++
-	t.charged += run.Seconds()
+	t.chargedSeconds += run.Seconds()
 	t.virtual += run.Seconds() / t.weight
 }
 
@@ -65,9 +65,9 @@
 	if t.running == 0 {
 		return
 	}
-	mean := t.charged / float64(t.running)
+	mean := t.chargedSeconds / float64(t.running)
 	t.running--
-	t.charged -= mean
+	t.chargedSeconds -= mean
 	t.virtual += (run.Seconds() - mean) / t.weight
 }
 
@@ -89,15 +89,15 @@
 
 func (h *teamHeap) Swap(i, j int) {
 	h.teams[i], h.teams[j] = h.teams[j], h.teams[i]
-	h.teams[i].place[h.order] = i + 1
-	h.teams[j].place[h.order] = j + 1
+	h.teams[i].heapIndex[h.order] = i + 1
+	h.teams[j].heapIndex[h.order] = j + 1
 }
 
 // Push implements heap.Interface.
 func (h *teamHeap) Push(x any) {
 	t := x.(*team)
 	h.teams = append(h.teams, t)
-	t.place[h.order] = len(h.teams)
+	t.heapIndex[h.order] = len(h.teams)
 }
 
 // Pop implements heap.Interface.
@@ -106,7 +106,7 @@
 	t := h.teams[last]
 	h.teams[last] = nil
 	h.teams = h.teams[:last]
-	t.place[h.order] = 0
+	t.heapIndex[h.order] = 0
 	return t
 }
 
@@ -118,9 +118,9 @@
 	return h.teams[0]
 }
 
-// keep puts t in its place in the heap, or takes it out if it has no items there.
-func (h *teamHeap) keep(t *team, present bool) {
-	switch i := t.place[h.order] - 1; {
+// update puts t in its place in the heap, or takes it out if it has no items there.
+func (h *teamHeap) update(t *team, present bool) {
+	switch i := t.heapIndex[h.order] - 1; {
 	case i < 0 && present:
 		heap.Push(h, t)
 	case i >= 0 && present:
--- a/core/retry/tries.go
+++ b/core/retry/failed_targets.go
@@ -11,18 +11,18 @@
 // it is given up.
 const MaxTargets = 3
 
-// Tries records the targets that refused or failed one request. Its zero value
+// FailedTargets records the targets that refused or failed one request. Its zero value
 // has none. A target that was full, leaving or out of reach says nothing about
 // the request and isn't added.
-type Tries struct {
-	targets []core.VMID
-	started bool
+type FailedTargets struct {
+	targets        []core.VMID
+	mayHaveStarted bool
 }
 
 // Add records that vm refused or failed the request after it got as far as p.
-func (t *Tries) Add(vm core.VMID, p Progress) {
+func (t *FailedTargets) Add(vm core.VMID, p Progress) {
 	if p == Sent {
-		t.started = true
+		t.mayHaveStarted = true
 	}
 	if !slices.Contains(t.targets, vm) {
 		t.targets = append(t.targets, vm)
@@ -30,17 +30,17 @@
 }
 
 // Targets returns the targets added so far, to be avoided by the next try.
-func (t *Tries) Targets() []core.VMID { return t.targets }
+func (t *FailedTargets) Targets() []core.VMID { return t.targets }
 
 // Exhausted reports whether the request has been given up, and its final answer:
 // cannot_run if every target said that it did not start the request, else
 // target_failed, since not_run would be untrue.
-func (t *Tries) Exhausted() (core.Answer, bool) {
+func (t *FailedTargets) Exhausted() (core.Answer, bool) {
 	if len(t.targets) < MaxTargets {
 		return nil, false
 	}
 	detail := fmt.Sprintf("%d targets refused or failed it; change the request", len(t.targets))
-	if t.started {
+	if t.mayHaveStarted {
 		return core.OutcomeUnknown{Code: core.CodeTargetFailed, Detail: detail}, true
 	}
 	return core.NotRun{Code: core.CodeCannotRun, Detail: detail}, true
--- a/core/retry/progress.go
+++ b/core/retry/progress.go
@@ -23,10 +23,10 @@
 	return progressNames[p]
 }
 
-// Safe reports whether a request may be sent again after a dispatch that got as
+// SafeToRetry reports whether a request may be sent again after a dispatch that got as
 // far as p. A non-idempotent request that may have started is never sent again:
 // it would run twice.
-func Safe(p Progress, idempotent bool) bool {
+func SafeToRetry(p Progress, idempotent bool) bool {
 	switch p {
 	case NotSent, Refused:
 		return true
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -13,9 +13,9 @@
 
 var t0 = time.Unix(1_800_000_000, 0).UTC()
 
-// retries asks for a retry after each first attempt and up to ten times more, as
+// checkRetryBound asks for a retry after each first attempt and up to ten times more, as
 // in an outage, and fails when more were allowed than the budget says.
-func retries(rng *rand.Rand, unbounded bool) error {
+func checkRetryBound(rng *rand.Rand, unbounded bool) error {
 	b := TokenBucket{Ratio: 0.05 + rng.Float64()/4, Burst: float64(1 + rng.IntN(20)), unbounded: unbounded}
 	first, allowed := 0, 0
 	for range 500 {
@@ -36,14 +36,14 @@
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	red := 0
+	unboundedFailures := 0
 	for seed := range uint64(100) {
-		assert.NilError(t, retries(rand.New(rand.NewPCG(seed, 1)), false), "seed %d", seed)
-		if retries(rand.New(rand.NewPCG(seed, 1)), true) != nil {
-			red++
+		assert.NilError(t, checkRetryBound(rand.New(rand.NewPCG(seed, 1)), false), "seed %d", seed)
+		if checkRetryBound(rand.New(rand.NewPCG(seed, 1)), true) != nil {
+			unboundedFailures++
 		}
 	}
-	assert.Equal(t, red, 100, "the bound held on %d seeds without a budget", 100-red)
+	assert.Equal(t, unboundedFailures, 100, "the bound held on %d seeds without a budget", 100-unboundedFailures)
 }
 
 func TestBackoffGrowsToItsBound(t *testing.T) {
@@ -62,18 +62,18 @@
 	}
 }
 
-func TestSafe(t *testing.T) {
+func TestSafeToRetry(t *testing.T) {
 	for _, p := range []Progress{NotSent, Refused, Sent} {
-		assert.Assert(t, Safe(p, true), p.String())
-		assert.Equal(t, Safe(p, false), p != Sent, p.String())
+		assert.Assert(t, SafeToRetry(p, true), p.String())
+		assert.Equal(t, SafeToRetry(p, false), p != Sent, p.String())
 	}
-	assert.Assert(t, !Safe(Progress(7), false), "an unknown progress must allow least")
+	assert.Assert(t, !SafeToRetry(Progress(7), false), "an unknown progress must allow least")
 }
 
 // A request that fails everywhere would visit every target until its deadline. It
 // ends after MaxTargets different ones; not_run only if none of them started it.
-func TestTriesEnd(t *testing.T) {
-	var refused, failed Tries
+func TestFailedTargetsAreBounded(t *testing.T) {
+	var refused, failed FailedTargets
 	for n := range MaxTargets {
 		_, done := refused.Exhausted()
 		assert.Assert(t, !done)
--- a/core/retry/token_bucket.go
+++ b/core/retry/token_bucket.go
@@ -68,14 +68,14 @@
 // Backoff implements Budget. The retry starts at a random time in the second
 // half of the back-off, so requests that failed together don't return together.
 func (b *TokenBucket) Backoff(now time.Time, n int) time.Time {
-	d := b.delay(max(1, n))
+	d := b.backoffDelay(max(1, n))
 	if b.Rand == nil {
 		b.Rand = rand.New(rand.NewPCG(1, 1))
 	}
 	return now.Add(d/2 + time.Duration(b.Rand.Int64N(int64(d/2)+1)))
 }
 
-func (b *TokenBucket) delay(n int) time.Duration {
+func (b *TokenBucket) backoffDelay(n int) time.Duration {
 	step := orDefault(b.Step, DefaultStep)
 	longest := orDefault(b.MaxBackoff, DefaultMaxBackoff)
 	if b.Growth == Linear {
--- a/core/route/least/bench_test.go
+++ b/core/route/least/bench_test.go
@@ -25,13 +25,13 @@
 					pools = append(pools, route.Pool{ID: core.PoolID(fmt.Sprint(p)), LendsIdle: true, MaxEjected: 1})
 				}
 				r.Update(t0, list, pools)
-				want := route.Want{Pool: "0", Overflow: overflow}
+				criteria := route.Criteria{Pool: "0", Overflow: overflow}
 				if overflow {
-					want.Pool = "none"
+					criteria.Pool = "none"
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					vm, _ := r.Pick(t0, want)
+					vm, _ := r.Pick(t0, criteria)
 					r.Started(t0, vm)
 					r.Ended(t0, vm, route.Succeeded, time.Second)
 				}
@@ -47,7 +47,7 @@
 			r := &Router{Entries: 2}
 			r.Update(t0, targets(n), nil)
 			for b.Loop() {
-				r.Idle(t0, route.Want{Pool: pool})
+				r.Idle(t0, route.Criteria{Pool: pool})
 			}
 		})
 	}
--- a/core/route/least/eject.go
+++ b/core/route/least/eject.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// minResults is how many results are needed to judge a target.
-	minResults = 5
+	// minHealthResults is how many results are needed to judge a target.
+	minHealthResults = 5
 	// outlierMargin is how much more often than the rest of its pool a target must
 	// fail. A request that fails everywhere raises all targets alike, so it makes
 	// no outlier.
 	outlierMargin = 0.4
-	// failingShare is the share of failures above which a target is paced even if
+	// failingRate is the share of failures above which a target is paced even if
 	// its pool fails alike. A single success brings a target below it.
-	failingShare = 0.9
-	// probeStep is added to the time before a probe with each ejection in a row.
-	probeStep    = 2 * time.Second
-	maxProbeWait = 30 * time.Second
-	// probePatience is for how long a probe waits for a request that may be
+	failingRate = 0.9
+	// probeBackoffStep is added to the time before a probe with each ejection in a row.
+	probeBackoffStep = 2 * time.Second
+	maxProbeBackoff  = 30 * time.Second
+	// probeFallbackAfter is for how long a probe waits for a request that may be
 	// repeated. Without an end, a pool that gets no such request would never have
 	// the target back.
-	probePatience = 30 * time.Second
+	probeFallbackAfter = 30 * time.Second
 	// probesToReturn is how many probes must succeed in a row.
 	probesToReturn = 3
 )
 
-// judge updates the health of t after a result.
-func (r *Router) judge(now time.Time, t *target, result route.Result) {
+// updateHealth updates the health of t after a result.
+func (r *Router) updateHealth(now time.Time, t *target, result route.Result) {
 	if t.health == ejected {
-		r.judgeProbe(now, t, result)
+		r.handleProbeResult(now, t, result)
 		return
 	}
 	if !r.outlier(t) {
 		t.health = healthy
-		if t.results >= minResults && t.failures > failingShare && !r.off.pacing {
+		if t.resultCount >= minHealthResults && t.failureRate > failingRate && !r.disabled.pacing {
 			// The whole pool fails, so no target is an outlier. Work that can't be
 			// repeated would be lost on it as fast as it comes; paced, it waits or is
 			// refused, and is known not to have run. One success ends it.
@@ -46,17 +46,17 @@
 	// A target that fails everything quickly looks idle and would draw all work of
 	// the pool to it. Ejecting it stops that. But ejecting is taking capacity out,
 	// so it may never exceed what is left of the availability budget.
-	if r.off.ejectionBound || r.ejectedIn(t.Pool) < r.pools[t.Pool].MaxEjected {
+	if r.disabled.ejectionBound || r.ejectedIn(t.Pool) < r.pools[t.Pool].MaxEjected {
 		r.eject(now, t)
 		return
 	}
 	t.health = suspect
 }
 
-// judgeProbe returns a target whose probes succeed, and waits longer otherwise.
-func (r *Router) judgeProbe(now time.Time, t *target, result route.Result) {
+// handleProbeResult returns a target whose probes succeed, and waits longer otherwise.
+func (r *Router) handleProbeResult(now time.Time, t *target, result route.Result) {
 	if result != route.Succeeded {
-		t.probes = 0
+		t.probeSuccesses = 0
 		// What was under way at the ejection isn't a probe: eight requests that fail
 		// together are no reason to wait eight times as long.
 		if !now.Before(t.probeAt) {
@@ -64,41 +64,41 @@
 		}
 		return
 	}
-	t.probes++
+	t.probeSuccesses++
 	t.probeAt = now
-	if t.probes >= probesToReturn {
+	if t.probeSuccesses >= probesToReturn {
 		t.restore()
 	}
 }
 
 func (r *Router) eject(now time.Time, t *target) {
 	t.health = ejected
-	t.probes = 0
+	t.probeSuccesses = 0
 	t.ejections++
-	t.probeAt = now.Add(min(time.Duration(t.ejections)*probeStep, maxProbeWait))
+	t.probeAt = now.Add(min(time.Duration(t.ejections)*probeBackoffStep, maxProbeBackoff))
 }
 
 // restore returns t to the pool with a clean record.
 func (t *target) restore() {
 	t.health = healthy
 	t.ejections = 0
-	t.failures = 0
-	t.results = 0
+	t.failureRate = 0
+	t.resultCount = 0
 }
 
 // outlier reports whether t fails much more often than the rest of its pool.
 func (r *Router) outlier(t *target) bool {
-	if t.results < minResults {
+	if t.resultCount < minHealthResults {
 		return false
 	}
 	sum, n := 0.0, 0
 	for _, other := range r.byPool[t.Pool] {
 		if other != t && other.health != ejected {
-			sum += other.failures
+			sum += other.failureRate
 			n++
 		}
 	}
-	return n > 0 && t.failures > sum/float64(n)+outlierMargin
+	return n > 0 && t.failureRate > sum/float64(n)+outlierMargin
 }
 
 // ejectedIn counts the ejected targets of the pool, those on probe included:
@@ -113,13 +113,13 @@
 	return n
 }
 
-// enforce returns targets to a pool whose budget has shrunk below what is
+// enforceEjectionBudget returns targets to a pool whose budget has shrunk below what is
 // ejected, the least failing first.
-func (r *Router) enforce(pool poolID) {
-	for r.ejectedIn(pool) > r.pools[pool].MaxEjected && !r.off.ejectionBound {
+func (r *Router) enforceEjectionBudget(pool poolID) {
+	for r.ejectedIn(pool) > r.pools[pool].MaxEjected && !r.disabled.ejectionBound {
 		var best *target
 		for _, t := range r.byPool[pool] {
-			if t.health == ejected && (best == nil || t.failures < best.failures) {
+			if t.health == ejected && (best == nil || t.failureRate < best.failureRate) {
 				best = t
 			}
 		}
@@ -127,17 +127,17 @@
 	}
 }
 
-// mayStart reports whether the health of t allows one more request now.
-func (r *Router) mayStart(now time.Time, t *target, noProbe bool) bool {
+// canStart reports whether the health of t allows one more request now.
+func (r *Router) canStart(now time.Time, t *target, noProbe bool) bool {
 	switch {
-	case now.Before(t.pausedUntil), t.awaitsTest(now):
+	case now.Before(t.pausedUntil), t.awaitingTest(now):
 		return false
 	case t.health == ejected && noProbe:
-		return t.running == 0 && !now.Before(t.probeAt.Add(probePatience))
+		return t.running == 0 && !now.Before(t.probeAt.Add(probeFallbackAfter))
 	case t.health == ejected:
 		return t.running == 0 && !now.Before(t.probeAt)
 	case t.health == suspect:
-		return t.running == 0 && !now.Before(t.nextStart)
+		return t.running == 0 && !now.Before(t.nextStartAt)
 	}
 	return true
 }
--- a/core/route/least/least.go
+++ b/core/route/least/least.go
@@ -37,17 +37,17 @@
 	// Below 2 the router takes itself to be alone, though a target may be full.
 	Entries int
 
-	targets map[core.VMID]*target
-	byPool  map[poolID][]*target
-	pools   map[poolID]route.Pool
-	order   []poolID
-	runs    map[poolID]float64
-	// off switches safeguards off, in tests only.
-	off switches
+	targets   map[core.VMID]*target
+	byPool    map[poolID][]*target
+	pools     map[poolID]route.Pool
+	poolOrder []poolID
+	meanRuns  map[poolID]float64
+	// disabled switches safeguards off, in tests only.
+	disabled disabledSafeguards
 }
 
-// switches name the safeguards that a test may switch off to see it fail.
-type switches struct {
+// disabledSafeguards name the safeguards that a test may switch off to see it fail.
+type disabledSafeguards struct {
 	ejectionBound, slotBound, ejection, pacing bool
 }
 
@@ -61,22 +61,22 @@
 	}
 	if r.targets == nil {
 		r.targets = make(map[core.VMID]*target)
-		r.runs = make(map[poolID]float64)
+		r.meanRuns = make(map[poolID]float64)
 	}
-	r.list(targets)
-	r.order = r.order[:0]
+	r.setTargets(targets)
+	r.poolOrder = r.poolOrder[:0]
 	for id := range r.byPool {
-		r.order = append(r.order, id)
+		r.poolOrder = append(r.poolOrder, id)
 	}
-	slices.Sort(r.order)
-	for _, id := range r.order {
-		r.enforce(id)
+	slices.Sort(r.poolOrder)
+	for _, id := range r.poolOrder {
+		r.enforceEjectionBudget(id)
 	}
 }
 
-// list takes over the new targets. One that left keeps its count until its last
+// setTargets takes over the new targets. One that left keeps its count until its last
 // request has ended, since it may come back before that.
-func (r *Router) list(targets []route.Target) {
+func (r *Router) setTargets(targets []route.Target) {
 	for _, t := range r.targets {
 		t.listed = false
 	}
@@ -84,7 +84,7 @@
 	for _, update := range targets {
 		t := r.targets[update.VM]
 		if t == nil || t.Pool != update.Pool {
-			t = &target{running: running(t)}
+			t = &target{running: runningOn(t)}
 			r.targets[update.VM] = t
 		}
 		t.Target = update
@@ -98,7 +98,7 @@
 	}
 }
 
-func running(t *target) core.Slots {
+func runningOn(t *target) core.Slots {
 	if t == nil {
 		return 0
 	}
@@ -106,10 +106,10 @@
 }
 
 // Pick implements route.Router.
-func (r *Router) Pick(now time.Time, want route.Want) (core.VMID, bool) {
-	best := r.best(now, want.Pool, want, 0)
-	if best == nil && want.Overflow {
-		best = r.bestLent(now, want)
+func (r *Router) Pick(now time.Time, criteria route.Criteria) (core.VMID, bool) {
+	best := r.best(now, criteria.Pool, criteria, 0)
+	if best == nil && criteria.Overflow {
+		best = r.bestOverflow(now, criteria)
 	}
 	if best == nil {
 		return "", false
@@ -117,15 +117,15 @@
 	return best.VM, true
 }
 
-// bestLent returns a target of the pool that lends with the most free slots.
-func (r *Router) bestLent(now time.Time, want route.Want) *target {
+// bestOverflow returns a target of the pool that lends with the most free slots.
+func (r *Router) bestOverflow(now time.Time, criteria route.Criteria) *target {
 	var best *target
 	most := core.Slots(0)
-	for _, id := range r.order {
-		if id == want.Pool || !r.pools[id].LendsIdle {
+	for _, id := range r.poolOrder {
+		if id == criteria.Pool || !r.pools[id].LendsIdle {
 			continue
 		}
-		t := r.best(now, id, want, r.reserve(want))
+		t := r.best(now, id, criteria, r.reserve(criteria))
 		if t == nil {
 			continue
 		}
@@ -137,9 +137,9 @@
 }
 
 // reserve is how many slots of each target a request of another queue leaves free.
-func (r *Router) reserve(want route.Want) core.Slots {
+func (r *Router) reserve(criteria route.Criteria) core.Slots {
 	switch {
-	case want.Urgent:
+	case criteria.Urgent:
 		return 0
 	case r.LendReserve == 0:
 		return DefaultLendReserve
@@ -150,7 +150,7 @@
 
 // best returns the target of the pool with the lowest score that has more than
 // reserve slots free, starting at a random one so that ties are spread.
-func (r *Router) best(now time.Time, pool poolID, want route.Want, reserve core.Slots) *target {
+func (r *Router) best(now time.Time, pool poolID, criteria route.Criteria, reserve core.Slots) *target {
 	targets := r.byPool[pool]
 	if len(targets) == 0 {
 		return nil
@@ -162,13 +162,13 @@
 	for i := range targets {
 		t := targets[(first+i)%len(targets)]
 		free := t.free(now, mean, r.Entries)
-		if r.off.slotBound {
+		if r.disabled.slotBound {
 			free = t.capacity()
 		}
-		if free <= reserve || !r.mayStart(now, t, want.NoProbe) || slices.Contains(want.Tried, t.VM) {
+		if free <= reserve || !r.canStart(now, t, criteria.NoProbe) || slices.Contains(criteria.Tried, t.VM) {
 			continue
 		}
-		if score := score(t, free, mean, want.NoProbe); best == nil || score < lowest {
+		if score := score(t, free, mean, criteria.NoProbe); best == nil || score < lowest {
 			best, lowest = t, score
 		}
 	}
@@ -178,7 +178,7 @@
 // score is the time that the target's slots need for what they hold and one more
 // request: a slow VM gets fewer, and one that fails counts as slower still.
 func score(t *target, free core.Slots, mean float64, noProbe bool) float64 {
-	run := t.run
+	run := t.meanRun
 	if run == 0 {
 		run = mean
 	}
@@ -191,7 +191,7 @@
 		// long as any other target has a slot and never return.
 		return 0
 	}
-	return held / float64(t.capacity()) * run * (1 + t.failures)
+	return held / float64(t.capacity()) * run * (1 + t.failureRate)
 }
 
 // Started implements route.Router.
@@ -206,13 +206,13 @@
 		r.targets[vm] = t
 	}
 	t.running++
-	if t.unreached > 0 && t.testedAt.IsZero() {
-		t.testedAt = now
+	if t.unreachableCount > 0 && t.testSentAt.IsZero() {
+		t.testSentAt = now
 	}
 	if t.health == suspect {
 		// A suspect that can't be ejected takes no more of the pool's work than one
 		// slot of a healthy target does, however quickly it fails.
-		t.nextStart = now.Add(secondsOf(r.meanRun(t.Pool)))
+		t.nextStartAt = now.Add(secondsOf(r.meanRun(t.Pool)))
 	}
 }
 
@@ -229,53 +229,53 @@
 		}
 		return
 	}
-	r.learn(now, t, result, run)
+	r.recordResult(now, t, result, run)
 }
 
-func (r *Router) learn(now time.Time, t *target, result route.Result, run time.Duration) {
+func (r *Router) recordResult(now time.Time, t *target, result route.Result, run time.Duration) {
 	switch result {
 	case route.Unsent:
 		return
 	case route.Full:
-		t.learnFull(now, r.meanRun(t.Pool), r.Entries)
+		t.recordFull(now, r.meanRun(t.Pool), r.Entries)
 		return
 	case route.Refused:
 		t.pausedUntil = now.Add(leavingPause)
 		return
 	case route.Unreachable:
-		t.unreached++
-		t.testedAt = time.Time{}
-		t.pausedUntil = now.Add(unreachablePause(t.unreached))
+		t.unreachableCount++
+		t.testSentAt = time.Time{}
+		t.pausedUntil = now.Add(unreachablePause(t.unreachableCount))
 	case route.Succeeded:
-		r.learnRun(t.Pool, run)
+		r.updateMeanRun(t.Pool, run)
 	case route.Failed:
 	}
-	t.learn(result, run)
-	if !r.off.ejection {
-		r.judge(now, t, result)
+	t.updateStats(result, run)
+	if !r.disabled.ejection {
+		r.updateHealth(now, t, result)
 	}
 }
 
-func (r *Router) learnRun(pool poolID, run time.Duration) {
-	if r.runs == nil {
-		r.runs = make(map[poolID]float64)
+func (r *Router) updateMeanRun(pool poolID, run time.Duration) {
+	if r.meanRuns == nil {
+		r.meanRuns = make(map[poolID]float64)
 	}
-	mean, known := r.runs[pool]
+	mean, known := r.meanRuns[pool]
 	if !known {
 		mean = run.Seconds()
 	}
-	r.runs[pool] = mean + (run.Seconds()-mean)*runGain
+	r.meanRuns[pool] = mean + (run.Seconds()-mean)*meanRunGain
 }
 
 // Idle implements route.Router.
-func (r *Router) Idle(now time.Time, want route.Want) core.Slots {
-	idle := r.idleIn(now, want.Pool, want.NoProbe, 0)
-	if !want.Overflow {
+func (r *Router) Idle(now time.Time, criteria route.Criteria) core.Slots {
+	idle := r.idleIn(now, criteria.Pool, criteria.NoProbe, 0)
+	if !criteria.Overflow {
 		return idle
 	}
-	for _, id := range r.order {
-		if id != want.Pool && r.pools[id].LendsIdle {
-			idle += r.idleIn(now, id, want.NoProbe, r.reserve(want))
+	for _, id := range r.poolOrder {
+		if id != criteria.Pool && r.pools[id].LendsIdle {
+			idle += r.idleIn(now, id, criteria.NoProbe, r.reserve(criteria))
 		}
 	}
 	return idle
@@ -285,7 +285,7 @@
 	var idle core.Slots
 	mean := r.meanRun(pool)
 	for _, t := range r.byPool[pool] {
-		if !r.mayStart(now, t, noProbe) {
+		if !r.canStart(now, t, noProbe) {
 			continue
 		}
 		free := max(0, t.free(now, mean, r.Entries)-reserve)
@@ -310,7 +310,7 @@
 }
 
 func (r *Router) meanRun(pool poolID) float64 {
-	if mean := r.runs[pool]; mean > 0 {
+	if mean := r.meanRuns[pool]; mean > 0 {
 		return mean
 	}
 	return fallbackRun.Seconds()
--- a/core/route/least/property_test.go
+++ b/core/route/least/property_test.go
@@ -23,9 +23,9 @@
 	return list
 }
 
-// walk makes n random steps: picks, ends with any result, and updates that change
+// randomWalk makes n random steps: picks, ends with any result, and updates that change
 // the budget. After each step, check is called.
-func walk(r *Router, rng *rand.Rand, n int, check func(maxEjected int) error) error {
+func randomWalk(r *Router, rng *rand.Rand, n int, check func(maxEjected int) error) error {
 	const vms = 10
 	now := t0
 	budget := 0
@@ -37,7 +37,7 @@
 			budget = rng.IntN(4)
 			r.Update(now, targets(vms-rng.IntN(2)), []route.Pool{{ID: pool, MaxEjected: budget}})
 		case 1, 2, 3:
-			if vm, ok := r.Pick(now, route.Want{Pool: pool, NoProbe: rng.IntN(2) == 0}); ok {
+			if vm, ok := r.Pick(now, route.Criteria{Pool: pool, NoProbe: rng.IntN(2) == 0}); ok {
 				r.Started(now, vm)
 				running[vm]++
 				if running[vm] > 8 {
@@ -67,12 +67,12 @@
 // switched off.
 func TestBounds(t *testing.T) {
 	for _, p := range []struct {
-		name  string
-		off   switches
-		check func(r *Router, budget int) error
+		name     string
+		disabled disabledSafeguards
+		check    func(r *Router, budget int) error
 	}{
-		{"slots", switches{slotBound: true}, func(*Router, int) error { return nil }},
-		{"ejected", switches{ejectionBound: true}, func(r *Router, budget int) error {
+		{"slots", disabledSafeguards{slotBound: true}, func(*Router, int) error { return nil }},
+		{"ejected", disabledSafeguards{ejectionBound: true}, func(r *Router, budget int) error {
 			if n := len(r.Ejected(pool)); n > budget {
 				return fmt.Errorf("%d targets ejected, budget %d", n, budget)
 			}
@@ -80,39 +80,39 @@
 		}},
 	} {
 		t.Run(p.name, func(t *testing.T) {
-			run := func(seed uint64, off switches) error {
+			run := func(seed uint64, disabled disabledSafeguards) error {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				r := &Router{Rand: rng, off: off, Entries: rng.IntN(3)}
-				return walk(r, rng, 1500, func(budget int) error { return p.check(r, budget) })
+				r := &Router{Rand: rng, disabled: disabled, Entries: rng.IntN(3)}
+				return randomWalk(r, rng, 1500, func(budget int) error { return p.check(r, budget) })
 			}
-			red := 0
+			failedSeeds := 0
 			var first error
 			for seed := range uint64(100) {
-				assert.NilError(t, run(seed, switches{}), "seed %d", seed)
-				if err := run(seed, p.off); err != nil {
-					red++
+				assert.NilError(t, run(seed, disabledSafeguards{}), "seed %d", seed)
+				if err := run(seed, p.disabled); err != nil {
+					failedSeeds++
 					if first == nil {
 						first = fmt.Errorf("seed %d: %w", seed, err)
 					}
 				}
 			}
-			t.Logf("switched off: red on %d of 100 seeds, first: %v", red, first)
-			assert.Assert(t, red > 0, "the bound can't be exceeded")
+			t.Logf("switched off: red on %d of 100 seeds, first: %v", failedSeeds, first)
+			assert.Assert(t, failedSeeds > 0, "the bound can't be exceeded")
 		})
 	}
 }
 
-// drawn counts the requests that bad targets get in 20 s from a pool of ten that
+// requestsToBadTargets counts the requests that bad targets get in 20 s from a pool of ten that
 // is kept full. They fail everything in 5 ms; the others take a second each.
-func drawn(bad, budget int, off switches) int {
-	r := &Router{off: off}
+func requestsToBadTargets(bad, budget int, disabled disabledSafeguards) int {
+	r := &Router{disabled: disabled}
 	r.Update(t0, targets(10), []route.Pool{{ID: pool, MaxEjected: budget}})
 	isBad := map[core.VMID]bool{}
 	for _, target := range targets(bad) {
 		isBad[target.VM] = true
 	}
 	ends := map[core.VMID][]time.Time{}
-	drawn := 0
+	requests := 0
 	for now := t0; now.Before(t0.Add(20 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		for _, target := range targets(10) {
 			for len(ends[target.VM]) > 0 && !now.Before(ends[target.VM][0]) {
@@ -124,28 +124,28 @@
 				}
 			}
 		}
-		for vm, ok := r.Pick(now, route.Want{Pool: pool}); ok; vm, ok = r.Pick(now, route.Want{Pool: pool}) {
+		for vm, ok := r.Pick(now, route.Criteria{Pool: pool}); ok; vm, ok = r.Pick(now, route.Criteria{Pool: pool}) {
 			r.Started(now, vm)
 			end := now.Add(time.Second)
 			if isBad[vm] {
 				end = now.Add(5 * time.Millisecond)
-				drawn++
+				requests++
 			}
 			ends[vm] = append(ends[vm], end)
 		}
 	}
-	return drawn
+	return requests
 }
 
 // A target that fails everything quickly looks idle, so a full pool sends it
 // nearly all its work and the callers get failures though nine VMs are well.
 // Ejected, it gets probes only. With the budget spent it may not be ejected; it
 // is paced to one slot's work.
-func TestBadTargetDrawsLittle(t *testing.T) {
-	off := drawn(1, 1, switches{ejection: true})
-	ejected, paced := drawn(1, 1, switches{}), drawn(1, 0, switches{})
-	t.Logf("requests to the bad target: off %d, ejected %d, paced %d", off, ejected, paced)
-	assert.Assert(t, off > 10000, "%d", off)
+func TestBadTargetGetsFewRequests(t *testing.T) {
+	unprotected := requestsToBadTargets(1, 1, disabledSafeguards{ejection: true})
+	ejected, paced := requestsToBadTargets(1, 1, disabledSafeguards{}), requestsToBadTargets(1, 0, disabledSafeguards{})
+	t.Logf("requests to the bad target: off %d, ejected %d, paced %d", unprotected, ejected, paced)
+	assert.Assert(t, unprotected > 10000, "%d", unprotected)
 	assert.Assert(t, ejected < 50, "%d", ejected)
 	assert.Assert(t, paced < 100, "%d", paced)
 }
@@ -154,9 +154,9 @@
 // allows no ejection. Bookings that can't be repeated would be lost as fast as
 // they come, with an unknown outcome; paced, nearly all wait or are refused.
 func TestFailingPoolIsPaced(t *testing.T) {
-	off, paced := drawn(10, 1, switches{pacing: true}), drawn(10, 1, switches{})
-	t.Logf("requests to a pool that fails: off %d, paced %d", off, paced)
-	assert.Assert(t, off > 100000, "%d", off)
+	unprotected, paced := requestsToBadTargets(10, 1, disabledSafeguards{pacing: true}), requestsToBadTargets(10, 1, disabledSafeguards{})
+	t.Logf("requests to a pool that fails: off %d, paced %d", unprotected, paced)
+	assert.Assert(t, unprotected > 100000, "%d", unprotected)
 	assert.Assert(t, paced < 500, "%d", paced)
 }
 
@@ -165,19 +165,19 @@
 func TestEjectedTargetReturns(t *testing.T) {
 	r := &Router{}
 	r.Update(t0, targets(3), []route.Pool{{ID: pool, MaxEjected: 1}})
-	for range minResults {
+	for range minHealthResults {
 		r.Started(t0, "vm0")
 		r.Ended(t0, "vm0", route.Failed, 0)
 	}
 	assert.DeepEqual(t, r.Ejected(pool), []core.VMID{"vm0"})
-	now := t0.Add(probeStep)
-	_, ok := r.Pick(now, route.Want{Pool: pool, NoProbe: true, Tried: []core.VMID{"vm1", "vm2"}})
+	now := t0.Add(probeBackoffStep)
+	_, ok := r.Pick(now, route.Criteria{Pool: pool, NoProbe: true, Tried: []core.VMID{"vm1", "vm2"}})
 	assert.Assert(t, !ok, "a request that can't be repeated was used as a probe")
 	for range probesToReturn {
-		vm, _ := r.Pick(now, route.Want{Pool: pool})
+		vm, _ := r.Pick(now, route.Criteria{Pool: pool})
 		assert.Equal(t, vm, core.VMID("vm0"))
 		r.Started(now, vm)
-		other, _ := r.Pick(now, route.Want{Pool: pool})
+		other, _ := r.Pick(now, route.Criteria{Pool: pool})
 		assert.Assert(t, other != vm, "two probes at once")
 		r.Ended(now, vm, route.Succeeded, time.Second)
 	}
@@ -191,26 +191,26 @@
 	lender := route.Target{VM: "lender", Pool: "lends", Slots: 8}
 	own := route.Target{VM: "closed", Pool: "keeps", Slots: 8}
 	r.Update(t0, []route.Target{lender, own}, []route.Pool{{ID: "lends", LendsIdle: true}, {ID: "keeps"}})
-	want := route.Want{Pool: pool, Overflow: true}
-	assert.Equal(t, r.Idle(t0, want), core.Slots(8-DefaultLendReserve))
+	criteria := route.Criteria{Pool: pool, Overflow: true}
+	assert.Equal(t, r.Idle(t0, criteria), core.Slots(8-DefaultLendReserve))
 	n := core.Slots(0)
-	for vm, ok := r.Pick(t0, want); ok; vm, ok = r.Pick(t0, want) {
+	for vm, ok := r.Pick(t0, criteria); ok; vm, ok = r.Pick(t0, criteria) {
 		assert.Equal(t, vm, core.VMID("lender"))
 		r.Started(t0, vm)
 		n++
 	}
 	assert.Equal(t, n, core.Slots(8-DefaultLendReserve))
-	assert.Equal(t, r.Idle(t0, route.Want{Pool: "lends"}), core.Slots(DefaultLendReserve))
+	assert.Equal(t, r.Idle(t0, route.Criteria{Pool: "lends"}), core.Slots(DefaultLendReserve))
 
 	// Urgent work may have the reserve too.
-	want.Urgent = true
-	assert.Equal(t, r.Idle(t0, want), core.Slots(DefaultLendReserve))
+	criteria.Urgent = true
+	assert.Equal(t, r.Idle(t0, criteria), core.Slots(DefaultLendReserve))
 	for range DefaultLendReserve {
-		vm, ok := r.Pick(t0, want)
+		vm, ok := r.Pick(t0, criteria)
 		assert.Assert(t, ok)
 		assert.Equal(t, vm, core.VMID("lender"))
 		r.Started(t0, vm)
 	}
-	_, ok := r.Pick(t0, want)
+	_, ok := r.Pick(t0, criteria)
 	assert.Assert(t, !ok)
 }
--- a/core/route/random/random.go
+++ b/core/route/random/random.go
@@ -26,10 +26,10 @@
 }
 
 // Pick implements route.Router.
-func (r *Router) Pick(_ time.Time, want route.Want) (core.VMID, bool) {
+func (r *Router) Pick(_ time.Time, criteria route.Criteria) (core.VMID, bool) {
 	var free []core.VMID
 	for _, t := range r.targets {
-		if r.fits(t, want) {
+		if r.fits(t, criteria) {
 			free = append(free, t.VM)
 		}
 	}
@@ -56,16 +56,16 @@
 }
 
 // Idle implements route.Router.
-func (r *Router) Idle(_ time.Time, want route.Want) core.Slots {
+func (r *Router) Idle(_ time.Time, criteria route.Criteria) core.Slots {
 	var idle core.Slots
 	for _, t := range r.targets {
-		if r.fits(t, want) {
+		if r.fits(t, criteria) {
 			idle += t.Slots - r.running[t.VM]
 		}
 	}
 	return idle
 }
 
-func (r *Router) fits(t route.Target, want route.Want) bool {
-	return t.Pool == want.Pool && r.running[t.VM] < t.Slots && !slices.Contains(want.Tried, t.VM)
+func (r *Router) fits(t route.Target, criteria route.Criteria) bool {
+	return t.Pool == criteria.Pool && r.running[t.VM] < t.Slots && !slices.Contains(criteria.Tried, t.VM)
 }
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -30,8 +30,8 @@
 	MaxEjected int
 }
 
-// Want is a request for a target.
-type Want struct {
+// Criteria is a request for a target.
+type Criteria struct {
 	Pool core.PoolID
 	// Overflow allows a target of another pool that lends idle slots.
 	Overflow bool
@@ -81,11 +81,11 @@
 	// Update replaces the targets and pools. Counts of targets that stay are kept.
 	Update(now time.Time, targets []Target, pools []Pool)
 	// Pick returns a target that has, by what is known, a free slot.
-	Pick(now time.Time, want Want) (core.VMID, bool)
+	Pick(now time.Time, criteria Criteria) (core.VMID, bool)
 	// Started counts a dispatch to vm.
 	Started(now time.Time, vm core.VMID)
 	// Ended takes back a Started and learns from how it went.
 	Ended(now time.Time, vm core.VMID, result Result, run time.Duration)
 	// Idle returns how many slots want could use now, by what is known.
-	Idle(now time.Time, want Want) core.Slots
+	Idle(now time.Time, criteria Criteria) core.Slots
 }
--- a/io/entry/parts.go
+++ b/io/entry/parts.go
@@ -30,7 +30,7 @@
 			return
 		}
 		for _, team := range d.limits.NextFirstParts(d.teams(), partsPerRound) {
-			d.limits.Limiter().Wanted(d.now(), team)
+			d.limits.Limiter().RecordDemand(d.now(), team)
 		}
 	})
 }
--- a/io/ini/setting.go
+++ b/io/ini/setting.go
@@ -67,7 +67,7 @@
 	{place{"keys", operatorKeyDigest}, "", true, sampleDigest, "Digest of the operator key: printf %s KEY | sha256sum.",
 		digestKind(func(s *Settings) *core.KeyDigest { return &s.Keys.OperatorKeyDigest })},
 	{place{"keys", "cut_off_bound"}, "10s", false, "", "How long a zone that is cut off from the table and all else trusts its key list. Then it refuses with keys_stale.",
-		durationKind(time.Second, key.MaxTrust, func(s *Settings) *time.Duration { return &s.Keys.CutOffBound })},
+		durationKind(time.Second, key.MaxStalenessLimit, func(s *Settings) *time.Duration { return &s.Keys.CutOffBound })},
 	{place{"log", "level"}, "info", false, "", "The least level that is logged.",
 		levelKind(func(s *Settings) *zerolog.Level { return &s.Log.Level })},
 	{place{"queue", "max_queued"}, "10000", false, "", "The most requests that wait at this entry, over all queues.",
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -47,8 +47,8 @@
 		w.brief[i].Complete(w.now)
 	case 1, 2:
 		zone := w.whole[teller].Zone
-		w.whole[i].Heard(zone, w.now)
-		w.brief[i].Heard(zone, w.now)
+		w.whole[i].RecordZoneContact(zone, w.now)
+		w.brief[i].RecordZoneContact(zone, w.now)
 	default:
 		told := w.cut(newTold(config.Delta{}, w.brief[teller].Summary()))
 		w.whole[i].Merge(w.whole[teller].Summary(), true, time.Second/4)
@@ -61,7 +61,7 @@
 	for step := range toldSteps {
 		w.step()
 		for i := range w.whole {
-			same := w.whole[i].Evidence().Equal(w.brief[i].Evidence()) && w.whole[i].Summary().Joined == w.brief[i].Summary().Joined
+			same := w.whole[i].CompleteAsOf().Equal(w.brief[i].CompleteAsOf()) && w.whole[i].Summary().Joined == w.brief[i].Summary().Joined
 			if !same {
 				return step
 			}
--- a/io/platform/allot.go
+++ b/io/platform/allot.go
@@ -87,7 +87,7 @@
 func (a *Allotments) NextFirstParts(teams []core.TeamID, n int) []core.TeamID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.Ledger.NextFirstParts(teams, n)
+	return a.Ledger.NextInitialAllotments(teams, n)
 }
 
 // Child returns the driver's part of the daemon's tree.
@@ -290,7 +290,7 @@
 	var events []limit.Event
 	for _, e := range holders {
 		if a.ended(e, started) {
-			events = append(events, limit.Gone{Entry: e})
+			events = append(events, limit.EntryGone{Entry: e})
 		}
 	}
 	a.listed = make(map[string]bool, len(live))
--- a/io/platform/allot_limiter.go
+++ b/io/platform/allot_limiter.go
@@ -30,9 +30,9 @@
 	return l.a.Ledger.Running(now, team)
 }
 
-// Wanted implements limit.Limiter.
-func (l limiter) Wanted(now time.Time, team core.TeamID) {
+// RecordDemand implements limit.Limiter.
+func (l limiter) RecordDemand(now time.Time, team core.TeamID) {
 	l.a.mu.Lock()
 	defer l.a.mu.Unlock()
-	l.a.Ledger.Wanted(now, team)
+	l.a.Ledger.RecordDemand(now, team)
 }
--- a/io/platform/allot_news.go
+++ b/io/platform/allot_news.go
@@ -86,5 +86,5 @@
 func (a *Allotments) unlimitedTeams() []core.TeamID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.Ledger.Unlimited()
+	return a.Ledger.UnknownLimits()
 }
--- a/io/platform/allot_news_test.go
+++ b/io/platform/allot_news_test.go
@@ -68,7 +68,7 @@
 			Value: map[string]int{"limit": 1 + w.r.IntN(30)},
 		})
 	case 4:
-		w.entry.allotments.Limiter().Wanted(now, team)
+		w.entry.allotments.Limiter().RecordDemand(now, team)
 	case 5, 6:
 		assert.NilError(w.t, w.entry.watcher.Poll(context.Background()))
 	case 7:
@@ -110,7 +110,7 @@
 			_ = x.rows.Transact(t)
 			_ = e.watcher.Poll(context.Background())
 			for i := range teams {
-				e.allotments.Limiter().Wanted(now, core.TeamID(fmt.Sprintf("team_%04d", i)))
+				e.allotments.Limiter().RecordDemand(now, core.TeamID(fmt.Sprintf("team_%04d", i)))
 			}
 			second := func() {
 				for range 10 {
@@ -157,7 +157,7 @@
 	assert.NilError(t, rows.Set(table.TeamKey("frames"), config.Team{Share: 1, Limit: 4}))
 	assert.NilError(t, x.rows.Transact(rows))
 	assert.NilError(t, e.watcher.Poll(context.Background()))
-	e.allotments.Limiter().Wanted(now, "frames")
+	e.allotments.Limiter().RecordDemand(now, "frames")
 	e.rounds(&now, 20)
 	assert.Equal(t, e.allotments.Dump()[0].Part, core.Slots(1))
 
@@ -180,7 +180,7 @@
 		clear(x.polls)
 		for range 60 {
 			if polls == 60 {
-				e.allotments.Limiter().Wanted(now, "frames")
+				e.allotments.Limiter().RecordDemand(now, "frames")
 			}
 			e.rounds(&now, 10)
 		}
--- a/io/platform/allot_test.go
+++ b/io/platform/allot_test.go
@@ -48,7 +48,7 @@
 		if l.Acquire(now, key, now.Add(20*time.Second)) {
 			e.running = append(e.running, key)
 		} else {
-			l.Wanted(now, "frames")
+			l.RecordDemand(now, "frames")
 		}
 	}
 	if len(e.running) > 0 && r.IntN(2) == 0 {
--- a/io/platform/watch_state.go
+++ b/io/platform/watch_state.go
@@ -71,7 +71,7 @@
 func (c *Configuration) KeysTrustedUntil() time.Time {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.ring.TrustedUntil()
+	return c.ring.FreshUntil()
 }
 
 // Withdraw puts withdrawals in force here.
@@ -124,7 +124,7 @@
 		caughtUp := err == nil && c.view.Version() >= d.Version
 		ended = append(ended, c.ring.Merge(s, caughtUp, c.Skew)...)
 		if caughtUp && s.Joined && !sent.IsZero() {
-			c.ring.Heard(zone, sent)
+			c.ring.RecordZoneContact(zone, sent)
 		}
 		return ended
 	})
@@ -137,7 +137,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.set {
-		c.ring.Zone, c.ring.Zones, c.ring.Trust, c.ring.Started, c.set = c.Zone, c.Zones, c.KeyTrust, c.Started, true
+		c.ring.Zone, c.ring.Zones, c.ring.MaxStaleness, c.ring.Started, c.set = c.Zone, c.Zones, c.KeyTrust, c.Started, true
 	}
 	return f()
 }
