--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/core/table"
 )
 
-// demandSimulation is a fleet of entries with teams whose demand rotates: each team bursts to
-// five times its mean in turn, and is at a twentieth of it in between.
+// demandSimulation simulates a fleet of entries with rotating demand: each team in turn
+// bursts to five times its mean and is at a twentieth of its mean otherwise.
 type demandSimulation struct {
 	r               *rand.Rand
 	now             time.Time
@@ -32,7 +32,7 @@
 
 const (
 	demandLimit = 240
-	// demandTick is coarser than the driver's, to keep the benchmark short.
+	// demandTick is coarser than the driver's interval, to keep the benchmark short.
 	demandTick    = 250 * time.Millisecond
 	demandBurst   = 8 * time.Second
 	demandRunTime = 2 * time.Second
@@ -55,7 +55,8 @@
 	return d
 }
 
-// deliverMembers tells each entry those of its zone, which have all just started.
+// deliverMembers tells each entry the members of its zone, all of which have just
+// started.
 func (d *demandSimulation) deliverMembers() {
 	members := make(map[core.ZoneID][]core.EntryID)
 	for _, l := range d.ledgers {
@@ -79,7 +80,7 @@
 	}
 }
 
-// driverRound is a round of the ledger's driver without a poll.
+// driverRound performs one round of the ledger's driver, without a poll.
 func (d *demandSimulation) driverRound(l *Ledger) {
 	if d.table.Revision() == 0 {
 		var t table.Transaction
@@ -114,7 +115,8 @@
 	}
 }
 
-// generateLoad offers the entry its part of each team's demand; a tenth of the teams bursts.
+// generateLoad sends the entry its portion of each team's demand. A tenth of the teams
+// burst at any time.
 func (d *demandSimulation) generateLoad(l *Ledger) {
 	turn := int(d.now.Sub(testStart) / demandBurst)
 	for i, team := range d.teams {
@@ -138,8 +140,9 @@
 	}
 }
 
-// BenchmarkMoves measures the writes that moves of allotments cost the table under a
-// rotating demand: cold, in the first turn of all teams, and after two turns, with and without fresh reads before them.
+// BenchmarkMoves measures the table writes caused by moves of allotments under a
+// rotating demand, during the first burst of each team and after two rotations, with
+// and without reading the rows before each move.
 func BenchmarkMoves(b *testing.B) {
 	for _, size := range []struct{ teams, zones, perZone int }{{62, 3, 2}, {155, 7, 2}, {620, 7, 6}} {
 		for _, disabled := range []disabledSafeguards{{}, {staleRows: true}} {
@@ -175,8 +178,8 @@
 	}
 }
 
-// BenchmarkLedgerMemory measures what an entry keeps by number of teams, each with a
-// part and ten running requests.
+// BenchmarkLedgerMemory measures the memory that a Ledger uses per team, with an
+// allotment and ten running requests for each.
 func BenchmarkLedgerMemory(b *testing.B) {
 	for _, teams := range []int{62, 155, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/table"
 )
 
-// decide returns what to do next about one team: settle what is open, read what is
-// unknown, else move parts.
+// decide returns the next commands for one team: it resolves an open move first, then
+// reads unknown rows, and otherwise plans a move.
 func (l *Ledger) decide(now time.Time, team core.TeamID, a *teamAllotment) []Command {
 	a.running.expire(now)
 	if m := a.move; m != nil && m.conflictedAt.IsZero() {
@@ -21,7 +21,8 @@
 		return []Command{m.Move}
 	}
 	if a.move == nil && now.Before(a.retryAt) {
-		// The rows are read after the wait, not before: they would be old by then.
+		// The rows are read after the wait, since rows read before it would be stale by
+		// then.
 		return nil
 	}
 	if l.needsRead(now, a) {
@@ -33,7 +34,7 @@
 	return l.plan(now, team, a)
 }
 
-// readRows asks for the rows, unless a read is under way.
+// readRows requests the rows unless a read is in progress.
 func (l *Ledger) readRows(now time.Time, team core.TeamID, a *teamAllotment) []Command {
 	if now.Before(a.readSentAt.Add(rereadAfter)) {
 		return nil
@@ -42,31 +43,31 @@
 	return []Command{ReadRows{Team: team}}
 }
 
-// needsRead reports whether the rows have to be read before anything else. After a
-// limit change that nobody waits for, the next poll will do.
+// needsRead reports whether the rows must be read before anything else. After a limit
+// change for which no request is waiting, the next poll is sufficient.
 func (l *Ledger) needsRead(now time.Time, a *teamAllotment) bool {
 	return !a.known || a.move != nil || l.hasDemand(now, a) && !l.rowsAsOf(a).After(a.loweredAt)
 }
 
-// draft is a move in the making.
+// draft is a move being planned.
 type draft struct {
 	team  TeamRow
 	zone  ZoneRow
 	slots core.Slots
-	// cleared are the zones whose rows the move empties.
+	// cleared lists the zones whose rows the move empties.
 	cleared []core.ZoneID
-	// worthwhile is true if the move is worth a write.
+	// worthwhile is true if the move justifies a write.
 	worthwhile bool
 }
 
-// plan opens the move that the rows call for if it is worth a write.
+// plan starts the move that the rows call for if it justifies a write.
 func (l *Ledger) plan(now time.Time, team core.TeamID, a *teamAllotment) []Command {
 	d := l.draft(now, a)
 	if !d.worthwhile {
 		return nil
 	}
 	if now.After(a.refreshedAt.Add(maxRowAge)) && !l.disabled.staleRows {
-		// Two reads are cheaper than a write that meets a conflict.
+		// Two reads cost the table less than a write that meets a conflict.
 		return l.readRows(now, team, a)
 	}
 	d.team.Limit = a.limit
@@ -75,7 +76,7 @@
 	return l.startMove(team, a, d)
 }
 
-// draft returns the move that the rows call for.
+// draft computes the move that the rows call for.
 func (l *Ledger) draft(now time.Time, a *teamAllotment) draft {
 	d := draft{team: a.team.clone(), zone: a.zone.clone(), slots: a.slots}
 	dropExpired(d.team.Wanted, now)
@@ -86,15 +87,17 @@
 	return d
 }
 
-// startMove makes the move of a draft the allotment's open one.
+// startMove builds the transaction of a draft and records it as the allotment's open
+// move.
 func (l *Ledger) startMove(team core.TeamID, a *teamAllotment, d draft) []Command {
 	teamKey, zoneKey := table.TeamAllotmentKey(team), table.ZoneAllotmentKey(team, l.Zone)
 	var t table.Transaction
 	t.Check(table.Row{Key: teamKey, Version: a.teamTableRow.Version})
 	t.Check(table.Row{Key: zoneKey, Version: a.zoneTableRow.Version})
 	if d.slots > a.slots && !l.disabled.noHeadCheck {
-		// A limit that was lowered since this entry last looked must not be handed out:
-		// the head's version has moved then, and the table refuses.
+		// Slots must not be taken from a limit that was reduced since this entry last
+		// saw it. The head's version has changed in that case, and the table rejects
+		// the transaction.
 		t.Check(l.configHead)
 	}
 	if t.Set(teamKey, d.team) != nil || t.Set(zoneKey, d.zone) != nil {
@@ -116,9 +119,9 @@
 	return []Command{m.Move}
 }
 
-// reclaimEntries frees the parts of entries that are gone, once no lease that they
-// granted can still run. The deadline is stored in the row, so that the wait goes
-// on if the entry that started it ends too.
+// reclaimEntries frees the allotments of entries that have ended once no lease granted
+// by them can still be running. The deadline is stored in the row, so that the wait
+// continues if the entry that started it ends as well.
 func (l *Ledger) reclaimEntries(now time.Time, d *draft) {
 	for e := range d.zone.Reclaim {
 		if _, ok := d.zone.Entries[e]; !ok {
@@ -141,8 +144,8 @@
 	setSlots(&d.team.Zones, l.Zone, d.zone.Sum())
 }
 
-// reclaimZones frees the parts of zones that an operator attested to be down, once
-// no lease granted there can still run.
+// reclaimZones frees the allotments of zones that an operator attested to be down once
+// no lease granted there can still be running.
 func (l *Ledger) reclaimZones(now time.Time, d *draft) {
 	for _, z := range slices.Sorted(maps.Keys(l.downZones)) {
 		since := l.downZones[z]
@@ -156,15 +159,15 @@
 	}
 }
 
-// lastLeaseEnd returns when every lease has ended that was granted before t, on any
-// clock: the granting clock, the target's and the reader's each add a skew.
+// lastLeaseEnd returns when every lease granted before t has expired on any clock. The
+// clocks of the granting entry, the target and the reader each add one skew.
 func (l *Ledger) lastLeaseEnd(t time.Time) time.Time {
 	return t.Add(l.maxLifetime() + 3*l.skew())
 }
 
-// adjust sets the part that the entry should have. A part stays where it is until
-// someone else waits for it: limits of teams are independent, so an idle part costs
-// nothing, and giving it back and fetching it again costs two writes.
+// adjust sets the number of slots that the entry should have. Slots stay allotted until
+// another entry waits for them: the limits of teams are independent, so idle slots cost
+// nothing, whereas giving them back and taking them again costs two writes.
 func (l *Ledger) adjust(now time.Time, a *teamAllotment, d *draft) {
 	running := a.running.count()
 	if l.disabled.giveBackRunning {
@@ -190,21 +193,23 @@
 	case d.team.Short.After(now) && free <= 0:
 		l.giveBack(d, min(idle, d.slots-a.usage.peak(now)))
 	case !now.Before(a.usage.lastUsed.Add(l.retention())):
-		// The least part stays. It would be asked for again as the first one, and the
-		// table would get both moves for every entry and team.
+		// The minimum allotment is kept. Otherwise the entry would take it again as an
+		// initial allotment, and the table would receive both moves for every entry and
+		// team.
 		l.giveBack(d, min(idle, d.slots-minAllotment(a.limit)))
 	}
 	l.updateMarks(now, wants && free <= 0 && d.slots <= a.slots, even, d)
 }
 
-// retention returns how long a part stays that nobody asks for and nothing uses. It is
-// another for each entry: if all gave back at the same time, most moves would conflict.
+// retention returns how long slots are kept that no entry asks for and nothing uses. It
+// differs between entries, because most moves would conflict if all entries gave slots
+// back at the same time.
 func (l *Ledger) retention() time.Duration {
 	spread := l.spreadOffset(int(unusedRetention / time.Second))
 	return unusedRetention + time.Duration(spread)*time.Second
 }
 
-// yieldToStarved makes room for others that have less than their even part.
+// yieldToStarved gives slots back to others that have less than their even share.
 func (l *Ledger) yieldToStarved(d *draft, idle, free, even core.Slots, starving int, wants bool) {
 	switch {
 	case !wants && free <= 0:
@@ -216,8 +221,8 @@
 	}
 }
 
-// increment returns how much to take at once: as much again as the part or about an entry's
-// share of what is free, or single slots while the limit is short.
+// increment returns the number of slots to take at once: as many as the entry has, or
+// about an entry's share of the free slots, or a single slot while the limit is short.
 func (l *Ledger) increment(now time.Time, a *teamAllotment, d *draft) core.Slots {
 	if d.team.Short.After(now) {
 		return 1
@@ -226,28 +231,31 @@
 	return max(d.slots, minAllotment(a.limit), (a.limit-d.team.Sum())/entries)
 }
 
-// hasDemand reports whether a request waits here for want of allotment.
+// hasDemand reports whether a request is waiting at this entry because the allotment is
+// exhausted.
 func (l *Ledger) hasDemand(now time.Time, a *teamAllotment) bool {
 	_, down := l.downZones[l.Zone]
 	return !l.stopping && !down && l.configHead.Version > 0 && !a.demandAt.IsZero() && now.Before(a.demandAt.Add(demandTTL))
 }
 
-// countStarved counts the other zones, and other entries of this one, in which an entry
-// waits with less than its even part.
+// countStarved returns the number of other zones, and other entries of this zone, in
+// which an entry waits with less than its even share.
 func (l *Ledger) countStarved(now time.Time, d *draft) int {
 	return countOtherMarks(d.team.Wanted, l.Zone, now) + countOtherMarks(d.zone.Wanted, l.Self, now)
 }
 
-// evenShare returns the entry's even part of the limit among those who hold or want one,
-// among zones first, then within the zone, rounded down.
+// evenShare returns the entry's even share of the limit among those that hold or want
+// slots. The limit is divided among zones first, then within the zone, and rounded
+// down.
 func (l *Ledger) evenShare(now time.Time, limit core.Slots, d *draft) core.Slots {
 	zones := claimants(d.team.Zones, d.team.Wanted, l.Zone, now)
 	entries := claimants(d.zone.Entries, d.zone.Wanted, l.Self, now)
 	return limit / core.Slots(zones*entries)
 }
 
-// ceiling bounds what runs here while others wait with less than their even part of a
-// limit that is all given out: work that ends makes room for them.
+// ceiling limits the requests running at this entry while others wait with less than
+// their even share of a fully allotted limit. Requests that end then make room for
+// them.
 func (a *teamAllotment) ceiling(now time.Time, l *Ledger) core.Slots {
 	d := draft{team: a.team, zone: a.zone}
 	if a.team.Sum() < a.limit || l.countStarved(now, &d) == 0 {
@@ -270,8 +278,9 @@
 	}
 }
 
-// updateMarks sets or clears the marks by which entries ask others for a part. One mark of a
-// short limit serves all, so that a burst doesn't cost a write for each entry.
+// updateMarks sets or clears the demand marks by which entries ask others for slots. A
+// single mark for a short limit serves all entries, so that a burst doesn't cost a
+// write per entry.
 func (l *Ledger) updateMarks(now time.Time, waits bool, even core.Slots, d *draft) {
 	_, marked := d.zone.Wanted[l.Self]
 	less := d.slots == 0 || d.slots < even
@@ -291,7 +300,7 @@
 	}
 }
 
-// minAllotment is the least part worth asking for.
+// minAllotment returns the smallest number of slots that justifies a move.
 func minAllotment(limit core.Slots) core.Slots {
 	const entries = 64
 	return max(1, limit/entries)
--- a/core/limit/dump.go
+++ b/core/limit/dump.go
@@ -7,23 +7,23 @@
 	"lavenderpond/core"
 )
 
-// TeamDump is the ledger's state of one team, for operators.
+// TeamDump is the ledger's state for one team, as shown to operators.
 type TeamDump struct {
 	Team    core.TeamID `json:"team"`
 	Limit   core.Slots  `json:"limit"`
 	Part    core.Slots  `json:"part"`
 	Running core.Slots  `json:"running"`
-	// GivenOut is the sum of all zones' parts, as last read.
+	// GivenOut is the sum of all zones' allotments, as last read.
 	GivenOut core.Slots `json:"given_out"`
-	// Above is by how much the parts exceed the limit.
+	// Above is the number of slots by which the allotments exceed the limit.
 	Above core.Slots `json:"above,omitempty"`
-	// Paused is true while a lowered limit stops new starts.
+	// Paused is true while a reduced limit prevents new starts.
 	Paused bool `json:"paused,omitempty"`
 	// Settling is true while the outcome of a move is unknown.
 	Settling bool `json:"settling,omitempty"`
 }
 
-// Dump returns the ledger's state by team.
+// Dump returns the ledger's state for each team.
 func (l *Ledger) Dump() []TeamDump {
 	var dump []TeamDump
 	for _, team := range l.Teams() {
--- a/core/limit/event.go
+++ b/core/limit/event.go
@@ -7,21 +7,21 @@
 	"lavenderpond/core/table"
 )
 
-// Event is what a Ledger is told: Limits, RowsRead, Polled, Moved, Gone, ZoneDown,
+// Event is an input of a Ledger: Limits, RowsRead, Polled, Moved, EntryGone, ZoneDown,
 // Members, Tick or Stop.
 type Event interface{ isEvent() }
 
-// Limits tells the upper limits in force. Teams without a row have limit 0.
+// Limits reports the limits in force. Teams without a row have limit 0.
 type Limits struct {
-	// Head is the row of the configuration's head that the limits were computed at,
-	// or an empty row if the view isn't complete up to it: nothing is taken then.
+	// Head is the configuration's head row for which the limits were computed. It is
+	// empty if the view isn't complete up to the head; the entry then takes no slots.
 	Head table.Row
-	// Limits holds an entry for every team of Ledger.Teams. With the Head of the event
-	// before, teams whose limit is the same may be left out.
+	// Limits contains every team returned by Ledger.Teams. If Head is the same as in
+	// the previous event, teams with an unchanged limit may be omitted.
 	Limits map[core.TeamID]core.Slots
 }
 
-// RowsRead tells a team's two allotment rows, by a read that left at Sent.
+// RowsRead reports both allotment rows of a team, obtained by a read sent at Sent.
 type RowsRead struct {
 	Sent time.Time
 	Team core.TeamID
@@ -30,58 +30,59 @@
 	ZoneRow table.Row
 }
 
-// Polled tells the allotment rows that changed since the poll before, by a read
-// that left at Sent. First is true if there was no poll before.
+// Polled reports the allotment rows that changed since the previous poll, obtained by a
+// read sent at Sent. First is true for the first poll.
 type Polled struct {
 	Sent  time.Time
 	First bool
 	Rows  []table.Row
 }
 
-// Result is how a transaction ended.
+// Result is the outcome of a transaction.
 type Result int
 
 // The results of a transaction.
 const (
-	// ResultUnknown: the answer was lost; the writes may have taken or take effect.
+	// ResultUnknown means that the answer was lost. The writes may have taken effect or
+	// may still do so.
 	ResultUnknown Result = iota
 	ResultApplied
-	// ResultConflict: a check failed and nothing was written by this sending.
+	// ResultConflict means that a check failed and this attempt wrote nothing.
 	ResultConflict
-	// ResultNotSent: the table was not reached and nothing was written.
+	// ResultNotSent means that the table was unreachable and nothing was written.
 	ResultNotSent
 )
 
-// Moved tells how a sending of a Move ended.
+// Moved reports the outcome of one attempt to send a Move.
 type Moved struct {
 	ID     MoveID
 	Result Result
 }
 
-// EntryGone tells that an entry's process has certainly ended. Entries of other zones
+// EntryGone reports that an entry's process has certainly ended. Entries of other zones
 // are ignored.
 type EntryGone struct{ Entry core.EntryID }
 
-// ZoneDown tells an operator's attestation about a zone, since an instant, or that
-// it was taken back.
+// ZoneDown reports that an operator attested a zone to be down since the given time, or
+// that the attestation was withdrawn.
 type ZoneDown struct {
 	Zone  core.ZoneID
 	Down  bool
 	Since time.Time
 }
 
-// Members tells the own zone's entries as their rows name them, sorted, with this one
-// among them, and all zones. Entries that have ended may be among them.
+// Members reports the entries of the own zone according to their table rows, sorted and
+// including this one, and all zones. Entries that have ended may be included.
 type Members struct {
 	Entries []core.EntryID
 	Zones   []core.ZoneID
 }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// Stop tells that the entry shuts down: it takes nothing any more and gives back
-// all that doesn't run.
+// Stop reports that the entry is shutting down. It takes no more slots and gives back
+// those that aren't in use.
 type Stop struct{}
 
 func (Limits) isEvent()    {}
@@ -94,17 +95,17 @@
 func (Tick) isEvent()      {}
 func (Stop) isEvent()      {}
 
-// MoveID numbers the moves of one Ledger.
+// MoveID identifies a move of one Ledger.
 type MoveID uint64
 
-// Command is what a Ledger asks for: ReadRows or Move.
+// Command is a request from a Ledger to its driver: ReadRows or Move.
 type Command interface{ isCommand() }
 
-// ReadRows asks for a RowsRead of Team.
+// ReadRows requests a RowsRead event for Team.
 type ReadRows struct{ Team core.TeamID }
 
-// Move asks to send a transaction and to tell how it ended. The same move may be
-// sent again to settle a lost answer.
+// Move requests that a transaction is sent and its outcome reported as Moved. The same
+// move may be sent again to resolve a lost answer.
 type Move struct {
 	ID          MoveID
 	Team        core.TeamID
--- a/core/limit/handle.go
+++ b/core/limit/handle.go
@@ -7,37 +7,40 @@
 	"lavenderpond/core/table"
 )
 
-// Timing of the moves. The table serves several hundred writes a second for the
-// whole fleet, so an idle part stays for a while and marks aren't renewed often.
+// Timing of moves. The table handles several hundred writes per second for the whole
+// fleet, so idle slots are kept for a while and demand marks aren't renewed often.
 const (
-	// resendAfter is the wait before a lost move is sent again.
+	// resendAfter is the delay before a move with a lost answer is sent again.
 	resendAfter = time.Second
-	// rereadAfter is the wait before a read without an answer is sent again.
+	// rereadAfter is the delay before an unanswered read is sent again.
 	rereadAfter = time.Second
-	// demandMarkTTL is how long a mark of a waiting zone or entry stands.
+	// demandMarkTTL is the lifetime of the demand mark of a zone or entry.
 	demandMarkTTL = 30 * time.Second
-	// demandTTL is how long a call of Wanted counts.
+	// demandTTL is how long a call of RecordDemand remains in effect.
 	demandTTL = 2 * time.Second
-	// usageWindow is how long a part that isn't used stays, at least, when the limit is
-	// short. Demand rotates within seconds, and parts must not follow each turn.
+	// usageWindow is the minimum time that unused slots are kept while the limit is
+	// short. Demand rotates among teams within seconds, and allotments must not follow
+	// each rotation.
 	usageWindow = 2 * time.Minute
-	// unusedRetention is how long a part stays, at least, that nobody asks for and nothing uses.
+	// unusedRetention is the minimum time that slots are kept that no entry asks for
+	// and nothing uses.
 	unusedRetention = 30 * time.Minute
-	// decideInterval is the time between two looks at an allotment without news that time
-	// alone may change.
+	// decideInterval is the interval between evaluations of an allotment that has no
+	// pending events but may change by the passage of time alone.
 	decideInterval = time.Second
-	// quietDecideInterval is the time between two looks at any other allotment.
+	// quietDecideInterval is the interval between evaluations of any other allotment.
 	quietDecideInterval = time.Minute
-	// conflictBackoff is the wait after a conflict. An entry that sees an old configuration
-	// fails until it hears of the new one, and must not keep the table busy till then.
+	// conflictBackoff is the delay after a conflict. An entry with an outdated
+	// configuration fails until it receives the current one, and must not overload the
+	// table in the meantime.
 	conflictBackoff = 250 * time.Millisecond
-	// maxRowAge is how old rows may be when a move is made on them.
+	// maxRowAge is the maximum age of the rows on which a move is based.
 	maxRowAge = 250 * time.Millisecond
-	// forgetAfter is how long a team without a part or work is kept track of.
+	// forgetAfter is how long a team without slots or work is tracked.
 	forgetAfter = 40 * time.Minute
 )
 
-// Handle takes in an event and returns what to do.
+// Handle processes an event and returns the resulting commands.
 func (l *Ledger) Handle(now time.Time, event Event) []Command {
 	switch e := event.(type) {
 	case Limits:
@@ -62,8 +65,9 @@
 	return l.decideDue(now)
 }
 
-// handleEntryGone takes note of an entry that appears in a row of the own zone. Others never
-// do, so there is no list of the whole fleet's entries here.
+// handleEntryGone records that e has ended if e appears in a row of the own zone.
+// Entries of other zones never appear there, so the ledger keeps no list of the whole
+// fleet's entries.
 func (l *Ledger) handleEntryGone(e core.EntryID) {
 	if e == l.Self {
 		return
@@ -89,9 +93,9 @@
 }
 
 func (l *Ledger) handleLimits(now time.Time, e Limits) []Command {
-	// An exception that ends changes a limit without a new configuration. With a new
-	// one, a lowering may have been skipped in between, so that a raise counts as a
-	// lowering too until the rows were read.
+	// A limit can change without a new configuration when an exception expires. With a
+	// new configuration, an intermediate reduction may have been missed, so even an
+	// increase is treated as a reduction until the rows have been read.
 	sameHead := e.Head.Version != 0 && e.Head.Version == l.configHead.Version
 	l.configHead = e.Head
 	for team, limit := range e.Limits {
@@ -129,7 +133,7 @@
 
 func (l *Ledger) handlePolled(now time.Time, e Polled) []Command {
 	if e.First {
-		// Rows may have changed between their read and the first poll's start.
+		// Rows may have changed between their read and the start of the first poll.
 		for _, a := range l.teams {
 			a.known = false
 		}
@@ -143,7 +147,7 @@
 			continue
 		}
 		l.schedule.makeDue(a)
-		// A row that can't be decoded makes the rows unknown until a read succeeds.
+		// If a row can't be decoded, the rows are unknown until a read succeeds.
 		switch zone {
 		case "":
 			a.known = a.updateTeamRow(row)
@@ -165,8 +169,8 @@
 	return l.decideDue(now)
 }
 
-// trackReceived begins to keep track of the teams of whose limit another entry gave this one a
-// part. The poll brings both rows, since both were written at once.
+// trackReceived starts to track the teams for which another entry allotted slots to
+// this one. The poll contains both rows, because both were written in one transaction.
 func (l *Ledger) trackReceived(e Polled) []*teamAllotment {
 	var learned []*teamAllotment
 	for _, row := range e.Rows {
@@ -185,8 +189,8 @@
 	return learned
 }
 
-// settle takes the own part from the rows once no move is open that could still
-// take effect after sent, when their read left.
+// settle adopts the entry's own allotment from rows read by a request sent at sent,
+// provided that no open move can take effect after that.
 func (l *Ledger) settle(a *teamAllotment, sent time.Time) {
 	if m := a.move; m != nil {
 		if m.conflictedAt.IsZero() || !sent.After(m.conflictedAt) {
@@ -197,7 +201,8 @@
 	}
 	part := a.zone.Entries[l.Self]
 	if part > a.slots {
-		// A raise counts as use, so that it isn't given back before it could be used.
+		// An increase counts as usage, so that the slots aren't given back before they
+		// could be used.
 		a.usage.observe(sent, part)
 	}
 	a.slots = part
@@ -221,7 +226,7 @@
 			m.conflictedAt = now
 			break
 		}
-		// The only sending so far wrote nothing.
+		// The move was sent only once, and that attempt wrote nothing.
 		a.retryAt = now.Add(conflictBackoff)
 		l.finishMove(a)
 	case ResultNotSent:
@@ -247,15 +252,17 @@
 	a.move = nil
 }
 
-// applyMove takes the rows as the move wrote them.
+// applyMove updates the state to the rows that the move wrote.
 func (a *teamAllotment) applyMove(now time.Time, m *openMove) {
 	if m.slotsAfter > a.slots {
-		// A raise counts as use, so that it isn't given back before it could be used.
+		// An increase counts as usage, so that the slots aren't given back before they
+		// could be used.
 		a.usage.observe(now, m.slotsAfter)
 	}
 	a.slots, a.refreshedAt = m.slotsAfter, now
-	// A poll may have brought these or later rows already. Counting on from there would
-	// give versions that the table never reaches, and every later row would look old.
+	// A poll may already have delivered these rows or later ones. Incrementing the
+	// version in that case would yield versions that the table never reaches, and every
+	// later row would be taken for an outdated one.
 	if v := m.teamVersion + 1; v >= a.teamTableRow.Version {
 		a.team, a.teamTableRow.Version = m.team, v
 	}
@@ -264,8 +271,8 @@
 	}
 }
 
-// updateTeamRow takes row unless it is older than the one known. It returns false if
-// the row can't be used.
+// updateTeamRow stores row unless it is older than the known one. It returns false if
+// the row is invalid.
 func (a *teamAllotment) updateTeamRow(row table.Row) bool {
 	if row.Version < a.teamTableRow.Version {
 		return true
@@ -278,7 +285,7 @@
 	return true
 }
 
-// updateZoneRow is takeTeamRow for the zone's row.
+// updateZoneRow does the same as updateTeamRow for the zone's row.
 func (a *teamAllotment) updateZoneRow(row table.Row) bool {
 	if row.Version < a.zoneTableRow.Version {
 		return true
--- a/core/limit/initial.go
+++ b/core/limit/initial.go
@@ -7,14 +7,16 @@
 	"lavenderpond/core"
 )
 
-// newEntryPeriod is how long after its start an entry counts as one that has no parts
-// yet. One that has run for longer and has none gave them back, as before its stop: a
-// part that it is given then is lost until its last lease could have ended.
+// newEntryPeriod is how long after its start an entry is treated as new, which means
+// that it has no allotments yet. An older entry without an allotment gave it back, as
+// entries do before they stop. Slots allotted to a stopping entry are lost until its
+// last lease could have expired.
 const newEntryPeriod = 2 * time.Minute
 
-// NextInitialAllotments returns up to n of teams of whose limit this entry holds no part
-// although some is left. Each entry of the fleet begins at another place of the list:
-// otherwise all would write the same rows at the same time, and most in vain.
+// NextInitialAllotments returns up to n of teams for which this entry has no allotment
+// although part of the limit is free. Each entry of the fleet starts at a different
+// position in the list. Otherwise all entries would write the same rows at the same
+// time, and most of the writes would conflict.
 func (l *Ledger) NextInitialAllotments(teams []core.TeamID, n int) []core.TeamID {
 	var lacking []core.TeamID
 	first := l.spreadOffset(len(teams))
@@ -31,7 +33,8 @@
 	return lacking
 }
 
-// spreadOffset spreads the entries evenly over a list of n.
+// spreadOffset returns this entry's start position in a list of n elements, spreading
+// the entries evenly.
 func (l *Ledger) spreadOffset(n int) int {
 	entries, zones := max(1, len(l.members.Entries)), max(1, len(l.members.Zones))
 	rank := max(0, slices.Index(l.members.Entries, l.Self))
@@ -39,11 +42,11 @@
 	return n * (rank*zones + zone) / (entries * zones)
 }
 
-// takeInitial takes a first part, and one for each of the zone's entries that has just
-// started, if no entry that runs has any: a start of the whole fleet would otherwise
-// cost a move for each entry and team. What is given is the row's word like any other
-// part: an entry uses it once it has read it, and keeps it until it gives it back or is
-// certainly gone.
+// takeInitial takes the entry's first allotment and, if no running entry of the zone
+// has one, also allots slots to each entry of the zone that has just started. Without
+// this, a start of the whole fleet would cost one move per entry and team. These
+// allotments are ordinary ones: an entry uses its slots once it has read the row, and
+// keeps them until it gives them back or has certainly ended.
 func (l *Ledger) takeInitial(now time.Time, a *teamAllotment, d *draft) {
 	free := a.limit - d.team.Sum()
 	newcomers := l.newEntries(now, d)
@@ -63,16 +66,18 @@
 	}
 }
 
-// initialAllotments returns what a zone may take for all its entries at once, and the part of
-// each. Half of the even parts stays free, for zones and entries that need more.
+// initialAllotments returns the number of slots that the zone may take for all its
+// entries together, and the number for each entry. Half of the zone's even share stays
+// free for zones and entries that need more.
 func (l *Ledger) initialAllotments(limit, free core.Slots, entries int) (zone, each core.Slots) {
 	zones := core.Slots(max(1, len(l.members.Zones)))
 	zone = min(free, max(1, limit/zones))
 	return zone, max(1, zone/2/core.Slots(entries))
 }
 
-// newEntries returns the other entries of the zone that started lately, unless one that
-// is known to run has a part already.
+// newEntries returns the other entries of the zone that started recently. It returns
+// nil while the limit is short, or if an entry that isn't known to have ended already
+// has an allotment.
 func (l *Ledger) newEntries(now time.Time, d *draft) []core.EntryID {
 	if d.team.Short.After(now) {
 		return nil
--- a/core/limit/initial_test.go
+++ b/core/limit/initial_test.go
@@ -13,7 +13,8 @@
 	"lavenderpond/core/table"
 )
 
-// membersOf tells n the entries of its zone and one that may have ended.
+// membersOf returns the Members event for n, with the entries of its zone and one that
+// may have ended.
 func (w *simulation) membersOf(n *testEntry) Members {
 	m := Members{Zones: []core.ZoneID{"z0", "z1", "z2"}}
 	for _, other := range w.entries {
@@ -28,7 +29,8 @@
 	return m
 }
 
-// givenToOthers counts the parts in a first move of self's zone that aren't its own.
+// givenToOthers returns the number of allotments for entries other than self in the
+// first move of self's zone.
 func givenToOthers(self core.EntryID, t table.Transaction) int {
 	given := 0
 	for _, write := range t.Writes {
@@ -45,8 +47,8 @@
 	return given
 }
 
-// checkRows holds the parts that the rows give out against a limit that stays, and each
-// zone's part against those of its entries.
+// checkRows compares the allotments in the rows with the limit if the limit is
+// constant, and each zone's allotment with those of its entries.
 func (w *simulation) checkRows() {
 	if w.changeLimits {
 		return
@@ -61,9 +63,11 @@
 	}
 }
 
-// A part that is given to an entry which won't use it is lost to the team until its
-// last lease could have ended. An entry takes its first part; who else of its zone gets
-// one depends on who has started lately, who holds one and what is left of the limit.
+// Guards against slots that are allotted to an entry that won't use them: the team
+// loses them until the entry's last lease could have expired. Besides the entry that
+// takes its initial allotment, other entries of its zone receive slots depending on
+// which of them started recently, which already hold slots, and how much of the limit
+// is free.
 func TestInitialAllotmentsGoToNewEntries(t *testing.T) {
 	now := testStart
 	id := func(name string, ago time.Duration) core.EntryID { return core.NewEntryID(name, now.Add(-ago)) }
@@ -103,9 +107,9 @@
 	}
 }
 
-// coldStart is a fleet of which all entries start at once, with the daemon's pace: five
-// teams a second and entry, ten rounds a second, and an answer of the table a round
-// after what was asked.
+// coldStart simulates a fleet whose entries all start at once, at the daemon's pace:
+// five teams per second and entry, ten rounds per second, and the table's answer one
+// round after the request.
 type coldStart struct {
 	*demandSimulation
 	perSecond int
@@ -130,7 +134,7 @@
 	return c
 }
 
-// run lets seconds pass until every entry holds a part of each team's limit.
+// run advances the simulation until every entry has slots of each team's limit.
 func (c *coldStart) run() *coldStart {
 	for c.seconds < coldStartMaxSeconds && c.missingAllotments() > 0 {
 		for _, l := range c.ledgers {
@@ -153,7 +157,7 @@
 	c.seconds++
 }
 
-// round takes in the answers of the round before and sends what follows.
+// round processes the answers of the previous round and issues the resulting commands.
 func (c *coldStart) round(i int) {
 	l := c.ledgers[i]
 	inbox := append(c.inboxes[i], Limits{Head: c.table.Read(table.ConfigHead), Limits: c.limits}, Tick{})
@@ -188,7 +192,7 @@
 	return nil
 }
 
-// missingAllotments counts the parts that are still missing.
+// missingAllotments returns the number of initial allotments that are still missing.
 func (c *coldStart) missingAllotments() int {
 	n := 0
 	for _, l := range c.ledgers {
@@ -197,9 +201,10 @@
 	return n
 }
 
-// After a start of the whole fleet the table would be kept busy for minutes, and a
-// team's first work would wait behind other teams' parts, if each of the entries took a
-// part of each team for itself. All start at once, without demand; each gets its parts.
+// Guards against a start of the whole fleet that keeps the table busy for minutes, so
+// that a team's first requests wait behind the allotments of other teams. This happens
+// if each entry takes its initial allotment of each team on its own. All entries start
+// at once without load, and each must get its allotments.
 func TestColdStart(t *testing.T) {
 	const teams, zones, perZone = 62, 7, 6
 	sent, applied := make(map[bool]int), make(map[bool]int)
@@ -210,7 +215,7 @@
 		for range 10 {
 			c.second()
 		}
-		// What was given is kept.
+		// Allotments are kept once they have been given.
 		assert.Equal(t, c.missingAllotments(), 0)
 		for _, team := range c.teams {
 			var r TeamRow
@@ -223,7 +228,8 @@
 	assert.Assert(t, sent[true]*4 < sent[false])
 }
 
-// BenchmarkColdStart measures a start of the fleet of two years from now.
+// BenchmarkColdStart measures a cold start of a fleet with 620 teams and 42 entries,
+// the size planned for two years ahead.
 func BenchmarkColdStart(b *testing.B) {
 	for _, members := range []bool{false, true} {
 		b.Run(fmt.Sprintf("teams=620/entries=42/peers=%t", members), func(b *testing.B) {
@@ -239,9 +245,9 @@
 	}
 }
 
-// The table would get a move from every entry for every team twice in half an hour, all
-// at the same time, from a fleet that runs nothing: parts that nobody used were given
-// back whole, and then asked for again as first parts. The fleet starts and idles for
+// Guards against an idle fleet in which every entry sends two moves per team every half
+// hour, all at the same time. This happens if unused allotments are given back
+// completely and then taken again as initial allotments. The fleet starts and idles for
 // two hours.
 func TestIdleAllotmentsAreKept(t *testing.T) {
 	const teams, zones, perZone = 10, 3, 2
@@ -253,6 +259,6 @@
 	}
 	t.Logf("%d transactions at the start, %d in the two hours after it", first, c.sentMoves-first)
 	assert.Equal(t, c.missingAllotments(), 0)
-	// One for each part that shrinks to the least one.
+	// One move for each allotment that shrinks to the minimum.
 	assert.Assert(t, c.sentMoves-first <= teams*zones*perZone*3/2)
 }
--- a/core/limit/ledger.go
+++ b/core/limit/ledger.go
@@ -9,21 +9,21 @@
 	"lavenderpond/core/table"
 )
 
-// Defaults of a Ledger's settings, equal to those of the shards.
+// Defaults of a Ledger's settings. They equal the defaults of the shards.
 const (
 	DefaultMaxLifetime = time.Hour
 	DefaultSkew        = 250 * time.Millisecond
 )
 
-// Ledger is the Limiter of an entry and the decisions about its allotments. Its
-// zero value holds nothing. It is not safe for concurrent use.
+// Ledger implements Limiter for one entry and decides how the entry's allotments
+// change. The zero value holds no allotments. A Ledger is not safe for concurrent use.
 type Ledger struct {
 	Self core.EntryID
 	Zone core.ZoneID
-	// MaxLifetime is the longest time from a dispatch to its lease deadline. Zero
-	// means DefaultMaxLifetime.
+	// MaxLifetime is the maximum time from a dispatch to its lease deadline. Zero means
+	// DefaultMaxLifetime.
 	MaxLifetime time.Duration
-	// Skew is the most by which the clocks of two machines differ. Zero means
+	// Skew is the maximum difference between the clocks of two machines. Zero means
 	// DefaultSkew.
 	Skew time.Duration
 
@@ -37,55 +37,58 @@
 	lastMove      MoveID
 	configHead    table.Row
 	polledAt      time.Time
-	// demandAt and lowered are the latest of all teams.
+	// demandAt and loweredAt are the latest values over all teams.
 	demandAt, loweredAt time.Time
 	goneEntries         map[core.EntryID]bool
 	downZones           map[core.ZoneID]time.Time
 	members             Members
 	stopping            bool
 
-	// Switched on in tests only, to see the safeguards fail.
+	// disabled is set by tests only, to show that each safeguard is needed.
 	disabled disabledSafeguards
 }
 
-// disabledSafeguards names the safeguards that a test switches off.
+// disabledSafeguards selects the safeguards that a test disables.
 type disabledSafeguards struct {
 	useUnsettledMoves   bool
 	reclaimImmediately  bool
 	ignoreLoweredLimits bool
 	giveBackRunning     bool
 	noHeadCheck         bool
-	// staleRows is no safeguard: it shows what the reads before moves save.
+	// staleRows disables an optimization, not a safeguard: the read of the rows before
+	// a move.
 	staleRows bool
 }
 
 var _ Limiter = (*Ledger)(nil)
 
-// teamAllotment is what the ledger knows of one team.
+// teamAllotment is the ledger's state for one team.
 type teamAllotment struct {
 	id         core.TeamID
 	limit      core.Slots
 	limitKnown bool
-	// loweredAt is when a limit change was heard that may be a lowering. Nothing starts
-	// until the rows were read after it.
+	// loweredAt is when a limit change that may be a reduction was received. No request
+	// starts until the rows have been read after that.
 	loweredAt time.Time
 
-	// slots is this entry's part by the last settled word of the table.
+	// slots is this entry's allotment according to the last settled state of the table.
 	slots        core.Slots
 	team         TeamRow
 	zone         ZoneRow
 	teamTableRow table.Row
 	zoneTableRow table.Row
-	// readAsOf is when the read left that the rows are at least as new as.
+	// readAsOf is when the read was sent that the rows are at least as recent as.
 	readAsOf   time.Time
 	known      bool
 	readSentAt time.Time
-	// refreshedAt is when the rows were read or written by this entry itself.
+	// refreshedAt is when this entry last read or wrote the rows itself.
 	refreshedAt time.Time
 	move        *openMove
-	// retryAt is when the table is tried again after it was not reached.
+	// retryAt is the earliest time of the next table access after the table was
+	// unreachable or a move conflicted.
 	retryAt time.Time
-	// decideAt is when the allotment is looked at again, index its place in the schedule.
+	// decideAt is when the allotment is evaluated next, and heapIndex is its position
+	// in the schedule.
 	decideAt  time.Time
 	heapIndex int
 
@@ -94,20 +97,20 @@
 	usage    peakUsage
 }
 
-// openMove is a move whose outcome isn't certain.
+// openMove is a move whose outcome isn't known yet.
 type openMove struct {
 	Move
-	// minSlots is the lesser of the parts before and after the move.
+	// minSlots is the smaller of the allotments before and after the move.
 	minSlots, slotsAfter core.Slots
 	team                 TeamRow
 	zone                 ZoneRow
-	// The versions that the move checks.
+	// teamVersion and zoneVersion are the row versions that the move checks.
 	teamVersion, zoneVersion core.Version
-	// answerLost is true once an answer was lost.
+	// answerLost is true once an answer to the move was lost.
 	answerLost bool
-	// conflictedAt is when a sending after a lost answer met a conflict: the checked
-	// versions are past, so the move took effect before or never will, and a read that
-	// leaves later tells which.
+	// conflictedAt is when the move, sent again after a lost answer, met a conflict.
+	// The checked versions are then outdated, so the move either took effect earlier or
+	// never will. A read that is sent later shows which.
 	conflictedAt time.Time
 	resendAt     time.Time
 }
@@ -117,8 +120,8 @@
 	a := l.allotmentOf(key.Team)
 	a.running.expire(now)
 	if until.After(now.Add(l.maxLifetime())) {
-		// A lease beyond the greatest lifetime could outlive the reclaim of this entry's
-		// allotment, and the team would run more than its limit.
+		// A lease beyond the maximum lifetime could outlive the reclaim of this entry's
+		// allotment, and the team would exceed its limit.
 		return false
 	}
 	if a.running.count() >= l.usableSlots(now, a) {
@@ -154,24 +157,25 @@
 	l.schedule.makeDue(a)
 }
 
-// Teams returns the teams that the ledger keeps track of, sorted.
+// Teams returns the teams that the ledger tracks, sorted.
 func (l *Ledger) Teams() []core.TeamID {
 	return slices.Clone(l.teamOrder)
 }
 
-// UnknownLimits returns the teams whose limit wasn't told yet, sorted.
+// UnknownLimits returns the teams whose limit hasn't been received yet, sorted.
 func (l *Ledger) UnknownLimits() []core.TeamID {
 	return slices.Sorted(maps.Keys(l.unknownLimits))
 }
 
-// NeedsTeamRows reports whether what other zones do matters here at once: a request
-// waits, or a limit changed since the rows were polled.
+// NeedsTeamRows reports whether changes made by other zones are needed immediately,
+// because a request is waiting or a limit changed after the last poll of the rows.
 func (l *Ledger) NeedsTeamRows(now time.Time) bool {
 	return now.Before(l.demandAt.Add(demandTTL)) || !l.polledAt.After(l.loweredAt)
 }
 
-// Excess returns by how much the team may still be above its limit, fleet-wide, as
-// the allotments say: an upper bound, since a part counts as running.
+// Excess returns by how many slots the allotments of the whole fleet exceed the team's
+// limit. It is an upper bound on the excess of running requests, because allotted slots
+// count as running.
 func (l *Ledger) Excess(team core.TeamID) core.Slots {
 	a, ok := l.teams[team]
 	if !ok || !a.limitKnown {
@@ -180,7 +184,7 @@
 	return max(0, a.team.Sum()-a.limit)
 }
 
-// usableSlots returns how many slots may run here now.
+// usableSlots returns the number of requests that may run at this entry now.
 func (l *Ledger) usableSlots(now time.Time, a *teamAllotment) core.Slots {
 	if _, down := l.downZones[l.Zone]; down || !a.limitKnown {
 		return 0
@@ -190,16 +194,18 @@
 	}
 	n := a.slots
 	if a.move != nil && !l.disabled.useUnsettledMoves {
-		// Until the outcome of a move is certain, the lesser part holds: of a raise, the
-		// part before it; of a give-back, the part after it, which others may hold by now.
+		// Until the outcome of a move is known, the smaller allotment applies. If the
+		// move takes slots, that is the allotment before it. If it gives slots back,
+		// that is the allotment after it, since others may already hold the returned
+		// slots.
 		n = min(n, a.move.minSlots)
 	}
 	return min(n, a.ceiling(now, l))
 }
 
-// startsPaused reports whether a lowered limit stops the team's starts: it was heard of
-// after the rows were read, or the parts still add up to more. Parts are all that
-// this entry knows of what runs elsewhere.
+// startsPaused reports whether a reduced limit prevents new starts: the reduction was
+// received after the rows were read, or the allotments still add up to more than the
+// limit. The allotments are all that this entry knows about requests running elsewhere.
 func (l *Ledger) startsPaused(a *teamAllotment) bool {
 	if l.disabled.ignoreLoweredLimits {
 		return false
@@ -207,7 +213,7 @@
 	return !l.rowsAsOf(a).After(a.loweredAt) || a.team.Sum() > a.limit
 }
 
-// rowsAsOf returns the instant that the rows are at least as new as.
+// rowsAsOf returns the time that the rows are at least as recent as.
 func (l *Ledger) rowsAsOf(a *teamAllotment) time.Time {
 	if a.known && l.polledAt.After(a.readAsOf) {
 		return l.polledAt
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -24,8 +24,8 @@
 
 var testStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// world runs real Ledgers over a table in memory, and keeps the targets' own record
-// of what runs. The verdict is taken from that record alone.
+// simulation runs real Ledgers against an in-memory table and keeps a separate record
+// of what runs on the targets. The limit is checked against that record alone.
 type simulation struct {
 	r             *rand.Rand
 	now           time.Time
@@ -38,30 +38,33 @@
 	gone          []core.EntryID
 	runs          []targetRun
 	unsafe        disabledSafeguards
-	// changeLimits is true if the limit is raised and lowered on the way.
+	// changeLimits is true if the limit is raised and lowered during the run.
 	changeLimits bool
-	// scriptedFaults is true if the test itself makes the faults.
+	// scriptedFaults is true if the test injects the faults itself.
 	scriptedFaults bool
-	// noNewWork is true while no new work comes.
+	// noNewWork is true while no new requests arrive.
 	noNewWork   bool
 	next        int
 	maxExcess   core.Slots
 	served      int
 	lostAnswers int
 	moves       int
-	// givenToOthers counts parts that an entry gave to another one.
+	// givenToOthers counts the allotments that an entry gave to another one.
 	givenToOthers int
-	// maxOverAllotted is by how much the parts in the rows exceeded a limit that stays.
+	// maxOverAllotted is the maximum number of slots by which the allotments in the
+	// rows exceeded a constant limit.
 	maxOverAllotted core.Slots
 }
 
-// node is one run of an entry's daemon.
+// testEntry is one process run of an entry.
 type testEntry struct {
 	ledger      *Ledger
 	pausedUntil time.Time
-	// isolated entries reach nothing, blind ones not the table, late ones hear no config.
+	// An isolated entry reaches nothing, one that is cutFromTable doesn't reach the
+	// table, and one that is cutFromConfig receives no configuration.
 	isolated, cutFromTable, cutFromConfig bool
-	// maxLimitSinceUpdate is the greatest limit in force since the entry last heard of one.
+	// maxLimitSinceUpdate is the highest limit that was in force since the entry last
+	// received one.
 	maxLimitSinceUpdate core.Slots
 	inbox               []Event
 	running             []core.RequestKey
@@ -103,7 +106,7 @@
 
 func (w *simulation) chance(percent int) bool { return w.r.IntN(100) < percent }
 
-// step lets one instant pass: faults, deliveries, ticks, work.
+// step advances time by one step: faults, event delivery, ticks and load.
 func (w *simulation) step() {
 	w.now = w.now.Add(testStep)
 	w.endRuns()
@@ -124,7 +127,7 @@
 		w.generateLoad(n)
 	}
 	for _, n := range w.entries {
-		// A paused entry's answers arrive while it sleeps.
+		// Answers to a paused entry arrive during its pause.
 		if w.chance(30) {
 			w.poll(n)
 		}
@@ -137,7 +140,7 @@
 		w.tableDown = !w.tableDown
 	}
 	if len(w.delayedWrites) > 0 && w.chance(20) {
-		// A write whose answer was lost takes effect only now.
+		// A write with a lost answer takes effect only now.
 		_ = w.table.Transact(w.delayedWrites[0])
 		w.delayedWrites = w.delayedWrites[1:]
 	}
@@ -174,8 +177,9 @@
 	}
 }
 
-// deliverLimits tells an entry that isn't cut off the limit in force. A late one still
-// reaches the table.
+// deliverLimits sends the limit in force to an entry that is connected to the
+// configuration. An entry that is only cut off from the configuration still reaches the
+// table.
 func (w *simulation) deliverLimits(n *testEntry) {
 	if n.isolated || n.cutFromConfig {
 		return
@@ -254,9 +258,9 @@
 	}
 }
 
-// recordExcess looks at the overlap on the targets at each start: never more than the
-// limit in force. An entry that is cut off can't hear of a lowered one; its starts
-// stay within the greatest limit since it last heard.
+// recordExcess compares the requests running on the targets with the limit in force at
+// each start. An entry that is cut off can't receive a reduction; its starts must stay
+// within the highest limit that was in force since its last update.
 func (w *simulation) recordExcess(n *testEntry) {
 	w.maxExcess = max(w.maxExcess, core.Slots(len(w.runs))-n.maxLimitSinceUpdate)
 }
@@ -265,7 +269,7 @@
 	key := n.running[0]
 	n.running = n.running[1:]
 	if w.chance(20) {
-		return // The answer was lost: it runs on, and its slot is held to the deadline.
+		return // The answer was lost: the request keeps running and holds its slot until the deadline.
 	}
 	n.ledger.Release(key)
 	for i, r := range w.runs {
@@ -276,8 +280,8 @@
 	}
 }
 
-// endRuns ends what is at its lease deadline by the target's clock, which may be
-// behind by the skew.
+// endRuns ends the requests whose lease deadline has passed on the target's clock,
+// which may be behind by the skew.
 func (w *simulation) endRuns() {
 	rest := w.runs[:0]
 	for _, r := range w.runs {
@@ -310,10 +314,11 @@
 	safeguardSeeds = 30
 )
 
-// The caller sees a refusal, never a team above its limit. Entries lose the answers
-// of moves, pause, die and restart, zones are cut off and the table goes down, in any
-// order and at once, without and with changes of the limit in flight. What the targets
-// ran at the same time is held against the limit.
+// Guards against teams that exceed their limit: a request beyond the limit must be
+// refused instead. Entries lose the answers to moves, pause, die and restart, zones are
+// cut off and the table goes down, in any order and combination, with and without
+// concurrent changes of the limit. The number of requests running on the targets at the
+// same time is compared with the limit.
 func TestRunningStaysWithinLimit(t *testing.T) {
 	for _, changeLimits := range []bool{false, true} {
 		served, moves, lost, given := 0, 0, 0, 0
@@ -330,8 +335,8 @@
 	}
 }
 
-// Each safeguard is needed: with it switched off, the targets run more than the
-// limit at once in some seeds.
+// Shows that each safeguard is needed: with it disabled, the targets exceed the limit
+// with some seeds.
 func TestLimitSafeguardsAreNeeded(t *testing.T) {
 	for name, disabled := range map[string]disabledSafeguards{
 		"a move is used before it is settled":      {useUnsettledMoves: true},
@@ -351,9 +356,10 @@
 	}
 }
 
-// The limit is lowered while one entry hears no configuration, and another one then
-// loses the table. The late entry would hand itself what the others gave back, and the
-// blind one, which saw the parts fit the lowered limit, would start on top of that.
+// The limit is reduced while one entry receives no configuration, and another entry
+// then loses the table. The first entry would take the slots that the others gave back.
+// The second one saw that the allotments fit the reduced limit and would start requests
+// in addition to those.
 func TestEntryWithStaleConfigTakesNothing(t *testing.T) {
 	maxExcess := map[bool]core.Slots{}
 	for _, disabled := range []bool{false, true} {
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -1,9 +1,10 @@
-// Package limit keeps every team's running work within its upper limit.
+// Package limit keeps each team's running requests within the team's concurrency limit.
 //
-// A team's limit is split into allotments: rows of the platform's table give a
-// part to each zone, and of a zone's part to each entry. An entry counts what it
-// runs against its own allotment only, so it needs the table for moves of
-// allotments and never for a request.
+// A team's limit is divided into allotments stored as rows of the platform's table: one
+// row divides the limit among zones, and one row per zone divides the zone's allotment
+// among its entries. An entry counts running requests against its own allotment only,
+// so it accesses the table to move slots between allotments and never to serve a
+// request.
 package limit
 
 import (
@@ -12,17 +13,19 @@
 	"lavenderpond/core"
 )
 
-// Limiter counts running work against allotments. Implementations are pure and
-// not safe for concurrent use.
+// Limiter counts running requests against the entry's allotments. Implementations do no
+// I/O and aren't safe for concurrent use.
 type Limiter interface {
-	// Acquire takes a slot of the team's allotment before a dispatch. The slot is
-	// held until Release, or until the deadline of the target's lease, whichever
-	// comes first: an unknown outcome is simply not released.
+	// Acquire takes a slot of the team's allotment before a dispatch. The slot is held
+	// until Release or until the deadline of the target's lease, whichever comes first.
+	// A request with an unknown outcome is therefore not released explicitly.
 	Acquire(now time.Time, key core.RequestKey, until time.Time) bool
-	// Release gives the slot back, once it is certain that nothing runs.
+	// Release frees the request's slots. It must be called only when the request is
+	// certainly not running.
 	Release(key core.RequestKey)
-	// Running returns how many slots the team holds here.
+	// Running returns the number of slots that the team holds at this entry.
 	Running(now time.Time, team core.TeamID) core.Slots
-	// RecordDemand tells that a request of team waits for want of allotment.
+	// RecordDemand records that a request of team is waiting because the team's
+	// allotment at this entry is exhausted.
 	RecordDemand(now time.Time, team core.TeamID)
 }
--- a/core/limit/rows.go
+++ b/core/limit/rows.go
@@ -7,34 +7,37 @@
 	"lavenderpond/core"
 )
 
-// TeamRow is the row that splits a team's limit among zones.
+// TeamRow is the table row that divides a team's limit among zones.
 type TeamRow struct {
-	// Limit is the limit that the last move saw.
+	// Limit is the team's limit as seen by the last move.
 	Limit core.Slots `json:"limit"`
-	// Zones holds each zone's part: the sum of its entries' parts.
+	// Zones maps each zone to its allotment, which is the sum of its entries'
+	// allotments.
 	Zones map[core.ZoneID]core.Slots `json:"zones,omitempty"`
-	// Wanted holds the zones in which an entry has less than its even part and waits,
-	// with the end of their marks.
+	// Wanted maps each zone in which an entry waits with less than its even share to
+	// the expiry of its demand mark.
 	Wanted map[core.ZoneID]time.Time `json:"wanted,omitempty"`
-	// Short is the end of the mark of an entry that waits at its even part: others give
-	// back what they haven't used lately.
+	// Short is the expiry of the demand mark set by an entry that waits although it has
+	// its even share. Until then, other entries give back the slots they haven't used
+	// recently.
 	Short time.Time `json:"short,omitzero"`
 }
 
-// ZoneRow is the row that splits a zone's part among its entries.
+// ZoneRow is the table row that divides a zone's allotment among its entries.
 type ZoneRow struct {
 	Entries map[core.EntryID]core.Slots `json:"entries,omitempty"`
-	// Reclaim holds the deadline of the last lease that an entry which is gone could
-	// have granted. Its part is free from then on.
+	// Reclaim maps each entry that has ended to the latest deadline of a lease it could
+	// have granted. Its allotment is free from then on.
 	Reclaim map[core.EntryID]time.Time `json:"reclaim,omitempty"`
-	// Wanted holds the zone's entries that have less than their even part and wait.
+	// Wanted maps each entry of the zone that waits with less than its even share to
+	// the expiry of its demand mark.
 	Wanted map[core.EntryID]time.Time `json:"wanted,omitempty"`
 }
 
-// Sum returns the slots that are given out.
+// Sum returns the number of slots allotted to zones.
 func (r TeamRow) Sum() core.Slots { return sum(r.Zones) }
 
-// Sum returns the slots that the zone's entries hold.
+// Sum returns the number of slots allotted to the zone's entries.
 func (r ZoneRow) Sum() core.Slots { return sum(r.Entries) }
 
 func (r TeamRow) clone() TeamRow {
@@ -45,7 +48,7 @@
 	return ZoneRow{Entries: maps.Clone(r.Entries), Reclaim: maps.Clone(r.Reclaim), Wanted: maps.Clone(r.Wanted)}
 }
 
-// nonNegative reports whether no part is negative, which no move writes.
+// nonNegative reports whether no allotment is negative. No move writes a negative one.
 func nonNegative[K comparable](parts map[K]core.Slots) bool {
 	for _, n := range parts {
 		if n < 0 {
@@ -63,7 +66,7 @@
 	return total
 }
 
-// setSlots stores n under key; parts of zero aren't kept.
+// setSlots stores n under key. Allotments of zero are removed.
 func setSlots[K comparable](parts *map[K]core.Slots, key K, n core.Slots) {
 	if n == 0 {
 		delete(*parts, key)
@@ -79,12 +82,13 @@
 	(*m)[key] = value
 }
 
-// dropExpired removes marks whose end has passed.
+// dropExpired removes the marks that have expired by now.
 func dropExpired[K comparable](marks map[K]time.Time, now time.Time) {
 	maps.DeleteFunc(marks, func(_ K, end time.Time) bool { return !end.After(now) })
 }
 
-// countOtherMarks counts the marks of others than self that stand at now.
+// countOtherMarks returns the number of marks that are in force at now and don't belong
+// to self.
 func countOtherMarks[K comparable](marks map[K]time.Time, self K, now time.Time) int {
 	n := 0
 	for key, end := range marks {
@@ -95,7 +99,8 @@
 	return n
 }
 
-// claimants counts the holders of parts and those who want one, self included.
+// claimants returns the number of keys that hold an allotment or have a mark in force,
+// including self.
 func claimants[K comparable](parts map[K]core.Slots, marks map[K]time.Time, self K, now time.Time) int {
 	all := map[K]bool{self: true}
 	for key := range parts {
--- a/core/limit/running.go
+++ b/core/limit/running.go
@@ -7,14 +7,14 @@
 	"lavenderpond/core/deadline"
 )
 
-// runningSlots counts the slots that a team holds at this entry. The zero value is
+// runningSlots tracks the slots that a team holds at this entry. The zero value is
 // empty.
 type runningSlots struct {
 	byExpiry deadline.Heap[*slot]
 	byKey    map[core.RequestKey][]*slot
 }
 
-// slot is held until it is released or its lease has certainly ended.
+// slot is held until it is released or its lease has certainly expired.
 type slot struct {
 	key       core.RequestKey
 	expiresAt time.Time
@@ -35,8 +35,7 @@
 	put(&r.byKey, key, append(r.byKey[key], s))
 }
 
-// release gives back every slot of key. A request that was sent to two targets
-// holds two.
+// release frees all slots of key. A request that was sent to two targets holds two.
 func (r *runningSlots) release(key core.RequestKey) {
 	for _, s := range r.byKey[key] {
 		r.byExpiry.Remove(s)
@@ -44,7 +43,7 @@
 	delete(r.byKey, key)
 }
 
-// expire gives back the slots whose lease has ended by now.
+// expire frees the slots whose lease has expired by now.
 func (r *runningSlots) expire(now time.Time) {
 	for s, due := r.byExpiry.Due(now); due; s, due = r.byExpiry.Due(now) {
 		r.byExpiry.Remove(s)
--- a/core/limit/schedule.go
+++ b/core/limit/schedule.go
@@ -9,13 +9,14 @@
 	"lavenderpond/core/deadline"
 )
 
-// schedule keeps the allotments by when they are looked at next, so that a round
-// costs what it looks at and not what the entry holds. The zero value is empty.
+// schedule orders the allotments by the time of their next evaluation, so that the cost
+// of a round depends on the number of allotments evaluated and not on the number held.
+// The zero value is empty.
 type schedule struct{ byDecision deadline.Heap[*teamAllotment] }
 
 func (s *schedule) add(a *teamAllotment) { s.byDecision.Push(a) }
 
-// makeDue has a looked at in the next round.
+// makeDue schedules a for the next round.
 func (s *schedule) makeDue(a *teamAllotment) {
 	if a.decideAt.IsZero() {
 		return
@@ -24,16 +25,17 @@
 	s.byDecision.Fix(a)
 }
 
-// makeAllDue has every allotment looked at in the next round.
+// makeAllDue schedules every allotment for the next round.
 func (s *schedule) makeAllDue() {
 	for _, a := range s.byDecision.All() {
-		// Equal keys need no order.
+		// The heap order holds, because all keys are equal.
 		a.decideAt = time.Time{}
 	}
 }
 
-// takeDue takes out the allotments to look at now, by team, so that the same events give
-// the same commands in the same order. They have to be added again.
+// takeDue removes and returns the allotments due at now, sorted by team so that the
+// same events always produce the same commands in the same order. The caller must add
+// them again.
 func (s *schedule) takeDue(now time.Time) []*teamAllotment {
 	var due []*teamAllotment
 	for a, ok := s.byDecision.Due(now); ok; a, ok = s.byDecision.Due(now) {
@@ -50,7 +52,7 @@
 // Place implements deadline.Item.
 func (a *teamAllotment) Place() *int { return &a.heapIndex }
 
-// decideDue looks at the allotments that are due.
+// decideDue evaluates the allotments that are due.
 func (l *Ledger) decideDue(now time.Time) []Command {
 	var commands []Command
 	for _, a := range l.schedule.takeDue(now) {
@@ -65,8 +67,9 @@
 	return commands
 }
 
-// nextDecisionAt returns when a is looked at again if nothing is heard of it: an entry may
-// know hundreds of teams of which few have work.
+// nextDecisionAt returns when a is evaluated next if no event concerns it. Most
+// allotments wait for long, because an entry may know hundreds of teams of which few
+// have work.
 func (l *Ledger) nextDecisionAt(now time.Time, a *teamAllotment) time.Time {
 	switch {
 	case l.needsDecisionNow(now, a):
@@ -82,9 +85,9 @@
 	return a.move != nil || !a.known || now.Before(a.demandAt.Add(demandTTL)) || l.stopping
 }
 
-// mayChangeSoon reports whether time alone may call for a move of a: work ends, a mark,
-// a wait or a reclaim runs out. All else that does comes as an event, but for parts
-// that nobody uses, which are no matter of seconds.
+// mayChangeSoon reports whether the passage of time alone may call for a move of a:
+// running requests end, or a mark, a wait or a reclaim expires. All other causes arrive
+// as events, except unused slots, which aren't urgent on a scale of seconds.
 func (l *Ledger) mayChangeSoon(now time.Time, a *teamAllotment) bool {
 	if a.running.count() > 0 || !a.readSentAt.IsZero() || !a.limitKnown || a.team.Sum() > a.limit || !l.rowsAsOf(a).After(a.loweredAt) {
 		return true
@@ -109,7 +112,7 @@
 		!now.Before(a.demandAt.Add(forgetAfter)) && !now.Before(a.usage.lastUsed.Add(forgetAfter))
 }
 
-// forget drops a team that isn't in the schedule.
+// forget removes a team that isn't in the schedule.
 func (l *Ledger) forget(team core.TeamID) {
 	delete(l.teams, team)
 	delete(l.unknownLimits, team)
--- a/core/limit/schedule_test.go
+++ b/core/limit/schedule_test.go
@@ -11,10 +11,11 @@
 	"lavenderpond/core/table"
 )
 
-// Others would wait up to a minute for a part, or for ever for an attested zone's, if
-// an allotment that calls for a move were left unlooked at. Faults come as in
-// TestLimitHolds, with pauses in the work so that allotments become quiet; what isn't
-// looked at within lookEvery must not call for a move, as a look at all would show.
+// Guards against an allotment that needs a move but isn't evaluated: others would wait
+// for slots for up to a minute, or indefinitely for those of a zone attested to be
+// down. Faults are injected as in TestRunningStaysWithinLimit, with pauses in the load
+// so that allotments become quiet. An allotment that isn't evaluated within
+// decideInterval must not need a move if it were evaluated.
 func TestQuietAllotmentsNeedNoMove(t *testing.T) {
 	quiet := 0
 	for seed := range uint64(testSeeds) {
@@ -34,7 +35,8 @@
 	assert.Assert(t, quiet > testSeeds*20)
 }
 
-// checkQuietAllotments returns the number of allotments that aren't looked at soon.
+// checkQuietAllotments checks the entry's allotments that aren't evaluated soon and
+// returns their number.
 func (w *simulation) checkQuietAllotments(t *testing.T, seed uint64, n *testEntry) int {
 	quiet := 0
 	for team, a := range n.ledger.teams {
@@ -48,15 +50,15 @@
 	return quiet
 }
 
-// attest tells all entries that are not paused an operator's attestation.
+// attest sends an operator's attestation about a zone to all entries.
 func (w *simulation) attest(z core.ZoneID, down bool) {
 	for _, n := range w.entries {
 		n.inbox = append(n.inbox, ZoneDown{Zone: z, Down: down, Since: w.now})
 	}
 }
 
-// BenchmarkIdle measures a second of an entry that holds a part of each team's limit
-// and runs nothing: the driver's rounds with what it tells of 7 zones.
+// BenchmarkIdle measures one second of an entry that has slots of each team's limit and
+// runs nothing, including the driver's rounds and its reports on 7 zones.
 func BenchmarkIdle(b *testing.B) {
 	for _, teams := range []int{6, 60, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
@@ -81,7 +83,7 @@
 	}
 }
 
-// settle moves the first parts, and lets the wish for them pass.
+// settle performs the initial moves and waits until the demand for them has expired.
 func (d *demandSimulation) settle(l *Ledger) {
 	for range 100 {
 		d.now = d.now.Add(100 * time.Millisecond)
@@ -89,5 +91,5 @@
 	}
 }
 
-// idleRound is the driver's round when the head hasn't moved.
+// idleRound performs the driver's round for an unchanged configuration head.
 func (d *demandSimulation) idleRound(l *Ledger) { d.execute(l, l.Handle(d.now, Tick{})) }
--- a/core/limit/session_test.go
+++ b/core/limit/session_test.go
@@ -14,13 +14,14 @@
 	"lavenderpond/core/table"
 )
 
-// session is two entries of two zones and their table, written down as it goes.
+// session runs two entries of two zones against one table and records a transcript.
 type session struct {
 	b     strings.Builder
 	table table.Memory
 	now   time.Time
 	a, z  *Ledger
-	// loseAnswers is true while answers of moves are lost; off entries do nothing.
+	// loseAnswers is true while the answers to moves are lost. The stopped entry does
+	// nothing.
 	loseAnswers bool
 	stopped     *Ledger
 }
@@ -53,7 +54,7 @@
 	s.handle(l, Moved{ID: c.ID, Result: result})
 }
 
-// active returns the ledgers whose entries run.
+// active returns the ledgers of the entries that are running.
 func (s *session) active() []*Ledger {
 	if s.stopped == s.z {
 		return []*Ledger{s.a}
@@ -70,7 +71,7 @@
 	}
 }
 
-// start dispatches up to n requests that end by themselves after d.
+// start dispatches up to n requests whose leases end after d.
 func (s *session) start(l *Ledger, n int, d time.Duration) {
 	started := 0
 	for range n {
@@ -100,8 +101,9 @@
 	s.printf("  row %s", s.table.Read(table.TeamAllotmentKey(testTeam)).Value)
 }
 
-// TestSession is the life of a limit: handed out, wanted elsewhere, lowered below what
-// runs, raised with a lost answer, and reclaimed from an entry that died.
+// TestSession records the course of one limit: it is allotted, wanted by another zone,
+// reduced below the number of running requests, raised while an answer is lost, and
+// reclaimed from an entry that died.
 func TestSession(t *testing.T) {
 	s := &session{now: testStart}
 	s.a = &Ledger{Self: "a#1", Zone: "za", MaxLifetime: time.Minute}
@@ -131,8 +133,8 @@
 	golden.Assert(t, s.b.String(), "session.golden")
 }
 
-// An operator attests that zone zz is down, with work of it running. Others may hold
-// its part only once the last lease that its entries could grant has ended.
+// An operator attests that zone zz is down while it has running work. Others may take
+// its slots only after the last lease that its entries could have granted has expired.
 func TestZoneDown(t *testing.T) {
 	first := map[bool]int{}
 	for _, disabled := range []bool{false, true} {
@@ -150,7 +152,7 @@
 				first[disabled] = second
 			}
 		}
-		// The zone comes back and reads its rows: it holds nothing any more.
+		// The zone comes back and reads its rows, which allot nothing to it.
 		s.stopped = nil
 		s.at(first[disabled]+1, "", func() {})
 		assert.Assert(t, !s.z.Acquire(s.now, core.RequestKey{Team: testTeam}, s.now))
@@ -159,8 +161,9 @@
 	assert.Assert(t, first[false] > 62 && first[true] < 62)
 }
 
-// The limit is lowered to half of what runs. Had a given back the part in which its
-// long work runs, z would start again on top of it when its own short work ends.
+// The limit is reduced to half of the running requests. If a gave back the slots of its
+// long-running requests, z would start new requests in addition to them when its own
+// short ones end.
 func TestRunningAllotmentsAreKept(t *testing.T) {
 	most := map[bool]core.Slots{}
 	for _, disabled := range []bool{false, true} {
@@ -187,8 +190,9 @@
 	assert.Assert(t, most[true] > 2)
 }
 
-// FuzzRows feeds the decoders of the allotment rows: whatever they hold, the ledger
-// starts no more than the own part and the limit allow.
+// FuzzRows feeds arbitrary data to the decoders of the allotment rows. Whatever the
+// rows contain, the ledger must start no more requests than its own allotment and the
+// limit permit.
 func FuzzRows(f *testing.F) {
 	f.Add([]byte(`{"limit":4,"zones":{"za":2,"zz":2}}`), []byte(`{"entries":{"a#1":2}}`))
 	f.Add([]byte(`{"zones":{"za":-9}}`), []byte(`{"entries":{"a#1":-1},"reclaim":{"x":"2026-12-02T12:00:00Z"}}`))
--- a/core/limit/usage.go
+++ b/core/limit/usage.go
@@ -6,8 +6,8 @@
 	"lavenderpond/core"
 )
 
-// peakUsage keeps the greatest number of running slots of the last idleFor to twice
-// idleFor. The zero value has seen nothing.
+// peakUsage tracks the peak number of running slots over a period between usageWindow
+// and twice usageWindow. The zero value has no observations.
 type peakUsage struct {
 	windowEnd         time.Time
 	current, previous core.Slots
@@ -25,7 +25,7 @@
 	return max(u.current, u.previous)
 }
 
-// rotate starts a new period once the current one is over.
+// rotate starts a new window if the current one has ended.
 func (u *peakUsage) rotate(now time.Time) {
 	if now.Before(u.windowEnd) {
 		return
