--- a/core/key/bench_test.go
+++ b/core/key/bench_test.go
@@ -10,8 +10,8 @@
 	"lavenderpond/core/table"
 )
 
-// BenchmarkRingMemory measures what a ring keeps, by number of keys, a tenth of them
-// withdrawn, and the time of one check.
+// BenchmarkRingMemory measures the memory of a ring by number of keys, a tenth of them
+// withdrawn, and the time of a check.
 func BenchmarkRingMemory(b *testing.B) {
 	for _, keys := range []int{186, 1860, 18600} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
--- a/core/key/ring.go
+++ b/core/key/ring.go
@@ -1,5 +1,6 @@
-// Package key decides whether a team key is good: which digests belong to which
-// team, which are withdrawn, and whether this entry's list is fresh enough to say.
+// Package key decides whether a team key is valid: it tracks which key digests belong
+// to which team, which of them are withdrawn, and whether this entry's list of keys is
+// fresh enough to decide.
 package key
 
 import (
@@ -11,15 +12,15 @@
 	"lavenderpond/core/table"
 )
 
-// DefaultMaxStaleness is how long the list is trusted after its last evidence, unless
-// Ring.Trust says otherwise. docs/design/keys.md weighs it.
+// DefaultMaxStaleness is the maximum age of the list of keys unless Ring.MaxStaleness
+// is set. See docs/design/keys.md for the trade-off.
 const DefaultMaxStaleness = 10 * time.Second
 
-// MaxStalenessLimit is the greatest value of Ring.Trust.
+// MaxStalenessLimit is the largest effective value of Ring.MaxStaleness.
 const MaxStalenessLimit = 15 * time.Minute
 
-// Withdrawal is the fact that a key ended. Facts are only ever added, and adding
-// one twice changes nothing, so they may be told in any order and any number of
+// Withdrawal records that a key was withdrawn. Withdrawals are only ever added and
+// adding one is idempotent, so they may be delivered in any order and any number of
 // times.
 type Withdrawal struct {
 	Digest core.KeyDigest `json:"digest"`
@@ -28,38 +29,39 @@
 	Reason string         `json:"reason,omitempty"`
 }
 
-// Ring is an entry's list of team keys. Its zero value knows no key and trusts
-// nothing. Not safe for concurrent use.
+// Ring is an entry's list of team keys. The zero value knows no keys and is never
+// fresh. A Ring is not safe for concurrent use.
 type Ring struct {
 	// Zone is the entry's own zone.
 	Zone core.ZoneID
-	// Zones are all zones of the fleet, the own one included.
+	// Zones lists all zones of the fleet, including the own one.
 	Zones []core.ZoneID
-	// MaxStaleness is how long the list is trusted after its last evidence. Zero means
-	// DefaultTrust.
+	// MaxStaleness is how long the list stays fresh after the time up to which it is
+	// known to be complete. Zero means DefaultMaxStaleness.
 	MaxStaleness time.Duration
-	// Started is when this run of the entry began, by its own clock. Zero: only the
-	// entry's own contact with the table lets it join.
+	// Started is when this process of the entry started, by its own clock. If it is
+	// zero, the ring joins its zone only after a table read by the entry itself.
 	Started time.Time
 
 	teams map[core.KeyDigest]core.TeamID
-	// withdrawn only grows. Unrecorded ones were told by an operator or a peer and
-	// haven't been read from the table yet.
+	// withdrawn only grows. unrecorded holds the withdrawals that were received from an
+	// operator or a peer and haven't been read from the table yet.
 	withdrawn  map[core.KeyDigest]bool
 	unrecorded map[core.KeyDigest]Withdrawal
-	// tableReadAt is the send time of the last contact with the table, own or a peer's,
+	// tableReadAt is the send time of the latest table read, by this entry or a peer,
 	// whose withdrawals this ring holds.
 	tableReadAt  time.Time
 	zoneContacts map[core.ZoneID]time.Time
-	// joined is true once the ring surely held what its zone had been told before this
-	// run began. A restarted entry has forgotten it, and speaks for its zone only then.
+	// joined is true once the ring certainly holds everything that its zone had
+	// received before this process started. A restarted entry has lost that state and
+	// represents its zone only after joining.
 	joined bool
 
-	// Switched on in tests only, to see the safeguards fail.
+	// disabled is set by tests only, to show that each safeguard is needed.
 	disabled disabledSafeguards
 }
 
-// unsafe names the safeguards that a test switches off.
+// disabledSafeguards selects the safeguards that a test disables.
 type disabledSafeguards struct {
 	alwaysFresh       bool
 	forgetWithdrawals bool
@@ -67,9 +69,9 @@
 	acceptSingleZone  bool
 }
 
-// Apply takes in rows under "key/" and returns the digests that ended with them.
-// Other rows are ignored. The caller has made sure by row version that no row is
-// older than one applied before; a withdrawal holds in any case.
+// Apply adds the rows under "key/" and returns the digests of the keys that they
+// withdraw. Other rows are ignored. The caller must ensure by row version that no row
+// is older than one applied before. A withdrawal takes effect regardless of the order.
 func (r *Ring) Apply(rows []table.Row) []core.KeyDigest {
 	var ended []core.KeyDigest
 	for _, row := range rows {
@@ -94,8 +96,8 @@
 	return ended
 }
 
-// Withdraw takes in withdrawals told by an operator or a peer, which may not have
-// reached the table, and returns the digests that ended with them.
+// Withdraw adds withdrawals received from an operator or a peer, which may not be in
+// the table yet, and returns the digests of the keys that weren't withdrawn before.
 func (r *Ring) Withdraw(withdrawals ...Withdrawal) []core.KeyDigest {
 	var ended []core.KeyDigest
 	for _, w := range withdrawals {
@@ -107,8 +109,8 @@
 	return ended
 }
 
-// Unrecorded returns the withdrawals that weren't read from the table yet, by
-// digest: they have to be written there and told to peers.
+// Unrecorded returns the withdrawals that haven't been read from the table yet, sorted
+// by digest. They must be written to the table and sent to peers.
 func (r *Ring) Unrecorded() []Withdrawal {
 	list := make([]Withdrawal, 0, len(r.unrecorded))
 	for _, w := range r.unrecorded {
@@ -118,19 +120,20 @@
 	return list
 }
 
-// Withdrawn reports whether the key of digest d ended. Queued requests that came
-// with it are refused, running ones finish.
+// Withdrawn reports whether the key with digest d is withdrawn. Queued requests that
+// were submitted with it are refused; running ones finish.
 func (r *Ring) Withdrawn(d core.KeyDigest) bool { return r.withdrawn[d] }
 
-// Complete tells that the ring holds every withdrawal that the table held when this
-// entry's own read left, at sent.
+// Complete records that the ring holds every withdrawal that was in the table when this
+// entry's own read was sent, at sent.
 func (r *Ring) Complete(sent time.Time) {
 	r.tableReadAt = latest(r.tableReadAt, sent)
 	r.joined = true
 }
 
-// RecordZoneContact tells of an answer from an entry of zone z, which has joined, to a message
-// that left here at sent. All that it told was taken in before.
+// RecordZoneContact records that an entry of zone z, which has joined, answered a
+// message sent by this entry at sent. The contents of the answer must have been added
+// to the ring before.
 func (r *Ring) RecordZoneContact(z core.ZoneID, sent time.Time) {
 	put(&r.zoneContacts, z, latest(r.zoneContacts[z], sent))
 	if z == r.Zone && !r.Started.IsZero() && !sent.Before(r.Started) {
@@ -139,8 +142,8 @@
 	r.tryJoin()
 }
 
-// tryJoin lets the ring speak for its zone if what it was told by others covers the
-// time before this run began.
+// tryJoin lets the ring represent its zone if the data received from others covers the
+// time before this process started.
 func (r *Ring) tryJoin() {
 	if r.joined || r.Started.IsZero() {
 		return
@@ -155,15 +158,16 @@
 	return a
 }
 
-// CompleteAsOf returns the instant up to which the ring surely holds all accepted
-// withdrawals: the later of the table's word and that of a majority of zones. A
-// withdrawal is accepted once the table and a majority of zones have it, or all
-// zones, so each kind of evidence meets it. Demanding every zone instead would let
-// the loss of one zone during a table outage stop all the others.
+// CompleteAsOf returns the time up to which the ring certainly holds all accepted
+// withdrawals: the later of the latest table read and the latest contact with a
+// majority of zones. A withdrawal is accepted once the table and a majority of zones
+// have it, or all zones have it, so either evidence covers every accepted withdrawal.
+// If every zone were required, the loss of one zone during a table outage would stop
+// all others.
 func (r *Ring) CompleteAsOf() time.Time { return latest(r.tableReadAt, r.zoneMajorityAt()) }
 
-// zoneMajorityAt returns the latest instant since which a majority of zones was heard,
-// or zero. The own zone counts without being heard once the ring has joined.
+// zoneMajorityAt returns the latest time since which a majority of zones has been
+// contacted, or zero. The own zone counts without a contact once the ring has joined.
 func (r *Ring) zoneMajorityAt() time.Time {
 	needed := len(r.Zones)/2 + 1
 	if r.joined {
@@ -185,7 +189,7 @@
 	return heard[needed-1]
 }
 
-// FreshUntil returns when the list stops being trusted, if nothing is heard.
+// FreshUntil returns when the list becomes stale if no further data is received.
 func (r *Ring) FreshUntil() time.Time {
 	evidence := r.CompleteAsOf()
 	if evidence.IsZero() {
@@ -198,23 +202,23 @@
 	return evidence.Add(min(trust, MaxStalenessLimit))
 }
 
-// Fresh reports whether the list is trusted at now. In a fleet of one zone an entry
-// that has joined is told everything directly.
+// Fresh reports whether the list is fresh at now. In a fleet with a single zone, an
+// entry that has joined receives everything directly.
 func (r *Ring) Fresh(now time.Time) bool {
 	alone := r.joined && len(r.Zones) == 1
 	return alone || r.disabled.alwaysFresh || now.Before(r.FreshUntil())
 }
 
-// Check decides whether a request of team may be accepted under the digest of the
-// key that came with it. The code is CodeKeyWithdrawn, CodeKeysStale (another entry
-// or a later try may do better) or CodeBadKey.
+// Check decides whether a request of team may be accepted with a key of digest d. If
+// not, the code is CodeKeyWithdrawn, CodeKeysStale (another entry or a later attempt
+// may succeed) or CodeBadKey.
 func (r *Ring) Check(now time.Time, team core.TeamID, d core.KeyDigest) (core.Code, bool) {
 	if r.withdrawn[d] {
 		return core.CodeKeyWithdrawn, false
 	}
 	if !r.Fresh(now) {
-		// Without this, an entry that is cut off from the table and from other zones
-		// would accept a withdrawn key until the cut heals.
+		// Without this check, an entry cut off from the table and from other zones
+		// would accept a withdrawn key until the connection is restored.
 		return core.CodeKeysStale, false
 	}
 	if owner, ok := r.teams[d]; !ok || owner != team {
@@ -223,13 +227,13 @@
 	return core.CodeDone, true
 }
 
-// Team returns the team of a known digest.
+// Team returns the team to which a known digest belongs.
 func (r *Ring) Team(d core.KeyDigest) (core.TeamID, bool) {
 	t, ok := r.teams[d]
 	return t, ok
 }
 
-// Len returns how many digests the ring knows, and how many of them ended.
+// Len returns the number of known digests and the number of withdrawn ones.
 func (r *Ring) Len() (known, withdrawn int) { return len(r.teams), len(r.withdrawn) }
 
 func (r *Ring) markWithdrawn(d core.KeyDigest) bool {
@@ -240,9 +244,9 @@
 	return true
 }
 
-// applyGrant does nothing: a row without the mark may be older than a withdrawal that
-// was told directly, so it never ends one. The test's switch shows what would
-// happen.
+// applyGrant does nothing in production. A row that isn't marked as withdrawn may be
+// older than a withdrawal received directly, so it never reverts a withdrawal. Tests
+// disable this rule to show its effect.
 func (r *Ring) applyGrant(d core.KeyDigest) {
 	if r.disabled.forgetWithdrawals {
 		delete(r.withdrawn, d)
--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -24,27 +24,29 @@
 
 var testStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// keyWorld is entries of five zones with real views and rings, a table that fails,
-// cuts between zones, and operators who grant and withdraw.
+// simulation runs entries of five zones with real views and rings, with an unreliable
+// table, network partitions between zones, and operators that grant and withdraw keys.
 type simulation struct {
 	r         *rand.Rand
 	now       time.Time
 	table     table.Memory
 	tableDown bool
 	entries   []*testEntry
-	// partition parts the zones into those that reach one another; apart ones don't reach
-	// the table.
+	// partition assigns each zone to a network partition. Zones in cutFromTable don't
+	// reach the table.
 	partition    map[core.ZoneID]int
 	cutFromTable map[core.ZoneID]bool
 	unsafe       disabledSafeguards
-	// scriptedFaults is true if the test itself makes the faults and changes.
+	// scriptedFaults is true if the test injects the faults and changes itself.
 	scriptedFaults bool
-	// dateOnReceipt dates evidence when the answer comes instead of at the send.
+	// dateOnReceipt dates evidence when the answer arrives instead of when the request
+	// is sent.
 	dateOnReceipt bool
 	idCount       int
 	keys          []*testKey
-	// violations counts checks that accepted a key after its withdrawal was accepted and
-	// the trust was over; slowest is the longest that a withdrawn key worked.
+	// violations counts checks that accepted a withdrawn key: either after its
+	// acceptance and the maximum staleness, or after the entry had refused it.
+	// maxRefusalDelay is the longest time for which a withdrawn key was accepted.
 	violations, checks, refusals int
 	maxRefusalDelay              time.Duration
 	forgottenCount               int
@@ -119,13 +121,13 @@
 	w.check()
 }
 
-// message is an answer on its way.
+// message is an answer in transit.
 type message struct {
 	deliverAt time.Time
 	deliver   func()
 }
 
-// send delivers an answer with the next step, or holds it up for up to a minute.
+// send delivers an answer with the next step, or delays it by up to a minute.
 func (w *simulation) send(e *testEntry, deliver func()) {
 	at := w.now
 	if w.chance(3) {
@@ -134,7 +136,7 @@
 	e.inbox = append(e.inbox, message{deliverAt: at, deliver: deliver})
 }
 
-// injectPartitions lets zones and the table be lost and come back.
+// injectPartitions cuts off zones and the table and restores them.
 func (w *simulation) injectPartitions() {
 	if w.chance(1) {
 		w.tableDown = !w.tableDown
@@ -151,7 +153,7 @@
 	}
 }
 
-// runOperator grants a new key, or withdraws one that may not be granted yet.
+// runOperator grants a new key, or withdraws one that may not have been granted yet.
 func (w *simulation) runOperator() {
 	if w.chance(40) || len(w.keys) == 0 {
 		k := w.newKey()
@@ -175,8 +177,8 @@
 	return k
 }
 
-// withdraw sends a withdrawal to the entries and the table, as the command does. It
-// is accepted once the table and a majority of zones have it, or all zones.
+// withdraw sends a withdrawal to the entries and the table, as the operator command
+// does. It is accepted once the table and a majority of zones have it, or all zones.
 func (w *simulation) withdraw(k *testKey) {
 	w.withdrawAt(k, w.partition[testZones[w.r.IntN(len(testZones))]])
 }
@@ -202,7 +204,8 @@
 	}
 }
 
-// record writes what an entry was told to the table, as its watcher does.
+// record writes the withdrawals that an entry received directly to the table, as the
+// entry's watcher does.
 func (w *simulation) record(e *testEntry) {
 	if w.cutFromTable[e.ring.Zone] || w.chance(70) {
 		return
@@ -219,8 +222,8 @@
 	return w.table.Read(table.KeyKey(d)).Decode(&k) == nil && k.Withdrawn
 }
 
-// forgotten reports whether a withdrawal that isn't in the table is known to no entry
-// of some zone any more, since all that were told restarted.
+// forgotten reports whether a withdrawal that isn't in the table is no longer known to
+// any entry of some zone, because all entries that had received it restarted.
 func (w *simulation) forgotten(k *testKey) bool {
 	holders := map[core.ZoneID]bool{}
 	for _, e := range w.entries {
@@ -255,7 +258,7 @@
 	return sent.Add(e.clockOffset)
 }
 
-// read reads the table; the answer comes later.
+// read reads the table. The answer arrives later.
 func (w *simulation) read(e *testEntry) {
 	if w.tableDown || w.cutFromTable[e.ring.Zone] || w.chance(70) {
 		return
@@ -275,7 +278,7 @@
 	})
 }
 
-// exchange asks another entry; the answer comes later.
+// exchange requests the state of another entry. The answer arrives later.
 func (w *simulation) exchange(e, other *testEntry) {
 	if e == other || w.partition[e.ring.Zone] != w.partition[other.ring.Zone] {
 		return
@@ -293,9 +296,10 @@
 	})
 }
 
-// deadlineStart returns the instant from which the trust counts for e. An entry that started
-// after a withdrawal that wasn't in the table yet learns it from its zone, or from the
-// table once it is recorded.
+// deadlineStart returns the time from which e has the maximum staleness to refuse k. An
+// entry that started after a withdrawal that wasn't in the table yet learns of it from
+// its zone, or from the table once it is recorded, so for that entry the time starts
+// later.
 func (w *simulation) deadlineStart(k *testKey, e *testEntry) time.Time {
 	started := e.ring.Started.Add(-e.clockOffset)
 	if k.recordedAt.IsZero() && w.recorded(k.digest) {
@@ -322,7 +326,7 @@
 				continue
 			}
 			if k.refusedBy[e] {
-				w.violations++ // A withdrawn key came back.
+				w.violations++ // A key that the entry had refused as withdrawn was accepted.
 			}
 			if k.acceptedAt.IsZero() {
 				continue
@@ -336,10 +340,11 @@
 	}
 }
 
-// A withdrawn key goes on working: the table is down or its answers are late, zones
-// are cut off from one another or from the table, entries restart and have forgotten
-// what they were told, and the key is granted again in a race. Once the withdrawal is
-// accepted, every entry refuses within the trust, and no entry takes the key back.
+// Guards against a withdrawn key that remains usable. The table is down or its answers
+// are late, zones are partitioned from one another or from the table, entries restart
+// and lose what they had received, and the key is granted again concurrently. Once the
+// withdrawal is accepted, every entry must refuse the key within the maximum staleness,
+// and no entry may accept it again.
 func TestWithdrawnKeyStopsWorking(t *testing.T) {
 	const seeds = 60
 	for _, disabled := range []struct {
@@ -371,10 +376,12 @@
 	}
 }
 
-// A key works on in a part of the fleet. Two of five zones are cut off while a
-// withdrawal is accepted by the other three. Then the third zone's entries restart and
-// land on the side that knows nothing: three zones hear one another, a majority, but
-// the one of them that was told has forgotten, so it must not speak for its zone.
+// Guards against a withdrawn key that remains usable in part of the fleet. Two of five
+// zones are cut off while a withdrawal is accepted by the other three. Then the entries
+// of the third zone restart and end up in the partition that hasn't received the
+// withdrawal. Its three zones reach one another and form a majority, but the only one
+// of them that had received the withdrawal has lost it, so it must not represent its
+// zone.
 func TestRestartedEntryDoesNotSpeakForZone(t *testing.T) {
 	violations := map[bool]int{}
 	for _, disabled := range []bool{false, true} {
--- a/core/key/session_test.go
+++ b/core/key/session_test.go
@@ -14,8 +14,9 @@
 	"lavenderpond/core/table"
 )
 
-// TestSession is the life of three keys at one entry: granted, withdrawn directly while
-// the table is down, and checked until the entry, cut off from all, trusts nothing.
+// TestSession records the course of three keys at one entry: granted, withdrawn
+// directly while the table is down, and checked until the entry is cut off from
+// everything and its list becomes stale.
 func TestSession(t *testing.T) {
 	var b strings.Builder
 	r := Ring{Zone: "za", Zones: []core.ZoneID{"za", "zb", "zc"}, Started: testStart}
@@ -51,8 +52,9 @@
 	golden.Assert(t, b.String(), "session.golden")
 }
 
-// FuzzRingApply feeds the decoder of key rows. Whatever they hold, a withdrawn key
-// stays withdrawn, and nothing but a row of the team makes a key good.
+// FuzzRingApply feeds arbitrary data to the decoder of key rows. Whatever the rows
+// contain, a withdrawn key stays withdrawn, and only a row of the team makes a key
+// valid.
 func FuzzRingApply(f *testing.F) {
 	f.Add([]byte(`{"team":"frames"}`))
 	f.Add([]byte(`{"team":"frames","withdrawn":false}`))
--- a/core/key/summary.go
+++ b/core/key/summary.go
@@ -7,26 +7,27 @@
 	"lavenderpond/core"
 )
 
-// Summary is what an entry tells a peer of its ring, beside the rows: its evidence
-// and the withdrawals that aren't in the table yet.
+// Summary is what an entry sends to a peer about its ring in addition to the rows: how
+// current its ring is and the withdrawals that aren't in the table yet.
 type Summary struct {
-	// Complete is the evidence by the table, on the teller's clock.
+	// Complete is the time of the latest table read, on the sender's clock.
 	Complete time.Time
-	// Contacts are the zones that the teller heard, on its clock.
+	// Contacts maps each zone to the sender's latest contact with it, on the sender's
+	// clock.
 	Contacts map[core.ZoneID]time.Time
-	// Joined is true if the teller speaks for its zone.
+	// Joined is true if the sender represents its zone.
 	Joined      bool
 	Withdrawals []Withdrawal
 }
 
-// Summary returns what to tell a peer.
+// Summary returns the data to send to a peer.
 func (r *Ring) Summary() Summary {
 	return Summary{Complete: r.tableReadAt, Contacts: maps.Clone(r.zoneContacts), Joined: r.joined, Withdrawals: r.Unrecorded()}
 }
 
-// Merge takes in a peer's summary, and returns the digests that ended with it. The
-// peer's evidence counts only if every row that the peer had was applied first, and
-// is dated back by the clock skew bound.
+// Merge adds a peer's summary and returns the digests of the keys that it withdraws.
+// The peer's times are used only if every row that the peer had was applied first, and
+// they are reduced by the maximum clock skew.
 func (r *Ring) Merge(s Summary, caughtUp bool, skew time.Duration) []core.KeyDigest {
 	ended := r.Withdraw(s.Withdrawals...)
 	if !caughtUp {
