--- a/core/retry/failed_targets.go
+++ b/core/retry/failed_targets.go
@@ -7,19 +7,19 @@
 	"lavenderpond/core"
 )
 
-// MaxTargets is how many different targets may refuse or fail a request before
-// it is given up.
+// MaxTargets is the number of different targets that may refuse or fail a request
+// before it is abandoned.
 const MaxTargets = 3
 
-// FailedTargets records the targets that refused or failed one request. Its zero value
-// has none. A target that was full, leaving or out of reach says nothing about
-// the request and isn't added.
+// FailedTargets records the targets that refused or failed one request. The zero value
+// is empty. A target that was full, leaving or unreachable isn't added, because that
+// doesn't depend on the request.
 type FailedTargets struct {
 	targets        []core.VMID
 	mayHaveStarted bool
 }
 
-// Add records that vm refused or failed the request after it got as far as p.
+// Add records that vm refused or failed the request after the dispatch got as far as p.
 func (t *FailedTargets) Add(vm core.VMID, p Progress) {
 	if p == Sent {
 		t.mayHaveStarted = true
@@ -29,12 +29,12 @@
 	}
 }
 
-// Targets returns the targets added so far, to be avoided by the next try.
+// Targets returns the recorded targets, which the next attempt should avoid.
 func (t *FailedTargets) Targets() []core.VMID { return t.targets }
 
-// Exhausted reports whether the request has been given up, and its final answer:
-// cannot_run if every target said that it did not start the request, else
-// target_failed, since not_run would be untrue.
+// Exhausted reports whether the request is abandoned, and returns its final answer:
+// cannot_run if every target reported that it didn't start the request, and
+// target_failed otherwise, because not_run would be incorrect then.
 func (t *FailedTargets) Exhausted() (core.Answer, bool) {
 	if len(t.targets) < MaxTargets {
 		return nil, false
--- a/core/retry/progress.go
+++ b/core/retry/progress.go
@@ -1,15 +1,16 @@
 package retry
 
-// Progress says how far a dispatch got before it failed.
+// Progress describes how far a dispatch got before it failed.
 type Progress int
 
-// The degrees of progress. The zero value is the one that allows least.
+// Values of Progress. The zero value is the one that permits the fewest retries.
 const (
-	// Sent: bytes left for the target and it may have started the request.
+	// Sent means that bytes were sent to the target, which may have started the
+	// request.
 	Sent Progress = iota
-	// Refused: the target said that it did not start the request.
+	// Refused means that the target reported that it didn't start the request.
 	Refused
-	// NotSent: nothing left this process.
+	// NotSent means that nothing was sent.
 	NotSent
 )
 
@@ -24,8 +25,8 @@
 }
 
 // SafeToRetry reports whether a request may be sent again after a dispatch that got as
-// far as p. A non-idempotent request that may have started is never sent again:
-// it would run twice.
+// far as p. A non-idempotent request that may have started is never sent again, because
+// it could run twice.
 func SafeToRetry(p Progress, idempotent bool) bool {
 	switch p {
 	case NotSent, Refused:
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -13,8 +13,8 @@
 
 var t0 = time.Unix(1_800_000_000, 0).UTC()
 
-// checkRetryBound asks for a retry after each first attempt and up to ten times more, as
-// in an outage, and fails when more were allowed than the budget says.
+// checkRetryBound requests up to nine retries after each step, as in an outage, and
+// returns an error if more are allowed than the budget permits.
 func checkRetryBound(rng *rand.Rand, unbounded bool) error {
 	b := TokenBucket{Ratio: 0.05 + rng.Float64()/4, Burst: float64(1 + rng.IntN(20)), unbounded: unbounded}
 	first, allowed := 0, 0
@@ -70,8 +70,9 @@
 	assert.Assert(t, !SafeToRetry(Progress(7), false), "an unknown progress must allow least")
 }
 
-// A request that fails everywhere would visit every target until its deadline. It
-// ends after MaxTargets different ones; not_run only if none of them started it.
+// Guards against a request that fails everywhere and is sent to every target until its
+// deadline. It must end after MaxTargets different targets, with not_run only if none
+// of them started it.
 func TestFailedTargetsAreBounded(t *testing.T) {
 	var refused, failed FailedTargets
 	for n := range MaxTargets {
--- a/core/retry/token_bucket.go
+++ b/core/retry/token_bucket.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// The defaults of a TokenBucket.
+// Defaults of a TokenBucket.
 const (
-	// DefaultRatio is the share of first attempts that may be retried.
+	// DefaultRatio is the number of retries allowed per first attempt.
 	DefaultRatio = 0.1
-	// DefaultBurst is how many retries may come at once after quiet times.
+	// DefaultBurst is the maximum number of saved retries, which may be used at once.
 	DefaultBurst = 10
-	// DefaultStep is the unit of back-off.
+	// DefaultStep is the base delay of the backoff.
 	DefaultStep = 250 * time.Millisecond
-	// DefaultMaxBackoff bounds the back-off.
+	// DefaultMaxBackoff is the maximum backoff.
 	DefaultMaxBackoff = 5 * time.Second
 )
 
-// Growth says how the back-off grows with the number of retries.
+// Growth selects how the backoff grows with the number of retries.
 type Growth int
 
-// The ways in which a back-off grows.
+// Values of Growth.
 const (
-	// Exponential doubles the back-off with each retry.
+	// Exponential doubles the backoff with each retry.
 	Exponential Growth = iota
-	// Linear adds a step with each retry.
+	// Linear adds one step with each retry.
 	Linear
 )
 
-// TokenBucket is a Budget: a first attempt earns Ratio of a retry, at most Burst
-// retries are saved. So over any time retries are at most Ratio of the first
-// attempts plus Burst, however much fails. Its zero value works, with defaults.
+// TokenBucket implements Budget. Each first attempt adds Ratio of a retry to the
+// bucket, which holds at most Burst retries. Over any period, the number of retries is
+// therefore at most Ratio times the number of first attempts plus Burst, regardless of
+// how many requests fail. The zero value is ready to use with the defaults.
 type TokenBucket struct {
 	Ratio float64
 	Burst float64
-	// Step and MaxBackoff shape the back-off.
+	// Step and MaxBackoff determine the backoff.
 	Step, MaxBackoff time.Duration
 	Growth           Growth
-	// Rand gives the jitter. Entries should be seeded differently.
+	// Rand is the source of jitter. Each entry should use a different seed.
 	Rand *rand.Rand
 
-	// spent counts the retries taken and not yet earned back.
+	// spent is the number of retries taken and not yet replenished by first attempts.
 	spent float64
-	// unbounded switches the budget off, in tests only.
+	// unbounded disables the budget, in tests only.
 	unbounded bool
 }
 
@@ -65,8 +66,8 @@
 	return true
 }
 
-// Backoff implements Budget. The retry starts at a random time in the second
-// half of the back-off, so requests that failed together don't return together.
+// Backoff implements Budget. The retry starts at a random time in the second half of
+// the backoff, so that requests that failed together aren't retried together.
 func (b *TokenBucket) Backoff(now time.Time, n int) time.Time {
 	d := b.backoffDelay(max(1, n))
 	if b.Rand == nil {
