--- a/core/route/least/bench_test.go
+++ b/core/route/least/bench_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/route"
 )
 
-// BenchmarkPick starts and ends a request at an entry with that many targets in
-// five pools, all but the reserve of their slots free.
+// BenchmarkPick starts and ends a request at an entry with n targets in five pools. No
+// slots are in use, so overflow may use all of them but the reserve.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		for _, overflow := range []bool{false, true} {
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkIdle asks for the idle slots, as each Push does.
+// BenchmarkIdle computes the number of idle slots, as each Push does.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/core/route/least/eject.go
+++ b/core/route/least/eject.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// minHealthResults is how many results are needed to judge a target.
+	// minHealthResults is the number of results required to assess a target.
 	minHealthResults = 5
-	// outlierMargin is how much more often than the rest of its pool a target must
-	// fail. A request that fails everywhere raises all targets alike, so it makes
-	// no outlier.
+	// outlierMargin is the amount by which a target's failure rate must exceed the mean
+	// of the rest of its pool. A request that fails everywhere raises the rates of all
+	// targets alike, so it doesn't produce outliers.
 	outlierMargin = 0.4
-	// failingRate is the share of failures above which a target is paced even if
-	// its pool fails alike. A single success brings a target below it.
+	// failingRate is the failure rate above which a target is paced even if its whole
+	// pool is failing. A single success brings the rate below it.
 	failingRate = 0.9
-	// probeBackoffStep is added to the time before a probe with each ejection in a row.
+	// probeBackoffStep is added to the delay before a probe with each consecutive
+	// ejection.
 	probeBackoffStep = 2 * time.Second
 	maxProbeBackoff  = 30 * time.Second
-	// probeFallbackAfter is for how long a probe waits for a request that may be
-	// repeated. Without an end, a pool that gets no such request would never have
-	// the target back.
+	// probeFallbackAfter is how long a probe is reserved for requests that may be
+	// repeated. Without this limit, a pool that receives no such requests would never
+	// restore the target.
 	probeFallbackAfter = 30 * time.Second
-	// probesToReturn is how many probes must succeed in a row.
+	// probesToReturn is the number of consecutive successful probes required.
 	probesToReturn = 3
 )
 
@@ -36,16 +37,17 @@
 	if !r.outlier(t) {
 		t.health = healthy
 		if t.resultCount >= minHealthResults && t.failureRate > failingRate && !r.disabled.pacing {
-			// The whole pool fails, so no target is an outlier. Work that can't be
-			// repeated would be lost on it as fast as it comes; paced, it waits or is
-			// refused, and is known not to have run. One success ends it.
+			// The whole pool is failing, so no target is an outlier. Requests that
+			// can't be repeated would fail as fast as they arrive. With pacing they
+			// wait or are refused, and are known not to have run. A single success ends
+			// the pacing.
 			t.health = suspect
 		}
 		return
 	}
-	// A target that fails everything quickly looks idle and would draw all work of
-	// the pool to it. Ejecting it stops that. But ejecting is taking capacity out,
-	// so it may never exceed what is left of the availability budget.
+	// A target that quickly fails every request appears idle and would attract all
+	// requests of the pool, so it is ejected. Because an ejection reduces capacity, it
+	// must never exceed the remaining availability budget.
 	if r.disabled.ejectionBound || r.ejectedIn(t.Pool) < r.pools[t.Pool].MaxEjected {
 		r.eject(now, t)
 		return
@@ -53,12 +55,13 @@
 	t.health = suspect
 }
 
-// handleProbeResult returns a target whose probes succeed, and waits longer otherwise.
+// handleProbeResult restores t after enough successful probes and increases the delay
+// after a failed one.
 func (r *Router) handleProbeResult(now time.Time, t *target, result route.Result) {
 	if result != route.Succeeded {
 		t.probeSuccesses = 0
-		// What was under way at the ejection isn't a probe: eight requests that fail
-		// together are no reason to wait eight times as long.
+		// Requests that were running when the target was ejected aren't probes. Eight
+		// requests that fail together must not increase the delay eight times.
 		if !now.Before(t.probeAt) {
 			r.eject(now, t)
 		}
@@ -78,7 +81,7 @@
 	t.probeAt = now.Add(min(time.Duration(t.ejections)*probeBackoffStep, maxProbeBackoff))
 }
 
-// restore returns t to the pool with a clean record.
+// restore returns t to the pool and resets its statistics.
 func (t *target) restore() {
 	t.health = healthy
 	t.ejections = 0
@@ -101,8 +104,8 @@
 	return n > 0 && t.failureRate > sum/float64(n)+outlierMargin
 }
 
-// ejectedIn counts the ejected targets of the pool, those on probe included:
-// their capacity is out until they have shown that they work.
+// ejectedIn returns the number of ejected targets in the pool, including those being
+// probed. Their capacity is unavailable until they have been shown to work.
 func (r *Router) ejectedIn(pool poolID) int {
 	n := 0
 	for _, t := range r.byPool[pool] {
@@ -113,8 +116,8 @@
 	return n
 }
 
-// enforceEjectionBudget returns targets to a pool whose budget has shrunk below what is
-// ejected, the least failing first.
+// enforceEjectionBudget returns ejected targets to a pool whose budget has shrunk,
+// starting with the lowest failure rate. They become suspect.
 func (r *Router) enforceEjectionBudget(pool poolID) {
 	for r.ejectedIn(pool) > r.pools[pool].MaxEjected && !r.disabled.ejectionBound {
 		var best *target
@@ -127,7 +130,7 @@
 	}
 }
 
-// canStart reports whether the health of t allows one more request now.
+// canStart reports whether the health of t permits one more request now.
 func (r *Router) canStart(now time.Time, t *target, noProbe bool) bool {
 	switch {
 	case now.Before(t.pausedUntil), t.awaitingTest(now):
--- a/core/route/least/least.go
+++ b/core/route/least/least.go
@@ -1,10 +1,11 @@
-// Package least is the router of real entries: the target that is least loaded
-// for its speed, within the slots that other entries use too.
+// Package least provides the router used in production. It selects the target with the
+// lowest load relative to its speed, within the slots that it shares with other
+// entries.
 //
-// Each entry has a part of a target's slots and borrows the others' parts while
-// they don't want them. An answer of "full" is normal: it teaches how many slots
-// the others use and ends the borrowing for a while. Targets that fail much more
-// than their pool are ejected within the pool's budget.
+// Each entry has a share of a target's slots and borrows from the shares of other
+// entries while they don't need them. A Full result is normal: it shows how many slots
+// the others use, and suspends borrowing for a while. Targets with a much higher
+// failure rate than the rest of their pool are ejected, within the pool's budget.
 package least
 
 import (
@@ -17,24 +18,26 @@
 	"lavenderpond/core/route"
 )
 
-// DefaultLendReserve is how many slots of each target are kept free for its own
-// pool when other queues overflow into it. Urgent work leaves none: with a reserve,
-// it waited in a full fleet for its own pool while slots elsewhere came free.
+// DefaultLendReserve is the number of slots of each target that are kept free for the
+// target's own pool when other queues overflow into it. Urgent requests leave no
+// reserve: with one, they would wait in a full fleet for their own pool while slots
+// become free elsewhere.
 const DefaultLendReserve = 2
 
 type poolID = core.PoolID
 
-// Router is the least-loaded route.Router. Its zero value works, with a fixed
-// seed.
+// Router is the least-loaded route.Router. The zero value is ready to use, with a fixed
+// random seed.
 type Router struct {
-	// Rand breaks ties. Entries should be seeded differently, or they choose the
-	// same target at once.
+	// Rand breaks ties. Each entry should use a different seed; otherwise all entries
+	// select the same target at the same time.
 	Rand *rand.Rand
-	// LendReserve is how many slots of each target overflow leaves free; zero means
-	// DefaultLendReserve, below zero none.
+	// LendReserve is the number of slots of each target that overflow leaves free. Zero
+	// means DefaultLendReserve, and a negative value means none.
 	LendReserve core.Slots
-	// Entries is how many entries share the targets; it may change at any time.
-	// Below 2 the router takes itself to be alone, though a target may be full.
+	// Entries is the number of entries that share the targets. It may change at any
+	// time. With a value below 2, the router assumes that no other entry uses the
+	// targets, although a target may still be full.
 	Entries int
 
 	targets   map[core.VMID]*target
@@ -42,11 +45,11 @@
 	pools     map[poolID]route.Pool
 	poolOrder []poolID
 	meanRuns  map[poolID]float64
-	// disabled switches safeguards off, in tests only.
+	// disabled is set by tests only, to show that each safeguard is needed.
 	disabled disabledSafeguards
 }
 
-// disabledSafeguards name the safeguards that a test may switch off to see it fail.
+// disabledSafeguards selects the safeguards that a test disables.
 type disabledSafeguards struct {
 	ejectionBound, slotBound, ejection, pacing bool
 }
@@ -74,8 +77,8 @@
 	}
 }
 
-// setTargets takes over the new targets. One that left keeps its count until its last
-// request has ended, since it may come back before that.
+// setTargets replaces the targets. A target that left is kept until its last request
+// has ended, because it may return before that and its count is then still needed.
 func (r *Router) setTargets(targets []route.Target) {
 	for _, t := range r.targets {
 		t.listed = false
@@ -117,7 +120,8 @@
 	return best.VM, true
 }
 
-// bestOverflow returns a target of the pool that lends with the most free slots.
+// bestOverflow returns the best target of another pool that lends idle slots, from the
+// pool whose best target has the most free slots.
 func (r *Router) bestOverflow(now time.Time, criteria route.Criteria) *target {
 	var best *target
 	most := core.Slots(0)
@@ -136,7 +140,8 @@
 	return best
 }
 
-// reserve is how many slots of each target a request of another queue leaves free.
+// reserve returns the number of slots of each target that a request of another queue
+// leaves free.
 func (r *Router) reserve(criteria route.Criteria) core.Slots {
 	switch {
 	case criteria.Urgent:
@@ -148,8 +153,8 @@
 	}
 }
 
-// best returns the target of the pool with the lowest score that has more than
-// reserve slots free, starting at a random one so that ties are spread.
+// best returns the target of the pool with the lowest score that has more than reserve
+// free slots. The search starts at a random target, so that ties are distributed.
 func (r *Router) best(now time.Time, pool poolID, criteria route.Criteria, reserve core.Slots) *target {
 	targets := r.byPool[pool]
 	if len(targets) == 0 {
@@ -175,8 +180,9 @@
 	return best
 }
 
-// score is the time that the target's slots need for what they hold and one more
-// request: a slow VM gets fewer, and one that fails counts as slower still.
+// score estimates the time that the target's slots need for their current requests and
+// one more. A slow VM receives fewer requests, and failures count as additional
+// slowness.
 func score(t *target, free core.Slots, mean float64, noProbe bool) float64 {
 	run := t.meanRun
 	if run == 0 {
@@ -187,8 +193,8 @@
 		return math.Inf(1)
 	}
 	if t.health != healthy {
-		// A target that may be tried takes the next request, or it would wait for as
-		// long as any other target has a slot and never return.
+		// A target that may be tried must take the next request. Otherwise it would
+		// wait as long as any other target has a free slot, and never be restored.
 		return 0
 	}
 	return held / float64(t.capacity()) * run * (1 + t.failureRate)
@@ -198,7 +204,8 @@
 func (r *Router) Started(now time.Time, vm core.VMID) {
 	t := r.targets[vm]
 	if t == nil {
-		// It left between Pick and Started: the count is kept until it ends.
+		// The target left between Pick and Started. Its count is kept until the request
+		// ends.
 		t = &target{Target: route.Target{VM: vm}}
 		if r.targets == nil {
 			r.targets = make(map[core.VMID]*target)
@@ -210,8 +217,8 @@
 		t.testSentAt = now
 	}
 	if t.health == suspect {
-		// A suspect that can't be ejected takes no more of the pool's work than one
-		// slot of a healthy target does, however quickly it fails.
+		// A suspect target that can't be ejected receives no more requests than one
+		// slot of a healthy target, regardless of how quickly it fails them.
 		t.nextStartAt = now.Add(secondsOf(r.meanRun(t.Pool)))
 	}
 }
@@ -297,7 +304,7 @@
 	return idle
 }
 
-// Ejected returns the targets of the pool that get only probes, for operators.
+// Ejected returns the ejected targets of the pool, for operators.
 func (r *Router) Ejected(pool core.PoolID) []core.VMID {
 	var vms []core.VMID
 	for _, t := range r.byPool[pool] {
--- a/core/route/least/property_test.go
+++ b/core/route/least/property_test.go
@@ -23,8 +23,8 @@
 	return list
 }
 
-// randomWalk makes n random steps: picks, ends with any result, and updates that change
-// the budget. After each step, check is called.
+// randomWalk performs n random steps: picks, ends with random results, and updates that
+// change the budget. It calls check after each step.
 func randomWalk(r *Router, rng *rand.Rand, n int, check func(maxEjected int) error) error {
 	const vms = 10
 	now := t0
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// Each bound holds with every safeguard on and is seen to fail with its own
-// switched off.
+// Shows that each bound holds with all safeguards and is exceeded when its own
+// safeguard is disabled.
 func TestBounds(t *testing.T) {
 	for _, p := range []struct {
 		name     string
@@ -102,8 +102,9 @@
 	}
 }
 
-// requestsToBadTargets counts the requests that bad targets get in 20 s from a pool of ten that
-// is kept full. They fail everything in 5 ms; the others take a second each.
+// requestsToBadTargets returns the number of requests that bad targets receive within
+// 20 s from a fully loaded pool of ten. Bad targets fail every request in 5 ms; the
+// others take a second per request.
 func requestsToBadTargets(bad, budget int, disabled disabledSafeguards) int {
 	r := &Router{disabled: disabled}
 	r.Update(t0, targets(10), []route.Pool{{ID: pool, MaxEjected: budget}})
@@ -137,10 +138,10 @@
 	return requests
 }
 
-// A target that fails everything quickly looks idle, so a full pool sends it
-// nearly all its work and the callers get failures though nine VMs are well.
-// Ejected, it gets probes only. With the budget spent it may not be ejected; it
-// is paced to one slot's work.
+// Guards against a target that quickly fails every request: it appears idle, so a fully
+// loaded pool sends it nearly all requests and callers receive failures although nine
+// VMs are healthy. Once ejected, it receives only probes. If the budget is exhausted it
+// can't be ejected, and is paced to the load of one slot instead.
 func TestBadTargetGetsFewRequests(t *testing.T) {
 	unprotected := requestsToBadTargets(1, 1, disabledSafeguards{ejection: true})
 	ejected, paced := requestsToBadTargets(1, 1, disabledSafeguards{}), requestsToBadTargets(1, 0, disabledSafeguards{})
@@ -150,9 +151,10 @@
 	assert.Assert(t, paced < 100, "%d", paced)
 }
 
-// All targets of a pool fail everything, so none is an outlier and the budget
-// allows no ejection. Bookings that can't be repeated would be lost as fast as
-// they come, with an unknown outcome; paced, nearly all wait or are refused.
+// Guards against a pool whose targets all fail every request, so that none is an
+// outlier and none can be ejected. Requests that can't be repeated would fail as fast
+// as they arrive, with an unknown outcome. With pacing, nearly all of them wait or are
+// refused.
 func TestFailingPoolIsPaced(t *testing.T) {
 	unprotected, paced := requestsToBadTargets(10, 1, disabledSafeguards{pacing: true}), requestsToBadTargets(10, 1, disabledSafeguards{})
 	t.Logf("requests to a pool that fails: off %d, paced %d", unprotected, paced)
@@ -160,8 +162,8 @@
 	assert.Assert(t, paced < 500, "%d", paced)
 }
 
-// An ejected target that works again must come back by its probes, and only one
-// request at a time is risked on it until then.
+// An ejected target that works again must be restored by its probes, and until then it
+// must receive only one request at a time.
 func TestEjectedTargetReturns(t *testing.T) {
 	r := &Router{}
 	r.Update(t0, targets(3), []route.Pool{{ID: pool, MaxEjected: 1}})
@@ -184,7 +186,7 @@
 	assert.Equal(t, len(r.Ejected(pool)), 0)
 }
 
-// Overflow must leave the lender's own queue its reserve, and never enters a pool
+// Overflow must leave a reserve for the lending pool's own queue and never use a pool
 // that doesn't lend.
 func TestOverflowLeavesTheReserve(t *testing.T) {
 	r := &Router{}
@@ -202,7 +204,7 @@
 	assert.Equal(t, n, core.Slots(8-DefaultLendReserve))
 	assert.Equal(t, r.Idle(t0, route.Criteria{Pool: "lends"}), core.Slots(DefaultLendReserve))
 
-	// Urgent work may have the reserve too.
+	// Urgent requests may use the reserve as well.
 	criteria.Urgent = true
 	assert.Equal(t, r.Idle(t0, criteria), core.Slots(DefaultLendReserve))
 	for range DefaultLendReserve {
--- a/core/route/least/target.go
+++ b/core/route/least/target.go
@@ -8,72 +8,78 @@
 )
 
 const (
-	// meanRunGain and failureGain are the weights of the newest result in the means.
+	// meanRunGain and failureRateGain are the weights of the newest result in the
+	// moving averages.
 	meanRunGain     = 0.1
 	failureRateGain = 0.2
 	// fallbackRun is the run time assumed until one is measured.
 	fallbackRun = time.Second
-	// leavingPause is how long a target that refused gets no new work.
+	// leavingPause is how long a target that refused a request receives no new ones.
 	leavingPause = time.Second
-	// unreachablePauseStep and maxUnreached shape the pause of a target that can't be
-	// reached.
+	// unreachablePauseStep and maxUnreachablePause determine the pause of an
+	// unreachable target.
 	unreachablePauseStep = 250 * time.Millisecond
 	maxUnreachablePause  = 5 * time.Second
 	maxPauseDoublings    = 10
-	// connectTimeout is within which a connection is made or has failed.
+	// connectTimeout is the time within which a connection is established or has
+	// failed.
 	connectTimeout = 500 * time.Millisecond
-	// contendedRuns is for how many mean runs an entry that was told "full" keeps
-	// to its own part of the slots.
+	// contendedRuns is the number of mean run times for which an entry that received a
+	// Full result is limited to its own share of the slots.
 	contendedRuns = 1
 )
 
-// target is a VM with what this entry has learnt of it.
+// target is a VM with the state that this entry has collected about it.
 type target struct {
 	route.Target
 	running core.Slots
-	// meanRun is the mean time of runs that succeeded, in seconds; zero if none did.
+	// meanRun is the moving average of successful run times in seconds, or zero if
+	// there were none.
 	meanRun float64
-	// failureRate is the recent share of results that were failures, and results
-	// their number.
+	// failureRate is the moving average of failures among the results, and resultCount
+	// is the number of results.
 	failureRate float64
 	resultCount int
-	// usedByOthers is how many slots other entries used when the target was last full.
+	// usedByOthers is the number of slots that other entries used when the target was
+	// last full.
 	usedByOthers core.Slots
 	fullAt       time.Time
-	// contendedUntil is until when this entry keeps to its own part.
+	// contendedUntil is when the limitation of this entry to its own share ends.
 	contendedUntil time.Time
-	// pausedUntil is when a target that was leaving or out of reach may be tried.
+	// pausedUntil is when a target that was leaving or unreachable may be tried again.
 	pausedUntil time.Time
-	// unreachableCount counts the failures in a row to reach the target.
+	// unreachableCount is the number of consecutive failures to reach the target.
 	unreachableCount int
-	// testSentAt is when a request was sent to find out whether the target is back;
-	// zero if none was since it was last out of reach.
+	// testSentAt is when a request was sent to test whether the target is reachable
+	// again. It is zero if none was sent since the target was last unreachable.
 	testSentAt time.Time
 	health     health
-	// ejections counts the ejections in a row, and probeAt is when the next probe
-	// may start.
+	// ejections is the number of consecutive ejections, and probeAt is when the next
+	// probe may start.
 	ejections int
 	probeAt   time.Time
-	// probeSuccesses counts the probes that succeeded in a row.
+	// probeSuccesses is the number of consecutive successful probes.
 	probeSuccesses int
-	// nextStartAt paces a suspect target.
+	// nextStartAt paces the requests to a suspect target.
 	nextStartAt time.Time
 	listed      bool
 }
 
-// health is what the router concludes from a target's results.
+// health is the router's assessment of a target, based on its results.
 type health int
 
 const (
 	healthy health = iota
-	// suspect targets fail far more than their pool, but the budget allows no
-	// ejection, or fail nearly everything like all their pool. They are paced.
+	// suspect targets either have a much higher failure rate than their pool while the
+	// budget permits no ejection, or fail nearly every request like the rest of their
+	// pool. Requests to them are paced.
 	suspect
-	// ejected targets get only probes.
+	// ejected targets receive only probes.
 	ejected
 )
 
-// capacity is how many requests the target takes from all entries at once.
+// capacity returns the number of concurrent requests that the target accepts from all
+// entries together.
 func (t *target) capacity() core.Slots {
 	if t.Connections > 0 {
 		return min(t.Slots, core.Slots(t.Connections))
@@ -81,9 +87,9 @@
 	return t.Slots
 }
 
-// free returns how many slots this entry could use, by what it knows: those it
-// doesn't use itself, less those that other entries were seen to use. That number
-// is taken to fall as the target's runs end.
+// free returns the number of slots that are probably available to this entry: those
+// that it doesn't use itself, less those that other entries were observed to use. The
+// latter number is assumed to decrease as requests on the target end.
 func (t *target) free(now time.Time, meanRun float64, entries int) core.Slots {
 	others := t.usedByOthers
 	if others > 0 {
@@ -93,11 +99,11 @@
 	return min(t.capacity()-max(0, others), t.allowance(now, entries)) - t.running
 }
 
-// allowance is how many slots this entry may use of a target that several entries
-// share. Beyond its own part it borrows, and leaves one slot. Without that slot an
-// entry that has them all would never learn that another wants some, since it
-// refills each slot itself. Told "full" there, it falls back to its part for a
-// while.
+// allowance returns the number of slots that this entry may use of a target shared by
+// several entries. Beyond its own share it borrows slots but leaves one free. Without
+// that slot, an entry that uses all slots would refill each one itself and never learn
+// that another entry needs some. When it receives a Full result for that slot, it
+// returns to its own share for a while.
 func (t *target) allowance(now time.Time, entries int) core.Slots {
 	switch {
 	case entries <= 1:
@@ -108,13 +114,13 @@
 	return max(t.capacity()-1, t.ownShare(entries))
 }
 
-// ownShare is an entry's own part of the target's slots.
+// ownShare returns the entry's own share of the target's slots.
 func (t *target) ownShare(entries int) core.Slots {
 	return max(1, t.capacity()/core.Slots(max(1, entries)))
 }
 
-// recordFull notes that the target had no slot: what this entry doesn't run there
-// (the refused request is already taken back), others do.
+// recordFull records that the target had no free slot. The slots that this entry
+// doesn't use (the refused request is no longer counted) are used by others.
 func (t *target) recordFull(now time.Time, meanRun float64, entries int) {
 	t.usedByOthers = max(1, t.capacity()-t.running)
 	t.fullAt = now
@@ -123,7 +129,7 @@
 	}
 }
 
-// updateStats takes a result into the means.
+// updateStats adds a result to the moving averages.
 func (t *target) updateStats(result route.Result, run time.Duration) {
 	failed := 0.0
 	if result != route.Succeeded {
@@ -140,15 +146,15 @@
 	t.meanRun += (run.Seconds() - t.meanRun) * meanRunGain
 }
 
-// unreachablePause is how long a target that couldn't be reached n times in a row
-// gets no new work.
+// unreachablePause returns how long a target that couldn't be reached n consecutive
+// times receives no new requests.
 func unreachablePause(n int) time.Duration {
 	return min(unreachablePauseStep<<min(n-1, maxPauseDoublings), maxUnreachablePause)
 }
 
-// awaitingTest reports whether a request is on its way to find out if the target is
-// back. Without waiting for it, all that is queued would be sent there and back
-// each time a pause ends.
+// awaitingTest reports whether a request is in progress that tests whether the target
+// is reachable again. If others didn't wait for it, the whole queue would be sent and
+// returned each time a pause ends.
 func (t *target) awaitingTest(now time.Time) bool {
 	return t.unreachableCount > 0 && !t.testSentAt.IsZero() && now.Before(t.testSentAt.Add(connectTimeout))
 }
--- a/core/route/random/random.go
+++ b/core/route/random/random.go
@@ -1,5 +1,6 @@
-// Package random is the naive router: any target of the pool with a free slot,
-// by its own counts. It learns nothing. It is the baseline of measurements.
+// Package random provides a simple router that selects a random target of the pool with
+// a free slot by its own counts. It ignores results and serves as a baseline for
+// measurements.
 package random
 
 import (
@@ -11,7 +12,7 @@
 	"lavenderpond/core/route"
 )
 
-// Router is a route.Router that picks at random. Rand must be set.
+// Router is a route.Router that selects targets at random. Rand must be set.
 type Router struct {
 	Rand    *rand.Rand
 	targets []route.Target
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,7 +1,7 @@
-// Package route chooses the target VM for a request.
+// Package route selects the target VM for a request.
 //
-// Variants stand in sub-packages behind the Router interface: random is the
-// naive baseline that measurements compare with.
+// Implementations of the Router interface are in sub-packages. Package random is a
+// simple baseline for comparison in measurements.
 package route
 
 import (
@@ -10,64 +10,68 @@
 	"lavenderpond/core"
 )
 
-// Target is a VM as the router sees it: only VMs that may get new work.
+// Target describes a VM that may receive new work.
 type Target struct {
 	VM    core.VMID
 	Pool  core.PoolID
 	Rack  core.RackID
 	Slots core.Slots
-	// Connections is how many connections the VM accepts from all entries.
+	// Connections is the number of connections that the VM accepts from all entries
+	// together.
 	Connections int
 }
 
-// Pool is what the router needs to know of a pool.
+// Pool holds the properties of a pool that affect routing.
 type Pool struct {
 	ID core.PoolID
-	// LendsIdle lets other queues' requests overflow into idle slots.
+	// LendsIdle allows requests of other queues to overflow into idle slots of the
+	// pool.
 	LendsIdle bool
-	// MaxEjected bounds how many of the pool's targets may be ejected at once:
-	// what is left of its availability budget.
+	// MaxEjected is the maximum number of the pool's targets that may be ejected at the
+	// same time. It is the remainder of the pool's availability budget.
 	MaxEjected int
 }
 
-// Criteria is a request for a target.
+// Criteria specifies which targets are suitable for a request.
 type Criteria struct {
 	Pool core.PoolID
-	// Overflow allows a target of another pool that lends idle slots.
+	// Overflow permits targets of other pools that lend idle slots.
 	Overflow bool
-	// Urgent work that overflows may take every idle slot of a pool that lends;
-	// other work leaves a reserve.
+	// Urgent requests may overflow into every idle slot of a pool that lends; other
+	// requests leave a reserve.
 	Urgent bool
-	// Tried are targets that refused this request before.
+	// Tried lists the targets that refused this request before.
 	Tried []core.VMID
-	// NoProbe keeps the request from targets that are under suspicion while others
-	// have a slot: it can't be sent again if they fail it.
+	// NoProbe keeps the request away from unhealthy targets while others have a free
+	// slot, because it can't be sent again if such a target fails it.
 	NoProbe bool
 }
 
-// Result says how a request ended at a target.
+// Result is the outcome of a request at a target.
 type Result int
 
-// The results that a router learns from.
+// Values of Result.
 const (
-	// Succeeded: the whole answer came back.
+	// Succeeded means that the complete answer was received.
 	Succeeded Result = iota
-	// Failed: the target ran the request and failed, or broke off.
+	// Failed means that the target ran the request and failed, or aborted it.
 	Failed
-	// Full: the target had no free slot; other entries use it too. Normal.
+	// Full means that the target had no free slot. This is normal, because other
+	// entries use the same slots.
 	Full
-	// Refused: the target took nothing, for instance because it is leaving.
+	// Refused means that the target didn't accept the request, for instance because it
+	// is leaving.
 	Refused
-	// Unreachable: no connection could be made.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Unsent: the request was given up before it left, which says nothing about
-	// the target.
+	// Unsent means that the request was abandoned before it was sent, which says
+	// nothing about the target.
 	Unsent
 )
 
 var resultNames = [...]string{"succeeded", "failed", "full", "refused", "unreachable", "unsent"}
 
-// String returns the result's name.
+// String returns the name of r.
 func (r Result) String() string {
 	if r < 0 || int(r) >= len(resultNames) {
 		return "unknown"
@@ -75,17 +79,20 @@
 	return resultNames[r]
 }
 
-// Router chooses targets. Implementations are pure and not safe for concurrent
-// use. They count what this entry has running at each target.
+// Router selects targets and counts the requests that this entry has running at each of
+// them. Implementations do no I/O and aren't safe for concurrent use.
 type Router interface {
-	// Update replaces the targets and pools. Counts of targets that stay are kept.
+	// Update replaces the targets and pools. The counts of targets that remain are
+	// kept.
 	Update(now time.Time, targets []Target, pools []Pool)
-	// Pick returns a target that has, by what is known, a free slot.
+	// Pick returns a target that has a free slot according to the available
+	// information.
 	Pick(now time.Time, criteria Criteria) (core.VMID, bool)
-	// Started counts a dispatch to vm.
+	// Started records a dispatch to vm.
 	Started(now time.Time, vm core.VMID)
-	// Ended takes back a Started and learns from how it went.
+	// Ended reverts a Started and uses the result to update the target's statistics.
 	Ended(now time.Time, vm core.VMID, result Result, run time.Duration)
-	// Idle returns how many slots want could use now, by what is known.
+	// Idle returns the number of slots that a request with these criteria could use
+	// now, according to the available information.
 	Idle(now time.Time, criteria Criteria) core.Slots
 }
