--- a/core/queue/fair/admit.go
+++ b/core/queue/fair/admit.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// bufferFactor is how many times the free places a team of mean weight may
-	// hold (a dynamic threshold, Choudhury and Hahne 1998). One team alone gets
-	// four fifths of the bound; a rival always finds places left.
+	// bufferFactor is the number of items that a team of mean weight may hold per free
+	// place (a dynamic threshold, see Choudhury and Hahne 1998). A single team can use
+	// four fifths of the bound, so other teams always find free places.
 	bufferFactor = 4
-	// minRetryDelay and maxReturn bound how far off a come-back time is.
+	// minRetryDelay and maxRetryDelay bound the delay after which a refused caller may
+	// retry.
 	minRetryDelay = 250 * time.Millisecond
 	maxRetryDelay = 30 * time.Second
 )
 
-// admit refuses what would not fit or would be late. It returns the wait that it
-// predicts, before correction.
+// admit refuses an item that doesn't fit or wouldn't be finished in time. It returns
+// the predicted wait before correction.
 func (f *Queue) admit(now time.Time, s *queueState, t *team, item queue.Item, idle core.Slots) (time.Duration, core.NotRun, bool) {
 	if !f.hasRoom(s, t) {
 		return 0, f.refuse(now, s, core.CodeQueueFull, "the queue has no place left for the team"), false
@@ -33,9 +34,9 @@
 	return predicted, core.NotRun{}, true
 }
 
-// hasRoom reports whether the queue has a place for one more item of t. Without the
-// threshold a flood of one team would fill the queue and the others' requests be
-// refused, whatever their shares.
+// hasRoom reports whether the queue can accept another item of t. Without the
+// threshold, a flood of one team would fill the queue and the requests of other teams
+// would be refused, regardless of their shares.
 func (f *Queue) hasRoom(s *queueState, t *team) bool {
 	bound := f.maxQueued(s.id)
 	free := bound - s.waiting
@@ -57,7 +58,8 @@
 	return DefaultMaxQueued
 }
 
-// activeWeight returns the number and the weight of the teams that wait, with t.
+// activeWeight returns the number and total weight of the teams that have waiting
+// items, including t.
 func (f *Queue) activeWeight(s *queueState, t *team) (int, float64) {
 	active, total := 0, 0.0
 	for _, other := range s.heaps[byAny].teams {
@@ -71,11 +73,11 @@
 	return active, total
 }
 
-// predictWait returns how long item would wait. The slots that serve the queue
-// are those its own items run on, so their number over the mean run is the rate
-// at which they come free.
+// predictWait returns the predicted wait of item. The slots that serve the queue are
+// those on which its own items run, so slots become free at a rate of their number
+// divided by the mean run time.
 //
-// Two bounds hold, and the lower one is returned: the whole backlog served in
+// It returns the lower of two upper bounds: the time to serve the whole backlog in
 // order, and the time until the queue's virtual time reaches the item's tag.
 func (f *Queue) predictWait(s *queueState, t *team, item queue.Item, idle core.Slots) time.Duration {
 	ahead, own := s.waiting, t.waiting()
@@ -100,8 +102,8 @@
 	return secondsToDuration(min(backlog, tag*total/slots))
 }
 
-// predictRun returns the expected run time of item: as measured for its team, or
-// for its queue, or as declared.
+// predictRun returns the expected run time of item: the mean measured for its team or
+// else for its queue, or else the declared one.
 func (f *Queue) predictRun(s *queueState, t *team, item queue.Item) time.Duration {
 	switch {
 	case t.runTimes.trusted():
@@ -114,8 +116,8 @@
 	return fallbackRun
 }
 
-// shortestRun returns a run time that hardly any of the team's items stays below.
-// A declared time isn't used: it would refuse work for being declared too long.
+// shortestRun returns a run time that few of the team's items are below. The declared
+// run time isn't used, because items would be refused for declaring too long a run.
 func (f *Queue) shortestRun(s *queueState, t *team) time.Duration {
 	switch {
 	case t.runTimes.trusted():
@@ -133,9 +135,9 @@
 	return fallbackRun
 }
 
-// refuse answers NotRun with a time to come back. Times are handed out one after
-// the other at the rate at which slots come free, with jitter, so refused callers
-// return about as fast as they can be served and never together.
+// refuse returns a NotRun with a time to retry. Times are assigned in sequence at the
+// rate at which slots become free, with jitter, so that refused callers return about as
+// fast as they can be served and don't return simultaneously.
 func (f *Queue) refuse(now time.Time, s *queueState, code core.Code, detail string) core.NotRun {
 	step := s.meanRun() / time.Duration(max(1, s.running))
 	earliest := now.Add(minRetryDelay)
@@ -144,7 +146,8 @@
 	}
 	at := s.nextRetryAt
 	if at.After(now.Add(maxRetryDelay)) {
-		// More callers than can be served within maxReturn: spread evenly.
+		// More callers were refused than can be served within maxRetryDelay, so their
+		// times are distributed evenly.
 		at = earliest.Add(time.Duration(f.random().Int64N(int64(maxRetryDelay - minRetryDelay))))
 	} else {
 		s.nextRetryAt = at.Add(step)
--- a/core/queue/fair/bench_test.go
+++ b/core/queue/fair/bench_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// BenchmarkPopPush takes an item, observes its run and pushes it again.
+// BenchmarkPopPush pops an item, observes its run and pushes it again.
 func BenchmarkPopPush(b *testing.B) {
 	runForSizes(b, func(b *testing.B, f *Queue, _ []queue.Item) {
 		for b.Loop() {
@@ -55,7 +55,7 @@
 	})
 }
 
-// BenchmarkRemove cancels items one after the other.
+// BenchmarkRemove cancels one item after the other.
 func BenchmarkRemove(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5} {
 		b.Run(fmt.Sprintf("items=%d", n), func(b *testing.B) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// BenchmarkPopBlocked pops while all teams but one are at their limit.
+// BenchmarkPopBlocked pops items while all teams but one are at their limit.
 func BenchmarkPopBlocked(b *testing.B) {
 	for _, teams := range []int{6, 62, 620} {
 		f, _ := filledQueue(teams, 10000)
@@ -89,7 +89,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that a waiting item takes, keys included.
+// BenchmarkMemory measures the heap memory per waiting item, including keys.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5} {
 		b.Run(fmt.Sprintf("items=%d", n), func(b *testing.B) {
--- a/core/queue/fair/differential_test.go
+++ b/core/queue/fair/differential_test.go
@@ -12,8 +12,8 @@
 	"lavenderpond/core/queue"
 )
 
-// naiveQueue is fair queueing as one would write it down: it looks at every item. All
-// runs take a second and all shares are given by the team's name.
+// naiveQueue is a straightforward implementation of fair queueing that examines every
+// item. All runs take one second, and a team's share is derived from its name.
 type naiveQueue struct {
 	items   []queue.Item
 	virtual map[core.TeamID]float64
@@ -33,7 +33,7 @@
 
 func (n *naiveQueue) push(i queue.Item) {
 	if len(n.items) == 0 {
-		// A new busy period; nothing runs, so all are level.
+		// A new busy period starts. Nothing is running, so all teams are level.
 		clear(n.virtual)
 		n.lastTag = 0
 	}
@@ -43,8 +43,8 @@
 	n.items = append(n.items, i)
 }
 
-// best returns the index of the item to pop: the team furthest behind, by name
-// if level; its urgent work before its normal work; the earliest deadline first.
+// best returns the index of the item to pop. The order is: the team with the lowest
+// tag, then by team name; urgent items before normal ones; then the earliest deadline.
 func (n *naiveQueue) best(allowed func(queue.Item) bool) int {
 	best := -1
 	for k, i := range n.items {
@@ -106,12 +106,12 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := Queue{Share: share, MaxQueued: fixedBound(1 << 20)}
 		n := naiveQueue{virtual: map[core.TeamID]float64{}}
-		// Deadlines stand apart by more than run times are ever estimated to differ.
+		// The deadlines differ by more than any two estimates of a run time.
 		deadlines := rng.Perm(300)
 		for step := range 300 {
 			switch rng.IntN(5) {
 			case 0, 1:
-				// Shares of one, two and four keep the sums exact.
+				// Weights of one, two and four keep the sums exact.
 				team := []string{"t0", "t1", "t3", "u0", "u1"}[rng.IntN(5)]
 				i := item(team, step, rng.IntN(3) == 0, time.Hour+time.Duration(deadlines[step])*10*time.Second)
 				_, ok := f.Push(t0, i, 1<<20)
--- a/core/queue/fair/estimate.go
+++ b/core/queue/fair/estimate.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// estimateGain is the weight of the newest run in the mean.
+	// estimateGain is the weight of the newest run in the moving average.
 	estimateGain = 0.1
-	// lowQuantile is the quantile of run times that low tracks, and lowStep the
+	// lowQuantile is the quantile of run times that low tracks, and lowStep is the
 	// relative step of its stochastic approximation.
 	lowQuantile = 0.1
 	lowStep     = 0.1
-	// minSamples is how many runs are needed before an estimate is trusted more
-	// than a caller's word.
+	// minSamples is the number of runs required before an estimate takes precedence
+	// over the caller's declaration.
 	minSamples = 5
 )
 
-// estimate tracks measured run times. Its zero value has seen none.
+// estimate tracks measured run times. The zero value has no samples.
 type estimate struct {
 	samples int
 	mean    float64
-	// low is about the tenth percentile: hardly any run is shorter.
+	// low is about the tenth percentile of run times, so few runs are shorter.
 	low float64
 }
 
-// add takes a measured run into the estimate.
+// add includes a measured run time in the estimate.
 func (e *estimate) add(run time.Duration) {
 	s := run.Seconds()
 	e.samples++
@@ -30,7 +30,8 @@
 		e.mean, e.low = s, s
 		return
 	}
-	// The first runs are averaged evenly, so the start isn't held for long.
+	// The first runs are averaged with equal weights, so that the very first one loses
+	// its influence quickly.
 	e.mean += (s - e.mean) * max(estimateGain, 1/float64(e.samples))
 	if s < e.low {
 		e.low *= 1 - lowStep*(1-lowQuantile)
@@ -44,15 +45,14 @@
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 const (
-	// correctionDecay is how much of the sums a new wait leaves.
+	// correctionDecay is the factor by which each new wait reduces the previous sums.
 	correctionDecay = 0.98
 	minCorrection   = 0.5
 	maxCorrection   = 4
 )
 
-// correction learns by how much waits differ from their predictions, which know
-// nothing of the work that will come and go first. Its zero value corrects
-// nothing.
+// correction tracks the ratio of actual to predicted waits. Predictions don't account
+// for work that arrives later and is served first. The zero value corrects nothing.
 type correction struct{ predicted, waited float64 }
 
 func (c *correction) add(predicted, waited time.Duration) {
--- a/core/queue/fair/fair.go
+++ b/core/queue/fair/fair.go
@@ -1,11 +1,11 @@
-// Package fair is the queue of real entries: bounded, deadline-aware and
+// Package fair provides the queue used in production. It is bounded, deadline-aware and
 // weighted fair among the teams of a queue.
 //
-// Within a queue it is start-time fair queueing: the team that has received the
-// fewest slot-seconds per share goes next. What was received while nobody had to
-// wait isn't counted, but for what still runs. A team that was idle starts level
-// with the others, so nothing is owed to it. Charges are predicted from measured
-// run times and corrected when a run ends.
+// Within a queue it uses start-time fair queueing: the team that has received the
+// fewest slot-seconds per share is served next. Slot-seconds received while no team had
+// to wait aren't counted, except for requests that are still running. A team that was
+// idle starts level with the others and accumulates no credit. Charges are predicted
+// from measured run times and corrected when a run ends.
 package fair
 
 import (
@@ -19,67 +19,69 @@
 )
 
 const (
-	// DefaultMaxQueued bounds a queue for which no bound is set.
+	// DefaultMaxQueued is the maximum number of items in a queue without a configured
+	// bound.
 	DefaultMaxQueued = 1000
-	// urgentLeadRuns is how many runs a team's urgent work may be ahead of the
-	// team's share. It is what a VM holds, so urgent work finds a slot at once and
-	// a flood of it can't starve another team.
+	// urgentLeadRuns is the number of runs by which a team's urgent work may be ahead
+	// of the team's share. It equals the number of slots of a VM, so urgent work finds
+	// a slot immediately, but a flood of it can't starve another team.
 	urgentLeadRuns = 8
-	// maxOffersPerTeam bounds how many items of one team a Pop offers to ready, urgent and
-	// normal ones each.
+	// maxOffersPerTeam is the maximum number of items of one team that a Pop offers to
+	// ready, for urgent and normal items each.
 	maxOffersPerTeam = 2
-	// fallbackRun is the run time assumed where none is declared or measured.
+	// fallbackRun is the run time assumed if none is declared or measured.
 	fallbackRun = time.Second
 )
 
-// Queue is the fair queue.Queue. Its zero value works: equal shares,
-// DefaultMaxQueued and a fixed seed.
+// Queue is the fair queue.Queue. The zero value is ready to use, with equal shares,
+// DefaultMaxQueued and a fixed random seed.
 //
-// Every popped item must be observed once, with run zero if it didn't run: the
-// queue learns from it how many slots serve it.
+// Every popped item must be observed exactly once, with a run time of zero if it didn't
+// run. The queue derives the number of slots that serve it from these calls.
 type Queue struct {
-	// Share returns a team's weight; nil or a result below 1 counts as 1.
+	// Share returns a team's weight. A nil function or a result below 1 counts as 1.
 	Share func(core.TeamID) int
-	// MaxQueued bounds the items of one queue; nil or below 1 means
-	// DefaultMaxQueued.
+	// MaxQueued returns the maximum number of items in a queue. A nil function or a
+	// result below 1 means DefaultMaxQueued.
 	MaxQueued func(core.QueueID) int
-	// Rand spreads come-back times. Entries should be seeded differently.
+	// Rand distributes the times at which refused callers may retry. Each entry should
+	// use a different seed.
 	Rand *rand.Rand
 
 	queues   map[core.QueueID]*queueState
 	entries  map[core.RequestKey]*entry
 	expiry   lazyHeap
 	sequence uint64
-	// disabled switches safeguards off, in tests only.
+	// disabled is set by tests only, to show that each safeguard is needed.
 	disabled disabledSafeguards
 }
 
-// switches name the safeguards that a test may switch off to see it fail.
+// disabledSafeguards selects the safeguards that a test disables.
 type disabledSafeguards struct {
 	fairness, urgentBound, expiryCheck, probing, reordering, lazyRemoval bool
 }
 
 var _ queue.Queue = (*Queue)(nil)
 
-// queueState is one queue.
+// queueState is the state of one queue.
 type queueState struct {
 	id    core.QueueID
 	teams map[core.TeamID]*team
-	// heaps are the teams with waiting items, by virtual time.
+	// heaps contains the teams with waiting items, ordered by virtual time.
 	heaps [numOrders]teamHeap
-	// period counts the busy periods: a new one starts when an item is pushed and
-	// none waits.
+	// period numbers the busy periods. A new one starts when an item is pushed while
+	// none is waiting.
 	period int
 	// virtual is the lowest tag of a team with waiting items at the last pop.
 	virtual float64
-	// minWeight is the lowest weight that any of the teams had.
+	// minWeight is the lowest weight that any of the teams has had.
 	minWeight float64
-	// waiting, urgent and running count items of all teams.
+	// waiting, urgent and running count the items of all teams.
 	waiting, urgent, running int
 	runTimes                 estimate
-	// waitCorrection and urgentWaits correct the predicted waits.
+	// waitCorrection and urgentWaitCorrection correct the predicted waits.
 	waitCorrection, urgentWaitCorrection correction
-	// nextRetryAt is the next come-back time to hand out.
+	// nextRetryAt is the next time to retry that is given to a refused caller.
 	nextRetryAt time.Time
 }
 
@@ -144,8 +146,8 @@
 	return e.item, true
 }
 
-// next finds the entry to pop: urgent work of a team that isn't too far ahead of
-// its share, then the team furthest behind.
+// next returns the entry to pop: urgent work of a team that isn't too far ahead of its
+// share, or otherwise work of the team with the lowest tag.
 func (f *Queue) next(now time.Time, s *queueState, ready func(queue.Item) bool) *entry {
 	if least := s.heaps[byAny].min(); least != nil && s.urgent > 0 {
 		if e := f.scan(now, s, byUrgent, f.urgentBound(s, least.virtual), ready); e != nil {
@@ -155,11 +157,12 @@
 	return f.scan(now, s, byAny, tagBound{}, ready)
 }
 
-// tagBound limits the tags of the teams that a scan serves. Its zero value doesn't.
+// tagBound limits the tags of the teams that a scan serves. The zero value sets no
+// limit.
 type tagBound struct {
 	limited bool
-	// tag is the bound of a team without a lead, lead that of a team of weight one,
-	// and lightest the lowest weight that a team may have.
+	// tag is the limit for a team without a lead, lead is the permitted lead of a team
+	// with weight one, and minWeight is the lowest weight that a team may have.
 	tag, lead, minWeight float64
 }
 
@@ -167,13 +170,13 @@
 	return !b.limited || t.virtual <= b.tag+b.lead/t.weight
 }
 
-// excludesRest reports whether no team with a tag of t's or later can be allowed.
+// excludesRest reports whether neither t nor any team with a later tag can be allowed.
 func (b tagBound) excludesRest(t *team) bool {
 	return b.limited && t.virtual > b.tag+b.lead/b.minWeight
 }
 
-// urgentBound lets urgent work be ahead of the tag of the team furthest behind by
-// a few runs. Without it, one team's flood of urgent work would starve the rest.
+// urgentBound permits urgent work to be ahead of the lowest tag by a few runs. Without
+// a bound, a flood of urgent work from one team would starve the others.
 func (f *Queue) urgentBound(s *queueState, tag float64) tagBound {
 	return tagBound{
 		limited: !f.disabled.urgentBound,
@@ -181,8 +184,8 @@
 	}
 }
 
-// scan offers items to ready, in the order of the teams' tags. A team that isn't
-// ready, for instance at its limit, is passed over and keeps its place.
+// scan offers items to ready in the order of the teams' tags. A team that isn't ready,
+// for instance because it is at its limit, is skipped and keeps its tag.
 func (f *Queue) scan(now time.Time, s *queueState, o order, b tagBound, ready func(queue.Item) bool) *entry {
 	h := &s.heaps[o]
 	var skipped []*team
@@ -203,7 +206,8 @@
 	return found
 }
 
-// offer returns an item of t that is in time and ready, urgent ones first.
+// offer returns an item of t that can still start in time and is ready, urgent items
+// first.
 func (f *Queue) offer(now time.Time, t *team, o order, ready func(queue.Item) bool) *entry {
 	if e := f.offerFrom(now, &t.urgent, ready); e != nil || o == byUrgent {
 		return e
@@ -211,9 +215,9 @@
 	return f.offerFrom(now, &t.normal, ready)
 }
 
-// offerFrom offers the lane's first entry and then a few others. A single item
-// may be unready, for instance in back-off, and must not hold up those behind it;
-// but a team at its limit must not cost a call for each of its items.
+// offerFrom offers the first entry of the heap and then a few others. A single item
+// that isn't ready, for instance during a backoff, must not block those behind it, but
+// a team at its limit must not cost a call per item.
 func (f *Queue) offerFrom(now time.Time, l *lazyHeap, ready func(queue.Item) bool) *entry {
 	e := l.peek()
 	if e == nil || f.inTime(now, e) && ready(e.item) {
@@ -229,8 +233,8 @@
 	return nil
 }
 
-// inTime reports whether e waits and can still be in time. Items that can't stay
-// for Expired, which answers them.
+// inTime reports whether e is waiting and can still start in time. Items that can't are
+// left for Expired, which lets the caller answer them.
 func (f *Queue) inTime(now time.Time, e *entry) bool {
 	return !e.removed && (f.disabled.expiryCheck || now.Before(e.startBy))
 }
@@ -268,8 +272,8 @@
 	s.updateHeaps(e.team)
 }
 
-// Observe implements queue.Queue. A run of zero gives the charge of an item back
-// that was popped and did not run.
+// Observe implements queue.Queue. A run time of zero refunds the charge of an item that
+// was popped but didn't run.
 func (f *Queue) Observe(_ time.Time, q core.QueueID, id core.TeamID, run time.Duration) {
 	s := f.stateOf(q)
 	t := f.teamOf(s, id)
@@ -345,7 +349,7 @@
 	return &s.waitCorrection
 }
 
-// updateHeaps puts t where it belongs in both heaps.
+// updateHeaps updates the position of t in both heaps.
 func (s *queueState) updateHeaps(t *team) {
 	s.heaps[byAny].update(t, t.waiting() > 0)
 	s.heaps[byUrgent].update(t, t.urgent.liveCount() > 0)
--- a/core/queue/fair/lazy_heap.go
+++ b/core/queue/fair/lazy_heap.go
@@ -7,28 +7,29 @@
 	"lavenderpond/core/queue"
 )
 
-// entry is a waiting item and its place in the queue.
+// entry is a waiting item with its state in the queue.
 type entry struct {
 	item queue.Item
 	team *team
-	// startBy is the deadline less the shortest run that is likely: work that
-	// starts later would be stopped at its deadline and wasted.
+	// startBy is the deadline minus the shortest likely run time. Work that starts
+	// later would be stopped at its deadline and wasted.
 	startBy time.Time
-	// pushedAt and predicted are when the item came and the wait it was told, to
-	// correct later predictions.
+	// pushedAt is when the item was pushed, and predictedWait is its predicted wait.
+	// They are used to correct later predictions.
 	pushedAt      time.Time
 	predictedWait time.Duration
-	// sequence orders items of equal startBy by arrival.
+	// sequence orders items with equal startBy by arrival.
 	sequence uint64
-	// removed marks an entry that left the queue and has yet to leave its lanes.
+	// removed marks an entry that left the queue but is still contained in its heaps.
 	removed bool
 }
 
-// lazyHeap is a heap of entries by startBy that drops removed entries lazily.
+// lazyHeap is a heap of entries ordered by startBy that deletes removed entries lazily.
 //
-// A cancellation only marks its entry, so a wave of cancellations costs O(1)
-// each. Marked entries leave when they come to the top, or all at once when they
-// outnumber the others, so memory stays within twice the waiting items.
+// A cancellation only marks its entry, so that each of a large number of cancellations
+// takes constant time. Marked entries are deleted when they reach the top, or all
+// together when they outnumber the others. The memory used is therefore at most that of
+// twice the waiting items.
 type lazyHeap struct {
 	entries entryHeap
 	removed int
@@ -36,7 +37,7 @@
 
 func (l *lazyHeap) push(e *entry) { heap.Push(&l.entries, e) }
 
-// liveCount returns how many entries wait in the lane.
+// liveCount returns the number of entries waiting in the heap.
 func (l *lazyHeap) liveCount() int { return len(l.entries) - l.removed }
 
 // peek returns the entry with the earliest startBy, or nil.
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// markRemoved counts an entry of the lane as removed.
+// markRemoved records that an entry of the heap was removed.
 func (l *lazyHeap) markRemoved(disabled disabledSafeguards) {
 	l.removed++
 	if disabled.lazyRemoval || 2*l.removed > len(l.entries) {
@@ -59,9 +60,9 @@
 	}
 }
 
-// compact drops the marked entries. The order is made anew: what is left of a heap
-// is none, and entries would be served in an order that depends on which were
-// cancelled first.
+// compact deletes the marked entries and restores the heap order. Without that, the
+// remaining entries don't form a heap, and the order in which they are served would
+// depend on the order of the cancellations.
 func (l *lazyHeap) compact(disabled disabledSafeguards) {
 	kept := l.entries[:0]
 	for _, e := range l.entries {
@@ -77,7 +78,7 @@
 	}
 }
 
-// entryHeap is a heap.Interface of entries by startBy, then arrival.
+// entryHeap implements heap.Interface for entries, ordered by startBy and then arrival.
 type entryHeap []*entry
 
 func (h entryHeap) Len() int { return len(h) }
--- a/core/queue/fair/property_test.go
+++ b/core/queue/fair/property_test.go
@@ -29,8 +29,8 @@
 
 func fixedBound(n int) func(core.QueueID) int { return func(core.QueueID) int { return n } }
 
-// Each property holds with every safeguard on and is seen to fail with its own
-// switched off.
+// Shows that each property holds with all safeguards and is violated when its own
+// safeguard is disabled.
 func TestProperties(t *testing.T) {
 	for _, p := range []struct {
 		name     string
@@ -60,9 +60,10 @@
 	}
 }
 
-// sharesHold serves teams that always wait and runs of unlike lengths. Slot time
-// by share may differ by no more than what is running, as each team had at most
-// a slot's run charged before it was measured.
+// sharesHold serves teams that always have waiting items, with runs of different
+// lengths. The slot time per share of two teams may differ by no more than their
+// longest runs per share, because each team had at most one run charged before it was
+// measured.
 func sharesHold(disabled disabledSafeguards, rng *rand.Rand) error {
 	shares := map[core.TeamID]int{"a": 1, "b": 2, "c": 1 + rng.IntN(6), "d": 9}
 	f := Queue{Share: func(t core.TeamID) int { return shares[t] }, MaxQueued: fixedBound(1 << 20), disabled: disabled}
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// urgentIsBounded floods with one team's urgent work. The other team gets half of
-// the runs, but for those that urgent work may be ahead.
+// urgentIsBounded adds a flood of urgent work from one team. The other team must
+// receive half of the runs, less those by which urgent work may be ahead.
 func urgentIsBounded(disabled disabledSafeguards, rng *rand.Rand) error {
 	f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	const n = 200
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// neverExpired pops at random times, with and without Expired before it.
+// neverExpired pops at random times, sometimes after a call of Expired.
 func neverExpired(disabled disabledSafeguards, rng *rand.Rand) error {
 	f := Queue{disabled: disabled}
 	now := t0
@@ -131,8 +132,8 @@
 	return nil
 }
 
-// workConserving keeps some teams at their limit. A Pop must find the work of any
-// other team.
+// workConserving keeps some teams at their limit. Pop must find the work of any other
+// team.
 func workConserving(disabled disabledSafeguards, rng *rand.Rand) error {
 	f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	free := map[core.TeamID]int{}
@@ -161,10 +162,10 @@
 	return nil
 }
 
-// A wave of cancellations reaches the queue in any order. Callers whose requests are
-// left must be served in the same order as if the others had come and gone otherwise,
-// and each cancelled id must be gone at once. Without a new order after the compaction
-// of a lane, what is served first depends on which cancellation came last.
+// Guards against an order of service that depends on the order of cancellations, as it
+// would if the heap order weren't restored after a compaction. The remaining requests
+// must be served in the same order whichever way the others were cancelled, and each
+// cancelled request must be gone immediately.
 func TestCancelOrderDoesNotMatter(t *testing.T) {
 	failedSeeds, firstFailedSeed := 0, uint64(0)
 	for seed := range uint64(100) {
@@ -180,7 +181,8 @@
 	assert.Assert(t, failedSeeds > 0, "the property can't fail")
 }
 
-// cancelOrderIrrelevant cancels 60 of 100 items in two orders and compares what is served.
+// cancelOrderIrrelevant cancels 60 of 100 items in two different orders and reports
+// whether the rest is served in the same order.
 func cancelOrderIrrelevant(t *testing.T, disabled disabledSafeguards, seed uint64) bool {
 	cancelled := rand.New(rand.NewPCG(seed, 2)).Perm(100)[:60]
 	serve := func() (served []core.RequestKey) {
@@ -204,9 +206,10 @@
 	return slices.Equal(first, second)
 }
 
-// A wave of cancellations hits a long queue. Each costs the same whatever waits: an
-// entry is looked at again only when a lane is compacted, and a lane is compacted only
-// when half of it is gone. Compacted at each cancellation, a wave of n costs n squared.
+// Guards against cancellations whose cost grows with the queue. An entry is examined
+// again only when a heap is compacted, and a heap is compacted only when more than half
+// of its entries are marked. With a compaction at each cancellation, n cancellations
+// would cost n squared.
 func TestCancellationCostIsConstant(t *testing.T) {
 	perCancellation := func(disabled disabledSafeguards, n int) float64 {
 		f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
@@ -234,8 +237,9 @@
 	}
 }
 
-// A burst is refused while it waits for slots. The callers' come-back times must
-// be in the future, and about as far apart as slots come free.
+// Guards against refused callers that retry together. A burst is refused while it waits
+// for slots; the times to retry must be in the future, and about as far apart as slots
+// become free.
 func TestComeBackTimesAreSpread(t *testing.T) {
 	f := Queue{MaxQueued: fixedBound(50)}
 	for n := range 10 {
--- a/core/queue/fair/team.go
+++ b/core/queue/fair/team.go
@@ -7,43 +7,45 @@
 	"lavenderpond/core"
 )
 
-// order names the two heaps of teams that a queue keeps.
+// order identifies one of the two heaps of teams in a queue.
 type order int
 
 const (
-	// byAny holds the teams with any waiting item.
+	// byAny is the heap of teams with any waiting item.
 	byAny order = iota
-	// byUrgent holds the teams with a waiting urgent item.
+	// byUrgent is the heap of teams with a waiting urgent item.
 	byUrgent
 	numOrders
 )
 
-// team is one team's part of a queue.
+// team is the state of one team in a queue.
 type team struct {
 	id     core.TeamID
 	weight float64
 	// virtual is the team's start tag: slot-seconds received divided by weight.
 	virtual float64
-	// period is the busy period that virtual belongs to.
+	// period is the busy period to which virtual belongs.
 	period int
 	// normal and urgent hold the waiting items.
 	normal, urgent lazyHeap
-	// running counts items popped and not yet observed, and charged is the run
-	// time in seconds that the team was charged for them.
+	// running is the number of items popped and not yet observed, and chargedSeconds is
+	// the run time in seconds charged to the team for them.
 	running        int
 	chargedSeconds float64
 	runTimes       estimate
-	// place is the team's index in each heap of teams, plus one; zero if absent.
+	// heapIndex is the team's index in each heap of teams plus one, or zero if the team
+	// isn't in the heap.
 	heapIndex [numOrders]int
 }
 
 func (t *team) waiting() int { return t.normal.liveCount() + t.urgent.liveCount() }
 
-// activate sets the tag of a team that begins to wait. In a new busy period it is
-// charged with what it still runs: slots it took while there were enough for all
-// were nobody's loss, but those that it still holds count. Else it starts level
-// with the others at least: idle time earns no arrears, which would let it take
-// every slot for as long as it was away.
+// activate sets the tag of a team that gets its first waiting item. In a new busy
+// period, the team is charged for its running items only: slots that it used while
+// there were enough for all teams were no disadvantage to others, but those that it
+// still holds count. In the current busy period, its tag is raised at least to that of
+// the others. Idle time earns no credit, which would otherwise let the team use every
+// slot for as long as it was idle.
 func (t *team) activate(s *queueState) {
 	if t.period != s.period {
 		t.period = s.period
@@ -59,8 +61,9 @@
 	t.virtual += run.Seconds() / t.weight
 }
 
-// settle replaces the charge of one running item by the measured run. Which item
-// ended isn't told, so the mean charge is taken back; the sum stays right.
+// settle replaces the charge of one running item by the measured run time. Because the
+// caller doesn't identify the item, the mean charge is refunded; the sum over all items
+// remains correct.
 func (t *team) settle(run time.Duration) {
 	if t.running == 0 {
 		return
@@ -71,7 +74,7 @@
 	t.virtual += (run.Seconds() - mean) / t.weight
 }
 
-// teamHeap is a heap.Interface of teams by virtual time, then name.
+// teamHeap implements heap.Interface for teams, ordered by virtual time and then name.
 type teamHeap struct {
 	order order
 	teams []*team
@@ -110,7 +113,7 @@
 	return t
 }
 
-// min returns the team with the lowest tag, or nil.
+// min returns the team with the lowest tag, or nil if the heap is empty.
 func (h *teamHeap) min() *team {
 	if len(h.teams) == 0 {
 		return nil
@@ -118,7 +121,7 @@
 	return h.teams[0]
 }
 
-// update puts t in its place in the heap, or takes it out if it has no items there.
+// update restores the position of t in the heap, or removes t if it has no items there.
 func (h *teamHeap) update(t *team, present bool) {
 	switch i := t.heapIndex[h.order] - 1; {
 	case i < 0 && present:
--- a/core/queue/fifo/fifo.go
+++ b/core/queue/fifo/fifo.go
@@ -1,5 +1,6 @@
-// Package fifo is the naive queue: first come first served, without prediction,
-// without fairness, bounded by count alone. It is the baseline of measurements.
+// Package fifo provides a simple first-come-first-served queue without predictions or
+// fairness, bounded only by the number of items. It serves as a baseline for
+// measurements.
 package fifo
 
 import (
@@ -10,13 +11,13 @@
 	"lavenderpond/core/queue"
 )
 
-// comeBackAfter is when a caller that met a full queue may come back.
+// comeBackAfter is the delay after which a caller that met a full queue may retry.
 const comeBackAfter = time.Second
 
-// Queue is a first-come-first-served queue.Queue. Its zero value is empty and
+// Queue is a first-come-first-served queue.Queue. The zero value is empty and
 // unbounded.
 type Queue struct {
-	// MaxQueued bounds each queue; zero means no bound.
+	// MaxQueued is the maximum number of items in each queue. Zero means no bound.
 	MaxQueued int
 	items     map[core.QueueID][]queue.Item
 }
@@ -63,7 +64,7 @@
 	return expired
 }
 
-// Remove implements queue.Queue, in linear time.
+// Remove implements queue.Queue. It takes linear time.
 func (f *Queue) Remove(key core.RequestKey) bool {
 	for q, items := range f.items {
 		for i, item := range items {
@@ -76,7 +77,8 @@
 	return false
 }
 
-// Observe implements queue.Queue; a naive queue predicts nothing.
+// Observe implements queue.Queue. It does nothing, because this queue makes no
+// predictions.
 func (f *Queue) Observe(time.Time, core.QueueID, core.TeamID, time.Duration) {}
 
 // Len implements queue.Queue.
