--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -352,11 +352,11 @@
 		safeguards    disabledSafeguards
 		dateOnReceipt bool
 	}{
-		{name: "nothing"},
-		{name: "freshness", safeguards: disabledSafeguards{alwaysFresh: true}},
-		{name: "withdrawals only grow", safeguards: disabledSafeguards{forgetWithdrawals: true}},
-		{name: "a majority of zones", safeguards: disabledSafeguards{acceptSingleZone: true}},
-		{name: "dated at the send", dateOnReceipt: true},
+		{name: "none"},
+		{name: "freshness check", safeguards: disabledSafeguards{alwaysFresh: true}},
+		{name: "withdrawals are permanent", safeguards: disabledSafeguards{forgetWithdrawals: true}},
+		{name: "majority of zones", safeguards: disabledSafeguards{acceptSingleZone: true}},
+		{name: "evidence dated at the send", dateOnReceipt: true},
 	} {
 		failedSeeds, checks, accepted := 0, 0, 0
 		var maxRefusalDelay time.Duration
@@ -365,14 +365,14 @@
 			w.dateOnReceipt = disabled.dateOnReceipt
 			w.steps(testSteps)
 			if w.violations > 0 {
-				assert.Check(t, disabled.name != "nothing", "seed %d: %d checks accepted a withdrawn key", seed, w.violations)
+				assert.Check(t, disabled.name != "none", "seed %d: %d checks accepted a withdrawn key", seed, w.violations)
 				failedSeeds++
 			}
 			checks, accepted, maxRefusalDelay = checks+w.checks, accepted+w.checks-w.refusals, max(maxRefusalDelay, w.maxRefusalDelay)
 		}
-		t.Logf("off: %s: %d of %d seeds wrong; %d of %d checks accepted; the last entry refused %s after the withdrawal",
+		t.Logf("disabled: %s: violations with %d of %d seeds; %d of %d checks accepted; the last entry refused the key %s after its withdrawal",
 			disabled.name, failedSeeds, seeds, accepted, checks, maxRefusalDelay)
-		assert.Check(t, disabled.name == "nothing" || failedSeeds > 0)
+		assert.Check(t, disabled.name == "none" || failedSeeds > 0)
 	}
 }
 
@@ -399,7 +399,7 @@
 		w.steps(120)
 		violations[disabled] = w.violations
 	}
-	t.Logf("checks that accepted the withdrawn key: %d; with a restarted entry that joins at once: %d", violations[false], violations[true])
+	t.Logf("checks that accepted the withdrawn key: %d; %d if a restarted entry joins immediately", violations[false], violations[true])
 	assert.Equal(t, violations[false], 0)
 	assert.Assert(t, violations[true] > 0)
 }
--- a/core/limit/initial_test.go
+++ b/core/limit/initial_test.go
@@ -80,11 +80,11 @@
 		limit  core.Slots
 		want   int
 	}{
-		{"peers that start too", []core.EntryID{peer, id("c", time.Minute)}, "", nil, 30, 3},
-		{"one that has run for long, and may be about to stop", []core.EntryID{id("b", time.Hour)}, "", nil, 30, 1},
-		{"a peer holds one, so it can take care of itself", []core.EntryID{peer, id("c", 0)}, "", map[core.EntryID]core.Slots{peer: 1}, 30, 2},
+		{"peers that have just started", []core.EntryID{peer, id("c", time.Minute)}, "", nil, 30, 3},
+		{"a peer that has run for long and may be about to stop", []core.EntryID{id("b", time.Hour)}, "", nil, 30, 1},
+		{"a peer holds an allotment, so it can take more itself", []core.EntryID{peer, id("c", 0)}, "", map[core.EntryID]core.Slots{peer: 1}, 30, 2},
 		{"the holder is gone", []core.EntryID{peer, id("c", 0)}, peer, map[core.EntryID]core.Slots{peer: 1}, 30, 3},
-		{"the zone's even part is one", []core.EntryID{peer, id("c", 0)}, "", nil, 3, 1},
+		{"the zone's even share is one slot", []core.EntryID{peer, id("c", 0)}, "", nil, 3, 1},
 	} {
 		l := &Ledger{Self: self, Zone: "z1"}
 		var m table.Memory
@@ -211,7 +211,7 @@
 	for _, members := range []bool{false, true} {
 		c := newColdStart(teams, zones, perZone, members).run()
 		sent[members], applied[members] = c.sentMoves, c.sentMoves-c.conflicts
-		t.Logf("peers known %t: %d transactions, %d of them conflicts, %d reads, %d s", members, c.sentMoves, c.conflicts, c.reads, c.seconds)
+		t.Logf("members known: %t: %d transactions including %d conflicts, %d reads, %d s", members, c.sentMoves, c.conflicts, c.reads, c.seconds)
 		for range 10 {
 			c.second()
 		}
@@ -220,7 +220,7 @@
 		for _, team := range c.teams {
 			var r TeamRow
 			assert.NilError(t, c.table.Read(table.TeamAllotmentKey(team)).Decode(&r))
-			assert.Assert(t, r.Sum() <= demandLimit, "%s: %d", team, r.Sum())
+			assert.Assert(t, r.Sum() <= demandLimit, "team %s: %d slots allotted", team, r.Sum())
 			assert.Equal(t, len(r.Zones), zones)
 		}
 	}
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -324,11 +324,11 @@
 		served, moves, lost, given := 0, 0, 0, 0
 		for seed := range uint64(testSeeds) {
 			w := newSimulation(seed, disabledSafeguards{}, changeLimits).run()
-			assert.Assert(t, w.maxExcess <= 0, "seed %d: %d above the limit\n%s", seed, w.maxExcess, w.dumpEntries())
-			assert.Assert(t, w.maxOverAllotted <= 0, "seed %d: parts of %d above the limit", seed, w.maxOverAllotted)
+			assert.Assert(t, w.maxExcess <= 0, "seed %d: running requests exceed the limit by %d\n%s", seed, w.maxExcess, w.dumpEntries())
+			assert.Assert(t, w.maxOverAllotted <= 0, "seed %d: allotments exceed the limit by %d slots", seed, w.maxOverAllotted)
 			served, moves, lost, given = served+w.served, moves+w.moves, lost+w.lostAnswers, given+w.givenToOthers
 		}
-		t.Logf("limit changes %t: %d seeds, %d started, %d sendings of moves, %d answers lost, %d parts given to others at a zone's first move, 0 above the limit",
+		t.Logf("limit changes: %t: %d seeds, %d requests started, %d attempts to send moves, %d answers lost, %d allotments given to other entries in a zone's first move, limit never exceeded",
 			changeLimits, testSeeds, served, moves, lost, given)
 		assert.Assert(t, served > testSeeds*200)
 		assert.Assert(t, given > testSeeds/2)
@@ -339,9 +339,9 @@
 // with some seeds.
 func TestLimitSafeguardsAreNeeded(t *testing.T) {
 	for name, disabled := range map[string]disabledSafeguards{
-		"a move is used before it is settled":      {useUnsettledMoves: true},
-		"a dead entry's part is reclaimed at once": {reclaimImmediately: true},
-		"a lowered limit doesn't stop starts":      {ignoreLoweredLimits: true},
+		"a move is used before its outcome is known":        {useUnsettledMoves: true},
+		"a dead entry's allotment is reclaimed immediately": {reclaimImmediately: true},
+		"a reduced limit doesn't stop starts":               {ignoreLoweredLimits: true},
 	} {
 		failedSeeds, maxExcess := 0, core.Slots(0)
 		for seed := range uint64(safeguardSeeds) {
@@ -351,7 +351,7 @@
 			}
 			maxExcess = max(maxExcess, w.maxExcess)
 		}
-		t.Logf("%s: %d of %d seeds above the limit, by %d at worst", name, failedSeeds, safeguardSeeds, maxExcess)
+		t.Logf("%s: limit exceeded with %d of %d seeds, by at most %d", name, failedSeeds, safeguardSeeds, maxExcess)
 		assert.Check(t, failedSeeds > 0, name)
 	}
 }
@@ -376,7 +376,7 @@
 			maxExcess[disabled] = max(maxExcess[disabled], w.maxExcess)
 		}
 	}
-	t.Logf("%d seeds: by %d above the limit at worst; with the check of the head off, by %d", safeguardSeeds, maxExcess[false], maxExcess[true])
+	t.Logf("%d seeds: limit exceeded by at most %d; without the check of the configuration head, by at most %d", safeguardSeeds, maxExcess[false], maxExcess[true])
 	assert.Assert(t, maxExcess[false] <= 0)
 	assert.Assert(t, maxExcess[true] > 0)
 }
--- a/core/limit/schedule_test.go
+++ b/core/limit/schedule_test.go
@@ -31,7 +31,7 @@
 			}
 		}
 	}
-	t.Logf("%d seeds, %d looks left out, none at a move", testSeeds, quiet)
+	t.Logf("%d seeds, %d evaluations skipped, none of which needed a move", testSeeds, quiet)
 	assert.Assert(t, quiet > testSeeds*20)
 }
 
@@ -45,7 +45,7 @@
 		}
 		quiet++
 		d := n.ledger.draft(w.now, a)
-		assert.Assert(t, !d.worthwhile, "seed %d, %s at %s: %s is not looked at until %s", seed, n.ledger.Self, w.now, team, a.decideAt)
+		assert.Assert(t, !d.worthwhile, "seed %d, entry %s at %s: team %s needs a move but is not evaluated until %s", seed, n.ledger.Self, w.now, team, a.decideAt)
 	}
 	return quiet
 }
--- a/core/limit/session_test.go
+++ b/core/limit/session_test.go
@@ -157,7 +157,7 @@
 		s.at(first[disabled]+1, "", func() {})
 		assert.Assert(t, !s.z.Acquire(s.now, core.RequestKey{Team: testTeam}, s.now))
 	}
-	t.Logf("leases granted in zz end at second 62 at the latest; others start at second %d, at once reclaimed at %d", first[false], first[true])
+	t.Logf("leases granted in zz end at second 62 at the latest; others start at second %d, or at %d with immediate reclaim", first[false], first[true])
 	assert.Assert(t, first[false] > 62 && first[true] < 62)
 }
 
@@ -185,7 +185,7 @@
 			}
 		}
 	}
-	t.Logf("limit 2: %d run at once at most; with running parts given back, %d", most[false], most[true])
+	t.Logf("limit 2: at most %d run concurrently; %d if the slots of running requests are given back", most[false], most[true])
 	assert.Equal(t, most[false], core.Slots(2))
 	assert.Assert(t, most[true] > 2)
 }
--- a/core/queue/fair/property_test.go
+++ b/core/queue/fair/property_test.go
@@ -38,9 +38,9 @@
 		check    func(off disabledSafeguards, rng *rand.Rand) error
 	}{
 		{"weighted shares", disabledSafeguards{fairness: true}, sharesHold},
-		{"urgent flood starves nobody", disabledSafeguards{urgentBound: true}, urgentIsBounded},
-		{"never expired", disabledSafeguards{expiryCheck: true}, neverExpired},
-		{"work conserving", disabledSafeguards{probing: true}, workConserving},
+		{"urgent flood starves no team", disabledSafeguards{urgentBound: true}, urgentIsBounded},
+		{"expired items are never popped", disabledSafeguards{expiryCheck: true}, neverExpired},
+		{"work conservation", disabledSafeguards{probing: true}, workConserving},
 	} {
 		t.Run(p.name, func(t *testing.T) {
 			failedSeeds := 0
@@ -54,8 +54,8 @@
 					}
 				}
 			}
-			t.Logf("switched off: red on %d of 200 seeds, first: %v", failedSeeds, first)
-			assert.Assert(t, failedSeeds > 0, "the property can't fail")
+			t.Logf("safeguard disabled: property violated with %d of 200 seeds, first: %v", failedSeeds, first)
+			assert.Assert(t, failedSeeds > 0, "the property is never violated with the safeguard disabled")
 		})
 	}
 }
@@ -85,7 +85,7 @@
 		for b := range shares {
 			wa, wb := float64(shares[a]), float64(shares[b])
 			if gap := math.Abs(got[a]/wa - got[b]/wb); gap > longest/wa+longest/wb {
-				return fmt.Errorf("%s got %.2f and %s %.2f by shares %v, longest run %.2f", a, got[a], b, got[b], shares, longest)
+				return fmt.Errorf("team %s got %.2f s and team %s %.2f s of slot time with shares %v and a longest run of %.2f s", a, got[a], b, got[b], shares, longest)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 		f.Observe(t0, q, i.Key.Team, time.Second)
 	}
 	if calm < served/2-urgentLeadRuns {
-		return fmt.Errorf("calm got %d of %d runs", calm, served)
+		return fmt.Errorf("team calm got %d of %d runs", calm, served)
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 			f.Expired(now)
 		}
 		if i, ok := f.Pop(now, q, acceptAll); ok && !now.Before(i.Deadline) {
-			return fmt.Errorf("popped at %v past the deadline %v", now, i.Deadline)
+			return fmt.Errorf("popped an item at %v, after its deadline %v", now, i.Deadline)
 		}
 	}
 	return nil
@@ -153,7 +153,7 @@
 		}
 		i, ok := f.Pop(t0, q, func(i queue.Item) bool { return !blocked[i.Key.Team] })
 		if ok != (runnable > 0) {
-			return fmt.Errorf("popped %t with %d items of teams below their limit", ok, runnable)
+			return fmt.Errorf("Pop returned %t with %d items of teams below their limit", ok, runnable)
 		}
 		if ok {
 			free[i.Key.Team]--
@@ -177,8 +177,8 @@
 			}
 		}
 	}
-	t.Logf("switched off: red on %d of 100 seeds, first %d", failedSeeds, firstFailedSeed)
-	assert.Assert(t, failedSeeds > 0, "the property can't fail")
+	t.Logf("safeguard disabled: property violated with %d of 100 seeds, first %d", failedSeeds, firstFailedSeed)
+	assert.Assert(t, failedSeeds > 0, "the property is never violated with the safeguard disabled")
 }
 
 // cancelOrderIrrelevant cancels 60 of 100 items in two different orders and reports
@@ -225,14 +225,14 @@
 				if len(l.entries) < before[k] {
 					examined += before[k]
 				}
-				assert.Assert(t, len(l.entries) <= 2*l.liveCount(), "%d entries kept for %d", len(l.entries), l.liveCount())
+				assert.Assert(t, len(l.entries) <= 2*l.liveCount(), "the heap keeps %d entries for %d waiting items", len(l.entries), l.liveCount())
 			}
 		}
 		return float64(examined) / float64(n)
 	}
 	for _, n := range []int{1000, 4000} {
 		lazy, eager := perCancellation(disabledSafeguards{}, n), perCancellation(disabledSafeguards{lazyRemoval: true}, n)
-		t.Logf("%d cancellations look at %.1f entries each; with compaction each time at %.0f", n, lazy, eager)
+		t.Logf("%d cancellations examine %.1f entries each; %.0f if each one compacts the heap", n, lazy, eager)
 		assert.Assert(t, lazy <= 4.1 && eager > float64(n)/2)
 	}
 }
@@ -254,7 +254,7 @@
 			times = append(times, refusal.ComeBackAt)
 		}
 	}
-	assert.Assert(t, len(times) > 100, "%d refused", len(times))
+	assert.Assert(t, len(times) > 100, "only %d requests were refused", len(times))
 	perSecond := map[int]int{}
 	for _, at := range times {
 		assert.Assert(t, !at.Before(t0.Add(minRetryDelay)) && at.Before(t0.Add(maxRetryDelay+time.Second)), at.String())
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -29,7 +29,7 @@
 			}
 		}
 		if bound := b.Ratio*float64(first) + b.Burst; float64(allowed) > bound+1e-6 {
-			return fmt.Errorf("%d retries after %d first attempts, bound %.1f", allowed, first, bound)
+			return fmt.Errorf("%d retries allowed after %d first attempts, want at most %.1f", allowed, first, bound)
 		}
 	}
 	return nil
@@ -43,7 +43,7 @@
 			unboundedFailures++
 		}
 	}
-	assert.Equal(t, unboundedFailures, 100, "the bound held on %d seeds without a budget", 100-unboundedFailures)
+	assert.Equal(t, unboundedFailures, 100, "the bound held with %d seeds although the budget was disabled", 100-unboundedFailures)
 }
 
 func TestBackoffGrowsToItsBound(t *testing.T) {
@@ -56,7 +56,7 @@
 			full := ms * time.Millisecond
 			for range 50 {
 				d := b.Backoff(t0, n+1).Sub(t0)
-				assert.Assert(t, d >= full/2 && d <= full, "retry %d waits %v of %v", n+1, d, full)
+				assert.Assert(t, d >= full/2 && d <= full, "retry %d waits %v, want between half of %v and all of it", n+1, d, full)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 		assert.Assert(t, SafeToRetry(p, true), p.String())
 		assert.Equal(t, SafeToRetry(p, false), p != Sent, p.String())
 	}
-	assert.Assert(t, !SafeToRetry(Progress(7), false), "an unknown progress must allow least")
+	assert.Assert(t, !SafeToRetry(Progress(7), false), "an unknown progress must not allow a retry")
 }
 
 // Guards against a request that fails everywhere and is sent to every target until its
--- a/core/route/least/property_test.go
+++ b/core/route/least/property_test.go
@@ -41,7 +41,7 @@
 				r.Started(now, vm)
 				running[vm]++
 				if running[vm] > 8 {
-					return fmt.Errorf("%s holds %d of 8 slots", vm, running[vm])
+					return fmt.Errorf("target %s has %d requests in 8 slots", vm, running[vm])
 				}
 			}
 		default:
@@ -74,7 +74,7 @@
 		{"slots", disabledSafeguards{slotBound: true}, func(*Router, int) error { return nil }},
 		{"ejected", disabledSafeguards{ejectionBound: true}, func(r *Router, budget int) error {
 			if n := len(r.Ejected(pool)); n > budget {
-				return fmt.Errorf("%d targets ejected, budget %d", n, budget)
+				return fmt.Errorf("%d targets ejected, want at most %d", n, budget)
 			}
 			return nil
 		}},
@@ -96,8 +96,8 @@
 					}
 				}
 			}
-			t.Logf("switched off: red on %d of 100 seeds, first: %v", failedSeeds, first)
-			assert.Assert(t, failedSeeds > 0, "the bound can't be exceeded")
+			t.Logf("safeguard disabled: bound exceeded with %d of 100 seeds, first: %v", failedSeeds, first)
+			assert.Assert(t, failedSeeds > 0, "the bound is never exceeded with the safeguard disabled")
 		})
 	}
 }
@@ -145,7 +145,7 @@
 func TestBadTargetGetsFewRequests(t *testing.T) {
 	unprotected := requestsToBadTargets(1, 1, disabledSafeguards{ejection: true})
 	ejected, paced := requestsToBadTargets(1, 1, disabledSafeguards{}), requestsToBadTargets(1, 0, disabledSafeguards{})
-	t.Logf("requests to the bad target: off %d, ejected %d, paced %d", unprotected, ejected, paced)
+	t.Logf("requests to the failing target: %d without ejection, %d ejected, %d paced", unprotected, ejected, paced)
 	assert.Assert(t, unprotected > 10000, "%d", unprotected)
 	assert.Assert(t, ejected < 50, "%d", ejected)
 	assert.Assert(t, paced < 100, "%d", paced)
@@ -157,7 +157,7 @@
 // refused.
 func TestFailingPoolIsPaced(t *testing.T) {
 	unprotected, paced := requestsToBadTargets(10, 1, disabledSafeguards{pacing: true}), requestsToBadTargets(10, 1, disabledSafeguards{})
-	t.Logf("requests to a pool that fails: off %d, paced %d", unprotected, paced)
+	t.Logf("requests to a failing pool: %d without pacing, %d paced", unprotected, paced)
 	assert.Assert(t, unprotected > 100000, "%d", unprotected)
 	assert.Assert(t, paced < 500, "%d", paced)
 }
@@ -180,7 +180,7 @@
 		assert.Equal(t, vm, core.VMID("vm0"))
 		r.Started(now, vm)
 		other, _ := r.Pick(now, route.Criteria{Pool: pool})
-		assert.Assert(t, other != vm, "two probes at once")
+		assert.Assert(t, other != vm, "two concurrent probes")
 		r.Ended(now, vm, route.Succeeded, time.Second)
 	}
 	assert.Equal(t, len(r.Ejected(pool)), 0)
