--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -71,12 +71,12 @@
 func newSimulation(seed uint64, disabled disabledSafeguards) *simulation {
 	w := &simulation{r: rand.New(rand.NewPCG(seed, 4)), now: testStart, unsafe: disabled, partition: map[core.ZoneID]int{}, cutFromTable: map[core.ZoneID]bool{}}
 	for i := range 2 * len(testZones) {
-		w.entries = append(w.entries, w.start(i))
+		w.entries = append(w.entries, w.newEntry(i))
 	}
 	return w
 }
 
-func (w *simulation) start(i int) *testEntry {
+func (w *simulation) newEntry(i int) *testEntry {
 	e := &testEntry{clockOffset: time.Duration(w.r.IntN(int(testSkew))) - testSkew/2}
 	e.ring = Ring{
 		Zone: testZones[i/2], Zones: testZones, MaxStaleness: testMaxStaleness,
@@ -98,7 +98,7 @@
 	if !w.scriptedFaults {
 		w.injectPartitions()
 		if i := w.r.IntN(len(w.entries)); w.chance(2) {
-			w.entries[i] = w.start(i)
+			w.entries[i] = w.newEntry(i)
 		}
 		if w.chance(10) {
 			w.runOperator()
@@ -395,7 +395,7 @@
 		assert.Assert(t, !k.acceptedAt.IsZero())
 		w.steps(60)
 		w.partition["z2"], w.cutFromTable["z2"] = 1, true
-		w.entries[4], w.entries[5] = w.start(4), w.start(5)
+		w.entries[4], w.entries[5] = w.newEntry(4), w.newEntry(5)
 		w.steps(120)
 		violations[disabled] = w.violations
 	}
--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -46,16 +46,16 @@
 // needsRead reports whether the rows must be read before anything else. After a limit
 // change for which no request is waiting, the next poll is sufficient.
 func (l *Ledger) needsRead(now time.Time, a *teamAllotment) bool {
-	return !a.known || a.move != nil || l.hasDemand(now, a) && !l.rowsAsOf(a).After(a.loweredAt)
+	return !a.rowsKnown || a.move != nil || l.hasDemand(now, a) && !l.rowsAsOf(a).After(a.reducedAt)
 }
 
 // draft is a move being planned.
 type draft struct {
-	team  TeamRow
-	zone  ZoneRow
-	slots core.Slots
-	// cleared lists the zones whose rows the move empties.
-	cleared []core.ZoneID
+	teamRow TeamRow
+	zoneRow ZoneRow
+	slots   core.Slots
+	// clearedZones lists the zones whose rows the move empties.
+	clearedZones []core.ZoneID
 	// worthwhile is true if the move justifies a write.
 	worthwhile bool
 }
@@ -70,17 +70,17 @@
 		// Two reads cost the table less than a write that meets a conflict.
 		return l.readRows(now, team, a)
 	}
-	d.team.Limit = a.limit
-	setSlots(&d.zone.Entries, l.Self, d.slots)
-	setSlots(&d.team.Zones, l.Zone, d.zone.Sum())
+	d.teamRow.Limit = a.limit
+	setSlots(&d.zoneRow.Entries, l.Self, d.slots)
+	setSlots(&d.teamRow.Zones, l.Zone, d.zoneRow.Sum())
 	return l.startMove(team, a, d)
 }
 
 // draft computes the move that the rows call for.
 func (l *Ledger) draft(now time.Time, a *teamAllotment) draft {
-	d := draft{team: a.team.clone(), zone: a.zone.clone(), slots: a.slots}
-	dropExpired(d.team.Wanted, now)
-	dropExpired(d.zone.Wanted, now)
+	d := draft{teamRow: a.teamRow.clone(), zoneRow: a.zoneRow.clone(), slots: a.slots}
+	dropExpired(d.teamRow.Wanted, now)
+	dropExpired(d.zoneRow.Wanted, now)
 	l.reclaimEntries(now, &d)
 	l.reclaimZones(now, &d)
 	l.adjust(now, a, &d)
@@ -100,10 +100,10 @@
 		// the transaction.
 		t.Check(l.configHead)
 	}
-	if t.Set(teamKey, d.team) != nil || t.Set(zoneKey, d.zone) != nil {
+	if t.Set(teamKey, d.teamRow) != nil || t.Set(zoneKey, d.zoneRow) != nil {
 		return nil
 	}
-	for _, z := range d.cleared {
+	for _, z := range d.clearedZones {
 		if t.Set(table.ZoneAllotmentKey(team, z), ZoneRow{}) != nil {
 			return nil
 		}
@@ -111,7 +111,7 @@
 	l.lastMove++
 	m := &openMove{
 		Move:     Move{ID: l.lastMove, Team: team, Transaction: t},
-		minSlots: min(a.slots, d.slots), slotsAfter: d.slots, team: d.team, zone: d.zone,
+		minSlots: min(a.slots, d.slots), slotsAfter: d.slots, teamRow: d.teamRow, zoneRow: d.zoneRow,
 		teamVersion: a.teamTableRow.Version, zoneVersion: a.zoneTableRow.Version,
 	}
 	a.move = m
@@ -123,25 +123,25 @@
 // by them can still be running. The deadline is stored in the row, so that the wait
 // continues if the entry that started it ends as well.
 func (l *Ledger) reclaimEntries(now time.Time, d *draft) {
-	for e := range d.zone.Reclaim {
-		if _, ok := d.zone.Entries[e]; !ok {
-			delete(d.zone.Reclaim, e)
+	for e := range d.zoneRow.Reclaim {
+		if _, ok := d.zoneRow.Entries[e]; !ok {
+			delete(d.zoneRow.Reclaim, e)
 		}
 	}
-	for e := range d.zone.Entries {
-		end, marked := d.zone.Reclaim[e]
+	for e := range d.zoneRow.Entries {
+		end, marked := d.zoneRow.Reclaim[e]
 		switch {
 		case e == l.Self:
 		case marked && !now.Before(end), l.goneEntries[e] && l.disabled.reclaimImmediately:
-			delete(d.zone.Entries, e)
-			delete(d.zone.Reclaim, e)
+			delete(d.zoneRow.Entries, e)
+			delete(d.zoneRow.Reclaim, e)
 			d.worthwhile = true
 		case !marked && l.goneEntries[e]:
-			put(&d.zone.Reclaim, e, l.lastLeaseEnd(now))
+			put(&d.zoneRow.Reclaim, e, l.lastLeaseEnd(now))
 			d.worthwhile = true
 		}
 	}
-	setSlots(&d.team.Zones, l.Zone, d.zone.Sum())
+	setSlots(&d.teamRow.Zones, l.Zone, d.zoneRow.Sum())
 }
 
 // reclaimZones frees the allotments of zones that an operator attested to be down once
@@ -149,12 +149,12 @@
 func (l *Ledger) reclaimZones(now time.Time, d *draft) {
 	for _, z := range slices.Sorted(maps.Keys(l.downZones)) {
 		since := l.downZones[z]
-		if z == l.Zone || d.team.Zones[z] == 0 || (now.Before(l.lastLeaseEnd(since)) && !l.disabled.reclaimImmediately) {
+		if z == l.Zone || d.teamRow.Zones[z] == 0 || (now.Before(l.lastLeaseEnd(since)) && !l.disabled.reclaimImmediately) {
 			continue
 		}
-		delete(d.team.Zones, z)
-		delete(d.team.Wanted, z)
-		d.cleared = append(d.cleared, z)
+		delete(d.teamRow.Zones, z)
+		delete(d.teamRow.Wanted, z)
+		d.clearedZones = append(d.clearedZones, z)
 		d.worthwhile = true
 	}
 }
@@ -174,7 +174,7 @@
 		running = 0
 	}
 	idle := max(0, d.slots-running)
-	free := a.limit - d.team.Sum()
+	free := a.limit - d.teamRow.Sum()
 	wants := l.hasDemand(now, a)
 	starving := l.countStarved(now, d)
 	even := l.evenShare(now, a.limit, d)
@@ -190,7 +190,7 @@
 	case wants && idle == 0:
 		l.take(d, min(free, l.increment(now, a, d)))
 	case wants:
-	case d.team.Short.After(now) && free <= 0:
+	case d.teamRow.Short.After(now) && free <= 0:
 		l.giveBack(d, min(idle, d.slots-a.usage.peak(now)))
 	case !now.Before(a.usage.lastUsed.Add(l.retention())):
 		// The minimum allotment is kept. Otherwise the entry would take it again as an
@@ -224,11 +224,11 @@
 // increment returns the number of slots to take at once: as many as the entry has, or
 // about an entry's share of the free slots, or a single slot while the limit is short.
 func (l *Ledger) increment(now time.Time, a *teamAllotment, d *draft) core.Slots {
-	if d.team.Short.After(now) {
+	if d.teamRow.Short.After(now) {
 		return 1
 	}
 	const entries = 32
-	return max(d.slots, minAllotment(a.limit), (a.limit-d.team.Sum())/entries)
+	return max(d.slots, minAllotment(a.limit), (a.limit-d.teamRow.Sum())/entries)
 }
 
 // hasDemand reports whether a request is waiting at this entry because the allotment is
@@ -241,15 +241,15 @@
 // countStarved returns the number of other zones, and other entries of this zone, in
 // which an entry waits with less than its even share.
 func (l *Ledger) countStarved(now time.Time, d *draft) int {
-	return countOtherMarks(d.team.Wanted, l.Zone, now) + countOtherMarks(d.zone.Wanted, l.Self, now)
+	return countOtherMarks(d.teamRow.Wanted, l.Zone, now) + countOtherMarks(d.zoneRow.Wanted, l.Self, now)
 }
 
 // evenShare returns the entry's even share of the limit among those that hold or want
 // slots. The limit is divided among zones first, then within the zone, and rounded
 // down.
 func (l *Ledger) evenShare(now time.Time, limit core.Slots, d *draft) core.Slots {
-	zones := claimants(d.team.Zones, d.team.Wanted, l.Zone, now)
-	entries := claimants(d.zone.Entries, d.zone.Wanted, l.Self, now)
+	zones := claimants(d.teamRow.Zones, d.teamRow.Wanted, l.Zone, now)
+	entries := claimants(d.zoneRow.Entries, d.zoneRow.Wanted, l.Self, now)
 	return limit / core.Slots(zones*entries)
 }
 
@@ -257,8 +257,8 @@
 // their even share of a fully allotted limit. Requests that end then make room for
 // them.
 func (a *teamAllotment) ceiling(now time.Time, l *Ledger) core.Slots {
-	d := draft{team: a.team, zone: a.zone}
-	if a.team.Sum() < a.limit || l.countStarved(now, &d) == 0 {
+	d := draft{teamRow: a.teamRow, zoneRow: a.zoneRow}
+	if a.teamRow.Sum() < a.limit || l.countStarved(now, &d) == 0 {
 		return a.limit
 	}
 	return max(1, l.evenShare(now, a.limit, &d))
@@ -282,20 +282,20 @@
 // single mark for a short limit serves all entries, so that a burst doesn't cost a
 // write per entry.
 func (l *Ledger) updateMarks(now time.Time, waits bool, even core.Slots, d *draft) {
-	_, marked := d.zone.Wanted[l.Self]
+	_, marked := d.zoneRow.Wanted[l.Self]
 	less := d.slots == 0 || d.slots < even
 	switch {
 	case waits && less && !marked:
-		put(&d.zone.Wanted, l.Self, now.Add(demandMarkTTL))
-		put(&d.team.Wanted, l.Zone, now.Add(demandMarkTTL))
+		put(&d.zoneRow.Wanted, l.Self, now.Add(demandMarkTTL))
+		put(&d.teamRow.Wanted, l.Zone, now.Add(demandMarkTTL))
 		d.worthwhile = true
-	case waits && !less && !d.team.Short.After(now):
-		d.team.Short = now.Add(demandMarkTTL)
+	case waits && !less && !d.teamRow.Short.After(now):
+		d.teamRow.Short = now.Add(demandMarkTTL)
 		d.worthwhile = true
 	case marked && !less:
-		delete(d.zone.Wanted, l.Self)
-		if len(d.zone.Wanted) == 0 {
-			delete(d.team.Wanted, l.Zone)
+		delete(d.zoneRow.Wanted, l.Self)
+		if len(d.zoneRow.Wanted) == 0 {
+			delete(d.teamRow.Wanted, l.Zone)
 		}
 	}
 }
--- a/core/limit/dump.go
+++ b/core/limit/dump.go
@@ -29,7 +29,7 @@
 	for _, team := range l.Teams() {
 		a := l.teams[team]
 		dump = append(dump, TeamDump{
-			Team: team, Limit: a.limit, Part: a.slots, Running: a.running.count(), GivenOut: a.team.Sum(),
+			Team: team, Limit: a.limit, Part: a.slots, Running: a.running.count(), GivenOut: a.teamRow.Sum(),
 			Above: l.Excess(team), Paused: l.startsPaused(a), Settling: a.move != nil,
 		})
 	}
@@ -40,7 +40,7 @@
 func (l *Ledger) Holders() []core.EntryID {
 	all := make(map[core.EntryID]bool)
 	for _, a := range l.teams {
-		for e := range a.zone.Entries {
+		for e := range a.zoneRow.Entries {
 			all[e] = true
 		}
 	}
--- a/core/limit/handle.go
+++ b/core/limit/handle.go
@@ -73,7 +73,7 @@
 		return
 	}
 	for _, a := range l.teams {
-		if _, ok := a.zone.Entries[e]; ok {
+		if _, ok := a.zoneRow.Entries[e]; ok {
 			put(&l.goneEntries, e, true)
 			l.schedule.makeDue(a)
 		}
@@ -104,7 +104,7 @@
 			continue
 		}
 		if !a.limitKnown || !sameHead || limit < a.limit {
-			a.loweredAt, l.loweredAt = now, now
+			a.reducedAt, l.reducedAt = now, now
 		}
 		l.schedule.makeDue(a)
 		delete(l.unknownLimits, team)
@@ -123,7 +123,7 @@
 	if !a.updateTeamRow(e.TeamRow) || !a.updateZoneRow(e.ZoneRow) {
 		return nil
 	}
-	a.known = true
+	a.rowsKnown = true
 	if e.Sent.After(a.readAsOf) {
 		a.readAsOf, a.refreshedAt = e.Sent, e.Sent
 	}
@@ -135,7 +135,7 @@
 	if e.First {
 		// Rows may have changed between their read and the start of the first poll.
 		for _, a := range l.teams {
-			a.known = false
+			a.rowsKnown = false
 		}
 		l.schedule.makeAllDue()
 	}
@@ -143,26 +143,26 @@
 	for _, row := range e.Rows {
 		team, zone, _ := table.SplitAllotmentKey(row.Key)
 		a, ok := l.teams[team]
-		if !ok || !a.known {
+		if !ok || !a.rowsKnown {
 			continue
 		}
 		l.schedule.makeDue(a)
 		// If a row can't be decoded, the rows are unknown until a read succeeds.
 		switch zone {
 		case "":
-			a.known = a.updateTeamRow(row)
+			a.rowsKnown = a.updateTeamRow(row)
 		case l.Zone:
-			a.known = a.updateZoneRow(row)
+			a.rowsKnown = a.updateZoneRow(row)
 		}
 	}
 	for _, a := range learned {
-		a.known = a.known && a.teamTableRow.Version > 0
+		a.rowsKnown = a.rowsKnown && a.teamTableRow.Version > 0
 	}
 	if e.Sent.After(l.polledAt) {
 		l.polledAt = e.Sent
 	}
 	for _, a := range l.teams {
-		if a.known {
+		if a.rowsKnown {
 			l.settle(a, e.Sent)
 		}
 	}
@@ -183,7 +183,7 @@
 			continue
 		}
 		a := l.allotmentOf(team)
-		a.known, a.readAsOf = true, e.Sent
+		a.rowsKnown, a.readAsOf = true, e.Sent
 		learned = append(learned, a)
 	}
 	return learned
@@ -199,7 +199,7 @@
 		delete(l.moves, m.ID)
 		a.move = nil
 	}
-	part := a.zone.Entries[l.Self]
+	part := a.zoneRow.Entries[l.Self]
 	if part > a.slots {
 		// An increase counts as usage, so that the slots aren't given back before they
 		// could be used.
@@ -221,7 +221,7 @@
 		a.applyMove(now, m)
 		l.finishMove(a)
 	case ResultConflict:
-		a.known = false
+		a.rowsKnown = false
 		if m.answerLost {
 			m.conflictedAt = now
 			break
@@ -264,10 +264,10 @@
 	// version in that case would yield versions that the table never reaches, and every
 	// later row would be taken for an outdated one.
 	if v := m.teamVersion + 1; v >= a.teamTableRow.Version {
-		a.team, a.teamTableRow.Version = m.team, v
+		a.teamRow, a.teamTableRow.Version = m.teamRow, v
 	}
 	if v := m.zoneVersion + 1; v >= a.zoneTableRow.Version {
-		a.zone, a.zoneTableRow.Version = m.zone, v
+		a.zoneRow, a.zoneTableRow.Version = m.zoneRow, v
 	}
 }
 
@@ -281,7 +281,7 @@
 	if row.Decode(&r) != nil || !nonNegative(r.Zones) {
 		return false
 	}
-	a.teamTableRow, a.team = table.Row{Key: row.Key, Version: row.Version}, r
+	a.teamTableRow, a.teamRow = table.Row{Key: row.Key, Version: row.Version}, r
 	return true
 }
 
@@ -294,6 +294,6 @@
 	if row.Decode(&r) != nil || !nonNegative(r.Entries) {
 		return false
 	}
-	a.zoneTableRow, a.zone = table.Row{Key: row.Key, Version: row.Version}, r
+	a.zoneTableRow, a.zoneRow = table.Row{Key: row.Key, Version: row.Version}, r
 	return true
 }
--- a/core/limit/initial.go
+++ b/core/limit/initial.go
@@ -25,7 +25,7 @@
 			break
 		}
 		team := teams[(first+i)%len(teams)]
-		if a, ok := l.teams[team]; ok && (a.slots > 0 || a.limit > 0 && a.team.Sum() >= a.limit) {
+		if a, ok := l.teams[team]; ok && (a.slots > 0 || a.limit > 0 && a.teamRow.Sum() >= a.limit) {
 			continue
 		}
 		lacking = append(lacking, team)
@@ -48,7 +48,7 @@
 // allotments are ordinary ones: an entry uses its slots once it has read the row, and
 // keeps them until it gives them back or has certainly ended.
 func (l *Ledger) takeInitial(now time.Time, a *teamAllotment, d *draft) {
-	free := a.limit - d.team.Sum()
+	free := a.limit - d.teamRow.Sum()
 	newcomers := l.newEntries(now, d)
 	if len(newcomers) == 0 {
 		l.take(d, min(free, l.increment(now, a, d)))
@@ -61,7 +61,7 @@
 		if left <= 0 {
 			return
 		}
-		setSlots(&d.zone.Entries, e, min(left, each))
+		setSlots(&d.zoneRow.Entries, e, min(left, each))
 		left -= each
 	}
 }
@@ -79,7 +79,7 @@
 // nil while the limit is short, or if an entry that isn't known to have ended already
 // has an allotment.
 func (l *Ledger) newEntries(now time.Time, d *draft) []core.EntryID {
-	if d.team.Short.After(now) {
+	if d.teamRow.Short.After(now) {
 		return nil
 	}
 	var newcomers []core.EntryID
@@ -87,7 +87,7 @@
 		if l.goneEntries[e] {
 			continue
 		}
-		if d.zone.Entries[e] > 0 {
+		if d.zoneRow.Entries[e] > 0 {
 			return nil
 		}
 		if e != l.Self && now.Before(e.Started().Add(newEntryPeriod)) {
--- a/core/limit/ledger.go
+++ b/core/limit/ledger.go
@@ -38,7 +38,7 @@
 	configHead    table.Row
 	polledAt      time.Time
 	// demandAt and loweredAt are the latest values over all teams.
-	demandAt, loweredAt time.Time
+	demandAt, reducedAt time.Time
 	goneEntries         map[core.EntryID]bool
 	downZones           map[core.ZoneID]time.Time
 	members             Members
@@ -52,7 +52,7 @@
 type disabledSafeguards struct {
 	useUnsettledMoves   bool
 	reclaimImmediately  bool
-	ignoreLoweredLimits bool
+	ignoreReducedLimits bool
 	giveBackRunning     bool
 	noHeadCheck         bool
 	// staleRows disables an optimization, not a safeguard: the read of the rows before
@@ -67,19 +67,19 @@
 	id         core.TeamID
 	limit      core.Slots
 	limitKnown bool
-	// loweredAt is when a limit change that may be a reduction was received. No request
+	// reducedAt is when a limit change that may be a reduction was received. No request
 	// starts until the rows have been read after that.
-	loweredAt time.Time
+	reducedAt time.Time
 
 	// slots is this entry's allotment according to the last settled state of the table.
 	slots        core.Slots
-	team         TeamRow
-	zone         ZoneRow
+	teamRow      TeamRow
+	zoneRow      ZoneRow
 	teamTableRow table.Row
 	zoneTableRow table.Row
 	// readAsOf is when the read was sent that the rows are at least as recent as.
 	readAsOf   time.Time
-	known      bool
+	rowsKnown  bool
 	readSentAt time.Time
 	// refreshedAt is when this entry last read or wrote the rows itself.
 	refreshedAt time.Time
@@ -102,8 +102,8 @@
 	Move
 	// minSlots is the smaller of the allotments before and after the move.
 	minSlots, slotsAfter core.Slots
-	team                 TeamRow
-	zone                 ZoneRow
+	teamRow              TeamRow
+	zoneRow              ZoneRow
 	// teamVersion and zoneVersion are the row versions that the move checks.
 	teamVersion, zoneVersion core.Version
 	// answerLost is true once an answer to the move was lost.
@@ -170,7 +170,7 @@
 // NeedsTeamRows reports whether changes made by other zones are needed immediately,
 // because a request is waiting or a limit changed after the last poll of the rows.
 func (l *Ledger) NeedsTeamRows(now time.Time) bool {
-	return now.Before(l.demandAt.Add(demandTTL)) || !l.polledAt.After(l.loweredAt)
+	return now.Before(l.demandAt.Add(demandTTL)) || !l.polledAt.After(l.reducedAt)
 }
 
 // Excess returns by how many slots the allotments of the whole fleet exceed the team's
@@ -181,7 +181,7 @@
 	if !ok || !a.limitKnown {
 		return 0
 	}
-	return max(0, a.team.Sum()-a.limit)
+	return max(0, a.teamRow.Sum()-a.limit)
 }
 
 // usableSlots returns the number of requests that may run at this entry now.
@@ -207,15 +207,15 @@
 // received after the rows were read, or the allotments still add up to more than the
 // limit. The allotments are all that this entry knows about requests running elsewhere.
 func (l *Ledger) startsPaused(a *teamAllotment) bool {
-	if l.disabled.ignoreLoweredLimits {
+	if l.disabled.ignoreReducedLimits {
 		return false
 	}
-	return !l.rowsAsOf(a).After(a.loweredAt) || a.team.Sum() > a.limit
+	return !l.rowsAsOf(a).After(a.reducedAt) || a.teamRow.Sum() > a.limit
 }
 
 // rowsAsOf returns the time that the rows are at least as recent as.
 func (l *Ledger) rowsAsOf(a *teamAllotment) time.Time {
-	if a.known && l.polledAt.After(a.readAsOf) {
+	if a.rowsKnown && l.polledAt.After(a.readAsOf) {
 		return l.polledAt
 	}
 	return a.readAsOf
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -44,7 +44,7 @@
 	scriptedFaults bool
 	// noNewWork is true while no new requests arrive.
 	noNewWork   bool
-	next        int
+	idCount     int
 	maxExcess   core.Slots
 	served      int
 	lostAnswers int
@@ -83,13 +83,13 @@
 	w := &simulation{r: rand.New(rand.NewPCG(seed, 1)), now: testStart, limit: 12, unsafe: disabled, changeLimits: changeLimits}
 	w.setLimit(12)
 	for i := range 6 {
-		w.entries = append(w.entries, w.start(i))
+		w.entries = append(w.entries, w.newEntry(i))
 	}
 	return w
 }
 
-func (w *simulation) start(i int) *testEntry {
-	w.next++
+func (w *simulation) newEntry(i int) *testEntry {
+	w.idCount++
 	return &testEntry{firstPoll: true, ledger: &Ledger{
 		Self: core.NewEntryID(fmt.Sprintf("e%d", i), w.now), Zone: core.ZoneID(fmt.Sprintf("z%d", i/2)),
 		MaxLifetime: testLifetime, Skew: testSkew, disabled: w.unsafe,
@@ -157,7 +157,7 @@
 		n.cutFromConfig = !n.cutFromConfig
 	case 2:
 		w.gone = append(w.gone, n.ledger.Self)
-		w.entries[i] = w.start(i)
+		w.entries[i] = w.newEntry(i)
 	case 3:
 		if w.changeLimits && w.chance(60) {
 			w.setLimit(core.Slots(4 + w.r.IntN(16)))
@@ -241,8 +241,8 @@
 		if w.noNewWork {
 			break
 		}
-		key := core.RequestKey{Team: testTeam, ID: core.RequestID(fmt.Sprint(w.next))}
-		w.next++
+		key := core.RequestKey{Team: testTeam, ID: core.RequestID(fmt.Sprint(w.idCount))}
+		w.idCount++
 		until := w.now.Add(time.Duration(1+w.r.IntN(int(testLifetime/testStep))) * testStep)
 		if !n.ledger.Acquire(w.now, key, until) {
 			n.ledger.RecordDemand(w.now, testTeam)
@@ -341,7 +341,7 @@
 	for name, disabled := range map[string]disabledSafeguards{
 		"a move is used before its outcome is known":        {useUnsettledMoves: true},
 		"a dead entry's allotment is reclaimed immediately": {reclaimImmediately: true},
-		"a reduced limit doesn't stop starts":               {ignoreLoweredLimits: true},
+		"a reduced limit doesn't stop starts":               {ignoreReducedLimits: true},
 	} {
 		failedSeeds, maxExcess := 0, core.Slots(0)
 		for seed := range uint64(safeguardSeeds) {
--- a/core/limit/schedule.go
+++ b/core/limit/schedule.go
@@ -82,24 +82,24 @@
 }
 
 func (l *Ledger) needsDecisionNow(now time.Time, a *teamAllotment) bool {
-	return a.move != nil || !a.known || now.Before(a.demandAt.Add(demandTTL)) || l.stopping
+	return a.move != nil || !a.rowsKnown || now.Before(a.demandAt.Add(demandTTL)) || l.stopping
 }
 
 // mayChangeSoon reports whether the passage of time alone may call for a move of a:
 // running requests end, or a mark, a wait or a reclaim expires. All other causes arrive
 // as events, except unused slots, which aren't urgent on a scale of seconds.
 func (l *Ledger) mayChangeSoon(now time.Time, a *teamAllotment) bool {
-	if a.running.count() > 0 || !a.readSentAt.IsZero() || !a.limitKnown || a.team.Sum() > a.limit || !l.rowsAsOf(a).After(a.loweredAt) {
+	if a.running.count() > 0 || !a.readSentAt.IsZero() || !a.limitKnown || a.teamRow.Sum() > a.limit || !l.rowsAsOf(a).After(a.reducedAt) {
 		return true
 	}
-	if a.team.Short.After(now) || countOtherMarks(a.team.Wanted, "", now)+countOtherMarks(a.zone.Wanted, "", now) > 0 {
+	if a.teamRow.Short.After(now) || countOtherMarks(a.teamRow.Wanted, "", now)+countOtherMarks(a.zoneRow.Wanted, "", now) > 0 {
 		return true
 	}
-	return now.Before(a.retryAt) || len(a.zone.Reclaim) > 0 || len(l.downZones) > 0 || l.hasGoneHolder(a)
+	return now.Before(a.retryAt) || len(a.zoneRow.Reclaim) > 0 || len(l.downZones) > 0 || l.hasGoneHolder(a)
 }
 
 func (l *Ledger) hasGoneHolder(a *teamAllotment) bool {
-	for e := range a.zone.Entries {
+	for e := range a.zoneRow.Entries {
 		if l.goneEntries[e] {
 			return true
 		}
@@ -108,7 +108,7 @@
 }
 
 func (l *Ledger) forgettable(now time.Time, a *teamAllotment) bool {
-	return a.move == nil && a.slots == 0 && a.running.count() == 0 && a.known &&
+	return a.move == nil && a.slots == 0 && a.running.count() == 0 && a.rowsKnown &&
 		!now.Before(a.demandAt.Add(forgetAfter)) && !now.Before(a.usage.lastUsed.Add(forgetAfter))
 }
 
--- a/core/route/least/least.go
+++ b/core/route/least/least.go
@@ -219,7 +219,7 @@
 	if t.health == suspect {
 		// A suspect target that can't be ejected receives no more requests than one
 		// slot of a healthy target, regardless of how quickly it fails them.
-		t.nextStartAt = now.Add(secondsOf(r.meanRun(t.Pool)))
+		t.nextStartAt = now.Add(secondsToDuration(r.meanRun(t.Pool)))
 	}
 }
 
@@ -330,4 +330,4 @@
 	return r.Rand
 }
 
-func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/route/least/target.go
+++ b/core/route/least/target.go
@@ -125,7 +125,7 @@
 	t.usedByOthers = max(1, t.capacity()-t.running)
 	t.fullAt = now
 	if t.running >= t.ownShare(entries) {
-		t.contendedUntil = now.Add(secondsOf(contendedRuns * meanRun))
+		t.contendedUntil = now.Add(secondsToDuration(contendedRuns * meanRun))
 	}
 }
 
