--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -175,21 +175,21 @@
 	}
 	idle := max(0, d.slots-running)
 	free := a.limit - d.teamRow.Sum()
-	wants := l.hasDemand(now, a)
-	starving := l.countStarved(now, d)
+	demand := l.hasDemand(now, a)
+	starved := l.countStarved(now, d)
 	even := l.evenShare(now, a.limit, d)
 	switch {
 	case l.stopping:
 		l.giveBack(d, idle)
 	case free < 0:
 		l.giveBack(d, min(idle, -free))
-	case starving > 0:
-		l.yieldToStarved(d, idle, free, even, starving, wants)
-	case wants && d.slots == 0:
+	case starved > 0:
+		l.balanceShares(d, idle, free, even, starved, demand)
+	case demand && d.slots == 0:
 		l.takeInitial(now, a, d)
-	case wants && idle == 0:
+	case demand && idle == 0:
 		l.take(d, min(free, l.increment(now, a, d)))
-	case wants:
+	case demand:
 	case d.teamRow.Short.After(now) && free <= 0:
 		l.giveBack(d, min(idle, d.slots-a.usage.peak(now)))
 	case !now.Before(a.usage.lastUsed.Add(l.retention())):
@@ -198,7 +198,7 @@
 		// team.
 		l.giveBack(d, min(idle, d.slots-minAllotment(a.limit)))
 	}
-	l.updateMarks(now, wants && free <= 0 && d.slots <= a.slots, even, d)
+	l.updateMarks(now, demand && free <= 0 && d.slots <= a.slots, even, d)
 }
 
 // retention returns how long slots are kept that no entry asks for and nothing uses. It
@@ -209,14 +209,14 @@
 	return unusedRetention + time.Duration(spread)*time.Second
 }
 
-// yieldToStarved gives slots back to others that have less than their even share.
-func (l *Ledger) yieldToStarved(d *draft, idle, free, even core.Slots, starving int, wants bool) {
+// balanceShares gives slots back to others that have less than their even share.
+func (l *Ledger) balanceShares(d *draft, idle, free, even core.Slots, starved int, demand bool) {
 	switch {
-	case !wants && free <= 0:
-		l.giveBack(d, min(idle, core.Slots(starving)))
+	case !demand && free <= 0:
+		l.giveBack(d, min(idle, core.Slots(starved)))
 	case d.slots > even && free <= 0:
-		l.giveBack(d, min(idle, d.slots-even, core.Slots(starving)))
-	case wants && idle == 0 && d.slots < max(1, even):
+		l.giveBack(d, min(idle, d.slots-even, core.Slots(starved)))
+	case demand && idle == 0 && d.slots < max(1, even):
 		l.take(d, min(free, max(1, even)-d.slots))
 	}
 }
@@ -283,16 +283,16 @@
 // write per entry.
 func (l *Ledger) updateMarks(now time.Time, waits bool, even core.Slots, d *draft) {
 	_, marked := d.zoneRow.Wanted[l.Self]
-	less := d.slots == 0 || d.slots < even
+	belowShare := d.slots == 0 || d.slots < even
 	switch {
-	case waits && less && !marked:
+	case waits && belowShare && !marked:
 		put(&d.zoneRow.Wanted, l.Self, now.Add(demandMarkTTL))
 		put(&d.teamRow.Wanted, l.Zone, now.Add(demandMarkTTL))
 		d.worthwhile = true
-	case waits && !less && !d.teamRow.Short.After(now):
+	case waits && !belowShare && !d.teamRow.Short.After(now):
 		d.teamRow.Short = now.Add(demandMarkTTL)
 		d.worthwhile = true
-	case marked && !less:
+	case marked && !belowShare:
 		delete(d.zoneRow.Wanted, l.Self)
 		if len(d.zoneRow.Wanted) == 0 {
 			delete(d.teamRow.Wanted, l.Zone)
--- a/core/limit/handle.go
+++ b/core/limit/handle.go
@@ -139,7 +139,7 @@
 		}
 		l.schedule.makeAllDue()
 	}
-	learned := l.trackReceived(e)
+	received := l.trackReceived(e)
 	for _, row := range e.Rows {
 		team, zone, _ := table.SplitAllotmentKey(row.Key)
 		a, ok := l.teams[team]
@@ -155,7 +155,7 @@
 			a.rowsKnown = a.updateZoneRow(row)
 		}
 	}
-	for _, a := range learned {
+	for _, a := range received {
 		a.rowsKnown = a.rowsKnown && a.teamTableRow.Version > 0
 	}
 	if e.Sent.After(l.polledAt) {
@@ -172,7 +172,7 @@
 // trackReceived starts to track the teams for which another entry allotted slots to
 // this one. The poll contains both rows, because both were written in one transaction.
 func (l *Ledger) trackReceived(e Polled) []*teamAllotment {
-	var learned []*teamAllotment
+	var received []*teamAllotment
 	for _, row := range e.Rows {
 		team, zone, _ := table.SplitAllotmentKey(row.Key)
 		if _, ok := l.teams[team]; ok || zone != l.Zone {
@@ -184,9 +184,9 @@
 		}
 		a := l.allotmentOf(team)
 		a.rowsKnown, a.readAsOf = true, e.Sent
-		learned = append(learned, a)
+		received = append(received, a)
 	}
-	return learned
+	return received
 }
 
 // settle adopts the entry's own allotment from rows read by a request sent at sent,
@@ -199,13 +199,13 @@
 		delete(l.moves, m.ID)
 		a.move = nil
 	}
-	part := a.zoneRow.Entries[l.Self]
-	if part > a.slots {
+	slots := a.zoneRow.Entries[l.Self]
+	if slots > a.slots {
 		// An increase counts as usage, so that the slots aren't given back before they
 		// could be used.
-		a.usage.observe(sent, part)
+		a.usage.observe(sent, slots)
 	}
-	a.slots = part
+	a.slots = slots
 }
 
 func (l *Ledger) handleMoved(now time.Time, e Moved) []Command {
--- a/core/limit/initial.go
+++ b/core/limit/initial.go
@@ -18,19 +18,19 @@
 // position in the list. Otherwise all entries would write the same rows at the same
 // time, and most of the writes would conflict.
 func (l *Ledger) NextInitialAllotments(teams []core.TeamID, n int) []core.TeamID {
-	var lacking []core.TeamID
+	var missing []core.TeamID
 	first := l.spreadOffset(len(teams))
 	for i := range teams {
-		if len(lacking) == n {
+		if len(missing) == n {
 			break
 		}
 		team := teams[(first+i)%len(teams)]
 		if a, ok := l.teams[team]; ok && (a.slots > 0 || a.limit > 0 && a.teamRow.Sum() >= a.limit) {
 			continue
 		}
-		lacking = append(lacking, team)
+		missing = append(missing, team)
 	}
-	return lacking
+	return missing
 }
 
 // spreadOffset returns this entry's start position in a list of n elements, spreading
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -38,7 +38,7 @@
 	gone          []core.EntryID
 	runs          []targetRun
 	unsafe        disabledSafeguards
-	// changeLimits is true if the limit is raised and lowered during the run.
+	// changeLimits is true if the limit is raised and reduced during the run.
 	changeLimits bool
 	// scriptedFaults is true if the test injects the faults itself.
 	scriptedFaults bool
