--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -56,7 +56,7 @@
 	slots   core.Slots
 	// clearedZones lists the zones whose rows the move empties.
 	clearedZones []core.ZoneID
-	// worthwhile is true if the move justifies a write.
+	// worthwhile is true if the change justifies a write to the table.
 	worthwhile bool
 }
 
@@ -209,7 +209,8 @@
 	return unusedRetention + time.Duration(spread)*time.Second
 }
 
-// balanceShares gives slots back to others that have less than their even share.
+// balanceShares gives slots back to others that have less than their even share, or
+// takes free slots up to the entry's own even share.
 func (l *Ledger) balanceShares(d *draft, idle, free, even core.Slots, starved int, demand bool) {
 	switch {
 	case !demand && free <= 0:
@@ -221,8 +222,9 @@
 	}
 }
 
-// increment returns the number of slots to take at once: as many as the entry has, or
-// about an entry's share of the free slots, or a single slot while the limit is short.
+// increment returns the number of slots to take at once: the largest of the entry's
+// current allotment, the minimum allotment and about an entry's share of the free
+// slots, or a single slot while the limit is short.
 func (l *Ledger) increment(now time.Time, a *teamAllotment, d *draft) core.Slots {
 	if d.teamRow.Short.After(now) {
 		return 1
