--- a/core/key/session_test.go
+++ b/core/key/session_test.go
@@ -14,8 +14,9 @@
 	"lavenderpond/core/table"
 )
 
-// TestSession is the life of three keys at one entry: granted, withdrawn directly while
-// the table is down, and checked until the entry, cut off from all, trusts nothing.
+// TestSession records the course of three keys at one entry: granted, withdrawn
+// directly while the table is down, and checked until the entry is cut off from
+// everything and its list becomes stale.
 func TestSession(t *testing.T) {
 	var b strings.Builder
 	r := Ring{Zone: "za", Zones: []core.ZoneID{"za", "zb", "zc"}, Started: testStart}
@@ -26,7 +27,7 @@
 	at := func(seconds int, what string, ended ...core.KeyDigest) {
 		now := testStart.Add(time.Duration(seconds) * time.Second)
 		fmt.Fprintf(&b, "%3ds %s: %d ended, %d to record, trusted until %s\n", seconds, what,
-			len(ended), len(r.Unrecorded()), r.TrustedUntil().Format("15:04:05"))
+			len(ended), len(r.Unrecorded()), r.FreshUntil().Format("15:04:05"))
 		for name, d := range []core.KeyDigest{good, leaked, late} {
 			code, ok := r.Check(now, testTeam, d)
 			fmt.Fprintf(&b, "     %-7s %t %s\n", []string{"good", "leaked", "late"}[name], ok, code)
@@ -42,7 +43,7 @@
 	at(6, "told again", r.Withdraw(Withdrawal{Digest: leaked, Team: testTeam, Author: "ana"})...)
 	at(7, "an older row comes from a peer", r.Apply([]table.Row{row(leaked, 1, false), row(late, 1, false)})...)
 	at(17, "nothing heard")
-	r.Heard("zb", testStart.Add(18*time.Second))
+	r.RecordZoneContact("zb", testStart.Add(18*time.Second))
 	at(18, "zone zb heard: two of three zones")
 	at(25, "an old answer of zc, told by a peer", r.Merge(Summary{Contacts: map[core.ZoneID]time.Time{"zc": testStart}, Joined: true}, true, testSkew)...)
 	at(33, "nothing heard")
@@ -51,8 +52,9 @@
 	golden.Assert(t, b.String(), "session.golden")
 }
 
-// FuzzRingApply feeds the decoder of key rows. Whatever they hold, a withdrawn key
-// stays withdrawn, and nothing but a row of the team makes a key good.
+// FuzzRingApply feeds arbitrary data to the decoder of key rows. Whatever the rows
+// contain, a withdrawn key stays withdrawn, and only a row of the team makes a key
+// valid.
 func FuzzRingApply(f *testing.F) {
 	f.Add([]byte(`{"team":"frames"}`))
 	f.Add([]byte(`{"team":"frames","withdrawn":false}`))
--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -9,19 +9,20 @@
 	"lavenderpond/core/table"
 )
 
-// decide returns what to do next about one team: settle what is open, read what is
-// unknown, else move parts.
-func (l *Ledger) decide(now time.Time, team core.TeamID, a *allotment) []Command {
+// decide returns the next commands for one team: it resolves an open move first, then
+// reads unknown rows, and otherwise plans a move.
+func (l *Ledger) decide(now time.Time, team core.TeamID, a *teamAllotment) []Command {
 	a.running.expire(now)
-	if m := a.move; m != nil && m.conflicted.IsZero() {
-		if m.resend.IsZero() || now.Before(m.resend) {
+	if m := a.move; m != nil && m.conflictedAt.IsZero() {
+		if m.resendAt.IsZero() || now.Before(m.resendAt) {
 			return nil
 		}
-		m.resend = time.Time{}
+		m.resendAt = time.Time{}
 		return []Command{m.Move}
 	}
 	if a.move == nil && now.Before(a.retryAt) {
-		// The rows are read after the wait, not before: they would be old by then.
+		// The rows are read after the wait, since rows read before it would be stale by
+		// then.
 		return nil
 	}
 	if l.needsRead(now, a) {
@@ -33,266 +34,276 @@
 	return l.plan(now, team, a)
 }
 
-// readRows asks for the rows, unless a read is under way.
-func (l *Ledger) readRows(now time.Time, team core.TeamID, a *allotment) []Command {
-	if now.Before(a.readSent.Add(rereadAfter)) {
+// readRows requests the rows unless a read is in progress.
+func (l *Ledger) readRows(now time.Time, team core.TeamID, a *teamAllotment) []Command {
+	if now.Before(a.readSentAt.Add(rereadAfter)) {
 		return nil
 	}
-	a.readSent = now
+	a.readSentAt = now
 	return []Command{ReadRows{Team: team}}
 }
 
-// needsRead reports whether the rows have to be read before anything else. After a
-// limit change that nobody waits for, the next poll will do.
-func (l *Ledger) needsRead(now time.Time, a *allotment) bool {
-	return !a.known || a.move != nil || l.wants(now, a) && !l.rowsAt(a).After(a.lowered)
+// needsRead reports whether the rows must be read before anything else. After a limit
+// change for which no request is waiting, the next poll is sufficient.
+func (l *Ledger) needsRead(now time.Time, a *teamAllotment) bool {
+	return !a.rowsKnown || a.move != nil || l.hasDemand(now, a) && !l.rowsAsOf(a).After(a.reducedAt)
 }
 
-// draft is a move in the making.
+// draft is a move being planned.
 type draft struct {
-	team TeamRow
-	zone ZoneRow
-	part core.Slots
-	// cleared are the zones whose rows the move empties.
-	cleared []core.ZoneID
-	// worth is true if the move is worth a write.
-	worth bool
+	teamRow TeamRow
+	zoneRow ZoneRow
+	slots   core.Slots
+	// clearedZones lists the zones whose rows the move empties.
+	clearedZones []core.ZoneID
+	// worthwhile is true if the change justifies a write to the table.
+	worthwhile bool
 }
 
-// plan opens the move that the rows call for if it is worth a write.
-func (l *Ledger) plan(now time.Time, team core.TeamID, a *allotment) []Command {
+// plan starts the move that the rows call for if it justifies a write.
+func (l *Ledger) plan(now time.Time, team core.TeamID, a *teamAllotment) []Command {
 	d := l.draft(now, a)
-	if !d.worth {
+	if !d.worthwhile {
 		return nil
 	}
-	if now.After(a.fresh.Add(freshFor)) && !l.unsafe.staleRows {
-		// Two reads are cheaper than a write that meets a conflict.
+	if now.After(a.refreshedAt.Add(maxRowAge)) && !l.disabled.staleRows {
+		// Two reads cost the table less than a write that meets a conflict.
 		return l.readRows(now, team, a)
 	}
-	d.team.Limit = a.limit
-	setPart(&d.zone.Entries, l.Self, d.part)
-	setPart(&d.team.Zones, l.Zone, d.zone.Sum())
-	return l.open(team, a, d)
+	d.teamRow.Limit = a.limit
+	setSlots(&d.zoneRow.Entries, l.Self, d.slots)
+	setSlots(&d.teamRow.Zones, l.Zone, d.zoneRow.Sum())
+	return l.startMove(team, a, d)
 }
 
-// draft returns the move that the rows call for.
-func (l *Ledger) draft(now time.Time, a *allotment) draft {
-	d := draft{team: a.team.clone(), zone: a.zone.clone(), part: a.part}
-	dropEnded(d.team.Wanted, now)
-	dropEnded(d.zone.Wanted, now)
+// draft computes the move that the rows call for.
+func (l *Ledger) draft(now time.Time, a *teamAllotment) draft {
+	d := draft{teamRow: a.teamRow.clone(), zoneRow: a.zoneRow.clone(), slots: a.slots}
+	dropExpired(d.teamRow.Wanted, now)
+	dropExpired(d.zoneRow.Wanted, now)
 	l.reclaimEntries(now, &d)
 	l.reclaimZones(now, &d)
-	l.size(now, a, &d)
+	l.adjust(now, a, &d)
 	return d
 }
 
-// open makes the move of a draft the allotment's open one.
-func (l *Ledger) open(team core.TeamID, a *allotment, d draft) []Command {
+// startMove builds the transaction of a draft and records it as the allotment's open
+// move.
+func (l *Ledger) startMove(team core.TeamID, a *teamAllotment, d draft) []Command {
 	teamKey, zoneKey := table.TeamAllotmentKey(team), table.ZoneAllotmentKey(team, l.Zone)
 	var t table.Transaction
-	t.Check(table.Row{Key: teamKey, Version: a.teamRow.Version})
-	t.Check(table.Row{Key: zoneKey, Version: a.zoneRow.Version})
-	if d.part > a.part && !l.unsafe.noHeadCheck {
-		// A limit that was lowered since this entry last looked must not be handed out:
-		// the head's version has moved then, and the table refuses.
-		t.Check(l.head)
+	t.Check(table.Row{Key: teamKey, Version: a.teamTableRow.Version})
+	t.Check(table.Row{Key: zoneKey, Version: a.zoneTableRow.Version})
+	if d.slots > a.slots && !l.disabled.noHeadCheck {
+		// Slots must not be taken from a limit that was reduced since this entry last
+		// saw it. The head's version has changed in that case, and the table rejects
+		// the transaction.
+		t.Check(l.configHead)
 	}
-	if t.Set(teamKey, d.team) != nil || t.Set(zoneKey, d.zone) != nil {
+	if t.Set(teamKey, d.teamRow) != nil || t.Set(zoneKey, d.zoneRow) != nil {
 		return nil
 	}
-	for _, z := range d.cleared {
+	for _, z := range d.clearedZones {
 		if t.Set(table.ZoneAllotmentKey(team, z), ZoneRow{}) != nil {
 			return nil
 		}
 	}
 	l.lastMove++
 	m := &openMove{
-		Move:    Move{ID: l.lastMove, Team: team, Transaction: t},
-		smaller: min(a.part, d.part), after: d.part, team: d.team, zone: d.zone,
-		teamVersion: a.teamRow.Version, zoneVersion: a.zoneRow.Version,
+		Move:     Move{ID: l.lastMove, Team: team, Transaction: t},
+		minSlots: min(a.slots, d.slots), slotsAfter: d.slots, teamRow: d.teamRow, zoneRow: d.zoneRow,
+		teamVersion: a.teamTableRow.Version, zoneVersion: a.zoneTableRow.Version,
 	}
 	a.move = m
 	put(&l.moves, m.ID, team)
 	return []Command{m.Move}
 }
 
-// reclaimEntries frees the parts of entries that are gone, once no lease that they
-// granted can still run. The deadline is stored in the row, so that the wait goes
-// on if the entry that started it ends too.
+// reclaimEntries frees the allotments of entries that have ended once no lease granted
+// by them can still be running. The deadline is stored in the row, so that the wait
+// continues if the entry that started it ends as well.
 func (l *Ledger) reclaimEntries(now time.Time, d *draft) {
-	for e := range d.zone.Reclaim {
-		if _, ok := d.zone.Entries[e]; !ok {
-			delete(d.zone.Reclaim, e)
+	for e := range d.zoneRow.Reclaim {
+		if _, ok := d.zoneRow.Entries[e]; !ok {
+			delete(d.zoneRow.Reclaim, e)
 		}
 	}
-	for e := range d.zone.Entries {
-		end, marked := d.zone.Reclaim[e]
+	for e := range d.zoneRow.Entries {
+		end, marked := d.zoneRow.Reclaim[e]
 		switch {
 		case e == l.Self:
-		case marked && !now.Before(end), l.gone[e] && l.unsafe.reclaimAtOnce:
-			delete(d.zone.Entries, e)
-			delete(d.zone.Reclaim, e)
-			d.worth = true
-		case !marked && l.gone[e]:
-			put(&d.zone.Reclaim, e, l.lastLease(now))
-			d.worth = true
+		case marked && !now.Before(end), l.goneEntries[e] && l.disabled.reclaimImmediately:
+			delete(d.zoneRow.Entries, e)
+			delete(d.zoneRow.Reclaim, e)
+			d.worthwhile = true
+		case !marked && l.goneEntries[e]:
+			put(&d.zoneRow.Reclaim, e, l.lastLeaseEnd(now))
+			d.worthwhile = true
 		}
 	}
-	setPart(&d.team.Zones, l.Zone, d.zone.Sum())
+	setSlots(&d.teamRow.Zones, l.Zone, d.zoneRow.Sum())
 }
 
-// reclaimZones frees the parts of zones that an operator attested to be down, once
-// no lease granted there can still run.
+// reclaimZones frees the allotments of zones that an operator attested to be down once
+// no lease granted there can still be running.
 func (l *Ledger) reclaimZones(now time.Time, d *draft) {
-	for _, z := range slices.Sorted(maps.Keys(l.down)) {
-		since := l.down[z]
-		if z == l.Zone || d.team.Zones[z] == 0 || (now.Before(l.lastLease(since)) && !l.unsafe.reclaimAtOnce) {
+	for _, z := range slices.Sorted(maps.Keys(l.downZones)) {
+		since := l.downZones[z]
+		if z == l.Zone || d.teamRow.Zones[z] == 0 || (now.Before(l.lastLeaseEnd(since)) && !l.disabled.reclaimImmediately) {
 			continue
 		}
-		delete(d.team.Zones, z)
-		delete(d.team.Wanted, z)
-		d.cleared = append(d.cleared, z)
-		d.worth = true
+		delete(d.teamRow.Zones, z)
+		delete(d.teamRow.Wanted, z)
+		d.clearedZones = append(d.clearedZones, z)
+		d.worthwhile = true
 	}
 }
 
-// lastLease returns when every lease has ended that was granted before t, on any
-// clock: the granting clock, the target's and the reader's each add a skew.
-func (l *Ledger) lastLease(t time.Time) time.Time {
+// lastLeaseEnd returns when every lease granted before t has expired on any clock. The
+// clocks of the granting entry, the target and the reader each add one skew.
+func (l *Ledger) lastLeaseEnd(t time.Time) time.Time {
 	return t.Add(l.maxLifetime() + 3*l.skew())
 }
 
-// size sets the part that the entry should have. A part stays where it is until
-// someone else waits for it: limits of teams are independent, so an idle part costs
-// nothing, and giving it back and fetching it again costs two writes.
-func (l *Ledger) size(now time.Time, a *allotment, d *draft) {
+// adjust sets the number of slots that the entry should have. Slots stay allotted until
+// another entry waits for them: the limits of teams are independent, so idle slots cost
+// nothing, whereas giving them back and taking them again costs two writes.
+func (l *Ledger) adjust(now time.Time, a *teamAllotment, d *draft) {
 	running := a.running.count()
-	if l.unsafe.giveRunning {
+	if l.disabled.giveBackRunning {
 		running = 0
 	}
-	idle := max(0, d.part-running)
-	free := a.limit - d.team.Sum()
-	wants := l.wants(now, a)
-	starving := l.starving(now, d)
-	even := l.even(now, a.limit, d)
+	idle := max(0, d.slots-running)
+	free := a.limit - d.teamRow.Sum()
+	demand := l.hasDemand(now, a)
+	starved := l.countStarved(now, d)
+	even := l.evenShare(now, a.limit, d)
 	switch {
 	case l.stopping:
-		l.give(d, idle)
+		l.giveBack(d, idle)
 	case free < 0:
-		l.give(d, min(idle, -free))
-	case starving > 0:
-		l.share(d, idle, free, even, starving, wants)
-	case wants && d.part == 0:
-		l.takeFirst(now, a, d)
-	case wants && idle == 0:
-		l.take(d, min(free, l.step(now, a, d)))
-	case wants:
-	case d.team.Short.After(now) && free <= 0:
-		l.give(d, min(idle, d.part-a.used.peak(now)))
-	case !now.Before(a.used.last.Add(l.unusedFor())):
-		// The least part stays. It would be asked for again as the first one, and the
-		// table would get both moves for every entry and team.
-		l.give(d, min(idle, d.part-reserve(a.limit)))
+		l.giveBack(d, min(idle, -free))
+	case starved > 0:
+		l.balanceShares(d, idle, free, even, starved, demand)
+	case demand && d.slots == 0:
+		l.takeInitial(now, a, d)
+	case demand && idle == 0:
+		l.take(d, min(free, l.increment(now, a, d)))
+	case demand:
+	case d.teamRow.Short.After(now) && free <= 0:
+		l.giveBack(d, min(idle, d.slots-a.usage.peak(now)))
+	case !now.Before(a.usage.lastUsed.Add(l.retention())):
+		// The minimum allotment is kept. Otherwise the entry would take it again as an
+		// initial allotment, and the table would receive both moves for every entry and
+		// team.
+		l.giveBack(d, min(idle, d.slots-minAllotment(a.limit)))
 	}
-	l.mark(now, wants && free <= 0 && d.part <= a.part, even, d)
+	l.updateMarks(now, demand && free <= 0 && d.slots <= a.slots, even, d)
 }
 
-// unusedFor returns how long a part stays that nobody asks for and nothing uses. It is
-// another for each entry: if all gave back at the same time, most moves would conflict.
-func (l *Ledger) unusedFor() time.Duration {
-	spread := l.place(int(unusedFor / time.Second))
-	return unusedFor + time.Duration(spread)*time.Second
+// retention returns how long slots are kept that no entry asks for and nothing uses. It
+// differs between entries, because most moves would conflict if all entries gave slots
+// back at the same time.
+func (l *Ledger) retention() time.Duration {
+	spread := l.spreadOffset(int(unusedRetention / time.Second))
+	return unusedRetention + time.Duration(spread)*time.Second
 }
 
-// share makes room for others that have less than their even part.
-func (l *Ledger) share(d *draft, idle, free, even core.Slots, starving int, wants bool) {
+// balanceShares gives slots back to others that have less than their even share, or
+// takes free slots up to the entry's own even share.
+func (l *Ledger) balanceShares(d *draft, idle, free, even core.Slots, starved int, demand bool) {
 	switch {
-	case !wants && free <= 0:
-		l.give(d, min(idle, core.Slots(starving)))
-	case d.part > even && free <= 0:
-		l.give(d, min(idle, d.part-even, core.Slots(starving)))
-	case wants && idle == 0 && d.part < max(1, even):
-		l.take(d, min(free, max(1, even)-d.part))
+	case !demand && free <= 0:
+		l.giveBack(d, min(idle, core.Slots(starved)))
+	case d.slots > even && free <= 0:
+		l.giveBack(d, min(idle, d.slots-even, core.Slots(starved)))
+	case demand && idle == 0 && d.slots < max(1, even):
+		l.take(d, min(free, max(1, even)-d.slots))
 	}
 }
 
-// step returns how much to take at once: as much again as the part or about an entry's
-// share of what is free, or single slots while the limit is short.
-func (l *Ledger) step(now time.Time, a *allotment, d *draft) core.Slots {
-	if d.team.Short.After(now) {
+// increment returns the number of slots to take at once: the largest of the entry's
+// current allotment, the minimum allotment and about an entry's share of the free
+// slots, or a single slot while the limit is short.
+func (l *Ledger) increment(now time.Time, a *teamAllotment, d *draft) core.Slots {
+	if d.teamRow.Short.After(now) {
 		return 1
 	}
 	const entries = 32
-	return max(d.part, reserve(a.limit), (a.limit-d.team.Sum())/entries)
+	return max(d.slots, minAllotment(a.limit), (a.limit-d.teamRow.Sum())/entries)
 }
 
-// wants reports whether a request waits here for want of allotment.
-func (l *Ledger) wants(now time.Time, a *allotment) bool {
-	_, down := l.down[l.Zone]
-	return !l.stopping && !down && l.head.Version > 0 && !a.wanted.IsZero() && now.Before(a.wanted.Add(wantFor))
+// hasDemand reports whether a request is waiting at this entry because the allotment is
+// exhausted.
+func (l *Ledger) hasDemand(now time.Time, a *teamAllotment) bool {
+	_, down := l.downZones[l.Zone]
+	return !l.stopping && !down && l.configHead.Version > 0 && !a.demandAt.IsZero() && now.Before(a.demandAt.Add(demandTTL))
 }
 
-// starving counts the other zones, and other entries of this one, in which an entry
-// waits with less than its even part.
-func (l *Ledger) starving(now time.Time, d *draft) int {
-	return othersWant(d.team.Wanted, l.Zone, now) + othersWant(d.zone.Wanted, l.Self, now)
+// countStarved returns the number of other zones, and other entries of this zone, in
+// which an entry waits with less than its even share.
+func (l *Ledger) countStarved(now time.Time, d *draft) int {
+	return countOtherMarks(d.teamRow.Wanted, l.Zone, now) + countOtherMarks(d.zoneRow.Wanted, l.Self, now)
 }
 
-// even returns the entry's even part of the limit among those who hold or want one,
-// among zones first, then within the zone, rounded down.
-func (l *Ledger) even(now time.Time, limit core.Slots, d *draft) core.Slots {
-	zones := claimants(d.team.Zones, d.team.Wanted, l.Zone, now)
-	entries := claimants(d.zone.Entries, d.zone.Wanted, l.Self, now)
+// evenShare returns the entry's even share of the limit among those that hold or want
+// slots. The limit is divided among zones first, then within the zone, and rounded
+// down.
+func (l *Ledger) evenShare(now time.Time, limit core.Slots, d *draft) core.Slots {
+	zones := claimants(d.teamRow.Zones, d.teamRow.Wanted, l.Zone, now)
+	entries := claimants(d.zoneRow.Entries, d.zoneRow.Wanted, l.Self, now)
 	return limit / core.Slots(zones*entries)
 }
 
-// ceiling bounds what runs here while others wait with less than their even part of a
-// limit that is all given out: work that ends makes room for them.
-func (a *allotment) ceiling(now time.Time, l *Ledger) core.Slots {
-	d := draft{team: a.team, zone: a.zone}
-	if a.team.Sum() < a.limit || l.starving(now, &d) == 0 {
+// ceiling limits the requests running at this entry while others wait with less than
+// their even share of a fully allotted limit. Requests that end then make room for
+// them.
+func (a *teamAllotment) ceiling(now time.Time, l *Ledger) core.Slots {
+	d := draft{teamRow: a.teamRow, zoneRow: a.zoneRow}
+	if a.teamRow.Sum() < a.limit || l.countStarved(now, &d) == 0 {
 		return a.limit
 	}
-	return max(1, l.even(now, a.limit, &d))
+	return max(1, l.evenShare(now, a.limit, &d))
 }
 
-func (l *Ledger) give(d *draft, n core.Slots) {
+func (l *Ledger) giveBack(d *draft, n core.Slots) {
 	if n > 0 {
-		d.part -= n
-		d.worth = true
+		d.slots -= n
+		d.worthwhile = true
 	}
 }
 
 func (l *Ledger) take(d *draft, n core.Slots) {
 	if n > 0 {
-		d.part += n
-		d.worth = true
+		d.slots += n
+		d.worthwhile = true
 	}
 }
 
-// mark sets or clears the marks by which entries ask others for a part. One mark of a
-// short limit serves all, so that a burst doesn't cost a write for each entry.
-func (l *Ledger) mark(now time.Time, waits bool, even core.Slots, d *draft) {
-	_, marked := d.zone.Wanted[l.Self]
-	less := d.part == 0 || d.part < even
+// updateMarks sets or clears the demand marks by which entries ask others for slots. A
+// single mark for a short limit serves all entries, so that a burst doesn't cost a
+// write per entry.
+func (l *Ledger) updateMarks(now time.Time, waits bool, even core.Slots, d *draft) {
+	_, marked := d.zoneRow.Wanted[l.Self]
+	belowShare := d.slots == 0 || d.slots < even
 	switch {
-	case waits && less && !marked:
-		put(&d.zone.Wanted, l.Self, now.Add(markFor))
-		put(&d.team.Wanted, l.Zone, now.Add(markFor))
-		d.worth = true
-	case waits && !less && !d.team.Short.After(now):
-		d.team.Short = now.Add(markFor)
-		d.worth = true
-	case marked && !less:
-		delete(d.zone.Wanted, l.Self)
-		if len(d.zone.Wanted) == 0 {
-			delete(d.team.Wanted, l.Zone)
+	case waits && belowShare && !marked:
+		put(&d.zoneRow.Wanted, l.Self, now.Add(demandMarkTTL))
+		put(&d.teamRow.Wanted, l.Zone, now.Add(demandMarkTTL))
+		d.worthwhile = true
+	case waits && !belowShare && !d.teamRow.Short.After(now):
+		d.teamRow.Short = now.Add(demandMarkTTL)
+		d.worthwhile = true
+	case marked && !belowShare:
+		delete(d.zoneRow.Wanted, l.Self)
+		if len(d.zoneRow.Wanted) == 0 {
+			delete(d.teamRow.Wanted, l.Zone)
 		}
 	}
 }
 
-// reserve is the least part worth asking for.
-func reserve(limit core.Slots) core.Slots {
+// minAllotment returns the smallest number of slots that justifies a move.
+func minAllotment(limit core.Slots) core.Slots {
 	const entries = 64
 	return max(1, limit/entries)
 }
--- a/core/limit/handle.go
+++ b/core/limit/handle.go
@@ -7,121 +7,125 @@
 	"lavenderpond/core/table"
 )
 
-// Timing of the moves. The table serves several hundred writes a second for the
-// whole fleet, so an idle part stays for a while and marks aren't renewed often.
+// Timing of moves. The table handles several hundred writes per second for the whole
+// fleet, so idle slots are kept for a while and demand marks aren't renewed often.
 const (
-	// resendAfter is the wait before a lost move is sent again.
+	// resendAfter is the delay before a move with a lost answer is sent again.
 	resendAfter = time.Second
-	// rereadAfter is the wait before a read without an answer is sent again.
+	// rereadAfter is the delay before an unanswered read is sent again.
 	rereadAfter = time.Second
-	// markFor is how long a mark of a waiting zone or entry stands.
-	markFor = 30 * time.Second
-	// wantFor is how long a call of Wanted counts.
-	wantFor = 2 * time.Second
-	// idleFor is how long a part that isn't used stays, at least, when the limit is
-	// short. Demand rotates within seconds, and parts must not follow each turn.
-	idleFor = 2 * time.Minute
-	// unusedFor is how long a part stays, at least, that nobody asks for and nothing uses.
-	unusedFor = 30 * time.Minute
-	// lookEvery is the time between two looks at an allotment without news that time
-	// alone may change.
-	lookEvery = time.Second
-	// quietLookEvery is the time between two looks at any other allotment.
-	quietLookEvery = time.Minute
-	// conflictWait is the wait after a conflict. An entry that sees an old configuration
-	// fails until it hears of the new one, and must not keep the table busy till then.
-	conflictWait = 250 * time.Millisecond
-	// freshFor is how old rows may be when a move is made on them.
-	freshFor = 250 * time.Millisecond
-	// forgetAfter is how long a team without a part or work is kept track of.
+	// demandMarkTTL is the lifetime of the demand mark of a zone or entry.
+	demandMarkTTL = 30 * time.Second
+	// demandTTL is how long a call of RecordDemand remains in effect.
+	demandTTL = 2 * time.Second
+	// usageWindow is the minimum time that unused slots are kept while the limit is
+	// short. Demand rotates among teams within seconds, and allotments must not follow
+	// each rotation.
+	usageWindow = 2 * time.Minute
+	// unusedRetention is the minimum time that slots are kept that no entry asks for
+	// and nothing uses.
+	unusedRetention = 30 * time.Minute
+	// decideInterval is the interval between evaluations of an allotment that has no
+	// pending events but may change by the passage of time alone.
+	decideInterval = time.Second
+	// quietDecideInterval is the interval between evaluations of any other allotment.
+	quietDecideInterval = time.Minute
+	// conflictBackoff is the delay after a conflict. An entry with an outdated
+	// configuration fails until it receives the current one, and must not overload the
+	// table in the meantime.
+	conflictBackoff = 250 * time.Millisecond
+	// maxRowAge is the maximum age of the rows on which a move is based.
+	maxRowAge = 250 * time.Millisecond
+	// forgetAfter is how long a team without slots or work is tracked.
 	forgetAfter = 40 * time.Minute
 )
 
-// Handle takes in an event and returns what to do.
+// Handle processes an event and returns the resulting commands.
 func (l *Ledger) Handle(now time.Time, event Event) []Command {
 	switch e := event.(type) {
 	case Limits:
-		return l.limits(now, e)
+		return l.handleLimits(now, e)
 	case RowsRead:
-		return l.rowsRead(now, e)
+		return l.handleRowsRead(now, e)
 	case Polled:
 		return l.handlePolled(now, e)
 	case Moved:
-		return l.movedAnswer(now, e)
-	case Gone:
-		l.entryGone(e.Entry)
+		return l.handleMoved(now, e)
+	case EntryGone:
+		l.handleEntryGone(e.Entry)
 	case ZoneDown:
-		l.zoneDown(e)
+		l.handleZoneDown(e)
 	case Members:
 		l.members = e
 	case Stop:
 		l.stopping = true
-		l.schedule.all()
+		l.schedule.makeAllDue()
 	case Tick:
 	}
-	return l.decideAll(now)
+	return l.decideDue(now)
 }
 
-// entryGone takes note of an entry that appears in a row of the own zone. Others never
-// do, so there is no list of the whole fleet's entries here.
-func (l *Ledger) entryGone(e core.EntryID) {
+// handleEntryGone records that e has ended if e appears in a row of the own zone.
+// Entries of other zones never appear there, so the ledger keeps no list of the whole
+// fleet's entries.
+func (l *Ledger) handleEntryGone(e core.EntryID) {
 	if e == l.Self {
 		return
 	}
 	for _, a := range l.teams {
-		if _, ok := a.zone.Entries[e]; ok {
-			put(&l.gone, e, true)
-			l.schedule.now(a)
+		if _, ok := a.zoneRow.Entries[e]; ok {
+			put(&l.goneEntries, e, true)
+			l.schedule.makeDue(a)
 		}
 	}
 }
 
-func (l *Ledger) zoneDown(e ZoneDown) {
-	since, down := l.down[e.Zone]
+func (l *Ledger) handleZoneDown(e ZoneDown) {
+	since, down := l.downZones[e.Zone]
 	if down == e.Down && (!down || since.Equal(e.Since)) {
 		return
 	}
-	delete(l.down, e.Zone)
+	delete(l.downZones, e.Zone)
 	if e.Down {
-		put(&l.down, e.Zone, e.Since)
+		put(&l.downZones, e.Zone, e.Since)
 	}
-	l.schedule.all()
+	l.schedule.makeAllDue()
 }
 
-func (l *Ledger) limits(now time.Time, e Limits) []Command {
-	// An exception that ends changes a limit without a new configuration. With a new
-	// one, a lowering may have been skipped in between, so that a raise counts as a
-	// lowering too until the rows were read.
-	sameHead := e.Head.Version != 0 && e.Head.Version == l.head.Version
-	l.head = e.Head
+func (l *Ledger) handleLimits(now time.Time, e Limits) []Command {
+	// A limit can change without a new configuration when an exception expires. With a
+	// new configuration, an intermediate reduction may have been missed, so even an
+	// increase is treated as a reduction until the rows have been read.
+	sameHead := e.Head.Version != 0 && e.Head.Version == l.configHead.Version
+	l.configHead = e.Head
 	for team, limit := range e.Limits {
 		a, ok := l.teams[team]
 		if !ok || (a.limitKnown && a.limit == limit) {
 			continue
 		}
 		if !a.limitKnown || !sameHead || limit < a.limit {
-			a.lowered, l.lowered = now, now
+			a.reducedAt, l.reducedAt = now, now
 		}
-		l.schedule.now(a)
-		delete(l.unlimited, team)
+		l.schedule.makeDue(a)
+		delete(l.unknownLimits, team)
 		a.limit, a.limitKnown = limit, true
 	}
-	return l.decideAll(now)
+	return l.decideDue(now)
 }
 
-func (l *Ledger) rowsRead(now time.Time, e RowsRead) []Command {
+func (l *Ledger) handleRowsRead(now time.Time, e RowsRead) []Command {
 	a, ok := l.teams[e.Team]
 	if !ok {
 		return nil
 	}
-	a.readSent = time.Time{}
-	l.schedule.now(a)
-	if !a.takeTeamRow(e.TeamRow) || !a.takeZoneRow(e.ZoneRow) {
+	a.readSentAt = time.Time{}
+	l.schedule.makeDue(a)
+	if !a.updateTeamRow(e.TeamRow) || !a.updateZoneRow(e.ZoneRow) {
 		return nil
 	}
-	a.known = true
-	if e.Sent.After(a.read) {
-		a.read, a.fresh = e.Sent, e.Sent
+	a.rowsKnown = true
+	if e.Sent.After(a.readAsOf) {
+		a.readAsOf, a.refreshedAt = e.Sent, e.Sent
 	}
 	l.settle(a, e.Sent)
 	return l.decide(now, e.Team, a)
@@ -129,46 +133,46 @@
 
 func (l *Ledger) handlePolled(now time.Time, e Polled) []Command {
 	if e.First {
-		// Rows may have changed between their read and the first poll's start.
+		// Rows may have changed between their read and the start of the first poll.
 		for _, a := range l.teams {
-			a.known = false
+			a.rowsKnown = false
 		}
-		l.schedule.all()
+		l.schedule.makeAllDue()
 	}
-	learned := l.learn(e)
+	received := l.trackReceived(e)
 	for _, row := range e.Rows {
 		team, zone, _ := table.SplitAllotmentKey(row.Key)
 		a, ok := l.teams[team]
-		if !ok || !a.known {
+		if !ok || !a.rowsKnown {
 			continue
 		}
-		l.schedule.now(a)
-		// A row that can't be decoded makes the rows unknown until a read succeeds.
+		l.schedule.makeDue(a)
+		// If a row can't be decoded, the rows are unknown until a read succeeds.
 		switch zone {
 		case "":
-			a.known = a.takeTeamRow(row)
+			a.rowsKnown = a.updateTeamRow(row)
 		case l.Zone:
-			a.known = a.takeZoneRow(row)
+			a.rowsKnown = a.updateZoneRow(row)
 		}
 	}
-	for _, a := range learned {
-		a.known = a.known && a.teamRow.Version > 0
+	for _, a := range received {
+		a.rowsKnown = a.rowsKnown && a.teamTableRow.Version > 0
 	}
-	if e.Sent.After(l.polled) {
-		l.polled = e.Sent
+	if e.Sent.After(l.polledAt) {
+		l.polledAt = e.Sent
 	}
 	for _, a := range l.teams {
-		if a.known {
+		if a.rowsKnown {
 			l.settle(a, e.Sent)
 		}
 	}
-	return l.decideAll(now)
+	return l.decideDue(now)
 }
 
-// learn begins to keep track of the teams of whose limit another entry gave this one a
-// part. The poll brings both rows, since both were written at once.
-func (l *Ledger) learn(e Polled) []*allotment {
-	var learned []*allotment
+// trackReceived starts to track the teams for which another entry allotted slots to
+// this one. The poll contains both rows, because both were written in one transaction.
+func (l *Ledger) trackReceived(e Polled) []*teamAllotment {
+	var received []*teamAllotment
 	for _, row := range e.Rows {
 		team, zone, _ := table.SplitAllotmentKey(row.Key)
 		if _, ok := l.teams[team]; ok || zone != l.Zone {
@@ -178,115 +182,118 @@
 		if row.Decode(&r) != nil || r.Entries[l.Self] <= 0 {
 			continue
 		}
-		a := l.allotment(team)
-		a.known, a.read = true, e.Sent
-		learned = append(learned, a)
+		a := l.allotmentOf(team)
+		a.rowsKnown, a.readAsOf = true, e.Sent
+		received = append(received, a)
 	}
-	return learned
+	return received
 }
 
-// settle takes the own part from the rows once no move is open that could still
-// take effect after sent, when their read left.
-func (l *Ledger) settle(a *allotment, sent time.Time) {
+// settle adopts the entry's own allotment from rows read by a request sent at sent,
+// provided that no open move can take effect after that.
+func (l *Ledger) settle(a *teamAllotment, sent time.Time) {
 	if m := a.move; m != nil {
-		if m.conflicted.IsZero() || !sent.After(m.conflicted) {
+		if m.conflictedAt.IsZero() || !sent.After(m.conflictedAt) {
 			return
 		}
 		delete(l.moves, m.ID)
 		a.move = nil
 	}
-	part := a.zone.Entries[l.Self]
-	if part > a.part {
-		// A raise counts as use, so that it isn't given back before it could be used.
-		a.used.observe(sent, part)
+	slots := a.zoneRow.Entries[l.Self]
+	if slots > a.slots {
+		// An increase counts as usage, so that the slots aren't given back before they
+		// could be used.
+		a.usage.observe(sent, slots)
 	}
-	a.part = part
+	a.slots = slots
 }
 
-func (l *Ledger) movedAnswer(now time.Time, e Moved) []Command {
+func (l *Ledger) handleMoved(now time.Time, e Moved) []Command {
 	team, ok := l.moves[e.ID]
 	if !ok {
 		return nil
 	}
 	a := l.teams[team]
 	m := a.move
-	l.schedule.now(a)
+	l.schedule.makeDue(a)
 	switch e.Result {
 	case ResultApplied:
-		a.applied(now, m)
-		l.close(a)
+		a.applyMove(now, m)
+		l.finishMove(a)
 	case ResultConflict:
-		a.known = false
-		if m.lost {
-			m.conflicted = now
+		a.rowsKnown = false
+		if m.answerLost {
+			m.conflictedAt = now
 			break
 		}
-		// The only sending so far wrote nothing.
-		a.retryAt = now.Add(conflictWait)
-		l.close(a)
+		// The move was sent only once, and that attempt wrote nothing.
+		a.retryAt = now.Add(conflictBackoff)
+		l.finishMove(a)
 	case ResultNotSent:
-		if !m.lost {
-			l.close(a)
+		if !m.answerLost {
+			l.finishMove(a)
 			a.retryAt = now.Add(resendAfter)
 			return nil
 		}
-		m.resend = now.Add(resendAfter)
+		m.resendAt = now.Add(resendAfter)
 	case ResultUnknown:
-		m.lost = true
-		m.resend = now.Add(resendAfter)
-		if l.unsafe.useBeforeSettled {
-			a.applied(now, m)
-			l.close(a)
+		m.answerLost = true
+		m.resendAt = now.Add(resendAfter)
+		if l.disabled.useUnsettledMoves {
+			a.applyMove(now, m)
+			l.finishMove(a)
 		}
 	}
 	return l.decide(now, team, a)
 }
 
-func (l *Ledger) close(a *allotment) {
+func (l *Ledger) finishMove(a *teamAllotment) {
 	delete(l.moves, a.move.ID)
 	a.move = nil
 }
 
-// applied takes the rows as the move wrote them.
-func (a *allotment) applied(now time.Time, m *openMove) {
-	if m.after > a.part {
-		// A raise counts as use, so that it isn't given back before it could be used.
-		a.used.observe(now, m.after)
+// applyMove updates the state to the rows that the move wrote.
+func (a *teamAllotment) applyMove(now time.Time, m *openMove) {
+	if m.slotsAfter > a.slots {
+		// An increase counts as usage, so that the slots aren't given back before they
+		// could be used.
+		a.usage.observe(now, m.slotsAfter)
 	}
-	a.part, a.fresh = m.after, now
-	// A poll may have brought these or later rows already. Counting on from there would
-	// give versions that the table never reaches, and every later row would look old.
-	if v := m.teamVersion + 1; v >= a.teamRow.Version {
-		a.team, a.teamRow.Version = m.team, v
+	a.slots, a.refreshedAt = m.slotsAfter, now
+	// A poll may already have delivered these rows or later ones. Incrementing the
+	// version in that case would yield versions that the table never reaches, and every
+	// later row would be taken for an outdated one.
+	if v := m.teamVersion + 1; v >= a.teamTableRow.Version {
+		a.teamRow, a.teamTableRow.Version = m.teamRow, v
 	}
-	if v := m.zoneVersion + 1; v >= a.zoneRow.Version {
-		a.zone, a.zoneRow.Version = m.zone, v
+	if v := m.zoneVersion + 1; v >= a.zoneTableRow.Version {
+		a.zoneRow, a.zoneTableRow.Version = m.zoneRow, v
 	}
 }
 
-// takeTeamRow takes row unless it is older than the one known. It returns false if
-// the row can't be used.
-func (a *allotment) takeTeamRow(row table.Row) bool {
-	if row.Version < a.teamRow.Version {
+// updateTeamRow stores row unless it is older than the known one. It returns false if
+// the row is invalid.
+func (a *teamAllotment) updateTeamRow(row table.Row) bool {
+	if row.Version < a.teamTableRow.Version {
 		return true
 	}
 	var r TeamRow
-	if row.Decode(&r) != nil || !valid(r.Zones) {
+	if row.Decode(&r) != nil || !nonNegative(r.Zones) {
 		return false
 	}
-	a.teamRow, a.team = table.Row{Key: row.Key, Version: row.Version}, r
+	a.teamTableRow, a.teamRow = table.Row{Key: row.Key, Version: row.Version}, r
 	return true
 }
 
-// takeZoneRow is takeTeamRow for the zone's row.
-func (a *allotment) takeZoneRow(row table.Row) bool {
-	if row.Version < a.zoneRow.Version {
+// updateZoneRow does the same as updateTeamRow for the zone's row.
+func (a *teamAllotment) updateZoneRow(row table.Row) bool {
+	if row.Version < a.zoneTableRow.Version {
 		return true
 	}
 	var r ZoneRow
-	if row.Decode(&r) != nil || !valid(r.Entries) {
+	if row.Decode(&r) != nil || !nonNegative(r.Entries) {
 		return false
 	}
-	a.zoneRow, a.zone = table.Row{Key: row.Key, Version: row.Version}, r
+	a.zoneTableRow, a.zoneRow = table.Row{Key: row.Key, Version: row.Version}, r
 	return true
 }
--- a/core/limit/schedule_test.go
+++ b/core/limit/schedule_test.go
@@ -11,83 +11,85 @@
 	"lavenderpond/core/table"
 )
 
-// Others would wait up to a minute for a part, or for ever for an attested zone's, if
-// an allotment that calls for a move were left unlooked at. Faults come as in
-// TestLimitHolds, with pauses in the work so that allotments become quiet; what isn't
-// looked at within lookEvery must not call for a move, as a look at all would show.
+// Guards against an allotment that needs a move but isn't evaluated: others would wait
+// for slots for up to a minute, or indefinitely for those of a zone attested to be
+// down. Faults are injected as in TestRunningStaysWithinLimit, with pauses in the load
+// so that allotments become quiet. An allotment that isn't evaluated within
+// decideInterval must not need a move if it were evaluated.
 func TestQuietAllotmentsNeedNoMove(t *testing.T) {
 	quiet := 0
 	for seed := range uint64(testSeeds) {
-		w := newWorld(seed, unsafe{}, true)
+		w := newSimulation(seed, disabledSafeguards{}, true)
 		for i := range testSteps {
-			w.restful = i%600 >= 100
+			w.noNewWork = i%600 >= 100
 			if i%400 == 199 {
 				w.attest("z0", i%800 == 199)
 			}
 			w.step()
 			for _, n := range w.entries {
-				quiet += w.checkQuiet(t, seed, n)
+				quiet += w.checkQuietAllotments(t, seed, n)
 			}
 		}
 	}
-	t.Logf("%d seeds, %d looks left out, none at a move", testSeeds, quiet)
+	t.Logf("%d seeds, %d evaluations skipped, none of which needed a move", testSeeds, quiet)
 	assert.Assert(t, quiet > testSeeds*20)
 }
 
-// checkQuiet returns the number of allotments that aren't looked at soon.
-func (w *world) checkQuiet(t *testing.T, seed uint64, n *node) int {
+// checkQuietAllotments checks the entry's allotments that aren't evaluated soon and
+// returns their number.
+func (w *simulation) checkQuietAllotments(t *testing.T, seed uint64, n *testEntry) int {
 	quiet := 0
 	for team, a := range n.ledger.teams {
-		if w.now.Before(n.paused) || !a.lookAt.After(w.now.Add(lookEvery)) {
+		if w.now.Before(n.pausedUntil) || !a.decideAt.After(w.now.Add(decideInterval)) {
 			continue
 		}
 		quiet++
 		d := n.ledger.draft(w.now, a)
-		assert.Assert(t, !d.worth, "seed %d, %s at %s: %s is not looked at until %s", seed, n.ledger.Self, w.now, team, a.lookAt)
+		assert.Assert(t, !d.worthwhile, "seed %d, entry %s at %s: team %s needs a move but is not evaluated until %s", seed, n.ledger.Self, w.now, team, a.decideAt)
 	}
 	return quiet
 }
 
-// attest tells all entries that are not paused an operator's attestation.
-func (w *world) attest(z core.ZoneID, down bool) {
+// attest sends an operator's attestation about a zone to all entries.
+func (w *simulation) attest(z core.ZoneID, down bool) {
 	for _, n := range w.entries {
 		n.inbox = append(n.inbox, ZoneDown{Zone: z, Down: down, Since: w.now})
 	}
 }
 
-// BenchmarkIdle measures a second of an entry that holds a part of each team's limit
-// and runs nothing: the driver's rounds with what it tells of 7 zones.
+// BenchmarkIdle measures one second of an entry that has slots of each team's limit and
+// runs nothing, including the driver's rounds and its reports on 7 zones.
 func BenchmarkIdle(b *testing.B) {
 	for _, teams := range []int{6, 60, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			d := newDemand(teams, 1, 1, unsafe{})
+			d := newDemandSimulation(teams, 1, 1, disabledSafeguards{})
 			l := d.ledgers[0]
 			for _, team := range d.teams {
-				l.Wanted(d.now, team)
+				l.RecordDemand(d.now, team)
 			}
 			d.settle(l)
 			for b.Loop() {
 				for range 10 {
 					d.now = d.now.Add(100 * time.Millisecond)
 					for z := range 7 {
-						d.carry(l, l.Handle(d.now, ZoneDown{Zone: core.ZoneID(fmt.Sprint("z", z))}))
+						d.execute(l, l.Handle(d.now, ZoneDown{Zone: core.ZoneID(fmt.Sprint("z", z))}))
 					}
 					d.idleRound(l)
 				}
-				d.carry(l, l.Handle(d.now, Polled{Sent: d.now, Rows: d.table.Changes(table.PrefixAllotment, d.table.Revision())}))
+				d.execute(l, l.Handle(d.now, Polled{Sent: d.now, Rows: d.table.Changes(table.PrefixAllotment, d.table.Revision())}))
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N), "us/s")
 		})
 	}
 }
 
-// settle moves the first parts, and lets the wish for them pass.
-func (d *demand) settle(l *Ledger) {
+// settle performs the initial moves and waits until the demand for them has expired.
+func (d *demandSimulation) settle(l *Ledger) {
 	for range 100 {
 		d.now = d.now.Add(100 * time.Millisecond)
-		d.step(l)
+		d.driverRound(l)
 	}
 }
 
-// idleRound is the driver's round when the head hasn't moved.
-func (d *demand) idleRound(l *Ledger) { d.carry(l, l.Handle(d.now, Tick{})) }
+// idleRound performs the driver's round for an unchanged configuration head.
+func (d *demandSimulation) idleRound(l *Ledger) { d.execute(l, l.Handle(d.now, Tick{})) }
--- a/core/queue/fair/admit.go
+++ b/core/queue/fair/admit.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// bufferFactor is how many times the free places a team of mean weight may
-	// hold (a dynamic threshold, Choudhury and Hahne 1998). One team alone gets
-	// four fifths of the bound; a rival always finds places left.
+	// bufferFactor is the number of items that a team of mean weight may hold per free
+	// place (a dynamic threshold, see Choudhury and Hahne 1998). A single team can use
+	// four fifths of the bound, so other teams always find free places.
 	bufferFactor = 4
-	// minReturn and maxReturn bound how far off a come-back time is.
-	minReturn = 250 * time.Millisecond
-	maxReturn = 30 * time.Second
+	// minRetryDelay and maxRetryDelay bound the delay after which a refused caller may
+	// retry.
+	minRetryDelay = 250 * time.Millisecond
+	maxRetryDelay = 30 * time.Second
 )
 
-// admit refuses what would not fit or would be late. It returns the wait that it
-// predicts, before correction.
-func (f *Queue) admit(now time.Time, s *state, t *team, item queue.Item, idle core.Slots) (time.Duration, core.NotRun, bool) {
-	if !f.fits(s, t) {
+// admit refuses an item that doesn't fit or wouldn't be finished in time. It returns
+// the predicted wait before correction.
+func (f *Queue) admit(now time.Time, s *queueState, t *team, item queue.Item, idle core.Slots) (time.Duration, core.NotRun, bool) {
+	if !f.hasRoom(s, t) {
 		return 0, f.refuse(now, s, core.CodeQueueFull, "the queue has no place left for the team"), false
 	}
 	predicted := f.predictWait(s, t, item, idle)
-	wait := s.correction(item.Urgent).apply(predicted)
+	wait := s.correctionFor(item.Urgent).apply(predicted)
 	run := f.shortestRun(s, t)
 	if wait > 0 && now.Add(wait+run).After(item.Deadline) {
 		return 0, f.refuse(now, s, core.CodeWouldBeLate, "predicted wait "+wait.Round(time.Millisecond).String()), false
@@ -33,11 +34,11 @@
 	return predicted, core.NotRun{}, true
 }
 
-// fits reports whether the queue has a place for one more item of t. Without the
-// threshold a flood of one team would fill the queue and the others' requests be
-// refused, whatever their shares.
-func (f *Queue) fits(s *state, t *team) bool {
-	bound := f.bound(s.id)
+// hasRoom reports whether the queue can accept another item of t. Without the
+// threshold, a flood of one team would fill the queue and the requests of other teams
+// would be refused, regardless of their shares.
+func (f *Queue) hasRoom(s *queueState, t *team) bool {
+	bound := f.maxQueued(s.id)
 	free := bound - s.waiting
 	if free <= 0 {
 		return false
@@ -47,7 +48,7 @@
 	return float64(t.waiting()) < threshold
 }
 
-func (f *Queue) bound(q core.QueueID) int {
+func (f *Queue) maxQueued(q core.QueueID) int {
 	if f.MaxQueued == nil {
 		return DefaultMaxQueued
 	}
@@ -57,36 +58,37 @@
 	return DefaultMaxQueued
 }
 
-// activeWeight returns the number and the weight of the teams that wait, with t.
-func (f *Queue) activeWeight(s *state, t *team) (int, float64) {
+// activeWeight returns the number and total weight of the teams that have waiting
+// items, including t.
+func (f *Queue) activeWeight(s *queueState, t *team) (int, float64) {
 	active, total := 0, 0.0
 	for _, other := range s.heaps[byAny].teams {
 		active++
 		total += other.weight
 	}
-	if t.place[byAny] == 0 {
+	if t.heapIndex[byAny] == 0 {
 		active++
 		total += t.weight
 	}
 	return active, total
 }
 
-// predictWait returns how long item would wait. The slots that serve the queue
-// are those its own items run on, so their number over the mean run is the rate
-// at which they come free.
+// predictWait returns the predicted wait of item. The slots that serve the queue are
+// those on which its own items run, so slots become free at a rate of their number
+// divided by the mean run time.
 //
-// Two bounds hold, and the lower one is returned: the whole backlog served in
+// It returns the lower of two upper bounds: the time to serve the whole backlog in
 // order, and the time until the queue's virtual time reaches the item's tag.
-func (f *Queue) predictWait(s *state, t *team, item queue.Item, idle core.Slots) time.Duration {
+func (f *Queue) predictWait(s *queueState, t *team, item queue.Item, idle core.Slots) time.Duration {
 	ahead, own := s.waiting, t.waiting()
 	if item.Urgent {
-		ahead, own = s.urgent, t.urgent.live()
+		ahead, own = s.urgent, t.urgent.liveCount()
 	}
 	if int(idle) > ahead {
 		return 0
 	}
 	slots := float64(s.running + int(idle))
-	if slots == 0 || !s.runs.trusted() {
+	if slots == 0 || !s.runTimes.trusted() {
 		return 0
 	}
 	mean := s.meanRun().Seconds()
@@ -94,62 +96,63 @@
 	_, total := f.activeWeight(s, t)
 	lead := max(0, t.virtual-s.virtual)
 	if item.Urgent {
-		lead = max(0, lead-urgentAhead*mean/t.weight)
+		lead = max(0, lead-urgentLeadRuns*mean/t.weight)
 	}
 	tag := lead + float64(own+1)*f.predictRun(s, t, item).Seconds()/t.weight
-	return seconds(min(backlog, tag*total/slots))
+	return secondsToDuration(min(backlog, tag*total/slots))
 }
 
-// predictRun returns the expected run time of item: as measured for its team, or
-// for its queue, or as declared.
-func (f *Queue) predictRun(s *state, t *team, item queue.Item) time.Duration {
+// predictRun returns the expected run time of item: the mean measured for its team or
+// else for its queue, or else the declared one.
+func (f *Queue) predictRun(s *queueState, t *team, item queue.Item) time.Duration {
 	switch {
-	case t.runs.trusted():
-		return seconds(t.runs.mean)
-	case s.runs.trusted():
-		return seconds(s.runs.mean)
+	case t.runTimes.trusted():
+		return secondsToDuration(t.runTimes.mean)
+	case s.runTimes.trusted():
+		return secondsToDuration(s.runTimes.mean)
 	case item.DeclaredRun > 0:
 		return item.DeclaredRun
 	}
 	return fallbackRun
 }
 
-// shortestRun returns a run time that hardly any of the team's items stays below.
-// A declared time isn't used: it would refuse work for being declared too long.
-func (f *Queue) shortestRun(s *state, t *team) time.Duration {
+// shortestRun returns a run time that few of the team's items are below. The declared
+// run time isn't used, because items would be refused for declaring too long a run.
+func (f *Queue) shortestRun(s *queueState, t *team) time.Duration {
 	switch {
-	case t.runs.trusted():
-		return seconds(t.runs.low)
-	case s.runs.trusted():
-		return seconds(s.runs.low)
+	case t.runTimes.trusted():
+		return secondsToDuration(t.runTimes.low)
+	case s.runTimes.trusted():
+		return secondsToDuration(s.runTimes.low)
 	}
 	return 0
 }
 
-func (s *state) meanRun() time.Duration {
-	if s.runs.trusted() {
-		return seconds(s.runs.mean)
+func (s *queueState) meanRun() time.Duration {
+	if s.runTimes.trusted() {
+		return secondsToDuration(s.runTimes.mean)
 	}
 	return fallbackRun
 }
 
-// refuse answers NotRun with a time to come back. Times are handed out one after
-// the other at the rate at which slots come free, with jitter, so refused callers
-// return about as fast as they can be served and never together.
-func (f *Queue) refuse(now time.Time, s *state, code core.Code, detail string) core.NotRun {
+// refuse returns a NotRun with a time to retry. Times are assigned in sequence at the
+// rate at which slots become free, with jitter, so that refused callers return about as
+// fast as they can be served and don't return simultaneously.
+func (f *Queue) refuse(now time.Time, s *queueState, code core.Code, detail string) core.NotRun {
 	step := s.meanRun() / time.Duration(max(1, s.running))
-	earliest := now.Add(minReturn)
-	if s.nextReturn.Before(earliest) {
-		s.nextReturn = earliest
-	}
-	at := s.nextReturn
-	if at.After(now.Add(maxReturn)) {
-		// More callers than can be served within maxReturn: spread evenly.
-		at = earliest.Add(time.Duration(f.random().Int64N(int64(maxReturn - minReturn))))
+	earliest := now.Add(minRetryDelay)
+	if s.nextRetryAt.Before(earliest) {
+		s.nextRetryAt = earliest
+	}
+	at := s.nextRetryAt
+	if at.After(now.Add(maxRetryDelay)) {
+		// More callers were refused than can be served within maxRetryDelay, so their
+		// times are distributed evenly.
+		at = earliest.Add(time.Duration(f.random().Int64N(int64(maxRetryDelay - minRetryDelay))))
 	} else {
-		s.nextReturn = at.Add(step)
+		s.nextRetryAt = at.Add(step)
 	}
-	jitter := time.Duration(f.random().Int64N(int64(minReturn)))
+	jitter := time.Duration(f.random().Int64N(int64(minRetryDelay)))
 	return core.NotRun{Code: code, ComeBackAt: at.Add(jitter), Detail: detail}
 }
 
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -13,9 +13,9 @@
 
 var t0 = time.Unix(1_800_000_000, 0).UTC()
 
-// retries asks for a retry after each first attempt and up to ten times more, as
-// in an outage, and fails when more were allowed than the budget says.
-func retries(rng *rand.Rand, unbounded bool) error {
+// checkRetryBound requests up to nine retries after each step, as in an outage, and
+// returns an error if more are allowed than the budget permits.
+func checkRetryBound(rng *rand.Rand, unbounded bool) error {
 	b := TokenBucket{Ratio: 0.05 + rng.Float64()/4, Burst: float64(1 + rng.IntN(20)), unbounded: unbounded}
 	first, allowed := 0, 0
 	for range 500 {
@@ -29,21 +29,21 @@
 			}
 		}
 		if bound := b.Ratio*float64(first) + b.Burst; float64(allowed) > bound+1e-6 {
-			return fmt.Errorf("%d retries after %d first attempts, bound %.1f", allowed, first, bound)
+			return fmt.Errorf("%d retries allowed after %d first attempts, want at most %.1f", allowed, first, bound)
 		}
 	}
 	return nil
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	red := 0
+	unboundedFailures := 0
 	for seed := range uint64(100) {
-		assert.NilError(t, retries(rand.New(rand.NewPCG(seed, 1)), false), "seed %d", seed)
-		if retries(rand.New(rand.NewPCG(seed, 1)), true) != nil {
-			red++
+		assert.NilError(t, checkRetryBound(rand.New(rand.NewPCG(seed, 1)), false), "seed %d", seed)
+		if checkRetryBound(rand.New(rand.NewPCG(seed, 1)), true) != nil {
+			unboundedFailures++
 		}
 	}
-	assert.Equal(t, red, 100, "the bound held on %d seeds without a budget", 100-red)
+	assert.Equal(t, unboundedFailures, 100, "the bound held with %d seeds although the budget was disabled", 100-unboundedFailures)
 }
 
 func TestBackoffGrowsToItsBound(t *testing.T) {
@@ -56,24 +56,25 @@
 			full := ms * time.Millisecond
 			for range 50 {
 				d := b.Backoff(t0, n+1).Sub(t0)
-				assert.Assert(t, d >= full/2 && d <= full, "retry %d waits %v of %v", n+1, d, full)
+				assert.Assert(t, d >= full/2 && d <= full, "retry %d waits %v, want between half of %v and all of it", n+1, d, full)
 			}
 		}
 	}
 }
 
-func TestSafe(t *testing.T) {
+func TestSafeToRetry(t *testing.T) {
 	for _, p := range []Progress{NotSent, Refused, Sent} {
-		assert.Assert(t, Safe(p, true), p.String())
-		assert.Equal(t, Safe(p, false), p != Sent, p.String())
+		assert.Assert(t, SafeToRetry(p, true), p.String())
+		assert.Equal(t, SafeToRetry(p, false), p != Sent, p.String())
 	}
-	assert.Assert(t, !Safe(Progress(7), false), "an unknown progress must allow least")
+	assert.Assert(t, !SafeToRetry(Progress(7), false), "an unknown progress must not allow a retry")
 }
 
-// A request that fails everywhere would visit every target until its deadline. It
-// ends after MaxTargets different ones; not_run only if none of them started it.
-func TestTriesEnd(t *testing.T) {
-	var refused, failed Tries
+// Guards against a request that fails everywhere and is sent to every target until its
+// deadline. It must end after MaxTargets different targets, with not_run only if none
+// of them started it.
+func TestFailedTargetsAreBounded(t *testing.T) {
+	var refused, failed FailedTargets
 	for n := range MaxTargets {
 		_, done := refused.Exhausted()
 		assert.Assert(t, !done)
--- a/core/route/least/bench_test.go
+++ b/core/route/least/bench_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/route"
 )
 
-// BenchmarkPick starts and ends a request at an entry with that many targets in
-// five pools, all but the reserve of their slots free.
+// BenchmarkPick starts and ends a request at an entry with n targets in five pools. No
+// slots are in use, so overflow may use all of them but the reserve.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		for _, overflow := range []bool{false, true} {
@@ -25,13 +25,13 @@
 					pools = append(pools, route.Pool{ID: core.PoolID(fmt.Sprint(p)), LendsIdle: true, MaxEjected: 1})
 				}
 				r.Update(t0, list, pools)
-				want := route.Want{Pool: "0", Overflow: overflow}
+				criteria := route.Criteria{Pool: "0", Overflow: overflow}
 				if overflow {
-					want.Pool = "none"
+					criteria.Pool = "none"
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					vm, _ := r.Pick(t0, want)
+					vm, _ := r.Pick(t0, criteria)
 					r.Started(t0, vm)
 					r.Ended(t0, vm, route.Succeeded, time.Second)
 				}
@@ -40,14 +40,14 @@
 	}
 }
 
-// BenchmarkIdle asks for the idle slots, as each Push does.
+// BenchmarkIdle computes the number of idle slots, as each Push does.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			r := &Router{Entries: 2}
 			r.Update(t0, targets(n), nil)
 			for b.Loop() {
-				r.Idle(t0, route.Want{Pool: pool})
+				r.Idle(t0, route.Criteria{Pool: pool})
 			}
 		})
 	}
--- a/core/route/least/least.go
+++ b/core/route/least/least.go
@@ -1,10 +1,11 @@
-// Package least is the router of real entries: the target that is least loaded
-// for its speed, within the slots that other entries use too.
+// Package least provides the router used in production. It selects the target with the
+// lowest load relative to its speed, within the slots that it shares with other
+// entries.
 //
-// Each entry has a part of a target's slots and borrows the others' parts while
-// they don't want them. An answer of "full" is normal: it teaches how many slots
-// the others use and ends the borrowing for a while. Targets that fail much more
-// than their pool are ejected within the pool's budget.
+// Each entry has a share of a target's slots and borrows from the shares of other
+// entries while they don't need them. A Full result is normal: it shows how many slots
+// the others use, and suspends borrowing for a while. Targets with a much higher
+// failure rate than the rest of their pool are ejected, within the pool's budget.
 package least
 
 import (
@@ -17,37 +18,39 @@
 	"lavenderpond/core/route"
 )
 
-// DefaultLendReserve is how many slots of each target are kept free for its own
-// pool when other queues overflow into it. Urgent work leaves none: with a reserve,
-// it waited in a full fleet for its own pool while slots elsewhere came free.
+// DefaultLendReserve is the number of slots of each target that are kept free for the
+// target's own pool when other queues overflow into it. Urgent requests leave no
+// reserve: with one, they would wait in a full fleet for their own pool while slots
+// become free elsewhere.
 const DefaultLendReserve = 2
 
 type poolID = core.PoolID
 
-// Router is the least-loaded route.Router. Its zero value works, with a fixed
-// seed.
+// Router is the least-loaded route.Router. The zero value is ready to use, with a fixed
+// random seed.
 type Router struct {
-	// Rand breaks ties. Entries should be seeded differently, or they choose the
-	// same target at once.
+	// Rand breaks ties. Each entry should use a different seed; otherwise all entries
+	// select the same target at the same time.
 	Rand *rand.Rand
-	// LendReserve is how many slots of each target overflow leaves free; zero means
-	// DefaultLendReserve, below zero none.
+	// LendReserve is the number of slots of each target that overflow leaves free. Zero
+	// means DefaultLendReserve, and a negative value means none.
 	LendReserve core.Slots
-	// Entries is how many entries share the targets; it may change at any time.
-	// Below 2 the router takes itself to be alone, though a target may be full.
+	// Entries is the number of entries that share the targets. It may change at any
+	// time. With a value below 2, the router assumes that no other entry uses the
+	// targets, although a target may still be full.
 	Entries int
 
-	targets map[core.VMID]*target
-	byPool  map[poolID][]*target
-	pools   map[poolID]route.Pool
-	order   []poolID
-	runs    map[poolID]float64
-	// off switches safeguards off, in tests only.
-	off switches
+	targets   map[core.VMID]*target
+	byPool    map[poolID][]*target
+	pools     map[poolID]route.Pool
+	poolOrder []poolID
+	meanRuns  map[poolID]float64
+	// disabled is set by tests only, to show that each safeguard is needed.
+	disabled disabledSafeguards
 }
 
-// switches name the safeguards that a test may switch off to see it fail.
-type switches struct {
+// disabledSafeguards selects the safeguards that a test disables.
+type disabledSafeguards struct {
 	ejectionBound, slotBound, ejection, pacing bool
 }
 
@@ -61,22 +64,22 @@
 	}
 	if r.targets == nil {
 		r.targets = make(map[core.VMID]*target)
-		r.runs = make(map[poolID]float64)
+		r.meanRuns = make(map[poolID]float64)
 	}
-	r.list(targets)
-	r.order = r.order[:0]
+	r.setTargets(targets)
+	r.poolOrder = r.poolOrder[:0]
 	for id := range r.byPool {
-		r.order = append(r.order, id)
+		r.poolOrder = append(r.poolOrder, id)
 	}
-	slices.Sort(r.order)
-	for _, id := range r.order {
-		r.enforce(id)
+	slices.Sort(r.poolOrder)
+	for _, id := range r.poolOrder {
+		r.enforceEjectionBudget(id)
 	}
 }
 
-// list takes over the new targets. One that left keeps its count until its last
-// request has ended, since it may come back before that.
-func (r *Router) list(targets []route.Target) {
+// setTargets replaces the targets. A target that left is kept until its last request
+// has ended, because it may return before that and its count is then still needed.
+func (r *Router) setTargets(targets []route.Target) {
 	for _, t := range r.targets {
 		t.listed = false
 	}
@@ -84,7 +87,7 @@
 	for _, update := range targets {
 		t := r.targets[update.VM]
 		if t == nil || t.Pool != update.Pool {
-			t = &target{running: running(t)}
+			t = &target{running: runningOn(t)}
 			r.targets[update.VM] = t
 		}
 		t.Target = update
@@ -98,7 +101,7 @@
 	}
 }
 
-func running(t *target) core.Slots {
+func runningOn(t *target) core.Slots {
 	if t == nil {
 		return 0
 	}
@@ -106,10 +109,10 @@
 }
 
 // Pick implements route.Router.
-func (r *Router) Pick(now time.Time, want route.Want) (core.VMID, bool) {
-	best := r.best(now, want.Pool, want, 0)
-	if best == nil && want.Overflow {
-		best = r.bestLent(now, want)
+func (r *Router) Pick(now time.Time, criteria route.Criteria) (core.VMID, bool) {
+	best := r.best(now, criteria.Pool, criteria, 0)
+	if best == nil && criteria.Overflow {
+		best = r.bestOverflow(now, criteria)
 	}
 	if best == nil {
 		return "", false
@@ -117,15 +120,16 @@
 	return best.VM, true
 }
 
-// bestLent returns a target of the pool that lends with the most free slots.
-func (r *Router) bestLent(now time.Time, want route.Want) *target {
+// bestOverflow returns the best target of another pool that lends idle slots, from the
+// pool whose best target has the most free slots.
+func (r *Router) bestOverflow(now time.Time, criteria route.Criteria) *target {
 	var best *target
 	most := core.Slots(0)
-	for _, id := range r.order {
-		if id == want.Pool || !r.pools[id].LendsIdle {
+	for _, id := range r.poolOrder {
+		if id == criteria.Pool || !r.pools[id].LendsIdle {
 			continue
 		}
-		t := r.best(now, id, want, r.reserve(want))
+		t := r.best(now, id, criteria, r.reserve(criteria))
 		if t == nil {
 			continue
 		}
@@ -136,10 +140,11 @@
 	return best
 }
 
-// reserve is how many slots of each target a request of another queue leaves free.
-func (r *Router) reserve(want route.Want) core.Slots {
+// reserve returns the number of slots of each target that a request of another queue
+// leaves free.
+func (r *Router) reserve(criteria route.Criteria) core.Slots {
 	switch {
-	case want.Urgent:
+	case criteria.Urgent:
 		return 0
 	case r.LendReserve == 0:
 		return DefaultLendReserve
@@ -148,9 +153,9 @@
 	}
 }
 
-// best returns the target of the pool with the lowest score that has more than
-// reserve slots free, starting at a random one so that ties are spread.
-func (r *Router) best(now time.Time, pool poolID, want route.Want, reserve core.Slots) *target {
+// best returns the target of the pool with the lowest score that has more than reserve
+// free slots. The search starts at a random target, so that ties are distributed.
+func (r *Router) best(now time.Time, pool poolID, criteria route.Criteria, reserve core.Slots) *target {
 	targets := r.byPool[pool]
 	if len(targets) == 0 {
 		return nil
@@ -162,23 +167,24 @@
 	for i := range targets {
 		t := targets[(first+i)%len(targets)]
 		free := t.free(now, mean, r.Entries)
-		if r.off.slotBound {
+		if r.disabled.slotBound {
 			free = t.capacity()
 		}
-		if free <= reserve || !r.mayStart(now, t, want.NoProbe) || slices.Contains(want.Tried, t.VM) {
+		if free <= reserve || !r.canStart(now, t, criteria.NoProbe) || slices.Contains(criteria.Tried, t.VM) {
 			continue
 		}
-		if score := score(t, free, mean, want.NoProbe); best == nil || score < lowest {
+		if score := score(t, free, mean, criteria.NoProbe); best == nil || score < lowest {
 			best, lowest = t, score
 		}
 	}
 	return best
 }
 
-// score is the time that the target's slots need for what they hold and one more
-// request: a slow VM gets fewer, and one that fails counts as slower still.
+// score estimates the time that the target's slots need for their current requests and
+// one more. A slow VM receives fewer requests, and failures count as additional
+// slowness.
 func score(t *target, free core.Slots, mean float64, noProbe bool) float64 {
-	run := t.run
+	run := t.meanRun
 	if run == 0 {
 		run = mean
 	}
@@ -187,18 +193,19 @@
 		return math.Inf(1)
 	}
 	if t.health != healthy {
-		// A target that may be tried takes the next request, or it would wait for as
-		// long as any other target has a slot and never return.
+		// A target that may be tried must take the next request. Otherwise it would
+		// wait as long as any other target has a free slot, and never be restored.
 		return 0
 	}
-	return held / float64(t.capacity()) * run * (1 + t.failures)
+	return held / float64(t.capacity()) * run * (1 + t.failureRate)
 }
 
 // Started implements route.Router.
 func (r *Router) Started(now time.Time, vm core.VMID) {
 	t := r.targets[vm]
 	if t == nil {
-		// It left between Pick and Started: the count is kept until it ends.
+		// The target left between Pick and Started. Its count is kept until the request
+		// ends.
 		t = &target{Target: route.Target{VM: vm}}
 		if r.targets == nil {
 			r.targets = make(map[core.VMID]*target)
@@ -206,13 +213,13 @@
 		r.targets[vm] = t
 	}
 	t.running++
-	if t.unreached > 0 && t.testedAt.IsZero() {
-		t.testedAt = now
+	if t.unreachableCount > 0 && t.testSentAt.IsZero() {
+		t.testSentAt = now
 	}
 	if t.health == suspect {
-		// A suspect that can't be ejected takes no more of the pool's work than one
-		// slot of a healthy target does, however quickly it fails.
-		t.nextStart = now.Add(secondsOf(r.meanRun(t.Pool)))
+		// A suspect target that can't be ejected receives no more requests than one
+		// slot of a healthy target, regardless of how quickly it fails them.
+		t.nextStartAt = now.Add(secondsToDuration(r.meanRun(t.Pool)))
 	}
 }
 
@@ -229,53 +236,53 @@
 		}
 		return
 	}
-	r.learn(now, t, result, run)
+	r.recordResult(now, t, result, run)
 }
 
-func (r *Router) learn(now time.Time, t *target, result route.Result, run time.Duration) {
+func (r *Router) recordResult(now time.Time, t *target, result route.Result, run time.Duration) {
 	switch result {
 	case route.Unsent:
 		return
 	case route.Full:
-		t.learnFull(now, r.meanRun(t.Pool), r.Entries)
+		t.recordFull(now, r.meanRun(t.Pool), r.Entries)
 		return
 	case route.Refused:
 		t.pausedUntil = now.Add(leavingPause)
 		return
 	case route.Unreachable:
-		t.unreached++
-		t.testedAt = time.Time{}
-		t.pausedUntil = now.Add(unreachablePause(t.unreached))
+		t.unreachableCount++
+		t.testSentAt = time.Time{}
+		t.pausedUntil = now.Add(unreachablePause(t.unreachableCount))
 	case route.Succeeded:
-		r.learnRun(t.Pool, run)
+		r.updateMeanRun(t.Pool, run)
 	case route.Failed:
 	}
-	t.learn(result, run)
-	if !r.off.ejection {
-		r.judge(now, t, result)
+	t.updateStats(result, run)
+	if !r.disabled.ejection {
+		r.updateHealth(now, t, result)
 	}
 }
 
-func (r *Router) learnRun(pool poolID, run time.Duration) {
-	if r.runs == nil {
-		r.runs = make(map[poolID]float64)
+func (r *Router) updateMeanRun(pool poolID, run time.Duration) {
+	if r.meanRuns == nil {
+		r.meanRuns = make(map[poolID]float64)
 	}
-	mean, known := r.runs[pool]
+	mean, known := r.meanRuns[pool]
 	if !known {
 		mean = run.Seconds()
 	}
-	r.runs[pool] = mean + (run.Seconds()-mean)*runGain
+	r.meanRuns[pool] = mean + (run.Seconds()-mean)*meanRunGain
 }
 
 // Idle implements route.Router.
-func (r *Router) Idle(now time.Time, want route.Want) core.Slots {
-	idle := r.idleIn(now, want.Pool, want.NoProbe, 0)
-	if !want.Overflow {
+func (r *Router) Idle(now time.Time, criteria route.Criteria) core.Slots {
+	idle := r.idleIn(now, criteria.Pool, criteria.NoProbe, 0)
+	if !criteria.Overflow {
 		return idle
 	}
-	for _, id := range r.order {
-		if id != want.Pool && r.pools[id].LendsIdle {
-			idle += r.idleIn(now, id, want.NoProbe, r.reserve(want))
+	for _, id := range r.poolOrder {
+		if id != criteria.Pool && r.pools[id].LendsIdle {
+			idle += r.idleIn(now, id, criteria.NoProbe, r.reserve(criteria))
 		}
 	}
 	return idle
@@ -285,7 +292,7 @@
 	var idle core.Slots
 	mean := r.meanRun(pool)
 	for _, t := range r.byPool[pool] {
-		if !r.mayStart(now, t, noProbe) {
+		if !r.canStart(now, t, noProbe) {
 			continue
 		}
 		free := max(0, t.free(now, mean, r.Entries)-reserve)
@@ -297,7 +304,7 @@
 	return idle
 }
 
-// Ejected returns the targets of the pool that get only probes, for operators.
+// Ejected returns the ejected targets of the pool, for operators.
 func (r *Router) Ejected(pool core.PoolID) []core.VMID {
 	var vms []core.VMID
 	for _, t := range r.byPool[pool] {
@@ -310,7 +317,7 @@
 }
 
 func (r *Router) meanRun(pool poolID) float64 {
-	if mean := r.runs[pool]; mean > 0 {
+	if mean := r.meanRuns[pool]; mean > 0 {
 		return mean
 	}
 	return fallbackRun.Seconds()
@@ -323,4 +330,4 @@
 	return r.Rand
 }
 
-func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
