--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -89,7 +89,7 @@
 	for i := 1; i <= c.Teams; i++ {
 		c.set(table.TeamKey(c.team(i)), config.Team{Share: 1, Limit: 200})
 		for k := range c.Keys {
-			c.set(table.KeyKey(core.Digest(c.key(i, k))), config.Key{Team: c.team(i)})
+			c.set(table.KeyDigestKey(core.Digest(c.key(i, k))), config.Key{Team: c.team(i)})
 		}
 	}
 	version := core.Version(c.Teams*(1+c.Keys) + 2*c.Pools)
--- a/cmd/lavenderpond/fakes_test.go
+++ b/cmd/lavenderpond/fakes_test.go
@@ -45,7 +45,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.down {
-		return table.Row{}, table.ErrDown
+		return table.Row{}, table.ErrUnreachable
 	}
 	return t.rows.Read(key), nil
 }
@@ -54,7 +54,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.down {
-		return nil, 0, table.ErrDown
+		return nil, 0, table.ErrUnreachable
 	}
 	return t.rows.Scan(prefix), t.rows.Revision(), nil
 }
@@ -71,13 +71,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.down {
-		return table.ErrDown
+		return table.ErrUnreachable
 	}
 	err := t.rows.Transact(tx)
 	if err == nil && t.lose > 0 {
 		t.lose--
 		t.down = t.downAfter
-		return table.ErrUnknown
+		return table.ErrOutcomeUnknown
 	}
 	return err
 }
--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -22,7 +22,7 @@
 		team := core.TeamID(fmt.Sprintf("team-%04d", i))
 		set(table.TeamKey(team), Team{Share: i, Limit: 200})
 		for k := range 3 {
-			set(table.KeyKey(core.Digest(fmt.Sprint(team, k))), Key{Team: team})
+			set(table.KeyDigestKey(core.Digest(fmt.Sprint(team, k))), Key{Team: team})
 		}
 	}
 	for i := range pools {
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -105,10 +105,10 @@
 func (c RetireException) Key() table.Key { return table.ExceptionKey(c.ID) }
 
 // Key implements Change.
-func (c GrantKey) Key() table.Key { return table.KeyKey(c.Digest) }
+func (c GrantKey) Key() table.Key { return table.KeyDigestKey(c.Digest) }
 
 // Key implements Change.
-func (c WithdrawKey) Key() table.Key { return table.KeyKey(c.Digest) }
+func (c WithdrawKey) Key() table.Key { return table.KeyDigestKey(c.Digest) }
 
 // Key implements Change.
 func (c AttestZone) Key() table.Key { return ZoneDownKey(c.Zone) }
--- a/core/fleet/rules_test.go
+++ b/core/fleet/rules_test.go
@@ -102,7 +102,7 @@
 		return
 	}
 	err = r.transact(vm.Ref, tx)
-	if errors.Is(err, table.ErrUnknown) {
+	if errors.Is(err, table.ErrOutcomeUnknown) {
 		// The actor reads again and repeats the same change.
 		r.views[actor] = nil
 		read = r.view(actor)
@@ -160,7 +160,7 @@
 		r.judge(ref, after)
 	}
 	if r.rand.IntN(4) == 0 {
-		return table.ErrUnknown
+		return table.ErrOutcomeUnknown
 	}
 	return nil
 }
--- a/core/home/cancel.go
+++ b/core/home/cancel.go
@@ -18,8 +18,8 @@
 	r.cancelled = true
 	switch r.phase {
 	case queued, announced:
-		h.takeBack(now, r)
-		h.finishNotRun(now, r, core.NotRun{Code: core.CodeCancelled})
+		h.releaseUnsent(now, r)
+		h.finishUnstarted(now, r, core.NotRun{Code: core.CodeCancelled})
 	case running, asking, inherited:
 		h.emit(StopTask{Key: e.Key, VM: r.vm})
 		h.finish(r, core.OutcomeUnknown{Code: core.CodeCancelledRunning})
@@ -31,61 +31,61 @@
 // cancelUnknown keeps a cancellation that overtook its request, so that the
 // request does not run when it comes.
 func (h *Home) cancelUnknown(now time.Time, e Cancel) {
-	verdict := h.Rights.Decide(now, e.Key, time.Time{}, now.Add(h.Times.Retention))
+	verdict := h.Leases.Decide(now, e.Key, time.Time{}, now.Add(h.Params.Retention))
 	if _, may := verdict.(shard.Run); !may {
 		h.reply(e.Waiter, e.Key, core.OutcomeUnknown{Code: core.CodeNotFound})
 		return
 	}
-	r := h.newRecord(core.Request{Key: e.Key, Deadline: now.Add(h.Times.Retention)})
+	r := h.newRecord(core.Request{Key: e.Key, Deadline: now.Add(h.Params.Retention)})
 	r.cancelled = true
 	r.waiters = []Waiter{e.Waiter}
 	h.finish(r, core.NotRun{Code: core.CodeCancelled})
 }
 
-// keyWithdrawn refuses what still waits under the key. What runs, finishes.
-func (h *Home) keyWithdrawn(now time.Time, digest core.KeyDigest) {
-	for _, r := range h.notSent(func(r *record) bool { return r.request.KeyDigest == digest && !h.off.withdrawal }) {
-		h.takeBack(now, r)
-		h.finishNotRun(now, r, core.NotRun{Code: core.CodeKeyWithdrawn})
+// handleKeyWithdrawn refuses what still waits under the key. What runs, finishes.
+func (h *Home) handleKeyWithdrawn(now time.Time, digest core.KeyDigest) {
+	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.KeyDigest == digest && !h.disabled.keyWithdrawal }) {
+		h.releaseUnsent(now, r)
+		h.finishUnstarted(now, r, core.NotRun{Code: core.CodeKeyWithdrawn})
 	}
 }
 
-// handedOver sends what waits on a shard that moved on to its new holder: without
+// handleHandedOver sends what waits on a shard that moved on to its new holder: without
 // it the callers would wait here until their deadlines for a right that is gone.
 // Nothing of it was sent, so CodeEntryStopping is true; the front passes it on.
-func (h *Home) handedOver(now time.Time, e HandedOver) {
-	for _, r := range h.notSent(func(r *record) bool { return r.request.Key.Shard(e.Shards) == e.Shard }) {
-		h.takeBack(now, r)
+func (h *Home) handleHandedOver(now time.Time, e HandedOver) {
+	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.Key.Shard(e.Shards) == e.Shard }) {
+		h.releaseUnsent(now, r)
 		h.finish(r, core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now})
 	}
 }
 
-// stop refuses what still waits, so that the callers go elsewhere at once. What
+// handleStopping refuses what still waits, so that the callers go elsewhere at once. What
 // runs is waited for by the daemon. A request whose start was mirrored and whose
 // target had no slot is still sent from here: the next holder would take it for
 // started, and its caller would be told that the outcome is unknown.
-func (h *Home) stop(now time.Time) {
+func (h *Home) handleStopping(now time.Time) {
 	h.stopping = true
-	for _, r := range h.notSent(func(r *record) bool { return r.phase == queued && !r.mirrored }) {
-		h.takeBack(now, r)
+	for _, r := range h.unsentRecords(func(r *record) bool { return r.phase == queued && !r.mirrored }) {
+		h.releaseUnsent(now, r)
 		h.finish(r, core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now})
 	}
 }
 
-// notSent returns the requests that keep allows and that no target was sent, in a
+// unsentRecords returns the requests that keep allows and that no target was sent, in a
 // fixed order. Most records have ended, so they are picked before they are sorted.
-func (h *Home) notSent(keep func(*record) bool) []*record {
+func (h *Home) unsentRecords(keep func(*record) bool) []*record {
 	picked := make(map[core.RequestKey]*record)
-	for key, r := range h.open {
+	for key, r := range h.unfinished {
 		if (r.phase == queued || r.phase == announced) && keep(r) {
 			picked[key] = r
 		}
 	}
-	return sorted(picked)
+	return sortedRecords(picked)
 }
 
-// takeBack frees what a request that was not sent holds.
-func (h *Home) takeBack(now time.Time, r *record) {
+// releaseUnsent frees what a request that was not sent holds.
+func (h *Home) releaseUnsent(now time.Time, r *record) {
 	h.Queue.Remove(r.request.Key)
 	if r.phase == announced {
 		h.releaseSlots(now, r, route.Unsent)
--- a/core/home/dispatch.go
+++ b/core/home/dispatch.go
@@ -9,40 +9,40 @@
 	"lavenderpond/core/shard"
 )
 
-// reach is where a queue's requests may run.
-type reach int
+// poolScope is where a queue's requests may run.
+type poolScope int
 
 const (
-	ownPool reach = iota
+	ownPool poolScope = iota
 	anyPool
 )
 
-// pumpAll moves waiting requests of every queue to free slots, those of their own
+// fillAllSlots moves waiting requests of every queue to free slots, those of their own
 // pools first. Else a flood of one queue's urgent work would take each slot that
 // comes free in a pool that lends, and the lender's own requests would wait for it
 // to end.
-func (h *Home) pumpAll(now time.Time) {
+func (h *Home) fillAllSlots(now time.Time) {
 	queues := h.Queue.Queues()
 	for _, q := range queues {
-		h.pump(now, q, ownPool)
+		h.fillSlots(now, q, ownPool)
 	}
 	for _, q := range queues {
-		h.pump(now, q, anyPool)
+		h.fillSlots(now, q, anyPool)
 	}
 }
 
-// pumpAfter fills the slot that r gave back. A slot that its pool had lent goes to
+// refillAfter fills the slot that r gave back. A slot that its pool had lent goes to
 // its own queue first.
-func (h *Home) pumpAfter(now time.Time, r *record) {
-	if r.lent && !h.off.lenderFirst {
-		h.pumpAll(now)
+func (h *Home) refillAfter(now time.Time, r *record) {
+	if r.borrowed && !h.disabled.lenderFirst {
+		h.fillAllSlots(now)
 		return
 	}
-	h.pump(now, r.request.Queue, anyPool)
+	h.fillSlots(now, r.request.Queue, anyPool)
 }
 
-// pump moves waiting requests of q to free slots until there is none left.
-func (h *Home) pump(now time.Time, q core.QueueID, to reach) {
+// fillSlots moves waiting requests of q to free slots until there is none left.
+func (h *Home) fillSlots(now time.Time, q core.QueueID, to poolScope) {
 	pool, overflow, ok := h.Config.Pool(now, q)
 	if !ok {
 		return
@@ -53,7 +53,7 @@
 		var vm core.VMID
 		item, ok := h.Queue.Pop(now, q, func(item queue.Item) bool {
 			var ready bool
-			vm, ready = h.ready(now, item, want)
+			vm, ready = h.tryReserve(now, item, want)
 			return ready
 		})
 		if !ok {
@@ -63,39 +63,39 @@
 	}
 }
 
-// ready says whether item may start now, and where. It takes the team's slot.
-func (h *Home) ready(now time.Time, item queue.Item, want route.Want) (core.VMID, bool) {
+// tryReserve says whether item may start now, and where. It takes the team's slot.
+func (h *Home) tryReserve(now time.Time, item queue.Item, want route.Want) (core.VMID, bool) {
 	r := h.records[item.Key]
-	if r == nil || h.stopping && !r.mirrored || now.Before(r.notBefore) || !now.Before(h.Rights.RightUntil(now, item.Key)) {
+	if r == nil || h.stopping && !r.mirrored || now.Before(r.notBefore) || !now.Before(h.Leases.LeaseExpiry(now, item.Key)) {
 		return "", false
 	}
 	want.Tried, want.Urgent = r.tried, item.Urgent
 	// A request that runs once must not be spent on finding out about a suspect VM.
 	want.NoProbe = !r.request.Idempotent
-	vm, ok := h.pick(now, r, want)
+	vm, ok := h.pickTarget(now, r, want)
 	if !ok {
 		// A small pool may have no untried target; the bound on refusals ends it.
 		want.Tried = nil
-		vm, ok = h.pick(now, r, want)
+		vm, ok = h.pickTarget(now, r, want)
 	}
 	if !ok {
 		return "", false
 	}
 	// The slot is counted until the target's lease has certainly ended by every
 	// clock, unless the end of the task is certain earlier.
-	if !h.Limiter.Acquire(now, item.Key, r.request.Deadline.Add(h.Times.SkewBound)) {
+	if !h.Limiter.Acquire(now, item.Key, r.request.Deadline.Add(h.Params.SkewBound)) {
 		h.Limiter.Wanted(now, item.Key.Team)
 		return "", false
 	}
 	return vm, true
 }
 
-// pick chooses a target for r, of its own pool if one has a slot.
-func (h *Home) pick(now time.Time, r *record, want route.Want) (core.VMID, bool) {
+// pickTarget chooses a target for r, of its own pool if one has a slot.
+func (h *Home) pickTarget(now time.Time, r *record, want route.Want) (core.VMID, bool) {
 	own := want
 	own.Overflow = false
 	vm, ok := h.Router.Pick(now, own)
-	r.lent = !ok
+	r.borrowed = !ok
 	if !ok && want.Overflow {
 		vm, ok = h.Router.Pick(now, want)
 	}
@@ -108,7 +108,7 @@
 	r.vm = vm
 	r.slotHeld = true
 	h.Router.Started(now, vm)
-	h.waiting[r.request.Key] = r
+	h.awaitingAck[r.request.Key] = r
 	if r.request.Idempotent || r.mirrored {
 		// The successor takes a mirrored id for started already; further targets
 		// after a certain "not started" change nothing about that.
@@ -116,23 +116,23 @@
 		return
 	}
 	start := shard.Start{Key: r.request.Key, Deadline: r.request.Deadline, FirstSent: r.request.FirstSent, VM: vm}
-	if h.Rights.Start(now, start) {
+	if h.Leases.Start(now, start) {
 		r.mirrored = true
 		h.dispatch(now, r)
 	}
 }
 
-func (h *Home) startAllowed(now time.Time, key core.RequestKey) {
+func (h *Home) handleStartAllowed(now time.Time, key core.RequestKey) {
 	if r := h.records[key]; r != nil && r.phase == announced {
 		r.mirrored = true
 		h.dispatch(now, r)
 	}
 }
 
-// startDenied takes the request back: this entry sent nothing. If the shard was lost
+// handleStartDenied takes the request back: this entry sent nothing. If the shard was lost
 // and won back meanwhile, another holder may have run the id: then it must neither
 // wait here nor be called "not run".
-func (h *Home) startDenied(now time.Time, e StartDenied) {
+func (h *Home) handleStartDenied(now time.Time, e StartDenied) {
 	r := h.records[e.Key]
 	if r == nil || r.phase != announced {
 		return
@@ -144,12 +144,12 @@
 	case shard.NotHolder:
 		h.finish(r, core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now})
 	default:
-		h.requeue(now, r, now.Add(h.Times.AskEvery))
+		h.requeue(now, r, now.Add(h.Params.AskInterval))
 	}
 }
 
 func (h *Home) dispatch(now time.Time, r *record) {
-	startBy := earlier(h.Rights.RightUntil(now, r.request.Key), r.request.Deadline)
+	startBy := earlier(h.Leases.LeaseExpiry(now, r.request.Key), r.request.Deadline)
 	if !now.Before(startBy) {
 		h.releaseSlots(now, r, route.Unsent)
 		h.requeue(now, r, now)
@@ -159,7 +159,7 @@
 		h.Budget.First(now)
 	}
 	h.counts.Dispatched++
-	delete(h.waiting, r.request.Key)
+	delete(h.awaitingAck, r.request.Key)
 	r.phase = running
 	r.number++
 	r.startedAt = now
@@ -172,10 +172,10 @@
 // that nothing runs there.
 func (h *Home) releaseSlots(now time.Time, r *record, result route.Result) {
 	h.Limiter.Release(r.request.Key)
-	h.endAtTarget(now, r, result)
+	h.releaseTargetSlot(now, r, result)
 }
 
-func (h *Home) endAtTarget(now time.Time, r *record, result route.Result) {
+func (h *Home) releaseTargetSlot(now time.Time, r *record, result route.Result) {
 	if !r.slotHeld {
 		return
 	}
@@ -192,7 +192,7 @@
 
 // requeue lets r wait for another slot, not before the given time.
 func (h *Home) requeue(now time.Time, r *record, notBefore time.Time) {
-	delete(h.waiting, r.request.Key)
+	delete(h.awaitingAck, r.request.Key)
 	r.phase = queued
 	r.notBefore = notBefore
 	if h.stopping && !r.mirrored {
@@ -201,7 +201,7 @@
 	}
 	refusal, ok := h.Queue.Push(now, itemOf(now, r.request), 0)
 	if !ok {
-		h.finishNotRun(now, r, refusal)
+		h.finishUnstarted(now, r, refusal)
 	}
 }
 
--- a/core/home/dump.go
+++ b/core/home/dump.go
@@ -17,7 +17,7 @@
 // Loads returns the teams with unfinished work, by name.
 func (h *Home) Loads() []Load {
 	byTeam := make(map[core.TeamID]*Load)
-	for key, r := range h.open {
+	for key, r := range h.unfinished {
 		l := byTeam[key.Team]
 		if l == nil {
 			l = &Load{Team: key.Team}
@@ -37,8 +37,8 @@
 	return loads
 }
 
-// dumpedRecords bounds how many unfinished requests a dump lists.
-const dumpedRecords = 200
+// maxDumpedRecords bounds how many unfinished requests a dump lists.
+const maxDumpedRecords = 200
 
 // Dump is what an operator sees of a Home. Bodies are left out.
 type Dump struct {
@@ -65,8 +65,8 @@
 	for code, n := range h.counts.Answers {
 		d.Counts.Answers[code] = n
 	}
-	for key, r := range h.open {
-		if len(d.Unfinished) == dumpedRecords {
+	for key, r := range h.unfinished {
+		if len(d.Unfinished) == maxDumpedRecords {
 			break
 		}
 		d.Unfinished = append(d.Unfinished, RecordDump{
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -19,12 +19,12 @@
 	"lavenderpond/core/shard"
 )
 
-// Rights tells what this entry may decide. Implemented over core/shard.
-type Rights interface {
+// ShardLeases tells what this entry may decide. Implemented over core/shard.
+type ShardLeases interface {
 	// Decide says whether a request without a record may run here.
 	Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict
-	// RightUntil returns until when this entry may start key's request.
-	RightUntil(now time.Time, key core.RequestKey) time.Time
+	// LeaseExpiry returns until when this entry may start key's request.
+	LeaseExpiry(now time.Time, key core.RequestKey) time.Time
 	// Start announces a start. If it returns false, a StartAllowed or StartDenied
 	// event follows.
 	Start(now time.Time, start shard.Start) bool
@@ -38,40 +38,40 @@
 	KeyGood(now time.Time, team core.TeamID, key core.KeyDigest) (core.Code, bool)
 }
 
-// Times are the bounds that home works with.
-type Times struct {
+// Params are the bounds that home works with.
+type Params struct {
 	// SkewBound is the most that two clocks differ.
 	SkewBound time.Duration
 	// Retention is how long an answer is kept after its request's deadline.
 	Retention time.Duration
-	// AskEvery is the time between two questions about a lost answer.
-	AskEvery time.Duration
-	// AskFor is how long a target is asked before the outcome is called unknown.
-	AskFor time.Duration
-	// FullPause is how long a request waits after a target had no free slot.
-	FullPause time.Duration
+	// AskInterval is the time between two questions about a lost answer.
+	AskInterval time.Duration
+	// AskTimeout is how long a target is asked before the outcome is called unknown.
+	AskTimeout time.Duration
+	// FullBackoff is how long a request waits after a target had no free slot.
+	FullBackoff time.Duration
 	// MaxTargets is how many targets may refuse a request as invalid, or fail an
 	// idempotent one, before it is given up with CodeCannotRun.
 	MaxTargets int
 }
 
-// DefaultTimes are the bounds for the brief's fleet.
-func DefaultTimes() Times {
-	return Times{
-		SkewBound:  250 * time.Millisecond,
-		Retention:  time.Minute,
-		AskEvery:   200 * time.Millisecond,
-		AskFor:     2 * time.Second,
-		FullPause:  10 * time.Millisecond,
-		MaxTargets: retry.MaxTargets,
+// DefaultParams are the bounds for the brief's fleet.
+func DefaultParams() Params {
+	return Params{
+		SkewBound:   250 * time.Millisecond,
+		Retention:   time.Minute,
+		AskInterval: 200 * time.Millisecond,
+		AskTimeout:  2 * time.Second,
+		FullBackoff: 10 * time.Millisecond,
+		MaxTargets:  retry.MaxTargets,
 	}
 }
 
 // Home holds the records of the requests that this entry decides about. All
 // fields must be set before use. It is not safe for concurrent use.
 type Home struct {
-	Times   Times
-	Rights  Rights
+	Params  Params
+	Leases  ShardLeases
 	Config  Configuration
 	Queue   queue.Queue
 	Router  route.Router
@@ -79,22 +79,22 @@
 	Budget  retry.Budget
 
 	records map[core.RequestKey]*record
-	// open holds the records without a final answer. Most have one, and what is done
+	// unfinished holds the records without a final answer. Most have one, and what is done
 	// once a second or for each shard that moves must not walk over those.
-	open     map[core.RequestKey]*record
-	forget   deadline.Heap[*record]
-	asking   map[core.RequestKey]*record
-	waiting  map[core.RequestKey]*record
-	commands []Command
-	stopping bool
-	counts   Counts
-	// off switches safeguards off, in tests only.
-	off switches
+	unfinished  map[core.RequestKey]*record
+	expiry      deadline.Heap[*record]
+	asking      map[core.RequestKey]*record
+	awaitingAck map[core.RequestKey]*record
+	commands    []Command
+	stopping    bool
+	counts      Counts
+	// disabled switches safeguards off, in tests only.
+	disabled disabledSafeguards
 }
 
-// switches name the safeguards that a test may switch off to see it fail.
-type switches struct {
-	retryLost, join, lapse, attempts, number, slotKept, withdrawal, lenderFirst bool
+// disabledSafeguards name the safeguards that a test may switch off to see it fail.
+type disabledSafeguards struct {
+	noRetryAfterLoss, joinAttempts, leaseCheck, laterAttemptUnknown, dispatchNumber, keepTeamSlot, keyWithdrawal, lenderFirst bool
 }
 
 // Counts are running totals for metrics and dumps.
@@ -122,23 +122,23 @@
 	case Abandon:
 		h.abandon(e)
 	case StartAllowed:
-		h.startAllowed(now, e.Key)
+		h.handleStartAllowed(now, e.Key)
 	case StartDenied:
-		h.startDenied(now, e)
+		h.handleStartDenied(now, e)
 	case Inherited:
-		h.inherit(now, e.Start)
+		h.handleInherited(now, e.Start)
 	case Ended:
-		h.ended(now, e)
+		h.handleEnded(now, e)
 	case Asked:
-		h.asked(now, e)
+		h.handleAsked(now, e)
 	case KeyWithdrawn:
-		h.keyWithdrawn(now, e.Digest)
+		h.handleKeyWithdrawn(now, e.Digest)
 	case HandedOver:
-		h.handedOver(now, e)
+		h.handleHandedOver(now, e)
 	case Changed:
-		h.pumpAll(now)
+		h.fillAllSlots(now)
 	case Stopping:
-		h.stop(now)
+		h.handleStopping(now)
 	case Tick:
 		h.tick(now)
 	}
@@ -155,8 +155,8 @@
 	h.emit(Reply{Waiter: w, Key: key, Answer: a})
 }
 
-// settledAfter is how long after a dispatch the target's refusal may still come.
-const settledAfter = time.Second
+// refusalWindow is how long after a dispatch the target's refusal may still come.
+const refusalWindow = time.Second
 
 // Unsettled returns how many requests are between their mirrored start and their
 // target, those included whose target may still say that it has no slot. A stop
@@ -164,7 +164,7 @@
 // and only this entry knows that it did not run.
 func (h *Home) Unsettled(now time.Time) int {
 	n := 0
-	for _, r := range h.open {
+	for _, r := range h.unfinished {
 		switch r.phase {
 		case announced:
 			n++
@@ -173,7 +173,7 @@
 				n++
 			}
 		case running:
-			if now.Before(r.startedAt.Add(settledAfter)) {
+			if now.Before(r.startedAt.Add(refusalWindow)) {
 				n++
 			}
 		default:
@@ -184,5 +184,5 @@
 
 // Unfinished returns how many requests have no final answer yet.
 func (h *Home) Unfinished() int {
-	return len(h.open)
+	return len(h.unfinished)
 }
--- a/core/home/lent_test.go
+++ b/core/home/lending_test.go
@@ -28,11 +28,11 @@
 // lending pool "p" before its own request does.
 func floodedLender(t *testing.T, lenderFirst bool) int {
 	t.Helper()
-	b := newBench(100)
+	b := newTestbed(100)
 	router := &least.Router{}
 	router.Update(epoch, []route.Target{{VM: "lender", Pool: "p", Slots: 8}}, []route.Pool{{ID: "p", LendsIdle: true}, {ID: "q"}})
 	b.home.Router, b.home.Queue, b.home.Config = router, &fair.Queue{}, &twoQueues{}
-	b.home.off.lenderFirst = !lenderFirst
+	b.home.disabled.lenderFirst = !lenderFirst
 	var open []Dispatch
 	collect := func(commands []Command) {
 		for _, c := range commands {
@@ -51,7 +51,7 @@
 			return n - 8
 		}
 		b.wait(time.Millisecond)
-		collect(b.do(Ended{Key: open[n].Request.Key, Number: open[n].Number, End: Answered{}}))
+		collect(b.handle(Ended{Key: open[n].Request.Key, Number: open[n].Number, End: Answered{}}))
 	}
 	return len(open) - 8
 }
--- a/core/home/record.go
+++ b/core/home/record.go
@@ -32,11 +32,11 @@
 
 // record is what the home knows of a request.
 type record struct {
-	request core.Request
-	body    [sha256.Size]byte
-	phase   phase
-	answer  core.Answer
-	waiters []Waiter
+	request  core.Request
+	bodyHash [sha256.Size]byte
+	phase    phase
+	answer   core.Answer
+	waiters  []Waiter
 
 	vm        core.VMID
 	number    core.Attempt
@@ -44,22 +44,22 @@
 	tried     []core.VMID
 	notBefore time.Time
 	cancelled bool
-	// fetched says that a caller does not wait but fetches the answer later.
-	fetched bool
-	// fromFormer says that the record came from a former holder, without its body.
-	fromFormer bool
+	// fetchLater says that a caller does not wait but fetches the answer later.
+	fetchLater bool
+	// fromFormerHolder says that the record came from a former holder, without its body.
+	fromFormerHolder bool
 	// mirrored says that Rights.Start allowed this request once.
 	mirrored bool
 	// slotHeld says that the router counts a slot of vm for this record.
 	slotHeld bool
-	// lent says that vm is of another pool, which lends its idle slots.
-	lent bool
+	// borrowed says that vm is of another pool, which lends its idle slots.
+	borrowed bool
 
 	nextAsk  time.Time
 	askUntil time.Time
 
-	forgetAt time.Time
-	index    int
+	forgetAt  time.Time
+	heapIndex int
 }
 
 // newRecord stores a record. It is forgotten some time after the deadline: from
@@ -67,24 +67,24 @@
 func (h *Home) newRecord(req core.Request) *record {
 	if h.records == nil {
 		h.records = make(map[core.RequestKey]*record)
-		h.open = make(map[core.RequestKey]*record)
+		h.unfinished = make(map[core.RequestKey]*record)
 		h.asking = make(map[core.RequestKey]*record)
-		h.waiting = make(map[core.RequestKey]*record)
+		h.awaitingAck = make(map[core.RequestKey]*record)
 	}
-	r := &record{request: req, body: sha256.Sum256(req.Body)}
-	r.forgetAt = req.Deadline.Add(h.Times.Retention)
+	r := &record{request: req, bodyHash: sha256.Sum256(req.Body)}
+	r.forgetAt = req.Deadline.Add(h.Params.Retention)
 	h.records[req.Key] = r
-	h.open[req.Key] = r
-	h.forget.Push(r)
+	h.unfinished[req.Key] = r
+	h.expiry.Push(r)
 	return r
 }
 
 func (h *Home) drop(r *record) {
 	delete(h.records, r.request.Key)
-	delete(h.open, r.request.Key)
+	delete(h.unfinished, r.request.Key)
 	delete(h.asking, r.request.Key)
-	delete(h.waiting, r.request.Key)
-	h.forget.Remove(r)
+	delete(h.awaitingAck, r.request.Key)
+	h.expiry.Remove(r)
 }
 
 // finish gives r its final answer. It is kept, so that the id can't run again, but
@@ -95,24 +95,24 @@
 	r.answer = a
 	// What only a request that still runs needs is not kept until the deadline.
 	r.request.Body, r.request.KeyDigest, r.tried = nil, "", nil
-	delete(h.open, r.request.Key)
+	delete(h.unfinished, r.request.Key)
 	delete(h.asking, r.request.Key)
-	delete(h.waiting, r.request.Key)
+	delete(h.awaitingAck, r.request.Key)
 	for _, w := range r.waiters {
 		h.reply(w, r.request.Key, a)
 	}
 	r.waiters = nil
 	if refusal, notRun := a.(core.NotRun); notRun && !r.cancelled {
-		if !r.fetched || refusal.Code == core.CodeEntryStopping {
+		if !r.fetchLater || refusal.Code == core.CodeEntryStopping {
 			h.drop(r)
 		}
 	}
 }
 
-// finishNotRun says that r did not run, if this entry can still know it: with
+// finishUnstarted says that r did not run, if this entry can still know it: with
 // its right lapsed, another holder may have taken an attempt of the same id.
-func (h *Home) finishNotRun(now time.Time, r *record, a core.NotRun) {
-	if now.Before(h.Rights.RightUntil(now, r.request.Key)) || h.off.lapse {
+func (h *Home) finishUnstarted(now time.Time, r *record, a core.NotRun) {
+	if now.Before(h.Leases.LeaseExpiry(now, r.request.Key)) || h.disabled.leaseCheck {
 		h.finish(r, a)
 		return
 	}
@@ -123,4 +123,4 @@
 func (r *record) Deadline() time.Time { return r.forgetAt }
 
 // Place implements deadline.Item.
-func (r *record) Place() *int { return &r.index }
+func (r *record) Place() *int { return &r.heapIndex }
--- a/core/home/record_test.go
+++ b/core/home/record_test.go
@@ -15,11 +15,11 @@
 	req := core.Request{Key: core.RequestKey{Team: "lyra", ID: "frame-1"}, KeyDigest: "good", Body: []byte("frames")}
 	r := h.newRecord(req)
 	r.tried = []core.VMID{"vm_1"}
-	sum := r.body
+	sum := r.bodyHash
 	answer := core.Done{VM: "vm_2", Body: []byte("plate")}
 	h.finish(r, answer)
 	assert.DeepEqual(t, r.request, core.Request{Key: req.Key})
 	assert.Assert(t, r.tried == nil)
-	assert.Equal(t, r.body, sum)
+	assert.Equal(t, r.bodyHash, sum)
 	assert.DeepEqual(t, r.answer, core.Answer(answer))
 }
--- a/core/home/session_test.go
+++ b/core/home/session_test.go
@@ -21,14 +21,14 @@
 
 var epoch = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-// fakeRights grants everything until a time, with or without a mirror.
-type fakeRights struct {
+// fakeLeases grants everything until a time, with or without a mirror.
+type fakeLeases struct {
 	until  time.Time
 	mirror bool
 	known  map[core.RequestKey]bool
 }
 
-func (f *fakeRights) Decide(now time.Time, key core.RequestKey, _, _ time.Time) shard.Verdict {
+func (f *fakeLeases) Decide(now time.Time, key core.RequestKey, _, _ time.Time) shard.Verdict {
 	switch {
 	case f.known[key]:
 		return shard.Unknown{Code: core.CodeHomeReplaced}
@@ -38,9 +38,9 @@
 	return shard.Run{StartBy: f.until}
 }
 
-func (f *fakeRights) RightUntil(time.Time, core.RequestKey) time.Time { return f.until }
+func (f *fakeLeases) LeaseExpiry(time.Time, core.RequestKey) time.Time { return f.until }
 
-func (f *fakeRights) Start(time.Time, shard.Start) bool { return !f.mirror }
+func (f *fakeLeases) Start(time.Time, shard.Start) bool { return !f.mirror }
 
 // fakeConfig knows the queue "stack", served by the pool "p", and one good key.
 type fakeConfig struct{ withdrawn map[core.KeyDigest]bool }
@@ -84,20 +84,20 @@
 
 func (f *fakeLimiter) Wanted(time.Time, core.TeamID) {}
 
-// bench is a home with fakes around it that writes down all that happens.
-type bench struct {
-	home   *Home
-	rights *fakeRights
-	config *fakeConfig
-	limits *fakeLimiter
-	now    time.Time
-	next   Waiter
-	out    strings.Builder
+// testbed is a home with fakes around it that writes down all that happens.
+type testbed struct {
+	home       *Home
+	leases     *fakeLeases
+	config     *fakeConfig
+	limits     *fakeLimiter
+	now        time.Time
+	lastWaiter Waiter
+	out        strings.Builder
 }
 
-func newBench(limit core.Slots, vms ...core.VMID) *bench {
-	b := &bench{
-		rights: &fakeRights{until: epoch.Add(time.Hour), known: map[core.RequestKey]bool{}},
+func newTestbed(limit core.Slots, vms ...core.VMID) *testbed {
+	b := &testbed{
+		leases: &fakeLeases{until: epoch.Add(time.Hour), known: map[core.RequestKey]bool{}},
 		config: &fakeConfig{withdrawn: map[core.KeyDigest]bool{}},
 		limits: &fakeLimiter{limit: limit, held: map[core.RequestKey]time.Time{}},
 		now:    epoch,
@@ -109,18 +109,18 @@
 	}
 	router.Update(epoch, targets, nil)
 	b.home = &Home{
-		Times: DefaultTimes(), Rights: b.rights, Config: b.config, Queue: &fifo.Queue{},
+		Params: DefaultParams(), Leases: b.leases, Config: b.config, Queue: &fifo.Queue{},
 		Router: router, Limiter: b.limits,
 		Budget: &retry.TokenBucket{Rand: rand.New(rand.NewPCG(3, 4))},
 	}
 	return b
 }
 
-func (b *bench) note(format string, args ...any) { fmt.Fprintf(&b.out, "# "+format+"\n", args...) }
+func (b *testbed) notef(format string, args ...any) { fmt.Fprintf(&b.out, "# "+format+"\n", args...) }
 
-func (b *bench) wait(d time.Duration) { b.now = b.now.Add(d) }
+func (b *testbed) wait(d time.Duration) { b.now = b.now.Add(d) }
 
-func (b *bench) do(e Event) []Command {
+func (b *testbed) handle(e Event) []Command {
 	commands := b.home.Handle(b.now, e)
 	fmt.Fprintf(&b.out, "%s > %s\n", b.now.Sub(epoch), show(e))
 	for _, c := range commands {
@@ -129,8 +129,8 @@
 	return commands
 }
 
-func (b *bench) submit(id core.RequestID, attempt core.Attempt, change ...func(*core.Request)) []Command {
-	b.next++
+func (b *testbed) submit(id core.RequestID, attempt core.Attempt, change ...func(*core.Request)) []Command {
+	b.lastWaiter++
 	req := core.Request{
 		Key: core.RequestKey{Team: "lyra", ID: id}, KeyDigest: "good", Attempt: attempt,
 		Deadline: epoch.Add(10 * time.Second), FirstSent: epoch, Queue: "stack", Body: []byte("frames of " + id),
@@ -138,7 +138,7 @@
 	for _, f := range change {
 		f(&req)
 	}
-	return b.do(Submit{Request: req, Waiter: b.next})
+	return b.handle(Submit{Request: req, Waiter: b.lastWaiter})
 }
 
 func key(id core.RequestID) core.RequestKey { return core.RequestKey{Team: "lyra", ID: id} }
@@ -173,29 +173,29 @@
 	}
 }
 
-// asIs leaves all safeguards on.
-func asIs(*Home) {}
+// allSafeguards leaves all safeguards on.
+func allSafeguards(*Home) {}
 
 func TestSessionOneRequest(t *testing.T) {
-	golden.Assert(t, sessionOneRequest(asIs), "session_one_request.golden")
+	golden.Assert(t, sessionOneRequest(allSafeguards), "session_one_request.golden")
 }
 
 func sessionOneRequest(change func(*Home)) string {
-	b := newBench(4, "vm-1")
+	b := newTestbed(4, "vm-1")
 	change(b.home)
-	b.note("One slot: the second request waits; a further attempt of the first joins it.")
+	b.notef("One slot: the second request waits; a further attempt of the first joins it.")
 	b.submit("a", 1)
 	b.submit("b", 1)
 	b.submit("a", 2)
 	b.wait(40 * time.Millisecond)
-	b.do(Ended{Key: key("a"), Number: 1, End: Answered{Body: []byte("plate a")}})
-	b.note("The answer is kept: an attempt after it runs nothing.")
+	b.handle(Ended{Key: key("a"), Number: 1, End: Answered{Body: []byte("plate a")}})
+	b.notef("The answer is kept: an attempt after it runs nothing.")
 	b.submit("a", 3)
-	b.note("The same id with another body is another request, and is refused.")
+	b.notef("The same id with another body is another request, and is refused.")
 	b.submit("a", 4, func(r *core.Request) { r.Body = []byte("else") })
-	b.note("A late end of an old dispatch changes nothing.")
-	b.do(Ended{Key: key("a"), Number: 1, End: Lost{}})
-	b.do(Ended{Key: key("b"), Number: 1, End: Answered{Body: []byte("plate b")}})
+	b.notef("A late end of an old dispatch changes nothing.")
+	b.handle(Ended{Key: key("a"), Number: 1, End: Lost{}})
+	b.handle(Ended{Key: key("b"), Number: 1, End: Answered{Body: []byte("plate b")}})
 	return b.out.String()
 }
 
@@ -204,59 +204,59 @@
 // The home asks the target; a target that can't be asked leaves the outcome
 // unknown, with the team's slot counted until the lease has ended.
 func TestSessionLostAnswer(t *testing.T) {
-	golden.Assert(t, sessionLostAnswer(asIs), "session_lost_answer.golden")
+	golden.Assert(t, sessionLostAnswer(allSafeguards), "session_lost_answer.golden")
 }
 
 func sessionLostAnswer(change func(*Home)) string {
-	b := newBench(1, "vm-1", "vm-2")
+	b := newTestbed(1, "vm-1", "vm-2")
 	change(b.home)
 	b.submit("a", 1)
-	b.do(Ended{Key: key("a"), Number: 1, End: Lost{}})
+	b.handle(Ended{Key: key("a"), Number: 1, End: Lost{}})
 	b.submit("a", 2)
-	b.do(Asked{Key: key("a"), Finding: FoundDone{Body: []byte("plate a")}})
+	b.handle(Asked{Key: key("a"), Finding: FoundDone{Body: []byte("plate a")}})
 	b.submit("b", 1)
-	b.do(Ended{Key: key("b"), Number: 1, End: Damaged{}})
+	b.handle(Ended{Key: key("b"), Number: 1, End: Damaged{}})
 	b.wait(2100 * time.Millisecond)
-	b.do(Asked{Key: key("b"), Finding: FoundNothing{}})
-	b.note("The team's only slot is still counted, although vm-2 is free.")
+	b.handle(Asked{Key: key("b"), Finding: FoundNothing{}})
+	b.notef("The team's only slot is still counted, although vm-2 is free.")
 	b.submit("c", 1)
 	b.wait(8200 * time.Millisecond)
-	b.do(Tick{})
-	b.note("The lease of b has ended by every clock: the slot is free.")
+	b.handle(Tick{})
+	b.notef("The lease of b has ended by every clock: the slot is free.")
 	b.submit("d", 1, func(r *core.Request) { r.Deadline = epoch.Add(30 * time.Second) })
 	return b.out.String()
 }
 
 func TestSessionRefusals(t *testing.T) {
-	golden.Assert(t, sessionRefusals(asIs), "session_refusals.golden")
+	golden.Assert(t, sessionRefusals(allSafeguards), "session_refusals.golden")
 }
 
 func sessionRefusals(change func(*Home)) string {
-	b := newBench(4, "vm-1")
+	b := newTestbed(4, "vm-1")
 	change(b.home)
 	b.submit("a", 1)
-	b.note("Cancelled while queued: not run, and it stays so.")
+	b.notef("Cancelled while queued: not run, and it stays so.")
 	b.submit("b", 1)
-	b.do(Cancel{Key: key("b"), Waiter: 90})
+	b.handle(Cancel{Key: key("b"), Waiter: 90})
 	b.submit("b", 2)
-	b.note("Cancelled while running: stopped, and the outcome is unknown.")
-	b.do(Cancel{Key: key("a"), Waiter: 91})
-	b.do(Ended{Key: key("a"), Number: 1, End: Stopped{}})
-	b.note("A cancellation that overtakes its request.")
-	b.do(Cancel{Key: key("c"), Waiter: 92})
+	b.notef("Cancelled while running: stopped, and the outcome is unknown.")
+	b.handle(Cancel{Key: key("a"), Waiter: 91})
+	b.handle(Ended{Key: key("a"), Number: 1, End: Stopped{}})
+	b.notef("A cancellation that overtakes its request.")
+	b.handle(Cancel{Key: key("c"), Waiter: 92})
 	b.submit("c", 1)
-	b.note("The job is called invalid three times, by the only target there is: given up.")
+	b.notef("The job is called invalid three times, by the only target there is: given up.")
 	b.submit("d", 1)
-	b.do(Ended{Key: key("d"), Number: 1, End: NotStarted{Reason: Invalid}})
-	b.do(Ended{Key: key("d"), Number: 2, End: NotStarted{Reason: Invalid}})
-	b.do(Ended{Key: key("d"), Number: 3, End: NotStarted{Reason: Invalid}})
-	b.note("A withdrawn key: what waits is refused, what runs finishes.")
+	b.handle(Ended{Key: key("d"), Number: 1, End: NotStarted{Reason: Invalid}})
+	b.handle(Ended{Key: key("d"), Number: 2, End: NotStarted{Reason: Invalid}})
+	b.handle(Ended{Key: key("d"), Number: 3, End: NotStarted{Reason: Invalid}})
+	b.notef("A withdrawn key: what waits is refused, what runs finishes.")
 	b.submit("e", 1)
 	b.submit("f", 1)
 	b.config.withdrawn["good"] = true
-	b.do(KeyWithdrawn{Digest: "good"})
+	b.handle(KeyWithdrawn{Digest: "good"})
 	b.submit("g", 1)
-	b.do(Ended{Key: key("e"), Number: 1, End: Answered{Body: []byte("plate e")}})
+	b.handle(Ended{Key: key("e"), Number: 1, End: Answered{Body: []byte("plate e")}})
 	return b.out.String()
 }
 
@@ -264,28 +264,28 @@
 // mirror and wakes after its right has lapsed. Nothing may be dispatched, and
 // "not run" may not be said: the successor may have started a retry meanwhile.
 func TestSessionRightLapses(t *testing.T) {
-	golden.Assert(t, sessionRightLapses(asIs), "session_right_lapses.golden")
+	golden.Assert(t, sessionRightLapses(allSafeguards), "session_right_lapses.golden")
 }
 
 func sessionRightLapses(change func(*Home)) string {
-	b := newBench(4, "vm-1")
+	b := newTestbed(4, "vm-1")
 	change(b.home)
-	b.rights.mirror = true
-	b.rights.until = epoch.Add(2 * time.Second)
+	b.leases.mirror = true
+	b.leases.until = epoch.Add(2 * time.Second)
 	b.submit("a", 1)
 	b.submit("b", 1)
 	b.wait(3 * time.Second)
-	b.do(StartAllowed{Key: key("a")})
-	b.do(Tick{})
+	b.handle(StartAllowed{Key: key("a")})
+	b.handle(Tick{})
 	b.submit("c", 1)
 	b.submit("c", 2)
 	b.wait(8 * time.Second)
-	b.do(Tick{})
-	b.note("Inherited from a former holder: asked about, never dispatched.")
-	b.rights.until = epoch.Add(time.Hour)
-	b.do(Inherited{Start: shard.Start{Key: key("z"), Deadline: epoch.Add(20 * time.Second), VM: "vm-9"}})
+	b.handle(Tick{})
+	b.notef("Inherited from a former holder: asked about, never dispatched.")
+	b.leases.until = epoch.Add(time.Hour)
+	b.handle(Inherited{Start: shard.Start{Key: key("z"), Deadline: epoch.Add(20 * time.Second), VM: "vm-9"}})
 	b.submit("z", 2)
-	b.do(Asked{Key: key("z"), Finding: FoundDone{Body: []byte("plate z")}})
+	b.handle(Asked{Key: key("z"), Finding: FoundDone{Body: []byte("plate z")}})
 	return b.out.String()
 }
 
@@ -299,12 +299,12 @@
 		session    func(change func(*Home)) string
 		off        func(*Home)
 	}{
-		{"join", "one_request", sessionOneRequest, func(h *Home) { h.off.join = true }},
-		{"lapse", "right_lapses", sessionRightLapses, func(h *Home) { h.off.lapse = true }},
-		{"attempts", "right_lapses", sessionRightLapses, func(h *Home) { h.off.attempts = true }},
-		{"withdrawal", "refusals", sessionRefusals, func(h *Home) { h.off.withdrawal = true }},
-		{"max targets", "refusals", sessionRefusals, func(h *Home) { h.Times.MaxTargets = 100 }},
-		{"slot kept", "lost_answer", sessionLostAnswer, func(h *Home) { h.off.slotKept = true }},
+		{"join", "one_request", sessionOneRequest, func(h *Home) { h.disabled.joinAttempts = true }},
+		{"lapse", "right_lapses", sessionRightLapses, func(h *Home) { h.disabled.leaseCheck = true }},
+		{"attempts", "right_lapses", sessionRightLapses, func(h *Home) { h.disabled.laterAttemptUnknown = true }},
+		{"withdrawal", "refusals", sessionRefusals, func(h *Home) { h.disabled.keyWithdrawal = true }},
+		{"max targets", "refusals", sessionRefusals, func(h *Home) { h.Params.MaxTargets = 100 }},
+		{"slot kept", "lost_answer", sessionLostAnswer, func(h *Home) { h.disabled.keepTeamSlot = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			want := string(golden.Get(t, "session_"+c.file+".golden"))
--- a/core/home/property_test.go
+++ b/core/home/simulation_test.go
@@ -14,15 +14,15 @@
 	"lavenderpond/core/route"
 )
 
-// world plays targets, callers and faults around one home, with a seed. Targets
+// simulation plays targets, callers and faults around one home, with a seed. Targets
 // write down what really started, and answers are held against that.
-type world struct {
-	*bench
-	r      *rand.Rand
-	starts map[core.RequestKey]int
-	open   []Dispatch
-	told   map[core.RequestKey][]core.Answer
-	sent   map[core.RequestKey]core.Request
+type simulation struct {
+	*testbed
+	r        *rand.Rand
+	starts   map[core.RequestKey]int
+	inFlight []Dispatch
+	answers  map[core.RequestKey][]core.Answer
+	requests map[core.RequestKey]core.Request
 }
 
 // TestPropertyAtMostOnce: callers repeat and cancel ids at random while targets
@@ -31,18 +31,18 @@
 // an id that started before; nobody gets another request's answer.
 func TestPropertyAtMostOnce(t *testing.T) {
 	for seed := range uint64(400) {
-		w := runWorld(seed, asIs)
-		assert.Equal(t, w.failure(), "", "seed %d", seed)
+		sim := runSimulation(seed, allSafeguards)
+		assert.Equal(t, sim.failure(), "", "seed %d", seed)
 	}
 }
 
 // TestPropertyNeedsItsSafeguards shows that the property fails once the home sends a
 // request whose answer was lost to another target, or runs each attempt for itself.
 func TestPropertyNeedsItsSafeguards(t *testing.T) {
-	for name, off := range map[string]switches{"retryLost": {retryLost: true}, "join": {join: true}} {
+	for name, off := range map[string]disabledSafeguards{"retryLost": {noRetryAfterLoss: true}, "join": {joinAttempts: true}} {
 		failed, doubled, first := 0, 0, ""
 		for seed := range uint64(100) {
-			if failure := runWorld(seed, func(h *Home) { h.off = off }).failure(); failure != "" {
+			if failure := runSimulation(seed, func(h *Home) { h.disabled = off }).failure(); failure != "" {
 				failed++
 				if strings.Contains(failure, "started") {
 					doubled++
@@ -57,108 +57,108 @@
 	}
 }
 
-func runWorld(seed uint64, change func(*Home)) *world {
-	w := &world{
-		bench: newBench(6, "vm-1", "vm-2", "vm-3"), r: rand.New(rand.NewPCG(seed, 7)),
-		starts: map[core.RequestKey]int{}, told: map[core.RequestKey][]core.Answer{},
-		sent: map[core.RequestKey]core.Request{},
+func runSimulation(seed uint64, change func(*Home)) *simulation {
+	sim := &simulation{
+		testbed: newTestbed(6, "vm-1", "vm-2", "vm-3"), r: rand.New(rand.NewPCG(seed, 7)),
+		starts: map[core.RequestKey]int{}, answers: map[core.RequestKey][]core.Answer{},
+		requests: map[core.RequestKey]core.Request{},
 	}
-	change(w.home)
+	change(sim.home)
 	for range 300 {
-		w.wait(time.Duration(w.r.IntN(60)) * time.Millisecond)
-		w.step()
+		sim.wait(time.Duration(sim.r.IntN(60)) * time.Millisecond)
+		sim.step()
 	}
-	return w
+	return sim
 }
 
-func (w *world) step() {
-	switch n := w.r.IntN(20); {
+func (sim *simulation) step() {
+	switch n := sim.r.IntN(20); {
 	case n < 7:
-		w.attempt()
+		sim.attempt()
 	case n < 8:
-		w.next++
-		w.take(w.do(Cancel{Key: w.anyKey(), Waiter: w.next}))
+		sim.lastWaiter++
+		sim.record(sim.handle(Cancel{Key: sim.randomKey(), Waiter: sim.lastWaiter}))
 	case n < 15:
-		w.endOne()
+		sim.endDispatch()
 	case n < 16:
-		w.rights.until = w.now.Add(time.Duration(w.r.IntN(2000)-200) * time.Millisecond)
+		sim.leases.until = sim.now.Add(time.Duration(sim.r.IntN(2000)-200) * time.Millisecond)
 	case n < 17:
-		w.take(w.do(Asked{Key: w.anyKey(), Finding: w.finding()}))
+		sim.record(sim.handle(Asked{Key: sim.randomKey(), Finding: sim.finding()}))
 	default:
-		w.take(w.do(Tick{}))
+		sim.record(sim.handle(Tick{}))
 	}
 }
 
-func (w *world) anyKey() core.RequestKey {
-	return key(core.RequestID(fmt.Sprintf("r%d", w.r.IntN(40))))
+func (sim *simulation) randomKey() core.RequestKey {
+	return key(core.RequestID(fmt.Sprintf("r%d", sim.r.IntN(40))))
 }
 
-func (w *world) attempt() {
-	k := w.anyKey()
-	req, repeated := w.sent[k]
+func (sim *simulation) attempt() {
+	k := sim.randomKey()
+	req, repeated := sim.requests[k]
 	if !repeated {
 		req = core.Request{
 			Key: k, KeyDigest: "good", Queue: "stack", Body: []byte(k.ID),
-			Deadline: w.now.Add(time.Duration(500+w.r.IntN(8000)) * time.Millisecond), FirstSent: w.now,
+			Deadline: sim.now.Add(time.Duration(500+sim.r.IntN(8000)) * time.Millisecond), FirstSent: sim.now,
 		}
 	}
 	req.Attempt++
-	w.sent[k] = req
-	w.next++
-	w.take(w.do(Submit{Request: req, Waiter: w.next}))
+	sim.requests[k] = req
+	sim.lastWaiter++
+	sim.record(sim.handle(Submit{Request: req, Waiter: sim.lastWaiter}))
 }
 
-// endOne ends a dispatch that is under way, in one of the ways a target can.
-func (w *world) endOne() {
-	if len(w.open) == 0 {
+// endDispatch ends a dispatch that is under way, in one of the ways a target can.
+func (sim *simulation) endDispatch() {
+	if len(sim.inFlight) == 0 {
 		return
 	}
-	i := w.r.IntN(len(w.open))
-	d := w.open[i]
-	w.open = append(w.open[:i], w.open[i+1:]...)
+	i := sim.r.IntN(len(sim.inFlight))
+	d := sim.inFlight[i]
+	sim.inFlight = append(sim.inFlight[:i], sim.inFlight[i+1:]...)
 	end := End(Answered{Body: d.Request.Body})
 	started := true
-	switch w.r.IntN(8) {
+	switch sim.r.IntN(8) {
 	case 0:
-		end, started = NotStarted{Reason: Reason(w.r.IntN(5))}, false
+		end, started = NotStarted{Reason: Reason(sim.r.IntN(5))}, false
 	case 1:
-		end, started = Lost{}, w.r.IntN(2) == 0
+		end, started = Lost{}, sim.r.IntN(2) == 0
 	case 2:
 		end = Damaged{}
 	case 3:
 		end = Failed{}
 	}
 	if started {
-		w.starts[d.Request.Key]++
+		sim.starts[d.Request.Key]++
 	}
-	w.take(w.do(Ended{Key: d.Request.Key, Number: d.Number, End: end}))
+	sim.record(sim.handle(Ended{Key: d.Request.Key, Number: d.Number, End: end}))
 }
 
-func (w *world) finding() Finding {
-	return []Finding{FoundRunning{}, FoundNothing{}, FoundNeverStarted{}, FoundStopped{}}[w.r.IntN(4)]
+func (sim *simulation) finding() Finding {
+	return []Finding{FoundRunning{}, FoundNothing{}, FoundNeverStarted{}, FoundStopped{}}[sim.r.IntN(4)]
 }
 
-func (w *world) take(commands []Command) {
+func (sim *simulation) record(commands []Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case Dispatch:
-			w.open = append(w.open, c)
+			sim.inFlight = append(sim.inFlight, c)
 		case Reply:
-			w.told[c.Key] = append(w.told[c.Key], c.Answer)
+			sim.answers[c.Key] = append(sim.answers[c.Key], c.Answer)
 		}
 	}
 }
 
 // failure returns what was wrong in the run, or "".
-func (w *world) failure() string {
-	for _, k := range sortedKeys(w.starts) {
-		if w.starts[k] > 1 {
-			return fmt.Sprintf("%s started %d times", k, w.starts[k])
+func (sim *simulation) failure() string {
+	for _, k := range sortedKeys(sim.starts) {
+		if sim.starts[k] > 1 {
+			return fmt.Sprintf("%s started %d times", k, sim.starts[k])
 		}
 	}
-	for _, k := range sortedKeys(w.told) {
+	for _, k := range sortedKeys(sim.answers) {
 		ran := false
-		for _, a := range w.told[k] {
+		for _, a := range sim.answers[k] {
 			if done, ok := a.(core.Done); ok {
 				ran = true
 				if string(done.Body) != string(k.ID) {
@@ -178,12 +178,12 @@
 // the team's slot stays counted until the lease deadline plus the skew bound.
 func TestTeamSlotOutlivesUnknownOutcome(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		b := newBench(1, "vm-1", "vm-2")
-		b.home.off.slotKept = off
+		b := newTestbed(1, "vm-1", "vm-2")
+		b.home.disabled.keepTeamSlot = off
 		b.submit("a", 1)
-		b.do(Ended{Key: key("a"), Number: 1, End: Lost{}})
+		b.handle(Ended{Key: key("a"), Number: 1, End: Lost{}})
 		b.wait(3 * time.Second)
-		b.do(Asked{Key: key("a"), Finding: FoundNothing{}})
+		b.handle(Asked{Key: key("a"), Finding: FoundNothing{}})
 		assert.Equal(t, b.limits.Running(b.now, "lyra") == 1, !off)
 		assert.Equal(t, b.home.Router.Idle(b.now, route.Want{Pool: "p"}), core.Slots(2))
 		assert.Equal(t, b.limits.Running(epoch.Add(10*time.Second), "lyra") == 1, !off)
@@ -196,17 +196,17 @@
 // that word, it would run twice. The dispatch's number tells the news from the answer.
 func TestNewsOfAnEarlierDispatch(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		b := newBench(4, "vm-1", "vm-2")
-		b.home.off.number = off
+		b := newTestbed(4, "vm-1", "vm-2")
+		b.home.disabled.dispatchNumber = off
 		dispatches := b.submit("a", 1)
 		full := Ended{Key: key("a"), Number: 1, End: NotStarted{Reason: Full}}
-		dispatches = append(dispatches, b.do(full)...)
+		dispatches = append(dispatches, b.handle(full)...)
 		b.wait(time.Second)
-		dispatches = append(dispatches, b.do(Tick{})...)
+		dispatches = append(dispatches, b.handle(Tick{})...)
 		assert.Equal(t, len(dispatches), 2, "%v", dispatches)
-		again := b.do(full)
+		again := b.handle(full)
 		b.wait(time.Second)
-		again = append(again, b.do(Tick{})...)
+		again = append(again, b.handle(Tick{})...)
 		assert.Equal(t, len(again) == 0, !off, "%v", again)
 	}
 }
@@ -215,12 +215,12 @@
 // not say "not run" to a fetch; a former holder may have run it.
 func TestFreshHomeKnowsNothing(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		b := newBench(1, "vm-1")
-		b.home.off.attempts = off
-		commands := b.do(Fetch{Key: key("a"), Waiter: 1})
+		b := newTestbed(1, "vm-1")
+		b.home.disabled.laterAttemptUnknown = off
+		commands := b.handle(Fetch{Key: key("a"), Waiter: 1})
 		unknown := Reply{Waiter: 1, Key: key("a"), Answer: core.OutcomeUnknown{Code: core.CodeNotFound}}
 		assert.Equal(t, reflect.DeepEqual(commands, []Command{unknown}), !off, "%v", commands)
-		b.rights.known[key("a")] = true
+		b.leases.known[key("a")] = true
 		commands = b.submit("a", 2)
 		assert.DeepEqual(t, commands, []Command{Reply{Waiter: 1, Key: key("a"),
 			Answer: core.OutcomeUnknown{Code: core.CodeHomeReplaced}}})
@@ -230,17 +230,17 @@
 // TestRefusalIsKeptForFetch: a caller submits without waiting and its request is
 // refused later. It fetches the refusal; a further attempt of the id may still run.
 func TestRefusalIsKeptForFetch(t *testing.T) {
-	b := newBench(1, "vm-1")
+	b := newTestbed(1, "vm-1")
 	b.submit("first", 1)
 	req := core.Request{Key: key("a"), KeyDigest: "good", Attempt: 1, Deadline: epoch.Add(time.Second), Queue: "stack"}
-	b.do(Submit{Request: req, Waiter: 10, NoWait: true})
+	b.handle(Submit{Request: req, Waiter: 10, NoWait: true})
 	b.wait(2 * time.Second)
-	b.do(Tick{})
-	commands := b.do(Fetch{Key: key("a"), Waiter: 11})
+	b.handle(Tick{})
+	commands := b.handle(Fetch{Key: key("a"), Waiter: 11})
 	assert.DeepEqual(t, commands, []Command{Reply{Waiter: 11, Key: key("a"), Answer: core.NotRun{Code: core.CodeDeadlinePassed}}})
-	b.do(Ended{Key: key("first"), Number: 1, End: Answered{}})
+	b.handle(Ended{Key: key("first"), Number: 1, End: Answered{}})
 	req.Attempt, req.Deadline = 2, epoch.Add(time.Minute)
-	commands = b.do(Submit{Request: req, Waiter: 12})
+	commands = b.handle(Submit{Request: req, Waiter: 12})
 	assert.Equal(t, len(commands), 1)
 	_, dispatched := commands[0].(Dispatch)
 	assert.Assert(t, dispatched, "%+v", commands)
--- a/core/home/submit.go
+++ b/core/home/submit.go
@@ -11,9 +11,9 @@
 	"lavenderpond/core/shard"
 )
 
-// holderSearch is how long a caller should wait before it tries again while an
+// noHolderRetry is how long a caller should wait before it tries again while an
 // id has no holder that may decide.
-const holderSearch = time.Second
+const noHolderRetry = time.Second
 
 // laterAttempt stands for any attempt but the first.
 const laterAttempt core.Attempt = 2
@@ -21,7 +21,7 @@
 func (h *Home) submit(now time.Time, e Submit) {
 	h.counts.Submitted++
 	key := e.Request.Key
-	if r, ok := h.records[key]; ok && !h.off.join {
+	if r, ok := h.records[key]; ok && !h.disabled.joinAttempts {
 		if !r.refused() {
 			h.join(now, r, e)
 			return
@@ -40,8 +40,8 @@
 		return
 	}
 	r := h.newRecord(e.Request)
-	h.wait(r, e)
-	h.pump(now, e.Request.Queue, anyPool)
+	h.addWaiter(r, e)
+	h.fillSlots(now, e.Request.Queue, anyPool)
 }
 
 // refused says that r ended without running, and not by a cancellation.
@@ -53,11 +53,11 @@
 // join answers a further attempt from the record that is there already: an id
 // runs once, however many attempts reach its home, and whichever come crossed.
 func (h *Home) join(now time.Time, r *record, e Submit) {
-	same := sha256.Sum256(e.Request.Body) == r.body
+	same := sha256.Sum256(e.Request.Body) == r.bodyHash
 	if r.phase == ended && r.number == 0 && r.cancelled {
 		same = true // a cancellation may come before the request and has no body
 	}
-	if !same && !r.fromFormer {
+	if !same && !r.fromFormerHolder {
 		h.reply(e.Waiter, e.Request.Key, core.NotRun{Code: core.CodeIDReused})
 		return
 	}
@@ -65,13 +65,13 @@
 		h.reply(e.Waiter, e.Request.Key, r.answer)
 		return
 	}
-	h.wait(r, e)
-	h.wanted(now, r)
+	h.addWaiter(r, e)
+	h.askInherited(now, r)
 }
 
-func (h *Home) wait(r *record, e Submit) {
+func (h *Home) addWaiter(r *record, e Submit) {
 	if e.NoWait {
-		r.fetched = true
+		r.fetchLater = true
 		h.reply(e.Waiter, e.Request.Key, core.Pending{Running: r.phase != queued})
 		return
 	}
@@ -80,7 +80,7 @@
 
 // refuseNew returns the refusal of a request without a record, or nil.
 func (h *Home) refuseNew(now time.Time, req core.Request) core.Answer {
-	switch v := h.Rights.Decide(now, req.Key, req.FirstSent, req.Deadline).(type) {
+	switch v := h.Leases.Decide(now, req.Key, req.FirstSent, req.Deadline).(type) {
 	case shard.Run:
 	case shard.Unknown:
 		return core.OutcomeUnknown{Code: v.Code}
@@ -89,7 +89,7 @@
 	case shard.Wait:
 		return h.refuse(req.Attempt, core.NotRun{Code: core.CodeNoHolder, ComeBackAt: v.ComeBackAt})
 	default:
-		return h.refuse(req.Attempt, core.NotRun{Code: core.CodeNoHolder, ComeBackAt: now.Add(holderSearch)})
+		return h.refuse(req.Attempt, core.NotRun{Code: core.CodeNoHolder, ComeBackAt: now.Add(noHolderRetry)})
 	}
 	if h.stopping {
 		return core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now}
@@ -109,7 +109,7 @@
 
 // refuse says "not run" of a first attempt and "unknown" of a later one.
 func (h *Home) refuse(attempt core.Attempt, refusal core.NotRun) core.Answer {
-	if h.off.attempts {
+	if h.disabled.laterAttemptUnknown {
 		return refusal
 	}
 	return core.Refuse(attempt, refusal)
@@ -133,7 +133,7 @@
 		h.reply(e.Waiter, e.Key, r.answer)
 	case r.phase == inherited:
 		r.waiters = append(r.waiters, e.Waiter)
-		h.wanted(now, r)
+		h.askInherited(now, r)
 	default:
 		h.reply(e.Waiter, e.Key, core.Pending{Running: r.phase != queued})
 	}
--- a/core/key/bench_test.go
+++ b/core/key/bench_test.go
@@ -18,7 +18,7 @@
 			var rows []table.Row
 			for i := range keys {
 				d := core.Digest(fmt.Sprint(i))
-				rows = append(rows, table.MustRow(table.KeyKey(d), 1, config.Key{Team: testTeam, Withdrawn: i%10 == 0}))
+				rows = append(rows, table.MustRow(table.KeyDigestKey(d), 1, config.Key{Team: testTeam, Withdrawn: i%10 == 0}))
 			}
 			var before, after runtime.MemStats
 			runtime.GC()
--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -216,7 +216,7 @@
 
 func (w *keyWorld) recorded(d core.KeyDigest) bool {
 	var k config.Key
-	return w.table.Read(table.KeyKey(d)).Decode(&k) == nil && k.Withdrawn
+	return w.table.Read(table.KeyDigestKey(d)).Decode(&k) == nil && k.Withdrawn
 }
 
 // forgotten reports whether a withdrawal that isn't in the table is known to no entry
--- a/core/key/session_test.go
+++ b/core/key/session_test.go
@@ -21,7 +21,7 @@
 	r := Ring{Zone: "za", Zones: []core.ZoneID{"za", "zb", "zc"}, Started: testStart}
 	good, leaked, late := core.Digest("good"), core.Digest("leaked"), core.Digest("late")
 	row := func(d core.KeyDigest, version core.Version, withdrawn bool) table.Row {
-		return table.MustRow(table.KeyKey(d), version, config.Key{Team: testTeam, Withdrawn: withdrawn})
+		return table.MustRow(table.KeyDigestKey(d), version, config.Key{Team: testTeam, Withdrawn: withdrawn})
 	}
 	at := func(seconds int, what string, ended ...core.KeyDigest) {
 		now := testStart.Add(time.Duration(seconds) * time.Second)
@@ -64,12 +64,12 @@
 		ended, other := core.Digest("ended"), core.Digest("other")
 		r.Withdraw(Withdrawal{Digest: ended})
 		r.Apply([]table.Row{
-			{Key: table.KeyKey(ended), Version: 9, Value: value}, {Key: table.KeyKey(other), Version: 1, Value: value},
+			{Key: table.KeyDigestKey(ended), Version: 9, Value: value}, {Key: table.KeyDigestKey(other), Version: 1, Value: value},
 		})
 		code, ok := r.Check(testStart, testTeam, ended)
 		assert.Assert(t, !ok && code == core.CodeKeyWithdrawn)
 		var k config.Key
-		row := table.Row{Key: table.KeyKey(other), Version: 1, Value: value}
+		row := table.Row{Key: table.KeyDigestKey(other), Version: 1, Value: value}
 		_, ok = r.Check(testStart, testTeam, other)
 		assert.Equal(t, ok, row.Decode(&k) == nil && k.Team == testTeam && !k.Withdrawn)
 	})
--- a/core/limit/first_test.go
+++ b/core/limit/first_test.go
@@ -33,7 +33,7 @@
 	given := 0
 	for _, write := range t.Writes {
 		var r ZoneRow
-		if _, zone, _ := table.SplitAllotmentKey(write.Key); zone == "" || json.Unmarshal(write.Value, &r) != nil {
+		if _, zone, _ := table.ParseAllotmentKey(write.Key); zone == "" || json.Unmarshal(write.Value, &r) != nil {
 			continue
 		}
 		for e := range r.Entries {
--- a/core/limit/handle.go
+++ b/core/limit/handle.go
@@ -137,7 +137,7 @@
 	}
 	learned := l.learn(e)
 	for _, row := range e.Rows {
-		team, zone, _ := table.SplitAllotmentKey(row.Key)
+		team, zone, _ := table.ParseAllotmentKey(row.Key)
 		a, ok := l.teams[team]
 		if !ok || !a.known {
 			continue
@@ -170,7 +170,7 @@
 func (l *Ledger) learn(e Polled) []*allotment {
 	var learned []*allotment
 	for _, row := range e.Rows {
-		team, zone, _ := table.SplitAllotmentKey(row.Key)
+		team, zone, _ := table.ParseAllotmentKey(row.Key)
 		if _, ok := l.teams[team]; ok || zone != l.Zone {
 			continue
 		}
--- a/core/shard/balance.go
+++ b/core/shard/balance.go
@@ -15,35 +15,35 @@
 	balanceLeases = 1
 	// refusedLeases is how long a refused connection counts against an entry.
 	refusedLeases = 4
-	// maxPartners bounds the entries that this one chooses as successors, and so its
+	// maxSuccessors bounds the entries that this one chooses as successors, and so its
 	// messages, however many entries the zone has.
-	maxPartners = 3
+	maxSuccessors = 3
 	// maxMoves bounds the moves that an entry has under way.
 	maxMoves = 4
 )
 
-func (k *Keeper) isLive(id core.EntryID) bool { return slices.Contains(k.live, id) }
+func (lm *LeaseManager) isLive(id core.EntryID) bool { return slices.Contains(lm.live, id) }
 
 // chooseSuccessor returns, of the next live entries in order after this one, the
 // successor of the fewest of its shards; "" if none is left besides except.
-func (k *Keeper) chooseSuccessor(now time.Time, s *state, except core.EntryID) core.EntryID {
+func (lm *LeaseManager) chooseSuccessor(now time.Time, s *shardState, except core.EntryID) core.EntryID {
 	load := make(map[core.EntryID]int)
-	for i := range k.shards {
-		o := &k.shards[i]
+	for i := range lm.shards {
+		o := &lm.shards[i]
 		switch {
 		case o == s:
-		case o.pending != nil && o.pending.Row.Holder == k.p.Self:
-			load[o.pending.Row.Successor]++
-		case o.holds(k.p.Self):
+		case o.pendingSwap != nil && o.pendingSwap.Row.Holder == lm.params.Self:
+			load[o.pendingSwap.Row.Successor]++
+		case o.isHeldBy(lm.params.Self):
 			load[o.row.Successor]++
 		}
 	}
 	var best core.EntryID
 	partners := 0
-	self := slices.Index(k.live, k.p.Self)
-	for i := range k.live {
-		id := k.live[(self+1+i)%len(k.live)]
-		if id == k.p.Self || id == except || k.gone[id] || now.Before(k.refused[id]) || partners == maxPartners {
+	self := slices.Index(lm.live, lm.params.Self)
+	for i := range lm.live {
+		id := lm.live[(self+1+i)%len(lm.live)]
+		if id == lm.params.Self || id == except || lm.ended[id] || now.Before(lm.refusedUntil[id]) || partners == maxSuccessors {
 			continue
 		}
 		partners++
@@ -54,11 +54,11 @@
 	return best
 }
 
-// load counts the shards by the entry that role names.
-func (k *Keeper) load(role func(Row) core.EntryID) map[core.EntryID]int {
-	n := make(map[core.EntryID]int, len(k.live))
-	for i := range k.shards {
-		n[role(k.shards[i].row)]++
+// countShardsBy counts the shards by the entry that role names.
+func (lm *LeaseManager) countShardsBy(role func(Row) core.EntryID) map[core.EntryID]int {
+	n := make(map[core.EntryID]int, len(lm.live))
+	for i := range lm.shards {
+		n[role(lm.shards[i].row)]++
 	}
 	return n
 }
@@ -66,63 +66,63 @@
 // balance moves a few shards at a time to the live entry that holds the fewest, if it
 // holds at least two less than this one: so moves end, and a new entry gets its
 // part within some seconds.
-func (k *Keeper) balance(now time.Time) {
-	if now.Before(k.nextBalance) || !k.releaseBy.IsZero() || !k.tableOK {
+func (lm *LeaseManager) balance(now time.Time) {
+	if now.Before(lm.nextBalance) || !lm.releaseBy.IsZero() || !lm.tableOK {
 		return
 	}
-	k.nextBalance = now.Add(balanceLeases * k.p.Lease)
-	held := k.load(func(r Row) core.EntryID { return r.Holder })
+	lm.nextBalance = now.Add(balanceLeases * lm.params.Lease)
+	held := lm.countShardsBy(func(r Row) core.EntryID { return r.Holder })
 	if held[""] > 0 {
 		return
 	}
-	least := k.p.Self
-	for _, id := range k.live {
-		if held[id] < held[least] && !k.gone[id] && !now.Before(k.refused[id]) && !k.stops(id) {
+	least := lm.params.Self
+	for _, id := range lm.live {
+		if held[id] < held[least] && !lm.ended[id] && !now.Before(lm.refusedUntil[id]) && !lm.isStopping(id) {
 			least = id
 		}
 	}
 	for range maxMoves {
-		if held[k.p.Self]-k.moves(now)-held[least] < 2 || !k.move(now, least) {
+		if held[lm.params.Self]-lm.movesInProgress(now)-held[least] < 2 || !lm.startMove(now, least) {
 			return
 		}
 	}
 }
 
-// stops reports whether the run of id hands its shards over to end, as a row that it
+// isStopping reports whether the run of id hands its shards over to end, as a row that it
 // released says. Until it has ended it is listed, answers, and holds the fewest
 // shards: handed some back, it would end with them, and their callers would wait for
 // a take-over and be told "unknown" of ids that never ran. A run that stops never
 // goes back to serving, so the word of one row is enough.
-func (k *Keeper) stops(id core.EntryID) bool {
-	for i := range k.shards {
-		if k.shards[i].row.Released == id {
+func (lm *LeaseManager) isStopping(id core.EntryID) bool {
+	for i := range lm.shards {
+		if lm.shards[i].row.Released == id {
 			return true
 		}
 	}
 	return false
 }
 
-// moves counts the moves under way.
-func (k *Keeper) moves(now time.Time) int {
+// movesInProgress counts the moves under way.
+func (lm *LeaseManager) movesInProgress(now time.Time) int {
 	n := 0
-	for i := range k.shards {
-		if s := &k.shards[i]; s.holds(k.p.Self) && now.Before(s.moveBy) {
+	for i := range lm.shards {
+		if s := &lm.shards[i]; s.isHeldBy(lm.params.Self) && now.Before(s.moveDeadline) {
 			n++
 		}
 	}
 	return n
 }
 
-// move begins to hand a shard over to id, one that already has it as successor if
+// startMove begins to hand a shard over to id, one that already has it as successor if
 // there is one.
-func (k *Keeper) move(now time.Time, id core.EntryID) bool {
-	if k.moves(now) >= maxMoves {
+func (lm *LeaseManager) startMove(now time.Time, id core.EntryID) bool {
+	if lm.movesInProgress(now) >= maxMoves {
 		return false
 	}
-	var best *state
-	for i := range k.shards {
-		s := &k.shards[i]
-		if !s.holds(k.p.Self) || now.Before(s.moveBy) {
+	var best *shardState
+	for i := range lm.shards {
+		s := &lm.shards[i]
+		if !s.isHeldBy(lm.params.Self) || now.Before(s.moveDeadline) {
 			continue
 		}
 		if best == nil || best.row.Successor != id && s.row.Successor == id {
@@ -132,83 +132,83 @@
 	if best == nil {
 		return false
 	}
-	best.moveTo, best.moveBy = id, now.Add(moveLeases*k.p.Lease)
+	best.moveTo, best.moveDeadline = id, now.Add(moveLeases*lm.params.Lease)
 	return true
 }
 
-// handOver returns the row that makes the successor the holder, once it knows all
+// nextHandOver returns the row that makes the successor the holder, once it knows all
 // starts and no more are open.
-func (k *Keeper) handOver(now time.Time, s *state) (Row, bool) {
-	to := k.handOverTo(now, s)
-	answers := s.row.Successor == to && !k.silent(now, s)
+func (lm *LeaseManager) nextHandOver(now time.Time, s *shardState) (Row, bool) {
+	to := lm.handOverRecipient(now, s)
+	answers := s.row.Successor == to && !lm.successorSilent(now, s)
 	inSync := s.row.InSync && answers
 	// Two entries that stop together must not hand a shard back and forth.
-	forced := !k.releaseBy.IsZero() && !now.Before(k.releaseBy) && answers && to != s.row.Former
+	forced := !lm.releaseBy.IsZero() && !now.Before(lm.releaseBy) && answers && to != s.row.Former
 	if to == "" || !inSync && !forced {
-		s.closingBy = time.Time{}
+		s.drainUntil = time.Time{}
 		return Row{}, false
 	}
-	if s.closingBy.IsZero() {
-		s.closingBy = now.Add(k.p.silentAfter())
+	if s.drainUntil.IsZero() {
+		s.drainUntil = now.Add(lm.params.silenceTimeout())
 	}
-	if len(s.waiting) > 0 && now.Before(s.closingBy) && !forced {
+	if len(s.waiting) > 0 && now.Before(s.drainUntil) && !forced {
 		return Row{}, false
 	}
-	return k.handOverRow(now, s, to, inSync), true
+	return lm.handOverRow(now, s, to, inSync), true
 }
 
-func (k *Keeper) handOverRow(now time.Time, s *state, to core.EntryID, inSync bool) Row {
+func (lm *LeaseManager) handOverRow(now time.Time, s *shardState, to core.EntryID, inSync bool) Row {
 	row := Row{
-		Holder: to, Epoch: s.row.Epoch + 1, Successor: k.p.Self,
-		Former: k.p.Self, Mirrored: inSync, Horizon: s.row.Horizon, Released: s.row.Released,
+		Holder: to, Epoch: s.row.Epoch + 1, Successor: lm.params.Self,
+		Former: lm.params.Self, Mirrored: inSync, Horizon: s.row.Horizon, Released: s.row.Released,
 	}
-	if !k.releaseBy.IsZero() {
-		row.Released = k.p.Self
-		row.Successor = k.chooseSuccessor(now, s, to)
+	if !lm.releaseBy.IsZero() {
+		row.Released = lm.params.Self
+		row.Successor = lm.chooseSuccessor(now, s, to)
 	}
 	if !inSync {
-		row.Horizon = k.p.horizonAt(now)
+		row.Horizon = lm.params.horizonAt(now)
 	}
 	return row
 }
 
-func (k *Keeper) handOverTo(now time.Time, s *state) core.EntryID {
-	if !k.releaseBy.IsZero() {
+func (lm *LeaseManager) handOverRecipient(now time.Time, s *shardState) core.EntryID {
+	if !lm.releaseBy.IsZero() {
 		return s.row.Successor
 	}
-	if now.Before(s.moveBy) && !k.stops(s.moveTo) {
+	if now.Before(s.moveDeadline) && !lm.isStopping(s.moveTo) {
 		return s.moveTo
 	}
-	s.moveTo, s.moveBy = "", time.Time{}
+	s.moveTo, s.moveDeadline = "", time.Time{}
 	return ""
 }
 
 // handingOver reports whether a swap that takes the shard from this entry may take
 // effect at any moment. From its send on, this entry starts nothing.
-func (k *Keeper) handingOver(s *state) bool {
-	return s.pending != nil && s.pending.Row.Holder != k.p.Self
+func (lm *LeaseManager) handingOver(s *shardState) bool {
+	return s.pendingSwap != nil && s.pendingSwap.Row.Holder != lm.params.Self
 }
 
-// Holding returns how many shards this entry holds by its last word from the
+// HeldCount returns how many shards this entry holds by its last word from the
 // table. A stopping daemon waits until it is 0.
-func (k *Keeper) Holding() int {
+func (lm *LeaseManager) HeldCount() int {
 	n := 0
-	for i := range k.shards {
-		if k.shards[i].holds(k.p.Self) {
+	for i := range lm.shards {
+		if lm.shards[i].isHeldBy(lm.params.Self) {
 			n++
 		}
 	}
 	return n
 }
 
-// Named returns the entries that the rows name, in no order: whether they have
+// NamedEntries returns the entries that the rows name, in no order: whether they have
 // ended matters to this Keeper.
-func (k *Keeper) Named() []core.EntryID {
+func (lm *LeaseManager) NamedEntries() []core.EntryID {
 	seen := map[core.EntryID]bool{"": true}
 	var named []core.EntryID
-	for i := range k.shards {
-		s := &k.shards[i]
-		c := k.candidates(s)
+	for i := range lm.shards {
+		s := &lm.shards[i]
+		c := lm.possibleSuccessors(s)
 		for _, id := range [3]core.EntryID{s.row.Holder, c[0], c[1]} {
 			if !seen[id] {
 				seen[id] = true
--- a/core/shard/bench_test.go
+++ b/core/shard/bench_test.go
@@ -9,32 +9,32 @@
 	"lavenderpond/core"
 )
 
-// heldKeeper returns a Keeper that holds n shards, alone.
-func heldKeeper(n core.ShardIndex) *Keeper {
-	k := New(Params{Zone: "a", Self: "e0#0", Shards: n})
-	e := RowsRead{SentAt: worldStart}
+// holdingManager returns a Keeper that holds n shards, alone.
+func holdingManager(n core.ShardIndex) *LeaseManager {
+	lm := New(Params{Zone: "a", Self: "e0#0", Shards: n})
+	e := RowsRead{SentAt: simStart}
 	for i := range n {
 		e.Rows = append(e.Rows, VersionedRow{Shard: i, Version: 1, Row: Row{Holder: "e0#0", Epoch: 1, Successor: "e1#0"}})
 	}
-	k.Handle(worldStart, Listed{Live: []core.EntryID{"e0#0", "e1#0"}})
-	k.Handle(worldStart, e)
-	return k
+	lm.Handle(simStart, EntriesListed{Live: []core.EntryID{"e0#0", "e1#0"}})
+	lm.Handle(simStart, e)
+	return lm
 }
 
-// answer has the table and the successor do at once what the Keeper asks for.
-func answer(k *Keeper, now time.Time, commands []Command) {
+// answerAll has the table and the successor do at once what the Keeper asks for.
+func answerAll(lm *LeaseManager, now time.Time, commands []Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case ReadRows:
-			answer(k, now, k.Handle(now, RowsRead{SentAt: now}))
+			answerAll(lm, now, lm.Handle(now, RowsRead{SentAt: now}))
 		case SwapRow:
-			answer(k, now, k.Handle(now, SwapSettled{Shard: c.Shard, Version: c.Version, SentAt: now}))
+			answerAll(lm, now, lm.Handle(now, SwapSettled{Shard: c.Shard, Version: c.Version, SentAt: now}))
 		case Send:
 			switch m := c.Message.(type) {
 			case Ping:
-				answer(k, now, k.Handle(now, Received{From: c.To, Message: PingAck(m)}))
+				answerAll(lm, now, lm.Handle(now, Received{From: c.To, Message: PingAck(m)}))
 			case MirrorCopy:
-				answer(k, now, k.Handle(now, Received{From: c.To, Message: CopyAck{Held: m.Held, Round: m.Round}}))
+				answerAll(lm, now, lm.Handle(now, Received{From: c.To, Message: CopyAck{Held: m.Held, Round: m.Round}}))
 			}
 		}
 	}
@@ -44,10 +44,10 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []core.ShardIndex{8, 32, 128} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			k, now := heldKeeper(n), worldStart
+			lm, now := holdingManager(n), simStart
 			for b.Loop() {
 				now = now.Add(100 * time.Millisecond)
-				answer(k, now, k.Handle(now, Tick{}))
+				answerAll(lm, now, lm.Handle(now, Tick{}))
 			}
 		})
 	}
@@ -55,14 +55,14 @@
 
 // BenchmarkDecideAndStart gives the processor time that a request costs.
 func BenchmarkDecideAndStart(b *testing.B) {
-	k := heldKeeper(32)
-	deadline := worldStart.Add(time.Minute)
+	lm := holdingManager(32)
+	deadline := simStart.Add(time.Minute)
 	for b.Loop() {
 		key := core.RequestKey{Team: "t", ID: "a~6b1f0c9e-4f2d-4c35"}
-		shard := k.Shard(key)
-		k.Decide(worldStart, shard, key, worldStart, deadline)
-		k.Start(worldStart, shard, Start{Key: key, Deadline: deadline, FirstSent: worldStart})
-		k.Forget(shard, key)
+		shard := lm.Shard(key)
+		lm.Decide(simStart, shard, key, simStart, deadline)
+		lm.Start(simStart, shard, Start{Key: key, Deadline: deadline, FirstSent: simStart})
+		lm.Forget(shard, key)
 	}
 }
 
@@ -73,14 +73,14 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		k := heldKeeper(32)
+		lm := holdingManager(32)
 		for i := range starts {
 			key := core.RequestKey{Team: "consortium-7", ID: core.RequestID(fmt.Sprintf("a~6b1f0c9e-4f2d-%08d", i))}
-			k.Start(worldStart, k.Shard(key), Start{Key: key, Deadline: worldStart.Add(time.Minute), VM: "vm-a-17"})
+			lm.Start(simStart, lm.Shard(key), Start{Key: key, Deadline: simStart.Add(time.Minute), VM: "vm-a-17"})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/starts, "B/start")
-		runtime.KeepAlive(k)
+		runtime.KeepAlive(lm)
 	}
 }
--- a/core/shard/event.go
+++ b/core/shard/event.go
@@ -31,7 +31,7 @@
 	// SwapUnknown: the answer was lost; the write may take effect even later.
 	SwapUnknown
 	// SwapDown: the table was not reached; this send wrote nothing.
-	SwapDown
+	SwapUnreachable
 )
 
 // SwapSettled is the outcome of a SwapRow.
@@ -49,9 +49,9 @@
 	Message Message
 }
 
-// Listed is the platform's list of live entries of the zone, as far as it is to
+// EntriesListed is the platform's list of live entries of the zone, as far as it is to
 // be believed: Gone holds entries that have ended for certain.
-type Listed struct {
+type EntriesListed struct {
 	// Live are the entries that take work, without those that are leaving.
 	Live []core.EntryID
 	// Gone are all entries that a row may name and that have ended, not only those
@@ -64,17 +64,17 @@
 // that lives. It only makes the Keeper look sooner.
 type Refused struct{ Entry core.EntryID }
 
-// Releasing says that this entry stops: hand over every shard, with the mirror
+// ShuttingDown says that this entry stops: hand over every shard, with the mirror
 // complete if that succeeds before By, else with a horizon.
-type Releasing struct{ By time.Time }
+type ShuttingDown struct{ HandOverBy time.Time }
 
 // Tick lets time pass. Send one at least every eighth of the lease.
 type Tick struct{}
 
-func (RowsRead) isEvent()    {}
-func (SwapSettled) isEvent() {}
-func (Received) isEvent()    {}
-func (Listed) isEvent()      {}
-func (Refused) isEvent()     {}
-func (Releasing) isEvent()   {}
-func (Tick) isEvent()        {}
+func (RowsRead) isEvent()      {}
+func (SwapSettled) isEvent()   {}
+func (Received) isEvent()      {}
+func (EntriesListed) isEvent() {}
+func (Refused) isEvent()       {}
+func (ShuttingDown) isEvent()  {}
+func (Tick) isEvent()          {}
--- /dev/null
+++ b/core/shard/lease_manager.go
@@ -0,0 +1,219 @@
+package shard
+
+import (
+	"time"
+
+	"lavenderpond/core"
+)
+
+// LeaseManager decides for all shards of a zone what this entry may do. Its methods are
+// pure: time and events come in, commands come out. It is not safe for concurrent
+// use.
+type LeaseManager struct {
+	params Params
+	shards []shardState
+	live   []core.EntryID
+	ended  map[core.EntryID]bool
+	// refusedUntil are entries whose address refused a connection, until when that
+	// counts: some leases, or until they speak again.
+	refusedUntil map[core.EntryID]time.Time
+	// selfListed says that the platform lists this entry, so that others can learn of
+	// its end. Only then does it claim shards.
+	selfListed bool
+	// tableOK says that the table has answered since it last failed. Changes wait
+	// for it, so that an outage isn't met with a storm of retries.
+	tableOK     bool
+	nextPing    time.Time
+	nextRead    time.Time
+	nextBalance time.Time
+	nextExpiry  time.Time
+	// releaseBy is when this entry stops; zero: it doesn't.
+	releaseBy time.Time
+	commands  []Command
+	disabled  disabledSafeguards
+}
+
+// safeguardsOff switches single safeguards off. Only tests set it, to show that
+// each is needed.
+type disabledSafeguards struct {
+	horizon, dateBySend, announcement, oneSuccessor, unexpiredLease, unconfirmedSuccessor          bool
+	mirror, clearInSync, thirdEntryHorizon, copyWaiting, copyMerge, confirmUnmirrored, decideAgain bool
+}
+
+// New returns a Keeper that holds nothing.
+func New(p Params) *LeaseManager {
+	p = p.withDefaults()
+	lm := &LeaseManager{params: p, shards: make([]shardState, p.Shards), ended: map[core.EntryID]bool{}, refusedUntil: map[core.EntryID]time.Time{}}
+	for i := range lm.shards {
+		lm.shards[i].index = core.ShardIndex(i)
+	}
+	return lm
+}
+
+// Params returns the Keeper's settings, with defaults filled in.
+func (lm *LeaseManager) Params() Params { return lm.params }
+
+// Handle takes in an event and returns what is to be done.
+func (lm *LeaseManager) Handle(now time.Time, e Event) []Command {
+	switch e := e.(type) {
+	case RowsRead:
+		lm.handleRowsRead(now, e)
+	case SwapSettled:
+		lm.handleSwapSettled(now, e)
+	case Received:
+		delete(lm.refusedUntil, e.From)
+		lm.handleMessage(now, e.From, e.Message)
+	case EntriesListed:
+		lm.live = e.Live
+		for _, id := range e.Live {
+			lm.selfListed = lm.selfListed || id == lm.params.Self
+		}
+		clear(lm.ended)
+		for _, id := range e.Gone {
+			lm.ended[id] = true
+		}
+	case Refused:
+		lm.refusedUntil[e.Entry] = now.Add(refusedLeases * lm.params.Lease)
+		lm.requestRead(now)
+	case ShuttingDown:
+		lm.releaseBy = e.HandOverBy
+		lm.tick(now)
+	case Tick:
+		lm.tick(now)
+	}
+	return lm.takeCommands()
+}
+
+// Shard returns the shard of id.
+func (lm *LeaseManager) Shard(id core.RequestKey) core.ShardIndex { return id.Shard(lm.params.Shards) }
+
+// Decide says whether this entry may start the request now. firstSent is zero if
+// the caller doesn't say. Ids that home has a record of need no Decide.
+func (lm *LeaseManager) Decide(now time.Time, shard core.ShardIndex, id core.RequestKey, firstSent, deadline time.Time) Verdict {
+	s := lm.state(shard)
+	if s == nil || !s.rowKnown {
+		return Wait{ComeBackAt: now.Add(lm.params.retryInterval())}
+	}
+	if s.row.Holder != lm.params.Self {
+		return lm.nonHolderVerdict(now, s)
+	}
+	if !s.drainUntil.IsZero() || !now.Before(lm.LeaseExpiry(now, shard)) {
+		return Wait{ComeBackAt: now.Add(lm.params.pingInterval())}
+	}
+	if _, started := s.starts[id]; started {
+		return Unknown{Code: core.CodeHomeReplaced}
+	}
+	if v := lm.checkTimes(now, s, firstSent, deadline); v != nil {
+		return v
+	}
+	startBy := lm.LeaseExpiry(now, shard)
+	if deadline.Before(startBy) {
+		startBy = deadline
+	}
+	return Run{StartBy: startBy, Mirrored: lm.mustMirror(now, s)}
+}
+
+// LeaseExpiry returns when this entry's right to decide about the shard's ids ends
+// by what is known now: the start_by deadline of a dispatch, checked right before
+// the write to the target and enforced there. Zero: it has no right.
+func (lm *LeaseManager) LeaseExpiry(now time.Time, shard core.ShardIndex) time.Time {
+	s := lm.state(shard)
+	if s == nil || !s.isHeldBy(lm.params.Self) || s.needsHorizon || lm.handingOver(s) {
+		return time.Time{}
+	}
+	return lm.evidenceTime(now, s).Add(lm.params.Lease)
+}
+
+// Start asks for the right to dispatch a non-idempotent request after Decide said
+// Run. If allowed is false and no StartDenied is among the commands, a later
+// StartAllowed or StartDenied settles it.
+//
+// It decides anew: while the request was queued, the shard may have been lost and
+// won again, and another holder may have run a retry in between.
+func (lm *LeaseManager) Start(now time.Time, shard core.ShardIndex, start Start) (allowed bool, commands []Command) {
+	s := lm.state(shard)
+	verdict := lm.Decide(now, shard, start.Key, start.FirstSent, start.Deadline)
+	if lm.disabled.decideAgain && now.Before(lm.LeaseExpiry(now, shard)) {
+		verdict = Run{Mirrored: lm.mustMirror(now, s)}
+	}
+	run, may := verdict.(Run)
+	switch {
+	case !may:
+		return false, []Command{StartDenied{Shard: shard, Key: start.Key, Verdict: verdict}}
+	case !run.Mirrored:
+		s.addStart(start)
+		return true, nil
+	case s.waiting[start.Key] == nil:
+		s.addWaiting(start)
+		lm.sendMirrorStart(now, s, s.waiting[start.Key])
+	}
+	return false, lm.takeCommands()
+}
+
+// Forget drops what is known of an id before the Keeper does so by itself, once
+// its deadline and the skew bound are past. Only for starts that were allowed but
+// certainly never written to a target.
+func (lm *LeaseManager) Forget(shard core.ShardIndex, id core.RequestKey) {
+	s := lm.state(shard)
+	if s == nil || s.row.InSync || s.copyTo != "" {
+		// The successor would still take the id for started; keeping it here too
+		// keeps the two in step.
+		return
+	}
+	delete(s.starts, id)
+}
+
+func (lm *LeaseManager) nonHolderVerdict(now time.Time, s *shardState) Verdict {
+	if s.row.Holder == "" || lm.ended[s.row.Holder] {
+		return Wait{ComeBackAt: now.Add(lm.params.pingInterval())}
+	}
+	return NotHolder{Holder: s.row.Holder}
+}
+
+// checkTimes holds an id against the horizon. It returns nil if nothing speaks
+// against a start.
+func (lm *LeaseManager) checkTimes(now time.Time, s *shardState, firstSent, deadline time.Time) Verdict {
+	if now.After(deadline.Add(lm.params.Skew)) {
+		// Starts this old are forgotten.
+		return Unknown{Code: core.CodeHomeReplaced}
+	}
+	if !lm.disabled.horizon && !s.row.Horizon.IsZero() && lm.beforeHorizon(s, firstSent, deadline) {
+		return Unknown{Code: core.CodeHomeReplaced}
+	}
+	switch {
+	case !now.Before(deadline):
+		return Refuse{Code: core.CodeDeadlinePassed}
+	case !firstSent.IsZero() && firstSent.After(now.Add(lm.params.Skew)):
+		return Refuse{Code: core.CodeClockAhead}
+	case deadline.After(now.Add(lm.params.MaxLifetime + lm.params.Skew)):
+		return Refuse{Code: core.CodeDeadlineTooFar}
+	}
+	return nil
+}
+
+func (lm *LeaseManager) beforeHorizon(s *shardState, firstSent, deadline time.Time) bool {
+	if !firstSent.IsZero() {
+		return !firstSent.After(s.row.Horizon)
+	}
+	return !deadline.After(s.row.Horizon.Add(lm.params.MaxLifetime))
+}
+
+func (lm *LeaseManager) state(shard core.ShardIndex) *shardState {
+	if int(shard) >= len(lm.shards) {
+		return nil
+	}
+	return &lm.shards[shard]
+}
+
+func (lm *LeaseManager) emit(c Command) { lm.commands = append(lm.commands, c) }
+
+func (lm *LeaseManager) takeCommands() []Command {
+	out := lm.commands
+	lm.commands = nil
+	return out
+}
+
+func (lm *LeaseManager) requestRead(now time.Time) {
+	lm.nextRead = now.Add(lm.params.readInterval())
+	lm.emit(ReadRows{})
+}
--- a/core/shard/params.go
+++ b/core/shard/params.go
@@ -58,7 +58,7 @@
 
 // Intervals of the periodic work, as parts of the lease: three messages may be
 // lost or late before a right lapses.
-func (p Params) pingEvery() time.Duration   { return p.Lease / 4 }
-func (p Params) readEvery() time.Duration   { return p.Lease / 2 }
-func (p Params) silentAfter() time.Duration { return p.Lease / 2 }
-func (p Params) retryAfter() time.Duration  { return p.Lease / 8 }
+func (p Params) pingInterval() time.Duration   { return p.Lease / 4 }
+func (p Params) readInterval() time.Duration   { return p.Lease / 2 }
+func (p Params) silenceTimeout() time.Duration { return p.Lease / 2 }
+func (p Params) retryInterval() time.Duration  { return p.Lease / 8 }
--- a/core/shard/session_test.go
+++ b/core/shard/session_test.go
@@ -17,43 +17,43 @@
 // started as unknown and runs new ids. The holder wakes, has no right any more,
 // and sends callers on to the new holder.
 func TestFrozenHolderSession(t *testing.T) {
-	w := newWorld(1, faults{delay: 1}, safeguardsOff{})
+	sim := newSimulation(1, faults{delay: 1}, disabledSafeguards{})
 	var log strings.Builder
-	w.trace = func(format string, args ...any) {
-		fmt.Fprintf(&log, "%6.2f  ", (time.Duration(w.t) * step).Seconds())
+	sim.trace = func(format string, args ...any) {
+		fmt.Fprintf(&log, "%6.2f  ", (time.Duration(sim.step) * stepLength).Seconds())
 		fmt.Fprintf(&log, format+"\n", args...)
 	}
-	request := func(id string) worldRequest {
-		now := worldStart.Add(time.Duration(w.t) * step)
-		return worldRequest{key: core.RequestKey{Team: "t", ID: core.RequestID(id)}, deadline: now.Add(7 * time.Second)}
+	request := func(id string) simRequest {
+		now := simStart.Add(time.Duration(sim.step) * stepLength)
+		return simRequest{key: core.RequestKey{Team: "t", ID: core.RequestID(id)}, deadline: now.Add(7 * time.Second)}
 	}
 	run := func(steps int) {
 		for range steps {
-			w.t++
-			w.advance()
+			sim.step++
+			sim.advance()
 		}
 	}
 	run(80)
-	holder := w.byName[w.entries[0].k.shards[0].row.Holder]
-	successor := w.byName[w.entries[0].k.shards[0].row.Successor]
+	holder := sim.byName[sim.entries[0].leases.shards[0].row.Holder]
+	successor := sim.byName[sim.entries[0].leases.shards[0].row.Successor]
 	started := request("started-before")
-	w.askAt(holder, started)
-	w.askAt(successor, request("sent-to-successor"))
+	sim.askAt(holder, started)
+	sim.askAt(successor, request("sent-to-successor"))
 	run(10)
-	w.trace("%s freezes", holder.name)
+	sim.trace("%s freezes", holder.name)
 	holder.paused = 1
-	w.askAt(successor, started)
+	sim.askAt(successor, started)
 	run(118)
-	w.askAt(successor, started)
-	w.askAt(successor, request("first-after"))
+	sim.askAt(successor, started)
+	sim.askAt(successor, request("first-after"))
 	run(10)
-	w.trace("%s wakes", holder.name)
+	sim.trace("%s wakes", holder.name)
 	holder.paused = 0
-	w.askAt(holder, request("asked-on-waking"))
+	sim.askAt(holder, request("asked-on-waking"))
 	run(20)
-	w.askAt(holder, request("asked-after-waking"))
-	w.askAt(successor, started)
+	sim.askAt(holder, request("asked-after-waking"))
+	sim.askAt(successor, started)
 	run(20)
-	assert.Equal(t, w.runs[started.key], 1)
+	assert.Equal(t, sim.runs[started.key], 1)
 	golden.Assert(t, log.String(), "frozen_holder.golden")
 }
--- /dev/null
+++ b/core/shard/simulation_test.go
@@ -0,0 +1,338 @@
+package shard
+
+import (
+	"fmt"
+	"math/rand"
+	"slices"
+	"time"
+
+	"lavenderpond/core"
+	"lavenderpond/core/table"
+)
+
+// The world runs real Keepers of one zone in steps, under pauses, kills, cuts,
+// clock skew, table outages, answers lost before or after the write took effect,
+// writes that take effect late, messages out of order, and retries to any entry.
+// Its figures are those of the models that the rule was first tried in.
+const (
+	stepLength       = 50 * time.Millisecond
+	maxLateSteps     = 60 // of a write whose answer was lost, in steps
+	maxLifetimeSteps = 150
+	// maxQueuedSteps is how long a request waits for a slot, in steps.
+	maxQueuedSteps = 150
+	entryCount     = 3
+)
+
+// faults are the chances of each fault per step, and the longest delay of a
+// message in steps.
+type faults struct {
+	delay                                                  int
+	tableDown, tableUp, cut, heal, pause, kill, answerLost float64
+	// falseLeaving is the chance that a list shows an entry as leaving that isn't.
+	falseLeaving float64
+	// askEverywhere has the newest request asked for at every entry in every step.
+	askEverywhere bool
+}
+
+// modelFaults are those of the model. The others let rare faults meet: lateFaults
+// with slow messages, lossyFaults with a table that mostly loses its answers.
+var (
+	modelFaults = faults{delay: 3, tableDown: .004, tableUp: .01, cut: .004, heal: .01, pause: .002, kill: .001, answerLost: .2}
+	lateFaults  = faults{delay: 8, tableDown: .008, tableUp: .01, cut: .004, heal: .02, pause: .003, kill: .001, answerLost: .6, falseLeaving: .01, askEverywhere: true}
+	lossyFaults = faults{delay: 4, tableDown: .008, tableUp: .006, cut: .006, heal: .01, pause: .002, kill: .001, answerLost: .8, falseLeaving: .05, askEverywhere: true}
+)
+
+var simStart = time.Unix(1_000_000_000, 0).UTC()
+
+type simEntry struct {
+	name          core.EntryID
+	leases        *LeaseManager
+	alive         bool
+	paused        int
+	offset        time.Duration
+	shutdownUntil int
+}
+
+type delayedAction struct {
+	dueStep int
+	do      func()
+	// to is the entry that takes it in; it waits while the entry is paused.
+	to *simEntry
+}
+
+type simRequest struct {
+	key                 core.RequestKey
+	firstSent, deadline time.Time
+}
+
+type simulation struct {
+	r          *rand.Rand
+	step       int
+	off        disabledSafeguards
+	faults     faults
+	table      table.Memory
+	entries    [entryCount]*simEntry
+	byName     map[core.EntryID]*simEntry
+	names      []core.EntryID
+	down       map[core.EntryID]bool
+	cut        map[[2]core.EntryID]bool
+	unlistedAt map[core.EntryID]int
+	events     []delayedAction
+	requests   []simRequest
+	runs       map[core.RequestKey]int
+	result     simResult
+	trace      func(format string, args ...any)
+}
+
+type simResult struct {
+	duplicates, served, asked, takeOvers, inSync, handOvers int
+}
+
+func newSimulation(seed int64, f faults, off disabledSafeguards) *simulation {
+	sim := &simulation{
+		r: rand.New(rand.NewSource(seed)), off: off, faults: f, byName: map[core.EntryID]*simEntry{},
+		down: map[core.EntryID]bool{}, cut: map[[2]core.EntryID]bool{}, unlistedAt: map[core.EntryID]int{},
+		runs: map[core.RequestKey]int{},
+	}
+	for i := range sim.entries {
+		sim.startEntry(i)
+	}
+	return sim
+}
+
+func (sim *simulation) run(steps int) simResult {
+	for sim.step = 1; sim.step < steps; sim.step++ {
+		sim.induceFaults()
+		sim.sendRequests()
+		sim.advance()
+	}
+	sim.result.asked = len(sim.requests)
+	for _, n := range sim.runs {
+		sim.result.served++
+		if n > 1 {
+			sim.result.duplicates++
+		}
+	}
+	return sim.result
+}
+
+func (sim *simulation) advance() {
+	sim.runDue()
+	for _, e := range sim.entries {
+		if e.running() && sim.r.Float64() < .3 {
+			sim.sendEntryList(e)
+			sim.handle(e, Tick{})
+		}
+	}
+}
+
+func (e *simEntry) running() bool { return e.alive && e.paused == 0 }
+
+func (sim *simulation) now(e *simEntry) time.Time {
+	return simStart.Add(time.Duration(sim.step)*stepLength + e.offset)
+}
+
+// clockOffset returns an offset of a clock, so that two differ by at most the bound.
+func (sim *simulation) clockOffset() time.Duration {
+	return time.Duration(sim.r.Int63n(int64(DefaultSkew))) - DefaultSkew/2
+}
+
+func (sim *simulation) startEntry(i int) {
+	e := &simEntry{name: core.EntryID(fmt.Sprintf("e%d#%d", i, sim.step)), alive: true, offset: sim.clockOffset()}
+	e.leases = New(Params{Zone: "a", Self: e.name, Shards: 1, MaxLifetime: maxLifetimeSteps * stepLength})
+	e.leases.disabled = sim.off
+	sim.entries[i], sim.byName[e.name] = e, e
+	sim.names = append(sim.names, e.name)
+}
+
+func (sim *simulation) induceFaults() {
+	r, f := sim.r, sim.faults
+	if r.Float64() < f.tableDown {
+		for _, i := range r.Perm(entryCount)[:1+r.Intn(entryCount)] {
+			sim.down[sim.entries[i].name] = true
+		}
+	}
+	if r.Float64() < f.tableUp {
+		clear(sim.down)
+	}
+	if r.Float64() < f.cut {
+		p := r.Perm(entryCount)
+		sim.cut[pair(sim.entries[p[0]].name, sim.entries[p[1]].name)] = true
+	}
+	if r.Float64() < f.heal {
+		clear(sim.cut)
+	}
+	for i, e := range sim.entries {
+		if e.paused > 0 {
+			e.paused--
+		} else if r.Float64() < f.pause {
+			e.paused = []int{5, 30, 60, 150}[r.Intn(4)]
+			sim.tracef("%s pauses for %d steps", e.name, e.paused)
+		}
+		if e.shutdownUntil == 0 && r.Float64() < .0005 && e.running() {
+			e.shutdownUntil = sim.step + 20 + r.Intn(60)
+			sim.handle(e, ShuttingDown{HandOverBy: sim.now(e).Add(time.Second)})
+		}
+		if r.Float64() < f.kill || e.shutdownUntil > 0 && (sim.step > e.shutdownUntil || e.leases.HeldCount() == 0) {
+			sim.tracef("%s ends", e.name)
+			e.alive = false
+			sim.unlistedAt[e.name] = sim.step + 20 + r.Intn(61) // the list lags
+			sim.startEntry(i)
+		}
+	}
+}
+
+func pair(a, b core.EntryID) [2]core.EntryID { return [2]core.EntryID{min(a, b), max(a, b)} }
+
+// sendEntryList shows e the platform's list.
+func (sim *simulation) sendEntryList(e *simEntry) {
+	if sim.down[e.name] {
+		return
+	}
+	var l EntriesListed
+	for _, name := range sim.names {
+		if at, ended := sim.unlistedAt[name]; ended && at <= sim.step {
+			l.Gone = append(l.Gone, name)
+		} else if sim.faults.falseLeaving == 0 || sim.r.Float64() >= sim.faults.falseLeaving {
+			l.Live = append(l.Live, name)
+		}
+	}
+	slices.Sort(l.Live)
+	sim.handle(e, l)
+}
+
+// sendRequests sends a new request now and then, and retries of recent ones, to any
+// entry. Half of the requests carry first_sent.
+func (sim *simulation) sendRequests() {
+	r := sim.r
+	trueNow := simStart.Add(time.Duration(sim.step) * stepLength)
+	if r.Float64() < .3 {
+		q := simRequest{
+			key:      core.RequestKey{Team: "t", ID: core.RequestID(fmt.Sprint(len(sim.requests)))},
+			deadline: trueNow.Add(time.Duration(5+r.Intn(maxLifetimeSteps-4)) * stepLength),
+		}
+		if r.Intn(2) == 0 {
+			q.firstSent = trueNow.Add(sim.clockOffset())
+		}
+		sim.requests = append(sim.requests, q)
+	}
+	recent := sim.requests[max(0, len(sim.requests)-60):]
+	if len(recent) == 0 {
+		return
+	}
+	sim.askRandom(recent[len(recent)-1])
+	for _, e := range sim.entries {
+		if sim.faults.askEverywhere {
+			sim.askAt(e, recent[len(recent)-1])
+		}
+	}
+	for range min(4, len(recent)) {
+		sim.askRandom(recent[r.Intn(len(recent))])
+	}
+}
+
+// askRandom sends a request to an entry whose home keeps no record at all: what the
+// Keeper knows has to do.
+func (sim *simulation) askRandom(q simRequest) { sim.askAt(sim.entries[sim.r.Intn(entryCount)], q) }
+
+func (sim *simulation) askAt(e *simEntry, q simRequest) {
+	if !e.running() {
+		return
+	}
+	now := sim.now(e)
+	verdict := e.leases.Decide(now, 0, q.key, q.firstSent, q.deadline)
+	sim.traceAsk(e, q, verdict)
+	if _, ok := verdict.(Run); !ok {
+		return
+	}
+	if sim.trace == nil && sim.r.Intn(6) == 0 {
+		// The request waits in a queue; its home doesn't ask again before the start.
+		sim.schedule(e, sim.r.Intn(maxQueuedSteps), func() { sim.start(e, q) })
+		return
+	}
+	sim.start(e, q)
+}
+
+func (sim *simulation) start(e *simEntry, q simRequest) {
+	allowed, commands := e.leases.Start(sim.now(e), 0, Start{Key: q.key, Deadline: q.deadline, FirstSent: q.firstSent})
+	if allowed {
+		sim.dispatch(e, q.key)
+	}
+	sim.do(e, commands)
+}
+
+func (sim *simulation) traceAsk(e *simEntry, q simRequest, v Verdict) {
+	if sim.trace != nil {
+		sim.trace("%s is asked for %s: %T%+v", e.name, q.key.ID, v, v)
+	}
+}
+
+// dispatch runs the request some steps later, without a look at start_by: a pause
+// may lie in between.
+func (sim *simulation) dispatch(e *simEntry, key core.RequestKey) {
+	sim.schedule(e, sim.r.Intn(5), func() {
+		sim.runs[key]++
+		sim.tracef("%s runs %s (%d)", e.name, key.ID, sim.runs[key])
+	})
+}
+
+func (sim *simulation) tracef(format string, args ...any) {
+	if sim.trace != nil {
+		sim.trace(format, args...)
+	}
+}
+
+func (sim *simulation) schedule(to *simEntry, delay int, do func()) {
+	sim.events = append(sim.events, delayedAction{dueStep: sim.step + delay, do: do, to: to})
+}
+
+func (sim *simulation) runDue() {
+	events := sim.events
+	sim.events = nil
+	for _, d := range events {
+		switch {
+		case d.dueStep > sim.step || d.to != nil && d.to.alive && d.to.paused > 0:
+			sim.events = append(sim.events, d)
+		case d.to == nil || d.to.alive:
+			d.do()
+		}
+	}
+}
+
+func (sim *simulation) handle(e *simEntry, ev Event) { sim.do(e, e.leases.Handle(sim.now(e), ev)) }
+
+func (sim *simulation) do(e *simEntry, commands []Command) {
+	for _, c := range commands {
+		switch c := c.(type) {
+		case Send:
+			sim.send(e, c)
+		case ReadRows:
+			sim.read(e)
+		case SwapRow:
+			sim.swap(e, c)
+		case StartAllowed:
+			sim.dispatch(e, c.Key)
+		case StartDenied:
+			sim.tracef("%s denies the start of %s: %T%+v", e.name, c.Key.ID, c.Verdict, c.Verdict)
+		case Lost:
+			sim.tracef("%s loses its right to %s", e.name, c.Holder)
+		case Inherited:
+			sim.tracef("%s inherits %d starts of %s", e.name, len(c.Starts), c.Former)
+		}
+	}
+}
+
+func (sim *simulation) send(from *simEntry, c Send) {
+	to := sim.byName[c.To]
+	if !to.alive {
+		if sim.r.Intn(2) == 0 && sim.unlistedAt[c.To] > sim.step {
+			sim.schedule(from, 1, func() { sim.handle(from, Refused{Entry: c.To}) })
+		}
+		return
+	}
+	sim.schedule(to, 1+sim.r.Intn(sim.faults.delay), func() {
+		if !sim.cut[pair(from.name, to.name)] {
+			sim.handle(to, Received{From: from.name, Message: c.Message})
+		}
+	})
+}
--- a/core/shard/state.go
+++ b/core/shard/state.go
@@ -6,59 +6,59 @@
 	"lavenderpond/core"
 )
 
-// state is what this entry knows of one shard, as holder, successor or neither.
-type state struct {
+// shardState is what this entry knows of one shard, as holder, successor or neither.
+type shardState struct {
 	index core.ShardIndex
-	// read says that row is the row as of some read or applied swap.
-	read    bool
-	row     Row
-	version core.Version
-	// readVersion is the version at the last read, which may be older.
-	readVersion core.Version
+	// rowKnown says that row is the row as of some read or applied swap.
+	rowKnown bool
+	row      Row
+	version  core.Version
+	// lastReadVersion is the version at the last read, which may be older.
+	lastReadVersion core.Version
 	// emptySince is when the row was first read as not existing.
-	emptySince time.Time
-	pending    *swap
+	emptySince  time.Time
+	pendingSwap *pendingSwap
 
 	// As holder: the evidence for the right, by the time it was asked for.
-	rowSeen time.Time
-	acks    map[core.EntryID]time.Time
-	// namedAt is when the row was found to name its successor.
-	namedAt time.Time
-	// closingBy ends the wait for open starts before a hand-over; no new ones are
+	rowConfirmedAt time.Time
+	ackedAt        map[core.EntryID]time.Time
+	// successorNamedAt is when the row was found to name its successor.
+	successorNamedAt time.Time
+	// drainUntil ends the wait for open starts before a hand-over; no new ones are
 	// taken meanwhile. Zero: no hand-over.
-	closingBy time.Time
+	drainUntil time.Time
 	// moveTo is the entry that gets the shard, until moveBy.
-	moveTo core.EntryID
-	moveBy time.Time
+	moveTo       core.EntryID
+	moveDeadline time.Time
 	// needsHorizon says that the row promises a mirror that isn't there.
 	needsHorizon bool
 	// starts are all known starts whose deadline matters yet.
 	starts map[core.RequestKey]Start
 	// waiting are starts that await the successor's ack; order is by arrival.
-	waiting map[core.RequestKey]*waitingStart
-	order   []core.RequestKey
-	// nextCopy is when a successor that refused a copy is asked again.
-	nextCopy time.Time
+	waiting      map[core.RequestKey]*waitingStart
+	waitingOrder []core.RequestKey
+	// nextCopyAt is when a successor that refused a copy is asked again.
+	nextCopyAt time.Time
 	// copyTo is the successor that is being brought in sync.
-	copyTo core.EntryID
-	round  uint64
-	copied bool
-	sentAt time.Time
+	copyTo     core.EntryID
+	copyRound  uint64
+	copyAcked  bool
+	copySentAt time.Time
 
 	// As successor: when the holder last showed life, and since when this entry's
 	// announcement is known to stand in the row.
-	heard     time.Time
-	announced time.Time
-	mirror    mirror
+	holderSeenAt time.Time
+	announcedAt  time.Time
+	mirror       mirror
 }
 
-// swap is a change of the row that is not settled yet. It may take effect at any
+// pendingSwap is a change of the row that is not settled yet. It may take effect at any
 // moment until a higher version of the row is read.
-type swap struct {
+type pendingSwap struct {
 	SwapRow
 	inFlight bool
-	// lost says that an earlier send's answer was lost.
-	lost bool
+	// answerLost says that an earlier send's answer was lost.
+	answerLost bool
 	// conflicted says that only a read can settle the swap.
 	conflicted bool
 	retryAt    time.Time
@@ -77,55 +77,55 @@
 	starts map[core.RequestKey]Start
 }
 
-func (s *state) holds(self core.EntryID) bool { return s.read && s.row.Holder == self }
+func (s *shardState) isHeldBy(self core.EntryID) bool { return s.rowKnown && s.row.Holder == self }
 
-func (s *state) remember(start Start) {
+func (s *shardState) addStart(start Start) {
 	if s.starts == nil {
 		s.starts = make(map[core.RequestKey]Start)
 	}
 	s.starts[start.Key] = start
 }
 
-func (s *state) wait(start Start) {
+func (s *shardState) addWaiting(start Start) {
 	if s.waiting == nil {
 		s.waiting = make(map[core.RequestKey]*waitingStart)
 	}
 	s.waiting[start.Key] = &waitingStart{Start: start}
-	s.order = append(s.order, start.Key)
+	s.waitingOrder = append(s.waitingOrder, start.Key)
 }
 
-func (s *state) clearWaiting() {
-	s.waiting, s.order = nil, nil
+func (s *shardState) clearWaiting() {
+	s.waiting, s.waitingOrder = nil, nil
 }
 
 // stopCopying ends the attempt to bring the successor in sync.
-func (s *state) stopCopying() { s.copyTo, s.copied = "", false }
+func (s *shardState) stopCopying() { s.copyTo, s.copyAcked = "", false }
 
-// candidates are the entries that may be the row's successor: the one read, and
+// possibleSuccessors are the entries that may be the row's successor: the one read, and
 // the one of a change that may yet take effect; "" for none. If the answer to a
 // naming is lost after the write took effect, the holder would otherwise renew its
 // right with the old successor while the new one takes over.
-func (k *Keeper) candidates(s *state) [2]core.EntryID {
+func (lm *LeaseManager) possibleSuccessors(s *shardState) [2]core.EntryID {
 	c := [2]core.EntryID{s.row.Successor}
-	p := s.pending
-	if p == nil || k.off.unconfirmed || p.Row.Holder != k.p.Self || p.Row.Successor == c[0] {
+	p := s.pendingSwap
+	if p == nil || lm.disabled.unconfirmedSuccessor || p.Row.Holder != lm.params.Self || p.Row.Successor == c[0] {
 		return c
 	}
 	c[1] = p.Row.Successor
 	return c
 }
 
-// evidence returns the time at which it was still certain that no other entry had
+// evidenceTime returns the time at which it was still certain that no other entry had
 // taken over. Without any possible successor nobody can, until this entry ends.
-func (k *Keeper) evidence(now time.Time, s *state) time.Time {
+func (lm *LeaseManager) evidenceTime(now time.Time, s *shardState) time.Time {
 	oldest, found := now, false
-	for _, c := range k.candidates(s) {
+	for _, c := range lm.possibleSuccessors(s) {
 		if c == "" {
 			continue
 		}
-		e := s.rowSeen
-		if s.acks[c].After(e) {
-			e = s.acks[c]
+		e := s.rowConfirmedAt
+		if s.ackedAt[c].After(e) {
+			e = s.ackedAt[c]
 		}
 		if !found || e.Before(oldest) {
 			oldest, found = e, true
@@ -134,11 +134,11 @@
 	return oldest
 }
 
-func (s *state) saw(entry core.EntryID, at time.Time) {
-	if s.acks == nil {
-		s.acks = make(map[core.EntryID]time.Time)
+func (s *shardState) recordEvidence(entry core.EntryID, at time.Time) {
+	if s.ackedAt == nil {
+		s.ackedAt = make(map[core.EntryID]time.Time)
 	}
-	if at.After(s.acks[entry]) {
-		s.acks[entry] = at
+	if at.After(s.ackedAt[entry]) {
+		s.ackedAt[entry] = at
 	}
 }
--- a/core/table/keys.go
+++ b/core/table/keys.go
@@ -42,8 +42,8 @@
 // ExceptionKey returns the row of an exception.
 func ExceptionKey(id string) Key { return Key(PrefixConfig + "exception/" + id) }
 
-// KeyKey returns the row of a team key.
-func KeyKey(d core.KeyDigest) Key { return Key(PrefixKey + string(d)) }
+// KeyDigestKey returns the row of a team key.
+func KeyDigestKey(d core.KeyDigest) Key { return Key(PrefixKey + string(d)) }
 
 // AuditKey returns the row of the record of an accepted change.
 func AuditKey(v core.Version) Key { return Key(fmt.Sprintf("%s%020d", PrefixAudit, uint64(v))) }
@@ -71,9 +71,9 @@
 // prefixZoneAllotments is that of all zones' rows.
 const prefixZoneAllotments = PrefixAllotment + "zone/"
 
-// SplitAllotmentKey returns the team and zone of an allotment row; the zone is empty for
+// ParseAllotmentKey returns the team and zone of an allotment row; the zone is empty for
 // a team's row. It is false for other rows.
-func SplitAllotmentKey(key Key) (core.TeamID, core.ZoneID, bool) {
+func ParseAllotmentKey(key Key) (core.TeamID, core.ZoneID, bool) {
 	if team, ok := strings.CutPrefix(string(key), PrefixTeamAllotment); ok {
 		return core.TeamID(team), "", true
 	}
--- a/core/table/memory.go
+++ b/core/table/memory.go
@@ -16,7 +16,7 @@
 
 type memoryRow struct {
 	Row
-	changed Revision
+	changedAt Revision
 }
 
 // Revision returns the number of transactions that took effect.
@@ -41,7 +41,7 @@
 // Changes returns the rows under prefix that changed after since, by key.
 // Deleted rows have Version 0.
 func (m *Memory) Changes(prefix string, since Revision) []Row {
-	rows := m.collect(prefix, func(r memoryRow) bool { return r.changed > since })
+	rows := m.collect(prefix, func(r memoryRow) bool { return r.changedAt > since })
 	for i := range rows {
 		if rows[i].Value == nil {
 			rows[i].Version = 0
@@ -69,7 +69,7 @@
 		if w.Delete {
 			r.Value = nil
 		}
-		r.changed = m.revision
+		r.changedAt = m.revision
 		m.rows[w.Key] = r
 	}
 	return nil
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -49,10 +49,10 @@
 var (
 	// ErrConflict says that a check failed and nothing was written.
 	ErrConflict = errors.New("table: a row changed since it was read")
-	// ErrUnknown says that the answer was lost; the writes may have taken effect.
-	ErrUnknown = errors.New("table: answer lost, the outcome is unknown")
-	// ErrDown says that the table was not reached and nothing was written.
-	ErrDown = errors.New("table: not reachable")
+	// ErrOutcomeUnknown says that the answer was lost; the writes may have taken effect.
+	ErrOutcomeUnknown = errors.New("table: answer lost, the outcome is unknown")
+	// ErrUnreachable says that the table was not reached and nothing was written.
+	ErrUnreachable = errors.New("table: not reachable")
 )
 
 // Check adds a demand that r is unchanged.
--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -54,7 +54,7 @@
 		now := time.Now()
 		id := core.RequestID(fmt.Sprintf("%s-%d", kind, n))
 		holder := 0
-		if !f.entries[1].daemon.shards.RightUntil(now, core.RequestKey{Team: "lyra", ID: id}).IsZero() {
+		if !f.entries[1].daemon.shards.LeaseExpiry(now, core.RequestKey{Team: "lyra", ID: id}).IsZero() {
 			holder = 1
 		}
 		if kind == "forwarded" {
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -119,10 +119,10 @@
 	router := &least.Router{Rand: rand.New(rand.NewPCG(seed.Uint64(), 2))}
 	queue := &fair.Queue{Rand: rand.New(rand.NewPCG(seed.Uint64(), 3))}
 	h := &home.Home{
-		Times: home.DefaultTimes(), Router: router, Queue: queue,
+		Params: home.DefaultParams(), Router: router, Queue: queue,
 		Budget: &retry.TokenBucket{Rand: rand.New(rand.NewPCG(seed.Uint64(), 4))},
 	}
-	h.Times.SkewBound = d.settings.Entry.SkewBound
+	h.Params.SkewBound = d.settings.Entry.SkewBound
 	d.requests = NewRequests(h)
 	d.requests.Now = d.now
 	d.requests.Targets = target.NewClient(targetConnections, int64(d.settings.Entry.MaxBody))
--- a/io/entry/front_test.go
+++ b/io/entry/front_test.go
@@ -212,7 +212,7 @@
 	}
 
 	f, _ := newZoneFront(t, append(verdicts, shard.Refuse{Code: core.CodeDeadlinePassed})...)
-	f.Requests.Locked(func(h *home.Home) { h.Rights = refusing{} })
+	f.Requests.Locked(func(h *home.Home) { h.Leases = refusing{} })
 	f.SetHandingOver(true)
 	assert.Equal(t, core.CodeOf(submit(f)), core.CodeDeadlinePassed)
 
@@ -227,6 +227,6 @@
 	return shard.Refuse{Code: core.CodeDeadlinePassed}
 }
 
-func (refusing) RightUntil(time.Time, core.RequestKey) time.Time { return time.Time{} }
+func (refusing) LeaseExpiry(time.Time, core.RequestKey) time.Time { return time.Time{} }
 
 func (refusing) Start(time.Time, shard.Start) bool { return false }
--- a/io/entry/rights.go
+++ b/io/entry/rights.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	_ home.Rights = (*peer.ShardKeeper)(nil)
-	_ Holders     = (*peer.ShardKeeper)(nil)
+	_ home.ShardLeases = (*peer.ShardKeeper)(nil)
+	_ Holders          = (*peer.ShardKeeper)(nil)
 )
 
 // buildRights connects the rights to decide and to run with home.
@@ -38,7 +38,7 @@
 	// A deadline may lie the skew bound further ahead than the greatest lifetime,
 	// and the lease is counted one bound longer.
 	d.limits.Ledger.MaxLifetime, d.limits.Ledger.Skew = s.MaxLifetime+4*s.SkewBound, s.SkewBound
-	h.Rights, h.Limiter, h.Config = d.shards, d.limits.Limiter(), d.config
+	h.Leases, h.Limiter, h.Config = d.shards, d.limits.Limiter(), d.config
 }
 
 func (d *Daemon) addressOf(id core.EntryID) (string, bool) {
--- a/io/entry/unsafe_test.go
+++ b/io/entry/unsafe_test.go
@@ -18,7 +18,7 @@
 func (o safeguardsOff) apply(d *Daemon) {
 	if o.holders {
 		d.front.Holders = anyHolder{}
-		d.requests.home.Rights = anyHolder{}
+		d.requests.home.Leases = anyHolder{}
 	}
 	if o.allotments {
 		d.requests.home.Limiter = noLimit{d.requests.home.Limiter}
@@ -63,8 +63,8 @@
 	return shard.Run{StartBy: deadline}
 }
 
-// RightUntil implements home.Rights.
-func (anyHolder) RightUntil(now time.Time, _ core.RequestKey) time.Time { return now.Add(time.Hour) }
+// LeaseExpiry implements home.Rights.
+func (anyHolder) LeaseExpiry(now time.Time, _ core.RequestKey) time.Time { return now.Add(time.Hour) }
 
 // Start implements home.Rights.
 func (anyHolder) Start(time.Time, shard.Start) bool { return true }
--- a/io/operator/admin.go
+++ b/io/operator/admin.go
@@ -42,8 +42,8 @@
 			// After a lost answer the record is this call's own work.
 			reply.Repeated = reply.Repeated && !sent
 			return reply, nil
-		case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrDown):
-		case errors.Is(err, table.ErrUnknown):
+		case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrUnreachable):
+		case errors.Is(err, table.ErrOutcomeUnknown):
 			sent = true
 		default:
 			return nil, err
--- a/io/operator/budget.go
+++ b/io/operator/budget.go
@@ -46,7 +46,7 @@
 		err := b.sync(ctx, head, p)
 		switch {
 		case err == nil, errors.Is(err, table.ErrConflict):
-		case errors.Is(err, table.ErrDown), errors.Is(err, table.ErrUnknown):
+		case errors.Is(err, table.ErrUnreachable), errors.Is(err, table.ErrOutcomeUnknown):
 			return err
 		case failed == nil:
 			failed = errors.Wrapf(err, "budget of pool %s", p.id)
--- a/io/operator/config.go
+++ b/io/operator/config.go
@@ -204,7 +204,7 @@
 func (p *pinned) Transact(ctx context.Context, t table.Transaction) error {
 	if err := p.extend(ctx, &t); err != nil {
 		// Nothing was sent; any other error would count as a lost answer.
-		return errors.Wrap(table.ErrDown, err.Error())
+		return errors.Wrap(table.ErrUnreachable, err.Error())
 	}
 	return p.Table.Transact(ctx, t)
 }
--- a/io/operator/error.go
+++ b/io/operator/error.go
@@ -46,7 +46,7 @@
 	switch {
 	case errors.As(err, &e):
 		return e
-	case errors.Is(err, table.ErrDown):
+	case errors.Is(err, table.ErrUnreachable):
 		return &core.Error{Code: core.CodePlatformDown, Detail: err.Error()}
 	default:
 		return &core.Error{Code: core.CodeInternal, Detail: err.Error()}
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -158,10 +158,10 @@
 
 func (o *brokenObjects) Put(context.Context, string, []byte) error {
 	o.asked++
-	return table.ErrDown
+	return table.ErrUnreachable
 }
 
-func (*brokenObjects) Get(context.Context, string) ([]byte, error) { return nil, table.ErrDown }
+func (*brokenObjects) Get(context.Context, string) ([]byte, error) { return nil, table.ErrUnreachable }
 
 // wholePlatform is a table with the object store beside it, as platform.Client is.
 // OnRead runs once, after the read of a row.
@@ -266,7 +266,7 @@
 		*brokenObjects
 	}{r.t, &brokenObjects{}}
 	_, err := r.s.ListAudit(context.Background(), connect.NewRequest(&pb.ListAuditRequest{Last: 5}))
-	assert.ErrorIs(t, err, table.ErrDown)
+	assert.ErrorIs(t, err, table.ErrUnreachable)
 }
 
 // simultaneous lets the next exporter run right before each transaction takes effect,
--- a/io/operator/export_test.go
+++ b/io/operator/export_test.go
@@ -21,13 +21,13 @@
 
 func (o *fakeObjects) Put(_ context.Context, name string, data []byte) error {
 	if o.table.chance(20) {
-		return table.ErrDown
+		return table.ErrUnreachable
 	}
 	if !o.forgets || !o.table.chance(20) {
 		o.objects[name] = string(data)
 	}
 	if o.table.chance(10) {
-		return table.ErrDown
+		return table.ErrUnreachable
 	}
 	return nil
 }
@@ -35,7 +35,7 @@
 func (o *fakeObjects) Get(_ context.Context, name string) ([]byte, error) {
 	data, ok := o.objects[name]
 	if o.table.chance(20) {
-		return nil, table.ErrDown
+		return nil, table.ErrUnreachable
 	}
 	if !ok {
 		return nil, platform.ErrNoObject
--- a/io/operator/once_test.go
+++ b/io/operator/once_test.go
@@ -48,7 +48,7 @@
 func (t *faultyTable) Read(_ context.Context, key table.Key) (table.Row, error) {
 	t.letIn(5)
 	if t.chance(5) {
-		return table.Row{}, table.ErrDown
+		return table.Row{}, table.ErrUnreachable
 	}
 	return t.rows.Read(key), nil
 }
@@ -64,11 +64,11 @@
 func (t *faultyTable) Transact(_ context.Context, tx table.Transaction) error {
 	t.letIn(30)
 	if t.chance(10) {
-		return table.ErrDown
+		return table.ErrUnreachable
 	}
 	err := t.rows.Transact(tx)
 	if t.chance(20) {
-		return table.ErrUnknown
+		return table.ErrOutcomeUnknown
 	}
 	return err
 }
@@ -259,10 +259,10 @@
 type downTable struct{ faultyTable }
 
 func (*downTable) Read(context.Context, table.Key) (table.Row, error) {
-	return table.Row{}, table.ErrDown
+	return table.Row{}, table.ErrUnreachable
 }
 func (*downTable) Scan(context.Context, string) ([]table.Row, table.Revision, error) {
-	return nil, 0, table.ErrDown
+	return nil, 0, table.ErrUnreachable
 }
 
 func ptr(n int32) *int32 { return &n }
--- a/io/operator/rows.go
+++ b/io/operator/rows.go
@@ -59,7 +59,7 @@
 // is down, those of the entry's own view, with a note of whose view it is.
 func (s *Server) scanConfig(ctx context.Context, prefix string) ([]table.Row, *pb.View, error) {
 	rows, _, err := s.Table.Scan(ctx, prefix)
-	if err == nil || !errors.Is(err, table.ErrDown) {
+	if err == nil || !errors.Is(err, table.ErrUnreachable) {
 		return rows, nil, err
 	}
 	d := s.Backend.View()
--- a/io/operator/withdraw.go
+++ b/io/operator/withdraw.go
@@ -48,7 +48,7 @@
 
 func (s *Server) recordWithdrawal(ctx context.Context, w key.Withdrawal, m *pb.WithdrawRequest) (platform.Applied, error) {
 	if w.Team == "" {
-		row, err := s.Table.Read(ctx, table.KeyKey(w.Digest))
+		row, err := s.Table.Read(ctx, table.KeyDigestKey(w.Digest))
 		if err != nil {
 			return platform.Applied{}, err
 		}
@@ -63,7 +63,7 @@
 // teamOf returns the key's team by the entry's view, or else by the operator's word.
 func (s *Server) teamOf(m *pb.WithdrawRequest) core.TeamID {
 	for _, r := range s.Backend.View().Rows {
-		if r.Key != table.KeyKey(core.KeyDigest(m.Digest)) {
+		if r.Key != table.KeyDigestKey(core.KeyDigest(m.Digest)) {
 			continue
 		}
 		if team := teamIn(r); team != "" {
--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -57,7 +57,7 @@
 	cfg ShardConfig
 
 	mu       sync.Mutex
-	keeper   *shard.Keeper
+	keeper   *shard.LeaseManager
 	outboxes map[core.EntryID]*outbox
 	swaps    []shard.SwapRow
 	reading  bool
@@ -109,11 +109,11 @@
 	return k.keeper.Decide(now, k.keeper.Shard(key), key, firstSent, deadline)
 }
 
-// RightUntil returns when the right to start key ends; zero if there is none.
-func (k *ShardKeeper) RightUntil(now time.Time, key core.RequestKey) time.Time {
+// LeaseExpiry returns when the right to start key ends; zero if there is none.
+func (k *ShardKeeper) LeaseExpiry(now time.Time, key core.RequestKey) time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.RightUntil(now, k.keeper.Shard(key))
+	return k.keeper.LeaseExpiry(now, k.keeper.Shard(key))
 }
 
 // Start asks for the right to dispatch. If it returns false, OnAllowed or OnDenied
@@ -130,7 +130,7 @@
 func (k *ShardKeeper) Holding() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.Holding()
+	return k.keeper.HeldCount()
 }
 
 // Dump returns the state of all shards.
@@ -148,7 +148,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		by = by.Add(deadline.Sub(by) / 2)
 	}
-	k.handle(shard.Releasing{By: by})
+	k.handle(shard.ShuttingDown{HandOverBy: by})
 	for k.Holding() > 0 {
 		if !supervisor.Sleep(ctx, releasePoll) {
 			return errors.Errorf("%d shards were not handed over; they wait for their successors", k.Holding())
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -35,19 +35,19 @@
 		return
 	}
 	k.mu.Lock()
-	named := k.keeper.Named()
+	named := k.keeper.NamedEntries()
 	k.mu.Unlock()
 	k.handle(k.lister.update(k.now(), live, named))
 }
 
 // update takes in a list. A list without this entry proves nothing about others:
 // it is older than this run, or wrong.
-func (l *entryLister) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.Listed {
+func (l *entryLister) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.EntriesListed {
 	if l.seen == nil {
 		l.seen, l.gone = map[core.EntryID]bool{}, map[core.EntryID]bool{}
 		l.missing = map[core.EntryID]time.Time{}
 	}
-	var e shard.Listed
+	var e shard.EntriesListed
 	listed, newest := map[core.EntryID]bool{}, map[string]time.Time{}
 	for _, v := range live {
 		if v.Started.IsZero() {
--- a/io/peer/shard_table.go
+++ b/io/peer/shard_table.go
@@ -45,7 +45,7 @@
 // swap sends one swap, or settles it unsent once the table has failed: a queue of
 // swaps that each wait for a timeout would hold up the reads.
 func (k *ShardKeeper) swap(ctx context.Context, c shard.SwapRow, down bool) (ok bool) {
-	settled := shard.SwapSettled{Shard: c.Shard, Version: c.Version, SentAt: k.now(), Outcome: shard.SwapDown}
+	settled := shard.SwapSettled{Shard: c.Shard, Version: c.Version, SentAt: k.now(), Outcome: shard.SwapUnreachable}
 	if !down {
 		settled.Outcome = k.transact(ctx, c)
 	}
@@ -61,7 +61,7 @@
 func (k *ShardKeeper) transact(ctx context.Context, c shard.SwapRow) shard.Outcome {
 	t, err := c.Transaction(k.cfg.Params.Zone)
 	if err != nil {
-		return shard.SwapDown
+		return shard.SwapUnreachable
 	}
 	err = k.cfg.Table.Transact(ctx, t)
 	switch {
@@ -69,8 +69,8 @@
 		return shard.SwapApplied
 	case errors.Is(err, table.ErrConflict):
 		return shard.SwapConflict
-	case errors.Is(err, table.ErrDown):
-		return shard.SwapDown
+	case errors.Is(err, table.ErrUnreachable):
+		return shard.SwapUnreachable
 	default:
 		return shard.SwapUnknown
 	}
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -42,7 +42,7 @@
 		assert.Assert(t, !k.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute), VM: "vm"}), "not mirrored")
 		z.settle()
 		assert.DeepEqual(t, k.allowed, []core.RequestKey{key})
-		k.handle(shard.Releasing{By: z.now.Add(5 * time.Second)})
+		k.handle(shard.ShuttingDown{HandOverBy: z.now.Add(5 * time.Second)})
 		z.run(2 * time.Second)
 		assert.Equal(t, k.Holding(), 0)
 		counts, _ := z.held()
@@ -67,7 +67,7 @@
 	z := newShardZone(t, "a1", "a2")
 	z.run(20 * time.Second)
 	z.assertHeld(map[string]int{"a1": testShards / 2, "a2": testShards / 2})
-	z.keepers["a1"].handle(shard.Releasing{By: z.now.Add(5 * time.Second)})
+	z.keepers["a1"].handle(shard.ShuttingDown{HandOverBy: z.now.Add(5 * time.Second)})
 	for z.keepers["a1"].Holding() > 0 {
 		z.run(shardTick)
 	}
@@ -86,7 +86,7 @@
 	z := newShardZone(t, "a1", "a2")
 	z.run(10 * time.Second)
 	for _, k := range z.keepers {
-		k.handle(shard.Releasing{By: z.now.Add(time.Second)})
+		k.handle(shard.ShuttingDown{HandOverBy: z.now.Add(time.Second)})
 	}
 	z.run(10 * time.Second)
 	for _, s := range z.keepers["a1"].Dump().Shards {
@@ -138,7 +138,7 @@
 	k, started := z.keepers["a2"], 0
 	for i := range 100 {
 		key := core.RequestKey{Team: "t", ID: core.RequestID(fmt.Sprint(i))}
-		if !k.RightUntil(z.now, key).After(z.now) {
+		if !k.LeaseExpiry(z.now, key).After(z.now) {
 			continue
 		}
 		started++
--- a/io/peer/shard_zone_test.go
+++ b/io/peer/shard_zone_test.go
@@ -206,7 +206,7 @@
 // Changes implements platform.Table.
 func (z *shardZone) Changes(_ context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
 	if z.down {
-		return nil, 0, table.ErrDown
+		return nil, 0, table.ErrUnreachable
 	}
 	return z.table.Changes(prefix, since), z.table.Revision(), nil
 }
@@ -214,7 +214,7 @@
 // Transact implements platform.Table.
 func (z *shardZone) Transact(_ context.Context, t table.Transaction) error {
 	if z.down {
-		return table.ErrDown
+		return table.ErrUnreachable
 	}
 	return z.table.Transact(t)
 }
@@ -225,7 +225,7 @@
 	counts = map[string]int{}
 	for name, k := range z.keepers {
 		for _, s := range k.Dump().Shards {
-			if s.RightUntil.After(z.now) {
+			if s.LeaseExpiry.After(z.now) {
 				counts[name]++
 				if s.Row.InSync {
 					inSync++
@@ -247,7 +247,7 @@
 func (z *shardZone) idAt(k *testKeeper) core.RequestKey {
 	for i := range 10_000 {
 		key := core.RequestKey{Team: "t", ID: core.RequestID(fmt.Sprint(i))}
-		if k.RightUntil(z.now, key).After(z.now) {
+		if k.LeaseExpiry(z.now, key).After(z.now) {
 			return key
 		}
 	}
--- a/io/peer/spread_test.go
+++ b/io/peer/spread_test.go
@@ -58,7 +58,7 @@
 // Read and the other methods of platform.Table are the entry's way to the table.
 func (e *spreadEntry) Read(_ context.Context, key table.Key) (table.Row, error) {
 	if !e.reaches {
-		return table.Row{}, table.ErrDown
+		return table.Row{}, table.ErrUnreachable
 	}
 	return e.fleet.rows.Read(key), nil
 }
@@ -69,14 +69,14 @@
 
 func (e *spreadEntry) Changes(_ context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
 	if !e.reaches {
-		return nil, 0, table.ErrDown
+		return nil, 0, table.ErrUnreachable
 	}
 	return e.fleet.rows.Changes(prefix, since), e.fleet.rows.Revision(), nil
 }
 
 func (e *spreadEntry) Transact(_ context.Context, t table.Transaction) error {
 	if !e.reaches {
-		return table.ErrDown
+		return table.ErrUnreachable
 	}
 	return e.fleet.rows.Transact(t)
 }
--- a/io/platform/allot.go
+++ b/io/platform/allot.go
@@ -266,7 +266,7 @@
 		return limit.ResultApplied
 	case errors.Is(err, table.ErrConflict):
 		return limit.ResultConflict
-	case errors.Is(err, table.ErrDown):
+	case errors.Is(err, table.ErrUnreachable):
 		return limit.ResultNotSent
 	default:
 		return limit.ResultUnknown
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -95,7 +95,7 @@
 	switch {
 	case err == nil:
 		return Applied{Version: headVersion(rows) + 1}, true, nil
-	case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrDown):
+	case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrUnreachable):
 	default:
 		a.sent = true
 	}
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -29,7 +29,7 @@
 
 func (t *lossyTable) Read(_ context.Context, key table.Key) (table.Row, error) {
 	if t.chance(10) {
-		return table.Row{}, table.ErrDown
+		return table.Row{}, table.ErrUnreachable
 	}
 	return t.rows.Read(key), nil
 }
@@ -40,7 +40,7 @@
 
 func (t *lossyTable) Changes(_ context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
 	if t.chance(10) {
-		return nil, 0, table.ErrDown
+		return nil, 0, table.ErrUnreachable
 	}
 	return t.rows.Changes(prefix, since), t.rows.Revision(), nil
 }
@@ -52,11 +52,11 @@
 		t.between = between
 	}
 	if t.chance(10) {
-		return table.ErrDown
+		return table.ErrUnreachable
 	}
 	err := t.rows.Transact(tx)
 	if t.chance(30) {
-		return table.ErrUnknown
+		return table.ErrOutcomeUnknown
 	}
 	return err
 }
--- a/io/platform/client.go
+++ b/io/platform/client.go
@@ -97,13 +97,13 @@
 	case err != nil:
 		// The request may have been sent: only the table's own refusal proves that
 		// nothing was written.
-		return errors.Wrap(table.ErrUnknown, err.Error())
+		return errors.Wrap(table.ErrOutcomeUnknown, err.Error())
 	case status == StatusConflict:
 		return table.ErrConflict
 	case status == http.StatusServiceUnavailable:
-		return table.ErrDown
+		return table.ErrUnreachable
 	case status != http.StatusOK:
-		return errors.Wrapf(table.ErrUnknown, "status %d", status)
+		return errors.Wrapf(table.ErrOutcomeUnknown, "status %d", status)
 	}
 	return nil
 }
@@ -144,10 +144,10 @@
 
 func (c *Client) expectOK(_ []byte, status int, err error) error {
 	if err != nil {
-		return errors.Wrap(table.ErrDown, err.Error())
+		return errors.Wrap(table.ErrUnreachable, err.Error())
 	}
 	if status != http.StatusOK {
-		return errors.Wrapf(table.ErrDown, "status %d", status)
+		return errors.Wrapf(table.ErrUnreachable, "status %d", status)
 	}
 	return nil
 }
--- a/io/platform/controller_return_test.go
+++ b/io/platform/controller_return_test.go
@@ -206,7 +206,7 @@
 // and the rest follows with the next answer.
 func TestPartialLooks(t *testing.T) {
 	for name, answers := range map[string]func([]VMLook) ([]VMLook, error){
-		"lost":    func([]VMLook) ([]VMLook, error) { return nil, table.ErrDown },
+		"lost":    func([]VMLook) ([]VMLook, error) { return nil, table.ErrUnreachable },
 		"partial": func(looks []VMLook) ([]VMLook, error) { return looks[:len(looks)/2], nil },
 		"others":  func([]VMLook) ([]VMLook, error) { return []VMLook{{VM: "vm99999"}}, nil },
 	} {
@@ -272,7 +272,7 @@
 		z.faults.tableDown = 1
 		return looks, nil
 	}
-	assert.ErrorIs(t, z.controllers[0].Tick(t.Context()), table.ErrDown)
+	assert.ErrorIs(t, z.controllers[0].Tick(t.Context()), table.ErrUnreachable)
 	z.answers, z.faults.tableDown = nil, 0
 	z.tick()
 	assert.Equal(t, z.count(fleet.Failed), 1, "after a tick that ended early")
--- a/io/platform/controller_step.go
+++ b/io/platform/controller_step.go
@@ -150,7 +150,7 @@
 	case errors.As(err, &refusal):
 		c.Log.Debug().Err(err).Str("vm", vm.String()).Msg("maintenance step refused")
 		return nil
-	case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrUnknown):
+	case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrOutcomeUnknown):
 		return c.refresh(ctx)
 	}
 	return err
--- a/io/platform/fleet_client_test.go
+++ b/io/platform/fleet_client_test.go
@@ -113,8 +113,8 @@
 	defer s.Close()
 	_, err := NewClient(s.URL).Get(context.Background(), "audit-1.json")
 	assert.ErrorIs(t, err, ErrNoObject)
-	assert.Assert(t, !errors.Is(err, table.ErrDown))
+	assert.Assert(t, !errors.Is(err, table.ErrUnreachable))
 	status = http.StatusServiceUnavailable
 	_, err = NewClient(s.URL).Get(context.Background(), "audit-1.json")
-	assert.ErrorIs(t, err, table.ErrDown)
+	assert.ErrorIs(t, err, table.ErrUnreachable)
 }
--- a/io/platform/fleet_rows_test.go
+++ b/io/platform/fleet_rows_test.go
@@ -75,6 +75,6 @@
 	all := len(w.Targets())
 	assert.NilError(t, c.Tick(t.Context()))
 	s.faults.tableDown = 1
-	assert.ErrorIs(t, w.Poll(t.Context()), table.ErrDown)
+	assert.ErrorIs(t, w.Poll(t.Context()), table.ErrUnreachable)
 	assert.Equal(t, len(w.Targets()), all-1, "the wave began with one VM")
 }
--- a/io/platform/session_test.go
+++ b/io/platform/session_test.go
@@ -253,14 +253,14 @@
 	}
 	err := s.world.Transact(tx)
 	if s.rand.Float64() < s.faults.lostAnswers {
-		return table.ErrUnknown
+		return table.ErrOutcomeUnknown
 	}
 	return err
 }
 
 func (s *session) down() error {
 	if s.rand.Float64() < s.faults.tableDown {
-		return table.ErrDown
+		return table.ErrUnreachable
 	}
 	return nil
 }
@@ -307,7 +307,7 @@
 	s.pause()
 	s.saw = fleet.Ref{}
 	if s.rand.Float64() < s.faults.lostAnswers {
-		return nil, table.ErrDown
+		return nil, table.ErrUnreachable
 	}
 	return looks, nil
 }
@@ -321,7 +321,7 @@
 	}
 	err := s.world.Reboot(vm, r.NotAfter, r.Fence)
 	if err == nil && s.rand.Float64() < s.faults.lostAnswers {
-		return table.ErrUnknown
+		return table.ErrOutcomeUnknown
 	}
 	return err
 }
--- a/io/platform/shared_list_test.go
+++ b/io/platform/shared_list_test.go
@@ -20,7 +20,7 @@
 func (c *countingList) Live(context.Context, core.ZoneID) ([]Liveness, error) {
 	c.reads++
 	if c.down {
-		return nil, table.ErrDown
+		return nil, table.ErrUnreachable
 	}
 	return make([]Liveness, c.size), nil
 }
@@ -45,6 +45,6 @@
 		source.down = true
 		now = now.Add(sharedListMax)
 		_, err := s.Live(t.Context(), "zone_a")
-		assert.ErrorIs(t, err, table.ErrDown)
+		assert.ErrorIs(t, err, table.ErrUnreachable)
 	}
 }
--- a/io/platform/watch.go
+++ b/io/platform/watch.go
@@ -98,7 +98,7 @@
 // All entries that know one use the same change id, so it takes effect once.
 func (w *Watcher) record(ctx context.Context) error {
 	for _, x := range w.Config.Unrecorded() {
-		row, err := w.Table.Read(ctx, table.KeyKey(x.Digest))
+		row, err := w.Table.Read(ctx, table.KeyDigestKey(x.Digest))
 		if err != nil {
 			return err
 		}
