--- a/core/home/cancel.go
+++ b/core/home/cancel.go
@@ -8,7 +8,8 @@
 	"lavenderpond/core/shard"
 )
 
-// cancel gives a request up: while it is queued that means it did not run.
+// cancel ends a request at a caller's wish. A request that is still queued is
+// answered as not run.
 func (h *Home) cancel(now time.Time, e Cancel) {
 	r, ok := h.records[e.Key]
 	if !ok {
@@ -28,8 +29,8 @@
 	h.reply(e.Waiter, e.Key, r.answer)
 }
 
-// cancelUnknown keeps a cancellation that overtook its request, so that the
-// request does not run when it comes.
+// cancelUnknown records a cancellation that arrived before its request, so that
+// the request does not run when it arrives.
 func (h *Home) cancelUnknown(now time.Time, e Cancel) {
 	verdict := h.Leases.Decide(now, e.Key, time.Time{}, now.Add(h.Params.Retention))
 	if _, may := verdict.(shard.Run); !may {
@@ -42,7 +43,8 @@
 	h.finish(r, core.NotRun{Code: core.CodeCancelled})
 }
 
-// handleKeyWithdrawn refuses what still waits under the key. What runs, finishes.
+// handleKeyWithdrawn refuses the waiting requests of a withdrawn key. Running
+// requests finish.
 func (h *Home) handleKeyWithdrawn(now time.Time, digest core.KeyDigest) {
 	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.KeyDigest == digest && !h.disabled.keyWithdrawal }) {
 		h.releaseUnsent(now, r)
@@ -50,9 +52,10 @@
 	}
 }
 
-// handleHandedOver sends what waits on a shard that moved on to its new holder: without
-// it the callers would wait here until their deadlines for a right that is gone.
-// Nothing of it was sent, so CodeEntryStopping is true; the front passes it on.
+// handleHandedOver ends the waiting requests of a shard that moved to another
+// holder, so that the callers go there. Otherwise they would wait here until their
+// deadlines for a lease that is gone. None of these requests was sent, so
+// CodeEntryStopping is accurate; the front forwards them to the new holder.
 func (h *Home) handleHandedOver(now time.Time, e HandedOver) {
 	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.Key.Shard(e.Shards) == e.Shard }) {
 		h.releaseUnsent(now, r)
@@ -60,10 +63,10 @@
 	}
 }
 
-// handleStopping refuses what still waits, so that the callers go elsewhere at once. What
-// runs is waited for by the daemon. A request whose start was mirrored and whose
-// target had no slot is still sent from here: the next holder would take it for
-// started, and its caller would be told that the outcome is unknown.
+// handleStopping refuses waiting requests, so that their callers go elsewhere at
+// once. The daemon waits for the running ones. A request whose start was mirrored
+// and whose target had no slot is still sent from here: the next holder would
+// consider it started, and its caller would be told that the outcome is unknown.
 func (h *Home) handleStopping(now time.Time) {
 	h.stopping = true
 	for _, r := range h.unsentRecords(func(r *record) bool { return r.phase == queued && !r.mirrored }) {
@@ -72,8 +75,8 @@
 	}
 }
 
-// unsentRecords returns the requests that keep allows and that no target was sent, in a
-// fixed order. Most records have ended, so they are picked before they are sorted.
+// unsentRecords returns, in a fixed order, the records selected by keep that were
+// not sent to a target. Most records have ended, so it filters before it sorts.
 func (h *Home) unsentRecords(keep func(*record) bool) []*record {
 	picked := make(map[core.RequestKey]*record)
 	for key, r := range h.unfinished {
@@ -84,7 +87,7 @@
 	return sortedRecords(picked)
 }
 
-// releaseUnsent frees what a request that was not sent holds.
+// releaseUnsent releases the resources of a request that was not sent.
 func (h *Home) releaseUnsent(now time.Time, r *record) {
 	h.Queue.Remove(r.request.Key)
 	if r.phase == announced {
--- a/core/home/command.go
+++ b/core/home/command.go
@@ -6,10 +6,10 @@
 	"lavenderpond/core"
 )
 
-// Command is something that the daemon has to do.
+// Command is an action for the daemon to execute.
 type Command interface{ isCommand() }
 
-// Reply gives a waiter its answer.
+// Reply sends a waiter its answer.
 type Reply struct {
 	Waiter Waiter
 	Key    core.RequestKey
@@ -22,15 +22,15 @@
 	VM      core.VMID
 	// Number counts the dispatches of this request, from 1.
 	Number core.Attempt
-	// StartBy is the last moment at which the task may start: this entry's right
-	// to decide ends then. The sender checks it right before the write, and the
-	// target enforces it.
+	// StartBy is the latest time at which the task may start, because this entry's
+	// shard lease or the request ends then. The sender checks it right before the
+	// write, and the target enforces it.
 	StartBy time.Time
-	// LeaseUntil is when the target stops the task.
+	// LeaseUntil is when the task's lease ends and the target stops the task.
 	LeaseUntil time.Time
 }
 
-// AskTarget asks a target what became of a task.
+// AskTarget asks a target about the outcome of a task.
 type AskTarget struct {
 	Key core.RequestKey
 	VM  core.VMID
--- a/core/home/dispatch.go
+++ b/core/home/dispatch.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/shard"
 )
 
-// poolScope is where a queue's requests may run.
+// poolScope restricts the pools that a queue's requests may be sent to.
 type poolScope int
 
 const (
@@ -17,10 +17,10 @@
 	anyPool
 )
 
-// fillAllSlots moves waiting requests of every queue to free slots, those of their own
-// pools first. Else a flood of one queue's urgent work would take each slot that
-// comes free in a pool that lends, and the lender's own requests would wait for it
-// to end.
+// fillAllSlots dispatches waiting requests of every queue to free slots. It fills
+// the slots of each queue's own pool first. Otherwise a flood of urgent requests
+// in one queue would take every slot that becomes free in a lending pool, and
+// requests of the lending pool's own queue would wait until the flood ends.
 func (h *Home) fillAllSlots(now time.Time) {
 	queues := h.Queue.Queues()
 	for _, q := range queues {
@@ -31,8 +31,8 @@
 	}
 }
 
-// refillAfter fills the slot that r gave back. A slot that its pool had lent goes to
-// its own queue first.
+// refillAfter fills the slot that r released. If r had borrowed the slot from
+// another pool, the queues of that pool go first.
 func (h *Home) refillAfter(now time.Time, r *record) {
 	if r.borrowed && !h.disabled.lenderFirst {
 		h.fillAllSlots(now)
@@ -41,13 +41,15 @@
 	h.fillSlots(now, r.request.Queue, anyPool)
 }
 
-// fillSlots moves waiting requests of q to free slots until there is none left.
+// fillSlots dispatches waiting requests of q until no free slot or no request that
+// can start is left.
 func (h *Home) fillSlots(now time.Time, q core.QueueID, to poolScope) {
 	pool, overflow, ok := h.Config.Pool(now, q)
 	if !ok {
 		return
 	}
-	// Urgent: whether an item is, is known when it is offered.
+	// Assume urgent here. Whether an item is urgent is only known when the queue
+	// offers it.
 	want := route.Want{Pool: pool, Overflow: overflow && to == anyPool, Urgent: true}
 	for h.Queue.Len(q) > 0 && h.Router.Idle(now, want) > 0 {
 		var vm core.VMID
@@ -63,26 +65,28 @@
 	}
 }
 
-// tryReserve says whether item may start now, and where. It takes the team's slot.
+// tryReserve returns whether item may start now, and at which target. If it may,
+// the team's slot has been acquired.
 func (h *Home) tryReserve(now time.Time, item queue.Item, want route.Want) (core.VMID, bool) {
 	r := h.records[item.Key]
 	if r == nil || h.stopping && !r.mirrored || now.Before(r.notBefore) || !now.Before(h.Leases.LeaseExpiry(now, item.Key)) {
 		return "", false
 	}
 	want.Tried, want.Urgent = r.tried, item.Urgent
-	// A request that runs once must not be spent on finding out about a suspect VM.
+	// A request that may run only once must not be used to probe a suspect VM.
 	want.NoProbe = !r.request.Idempotent
 	vm, ok := h.pickTarget(now, r, want)
 	if !ok {
-		// A small pool may have no untried target; the bound on refusals ends it.
+		// A small pool may have no untried target. MaxTargets limits the number of
+		// refusals.
 		want.Tried = nil
 		vm, ok = h.pickTarget(now, r, want)
 	}
 	if !ok {
 		return "", false
 	}
-	// The slot is counted until the target's lease has certainly ended by every
-	// clock, unless the end of the task is certain earlier.
+	// The slot stays counted until the task's lease at the target has ended by
+	// every clock, unless the task is known to have ended earlier.
 	if !h.Limiter.Acquire(now, item.Key, r.request.Deadline.Add(h.Params.SkewBound)) {
 		h.Limiter.Wanted(now, item.Key.Team)
 		return "", false
@@ -90,7 +94,8 @@
 	return vm, true
 }
 
-// pickTarget chooses a target for r, of its own pool if one has a slot.
+// pickTarget chooses a target for r. It prefers r's own pool and uses another one
+// only if the own pool has no free slot.
 func (h *Home) pickTarget(now time.Time, r *record, want route.Want) (core.VMID, bool) {
 	own := want
 	own.Overflow = false
@@ -102,7 +107,7 @@
 	return vm, ok
 }
 
-// announce takes the target's slot and has the start mirrored before it leaves.
+// announce takes the target's slot and has the start mirrored before it is sent.
 func (h *Home) announce(now time.Time, r *record, vm core.VMID) {
 	r.phase = announced
 	r.vm = vm
@@ -110,8 +115,8 @@
 	h.Router.Started(now, vm)
 	h.awaitingAck[r.request.Key] = r
 	if r.request.Idempotent || r.mirrored {
-		// The successor takes a mirrored id for started already; further targets
-		// after a certain "not started" change nothing about that.
+		// The successor already considers a mirrored id started. Sending it to another
+		// target after a confirmed "not started" doesn't change that.
 		h.dispatch(now, r)
 		return
 	}
@@ -129,9 +134,9 @@
 	}
 }
 
-// handleStartDenied takes the request back: this entry sent nothing. If the shard was lost
-// and won back meanwhile, another holder may have run the id: then it must neither
-// wait here nor be called "not run".
+// handleStartDenied handles the denial of a start; this entry has sent nothing. If
+// the shard was lost and regained in the meantime, another holder may have run the
+// id. In that case it must neither wait here nor be answered "not run".
 func (h *Home) handleStartDenied(now time.Time, e StartDenied) {
 	r := h.records[e.Key]
 	if r == nil || r.phase != announced {
@@ -168,8 +173,8 @@
 	})
 }
 
-// releaseSlots gives back the team's slot and the target's, once it is certain
-// that nothing runs there.
+// releaseSlots releases the team's slot and the target's slot. It may only be
+// called once it is certain that the task is not running.
 func (h *Home) releaseSlots(now time.Time, r *record, result route.Result) {
 	h.Limiter.Release(r.request.Key)
 	h.releaseTargetSlot(now, r, result)
@@ -190,7 +195,7 @@
 	}
 }
 
-// requeue lets r wait for another slot, not before the given time.
+// requeue returns r to the queue, to be dispatched at notBefore or later.
 func (h *Home) requeue(now time.Time, r *record, notBefore time.Time) {
 	delete(h.awaitingAck, r.request.Key)
 	r.phase = queued
--- a/core/home/dump.go
+++ b/core/home/dump.go
@@ -7,14 +7,14 @@
 	"lavenderpond/core"
 )
 
-// Load is a team's work at this home.
+// Load is a team's unfinished work at this home.
 type Load struct {
 	Team    core.TeamID `json:"team"`
 	Running core.Slots  `json:"running"`
 	Queued  int         `json:"queued"`
 }
 
-// Loads returns the teams with unfinished work, by name.
+// Loads returns the teams with unfinished work, sorted by name.
 func (h *Home) Loads() []Load {
 	byTeam := make(map[core.TeamID]*Load)
 	for key, r := range h.unfinished {
@@ -37,10 +37,10 @@
 	return loads
 }
 
-// maxDumpedRecords bounds how many unfinished requests a dump lists.
+// maxDumpedRecords limits how many unfinished requests a dump lists.
 const maxDumpedRecords = 200
 
-// Dump is what an operator sees of a Home. Bodies are left out.
+// Dump is a Home's state for operators. It contains no request bodies.
 type Dump struct {
 	Counts     Counts       `json:"counts"`
 	Records    int          `json:"records"`
@@ -48,7 +48,7 @@
 	Unfinished []RecordDump `json:"unfinished"`
 }
 
-// RecordDump is an unfinished request.
+// RecordDump is the state of an unfinished request in a Dump.
 type RecordDump struct {
 	Key      string       `json:"key"`
 	Phase    string       `json:"phase"`
--- a/core/home/end.go
+++ b/core/home/end.go
@@ -1,25 +1,26 @@
 package home
 
-// End is how a dispatch to a target ended.
+// End is the result of a dispatch to a target.
 type End interface{ isEnd() }
 
-// Answered carries the target's whole answer.
+// Answered carries the target's complete answer.
 type Answered struct{ Body []byte }
 
-// NotStarted says that the task certainly did not and will not start.
+// NotStarted reports that the task certainly did not and will not start.
 type NotStarted struct{ Reason Reason }
 
-// Failed says that the target ran the task and reported a failure.
+// Failed reports that the target ran the task and the task failed.
 type Failed struct{}
 
-// Stopped says that the target stopped the running task: at the end of its
-// lease, or because it was told to.
+// Stopped reports that the target stopped the running task because its lease ended
+// or because it was told to.
 type Stopped struct{}
 
-// Damaged says that an answer came that was cut or belonged to another task.
+// Damaged reports an answer that was truncated or belonged to another task.
 type Damaged struct{}
 
-// Lost says that the request may have arrived and that no answer came.
+// Lost reports that no answer came, although the target may have received the
+// request.
 type Lost struct{}
 
 func (Answered) isEnd()   {}
@@ -29,20 +30,20 @@
 func (Damaged) isEnd()    {}
 func (Lost) isEnd()       {}
 
-// Reason says why a task did not start.
+// Reason is why a task did not start.
 type Reason int
 
-// The reasons.
+// Reasons for which a task did not start.
 const (
 	// Unreachable: no connection was made.
 	Unreachable Reason = iota
-	// Full: no free slot.
+	// Full: the target has no free slot.
 	Full
 	// Leaving: the VM is shutting down.
 	Leaving
-	// Late: the start-by deadline had passed.
+	// Late: the start_by time had passed.
 	Late
-	// Invalid: the target can't make sense of the task.
+	// Invalid: the target can't interpret the task.
 	Invalid
 )
 
@@ -56,22 +57,22 @@
 	return reasonNames[r]
 }
 
-// Finding is what a target says about a task when asked.
+// Finding is a target's answer when it is asked about a task.
 type Finding interface{ isFinding() }
 
-// FoundDone carries the kept answer of a task that ran.
+// FoundDone carries the stored answer of a task that has finished.
 type FoundDone struct{ Body []byte }
 
-// FoundRunning says that the task runs.
+// FoundRunning reports that the task is running.
 type FoundRunning struct{}
 
-// FoundStopped says that the task was stopped.
+// FoundStopped reports that the task was stopped.
 type FoundStopped struct{}
 
-// FoundNeverStarted says that the target has no record of the task.
+// FoundNeverStarted reports that the target has no record of the task.
 type FoundNeverStarted struct{}
 
-// FoundNothing says that the target could not be asked.
+// FoundNothing reports that the target could not be asked.
 type FoundNothing struct{}
 
 func (FoundDone) isFinding()         {}
--- a/core/home/ended.go
+++ b/core/home/ended.go
@@ -7,8 +7,8 @@
 	"lavenderpond/core/route"
 )
 
-// handleEnded handles the end of a dispatch. An end of another dispatch than the last
-// one is late news about a task that is settled, and is left aside.
+// handleEnded handles the end of a dispatch. It ignores the end of any dispatch
+// but the latest: such a report is late, and that dispatch is already settled.
 func (h *Home) handleEnded(now time.Time, e Ended) {
 	r := h.records[e.Key]
 	if r == nil || r.number != e.Number && !h.disabled.dispatchNumber || (r.phase != running && r.phase != ended) {
@@ -38,12 +38,13 @@
 	h.refillAfter(now, r)
 }
 
-// handleEndedAfterAnswer takes the slots back when a task ends whose caller already
-// has its final answer, for instance after a cancellation.
+// handleEndedAfterAnswer releases the slots when a task ends whose caller already
+// has its final answer, for example after a cancellation.
 func (h *Home) handleEndedAfterAnswer(now time.Time, r *record, end End) {
 	switch end.(type) {
 	case Lost:
-		// Still unknown: the team's slot stays counted until the lease deadline.
+		// The outcome is still unknown: the team's slot stays counted until the task's
+		// lease ends.
 		h.releaseTargetSlot(now, r, route.Failed)
 	default:
 		h.releaseSlots(now, r, route.Succeeded)
@@ -59,8 +60,9 @@
 	Invalid:     route.Failed,
 }
 
-// handleNotStarted tries another target: nothing ran, so this is safe for every
-// request. A target's "full" is normal and has no bound but the deadline.
+// handleNotStarted tries another target. Nothing ran, so this is safe for every
+// request. A target that reports "full" is normal; such retries are limited only
+// by the deadline.
 func (h *Home) handleNotStarted(now time.Time, r *record, reason Reason) {
 	h.releaseSlots(now, r, routeResults[reason])
 	notBefore := now
@@ -72,8 +74,8 @@
 			return
 		}
 	case Full, Late:
-		// Other entries use the target too; it has to be seen with a free slot
-		// again before more is sent, or a full pool would be asked in a loop.
+		// Other entries use the target too, so wait until it may have a free slot
+		// again. Without the pause, a full pool would be asked in a loop.
 		notBefore = now.Add(h.Params.FullBackoff)
 	case Unreachable, Leaving:
 		notBefore = h.Budget.Backoff(now, int(r.number))
@@ -81,10 +83,10 @@
 	h.requeue(now, r, notBefore)
 }
 
-// handleFailed ends a request that ran and failed. Only an idempotent one is tried
-// again, at another target, within the retry budget and a bounded number of
-// targets. It ran, so it ends with the code of its last failure and never as
-// "cannot_run", which says that nothing started.
+// handleFailed handles a request that ran and failed. It retries only an
+// idempotent request, at another target, within the retry budget and a limited
+// number of targets. The request ran, so it ends with the code of its last failure
+// and never with "cannot_run", which means that nothing started.
 func (h *Home) handleFailed(now time.Time, r *record, code core.Code) {
 	r.tried = append(r.tried, r.vm)
 	if !r.request.Idempotent && !h.disabled.noRetryAfterLoss || !now.Before(r.request.Deadline) {
@@ -102,10 +104,12 @@
 	h.requeue(now, r, h.Budget.Backoff(now, len(r.tried)))
 }
 
-// handleDamaged asks the target once more for an answer that came cut or crossed.
+// handleDamaged asks the target again after an answer that was truncated or
+// belonged to another task.
 func (h *Home) handleDamaged(now time.Time, r *record) { h.ask(now, r) }
 
-// handleLost asks the target what became of the task. The team's slot stays counted.
+// handleLost asks the target about the outcome of the task. The team's slot stays
+// counted.
 func (h *Home) handleLost(now time.Time, r *record) { h.ask(now, r) }
 
 func (h *Home) ask(now time.Time, r *record) {
@@ -116,7 +120,7 @@
 	h.emit(AskTarget{Key: r.request.Key, VM: r.vm})
 }
 
-// handleAsked handles what the target says about a task whose answer was lost.
+// handleAsked handles the target's answer about a task whose result was lost.
 func (h *Home) handleAsked(now time.Time, e Asked) {
 	r := h.records[e.Key]
 	if r == nil || r.phase != asking {
@@ -132,9 +136,9 @@
 	case FoundRunning:
 		r.askUntil = now.Add(h.Params.AskTimeout)
 	case FoundNeverStarted, FoundNothing:
-		// A target without a record may still get the request from the network
-		// until start_by, or may have lost its records in a restart: neither says
-		// that the task did not run. The last question decides.
+		// A target without a record may still receive the request from the network
+		// until start_by, or may have lost its records in a restart. Neither proves
+		// that the task did not run, so ask again until the timeout.
 		if !now.Before(r.askUntil) {
 			h.giveUpAsking(now, r)
 		}
@@ -142,8 +146,9 @@
 	h.refillAfter(now, r)
 }
 
-// giveUpAsking ends a request whose target can't tell. The team's slot is kept
-// until the lease deadline: the task may still be running.
+// giveUpAsking ends a request whose outcome the target can't report. The team's
+// slot stays counted until the task's lease ends, because the task may still be
+// running.
 func (h *Home) giveUpAsking(now time.Time, r *record) {
 	delete(h.asking, r.request.Key)
 	h.releaseTargetSlot(now, r, route.Failed)
--- a/core/home/event.go
+++ b/core/home/event.go
@@ -5,13 +5,14 @@
 	"lavenderpond/core/shard"
 )
 
-// Waiter names a caller that waits for an answer, chosen by the caller's side.
+// Waiter identifies a caller that waits for an answer. The submitting side chooses
+// it.
 type Waiter uint64
 
-// Event is something that happened to requests at their home.
+// Event is an input to a Home.
 type Event interface{ isEvent() }
 
-// Submit is an attempt of a request.
+// Submit is one attempt of a request.
 type Submit struct {
 	Request core.Request
 	Waiter  Waiter
@@ -19,40 +20,40 @@
 	NoWait bool
 }
 
-// Fetch asks for the answer of a request.
+// Fetch asks for the answer to a request that was submitted earlier.
 type Fetch struct {
 	Key    core.RequestKey
 	Waiter Waiter
 }
 
-// Cancel gives a request up.
+// Cancel cancels a request.
 type Cancel struct {
 	Key    core.RequestKey
 	Waiter Waiter
 }
 
-// Abandon says that a waiter has gone. Its request goes on.
+// Abandon reports that a waiter has disconnected. Its request continues.
 type Abandon struct {
 	Key    core.RequestKey
 	Waiter Waiter
 }
 
-// StartAllowed says that the start of Key, announced through Rights.Start, is
+// StartAllowed reports that the start of Key, requested with ShardLeases.Start, is
 // mirrored and may be dispatched.
 type StartAllowed struct{ Key core.RequestKey }
 
-// StartDenied says that the start of Key may not be dispatched. Verdict says what
-// is known of the id now; nil: nothing new.
+// StartDenied reports that the start of Key may not be dispatched. Verdict is what
+// is known about the id at this point; nil if there is nothing new.
 type StartDenied struct {
 	Key     core.RequestKey
 	Verdict shard.Verdict
 }
 
-// Inherited reports a start that a former holder announced before it was taken
-// over from.
+// Inherited reports a start that a former holder had announced before this entry
+// took over.
 type Inherited struct{ Start shard.Start }
 
-// Ended says how a dispatch ended.
+// Ended reports how a dispatch ended.
 type Ended struct {
 	Key    core.RequestKey
 	Number core.Attempt
@@ -65,22 +66,22 @@
 	Finding Finding
 }
 
-// KeyWithdrawn says that a team key stopped working.
+// KeyWithdrawn reports that a team key has been withdrawn.
 type KeyWithdrawn struct{ Digest core.KeyDigest }
 
-// HandedOver says that this entry lost a shard, of Shards, to another holder.
+// HandedOver reports that this entry lost Shard, one of Shards, to another holder.
 type HandedOver struct {
 	Shard  core.ShardIndex
 	Shards core.ShardIndex
 }
 
-// Changed says that targets, limits or configuration changed.
+// Changed reports that targets, limits or the configuration changed.
 type Changed struct{}
 
-// Stopping says that the entry shuts down: nothing new is taken.
+// Stopping reports that the entry is shutting down and accepts no new requests.
 type Stopping struct{}
 
-// Tick lets deadlines take effect.
+// Tick triggers time-dependent work, such as deadlines.
 type Tick struct{}
 
 func (Submit) isEvent()       {}
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -1,10 +1,12 @@
-// Package home decides about requests at their home entry: whether they may run,
-// when, where, and what the caller is told. It is pure: events and the time come
-// in, commands come out.
+// Package home manages requests at their home entry, the entry that holds the
+// lease on the request's shard. It decides whether, when and where a request runs
+// and what its caller is told. It does no I/O and reads no clock: callers pass in
+// the time and events and execute the returned commands.
 //
-// A non-idempotent request is sent to a target at most once: its record is made
-// before the dispatch, its start is mirrored to the successor before it leaves,
-// and once bytes may have reached a target, only that target is asked again.
+// A non-idempotent request is sent to at most one target. It is recorded before
+// the dispatch, its start is mirrored to the shard's successor before it is sent,
+// and once a target may have received any bytes, only that target is asked about
+// it.
 package home
 
 import (
@@ -19,43 +21,48 @@
 	"lavenderpond/core/shard"
 )
 
-// ShardLeases tells what this entry may decide. Implemented over core/shard.
+// ShardLeases reports which requests this entry may decide about. It is
+// implemented on top of core/shard.
 type ShardLeases interface {
-	// Decide says whether a request without a record may run here.
+	// Decide returns whether a request without a record may run here.
 	Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict
-	// LeaseExpiry returns until when this entry may start key's request.
+	// LeaseExpiry returns the time until which this entry may start key's request.
 	LeaseExpiry(now time.Time, key core.RequestKey) time.Time
-	// Start announces a start. If it returns false, a StartAllowed or StartDenied
-	// event follows.
+	// Start announces a start to the successor. If it returns false, a
+	// StartAllowed or StartDenied event follows.
 	Start(now time.Time, start shard.Start) bool
 }
 
-// Configuration is what home looks up in the operators' configuration.
+// Configuration provides the parts of the operators' configuration that a Home
+// needs.
 type Configuration interface {
-	// Pool returns the pool of a queue and whether requests may overflow.
+	// Pool returns the pool of a queue and whether its requests may overflow to
+	// other pools.
 	Pool(now time.Time, q core.QueueID) (pool core.PoolID, overflow bool, ok bool)
-	// KeyGood says whether a team key may start work now, and why not.
+	// KeyGood returns whether a team key may start work now, and if not, the code
+	// of the reason.
 	KeyGood(now time.Time, team core.TeamID, key core.KeyDigest) (core.Code, bool)
 }
 
-// Params are the bounds that home works with.
+// Params are the time limits and other limits of a Home.
 type Params struct {
-	// SkewBound is the most that two clocks differ.
+	// SkewBound is the maximum difference between two clocks.
 	SkewBound time.Duration
 	// Retention is how long an answer is kept after its request's deadline.
 	Retention time.Duration
-	// AskInterval is the time between two questions about a lost answer.
+	// AskInterval is the time between two queries to a target about a lost answer.
 	AskInterval time.Duration
-	// AskTimeout is how long a target is asked before the outcome is called unknown.
+	// AskTimeout is how long a target is queried before the outcome is reported as
+	// unknown.
 	AskTimeout time.Duration
 	// FullBackoff is how long a request waits after a target had no free slot.
 	FullBackoff time.Duration
-	// MaxTargets is how many targets may refuse a request as invalid, or fail an
-	// idempotent one, before it is given up with CodeCannotRun.
+	// MaxTargets is how many targets may refuse a request as invalid before it
+	// ends with CodeCannotRun, or fail an idempotent one before it ends.
 	MaxTargets int
 }
 
-// DefaultParams are the bounds for the brief's fleet.
+// DefaultParams returns the default limits.
 func DefaultParams() Params {
 	return Params{
 		SkewBound:   250 * time.Millisecond,
@@ -68,7 +75,7 @@
 }
 
 // Home holds the records of the requests that this entry decides about. All
-// fields must be set before use. It is not safe for concurrent use.
+// exported fields must be set before use. It is not safe for concurrent use.
 type Home struct {
 	Params  Params
 	Leases  ShardLeases
@@ -79,8 +86,9 @@
 	Budget  retry.Budget
 
 	records map[core.RequestKey]*record
-	// unfinished holds the records without a final answer. Most have one, and what is done
-	// once a second or for each shard that moves must not walk over those.
+	// unfinished holds the records without a final answer. Most records have one;
+	// work that is done every second or for each moved shard must not iterate over
+	// those.
 	unfinished  map[core.RequestKey]*record
 	expiry      deadline.Heap[*record]
 	asking      map[core.RequestKey]*record
@@ -88,11 +96,12 @@
 	commands    []Command
 	stopping    bool
 	counts      Counts
-	// disabled switches safeguards off, in tests only.
+	// disabled disables safeguards. Only tests set it.
 	disabled disabledSafeguards
 }
 
-// disabledSafeguards name the safeguards that a test may switch off to see it fail.
+// disabledSafeguards are the safeguards that a test may disable to prove that the
+// checks detect their absence.
 type disabledSafeguards struct {
 	noRetryAfterLoss, joinAttempts, leaseCheck, laterAttemptUnknown, dispatchNumber, keepTeamSlot, keyWithdrawal, lenderFirst bool
 }
@@ -104,7 +113,7 @@
 	Answers    map[core.Code]int64 `json:"answers"`
 }
 
-// Handle applies an event and returns what has to be done, in order.
+// Handle processes an event and returns the commands to execute, in order.
 func (h *Home) Handle(now time.Time, e Event) []Command {
 	h.commands = nil
 	h.apply(now, e)
@@ -155,13 +164,14 @@
 	h.emit(Reply{Waiter: w, Key: key, Answer: a})
 }
 
-// refusalWindow is how long after a dispatch the target's refusal may still come.
+// refusalWindow is how long after a dispatch the target may still refuse it.
 const refusalWindow = time.Second
 
-// Unsettled returns how many requests are between their mirrored start and their
-// target, those included whose target may still say that it has no slot. A stop
-// that hands rights over waits for them first: such a request has to be sent again,
-// and only this entry knows that it did not run.
+// Unsettled returns the number of requests whose start may be mirrored but that
+// have not definitely reached a target, including those that a target may still
+// refuse for lack of a slot. A shutdown waits for them before it hands shards
+// over: such a request has to be sent again, and only this entry knows that it did
+// not run.
 func (h *Home) Unsettled(now time.Time) int {
 	n := 0
 	for _, r := range h.unfinished {
@@ -182,7 +192,7 @@
 	return n
 }
 
-// Unfinished returns how many requests have no final answer yet.
+// Unfinished returns the number of requests without a final answer.
 func (h *Home) Unfinished() int {
 	return len(h.unfinished)
 }
--- a/core/home/lending_test.go
+++ b/core/home/lending_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/core/route/least"
 )
 
-// twoQueues serves the queue "stack" from pool "p" and "quotes" from "q"; both
-// may overflow.
+// twoQueues serves the queue "stack" from pool "p" and "quotes" from "q"; both may
+// overflow.
 type twoQueues struct{ fakeConfig }
 
 func (*twoQueues) Pool(_ time.Time, q core.QueueID) (core.PoolID, bool, bool) {
@@ -24,8 +24,8 @@
 	return "p", true, q == "stack"
 }
 
-// floodedLender returns how many urgent requests of the queue "quotes" start in the
-// lending pool "p" before its own request does.
+// floodedLender returns how many urgent requests of the queue "quotes" start in
+// the lending pool "p" before a request of the pool's own queue does.
 func floodedLender(t *testing.T, lenderFirst bool) int {
 	t.Helper()
 	b := newTestbed(100)
@@ -56,9 +56,10 @@
 	return len(open) - 8
 }
 
-// TestLenderGoesFirst: a flood of urgent requests fills every slot of a pool that
-// lends, and a request of the pool's own queue comes. The first slot that comes
-// free must be its; else it would wait for the flood to end.
+// TestLenderGoesFirst fills every slot of a lending pool with urgent requests of
+// another queue and then submits a request of the pool's own queue. That request
+// must get the first slot that becomes free; otherwise it would wait until the
+// flood ends.
 func TestLenderGoesFirst(t *testing.T) {
 	assert.Equal(t, floodedLender(t, true), 0)
 	assert.Equal(t, floodedLender(t, false), 32, "without the safeguard")
--- a/core/home/record.go
+++ b/core/home/record.go
@@ -7,19 +7,19 @@
 	"lavenderpond/core"
 )
 
-// phase is how far a request has come.
+// phase is the state of a request.
 type phase int
 
 const (
 	// queued: waits for a slot.
 	queued phase = iota
-	// announced: a slot is taken; the start waits for the successor's ack.
+	// announced: has a slot; the start waits for the successor's ack.
 	announced
 	// running: sent to a target.
 	running
 	// asking: the answer was lost; the target is being asked.
 	asking
-	// inherited: a former holder announced its start. Nobody has asked for it here.
+	// inherited: announced by a former holder; no caller has asked for it here.
 	inherited
 	// ended: has its final answer.
 	ended
@@ -27,10 +27,10 @@
 
 var phaseNames = [...]string{"queued", "announced", "running", "asking", "inherited", "ended"}
 
-// String returns the phase's name, as dumps show it.
+// String returns the phase's name as shown in dumps.
 func (p phase) String() string { return phaseNames[p] }
 
-// record is what the home knows of a request.
+// record is the state of a request at its home.
 type record struct {
 	request  core.Request
 	bodyHash [sha256.Size]byte
@@ -44,15 +44,18 @@
 	tried     []core.VMID
 	notBefore time.Time
 	cancelled bool
-	// fetchLater says that a caller does not wait but fetches the answer later.
+	// fetchLater reports that a caller doesn't wait for the answer but fetches it
+	// later.
 	fetchLater bool
-	// fromFormerHolder says that the record came from a former holder, without its body.
+	// fromFormerHolder reports that the record came from a former holder, without
+	// the request's body.
 	fromFormerHolder bool
-	// mirrored says that Rights.Start allowed this request once.
+	// mirrored reports that ShardLeases.Start has allowed this request once.
 	mirrored bool
-	// slotHeld says that the router counts a slot of vm for this record.
+	// slotHeld reports that the router counts a slot of vm for this record.
 	slotHeld bool
-	// borrowed says that vm is of another pool, which lends its idle slots.
+	// borrowed reports that vm belongs to another pool, which lends its idle
+	// slots.
 	borrowed bool
 
 	nextAsk  time.Time
@@ -62,8 +65,9 @@
 	heapIndex int
 }
 
-// newRecord stores a record. It is forgotten some time after the deadline: from
-// the deadline on no attempt is taken any more, so a forgotten id can't run again.
+// newRecord stores a record. The record is dropped some time after the deadline.
+// No attempt is accepted once the deadline has passed, so an id whose record was
+// dropped can't run again.
 func (h *Home) newRecord(req core.Request) *record {
 	if h.records == nil {
 		h.records = make(map[core.RequestKey]*record)
@@ -87,13 +91,15 @@
 	h.expiry.Remove(r)
 }
 
-// finish gives r its final answer. It is kept, so that the id can't run again, but
-// for a NotRun: a later attempt of the same id may still run. Of a caller that
-// fetches its answer a NotRun is kept too, unless the request goes on elsewhere.
+// finish sets r's final answer and sends it to the waiters. The record is kept so
+// that the id can't run again, except after a NotRun, since a later attempt of the
+// same id may still run. If a caller will fetch the answer, a NotRun is kept too,
+// unless the request continues at another entry.
 func (h *Home) finish(r *record, a core.Answer) {
 	r.phase = ended
 	r.answer = a
-	// What only a request that still runs needs is not kept until the deadline.
+	// Drop what only an unfinished request needs, to save memory until the record
+	// expires.
 	r.request.Body, r.request.KeyDigest, r.tried = nil, "", nil
 	delete(h.unfinished, r.request.Key)
 	delete(h.asking, r.request.Key)
@@ -109,8 +115,9 @@
 	}
 }
 
-// finishUnstarted says that r did not run, if this entry can still know it: with
-// its right lapsed, another holder may have taken an attempt of the same id.
+// finishUnstarted answers that r did not run if this entry still holds the shard
+// lease. If the lease has expired, another holder may have accepted an attempt of
+// the same id, and the outcome is unknown.
 func (h *Home) finishUnstarted(now time.Time, r *record, a core.NotRun) {
 	if now.Before(h.Leases.LeaseExpiry(now, r.request.Key)) || h.disabled.leaseCheck {
 		h.finish(r, a)
@@ -119,7 +126,7 @@
 	h.finish(r, core.OutcomeUnknown{Code: core.CodeHomeReplaced, ComeBackAt: a.ComeBackAt})
 }
 
-// Deadline implements deadline.Item: when the record is forgotten.
+// Deadline implements deadline.Item. It returns when the record is dropped.
 func (r *record) Deadline() time.Time { return r.forgetAt }
 
 // Place implements deadline.Item.
--- a/core/home/record_test.go
+++ b/core/home/record_test.go
@@ -8,8 +8,8 @@
 	"lavenderpond/core"
 )
 
-// TestEndedRecordsAreSmall: requests end one after the other, and each one's answer is
-// kept until its deadline. Only what a further attempt needs is kept with it.
+// TestEndedRecordsAreSmall checks that an ended record, which is kept until after
+// its deadline, retains only what later attempts need.
 func TestEndedRecordsAreSmall(t *testing.T) {
 	h := &Home{}
 	req := core.Request{Key: core.RequestKey{Team: "lyra", ID: "frame-1"}, KeyDigest: "good", Body: []byte("frames")}
--- a/core/home/session_test.go
+++ b/core/home/session_test.go
@@ -21,7 +21,8 @@
 
 var epoch = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-// fakeLeases grants everything until a time, with or without a mirror.
+// fakeLeases grants every request until a fixed time. With mirror set, starts have
+// to wait for an ack.
 type fakeLeases struct {
 	until  time.Time
 	mirror bool
@@ -42,7 +43,8 @@
 
 func (f *fakeLeases) Start(time.Time, shard.Start) bool { return !f.mirror }
 
-// fakeConfig knows the queue "stack", served by the pool "p", and one good key.
+// fakeConfig has one queue, "stack", served by the pool "p". Every key is valid
+// unless it is withdrawn.
 type fakeConfig struct{ withdrawn map[core.KeyDigest]bool }
 
 func (f *fakeConfig) Pool(_ time.Time, q core.QueueID) (core.PoolID, bool, bool) {
@@ -56,7 +58,7 @@
 	return 0, true
 }
 
-// fakeLimiter holds each team to a limit, with leases.
+// fakeLimiter limits the running requests of each team. Acquired slots expire.
 type fakeLimiter struct {
 	limit core.Slots
 	held  map[core.RequestKey]time.Time
@@ -84,7 +86,7 @@
 
 func (f *fakeLimiter) Wanted(time.Time, core.TeamID) {}
 
-// testbed is a home with fakes around it that writes down all that happens.
+// testbed runs a Home with fakes around it and logs all events and commands.
 type testbed struct {
 	home       *Home
 	leases     *fakeLeases
@@ -143,7 +145,7 @@
 
 func key(id core.RequestID) core.RequestKey { return core.RequestKey{Team: "lyra", ID: id} }
 
-// show writes events and commands shortly, one a line.
+// show formats an event or command as a short line.
 func show(v any) string {
 	switch v := v.(type) {
 	case Submit:
@@ -173,7 +175,7 @@
 	}
 }
 
-// allSafeguards leaves all safeguards on.
+// allSafeguards leaves all safeguards enabled.
 func allSafeguards(*Home) {}
 
 func TestSessionOneRequest(t *testing.T) {
@@ -199,10 +201,10 @@
 	return b.out.String()
 }
 
-// TestSessionLostAnswer: the target runs the stack, then its answer is lost. The
-// caller must not be told "not run", and no second target may get the request.
-// The home asks the target; a target that can't be asked leaves the outcome
-// unknown, with the team's slot counted until the lease has ended.
+// TestSessionLostAnswer loses the answer of a task that ran. The caller must not
+// be told "not run", and no second target may get the request. The home asks the
+// target. If the target can't be asked, the outcome is unknown, and the team's
+// slot stays counted until the task's lease has ended.
 func TestSessionLostAnswer(t *testing.T) {
 	golden.Assert(t, sessionLostAnswer(allSafeguards), "session_lost_answer.golden")
 }
@@ -260,9 +262,9 @@
 	return b.out.String()
 }
 
-// TestSessionRightLapses: the holder is frozen while a start waits for its
-// mirror and wakes after its right has lapsed. Nothing may be dispatched, and
-// "not run" may not be said: the successor may have started a retry meanwhile.
+// TestSessionRightLapses freezes the holder while a start waits for its ack, until
+// after the shard lease has expired. Nothing may be dispatched, and "not run" must
+// not be answered: the successor may have started a retry in the meantime.
 func TestSessionRightLapses(t *testing.T) {
 	golden.Assert(t, sessionRightLapses(allSafeguards), "session_right_lapses.golden")
 }
@@ -289,10 +291,11 @@
 	return b.out.String()
 }
 
-// TestSessionsNeedTheirSafeguards: with one safeguard off a session must go another
-// way than its golden file says: an attempt that runs beside its record, a "not run"
-// after the right lapsed or to a later attempt, a withdrawn key that still starts
-// work, a job that can never run and is tried for ever, a slot given back too early.
+// TestSessionsNeedTheirSafeguards disables one safeguard at a time and expects a
+// session to deviate from its golden file: an attempt runs in spite of an existing
+// record, "not run" is answered after the lease expired or to a later attempt, a
+// withdrawn key still starts work, a job that can never run is retried forever, or
+// a slot is released too early.
 func TestSessionsNeedTheirSafeguards(t *testing.T) {
 	for _, c := range []struct {
 		name, file string
@@ -315,7 +318,8 @@
 	}
 }
 
-// firstDifference returns the first line of got that isn't in its place in want.
+// firstDifference returns the first line of got that differs from the same line of
+// want, or "" if there is none.
 func firstDifference(want, got string) string {
 	lines := strings.Split(want, "\n")
 	for i, line := range strings.Split(got, "\n") {
@@ -326,7 +330,7 @@
 	return ""
 }
 
-// sortedKeys returns a map's keys in order, for failures that repeat exactly.
+// sortedKeys returns a map's keys in order, which makes failures reproducible.
 func sortedKeys[V any](m map[core.RequestKey]V) []core.RequestKey {
 	var keys []core.RequestKey
 	for k := range m {
--- a/core/home/simulation_test.go
+++ b/core/home/simulation_test.go
@@ -14,8 +14,9 @@
 	"lavenderpond/core/route"
 )
 
-// simulation plays targets, callers and faults around one home, with a seed. Targets
-// write down what really started, and answers are held against that.
+// simulation simulates targets, callers and faults around one Home, from a seed.
+// Its targets count the tasks that really started, and the answers are checked
+// against the targets.
 type simulation struct {
 	*testbed
 	r        *rand.Rand
@@ -25,10 +26,11 @@
 	requests map[core.RequestKey]core.Request
 }
 
-// TestPropertyAtMostOnce: callers repeat and cancel ids at random while targets
-// lose, cut and refuse answers and the right lapses and returns. No
-// non-idempotent id starts twice; nobody is told "not run" as the last word on
-// an id that started before; nobody gets another request's answer.
+// TestPropertyAtMostOnce repeats and cancels ids at random while targets lose,
+// truncate and refuse answers and the shard lease expires and returns. No
+// non-idempotent id may start twice, no caller may get "not run" as the final
+// answer for an id that has started, and no caller may get another request's
+// answer.
 func TestPropertyAtMostOnce(t *testing.T) {
 	for seed := range uint64(400) {
 		sim := runSimulation(seed, allSafeguards)
@@ -36,8 +38,9 @@
 	}
 }
 
-// TestPropertyNeedsItsSafeguards shows that the property fails once the home sends a
-// request whose answer was lost to another target, or runs each attempt for itself.
+// TestPropertyNeedsItsSafeguards checks that the property fails if the home sends
+// a request whose answer was lost to another target, or runs each attempt
+// separately.
 func TestPropertyNeedsItsSafeguards(t *testing.T) {
 	for name, off := range map[string]disabledSafeguards{"retryLost": {noRetryAfterLoss: true}, "join": {joinAttempts: true}} {
 		failed, doubled, first := 0, 0, ""
@@ -108,7 +111,7 @@
 	sim.record(sim.handle(Submit{Request: req, Waiter: sim.lastWaiter}))
 }
 
-// endDispatch ends a dispatch that is under way, in one of the ways a target can.
+// endDispatch ends a random dispatch in one of the possible ways.
 func (sim *simulation) endDispatch() {
 	if len(sim.inFlight) == 0 {
 		return
@@ -149,7 +152,7 @@
 	}
 }
 
-// failure returns what was wrong in the run, or "".
+// failure describes the first violation in the run, or returns "".
 func (sim *simulation) failure() string {
 	for _, k := range sortedKeys(sim.starts) {
 		if sim.starts[k] > 1 {
@@ -173,9 +176,10 @@
 	return ""
 }
 
-// TestTeamSlotOutlivesUnknownOutcome: an answer is lost and the target can't be
-// asked. The caller gets its final answer at once, but the task may still run:
-// the team's slot stays counted until the lease deadline plus the skew bound.
+// TestTeamSlotOutlivesUnknownOutcome loses an answer while the target can't be
+// asked. The caller gets its final answer at once, but the task may still be
+// running: the team's slot must stay counted until the deadline of the task's
+// lease plus the skew bound.
 func TestTeamSlotOutlivesUnknownOutcome(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		b := newTestbed(1, "vm-1", "vm-2")
@@ -191,10 +195,11 @@
 	}
 }
 
-// TestNewsOfAnEarlierDispatch: a target is full, the request goes to another one, and
-// the first one's refusal comes a second time. The request runs already; sent again on
-// that word, it would run twice. The dispatch's number tells the news from the answer.
-func TestNewsOfAnEarlierDispatch(t *testing.T) {
+// TestRepeatedEndOfEarlierDispatch repeats the refusal of a full target after the
+// request was sent to another one. If the repeated refusal were accepted, the
+// running request would be sent again and run twice. The dispatch number
+// distinguishes the two.
+func TestRepeatedEndOfEarlierDispatch(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		b := newTestbed(4, "vm-1", "vm-2")
 		b.home.disabled.dispatchNumber = off
@@ -211,8 +216,9 @@
 	}
 }
 
-// TestFreshHomeKnowsNothing: a new holder asked about an id without a record may
-// not say "not run" to a fetch; a former holder may have run it.
+// TestFreshHomeKnowsNothing checks that a new holder without a record of an id
+// doesn't answer a fetch with "not run", because a former holder may have run the
+// id.
 func TestFreshHomeKnowsNothing(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		b := newTestbed(1, "vm-1")
@@ -227,8 +233,9 @@
 	}
 }
 
-// TestRefusalIsKeptForFetch: a caller submits without waiting and its request is
-// refused later. It fetches the refusal; a further attempt of the id may still run.
+// TestRefusalIsKeptForFetch refuses a request after its caller submitted it
+// without waiting. The caller can fetch the refusal, and a later attempt of the id
+// may still run.
 func TestRefusalIsKeptForFetch(t *testing.T) {
 	b := newTestbed(1, "vm-1")
 	b.submit("first", 1)
--- a/core/home/submit.go
+++ b/core/home/submit.go
@@ -11,11 +11,11 @@
 	"lavenderpond/core/shard"
 )
 
-// noHolderRetry is how long a caller should wait before it tries again while an
-// id has no holder that may decide.
+// noHolderRetry is how long a caller should wait before it tries again while no
+// entry holds the lease on the id's shard.
 const noHolderRetry = time.Second
 
-// laterAttempt stands for any attempt but the first.
+// laterAttempt represents any attempt after the first.
 const laterAttempt core.Attempt = 2
 
 func (h *Home) submit(now time.Time, e Submit) {
@@ -26,7 +26,8 @@
 			h.join(now, r, e)
 			return
 		}
-		// Only a refusal is kept for its caller to fetch: this attempt may run.
+		// The record is only a refusal that was kept to be fetched. This attempt may
+		// run.
 		h.drop(r)
 	}
 	if refusal := h.refuseNew(now, e.Request); refusal != nil {
@@ -44,18 +45,19 @@
 	h.fillSlots(now, e.Request.Queue, anyPool)
 }
 
-// refused says that r ended without running, and not by a cancellation.
+// refused reports whether r ended without running, for a reason other than
+// cancellation.
 func (r *record) refused() bool {
 	_, notRun := r.answer.(core.NotRun)
 	return r.phase == ended && notRun && !r.cancelled
 }
 
-// join answers a further attempt from the record that is there already: an id
-// runs once, however many attempts reach its home, and whichever come crossed.
+// join answers another attempt from the existing record. An id runs only once,
+// however many attempts reach its home and in whatever order.
 func (h *Home) join(now time.Time, r *record, e Submit) {
 	same := sha256.Sum256(e.Request.Body) == r.bodyHash
 	if r.phase == ended && r.number == 0 && r.cancelled {
-		same = true // a cancellation may come before the request and has no body
+		same = true // the cancellation may have arrived before the request, without a body
 	}
 	if !same && !r.fromFormerHolder {
 		h.reply(e.Waiter, e.Request.Key, core.NotRun{Code: core.CodeIDReused})
@@ -78,7 +80,8 @@
 	r.waiters = append(r.waiters, e.Waiter)
 }
 
-// refuseNew returns the refusal of a request without a record, or nil.
+// refuseNew returns the refusal of a request without a record, or nil if the
+// request is accepted.
 func (h *Home) refuseNew(now time.Time, req core.Request) core.Answer {
 	switch v := h.Leases.Decide(now, req.Key, req.FirstSent, req.Deadline).(type) {
 	case shard.Run:
@@ -95,7 +98,7 @@
 		return core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now}
 	}
 	if !now.Before(req.Deadline) {
-		// A record of an earlier attempt may have been forgotten by now.
+		// The record of an earlier attempt may have been dropped already.
 		return h.refuse(req.Attempt, core.NotRun{Code: core.CodeDeadlinePassed})
 	}
 	if code, ok := h.Config.KeyGood(now, req.Key.Team, req.KeyDigest); !ok {
@@ -107,7 +110,7 @@
 	return nil
 }
 
-// refuse says "not run" of a first attempt and "unknown" of a later one.
+// refuse answers "not run" to a first attempt and "unknown" to a later one.
 func (h *Home) refuse(attempt core.Attempt, refusal core.NotRun) core.Answer {
 	if h.disabled.laterAttemptUnknown {
 		return refusal
@@ -126,8 +129,8 @@
 	r, ok := h.records[e.Key]
 	switch {
 	case !ok:
-		// A fetch follows an attempt, which a former holder may have run: it is
-		// refused as a later attempt is, with "unknown".
+		// A fetch follows an attempt that a former holder may have run, so it is
+		// refused like a later attempt: with "unknown".
 		h.reply(e.Waiter, e.Key, h.refuse(laterAttempt, core.NotRun{Code: core.CodeNotFound}))
 	case r.phase == ended:
 		h.reply(e.Waiter, e.Key, r.answer)
--- a/core/home/tick.go
+++ b/core/home/tick.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/shard"
 )
 
-// tick lets deadlines take effect.
+// tick does the time-dependent work.
 func (h *Home) tick(now time.Time) {
 	for _, item := range h.Queue.Expired(now) {
 		if r := h.records[item.Key]; r != nil {
@@ -22,7 +22,7 @@
 	h.fillAllSlots(now)
 }
 
-// expireAnnounced ends requests whose start was never acknowledged in time.
+// expireAnnounced ends requests whose start was not acked before the deadline.
 func (h *Home) expireAnnounced(now time.Time) {
 	for _, r := range sortedRecords(h.awaitingAck) {
 		if !now.Before(r.request.Deadline) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// dropExpired drops the records whose time is over. A record that still runs is
-// kept: its end has yet to be told.
+// dropExpired drops the records that have expired. The record of a request that is
+// still running is kept, because its end has yet to be reported.
 func (h *Home) dropExpired(now time.Time) {
 	for r, due := h.expiry.Due(now); due; r, due = h.expiry.Due(now) {
 		if r.phase != ended && r.phase != inherited {
@@ -55,10 +55,11 @@
 	}
 }
 
-// handleInherited records a start of a former holder. It never runs again here. Its target
-// is asked only once a caller wants the answer: a take-over inherits thousands of
-// starts whose callers have theirs long since, and asking for all of them at once
-// would flood the zone's targets just when an entry is missing.
+// handleInherited records a start of a former holder. The request never runs again
+// here. Its target is asked only once a caller wants the answer: a take-over
+// inherits thousands of starts, most of whose callers already have their answers,
+// and asking about all of them at once would flood the zone's targets just when an
+// entry has failed.
 func (h *Home) handleInherited(now time.Time, s shard.Start) {
 	if _, ok := h.records[s.Key]; ok {
 		return
@@ -70,7 +71,8 @@
 	delete(h.unfinished, s.Key)
 }
 
-// askInherited starts the questions about an inherited start that a caller waits for.
+// askInherited starts asking the target about an inherited start that a caller
+// waits for.
 func (h *Home) askInherited(now time.Time, r *record) {
 	if r.phase == inherited {
 		h.unfinished[r.request.Key] = r
@@ -78,7 +80,7 @@
 	}
 }
 
-// sortedRecords returns records in a fixed order, so that runs repeat exactly.
+// sortedRecords returns records in a fixed order, which makes runs reproducible.
 func sortedRecords(records map[core.RequestKey]*record) []*record {
 	list := make([]*record, 0, len(records))
 	for _, r := range records {
--- a/core/shard/balance.go
+++ b/core/shard/balance.go
@@ -7,25 +7,27 @@
 	"lavenderpond/core"
 )
 
-// Limits of hand-overs, as multiples of the lease.
+// Limits on shard hand-overs. The durations are multiples of the lease.
 const (
-	// moveLeases is how long a move may take before it is given up.
+	// moveLeases is how long a move may take before it is abandoned.
 	moveLeases = 8
-	// balanceLeases is how often an entry considers a move.
+	// balanceLeases is the interval at which an entry considers moving shards.
 	balanceLeases = 1
-	// refusedLeases is how long a refused connection counts against an entry.
+	// refusedLeases is how long an entry that refused a connection is avoided as a
+	// successor or as the destination of a move.
 	refusedLeases = 4
-	// maxSuccessors bounds the entries that this one chooses as successors, and so its
-	// messages, however many entries the zone has.
+	// maxSuccessors limits how many different entries this entry chooses as
+	// successors. It bounds the number of messages regardless of the zone's size.
 	maxSuccessors = 3
-	// maxMoves bounds the moves that an entry has under way.
+	// maxMoves limits the moves that an entry has in progress.
 	maxMoves = 4
 )
 
 func (lm *LeaseManager) isLive(id core.EntryID) bool { return slices.Contains(lm.live, id) }
 
-// chooseSuccessor returns, of the next live entries in order after this one, the
-// successor of the fewest of its shards; "" if none is left besides except.
+// chooseSuccessor considers the next maxSuccessors live entries after this one in
+// list order and returns the one that is successor of the fewest of this entry's
+// shards. It returns "" if no entry other than except is available.
 func (lm *LeaseManager) chooseSuccessor(now time.Time, s *shardState, except core.EntryID) core.EntryID {
 	load := make(map[core.EntryID]int)
 	for i := range lm.shards {
@@ -54,7 +56,8 @@
 	return best
 }
 
-// countShardsBy counts the shards by the entry that role names.
+// countShardsBy returns the number of shards per entry, where role selects the
+// entry from a shard's row.
 func (lm *LeaseManager) countShardsBy(role func(Row) core.EntryID) map[core.EntryID]int {
 	n := make(map[core.EntryID]int, len(lm.live))
 	for i := range lm.shards {
@@ -63,9 +66,9 @@
 	return n
 }
 
-// balance moves a few shards at a time to the live entry that holds the fewest, if it
-// holds at least two less than this one: so moves end, and a new entry gets its
-// part within some seconds.
+// balance moves a few shards at a time to the live entry that holds the fewest, if
+// that entry holds at least two fewer than this one. The margin of two makes the
+// moves converge; a new entry receives its share within a few seconds.
 func (lm *LeaseManager) balance(now time.Time) {
 	if now.Before(lm.nextBalance) || !lm.releaseBy.IsZero() || !lm.tableOK {
 		return
@@ -88,11 +91,12 @@
 	}
 }
 
-// isStopping reports whether the run of id hands its shards over to end, as a row that it
-// released says. Until it has ended it is listed, answers, and holds the fewest
-// shards: handed some back, it would end with them, and their callers would wait for
-// a take-over and be told "unknown" of ids that never ran. A run that stops never
-// goes back to serving, so the word of one row is enough.
+// isStopping reports whether entry id is handing its shards over in order to shut
+// down, which any row that it released shows. Until such an entry has ended, it is
+// still listed, still answers, and holds the fewest shards. Shards handed back to
+// it would be orphaned when it ends: their callers would wait for a take-over and
+// get "unknown" for ids that never ran. A stopping entry never returns to serving,
+// so a single row is sufficient evidence.
 func (lm *LeaseManager) isStopping(id core.EntryID) bool {
 	for i := range lm.shards {
 		if lm.shards[i].row.Released == id {
@@ -102,7 +106,7 @@
 	return false
 }
 
-// movesInProgress counts the moves under way.
+// movesInProgress returns the number of moves in progress.
 func (lm *LeaseManager) movesInProgress(now time.Time) int {
 	n := 0
 	for i := range lm.shards {
@@ -113,8 +117,8 @@
 	return n
 }
 
-// startMove begins to hand a shard over to id, one that already has it as successor if
-// there is one.
+// startMove begins to hand a shard over to id. It prefers a shard that already has
+// id as its successor.
 func (lm *LeaseManager) startMove(now time.Time, id core.EntryID) bool {
 	if lm.movesInProgress(now) >= maxMoves {
 		return false
@@ -136,13 +140,14 @@
 	return true
 }
 
-// nextHandOver returns the row that makes the successor the holder, once it knows all
-// starts and no more are open.
+// nextHandOver returns the row that makes the successor the holder, once the
+// successor knows all starts and the waiting starts are settled or drainUntil has
+// passed. After the shutdown deadline it waits for neither.
 func (lm *LeaseManager) nextHandOver(now time.Time, s *shardState) (Row, bool) {
 	to := lm.handOverRecipient(now, s)
 	answers := s.row.Successor == to && !lm.successorSilent(now, s)
 	inSync := s.row.InSync && answers
-	// Two entries that stop together must not hand a shard back and forth.
+	// Two entries that stop at the same time must not hand a shard back and forth.
 	forced := !lm.releaseBy.IsZero() && !now.Before(lm.releaseBy) && answers && to != s.row.Former
 	if to == "" || !inSync && !forced {
 		s.drainUntil = time.Time{}
@@ -183,14 +188,15 @@
 	return ""
 }
 
-// handingOver reports whether a swap that takes the shard from this entry may take
-// effect at any moment. From its send on, this entry starts nothing.
+// handingOver reports whether a swap that takes the shard away from this entry is
+// pending and may take effect at any moment. This entry starts no requests of the
+// shard from the moment it sends that swap.
 func (lm *LeaseManager) handingOver(s *shardState) bool {
 	return s.pendingSwap != nil && s.pendingSwap.Row.Holder != lm.params.Self
 }
 
-// HeldCount returns how many shards this entry holds by its last word from the
-// table. A stopping daemon waits until it is 0.
+// HeldCount returns how many shards this entry holds according to the latest rows
+// it knows. A stopping daemon waits until it is 0.
 func (lm *LeaseManager) HeldCount() int {
 	n := 0
 	for i := range lm.shards {
@@ -201,8 +207,8 @@
 	return n
 }
 
-// NamedEntries returns the entries that the rows name, in no order: whether they have
-// ended matters to this Keeper.
+// NamedEntries returns, in no particular order, the entries that the rows name.
+// The LeaseManager needs to learn which of them have ended.
 func (lm *LeaseManager) NamedEntries() []core.EntryID {
 	seen := map[core.EntryID]bool{"": true}
 	var named []core.EntryID
--- a/core/shard/bench_test.go
+++ b/core/shard/bench_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core"
 )
 
-// holdingManager returns a Keeper that holds n shards, alone.
+// holdingManager returns a LeaseManager that holds all n shards.
 func holdingManager(n core.ShardIndex) *LeaseManager {
 	lm := New(Params{Zone: "a", Self: "e0#0", Shards: n})
 	e := RowsRead{SentAt: simStart}
@@ -21,7 +21,8 @@
 	return lm
 }
 
-// answerAll has the table and the successor do at once what the Keeper asks for.
+// answerAll executes commands at once, as an always available table and successor
+// would.
 func answerAll(lm *LeaseManager, now time.Time, commands []Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
@@ -40,7 +41,7 @@
 	}
 }
 
-// BenchmarkTick gives the processor time of one tick, of ten a second.
+// BenchmarkTick measures the CPU time of one tick. A daemon sends ten a second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []core.ShardIndex{8, 32, 128} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -53,7 +54,7 @@
 	}
 }
 
-// BenchmarkDecideAndStart gives the processor time that a request costs.
+// BenchmarkDecideAndStart measures the CPU time per request.
 func BenchmarkDecideAndStart(b *testing.B) {
 	lm := holdingManager(32)
 	deadline := simStart.Add(time.Minute)
@@ -66,7 +67,7 @@
 	}
 }
 
-// BenchmarkStartMemory gives the bytes that a known start takes.
+// BenchmarkStartMemory measures the memory that each known start takes.
 func BenchmarkStartMemory(b *testing.B) {
 	const starts = 20_000
 	for b.Loop() {
--- a/core/shard/command.go
+++ b/core/shard/command.go
@@ -7,20 +7,21 @@
 	"lavenderpond/core/table"
 )
 
-// Command is what a Keeper wants done: Send, ReadRows, SwapRow, StartAllowed,
-// StartDenied, Lost or Inherited.
+// Command is an action that a LeaseManager requests: Send, ReadRows, SwapRow,
+// StartAllowed, StartDenied, Lost or Inherited.
 type Command interface{ isCommand() }
 
-// Send sends a message to another entry. Messages may be lost, late or crossed.
+// Send sends a message to another entry. Messages may be lost, delayed or
+// reordered.
 type Send struct {
 	To      core.EntryID
 	Message Message
 }
 
-// ReadRows asks for a read of the zone's shard rows.
+// ReadRows requests a read of the zone's shard rows.
 type ReadRows struct{}
 
-// SwapRow replaces a shard's row if it still has Version.
+// SwapRow replaces a shard's row if the row still has Version.
 type SwapRow struct {
 	Shard   core.ShardIndex
 	Version core.Version
@@ -35,32 +36,34 @@
 	return t, t.Set(key, c.Row)
 }
 
-// StartAllowed says that a start, held back by Keeper.Start, may be dispatched.
-// StartBy is the deadline to check right before the write to the target, and the
-// one that the target enforces.
+// StartAllowed reports that a start which LeaseManager.Start held back may be
+// dispatched. StartBy is the latest start time: the sender checks it right before
+// the write to the target, and the target enforces it.
 type StartAllowed struct {
 	Shard   core.ShardIndex
 	Key     core.RequestKey
 	StartBy time.Time
 }
 
-// StartDenied says that a start won't be allowed. This entry did not start it;
-// Verdict says what is known of it now. It is never a Run.
+// StartDenied reports that a start will not be allowed. This entry did not start
+// the request. Verdict is what is known about the request at this point; it is
+// never a Run.
 type StartDenied struct {
 	Shard   core.ShardIndex
 	Key     core.RequestKey
 	Verdict Verdict
 }
 
-// Lost says that another entry decides about the shard now. Home may not say "not
-// run" of the requests that it still queues: a retry may have run there.
+// Lost reports that another entry holds the shard. Home must not answer "not run"
+// for requests of the shard that it still queues, because a retry may have run at
+// the new holder.
 type Lost struct {
 	Shard  core.ShardIndex
 	Holder core.EntryID
 }
 
-// Inherited reports, once after a take-over, the starts of former holders that
-// are known: home answers them as outcome_unknown or by asking the target.
+// Inherited reports, once after a take-over, the known starts of former holders.
+// Home answers them with outcome_unknown or asks the target.
 type Inherited struct {
 	Shard  core.ShardIndex
 	Former core.EntryID
--- a/core/shard/dump.go
+++ b/core/shard/dump.go
@@ -6,7 +6,7 @@
 	"lavenderpond/core"
 )
 
-// Dump is a Keeper's state for people to read. It holds no request bodies.
+// Dump is a LeaseManager's state for operators. It contains no request bodies.
 type Dump struct {
 	Self    core.EntryID   `json:"self"`
 	Live    []core.EntryID `json:"live"`
@@ -14,22 +14,23 @@
 	Shards  []ShardDump    `json:"shards"`
 }
 
-// ShardDump is one shard of a Dump.
+// ShardDump is the state of one shard in a Dump.
 type ShardDump struct {
 	Shard   core.ShardIndex `json:"shard"`
 	Version core.Version    `json:"version"`
 	Row     Row             `json:"row"`
-	// LeaseExpiry is when this entry's right ends; zero if it has none.
+	// LeaseExpiry is when this entry's lease on the shard ends; zero if it has
+	// none.
 	LeaseExpiry time.Time `json:"right_until,omitzero"`
 	Mirroring   bool      `json:"mirroring,omitempty"`
 	Starts      int       `json:"starts,omitempty"`
 	Waiting     int       `json:"waiting,omitempty"`
 	Mirrored    int       `json:"mirrored,omitempty"`
-	// SwapPending says that a change of the row is not settled yet.
+	// SwapPending reports whether a change of the row is not settled yet.
 	SwapPending bool `json:"open,omitempty"`
 }
 
-// Dump returns the state of all shards that are known.
+// Dump returns the state of all shards whose row has been read.
 func (lm *LeaseManager) Dump(now time.Time) Dump {
 	d := Dump{Self: lm.params.Self, Live: lm.live, TableOK: lm.tableOK}
 	for i := range lm.shards {
--- a/core/shard/event.go
+++ b/core/shard/event.go
@@ -6,69 +6,71 @@
 	"lavenderpond/core"
 )
 
-// Event is what a Keeper is told: RowsRead, SwapSettled, Received, Listed,
-// Refused, Releasing or Tick.
+// Event is an input to a LeaseManager: RowsRead, SwapSettled, Received,
+// EntriesListed, Refused, ShuttingDown or Tick.
 type Event interface{ isEvent() }
 
-// RowsRead is the reply to a read of all shard rows of the zone.
+// RowsRead is the reply to a read of the zone's shard rows.
 type RowsRead struct {
-	// SentAt is when the read was sent: the rows may have changed right after.
+	// SentAt is when the read was sent. The rows may have changed right after.
 	SentAt time.Time
-	// Rows are the rows that changed since the read before, or all of them. Every
-	// row left out is as it was at the read before.
+	// Rows are the rows that changed since the previous read, or all rows. A row
+	// that is left out is the same as at the previous read.
 	Rows []VersionedRow
 }
 
-// Outcome is how a swap ended.
+// Outcome is the outcome of a swap.
 type Outcome int
 
-// The outcomes of a swap.
+// Outcomes of a swap.
 const (
 	// SwapApplied: the row was written.
 	SwapApplied Outcome = iota
-	// SwapConflict: the row had another version; this send wrote nothing.
+	// SwapConflict: the row had another version; this attempt wrote nothing.
 	SwapConflict
-	// SwapUnknown: the answer was lost; the write may take effect even later.
+	// SwapUnknown: the answer was lost; the write may still take effect later.
 	SwapUnknown
-	// SwapDown: the table was not reached; this send wrote nothing.
+	// SwapUnreachable: the table was not reached; this attempt wrote nothing.
 	SwapUnreachable
 )
 
-// SwapSettled is the outcome of a SwapRow.
+// SwapSettled reports the outcome of a SwapRow.
 type SwapSettled struct {
 	Shard core.ShardIndex
-	// Version is the one that the swap checked.
+	// Version is the row version that the swap checked.
 	Version core.Version
 	SentAt  time.Time
 	Outcome Outcome
 }
 
-// Received is a message from another entry of the zone.
+// Received delivers a message from another entry of the zone.
 type Received struct {
 	From    core.EntryID
 	Message Message
 }
 
-// EntriesListed is the platform's list of live entries of the zone, as far as it is to
-// be believed: Gone holds entries that have ended for certain.
+// EntriesListed carries the platform's list of the zone's live entries, as far as
+// it can be trusted: Gone holds only entries that have certainly ended.
 type EntriesListed struct {
-	// Live are the entries that take work, without those that are leaving.
+	// Live are the entries that accept work, excluding those that are leaving.
 	Live []core.EntryID
 	// Gone are all entries that a row may name and that have ended, not only those
-	// that ended since the list before.
+	// that ended since the previous list.
 	Gone []core.EntryID
 }
 
-// Refused says that nothing listens at an entry's address. It is no proof of
-// death: a restarting listener, or a device on the way, refuses for an entry
-// that lives. It only makes the Keeper look sooner.
+// Refused reports that connections to an entry's address are refused. This doesn't
+// prove that the entry has ended: a restarting listener or a network device may
+// refuse connections to a live entry. It only makes the LeaseManager read the rows
+// earlier and avoid the entry for a while.
 type Refused struct{ Entry core.EntryID }
 
-// ShuttingDown says that this entry stops: hand over every shard, with the mirror
-// complete if that succeeds before By, else with a horizon.
+// ShuttingDown reports that this entry stops and has to hand over every shard:
+// with a complete mirror if that succeeds before HandOverBy, otherwise with a
+// horizon.
 type ShuttingDown struct{ HandOverBy time.Time }
 
-// Tick lets time pass. Send one at least every eighth of the lease.
+// Tick triggers time-dependent work. Send one at least every eighth of the lease.
 type Tick struct{}
 
 func (RowsRead) isEvent()      {}
--- a/core/shard/holder.go
+++ b/core/shard/holder.go
@@ -67,10 +67,10 @@
 	lm.tickCopy(now, s)
 }
 
-// extendByEndedSuccessor takes the certain end of a possible successor as evidence: nobody
-// is left to take over. It only extends a right that is unbroken. Once the right
-// has lapsed, the successor may have taken over before it died, and another entry
-// after it.
+// extendByEndedSuccessor uses the confirmed end of a possible successor as
+// evidence that nobody is left to take over. It only extends a lease that has not
+// expired. Once the lease has expired, the successor may have taken over before it
+// ended, and another entry may have taken over from it.
 func (lm *LeaseManager) extendByEndedSuccessor(now time.Time, s *shardState) {
 	unbroken := now.Before(lm.evidenceTime(now, s).Add(lm.params.Lease))
 	if !unbroken && !lm.disabled.unexpiredLease {
@@ -83,7 +83,7 @@
 	}
 }
 
-// nextRow returns the change that the holder wants next, if any.
+// nextRow returns the next row change that the holder needs, if any.
 func (lm *LeaseManager) nextRow(now time.Time, s *shardState) (Row, bool) {
 	row := s.row
 	row.Announced = ""
@@ -96,7 +96,7 @@
 	}
 	if next := lm.wantedSuccessor(now, s); next != s.row.Successor {
 		row.Successor = next
-		// The new successor has no copy yet.
+		// The new successor has no copy of the starts yet.
 		row.InSync = s.row.InSync && lm.disabled.clearInSync
 		return row, true
 	}
@@ -115,8 +115,8 @@
 	return lm.nextHandOver(now, s)
 }
 
-// wantedSuccessor returns the entry that should be the successor, "" if none is
-// left. A successor that lives and answers is kept.
+// wantedSuccessor returns the entry that should be the successor, or "" if none is
+// left. It keeps a successor that is live and responds.
 func (lm *LeaseManager) wantedSuccessor(now time.Time, s *shardState) core.EntryID {
 	old := s.row.Successor
 	if s.moveTo != "" && !lm.ended[s.moveTo] && now.Before(s.moveDeadline) {
@@ -133,15 +133,15 @@
 	return next
 }
 
-// successorSilent reports whether the successor has not acked for a while, so that starts
-// had better not wait for it.
+// successorSilent reports whether starts should not wait for the successor: it has
+// ended, refuses connections, or has sent no ack for a while.
 func (lm *LeaseManager) successorSilent(now time.Time, s *shardState) bool {
 	id := s.row.Successor
 	return lm.ended[id] || now.Before(lm.refusedUntil[id]) || s.successorSilentFor(now) > lm.params.silenceTimeout()
 }
 
-// successorSilentFor returns how long the successor has not acked, at most since it was
-// named.
+// successorSilentFor returns the time since the successor's last acked ping, or
+// since it was named if that is more recent.
 func (s *shardState) successorSilentFor(now time.Time) time.Duration {
 	if ack := s.ackedAt[s.row.Successor]; ack.After(s.successorNamedAt) {
 		return now.Sub(ack)
--- a/core/shard/lease_manager.go
+++ b/core/shard/lease_manager.go
@@ -6,41 +6,44 @@
 	"lavenderpond/core"
 )
 
-// LeaseManager decides for all shards of a zone what this entry may do. Its methods are
-// pure: time and events come in, commands come out. It is not safe for concurrent
-// use.
+// LeaseManager tracks the leases on all shards of a zone for one entry and decides
+// which requests the entry may start. It does no I/O and reads no clock: callers
+// pass in the time and events and execute the returned commands. It is not safe
+// for concurrent use.
 type LeaseManager struct {
 	params Params
 	shards []shardState
 	live   []core.EntryID
 	ended  map[core.EntryID]bool
-	// refusedUntil are entries whose address refused a connection, until when that
-	// counts: some leases, or until they speak again.
+	// refusedUntil holds the entries whose address refused a connection, and until
+	// when they are avoided: a few leases, or until they send a message.
 	refusedUntil map[core.EntryID]time.Time
-	// selfListed says that the platform lists this entry, so that others can learn of
-	// its end. Only then does it claim shards.
+	// selfListed reports whether the platform has listed this entry. Others can
+	// only learn of this entry's end if it is listed, so it claims no shards
+	// before.
 	selfListed bool
-	// tableOK says that the table has answered since it last failed. Changes wait
-	// for it, so that an outage isn't met with a storm of retries.
+	// tableOK reports whether the table has answered since it last failed. Row
+	// changes wait for it, which avoids a retry storm during an outage.
 	tableOK     bool
 	nextPing    time.Time
 	nextRead    time.Time
 	nextBalance time.Time
 	nextExpiry  time.Time
-	// releaseBy is when this entry stops; zero: it doesn't.
+	// releaseBy is the hand-over deadline of a shutdown; zero if this entry is not
+	// stopping.
 	releaseBy time.Time
 	commands  []Command
 	disabled  disabledSafeguards
 }
 
-// safeguardsOff switches single safeguards off. Only tests set it, to show that
-// each is needed.
+// disabledSafeguards disables individual safeguards. Only tests set it, to prove
+// that each safeguard is needed.
 type disabledSafeguards struct {
 	horizon, dateBySend, announcement, oneSuccessor, unexpiredLease, unconfirmedSuccessor          bool
 	mirror, clearInSync, thirdEntryHorizon, copyWaiting, copyMerge, confirmUnmirrored, decideAgain bool
 }
 
-// New returns a Keeper that holds nothing.
+// New returns a LeaseManager that holds no shards.
 func New(p Params) *LeaseManager {
 	p = p.withDefaults()
 	lm := &LeaseManager{params: p, shards: make([]shardState, p.Shards), ended: map[core.EntryID]bool{}, refusedUntil: map[core.EntryID]time.Time{}}
@@ -50,10 +53,10 @@
 	return lm
 }
 
-// Params returns the Keeper's settings, with defaults filled in.
+// Params returns the LeaseManager's settings with the defaults filled in.
 func (lm *LeaseManager) Params() Params { return lm.params }
 
-// Handle takes in an event and returns what is to be done.
+// Handle processes an event and returns the commands to execute.
 func (lm *LeaseManager) Handle(now time.Time, e Event) []Command {
 	switch e := e.(type) {
 	case RowsRead:
@@ -87,8 +90,9 @@
 // Shard returns the shard of id.
 func (lm *LeaseManager) Shard(id core.RequestKey) core.ShardIndex { return id.Shard(lm.params.Shards) }
 
-// Decide says whether this entry may start the request now. firstSent is zero if
-// the caller doesn't say. Ids that home has a record of need no Decide.
+// Decide returns whether this entry may start the request now. firstSent is zero
+// if the caller doesn't provide it. It need not be called for ids that home has a
+// record of.
 func (lm *LeaseManager) Decide(now time.Time, shard core.ShardIndex, id core.RequestKey, firstSent, deadline time.Time) Verdict {
 	s := lm.state(shard)
 	if s == nil || !s.rowKnown {
@@ -113,9 +117,9 @@
 	return Run{StartBy: startBy, Mirrored: lm.mustMirror(now, s)}
 }
 
-// LeaseExpiry returns when this entry's right to decide about the shard's ids ends
-// by what is known now: the start_by deadline of a dispatch, checked right before
-// the write to the target and enforced there. Zero: it has no right.
+// LeaseExpiry returns when this entry's lease on the shard ends, as far as known
+// at now; zero if it has no lease. It is the start_by time of a dispatch, checked
+// right before the write to the target and enforced by the target.
 func (lm *LeaseManager) LeaseExpiry(now time.Time, shard core.ShardIndex) time.Time {
 	s := lm.state(shard)
 	if s == nil || !s.isHeldBy(lm.params.Self) || s.needsHorizon || lm.handingOver(s) {
@@ -124,12 +128,12 @@
 	return lm.evidenceTime(now, s).Add(lm.params.Lease)
 }
 
-// Start asks for the right to dispatch a non-idempotent request after Decide said
-// Run. If allowed is false and no StartDenied is among the commands, a later
-// StartAllowed or StartDenied settles it.
+// Start asks for permission to dispatch a non-idempotent request for which Decide
+// returned Run. If allowed is false and the commands contain no StartDenied, a
+// later StartAllowed or StartDenied follows.
 //
-// It decides anew: while the request was queued, the shard may have been lost and
-// won again, and another holder may have run a retry in between.
+// It repeats Decide's checks: while the request was queued, the shard may have
+// been lost and regained, and another holder may have run a retry in between.
 func (lm *LeaseManager) Start(now time.Time, shard core.ShardIndex, start Start) (allowed bool, commands []Command) {
 	s := lm.state(shard)
 	verdict := lm.Decide(now, shard, start.Key, start.FirstSent, start.Deadline)
@@ -150,14 +154,14 @@
 	return false, lm.takeCommands()
 }
 
-// Forget drops what is known of an id before the Keeper does so by itself, once
-// its deadline and the skew bound are past. Only for starts that were allowed but
-// certainly never written to a target.
+// Forget drops a start before it expires by itself, which happens once its
+// deadline plus the skew bound has passed. It may only be called for starts that
+// were allowed but certainly never written to a target.
 func (lm *LeaseManager) Forget(shard core.ShardIndex, id core.RequestKey) {
 	s := lm.state(shard)
 	if s == nil || s.row.InSync || s.copyTo != "" {
-		// The successor would still take the id for started; keeping it here too
-		// keeps the two in step.
+		// The successor would still consider the id started. Keeping the start here
+		// keeps the two consistent.
 		return
 	}
 	delete(s.starts, id)
@@ -170,11 +174,11 @@
 	return NotHolder{Holder: s.row.Holder}
 }
 
-// checkTimes holds an id against the horizon. It returns nil if nothing speaks
-// against a start.
+// checkTimes checks the request's times against the horizon, the deadline and the
+// clocks. It returns nil if they permit a start.
 func (lm *LeaseManager) checkTimes(now time.Time, s *shardState, firstSent, deadline time.Time) Verdict {
 	if now.After(deadline.Add(lm.params.Skew)) {
-		// Starts this old are forgotten.
+		// Starts with a deadline this old have been dropped.
 		return Unknown{Code: core.CodeHomeReplaced}
 	}
 	if !lm.disabled.horizon && !s.row.Horizon.IsZero() && lm.beforeHorizon(s, firstSent, deadline) {
--- a/core/shard/message.go
+++ b/core/shard/message.go
@@ -6,18 +6,18 @@
 	"lavenderpond/core"
 )
 
-// Message is what entries of a zone tell one another: Ping, PingAck, MirrorStart,
+// Message is a message between entries of a zone: Ping, PingAck, MirrorStart,
 // StartAck, MirrorCopy or CopyAck.
 type Message interface{ isMessage() }
 
-// Held is a shard and the epoch in which its holder speaks.
+// Held identifies a shard and the epoch of the holder that refers to it.
 type Held struct {
 	Shard core.ShardIndex
 	Epoch core.Epoch
 }
 
-// Ping is a holder's sign of life to a possible successor, for all the shards
-// between the two.
+// Ping is a holder's heartbeat to a possible successor. One ping covers all shards
+// that the two share.
 type Ping struct {
 	SentAt time.Time
 	Held   []Held
@@ -33,39 +33,40 @@
 type Start struct {
 	Key      core.RequestKey
 	Deadline time.Time
-	// FirstSent is zero if the caller doesn't say.
+	// FirstSent is zero if the caller doesn't provide it.
 	FirstSent time.Time
-	// VM is the target chosen, which can be asked how the request ended.
+	// VM is the chosen target, which can be asked how the request ended.
 	VM core.VMID
 }
 
-// MirrorStart asks the successor to remember a start before it happens.
+// MirrorStart asks the successor to record a start before it is dispatched.
 type MirrorStart struct {
 	Held
-	// Round is that of the copy which the start comes on top of.
+	// Round identifies the copy that the start is added to.
 	Round uint64
 	Start Start
 }
 
-// StartAck says that the successor remembers a start.
+// StartAck confirms that the successor has recorded a start.
 type StartAck struct {
 	Held
 	Round uint64
 	Key   core.RequestKey
 }
 
-// MirrorCopy carries all starts of a shard that matter yet to the successor.
+// MirrorCopy sends the successor all starts of a shard that have not expired.
 type MirrorCopy struct {
 	Held
 	Round  uint64
 	Starts []Start
 }
 
-// CopyAck says that the successor remembers a copy, or that it takes none.
+// CopyAck confirms that the successor has recorded a copy, or refuses the copy.
 type CopyAck struct {
 	Held
 	Round uint64
-	// Refused: the successor is stopping. Starts go on unmirrored.
+	// Refused reports that the successor is stopping. Starts then continue without
+	// being mirrored.
 	Refused bool
 }
 
--- a/core/shard/message_handler.go
+++ b/core/shard/message_handler.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// recordAck dates the evidence at the send of the ping: the ack may have been given
-// any time after it, and the successor counts its wait from there.
+// recordAck records the time at which the acked ping was sent as evidence, not the
+// time of receipt. The ack may have been given at any time after the send, and the
+// successor counts its wait from when it gave the ack.
 func (lm *LeaseManager) recordAck(s *shardState, from core.EntryID, at time.Time) {
 	for _, c := range lm.possibleSuccessors(s) {
 		if c == from && c != "" {
@@ -76,18 +77,19 @@
 	lm.emit(Send{To: from, Message: StartAck{Held: m.Held, Round: m.Round, Key: m.Start.Key}})
 }
 
-// handleMirrorCopy merges a copy into the mirror of the same epoch. Merging keeps the
-// starts that were acked before a late copy arrives; too many known starts only
-// cost an outcome_unknown.
+// handleMirrorCopy merges a copy into the mirror of the same epoch. Merging keeps
+// the starts that were acked before a delayed copy arrives. A mirror with too many
+// starts only costs an outcome_unknown.
 func (lm *LeaseManager) handleMirrorCopy(from core.EntryID, m MirrorCopy) {
 	s := lm.state(m.Shard)
 	if s == nil || s.row.Holder != from || s.row.Epoch != m.Epoch || !lm.mayGrantLease(s, from, m.Epoch) {
 		return
 	}
 	if !lm.releaseBy.IsZero() {
-		// This entry stops: nobody should hand it a shard. It says so, since it still
-		// acks pings: a holder that only misses the ack would keep its starts waiting
-		// for it, and a stop that waits for those starts' callers would never end.
+		// This entry is stopping and must not be handed any shards. It refuses
+		// explicitly because it still acks pings: a holder that only missed the copy's
+		// ack would keep its starts waiting, and a shutdown that waits for the callers
+		// of those starts would never finish.
 		lm.emit(Send{To: from, Message: CopyAck{Held: m.Held, Round: m.Round, Refused: true}})
 		return
 	}
--- a/core/shard/mirror.go
+++ b/core/shard/mirror.go
@@ -7,10 +7,11 @@
 	"lavenderpond/core"
 )
 
-// mustMirror reports whether starts must be acked by the successor first. They
-// must while the row says in sync, or may say so once an open swap takes effect:
-// else a take-over would trust a mirror that lacks a start. A successor that has
-// ended for certain can't take over, and a third entry doesn't trust the mark.
+// mustMirror reports whether the successor has to ack starts before they are
+// dispatched. It has to while the row says in sync, or may say so once a pending
+// swap takes effect: otherwise a take-over would trust a mirror that lacks a
+// start. A successor that has certainly ended can't take over, and a third entry
+// ignores the in-sync mark.
 func (lm *LeaseManager) mustMirror(now time.Time, s *shardState) bool {
 	if lm.disabled.mirror {
 		return false
@@ -22,8 +23,9 @@
 	return marked || s.copyTo != ""
 }
 
-// sendMirrorStart sends a start to the successor, unless the copy is yet to be acked:
-// then the start is sent again after it.
+// sendMirrorStart sends a start to the successor. If the successor has not yet
+// recorded the copy of that round, it ignores the start, and the start is resent
+// later.
 func (lm *LeaseManager) sendMirrorStart(now time.Time, s *shardState, w *waitingStart) {
 	w.resendAt = now.Add(lm.params.retryInterval())
 	m := MirrorStart{Held: Held{Shard: s.index, Epoch: s.row.Epoch}, Round: s.copyRound, Start: w.Start}
@@ -52,7 +54,8 @@
 	}
 }
 
-// handleStartAck allows a start that the successor knows of, if the right still holds.
+// handleStartAck allows a start that the successor has recorded, if the lease is
+// still valid.
 func (lm *LeaseManager) handleStartAck(now time.Time, from core.EntryID, m StartAck) {
 	s := lm.state(m.Shard)
 	if s == nil || !s.isHeldBy(lm.params.Self) || s.row.Epoch != m.Epoch || s.row.Successor != from {
@@ -106,8 +109,9 @@
 	lm.emit(StartDenied{Shard: s.index, Key: w.Key, Verdict: verdict})
 }
 
-// tickCopy brings the successor in sync: a copy of all known starts, those that
-// await an ack included, since they are allowed as soon as the ack comes.
+// tickCopy synchronizes the successor by sending it a copy of all known starts.
+// The copy includes the starts that wait for an ack, because they are allowed as
+// soon as the ack arrives.
 func (lm *LeaseManager) tickCopy(now time.Time, s *shardState) {
 	if s.row.InSync || s.row.Successor == "" {
 		return
@@ -145,8 +149,8 @@
 	return starts
 }
 
-// dropExpiredStarts forgets starts that nobody can start again: their deadline is past by
-// every clock.
+// dropExpiredStarts drops starts that nobody can start again, because their
+// deadlines have passed by every clock.
 func (lm *LeaseManager) dropExpiredStarts(now time.Time) {
 	if now.Before(lm.nextExpiry) {
 		return
--- a/core/shard/params.go
+++ b/core/shard/params.go
@@ -6,7 +6,7 @@
 	"lavenderpond/core"
 )
 
-// Defaults of Params. docs/design/shards.md argues for each.
+// Defaults of Params. docs/design/shards.md gives the reasons.
 const (
 	DefaultShards      core.ShardIndex = 32
 	DefaultLease                       = 2 * time.Second
@@ -14,16 +14,18 @@
 	DefaultMaxLifetime                 = time.Hour
 )
 
-// Params are a Keeper's settings. Zero values of all but Zone and Self stand for
-// the defaults. All entries of a zone must be given the same.
+// Params are the settings of a LeaseManager. A zero value selects the default,
+// except for Zone and Self, which are required. All entries of a zone must use the
+// same settings.
 type Params struct {
 	Zone   core.ZoneID
 	Self   core.EntryID
 	Shards core.ShardIndex
-	// Lease is how long a piece of evidence lets a holder decide, from its send.
+	// Lease is how long evidence entitles a holder to decide, counted from when
+	// the evidence was requested.
 	Lease time.Duration
-	// Skew is the most by which the clocks of any two machines differ, callers and
-	// targets included, and the most that a clock is set back.
+	// Skew is the maximum difference between the clocks of any two machines,
+	// including callers and targets, and the maximum by which a clock is set back.
 	Skew time.Duration
 	// MaxLifetime is the longest time from a request's acceptance to its deadline.
 	MaxLifetime time.Duration
@@ -45,19 +47,19 @@
 	return p
 }
 
-// takeOverWait is how long a successor waits, once for a silent holder and again
-// after its announcement. The lease may have been renewed at the last moment
-// before, and a target that enforces the holder's start_by has a clock of its
-// own: one skew bound for the target, one for a clock that is set back.
+// takeOverWait is how long a successor waits, first for a silent holder and again
+// after its announcement. The lease may have been renewed just before the wait
+// began. Of the two skew bounds, one covers the clock of a target that enforces
+// the holder's start_by, and one covers a clock that is set back.
 func (p Params) takeOverWait() time.Duration { return p.Lease + 2*p.Skew }
 
-// horizonAt returns the horizon of a take-over at now: an old holder accepted a
-// first_sent of at most its own clock plus the skew bound, and its clock differs
+// horizonAt returns the horizon of a take-over at now. A former holder accepts a
+// first_sent of up to its own clock plus the skew bound, and its clock may differ
 // from this one by the skew bound again.
 func (p Params) horizonAt(now time.Time) time.Time { return now.Add(2 * p.Skew) }
 
-// Intervals of the periodic work, as parts of the lease: three messages may be
-// lost or late before a right lapses.
+// Intervals of periodic work, as fractions of the lease. Three messages may be
+// lost or late before a lease expires.
 func (p Params) pingInterval() time.Duration   { return p.Lease / 4 }
 func (p Params) readInterval() time.Duration   { return p.Lease / 2 }
 func (p Params) silenceTimeout() time.Duration { return p.Lease / 2 }
--- a/core/shard/row.go
+++ b/core/shard/row.go
@@ -1,10 +1,10 @@
-// Package shard decides which entry of a zone has the right to decide about a
-// request id.
+// Package shard determines which entry of a zone may decide about a request id.
 //
-// The ids of a zone are split into shards. A row of the platform's table names
-// each shard's holder, its one successor and an epoch. The holder keeps its right
-// by evidence that no other entry can have taken over, so it needs the table only
-// for changes. docs/design/shards.md gives the rule and what was weighed.
+// The ids of a zone are split into shards. For each shard, a row of the platform's
+// table names the holder, its only successor and an epoch. The holder keeps its
+// lease as long as it has evidence that no other entry can have taken over, so it
+// needs the table only for changes. docs/design/shards.md describes the protocol
+// and the alternatives.
 package shard
 
 import (
@@ -13,26 +13,29 @@
 	"lavenderpond/core"
 )
 
-// Row is a shard's row, stored at table.ShardKey. A row that doesn't exist is the
-// zero Row with version 0.
+// Row is a shard's row, stored at table.ShardKey. A row that doesn't exist is
+// represented by the zero Row with version 0.
 type Row struct {
 	Holder core.EntryID `json:"holder"`
-	// Epoch counts the holders.
+	// Epoch is incremented whenever the holder changes.
 	Epoch core.Epoch `json:"epoch"`
-	// Successor is the one entry that may take over from a silent holder.
+	// Successor is the only entry that may take over from a silent holder.
 	Successor core.EntryID `json:"successor,omitempty"`
-	// Horizon parts the ids that a former holder may have started from those that
-	// it can't have. Zero: there is no such id.
+	// Horizon separates the ids that a former holder may have started, which were
+	// first sent up to it, from those that no former holder can have started. It
+	// is zero if there is no id of the first kind.
 	Horizon time.Time `json:"horizon,omitzero"`
-	// Announced is the entry that announces its take-over.
+	// Announced is the entry that has announced its take-over.
 	Announced core.EntryID `json:"announced,omitempty"`
-	// InSync says that Successor knows every start of Holder.
+	// InSync reports whether Successor knows every start of Holder.
 	InSync bool `json:"in_sync,omitempty"`
-	// Former is the holder of the epoch before.
+	// Former is the holder of the previous epoch.
 	Former core.EntryID `json:"former,omitempty"`
-	// Mirrored says that Holder knew every start of Former when its epoch began.
+	// Mirrored reports whether Holder knew every start of Former when its epoch
+	// began.
 	Mirrored bool `json:"mirrored,omitempty"`
-	// Released is the last holder that handed the shard over because it stops.
+	// Released is the last holder that handed the shard over because it was
+	// stopping.
 	Released core.EntryID `json:"released,omitempty"`
 }
 
--- a/core/shard/row_handler.go
+++ b/core/shard/row_handler.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// handleRow takes in a row as it was at some moment after sentAt. A read that was
-// overtaken by a swap of this entry says nothing new.
+// handleRow processes a row as it was at some moment after sentAt. A read that is
+// older than a swap of this entry is ignored.
 func (lm *LeaseManager) handleRow(now time.Time, s *shardState, r VersionedRow, sentAt time.Time) {
 	s.lastReadVersion = max(s.lastReadVersion, r.Version)
 	if s.rowKnown && r.Version < s.version {
@@ -35,7 +35,8 @@
 	lm.applyRow(now, s, r.Version, r.Row, sentAt)
 }
 
-// applyRow makes a row the one that is known to stand in the table since sentAt.
+// applyRow stores a row that is known to have been in the table at some moment
+// after sentAt, and reacts to changes of the holder.
 func (lm *LeaseManager) applyRow(now time.Time, s *shardState, version core.Version, row Row, sentAt time.Time) {
 	old, moved := s.row, !s.rowKnown || version != s.version
 	s.rowKnown, s.row, s.version = true, row, version
@@ -48,14 +49,16 @@
 	case old.Holder == lm.params.Self:
 		lm.endEpoch(now, s)
 	}
-	// A change that isn't this entry's announcement is a sign of the holder's life.
-	// Without it, an announcement that was cleared would come again at once, and a
-	// cut between the two would be met with a stream of writes.
+	// A row change other than this entry's announcement counts as activity of the
+	// holder. Otherwise an announcement that the holder cleared would be repeated
+	// at once, and a network partition between the two would cause a continuous
+	// stream of writes.
 	if moved && row.Announced != lm.params.Self {
 		s.holderSeenAt = now
 	}
-	// The wait counts from when the announcement is known to stand, not from when
-	// it was sent: a late write must not shorten the holder's time to see it.
+	// The wait counts from when the announcement is known to be in the table, not
+	// from when it was sent. A delayed write must not shorten the time that the
+	// holder has to see it.
 	if row.Announced == lm.params.Self && moved {
 		s.announcedAt = now
 	}
@@ -78,10 +81,10 @@
 	}
 }
 
-// beginEpoch begins an epoch of this entry as holder.
+// beginEpoch starts an epoch in which this entry is the holder.
 func (lm *LeaseManager) beginEpoch(now time.Time, s *shardState) {
 	m := s.mirror
-	// rowSeen is set anew by the caller: evidence of an earlier epoch is void.
+	// The caller sets rowConfirmedAt. Evidence of an earlier epoch is invalid.
 	s.rowConfirmedAt, s.ackedAt = time.Time{}, nil
 	s.drainUntil, s.moveTo, s.moveDeadline, s.mirror = time.Time{}, "", time.Time{}, mirror{}
 	s.stopCopying()
@@ -101,7 +104,7 @@
 	}
 }
 
-// endEpoch ends an epoch of this entry as holder.
+// endEpoch ends an epoch in which this entry was the holder.
 func (lm *LeaseManager) endEpoch(now time.Time, s *shardState) {
 	lm.denyWaiting(now, s)
 	lm.emit(Lost{Shard: s.index, Holder: s.row.Holder})
@@ -110,15 +113,15 @@
 	s.needsHorizon, s.starts = false, nil
 }
 
-// swap asks for a change of the row. At most one is open per shard: a second one
-// could take effect in place of the first, unseen.
+// swap requests a row change. Only one may be pending per shard: a second one
+// could take effect in place of the first without being noticed.
 func (lm *LeaseManager) swap(now time.Time, s *shardState, row Row) {
 	if s.pendingSwap != nil || !lm.tableOK {
 		return
 	}
 	s.pendingSwap = &pendingSwap{SwapRow: SwapRow{Shard: s.index, Version: s.version, Row: row}}
 	if row.Holder == lm.params.Self && row.Successor != "" && row.Successor != s.row.Successor {
-		// A new successor can't have announced anything before it was named.
+		// A new successor can't have announced a take-over before it was named.
 		s.recordEvidence(row.Successor, now)
 	}
 	lm.sendSwap(now, s)
@@ -130,7 +133,7 @@
 	lm.emit(s.pendingSwap.SwapRow)
 }
 
-// retrySwap sends an open change again, unaltered, once its answer was lost.
+// retrySwap resends a pending change unmodified after its answer was lost.
 func (lm *LeaseManager) retrySwap(now time.Time, s *shardState) {
 	p := s.pendingSwap
 	if p.inFlight || p.conflicted || !lm.tableOK || now.Before(p.retryAt) {
--- a/core/shard/safeguards_test.go
+++ b/core/shard/safeguards_test.go
@@ -10,10 +10,10 @@
 
 const simSteps = 3000
 
-// seeds may be raised by hand: go test ./core/shard -run NoIDRuns -seeds 20000.
+// seeds can be raised: go test ./core/shard -run NoIDRuns -seeds 20000.
 var seeds = flag.Int64("seeds", 2000, "seeds of the full rule")
 
-// seedTotals is what a range of seeds gave together.
+// seedTotals are the summed results of a range of seeds.
 type seedTotals struct {
 	simResult
 	seedsWithDuplicate int
@@ -46,9 +46,10 @@
 	return s
 }
 
-// TestNoIDRunsTwice: a caller retries an id at any entry while the holder is
-// paused, killed, cut off, or loses the table's answers. Its successor takes over
-// and answers retries too. No id may run twice, in whatever order this happens.
+// TestNoIDRunsTwice checks that no id runs twice while callers retry ids at any
+// entry and the holder is paused, killed, partitioned, or loses the table's
+// answers. Its successor takes over and answers retries at the same time; the
+// simulation varies the order of these events.
 func TestNoIDRunsTwice(t *testing.T) {
 	for name, tc := range map[string]struct {
 		faults faults
@@ -63,11 +64,12 @@
 	}
 }
 
-// maxSearchedSeeds is how many seeds may be tried until one shows a double.
+// maxSearchedSeeds limits how many seeds are tried to find an id that runs twice.
 const maxSearchedSeeds = 1000
 
-// TestEachSafeguardIsNeeded switches off one safeguard at a time and must then see
-// an id run twice: the world is harsh enough to tell, and the safeguard does it.
+// TestEachSafeguardIsNeeded disables one safeguard at a time and expects an id to
+// run twice. This shows that the simulation is harsh enough to detect the fault
+// and that the safeguard prevents it.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -100,8 +102,8 @@
 	}
 }
 
-// TestWorldIsDeterministic: a seed that failed can be looked at again.
-func TestWorldIsDeterministic(t *testing.T) {
+// TestSimulationIsDeterministic checks that a failing seed can be replayed.
+func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range int64(5) {
 		assert.Equal(t, newSimulation(seed, lossyFaults, disabledSafeguards{}).run(simSteps), newSimulation(seed, lossyFaults, disabledSafeguards{}).run(simSteps))
 	}
--- a/core/shard/session_test.go
+++ b/core/shard/session_test.go
@@ -12,10 +12,10 @@
 	"lavenderpond/core"
 )
 
-// TestFrozenHolderSession: the holder freezes past its lease with requests behind
-// it. Its successor announces, takes over in sync, answers retries of what was
-// started as unknown and runs new ids. The holder wakes, has no right any more,
-// and sends callers on to the new holder.
+// TestFrozenHolderSession freezes the holder past its lease while requests are in
+// progress. The successor announces a take-over, takes over in sync, answers
+// retries of started requests with "unknown", and runs new ids. When the holder
+// resumes, it has no lease and refers callers to the new holder.
 func TestFrozenHolderSession(t *testing.T) {
 	sim := newSimulation(1, faults{delay: 1}, disabledSafeguards{})
 	var log strings.Builder
--- a/core/shard/simulation_table_test.go
+++ b/core/shard/simulation_table_test.go
@@ -22,8 +22,8 @@
 	})
 }
 
-// swap loses some answers: the write never happens, happened, or happens
-// late.
+// swap loses some answers. In those cases the write never takes effect, has taken
+// effect, or takes effect late.
 func (sim *simulation) swap(e *simEntry, c SwapRow) {
 	sentAt, lost, delay := sim.now(e), sim.r.Float64() < sim.faults.answerLost, sim.r.Intn(2)
 	settle := func(o Outcome) {
--- a/core/shard/simulation_test.go
+++ b/core/shard/simulation_test.go
@@ -10,32 +10,34 @@
 	"lavenderpond/core/table"
 )
 
-// The world runs real Keepers of one zone in steps, under pauses, kills, cuts,
-// clock skew, table outages, answers lost before or after the write took effect,
-// writes that take effect late, messages out of order, and retries to any entry.
-// Its figures are those of the models that the rule was first tried in.
+// The simulation runs the LeaseManagers of one zone in steps, with pauses, kills,
+// network partitions, clock skew, table outages, answers that are lost before or
+// after the write took effect, writes that take effect late, reordered messages,
+// and retries at any entry. Its constants are those of the models of the protocol.
 const (
 	stepLength       = 50 * time.Millisecond
-	maxLateSteps     = 60 // of a write whose answer was lost, in steps
+	maxLateSteps     = 60 // delay of a write whose answer was lost
 	maxLifetimeSteps = 150
-	// maxQueuedSteps is how long a request waits for a slot, in steps.
+	// maxQueuedSteps is the longest time that a request waits for a slot.
 	maxQueuedSteps = 150
 	entryCount     = 3
 )
 
-// faults are the chances of each fault per step, and the longest delay of a
-// message in steps.
+// faults are the probabilities of each fault per step. delay is the longest delay
+// of a message, in steps.
 type faults struct {
 	delay                                                  int
 	tableDown, tableUp, cut, heal, pause, kill, answerLost float64
-	// falseLeaving is the chance that a list shows an entry as leaving that isn't.
+	// falseLeaving is the probability that the entry list shows an entry as
+	// leaving that is not.
 	falseLeaving float64
-	// askEverywhere has the newest request asked for at every entry in every step.
+	// askEverywhere sends the newest request to every entry in every step.
 	askEverywhere bool
 }
 
-// modelFaults are those of the model. The others let rare faults meet: lateFaults
-// with slow messages, lossyFaults with a table that mostly loses its answers.
+// modelFaults are the probabilities of the models. The others make rare faults
+// coincide: lateFaults uses slow messages, lossyFaults a table that loses most of
+// its answers.
 var (
 	modelFaults = faults{delay: 3, tableDown: .004, tableUp: .01, cut: .004, heal: .01, pause: .002, kill: .001, answerLost: .2}
 	lateFaults  = faults{delay: 8, tableDown: .008, tableUp: .01, cut: .004, heal: .02, pause: .003, kill: .001, answerLost: .6, falseLeaving: .01, askEverywhere: true}
@@ -56,7 +58,8 @@
 type delayedAction struct {
 	dueStep int
 	do      func()
-	// to is the entry that takes it in; it waits while the entry is paused.
+	// to is the entry that receives the action. The action waits while the entry
+	// is paused.
 	to *simEntry
 }
 
@@ -132,7 +135,8 @@
 	return simStart.Add(time.Duration(sim.step)*stepLength + e.offset)
 }
 
-// clockOffset returns an offset of a clock, so that two differ by at most the bound.
+// clockOffset returns a random clock offset. Any two differ by at most the skew
+// bound.
 func (sim *simulation) clockOffset() time.Duration {
 	return time.Duration(sim.r.Int63n(int64(DefaultSkew))) - DefaultSkew/2
 }
@@ -176,7 +180,7 @@
 		if r.Float64() < f.kill || e.shutdownUntil > 0 && (sim.step > e.shutdownUntil || e.leases.HeldCount() == 0) {
 			sim.tracef("%s ends", e.name)
 			e.alive = false
-			sim.unlistedAt[e.name] = sim.step + 20 + r.Intn(61) // the list lags
+			sim.unlistedAt[e.name] = sim.step + 20 + r.Intn(61) // the list is updated late
 			sim.startEntry(i)
 		}
 	}
@@ -184,7 +188,7 @@
 
 func pair(a, b core.EntryID) [2]core.EntryID { return [2]core.EntryID{min(a, b), max(a, b)} }
 
-// sendEntryList shows e the platform's list.
+// sendEntryList sends e the platform's list of entries.
 func (sim *simulation) sendEntryList(e *simEntry) {
 	if sim.down[e.name] {
 		return
@@ -201,8 +205,8 @@
 	sim.handle(e, l)
 }
 
-// sendRequests sends a new request now and then, and retries of recent ones, to any
-// entry. Half of the requests carry first_sent.
+// sendRequests sometimes sends a new request, and sends retries of recent ones, to
+// random entries. Half of the requests carry first_sent.
 func (sim *simulation) sendRequests() {
 	r := sim.r
 	trueNow := simStart.Add(time.Duration(sim.step) * stepLength)
@@ -231,8 +235,8 @@
 	}
 }
 
-// askRandom sends a request to an entry whose home keeps no record at all: what the
-// Keeper knows has to do.
+// askRandom sends a request to a random entry. Its home keeps no records, so the
+// LeaseManager's state alone has to prevent a second run.
 func (sim *simulation) askRandom(q simRequest) { sim.askAt(sim.entries[sim.r.Intn(entryCount)], q) }
 
 func (sim *simulation) askAt(e *simEntry, q simRequest) {
@@ -246,7 +250,7 @@
 		return
 	}
 	if sim.trace == nil && sim.r.Intn(6) == 0 {
-		// The request waits in a queue; its home doesn't ask again before the start.
+		// The request waits in a queue. Its home calls Start without another Decide.
 		sim.schedule(e, sim.r.Intn(maxQueuedSteps), func() { sim.start(e, q) })
 		return
 	}
@@ -267,8 +271,8 @@
 	}
 }
 
-// dispatch runs the request some steps later, without a look at start_by: a pause
-// may lie in between.
+// dispatch runs the request some steps later without checking start_by, because
+// the sender may be paused in between.
 func (sim *simulation) dispatch(e *simEntry, key core.RequestKey) {
 	sim.schedule(e, sim.r.Intn(5), func() {
 		sim.runs[key]++
--- a/core/shard/state.go
+++ b/core/shard/state.go
@@ -6,60 +6,66 @@
 	"lavenderpond/core"
 )
 
-// shardState is what this entry knows of one shard, as holder, successor or neither.
+// shardState is what this entry knows about one shard, whether it is the holder,
+// the successor or neither.
 type shardState struct {
 	index core.ShardIndex
-	// rowKnown says that row is the row as of some read or applied swap.
+	// rowKnown reports whether row is known from a read or an applied swap.
 	rowKnown bool
 	row      Row
 	version  core.Version
-	// lastReadVersion is the version at the last read, which may be older.
+	// lastReadVersion is the version at the last read, which may be older than
+	// version.
 	lastReadVersion core.Version
 	// emptySince is when the row was first read as not existing.
 	emptySince  time.Time
 	pendingSwap *pendingSwap
 
-	// As holder: the evidence for the right, by the time it was asked for.
+	// As holder: the evidence for the lease, dated by when it was requested.
+	// rowConfirmedAt is for reads of the row, ackedAt for pings acked by each
+	// entry.
 	rowConfirmedAt time.Time
 	ackedAt        map[core.EntryID]time.Time
 	// successorNamedAt is when the row was found to name its successor.
 	successorNamedAt time.Time
-	// drainUntil ends the wait for open starts before a hand-over; no new ones are
-	// taken meanwhile. Zero: no hand-over.
+	// drainUntil limits the wait for waiting starts before a hand-over. No new
+	// starts are accepted until then. It is zero if there is no hand-over.
 	drainUntil time.Time
-	// moveTo is the entry that gets the shard, until moveBy.
+	// moveTo is the entry that the shard is being moved to, until moveDeadline.
 	moveTo       core.EntryID
 	moveDeadline time.Time
-	// needsHorizon says that the row promises a mirror that isn't there.
+	// needsHorizon reports that the row claims a mirror that this entry doesn't
+	// have.
 	needsHorizon bool
-	// starts are all known starts whose deadline matters yet.
+	// starts are all known starts whose deadlines have not passed.
 	starts map[core.RequestKey]Start
-	// waiting are starts that await the successor's ack; order is by arrival.
+	// waiting are the starts that wait for the successor's ack; waitingOrder lists
+	// them in order of arrival.
 	waiting      map[core.RequestKey]*waitingStart
 	waitingOrder []core.RequestKey
-	// nextCopyAt is when a successor that refused a copy is asked again.
+	// nextCopyAt is when a copy is sent again to a successor that refused one.
 	nextCopyAt time.Time
-	// copyTo is the successor that is being brought in sync.
+	// copyTo is the successor that is being synchronized.
 	copyTo     core.EntryID
 	copyRound  uint64
 	copyAcked  bool
 	copySentAt time.Time
 
-	// As successor: when the holder last showed life, and since when this entry's
-	// announcement is known to stand in the row.
+	// As successor: when the holder was last active, and since when this entry's
+	// announcement is known to be in the row.
 	holderSeenAt time.Time
 	announcedAt  time.Time
 	mirror       mirror
 }
 
-// pendingSwap is a change of the row that is not settled yet. It may take effect at any
+// pendingSwap is a row change that is not settled yet. It may take effect at any
 // moment until a higher version of the row is read.
 type pendingSwap struct {
 	SwapRow
 	inFlight bool
-	// answerLost says that an earlier send's answer was lost.
+	// answerLost reports that the answer to an earlier attempt was lost.
 	answerLost bool
-	// conflicted says that only a read can settle the swap.
+	// conflicted reports that only a read can settle the swap.
 	conflicted bool
 	retryAt    time.Time
 }
@@ -69,7 +75,7 @@
 	resendAt time.Time
 }
 
-// mirror is what a successor knows of the starts of one holder in one epoch.
+// mirror is what a successor knows about the starts of one holder in one epoch.
 type mirror struct {
 	holder core.EntryID
 	epoch  core.Epoch
@@ -98,13 +104,14 @@
 	s.waiting, s.waitingOrder = nil, nil
 }
 
-// stopCopying ends the attempt to bring the successor in sync.
+// stopCopying aborts the synchronization of the successor.
 func (s *shardState) stopCopying() { s.copyTo, s.copyAcked = "", false }
 
-// possibleSuccessors are the entries that may be the row's successor: the one read, and
-// the one of a change that may yet take effect; "" for none. If the answer to a
-// naming is lost after the write took effect, the holder would otherwise renew its
-// right with the old successor while the new one takes over.
+// possibleSuccessors returns the entries that may be the row's successor: the one
+// in the known row, and the one in a pending change that may still take effect. An
+// element is "" if there is none. If the answer to the change is lost after the
+// write took effect, considering only the old successor would let the holder renew
+// its lease with the old one while the new one takes over.
 func (lm *LeaseManager) possibleSuccessors(s *shardState) [2]core.EntryID {
 	c := [2]core.EntryID{s.row.Successor}
 	p := s.pendingSwap
@@ -115,8 +122,9 @@
 	return c
 }
 
-// evidenceTime returns the time at which it was still certain that no other entry had
-// taken over. Without any possible successor nobody can, until this entry ends.
+// evidenceTime returns the latest time at which certainly no other entry had taken
+// over. If there is no possible successor, nobody can take over until this entry
+// ends, and it returns now.
 func (lm *LeaseManager) evidenceTime(now time.Time, s *shardState) time.Time {
 	oldest, found := now, false
 	for _, c := range lm.possibleSuccessors(s) {
--- a/core/shard/successor.go
+++ b/core/shard/successor.go
@@ -6,7 +6,7 @@
 	"lavenderpond/core"
 )
 
-// tickNonHolder looks after a shard that another entry holds, or none.
+// tickNonHolder checks a shard that another entry or no entry holds.
 func (lm *LeaseManager) tickNonHolder(now time.Time, s *shardState) {
 	if s.pendingSwap != nil {
 		lm.retrySwap(now, s)
@@ -27,8 +27,9 @@
 	}
 }
 
-// watchHolder takes over from a silent holder in two steps. The announcement
-// stops a holder that still reads the table, and lets a live one object.
+// watchHolder takes over from a silent holder in two steps. The announcement stops
+// a holder that still reads the table, and gives a live holder the chance to
+// object.
 func (lm *LeaseManager) watchHolder(now time.Time, s *shardState) {
 	wait := lm.params.takeOverWait()
 	if now.Sub(s.holderSeenAt) <= wait {
@@ -49,8 +50,9 @@
 	}
 }
 
-// thirdEntryMayTakeOver reports whether holder and successor have both ended for
-// certain. Entries go one after the other, so that they don't race.
+// thirdEntryMayTakeOver reports whether an entry other than the successor may take
+// over, which requires that holder and successor have both certainly ended.
+// Entries take turns to avoid races.
 func (lm *LeaseManager) thirdEntryMayTakeOver(now time.Time, s *shardState) bool {
 	if s.row.Successor != "" && !lm.ended[s.row.Successor] {
 		return false
@@ -61,7 +63,7 @@
 func (lm *LeaseManager) takeOver(now time.Time, s *shardState) {
 	successor := s.row.Successor == lm.params.Self
 	known := s.row.InSync && successor && s.mirror.holder == s.row.Holder && s.mirror.epoch == s.row.Epoch
-	// A third entry has no mirror: the mark speaks of the successor's.
+	// A third entry has no mirror: InSync refers to the successor's mirror.
 	if lm.disabled.thirdEntryHorizon && s.row.InSync && !successor {
 		known = true
 	}
@@ -78,15 +80,16 @@
 	lm.swap(now, s, row)
 }
 
-// claim takes a shard that never had a holder.
+// claim takes a shard that has never had a holder.
 func (lm *LeaseManager) claim(now time.Time, s *shardState) {
 	if lm.selfListed && lm.myTurn(now, s) {
 		lm.swap(now, s, Row{Holder: lm.params.Self, Epoch: s.row.Epoch + 1, Successor: lm.chooseSuccessor(now, s, "")})
 	}
 }
 
-// myTurn spreads shards without a holder evenly over the live entries: entry i of
-// n has the first go at every nth shard, the next one a lease later.
+// myTurn spreads shards without a holder evenly over the live entries. Entry i of
+// n has the first turn at every nth shard, and the next entry follows one lease
+// later.
 func (lm *LeaseManager) myTurn(now time.Time, s *shardState) bool {
 	if s.emptySince.IsZero() {
 		s.emptySince = now
@@ -101,14 +104,15 @@
 	return false
 }
 
-// takingOver reports whether a swap that makes this entry the holder may take
-// effect at any moment.
+// takingOver reports whether a swap that makes this entry the holder is pending
+// and may take effect at any moment.
 func (lm *LeaseManager) takingOver(s *shardState) bool {
 	return s.pendingSwap != nil && s.pendingSwap.Row.Holder == lm.params.Self && s.row.Holder != lm.params.Self
 }
 
-// mayGrantLease reports whether this entry, as a possible successor, may grant a lease to
-// from. One that has taken over, or has sent the swap for it, grants none.
+// mayGrantLease reports whether this entry, as a possible successor, may grant a
+// lease to from. An entry that has taken over, or has sent the swap to do so,
+// grants none.
 func (lm *LeaseManager) mayGrantLease(s *shardState, from core.EntryID, epoch core.Epoch) bool {
 	if s.rowKnown && s.row.Epoch > epoch || s.rowKnown && s.row.Epoch == epoch && s.row.Holder != from {
 		return false
--- a/core/shard/verdict.go
+++ b/core/shard/verdict.go
@@ -6,29 +6,33 @@
 	"lavenderpond/core"
 )
 
-// Verdict is what a Keeper says of a request id: Run, NotHolder, Wait, Unknown or
-// Refuse.
+// Verdict is a LeaseManager's decision about a request id: Run, NotHolder, Wait,
+// Unknown or Refuse.
 type Verdict interface{ isVerdict() }
 
-// Run says that this entry may start the request, after Keeper.Start allows it.
+// Run means that this entry may start the request once LeaseManager.Start allows
+// it.
 type Run struct {
-	// StartBy is when the right ends, or the request's deadline if that is earlier.
+	// StartBy is when the lease expires, or the request's deadline if that is
+	// earlier.
 	StartBy time.Time
-	// Mirrored says that the start waits for the successor's ack.
+	// Mirrored reports whether the start has to wait for the successor's ack.
 	Mirrored bool
 }
 
-// NotHolder says that Holder decides.
+// NotHolder means that Holder decides.
 type NotHolder struct{ Holder core.EntryID }
 
-// Wait says that nobody is known to have the right now. It proves nothing about
-// the request: "not run" is true only of a first attempt that was sent nowhere.
+// Wait means that no entry is known to hold a lease. It proves nothing about the
+// request: "not run" is true only for a first attempt that was sent nowhere.
 type Wait struct{ ComeBackAt time.Time }
 
-// Unknown says that the request may have been started before and won't be again.
+// Unknown means that the request may have been started before and will not be
+// started again.
 type Unknown struct{ Code core.Code }
 
-// Refuse says that no holder started the request and none will. Code says why.
+// Refuse means that no holder started the request and none will. Code is the
+// reason.
 type Refuse struct{ Code core.Code }
 
 func (Run) isVerdict()       {}
--- a/core/table/memory.go
+++ b/core/table/memory.go
@@ -7,8 +7,8 @@
 	"lavenderpond/core"
 )
 
-// Memory is a table in memory, for the platform's stand-in and for tests. Its
-// zero value is an empty table. It is not safe for concurrent use.
+// Memory is an in-memory table for the platform emulator and for tests. Its zero
+// value is an empty table. It is not safe for concurrent use.
 type Memory struct {
 	rows     map[Key]memoryRow
 	revision Revision
@@ -22,23 +22,23 @@
 // Revision returns the number of transactions that took effect.
 func (m *Memory) Revision() Revision { return m.revision }
 
-// Read returns the row of key; its Version is 0 if there is none.
+// Read returns the row of key; its Version is 0 if the row doesn't exist.
 func (m *Memory) Read(key Key) Row {
 	r, ok := m.rows[key]
 	if !ok || r.Value == nil {
-		// The tombstone keeps counting versions, so that a row that was deleted
-		// and written again never matches a check made before the deletion.
+		// The tombstone continues the version count, so that a row that was deleted
+		// and written again never matches a check from before the deletion.
 		return Row{Key: key}
 	}
 	return r.Row
 }
 
-// Scan returns the rows whose keys start with prefix, by key.
+// Scan returns the rows whose keys start with prefix, sorted by key.
 func (m *Memory) Scan(prefix string) []Row {
 	return m.collect(prefix, func(r memoryRow) bool { return r.Value != nil })
 }
 
-// Changes returns the rows under prefix that changed after since, by key.
+// Changes returns the rows under prefix that changed after since, sorted by key.
 // Deleted rows have Version 0.
 func (m *Memory) Changes(prefix string, since Revision) []Row {
 	rows := m.collect(prefix, func(r memoryRow) bool { return r.changedAt > since })
@@ -86,7 +86,8 @@
 	return rows
 }
 
-// MustRow returns a row for tests and fakes; it panics if value isn't JSON.
+// MustRow returns a row for tests and fakes. It panics if value can't be encoded
+// as JSON.
 func MustRow(key Key, version core.Version, value any) Row {
 	var t Transaction
 	if err := t.Set(key, value); err != nil {
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -1,8 +1,8 @@
-// Package table holds the rows of the platform's transactional table as the
-// decisions see them: keys, versions and transactions, with no client.
+// Package table models the rows, versions and transactions of the platform's
+// transactional table. It contains no client.
 //
 // Rows are JSON objects with names in snake case. A transaction checks the
-// versions of rows and writes others, all or nothing.
+// versions of rows and writes rows, all or nothing.
 package table
 
 import (
@@ -13,49 +13,51 @@
 	"lavenderpond/core"
 )
 
-// Key names a row. Parts are separated by "/".
+// Key is the key of a row. Its parts are separated by "/".
 type Key string
 
 // Revision counts the transactions of the whole table.
 type Revision uint64
 
-// Row is one row as read. A row with Version 0 doesn't exist.
+// Row is a row as read. A row with Version 0 doesn't exist.
 type Row struct {
 	Key     Key             `json:"key"`
 	Version core.Version    `json:"version"`
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Check demands that a row has a version when the transaction takes effect.
+// Check requires a row to have a version when the transaction takes effect.
 type Check struct {
 	Key     Key          `json:"key"`
 	Version core.Version `json:"version"`
 }
 
-// Write sets a row's value, or deletes the row.
+// Write sets a row's value or deletes the row.
 type Write struct {
 	Key    Key             `json:"key"`
 	Value  json.RawMessage `json:"value,omitempty"`
 	Delete bool            `json:"delete,omitempty"`
 }
 
-// Transaction takes effect as a whole if all its checks hold, else not at all.
+// Transaction takes effect as a whole if all its checks succeed, otherwise not at
+// all.
 type Transaction struct {
 	Checks []Check `json:"checks"`
 	Writes []Write `json:"writes"`
 }
 
-// Errors of a transaction or a read, as clients of the table return them.
+// Errors that clients of the table return for transactions and reads.
 var (
-	// ErrConflict says that a check failed and nothing was written.
+	// ErrConflict means that a check failed and nothing was written.
 	ErrConflict = errors.New("table: a row changed since it was read")
-	// ErrOutcomeUnknown says that the answer was lost; the writes may have taken effect.
+	// ErrOutcomeUnknown means that the answer was lost; the writes may have taken
+	// effect.
 	ErrOutcomeUnknown = errors.New("table: answer lost, the outcome is unknown")
-	// ErrUnreachable says that the table was not reached and nothing was written.
+	// ErrUnreachable means that the table was not reached and nothing was written.
 	ErrUnreachable = errors.New("table: not reachable")
 )
 
-// Check adds a demand that r is unchanged.
+// Check adds a check that r is unchanged.
 func (t *Transaction) Check(r Row) {
 	t.Checks = append(t.Checks, Check{Key: r.Key, Version: r.Version})
 }
@@ -75,7 +77,7 @@
 	t.Writes = append(t.Writes, Write{Key: key, Delete: true})
 }
 
-// Decode reads r's value into v. A row that doesn't exist leaves v as it is.
+// Decode decodes r's value into v. If the row doesn't exist, v is left unchanged.
 func (r Row) Decode(v any) error {
 	if r.Version == 0 {
 		return nil
--- a/io/entry/unsafe_test.go
+++ b/io/entry/unsafe_test.go
@@ -58,15 +58,15 @@
 // anyHolder lets an entry decide about every id, without a mirror.
 type anyHolder struct{}
 
-// Decide implements Holders and home.Rights.
+// Decide implements Holders and home.ShardLeases.
 func (anyHolder) Decide(now time.Time, _ core.RequestKey, _, deadline time.Time) shard.Verdict {
 	return shard.Run{StartBy: deadline}
 }
 
-// LeaseExpiry implements home.Rights.
+// LeaseExpiry implements home.ShardLeases.
 func (anyHolder) LeaseExpiry(now time.Time, _ core.RequestKey) time.Time { return now.Add(time.Hour) }
 
-// Start implements home.Rights.
+// Start implements home.ShardLeases.
 func (anyHolder) Start(time.Time, shard.Start) bool { return true }
 
 // anyKey takes every key.
--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -50,7 +50,7 @@
 	OnLost      func(shard.Lost)
 }
 
-// ShardKeeper runs a shard.Keeper in a daemon: it reads and swaps the zone's shard
+// ShardKeeper runs a shard.LeaseManager in a daemon: it reads and swaps the zone's shard
 // rows, speaks to the zone's other entries, and tells home what it may do. It is
 // safe for concurrent use.
 type ShardKeeper struct {
--- a/io/platform/platform.go
+++ b/io/platform/platform.go
@@ -13,7 +13,7 @@
 )
 
 // Table is the platform's transactional table. Errors are table.ErrConflict,
-// table.ErrUnknown and table.ErrDown, possibly wrapped.
+// table.ErrOutcomeUnknown and table.ErrUnreachable, possibly wrapped.
 type Table interface {
 	// Read returns the row of key, with Version 0 if there is none.
 	Read(ctx context.Context, key table.Key) (table.Row, error)
@@ -35,7 +35,7 @@
 	// Put stores data under name, replacing what was there.
 	Put(ctx context.Context, name string, data []byte) error
 	// Get returns the object, ErrNoObject if the store has none of that name, or
-	// table.ErrDown if it can't be reached. Both errors may be wrapped.
+	// table.ErrUnreachable if it can't be reached. Both errors may be wrapped.
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
