--- a/core/home/cancel.go
+++ b/core/home/cancel.go
@@ -33,7 +33,7 @@
 // the request does not run when it arrives.
 func (h *Home) cancelUnknown(now time.Time, e Cancel) {
 	verdict := h.Leases.Decide(now, e.Key, time.Time{}, now.Add(h.Params.Retention))
-	if _, may := verdict.(shard.Run); !may {
+	if _, mayRun := verdict.(shard.Run); !mayRun {
 		h.reply(e.Waiter, e.Key, core.OutcomeUnknown{Code: core.CodeNotFound})
 		return
 	}
--- a/core/home/simulation_test.go
+++ b/core/home/simulation_test.go
@@ -43,20 +43,20 @@
 // separately.
 func TestPropertyNeedsItsSafeguards(t *testing.T) {
 	for name, off := range map[string]disabledSafeguards{"retryLost": {noRetryAfterLoss: true}, "join": {joinAttempts: true}} {
-		failed, doubled, first := 0, 0, ""
+		failed, startedTwice, first := 0, 0, ""
 		for seed := range uint64(100) {
 			if failure := runSimulation(seed, func(h *Home) { h.disabled = off }).failure(); failure != "" {
 				failed++
 				if strings.Contains(failure, "started") {
-					doubled++
+					startedTwice++
 				}
 				if failed == 1 {
 					first = fmt.Sprintf("seed %d: %s", seed, failure)
 				}
 			}
 		}
-		t.Logf("%s: %d of 100 seeds failed, %d with an id started twice; first %s", name, failed, doubled, first)
-		assert.Check(t, failed > 50 && doubled > 0, "%s: only %d of 100 seeds failed", name, failed)
+		t.Logf("%s: %d of 100 seeds failed, %d with an id started twice; first %s", name, failed, startedTwice, first)
+		assert.Check(t, failed > 50 && startedTwice > 0, "%s: only %d of 100 seeds failed", name, failed)
 	}
 }
 
--- a/core/home/submit.go
+++ b/core/home/submit.go
@@ -55,11 +55,11 @@
 // join answers another attempt from the existing record. An id runs only once,
 // however many attempts reach its home and in whatever order.
 func (h *Home) join(now time.Time, r *record, e Submit) {
-	same := sha256.Sum256(e.Request.Body) == r.bodyHash
+	sameBody := sha256.Sum256(e.Request.Body) == r.bodyHash
 	if r.phase == ended && r.number == 0 && r.cancelled {
-		same = true // the cancellation may have arrived before the request, without a body
+		sameBody = true // the cancellation may have arrived before the request, without a body
 	}
-	if !same && !r.fromFormerHolder {
+	if !sameBody && !r.fromFormerHolder {
 		h.reply(e.Waiter, e.Request.Key, core.NotRun{Code: core.CodeIDReused})
 		return
 	}
--- a/core/shard/balance.go
+++ b/core/shard/balance.go
@@ -70,7 +70,7 @@
 // that entry holds at least two fewer than this one. The margin of two makes the
 // moves converge; a new entry receives its share within a few seconds.
 func (lm *LeaseManager) balance(now time.Time) {
-	if now.Before(lm.nextBalance) || !lm.releaseBy.IsZero() || !lm.tableOK {
+	if now.Before(lm.nextBalance) || !lm.handOverBy.IsZero() || !lm.tableOK {
 		return
 	}
 	lm.nextBalance = now.Add(balanceLeases * lm.params.Lease)
@@ -145,10 +145,10 @@
 // passed. After the shutdown deadline it waits for neither.
 func (lm *LeaseManager) nextHandOver(now time.Time, s *shardState) (Row, bool) {
 	to := lm.handOverRecipient(now, s)
-	answers := s.row.Successor == to && !lm.successorSilent(now, s)
-	inSync := s.row.InSync && answers
+	responsive := s.row.Successor == to && !lm.successorSilent(now, s)
+	inSync := s.row.InSync && responsive
 	// Two entries that stop at the same time must not hand a shard back and forth.
-	forced := !lm.releaseBy.IsZero() && !now.Before(lm.releaseBy) && answers && to != s.row.Former
+	forced := !lm.handOverBy.IsZero() && !now.Before(lm.handOverBy) && responsive && to != s.row.Former
 	if to == "" || !inSync && !forced {
 		s.drainUntil = time.Time{}
 		return Row{}, false
@@ -167,7 +167,7 @@
 		Holder: to, Epoch: s.row.Epoch + 1, Successor: lm.params.Self,
 		Former: lm.params.Self, Mirrored: inSync, Horizon: s.row.Horizon, Released: s.row.Released,
 	}
-	if !lm.releaseBy.IsZero() {
+	if !lm.handOverBy.IsZero() {
 		row.Released = lm.params.Self
 		row.Successor = lm.chooseSuccessor(now, s, to)
 	}
@@ -178,7 +178,7 @@
 }
 
 func (lm *LeaseManager) handOverRecipient(now time.Time, s *shardState) core.EntryID {
-	if !lm.releaseBy.IsZero() {
+	if !lm.handOverBy.IsZero() {
 		return s.row.Successor
 	}
 	if now.Before(s.moveDeadline) && !lm.isStopping(s.moveTo) {
--- a/core/shard/holder.go
+++ b/core/shard/holder.go
@@ -31,7 +31,7 @@
 					}
 				}
 			}
-		case s.rowKnown && lm.releaseBy.IsZero():
+		case s.rowKnown && lm.handOverBy.IsZero():
 			lm.tickNonHolder(now, s)
 		}
 	}
@@ -122,8 +122,8 @@
 	if s.moveTo != "" && !lm.ended[s.moveTo] && now.Before(s.moveDeadline) {
 		return s.moveTo
 	}
-	quiet := s.successorSilentFor(now) > 3*lm.params.Lease && now.Sub(s.rowConfirmedAt) < lm.params.Lease
-	if old != "" && !lm.ended[old] && !quiet && lm.isLive(old) {
+	unresponsive := s.successorSilentFor(now) > 3*lm.params.Lease && now.Sub(s.rowConfirmedAt) < lm.params.Lease
+	if old != "" && !lm.ended[old] && !unresponsive && lm.isLive(old) {
 		return old
 	}
 	next := lm.chooseSuccessor(now, s, old)
--- a/core/shard/lease_manager.go
+++ b/core/shard/lease_manager.go
@@ -24,16 +24,16 @@
 	selfListed bool
 	// tableOK reports whether the table has answered since it last failed. Row
 	// changes wait for it, which avoids a retry storm during an outage.
-	tableOK     bool
-	nextPing    time.Time
-	nextRead    time.Time
-	nextBalance time.Time
-	nextExpiry  time.Time
-	// releaseBy is the hand-over deadline of a shutdown; zero if this entry is not
+	tableOK         bool
+	nextPing        time.Time
+	nextRead        time.Time
+	nextBalance     time.Time
+	nextStartExpiry time.Time
+	// handOverBy is the hand-over deadline of a shutdown; zero if this entry is not
 	// stopping.
-	releaseBy time.Time
-	commands  []Command
-	disabled  disabledSafeguards
+	handOverBy time.Time
+	commands   []Command
+	disabled   disabledSafeguards
 }
 
 // disabledSafeguards disables individual safeguards. Only tests set it, to prove
@@ -79,7 +79,7 @@
 		lm.refusedUntil[e.Entry] = now.Add(refusedLeases * lm.params.Lease)
 		lm.requestRead(now)
 	case ShuttingDown:
-		lm.releaseBy = e.HandOverBy
+		lm.handOverBy = e.HandOverBy
 		lm.tick(now)
 	case Tick:
 		lm.tick(now)
@@ -140,9 +140,9 @@
 	if lm.disabled.decideAgain && now.Before(lm.LeaseExpiry(now, shard)) {
 		verdict = Run{Mirrored: lm.mustMirror(now, s)}
 	}
-	run, may := verdict.(Run)
+	run, mayRun := verdict.(Run)
 	switch {
-	case !may:
+	case !mayRun:
 		return false, []Command{StartDenied{Shard: shard, Key: start.Key, Verdict: verdict}}
 	case !run.Mirrored:
 		s.addStart(start)
--- a/core/shard/message_handler.go
+++ b/core/shard/message_handler.go
@@ -85,7 +85,7 @@
 	if s == nil || s.row.Holder != from || s.row.Epoch != m.Epoch || !lm.mayGrantLease(s, from, m.Epoch) {
 		return
 	}
-	if !lm.releaseBy.IsZero() {
+	if !lm.handOverBy.IsZero() {
 		// This entry is stopping and must not be handed any shards. It refuses
 		// explicitly because it still acks pings: a holder that only missed the copy's
 		// ack would keep its starts waiting, and a shutdown that waits for the callers
--- a/core/shard/mirror.go
+++ b/core/shard/mirror.go
@@ -103,7 +103,7 @@
 
 func (lm *LeaseManager) denyStart(now time.Time, s *shardState, w *waitingStart) {
 	verdict := lm.Decide(now, s.index, w.Key, w.FirstSent, w.Deadline)
-	if _, may := verdict.(Run); may {
+	if _, mayRun := verdict.(Run); mayRun {
 		verdict = Wait{ComeBackAt: now}
 	}
 	lm.emit(StartDenied{Shard: s.index, Key: w.Key, Verdict: verdict})
@@ -152,10 +152,10 @@
 // dropExpiredStarts drops starts that nobody can start again, because their
 // deadlines have passed by every clock.
 func (lm *LeaseManager) dropExpiredStarts(now time.Time) {
-	if now.Before(lm.nextExpiry) {
+	if now.Before(lm.nextStartExpiry) {
 		return
 	}
-	lm.nextExpiry = now.Add(4 * lm.params.Lease)
+	lm.nextStartExpiry = now.Add(4 * lm.params.Lease)
 	for i := range lm.shards {
 		deleteExpiredBefore(lm.shards[i].starts, now.Add(-lm.params.Skew))
 		deleteExpiredBefore(lm.shards[i].mirror.starts, now.Add(-lm.params.Skew))
--- a/core/shard/row_handler.go
+++ b/core/shard/row_handler.go
@@ -38,7 +38,7 @@
 // applyRow stores a row that is known to have been in the table at some moment
 // after sentAt, and reacts to changes of the holder.
 func (lm *LeaseManager) applyRow(now time.Time, s *shardState, version core.Version, row Row, sentAt time.Time) {
-	old, moved := s.row, !s.rowKnown || version != s.version
+	old, changed := s.row, !s.rowKnown || version != s.version
 	s.rowKnown, s.row, s.version = true, row, version
 	if s.pendingSwap != nil && version > s.pendingSwap.Version {
 		s.pendingSwap = nil
@@ -53,26 +53,26 @@
 	// holder. Otherwise an announcement that the holder cleared would be repeated
 	// at once, and a network partition between the two would cause a continuous
 	// stream of writes.
-	if moved && row.Announced != lm.params.Self {
+	if changed && row.Announced != lm.params.Self {
 		s.holderSeenAt = now
 	}
 	// The wait counts from when the announcement is known to be in the table, not
 	// from when it was sent. A delayed write must not shorten the time that the
 	// holder has to see it.
-	if row.Announced == lm.params.Self && moved {
+	if row.Announced == lm.params.Self && changed {
 		s.announcedAt = now
 	}
 }
 
 func (lm *LeaseManager) applyHeldRow(now time.Time, s *shardState, old Row, sentAt time.Time) {
-	began := old.Holder != lm.params.Self || old.Epoch != s.row.Epoch
-	if began {
+	epochBegan := old.Holder != lm.params.Self || old.Epoch != s.row.Epoch
+	if epochBegan {
 		lm.beginEpoch(now, s)
 	}
 	if s.row.Announced == "" && sentAt.After(s.rowConfirmedAt) {
 		s.rowConfirmedAt = sentAt
 	}
-	if began || s.row.Successor != old.Successor {
+	if epochBegan || s.row.Successor != old.Successor {
 		s.successorNamedAt = now
 		s.stopCopying()
 	}
