--- a/core/home/session_test.go
+++ b/core/home/session_test.go
@@ -302,18 +302,18 @@
 		session    func(change func(*Home)) string
 		off        func(*Home)
 	}{
-		{"join", "one_request", sessionOneRequest, func(h *Home) { h.disabled.joinAttempts = true }},
-		{"lapse", "right_lapses", sessionRightLapses, func(h *Home) { h.disabled.leaseCheck = true }},
-		{"attempts", "right_lapses", sessionRightLapses, func(h *Home) { h.disabled.laterAttemptUnknown = true }},
-		{"withdrawal", "refusals", sessionRefusals, func(h *Home) { h.disabled.keyWithdrawal = true }},
+		{"join attempts", "one_request", sessionOneRequest, func(h *Home) { h.disabled.joinAttempts = true }},
+		{"lease check", "right_lapses", sessionRightLapses, func(h *Home) { h.disabled.leaseCheck = true }},
+		{"unknown to later attempts", "right_lapses", sessionRightLapses, func(h *Home) { h.disabled.laterAttemptUnknown = true }},
+		{"key withdrawal", "refusals", sessionRefusals, func(h *Home) { h.disabled.keyWithdrawal = true }},
 		{"max targets", "refusals", sessionRefusals, func(h *Home) { h.Params.MaxTargets = 100 }},
-		{"slot kept", "lost_answer", sessionLostAnswer, func(h *Home) { h.disabled.keepTeamSlot = true }},
+		{"keep team slot", "lost_answer", sessionLostAnswer, func(h *Home) { h.disabled.keepTeamSlot = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			want := string(golden.Get(t, "session_"+c.file+".golden"))
 			line := firstDifference(want, c.session(c.off))
-			t.Logf("switched off: %s", line)
-			assert.Assert(t, line != "", "the session can't fail")
+			t.Logf("first differing line without the safeguard: %s", line)
+			assert.Assert(t, line != "", "the session is the same without the safeguard")
 		})
 	}
 }
--- a/core/home/simulation_test.go
+++ b/core/home/simulation_test.go
@@ -42,7 +42,7 @@
 // a request whose answer was lost to another target, or runs each attempt
 // separately.
 func TestPropertyNeedsItsSafeguards(t *testing.T) {
-	for name, off := range map[string]disabledSafeguards{"retryLost": {noRetryAfterLoss: true}, "join": {joinAttempts: true}} {
+	for name, off := range map[string]disabledSafeguards{"no retry after loss": {noRetryAfterLoss: true}, "join attempts": {joinAttempts: true}} {
 		failed, startedTwice, first := 0, 0, ""
 		for seed := range uint64(100) {
 			if failure := runSimulation(seed, func(h *Home) { h.disabled = off }).failure(); failure != "" {
@@ -55,8 +55,8 @@
 				}
 			}
 		}
-		t.Logf("%s: %d of 100 seeds failed, %d with an id started twice; first %s", name, failed, startedTwice, first)
-		assert.Check(t, failed > 50 && startedTwice > 0, "%s: only %d of 100 seeds failed", name, failed)
+		t.Logf("without %q: %d of 100 seeds failed, %d with an id started twice; first %s", name, failed, startedTwice, first)
+		assert.Check(t, failed > 50 && startedTwice > 0, "without %q: only %d of 100 seeds failed", name, failed)
 	}
 }
 
--- a/core/shard/safeguards_test.go
+++ b/core/shard/safeguards_test.go
@@ -11,7 +11,7 @@
 const simSteps = 3000
 
 // seeds can be raised: go test ./core/shard -run NoIDRuns -seeds 20000.
-var seeds = flag.Int64("seeds", 2000, "seeds of the full rule")
+var seeds = flag.Int64("seeds", 2000, "number of seeds for TestNoIDRunsTwice")
 
 // seedTotals are the summed results of a range of seeds.
 type seedTotals struct {
@@ -21,7 +21,7 @@
 }
 
 func (s seedTotals) String() string {
-	return fmt.Sprintf("seeds with a double=%d (first %d) doubles=%d served=%d of %d (%.1f%%) take-overs=%d in sync=%d hand-overs=%d",
+	return fmt.Sprintf("seeds with duplicate runs=%d (first %d) duplicate ids=%d served=%d of %d (%.1f%%) take-overs=%d in sync=%d hand-overs=%d",
 		s.seedsWithDuplicate, s.firstSeed, s.duplicates, s.served, s.asked, 100*float64(s.served)/float64(s.asked),
 		s.takeOvers, s.inSync, s.handOvers)
 }
@@ -59,7 +59,7 @@
 			t.Parallel()
 			s := runSeeds(0, tc.seeds, tc.faults, disabledSafeguards{})
 			t.Logf("seeds=%d %s", tc.seeds, s)
-			assert.Equal(t, s.seedsWithDuplicate, 0, "first seed with a double: %d", s.firstSeed)
+			assert.Equal(t, s.seedsWithDuplicate, 0, "first seed in which an id ran twice: %d", s.firstSeed)
 		})
 	}
 }
@@ -79,25 +79,25 @@
 		{"no horizon", modelFaults, disabledSafeguards{horizon: true}},
 		{"evidence dated on receipt", lateFaults, disabledSafeguards{dateBySend: true}},
 		{"no announcement", modelFaults, disabledSafeguards{announcement: true}},
-		{"any peer may take over", modelFaults, disabledSafeguards{oneSuccessor: true}},
-		{"death proof after a lapse", lossyFaults, disabledSafeguards{unexpiredLease: true}},
-		{"unconfirmed successor forgotten", lossyFaults, disabledSafeguards{unconfirmedSuccessor: true}},
+		{"any entry may take over", modelFaults, disabledSafeguards{oneSuccessor: true}},
+		{"end of successor extends an expired lease", lossyFaults, disabledSafeguards{unexpiredLease: true}},
+		{"unconfirmed successor ignored", lossyFaults, disabledSafeguards{unconfirmedSuccessor: true}},
 		{"starts not mirrored", modelFaults, disabledSafeguards{mirror: true}},
-		{"new successor keeps the sync mark", lossyFaults, disabledSafeguards{clearInSync: true}},
-		{"third entry trusts the mark", lossyFaults, disabledSafeguards{thirdEntryHorizon: true}},
+		{"new successor keeps the in-sync mark", lossyFaults, disabledSafeguards{clearInSync: true}},
+		{"third entry trusts the in-sync mark", lossyFaults, disabledSafeguards{thirdEntryHorizon: true}},
 		{"copies replace the mirror", lossyFaults, disabledSafeguards{copyMerge: true}},
-		{"unmirrored before read back", lossyFaults, disabledSafeguards{confirmUnmirrored: true}},
-		{"a queued start isn't decided anew", modelFaults, disabledSafeguards{decideAgain: true}},
+		{"unmirrored before the row is confirmed", lossyFaults, disabledSafeguards{confirmUnmirrored: true}},
+		{"queued start is not decided again", modelFaults, disabledSafeguards{decideAgain: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			seed := int64(0)
 			for ; seed < maxSearchedSeeds; seed++ {
 				if r := newSimulation(seed, tc.faults, tc.off).run(simSteps); r.duplicates > 0 {
-					t.Logf("seed %d is the first with a double: %d ids run twice", seed, r.duplicates)
+					t.Logf("seed %d is the first with duplicate runs: %d ids ran twice", seed, r.duplicates)
 					return
 				}
 			}
-			t.Errorf("no double in %d seeds", seed)
+			t.Errorf("no id ran twice in %d seeds", seed)
 		})
 	}
 }
