--- a/core/home/command.go
+++ b/core/home/command.go
@@ -22,9 +22,9 @@
 	VM      core.VMID
 	// Number counts the dispatches of this request, from 1.
 	Number core.Attempt
-	// StartBy is the latest time at which the task may start, because this entry's
-	// shard lease or the request ends then. The sender checks it right before the
-	// write, and the target enforces it.
+	// StartBy is the latest time at which the task may start: the earlier of the
+	// expiry of this entry's shard lease and the request's deadline. The sender
+	// checks it right before the write, and the target enforces it.
 	StartBy time.Time
 	// LeaseUntil is when the task's lease ends and the target stops the task.
 	LeaseUntil time.Time
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -3,7 +3,7 @@
 // and what its caller is told. It does no I/O and reads no clock: callers pass in
 // the time and events and execute the returned commands.
 //
-// A non-idempotent request is sent to at most one target. It is recorded before
+// A non-idempotent request starts at a target at most once. It is recorded before
 // the dispatch, its start is mirrored to the shard's successor before it is sent,
 // and once a target may have received any bytes, only that target is asked about
 // it.
