--- a/core/home/cancel.go
+++ b/core/home/cancel.go
@@ -8,7 +8,8 @@
 	"lavenderpond/core/shard"
 )
 
-// cancel gives a request up: while it is queued that means it did not run.
+// cancel ends a request at a caller's wish. A request that is still queued is
+// answered as not run.
 func (h *Home) cancel(now time.Time, e Cancel) {
 	r, ok := h.records[e.Key]
 	if !ok {
@@ -18,8 +19,8 @@
 	r.cancelled = true
 	switch r.phase {
 	case queued, announced:
-		h.takeBack(now, r)
-		h.finishNotRun(now, r, core.NotRun{Code: core.CodeCancelled})
+		h.releaseUnsent(now, r)
+		h.finishUnstarted(now, r, core.NotRun{Code: core.CodeCancelled})
 	case running, asking, inherited:
 		h.emit(StopTask{Key: e.Key, VM: r.vm})
 		h.finish(r, core.OutcomeUnknown{Code: core.CodeCancelledRunning})
@@ -28,64 +29,66 @@
 	h.reply(e.Waiter, e.Key, r.answer)
 }
 
-// cancelUnknown keeps a cancellation that overtook its request, so that the
-// request does not run when it comes.
+// cancelUnknown records a cancellation that arrived before its request, so that
+// the request does not run when it arrives.
 func (h *Home) cancelUnknown(now time.Time, e Cancel) {
-	verdict := h.Rights.Decide(now, e.Key, time.Time{}, now.Add(h.Times.Retention))
-	if _, may := verdict.(shard.Run); !may {
+	verdict := h.Leases.Decide(now, e.Key, time.Time{}, now.Add(h.Params.Retention))
+	if _, mayRun := verdict.(shard.Run); !mayRun {
 		h.reply(e.Waiter, e.Key, core.OutcomeUnknown{Code: core.CodeNotFound})
 		return
 	}
-	r := h.newRecord(core.Request{Key: e.Key, Deadline: now.Add(h.Times.Retention)})
+	r := h.newRecord(core.Request{Key: e.Key, Deadline: now.Add(h.Params.Retention)})
 	r.cancelled = true
 	r.waiters = []Waiter{e.Waiter}
 	h.finish(r, core.NotRun{Code: core.CodeCancelled})
 }
 
-// keyWithdrawn refuses what still waits under the key. What runs, finishes.
-func (h *Home) keyWithdrawn(now time.Time, digest core.KeyDigest) {
-	for _, r := range h.notSent(func(r *record) bool { return r.request.KeyDigest == digest && !h.off.withdrawal }) {
-		h.takeBack(now, r)
-		h.finishNotRun(now, r, core.NotRun{Code: core.CodeKeyWithdrawn})
+// handleKeyWithdrawn refuses the waiting requests of a withdrawn key. Running
+// requests finish.
+func (h *Home) handleKeyWithdrawn(now time.Time, digest core.KeyDigest) {
+	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.KeyDigest == digest && !h.disabled.keyWithdrawal }) {
+		h.releaseUnsent(now, r)
+		h.finishUnstarted(now, r, core.NotRun{Code: core.CodeKeyWithdrawn})
 	}
 }
 
-// handedOver sends what waits on a shard that moved on to its new holder: without
-// it the callers would wait here until their deadlines for a right that is gone.
-// Nothing of it was sent, so CodeEntryStopping is true; the front passes it on.
-func (h *Home) handedOver(now time.Time, e HandedOver) {
-	for _, r := range h.notSent(func(r *record) bool { return r.request.Key.Shard(e.Shards) == e.Shard }) {
-		h.takeBack(now, r)
+// handleHandedOver ends the waiting requests of a shard that moved to another
+// holder, so that the callers go there. Otherwise they would wait here until their
+// deadlines for a lease that is gone. None of these requests was sent, so
+// CodeEntryStopping is accurate; the front forwards them to the new holder.
+func (h *Home) handleHandedOver(now time.Time, e HandedOver) {
+	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.Key.Shard(e.Shards) == e.Shard }) {
+		h.releaseUnsent(now, r)
 		h.finish(r, core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now})
 	}
 }
 
-// stop refuses what still waits, so that the callers go elsewhere at once. What
-// runs is waited for by the daemon. A request whose start was mirrored and whose
-// target had no slot is still sent from here: the next holder would take it for
-// started, and its caller would be told that the outcome is unknown.
-func (h *Home) stop(now time.Time) {
+// handleStopping refuses waiting requests, so that their callers go elsewhere at
+// once. The daemon waits for the running ones. A request whose start was mirrored
+// and whose target had no slot is still sent from here: the next holder would
+// consider it started, and its caller would be told that the outcome is unknown.
+func (h *Home) handleStopping(now time.Time) {
 	h.stopping = true
-	for _, r := range h.notSent(func(r *record) bool { return r.phase == queued && !r.mirrored }) {
-		h.takeBack(now, r)
+	for _, r := range h.unsentRecords(func(r *record) bool { return r.phase == queued && !r.mirrored }) {
+		h.releaseUnsent(now, r)
 		h.finish(r, core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now})
 	}
 }
 
-// notSent returns the requests that keep allows and that no target was sent, in a
-// fixed order. Most records have ended, so they are picked before they are sorted.
-func (h *Home) notSent(keep func(*record) bool) []*record {
+// unsentRecords returns, in a fixed order, the records selected by keep that were
+// not sent to a target. Most records have ended, so it filters before it sorts.
+func (h *Home) unsentRecords(keep func(*record) bool) []*record {
 	picked := make(map[core.RequestKey]*record)
-	for key, r := range h.open {
+	for key, r := range h.unfinished {
 		if (r.phase == queued || r.phase == announced) && keep(r) {
 			picked[key] = r
 		}
 	}
-	return sorted(picked)
+	return sortedRecords(picked)
 }
 
-// takeBack frees what a request that was not sent holds.
-func (h *Home) takeBack(now time.Time, r *record) {
+// releaseUnsent releases the resources of a request that was not sent.
+func (h *Home) releaseUnsent(now time.Time, r *record) {
 	h.Queue.Remove(r.request.Key)
 	if r.phase == announced {
 		h.releaseSlots(now, r, route.Unsent)
--- a/core/home/dump.go
+++ b/core/home/dump.go
@@ -7,17 +7,17 @@
 	"lavenderpond/core"
 )
 
-// Load is a team's work at this home.
+// Load is a team's unfinished work at this home.
 type Load struct {
 	Team    core.TeamID `json:"team"`
 	Running core.Slots  `json:"running"`
 	Queued  int         `json:"queued"`
 }
 
-// Loads returns the teams with unfinished work, by name.
+// Loads returns the teams with unfinished work, sorted by name.
 func (h *Home) Loads() []Load {
 	byTeam := make(map[core.TeamID]*Load)
-	for key, r := range h.open {
+	for key, r := range h.unfinished {
 		l := byTeam[key.Team]
 		if l == nil {
 			l = &Load{Team: key.Team}
@@ -37,10 +37,10 @@
 	return loads
 }
 
-// dumpedRecords bounds how many unfinished requests a dump lists.
-const dumpedRecords = 200
+// maxDumpedRecords limits how many unfinished requests a dump lists.
+const maxDumpedRecords = 200
 
-// Dump is what an operator sees of a Home. Bodies are left out.
+// Dump is a Home's state for operators. It contains no request bodies.
 type Dump struct {
 	Counts     Counts       `json:"counts"`
 	Records    int          `json:"records"`
@@ -48,7 +48,7 @@
 	Unfinished []RecordDump `json:"unfinished"`
 }
 
-// RecordDump is an unfinished request.
+// RecordDump is the state of an unfinished request in a Dump.
 type RecordDump struct {
 	Key      string       `json:"key"`
 	Phase    string       `json:"phase"`
@@ -65,8 +65,8 @@
 	for code, n := range h.counts.Answers {
 		d.Counts.Answers[code] = n
 	}
-	for key, r := range h.open {
-		if len(d.Unfinished) == dumpedRecords {
+	for key, r := range h.unfinished {
+		if len(d.Unfinished) == maxDumpedRecords {
 			break
 		}
 		d.Unfinished = append(d.Unfinished, RecordDump{
--- a/core/home/lent_test.go
+++ b/core/home/lending_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/core/route/least"
 )
 
-// twoQueues serves the queue "stack" from pool "p" and "quotes" from "q"; both
-// may overflow.
+// twoQueues serves the queue "stack" from pool "p" and "quotes" from "q"; both may
+// overflow.
 type twoQueues struct{ fakeConfig }
 
 func (*twoQueues) Pool(_ time.Time, q core.QueueID) (core.PoolID, bool, bool) {
@@ -24,15 +24,15 @@
 	return "p", true, q == "stack"
 }
 
-// floodedLender returns how many urgent requests of the queue "quotes" start in the
-// lending pool "p" before its own request does.
+// floodedLender returns how many urgent requests of the queue "quotes" start in
+// the lending pool "p" before a request of the pool's own queue does.
 func floodedLender(t *testing.T, lenderFirst bool) int {
 	t.Helper()
-	b := newBench(100)
+	b := newTestbed(100)
 	router := &least.Router{}
 	router.Update(epoch, []route.Target{{VM: "lender", Pool: "p", Slots: 8}}, []route.Pool{{ID: "p", LendsIdle: true}, {ID: "q"}})
 	b.home.Router, b.home.Queue, b.home.Config = router, &fair.Queue{}, &twoQueues{}
-	b.home.off.lenderFirst = !lenderFirst
+	b.home.disabled.lenderFirst = !lenderFirst
 	var open []Dispatch
 	collect := func(commands []Command) {
 		for _, c := range commands {
@@ -51,14 +51,15 @@
 			return n - 8
 		}
 		b.wait(time.Millisecond)
-		collect(b.do(Ended{Key: open[n].Request.Key, Number: open[n].Number, End: Answered{}}))
+		collect(b.handle(Ended{Key: open[n].Request.Key, Number: open[n].Number, End: Answered{}}))
 	}
 	return len(open) - 8
 }
 
-// TestLenderGoesFirst: a flood of urgent requests fills every slot of a pool that
-// lends, and a request of the pool's own queue comes. The first slot that comes
-// free must be its; else it would wait for the flood to end.
+// TestLenderGoesFirst fills every slot of a lending pool with urgent requests of
+// another queue and then submits a request of the pool's own queue. That request
+// must get the first slot that becomes free; otherwise it would wait until the
+// flood ends.
 func TestLenderGoesFirst(t *testing.T) {
 	assert.Equal(t, floodedLender(t, true), 0)
 	assert.Equal(t, floodedLender(t, false), 32, "without the safeguard")
--- a/core/home/record.go
+++ b/core/home/record.go
@@ -7,19 +7,19 @@
 	"lavenderpond/core"
 )
 
-// phase is how far a request has come.
+// phase is the state of a request.
 type phase int
 
 const (
 	// queued: waits for a slot.
 	queued phase = iota
-	// announced: a slot is taken; the start waits for the successor's ack.
+	// announced: has a slot; the start waits for the successor's ack.
 	announced
 	// running: sent to a target.
 	running
 	// asking: the answer was lost; the target is being asked.
 	asking
-	// inherited: a former holder announced its start. Nobody has asked for it here.
+	// inherited: announced by a former holder; no caller has asked for it here.
 	inherited
 	// ended: has its final answer.
 	ended
@@ -27,16 +27,16 @@
 
 var phaseNames = [...]string{"queued", "announced", "running", "asking", "inherited", "ended"}
 
-// String returns the phase's name, as dumps show it.
+// String returns the phase's name as shown in dumps.
 func (p phase) String() string { return phaseNames[p] }
 
-// record is what the home knows of a request.
+// record is the state of a request at its home.
 type record struct {
-	request core.Request
-	body    [sha256.Size]byte
-	phase   phase
-	answer  core.Answer
-	waiters []Waiter
+	request  core.Request
+	bodyHash [sha256.Size]byte
+	phase    phase
+	answer   core.Answer
+	waiters  []Waiter
 
 	vm        core.VMID
 	number    core.Attempt
@@ -44,83 +44,90 @@
 	tried     []core.VMID
 	notBefore time.Time
 	cancelled bool
-	// fetched says that a caller does not wait but fetches the answer later.
-	fetched bool
-	// fromFormer says that the record came from a former holder, without its body.
-	fromFormer bool
-	// mirrored says that Rights.Start allowed this request once.
+	// fetchLater reports that a caller doesn't wait for the answer but fetches it
+	// later.
+	fetchLater bool
+	// fromFormerHolder reports that the record came from a former holder, without
+	// the request's body.
+	fromFormerHolder bool
+	// mirrored reports that ShardLeases.Start has allowed this request once.
 	mirrored bool
-	// slotHeld says that the router counts a slot of vm for this record.
+	// slotHeld reports that the router counts a slot of vm for this record.
 	slotHeld bool
-	// lent says that vm is of another pool, which lends its idle slots.
-	lent bool
+	// borrowed reports that vm belongs to another pool, which lends its idle
+	// slots.
+	borrowed bool
 
 	nextAsk  time.Time
 	askUntil time.Time
 
-	forgetAt time.Time
-	index    int
+	forgetAt  time.Time
+	heapIndex int
 }
 
-// newRecord stores a record. It is forgotten some time after the deadline: from
-// the deadline on no attempt is taken any more, so a forgotten id can't run again.
+// newRecord stores a record. The record is dropped some time after the deadline.
+// No attempt is accepted once the deadline has passed, so an id whose record was
+// dropped can't run again.
 func (h *Home) newRecord(req core.Request) *record {
 	if h.records == nil {
 		h.records = make(map[core.RequestKey]*record)
-		h.open = make(map[core.RequestKey]*record)
+		h.unfinished = make(map[core.RequestKey]*record)
 		h.asking = make(map[core.RequestKey]*record)
-		h.waiting = make(map[core.RequestKey]*record)
+		h.awaitingAck = make(map[core.RequestKey]*record)
 	}
-	r := &record{request: req, body: sha256.Sum256(req.Body)}
-	r.forgetAt = req.Deadline.Add(h.Times.Retention)
+	r := &record{request: req, bodyHash: sha256.Sum256(req.Body)}
+	r.forgetAt = req.Deadline.Add(h.Params.Retention)
 	h.records[req.Key] = r
-	h.open[req.Key] = r
-	h.forget.Push(r)
+	h.unfinished[req.Key] = r
+	h.expiry.Push(r)
 	return r
 }
 
 func (h *Home) drop(r *record) {
 	delete(h.records, r.request.Key)
-	delete(h.open, r.request.Key)
+	delete(h.unfinished, r.request.Key)
 	delete(h.asking, r.request.Key)
-	delete(h.waiting, r.request.Key)
-	h.forget.Remove(r)
+	delete(h.awaitingAck, r.request.Key)
+	h.expiry.Remove(r)
 }
 
-// finish gives r its final answer. It is kept, so that the id can't run again, but
-// for a NotRun: a later attempt of the same id may still run. Of a caller that
-// fetches its answer a NotRun is kept too, unless the request goes on elsewhere.
+// finish sets r's final answer and sends it to the waiters. The record is kept so
+// that the id can't run again, except after a NotRun, since a later attempt of the
+// same id may still run. If a caller will fetch the answer, a NotRun is kept too,
+// unless the request continues at another entry.
 func (h *Home) finish(r *record, a core.Answer) {
 	r.phase = ended
 	r.answer = a
-	// What only a request that still runs needs is not kept until the deadline.
+	// Drop what only an unfinished request needs, to save memory until the record
+	// expires.
 	r.request.Body, r.request.KeyDigest, r.tried = nil, "", nil
-	delete(h.open, r.request.Key)
+	delete(h.unfinished, r.request.Key)
 	delete(h.asking, r.request.Key)
-	delete(h.waiting, r.request.Key)
+	delete(h.awaitingAck, r.request.Key)
 	for _, w := range r.waiters {
 		h.reply(w, r.request.Key, a)
 	}
 	r.waiters = nil
 	if refusal, notRun := a.(core.NotRun); notRun && !r.cancelled {
-		if !r.fetched || refusal.Code == core.CodeEntryStopping {
+		if !r.fetchLater || refusal.Code == core.CodeEntryStopping {
 			h.drop(r)
 		}
 	}
 }
 
-// finishNotRun says that r did not run, if this entry can still know it: with
-// its right lapsed, another holder may have taken an attempt of the same id.
-func (h *Home) finishNotRun(now time.Time, r *record, a core.NotRun) {
-	if now.Before(h.Rights.RightUntil(now, r.request.Key)) || h.off.lapse {
+// finishUnstarted answers that r did not run if this entry still holds the shard
+// lease. If the lease has expired, another holder may have accepted an attempt of
+// the same id, and the outcome is unknown.
+func (h *Home) finishUnstarted(now time.Time, r *record, a core.NotRun) {
+	if now.Before(h.Leases.LeaseExpiry(now, r.request.Key)) || h.disabled.leaseCheck {
 		h.finish(r, a)
 		return
 	}
 	h.finish(r, core.OutcomeUnknown{Code: core.CodeHomeReplaced, ComeBackAt: a.ComeBackAt})
 }
 
-// Deadline implements deadline.Item: when the record is forgotten.
+// Deadline implements deadline.Item. It returns when the record is dropped.
 func (r *record) Deadline() time.Time { return r.forgetAt }
 
 // HeapIndex implements deadline.Item.
-func (r *record) HeapIndex() *int { return &r.index }
+func (r *record) HeapIndex() *int { return &r.heapIndex }
--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -219,7 +219,7 @@
 
 func (w *simulation) recorded(d core.KeyDigest) bool {
 	var k config.Key
-	return w.table.Read(table.KeyKey(d)).Decode(&k) == nil && k.Withdrawn
+	return w.table.Read(table.KeyDigestKey(d)).Decode(&k) == nil && k.Withdrawn
 }
 
 // forgotten reports whether a withdrawal that isn't in the table is no longer known to
--- a/core/limit/handle.go
+++ b/core/limit/handle.go
@@ -141,7 +141,7 @@
 	}
 	received := l.trackReceived(e)
 	for _, row := range e.Rows {
-		team, zone, _ := table.SplitAllotmentKey(row.Key)
+		team, zone, _ := table.ParseAllotmentKey(row.Key)
 		a, ok := l.teams[team]
 		if !ok || !a.rowsKnown {
 			continue
@@ -174,7 +174,7 @@
 func (l *Ledger) trackReceived(e Polled) []*teamAllotment {
 	var received []*teamAllotment
 	for _, row := range e.Rows {
-		team, zone, _ := table.SplitAllotmentKey(row.Key)
+		team, zone, _ := table.ParseAllotmentKey(row.Key)
 		if _, ok := l.teams[team]; ok || zone != l.Zone {
 			continue
 		}
--- a/core/shard/balance.go
+++ b/core/shard/balance.go
@@ -7,43 +7,45 @@
 	"lavenderpond/core"
 )
 
-// Limits of hand-overs, as multiples of the lease.
+// Limits on shard hand-overs. The durations are multiples of the lease.
 const (
-	// moveLeases is how long a move may take before it is given up.
+	// moveLeases is how long a move may take before it is abandoned.
 	moveLeases = 8
-	// balanceLeases is how often an entry considers a move.
+	// balanceLeases is the interval at which an entry considers moving shards.
 	balanceLeases = 1
-	// refusedLeases is how long a refused connection counts against an entry.
+	// refusedLeases is how long an entry that refused a connection is avoided as a
+	// successor or as the destination of a move.
 	refusedLeases = 4
-	// maxPartners bounds the entries that this one chooses as successors, and so its
-	// messages, however many entries the zone has.
-	maxPartners = 3
-	// maxMoves bounds the moves that an entry has under way.
+	// maxSuccessors limits how many different entries this entry chooses as
+	// successors. It bounds the number of messages regardless of the zone's size.
+	maxSuccessors = 3
+	// maxMoves limits the moves that an entry has in progress.
 	maxMoves = 4
 )
 
-func (k *Keeper) isLive(id core.EntryID) bool { return slices.Contains(k.live, id) }
+func (lm *LeaseManager) isLive(id core.EntryID) bool { return slices.Contains(lm.live, id) }
 
-// chooseSuccessor returns, of the next live entries in order after this one, the
-// successor of the fewest of its shards; "" if none is left besides except.
-func (k *Keeper) chooseSuccessor(now time.Time, s *state, except core.EntryID) core.EntryID {
+// chooseSuccessor considers the next maxSuccessors live entries after this one in
+// list order and returns the one that is successor of the fewest of this entry's
+// shards. It returns "" if no entry other than except is available.
+func (lm *LeaseManager) chooseSuccessor(now time.Time, s *shardState, except core.EntryID) core.EntryID {
 	load := make(map[core.EntryID]int)
-	for i := range k.shards {
-		o := &k.shards[i]
+	for i := range lm.shards {
+		o := &lm.shards[i]
 		switch {
 		case o == s:
-		case o.pending != nil && o.pending.Row.Holder == k.p.Self:
-			load[o.pending.Row.Successor]++
-		case o.holds(k.p.Self):
+		case o.pendingSwap != nil && o.pendingSwap.Row.Holder == lm.params.Self:
+			load[o.pendingSwap.Row.Successor]++
+		case o.isHeldBy(lm.params.Self):
 			load[o.row.Successor]++
 		}
 	}
 	var best core.EntryID
 	partners := 0
-	self := slices.Index(k.live, k.p.Self)
-	for i := range k.live {
-		id := k.live[(self+1+i)%len(k.live)]
-		if id == k.p.Self || id == except || k.gone[id] || now.Before(k.refused[id]) || partners == maxPartners {
+	self := slices.Index(lm.live, lm.params.Self)
+	for i := range lm.live {
+		id := lm.live[(self+1+i)%len(lm.live)]
+		if id == lm.params.Self || id == except || lm.ended[id] || now.Before(lm.refusedUntil[id]) || partners == maxSuccessors {
 			continue
 		}
 		partners++
@@ -54,75 +56,77 @@
 	return best
 }
 
-// load counts the shards by the entry that role names.
-func (k *Keeper) load(role func(Row) core.EntryID) map[core.EntryID]int {
-	n := make(map[core.EntryID]int, len(k.live))
-	for i := range k.shards {
-		n[role(k.shards[i].row)]++
+// countShardsBy returns the number of shards per entry, where role selects the
+// entry from a shard's row.
+func (lm *LeaseManager) countShardsBy(role func(Row) core.EntryID) map[core.EntryID]int {
+	n := make(map[core.EntryID]int, len(lm.live))
+	for i := range lm.shards {
+		n[role(lm.shards[i].row)]++
 	}
 	return n
 }
 
-// balance moves a few shards at a time to the live entry that holds the fewest, if it
-// holds at least two less than this one: so moves end, and a new entry gets its
-// part within some seconds.
-func (k *Keeper) balance(now time.Time) {
-	if now.Before(k.nextBalance) || !k.releaseBy.IsZero() || !k.tableOK {
+// balance moves a few shards at a time to the live entry that holds the fewest, if
+// that entry holds at least two fewer than this one. The margin of two makes the
+// moves converge; a new entry receives its share within a few seconds.
+func (lm *LeaseManager) balance(now time.Time) {
+	if now.Before(lm.nextBalance) || !lm.handOverBy.IsZero() || !lm.tableOK {
 		return
 	}
-	k.nextBalance = now.Add(balanceLeases * k.p.Lease)
-	held := k.load(func(r Row) core.EntryID { return r.Holder })
+	lm.nextBalance = now.Add(balanceLeases * lm.params.Lease)
+	held := lm.countShardsBy(func(r Row) core.EntryID { return r.Holder })
 	if held[""] > 0 {
 		return
 	}
-	least := k.p.Self
-	for _, id := range k.live {
-		if held[id] < held[least] && !k.gone[id] && !now.Before(k.refused[id]) && !k.stops(id) {
+	least := lm.params.Self
+	for _, id := range lm.live {
+		if held[id] < held[least] && !lm.ended[id] && !now.Before(lm.refusedUntil[id]) && !lm.isStopping(id) {
 			least = id
 		}
 	}
 	for range maxMoves {
-		if held[k.p.Self]-k.moves(now)-held[least] < 2 || !k.move(now, least) {
+		if held[lm.params.Self]-lm.movesInProgress(now)-held[least] < 2 || !lm.startMove(now, least) {
 			return
 		}
 	}
 }
 
-// stops reports whether the run of id hands its shards over to end, as a row that it
-// released says. Until it has ended it is listed, answers, and holds the fewest
-// shards: handed some back, it would end with them, and their callers would wait for
-// a take-over and be told "unknown" of ids that never ran. A run that stops never
-// goes back to serving, so the word of one row is enough.
-func (k *Keeper) stops(id core.EntryID) bool {
-	for i := range k.shards {
-		if k.shards[i].row.Released == id {
+// isStopping reports whether entry id is handing its shards over in order to shut
+// down, which any row that it released shows. Until such an entry has ended, it is
+// still listed, still answers, and holds the fewest shards. Shards handed back to
+// it would be orphaned when it ends: their callers would wait for a take-over and
+// get "unknown" for ids that never ran. A stopping entry never returns to serving,
+// so a single row is sufficient evidence.
+func (lm *LeaseManager) isStopping(id core.EntryID) bool {
+	for i := range lm.shards {
+		if lm.shards[i].row.Released == id {
 			return true
 		}
 	}
 	return false
 }
 
-// moves counts the moves under way.
-func (k *Keeper) moves(now time.Time) int {
+// movesInProgress returns the number of moves in progress.
+func (lm *LeaseManager) movesInProgress(now time.Time) int {
 	n := 0
-	for i := range k.shards {
-		if s := &k.shards[i]; s.holds(k.p.Self) && now.Before(s.moveBy) {
+	for i := range lm.shards {
+		if s := &lm.shards[i]; s.isHeldBy(lm.params.Self) && now.Before(s.moveDeadline) {
 			n++
 		}
 	}
 	return n
 }
 
-// move begins to hand a shard over to id, one that already has it as successor if
-// there is one.
-func (k *Keeper) move(now time.Time, id core.EntryID) bool {
-	if k.moves(now) >= maxMoves {
+// startMove begins to hand a shard over to id. It prefers a shard that already has
+// id as its successor.
+func (lm *LeaseManager) startMove(now time.Time, id core.EntryID) bool {
+	if lm.movesInProgress(now) >= maxMoves {
 		return false
 	}
-	var best *state
-	for i := range k.shards {
-		s := &k.shards[i]
-		if !s.holds(k.p.Self) || now.Before(s.moveBy) {
+	var best *shardState
+	for i := range lm.shards {
+		s := &lm.shards[i]
+		if !s.isHeldBy(lm.params.Self) || now.Before(s.moveDeadline) {
 			continue
 		}
 		if best == nil || best.row.Successor != id && s.row.Successor == id {
@@ -132,83 +136,85 @@
 	if best == nil {
 		return false
 	}
-	best.moveTo, best.moveBy = id, now.Add(moveLeases*k.p.Lease)
+	best.moveTo, best.moveDeadline = id, now.Add(moveLeases*lm.params.Lease)
 	return true
 }
 
-// handOver returns the row that makes the successor the holder, once it knows all
-// starts and no more are open.
-func (k *Keeper) handOver(now time.Time, s *state) (Row, bool) {
-	to := k.handOverTo(now, s)
-	answers := s.row.Successor == to && !k.silent(now, s)
-	inSync := s.row.InSync && answers
-	// Two entries that stop together must not hand a shard back and forth.
-	forced := !k.releaseBy.IsZero() && !now.Before(k.releaseBy) && answers && to != s.row.Former
+// nextHandOver returns the row that makes the successor the holder, once the
+// successor knows all starts and the waiting starts are settled or drainUntil has
+// passed. After the shutdown deadline it waits for neither.
+func (lm *LeaseManager) nextHandOver(now time.Time, s *shardState) (Row, bool) {
+	to := lm.handOverRecipient(now, s)
+	responsive := s.row.Successor == to && !lm.successorSilent(now, s)
+	inSync := s.row.InSync && responsive
+	// Two entries that stop at the same time must not hand a shard back and forth.
+	forced := !lm.handOverBy.IsZero() && !now.Before(lm.handOverBy) && responsive && to != s.row.Former
 	if to == "" || !inSync && !forced {
-		s.closingBy = time.Time{}
+		s.drainUntil = time.Time{}
 		return Row{}, false
 	}
-	if s.closingBy.IsZero() {
-		s.closingBy = now.Add(k.p.silentAfter())
+	if s.drainUntil.IsZero() {
+		s.drainUntil = now.Add(lm.params.silenceTimeout())
 	}
-	if len(s.waiting) > 0 && now.Before(s.closingBy) && !forced {
+	if len(s.waiting) > 0 && now.Before(s.drainUntil) && !forced {
 		return Row{}, false
 	}
-	return k.handOverRow(now, s, to, inSync), true
+	return lm.handOverRow(now, s, to, inSync), true
 }
 
-func (k *Keeper) handOverRow(now time.Time, s *state, to core.EntryID, inSync bool) Row {
+func (lm *LeaseManager) handOverRow(now time.Time, s *shardState, to core.EntryID, inSync bool) Row {
 	row := Row{
-		Holder: to, Epoch: s.row.Epoch + 1, Successor: k.p.Self,
-		Former: k.p.Self, Mirrored: inSync, Horizon: s.row.Horizon, Released: s.row.Released,
+		Holder: to, Epoch: s.row.Epoch + 1, Successor: lm.params.Self,
+		Former: lm.params.Self, Mirrored: inSync, Horizon: s.row.Horizon, Released: s.row.Released,
 	}
-	if !k.releaseBy.IsZero() {
-		row.Released = k.p.Self
-		row.Successor = k.chooseSuccessor(now, s, to)
+	if !lm.handOverBy.IsZero() {
+		row.Released = lm.params.Self
+		row.Successor = lm.chooseSuccessor(now, s, to)
 	}
 	if !inSync {
-		row.Horizon = k.p.horizonAt(now)
+		row.Horizon = lm.params.horizonAt(now)
 	}
 	return row
 }
 
-func (k *Keeper) handOverTo(now time.Time, s *state) core.EntryID {
-	if !k.releaseBy.IsZero() {
+func (lm *LeaseManager) handOverRecipient(now time.Time, s *shardState) core.EntryID {
+	if !lm.handOverBy.IsZero() {
 		return s.row.Successor
 	}
-	if now.Before(s.moveBy) && !k.stops(s.moveTo) {
+	if now.Before(s.moveDeadline) && !lm.isStopping(s.moveTo) {
 		return s.moveTo
 	}
-	s.moveTo, s.moveBy = "", time.Time{}
+	s.moveTo, s.moveDeadline = "", time.Time{}
 	return ""
 }
 
-// handingOver reports whether a swap that takes the shard from this entry may take
-// effect at any moment. From its send on, this entry starts nothing.
-func (k *Keeper) handingOver(s *state) bool {
-	return s.pending != nil && s.pending.Row.Holder != k.p.Self
+// handingOver reports whether a swap that takes the shard away from this entry is
+// pending and may take effect at any moment. This entry starts no requests of the
+// shard from the moment it sends that swap.
+func (lm *LeaseManager) handingOver(s *shardState) bool {
+	return s.pendingSwap != nil && s.pendingSwap.Row.Holder != lm.params.Self
 }
 
-// Holding returns how many shards this entry holds by its last word from the
-// table. A stopping daemon waits until it is 0.
-func (k *Keeper) Holding() int {
+// HeldCount returns how many shards this entry holds according to the latest rows
+// it knows. A stopping daemon waits until it is 0.
+func (lm *LeaseManager) HeldCount() int {
 	n := 0
-	for i := range k.shards {
-		if k.shards[i].holds(k.p.Self) {
+	for i := range lm.shards {
+		if lm.shards[i].isHeldBy(lm.params.Self) {
 			n++
 		}
 	}
 	return n
 }
 
-// Named returns the entries that the rows name, in no order: whether they have
-// ended matters to this Keeper.
-func (k *Keeper) Named() []core.EntryID {
+// NamedEntries returns, in no particular order, the entries that the rows name.
+// The LeaseManager needs to learn which of them have ended.
+func (lm *LeaseManager) NamedEntries() []core.EntryID {
 	seen := map[core.EntryID]bool{"": true}
 	var named []core.EntryID
-	for i := range k.shards {
-		s := &k.shards[i]
-		c := k.candidates(s)
+	for i := range lm.shards {
+		s := &lm.shards[i]
+		c := lm.possibleSuccessors(s)
 		for _, id := range [3]core.EntryID{s.row.Holder, c[0], c[1]} {
 			if !seen[id] {
 				seen[id] = true
