--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -122,10 +122,10 @@
 func (z *Zone) begin(deadline time.Time, maxNotBack int) {
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
 		func(r maintenance.WaveRow) (table.Transaction, error) {
-			return maintenance.Plan(z.World.Now, r, maintenance.Order{Author: "experiment", Change: "plan"}, deadline, maxNotBack)
+			return maintenance.Plan(z.World.Now, r, maintenance.OperatorChange{Author: "experiment", Change: "plan"}, deadline, maxNotBack)
 		},
 		func(r maintenance.WaveRow) (table.Transaction, error) {
-			return maintenance.Start(r, maintenance.Order{Author: "experiment", Change: "start"})
+			return maintenance.Start(r, maintenance.OperatorChange{Author: "experiment", Change: "start"})
 		},
 	} {
 		if err := z.Order(build); err != nil {
@@ -150,7 +150,7 @@
 			r.halted++
 			working = true
 			err := z.Order(func(w maintenance.WaveRow) (table.Transaction, error) {
-				return maintenance.Start(w, maintenance.Order{Author: "experiment", Change: core.ChangeID(fmt.Sprint(r.world.Now))})
+				return maintenance.Start(w, maintenance.OperatorChange{Author: "experiment", Change: core.ChangeID(fmt.Sprint(r.world.Now))})
 			})
 			if err != nil {
 				panic(err)
--- a/core/experiment/maintenance/zone.go
+++ b/core/experiment/maintenance/zone.go
@@ -102,8 +102,8 @@
 
 func (z *Zone) step(vm fleet.VMRow, m *Machine) error {
 	w := z.World
-	var seen maintenance.Seen
-	if until, ok := z.Driver.Hold(w.Now, vm); ok {
+	var seen maintenance.Observation
+	if until, ok := z.Driver.HoldUntil(w.Now, vm); ok {
 		if w.Drain(vm.Ref, until, vm.Row.Version) == nil {
 			seen.RefusesUntil = until
 		}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	if _, ok := c.(maintenance.SendHome); ok {
+	if _, ok := c.(maintenance.MoveToSpare); ok {
 		z.Moves++
 	}
 	return z.World.Transact(t)
@@ -161,9 +161,9 @@
 
 func refersTo(c maintenance.Command, vm fleet.Ref) bool {
 	switch c := c.(type) {
-	case maintenance.Take:
+	case maintenance.TakeOut:
 		return c.VM == vm
-	case maintenance.SendHome:
+	case maintenance.MoveToSpare:
 		return c.VM == vm
 	}
 	return false
--- a/core/maintenance/driver.go
+++ b/core/maintenance/driver.go
@@ -8,8 +8,8 @@
 	"lavenderpond/core/table"
 )
 
-// Seen is what the platform just said of a VM.
-type Seen struct {
+// Observation is what the platform just said of a VM.
+type Observation struct {
 	Up bool
 	// Running is how many tasks run on the VM.
 	Running int
@@ -40,18 +40,18 @@
 
 // NewPermit returns a permit for a drain that begins now.
 func (d Driver) NewPermit(now time.Time, change core.ChangeID) fleet.Permit {
-	return fleet.Permit{Change: change, DrainBy: now.Add(d.Timing.withDefaults().DrainFor)}
+	return fleet.Permit{Change: change, DrainBy: now.Add(d.Timing.withDefaults().DrainTimeout)}
 }
 
-// Hold returns until when the VM has to be told to refuse new work, or the time
+// HoldUntil returns until when the VM has to be told to refuse new work, or the time
 // now if it has to be told to take work again; false if it needn't be told.
 //
 // An entry that is cut off from the table keeps its old view and goes on
 // dispatching. Only the VM's own refusal reaches it: without it, work that
 // arrives between the look at what runs and the reboot is cut off. A VM that
 // serves again is told so for a while, since the first word may be lost.
-func (d Driver) Hold(now time.Time, vm fleet.VMRow) (time.Time, bool) {
-	hold := d.Timing.withDefaults().Hold
+func (d Driver) HoldUntil(now time.Time, vm fleet.VMRow) (time.Time, bool) {
+	hold := d.Timing.withDefaults().HoldDuration
 	switch vm.VM.State {
 	case fleet.Cordoned, fleet.Draining, fleet.Stopped:
 		return now.Add(hold), true
@@ -69,13 +69,13 @@
 
 // mayStillReboot reports whether a paused controller could still reboot the VM.
 func (d Driver) mayStillReboot(now time.Time, vm fleet.VM) bool {
-	skew := d.Timing.withDefaults().Skew
+	skew := d.Timing.withDefaults().MaxClockSkew
 	return !vm.RebootBy.IsZero() && !now.After(vm.RebootBy.Add(skew))
 }
 
 // Next returns the VM's next step. seen is nil if the platform did not answer.
-func (d Driver) Next(now time.Time, vm fleet.VMRow, pools map[core.PoolID]fleet.PoolRow, seen *Seen) (Step, error) {
-	s := &stepper{Driver: d, now: now, vm: vm, pool: pools[vm.VM.Pool], pools: pools, seen: seen}
+func (d Driver) Next(now time.Time, vm fleet.VMRow, pools map[core.PoolID]fleet.PoolRow, observed *Observation) (Step, error) {
+	s := &stepper{Driver: d, now: now, vm: vm, pool: pools[vm.VM.Pool], pools: pools, observed: observed}
 	s.Timing = d.Timing.withDefaults()
 	switch vm.VM.State {
 	case fleet.Serving:
@@ -97,18 +97,18 @@
 // stepper is a Driver at work on one VM.
 type stepper struct {
 	Driver
-	now   time.Time
-	vm    fleet.VMRow
-	pool  fleet.PoolRow
-	pools map[core.PoolID]fleet.PoolRow
-	seen  *Seen
+	now      time.Time
+	vm       fleet.VMRow
+	pool     fleet.PoolRow
+	pools    map[core.PoolID]fleet.PoolRow
+	observed *Observation
 }
 
 // serving records a failure. A VM that the platform takes away counts as failed
 // too: it gets no new work and won't come back. A list that lags may still show
 // it as leaving after its own return, so a fresh return is believed.
 func (s *stepper) serving() (Step, error) {
-	leaving := s.seen != nil && s.seen.Leaving && s.now.After(s.vm.VM.Since.Add(s.Timing.ListLag))
+	leaving := s.observed != nil && s.observed.Leaving && s.now.After(s.vm.VM.Since.Add(s.Timing.MaxListLag))
 	if s.isDown() || leaving {
 		return transact(s.Rules.Fail(s.now, s.vm, s.pool))
 	}
@@ -124,7 +124,7 @@
 	case !s.refuses():
 		return Step{}, nil
 	}
-	return transact(s.Rules.Drain(s.now, s.vm, s.now.Add(s.Timing.ViewAge)))
+	return transact(s.Rules.Drain(s.now, s.vm, s.now.Add(s.Timing.MaxViewAge)))
 }
 
 func (s *stepper) draining() (Step, error) {
@@ -166,21 +166,21 @@
 
 func (s *stepper) verifying() (Step, error) {
 	v := s.vm.VM
-	up := s.seen != nil && s.seen.Up
+	up := s.observed != nil && s.observed.Up
 	switch {
 	case !up && s.now.After(v.BackBy) && !v.BackBy.IsZero(), s.isDown() && v.BackBy.IsZero():
 		return transact(s.Rules.Fail(s.now, s.vm, s.pool))
-	case !up, s.now.Before(v.Since.Add(s.Timing.VerifyFor)), s.mayStillReboot(s.now, v):
+	case !up, s.now.Before(v.Since.Add(s.Timing.VerifyDuration)), s.mayStillReboot(s.now, v):
 		return Step{}, nil
 	}
 	return transact(s.Rules.Return(s.now, s.vm, s.pool, s.nextDue()))
 }
 
 func (s *stepper) failed() (Step, error) {
-	if s.seen == nil || !s.seen.Up || s.seen.Leaving {
+	if s.observed == nil || !s.observed.Up || s.observed.Leaving {
 		return Step{}, nil
 	}
-	return transact(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.BackWithin)))
+	return transact(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.ReturnTimeout)))
 }
 
 // stop marks the VM as stopped. The reboot has to be asked for while the VM
@@ -188,16 +188,16 @@
 func (s *stepper) stop() (Step, error) {
 	var rebootBy time.Time
 	if s.vm.VM.MoveTo == "" {
-		rebootBy = earlier(s.now.Add(s.Timing.RebootWithin), s.seen.RefusesUntil.Add(-s.Timing.Skew))
+		rebootBy = earlier(s.now.Add(s.Timing.RebootWindow), s.observed.RefusesUntil.Add(-s.Timing.MaxClockSkew))
 	}
-	return transact(s.Rules.Stop(s.now, s.vm, s.pool, rebootBy, s.now.Add(s.Timing.BackWithin)))
+	return transact(s.Rules.Stop(s.now, s.vm, s.pool, rebootBy, s.now.Add(s.Timing.ReturnTimeout)))
 }
 
 // join moves the VM, or keeps it where it is if its new pool was deleted.
 func (s *stepper) join() (Step, error) {
 	to, ok := s.pools[s.vm.VM.MoveTo]
 	if !ok || !to.Exists() {
-		return transact(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.BackWithin)))
+		return transact(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.ReturnTimeout)))
 	}
 	return transact(s.Rules.Join(s.now, s.vm, s.pool, to))
 }
@@ -215,17 +215,17 @@
 	if !ok || !out.Planned || s.vm.VM.RebootBy.IsZero() {
 		return time.Time{}
 	}
-	return s.now.Add(s.Timing.Cycle)
+	return s.now.Add(s.Timing.MaintenanceInterval)
 }
 
-func (s *stepper) isDown() bool { return s.seen != nil && !s.seen.Up }
+func (s *stepper) isDown() bool { return s.observed != nil && !s.observed.Up }
 
 func (s *stepper) isIdle() bool {
-	return s.seen != nil && s.seen.Up && s.seen.Running == 0 && s.refuses()
+	return s.observed != nil && s.observed.Up && s.observed.Running == 0 && s.refuses()
 }
 
 func (s *stepper) refuses() bool {
-	return s.seen != nil && s.seen.RefusesUntil.After(s.now.Add(s.Timing.RebootWithin+s.Timing.Skew))
+	return s.observed != nil && s.observed.RefusesUntil.After(s.now.Add(s.Timing.RebootWindow+s.Timing.MaxClockSkew))
 }
 
 func transact(t table.Transaction, err error) (Step, error) { return Step{Transaction: t}, err }
--- a/core/maintenance/driver_test.go
+++ b/core/maintenance/driver_test.go
@@ -27,7 +27,7 @@
 		Pool: "p", State: fleet.Stopped, RebootBy: rebootBy, BackBy: start.Add(time.Hour),
 	}))
 	assert.NilError(t, err)
-	seen := &maintenance.Seen{Up: true, RefusesUntil: start.Add(time.Hour)}
+	seen := &maintenance.Observation{Up: true, RefusesUntil: start.Add(time.Hour)}
 	next := func() maintenance.Step {
 		row, err := fleet.DecodePool(table.MustRow(table.PoolStateKey("p"), 7, pool))
 		assert.NilError(t, err)
--- a/core/maintenance/fixed/fixed.go
+++ b/core/maintenance/fixed/fixed.go
@@ -43,7 +43,7 @@
 		}
 		due++
 		if r.VM.State == fleet.Serving && len(commands) < size {
-			commands = append(commands, maintenance.Take{VM: r.Ref, Permit: fleet.Permit{Wave: name}})
+			commands = append(commands, maintenance.TakeOut{VM: r.Ref, Permit: fleet.Permit{Wave: name}})
 		}
 	}
 	if due == 0 {
--- a/core/maintenance/choice_test.go
+++ b/core/maintenance/lease_policy_test.go
@@ -14,7 +14,7 @@
 // leaseEntry is an entry of the test: its controller ticks unless it is frozen.
 type leaseEntry struct {
 	id     core.EntryID
-	choice Choice
+	policy LeasePolicy
 	frozen bool
 }
 
@@ -24,15 +24,15 @@
 	now     time.Time
 	table   table.Memory
 	entries []*leaseEntry
-	// offers counts the leases given up, gap the steps without a holder in a row, and
+	// releases counts the leases given up, gap the steps without a holder in a row, and
 	// longest is the longest such gap.
-	offers, gap, longest int
+	releases, gap, longest int
 }
 
 const (
-	leaseStep     = 5 * time.Second
-	leasePatience = 2 * leaseStep
-	leaseLasts    = 4 * leaseStep
+	leaseStep          = 5 * time.Second
+	leaseTakeoverDelay = 2 * leaseStep
+	leaseDuration      = 4 * leaseStep
 )
 
 func newLeaseZone(t *testing.T, entries int) *leaseZone {
@@ -63,18 +63,18 @@
 
 func (z *leaseZone) tick(e *leaseEntry, ids []core.EntryID) {
 	row := z.table.Read(LeaseKey("z"))
-	switch e.choice.Next(z.now, z.lease(), e.id, ids, leasePatience) {
-	case TakeLease:
-		tx, held, err := Acquire(z.now, row, e.id, z.now.Add(leaseLasts))
+	switch e.policy.Next(z.now, z.lease(), e.id, ids, leaseTakeoverDelay) {
+	case LeaseAcquire:
+		tx, held, err := Acquire(z.now, row, e.id, z.now.Add(leaseDuration))
 		assert.NilError(z.t, err)
 		assert.Assert(z.t, held)
 		assert.NilError(z.t, z.table.Transact(tx))
-	case OfferLease:
-		z.offers++
+	case LeaseRelease:
+		z.releases++
 		tx, err := Release(z.now, row)
 		assert.NilError(z.t, err)
 		assert.NilError(z.t, z.table.Transact(tx))
-	case LeaveLease:
+	case LeaseNoAction:
 	}
 }
 
@@ -92,7 +92,7 @@
 
 // The relay starts first and takes the lease. Once others run it offers the lease,
 // and one of them has it from then on, in the very same round.
-func TestChoiceSparesRelay(t *testing.T) {
+func TestLeasePolicyAvoidsRelay(t *testing.T) {
 	z := newLeaseZone(t, 1)
 	z.steps(20)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"), "alone, the relay is the controller")
@@ -101,20 +101,20 @@
 	}
 	z.steps(100)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_1"))
-	assert.Equal(t, z.offers, 1)
+	assert.Equal(t, z.releases, 1)
 	assert.Equal(t, z.longest, 0)
 }
 
 // VMs fail and nobody records it, since each entry leaves the lease to another: the
 // others are listed as running but are frozen, or cut off from the table. The relay
 // takes its lease back after its patience, and doesn't offer it again and again.
-func TestChoiceNeverLeavesZoneAlone(t *testing.T) {
+func TestLeasePolicyKeepsController(t *testing.T) {
 	z := newLeaseZone(t, 3)
 	z.entries[1].frozen, z.entries[2].frozen = true, true
 	z.steps(1000)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"))
-	assert.Equal(t, z.offers, 1)
-	assert.Assert(t, z.longest <= int(leasePatience/leaseStep), "%d steps without a controller", z.longest)
+	assert.Equal(t, z.releases, 1)
+	assert.Assert(t, z.longest <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longest)
 
 	// They come back; another holds it, freezes, and the relay steps in again.
 	z.entries[1].frozen = false
@@ -124,6 +124,6 @@
 	z.entries[0].frozen, z.entries[1].frozen = false, true
 	z.steps(1000)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"))
-	assert.Equal(t, z.offers, 2)
-	assert.Assert(t, z.longest <= int(leasePatience/leaseStep), "%d steps without a controller", z.longest)
+	assert.Equal(t, z.releases, 2)
+	assert.Assert(t, z.longest <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longest)
 }
--- a/core/maintenance/planner.go
+++ b/core/maintenance/planner.go
@@ -22,15 +22,15 @@
 // budget again, so a decision on an old view does no harm.
 type Command interface{ isCommand() }
 
-// Take takes a VM out of service under permit.
-type Take struct {
+// TakeOut takes a VM out of service under permit.
+type TakeOut struct {
 	VM     fleet.Ref
 	Permit fleet.Permit
 }
 
-// SendHome puts a VM that is being verified into the spare pool: a spare VM has
+// MoveToSpare puts a VM that is being verified into the spare pool: a spare VM has
 // taken its place.
-type SendHome struct {
+type MoveToSpare struct {
 	VM fleet.Ref
 	To core.PoolID
 }
@@ -41,10 +41,10 @@
 // Finish ends the maintenance: every VM was maintained.
 type Finish struct{}
 
-func (Take) isCommand()     {}
-func (SendHome) isCommand() {}
-func (Halt) isCommand()     {}
-func (Finish) isCommand()   {}
+func (TakeOut) isCommand()     {}
+func (MoveToSpare) isCommand() {}
+func (Halt) isCommand()        {}
+func (Finish) isCommand()      {}
 
 // Planner decides which VMs are taken out next. Implementations are pure: the
 // same view gives the same commands.
--- a/core/maintenance/session_test.go
+++ b/core/maintenance/session_test.go
@@ -26,12 +26,12 @@
 	return &sim.Zone{World: w, ID: "z0", Planner: spread.Planner{RepairAfter: 5 * time.Minute, StopTime: 5 * time.Minute}}
 }
 
-func order(t *testing.T, z *sim.Zone, change string) {
+func submitChange(t *testing.T, z *sim.Zone, change string) {
 	t.Helper()
-	o := maintenance.Order{Author: "op", Reason: "kernel", Change: core.ChangeID(change)}
-	verb, _, _ := strings.Cut(change, "-")
+	o := maintenance.OperatorChange{Author: "op", Reason: "kernel", Change: core.ChangeID(change)}
+	operation, _, _ := strings.Cut(change, "-")
 	assert.NilError(t, z.Order(func(r maintenance.WaveRow) (table.Transaction, error) {
-		switch verb {
+		switch operation {
 		case "plan":
 			return maintenance.Plan(z.World.Now, r, o, start.Add(24*time.Hour), 1)
 		case "start":
@@ -49,7 +49,7 @@
 	wave string
 }
 
-func (r *recorder) look() {
+func (r *recorder) record() {
 	at := r.zone.World.Now.Format("15:04:05")
 	if w := r.zone.Wave(); fmt.Sprint(w.Status, w.Number, w.Reason) != r.wave {
 		r.wave = fmt.Sprint(w.Status, w.Number, w.Reason)
@@ -57,14 +57,14 @@
 	}
 	for _, m := range r.zone.World.Machines() {
 		vm := r.zone.World.Row(m.Ref).VM
-		now := fmt.Sprintf("%s in %s", vm.State, vm.Pool)
+		current := fmt.Sprintf("%s in %s", vm.State, vm.Pool)
 		if r.last[m.Ref] == "" {
-			r.last[m.Ref] = now
+			r.last[m.Ref] = current
 		}
-		if r.last[m.Ref] != now {
+		if r.last[m.Ref] != current {
 			pool := r.zone.World.Pools()[vm.Pool].Pool
-			_, _ = fmt.Fprintf(r, "%s %s %s, up %t, pool lacks %d of %d\n", at, m.Ref, now, m.Up, pool.Unavailable(), pool.Size)
-			r.last[m.Ref] = now
+			_, _ = fmt.Fprintf(r, "%s %s %s, up %t, pool lacks %d of %d\n", at, m.Ref, current, m.Up, pool.Unavailable(), pool.Size)
+			r.last[m.Ref] = current
 		}
 	}
 }
@@ -76,15 +76,15 @@
 func TestSessionGolden(t *testing.T) {
 	z := newZone(7)
 	r := &recorder{zone: z, last: make(map[fleet.Ref]string)}
-	order(t, z, "plan-1")
-	order(t, z, "start-1")
+	submitChange(t, z, "plan-1")
+	submitChange(t, z, "start-1")
 	for n := 0; n < 6*60*6 && z.Wave().Status != maintenance.Finished; n++ {
 		switch n {
 		case 30:
-			order(t, z, "pause-1")
+			submitChange(t, z, "pause-1")
 		case 60:
-			order(t, z, "start-2")
-			order(t, z, "start-2") // The answer was lost; the repetition changes nothing.
+			submitChange(t, z, "start-2")
+			submitChange(t, z, "start-2") // The answer was lost; the repetition changes nothing.
 		case 90:
 			z.World.FailAll(z.World.Rack(1), 40*time.Minute)
 		case 70:
@@ -95,12 +95,12 @@
 				m.BackAt = z.World.Now
 			}
 			if z.Wave().Status == maintenance.Halted {
-				order(t, z, "start-3")
+				submitChange(t, z, "start-3")
 			}
 		}
 		z.World.Advance(10 * time.Second)
 		assert.NilError(t, z.Tick())
-		r.look()
+		r.record()
 	}
 	assert.Equal(t, len(z.World.Breaches)+len(z.World.CutOff), 0)
 	golden.Assert(t, r.String(), "session.txt")
@@ -109,13 +109,13 @@
 // Operators get a numbered refusal for an order that doesn't fit.
 func TestOrdersRefused(t *testing.T) {
 	z := newZone(1)
-	try := func(build func(maintenance.WaveRow, maintenance.Order) (table.Transaction, error)) core.Code {
+	try := func(build func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error)) core.Code {
 		return core.ErrorCode(z.Order(func(r maintenance.WaveRow) (table.Transaction, error) {
-			return build(r, maintenance.Order{Change: "other"})
+			return build(r, maintenance.OperatorChange{Change: "other"})
 		}))
 	}
-	plan := func(deadline time.Time, maxNotBack int) func(maintenance.WaveRow, maintenance.Order) (table.Transaction, error) {
-		return func(r maintenance.WaveRow, o maintenance.Order) (table.Transaction, error) {
+	plan := func(deadline time.Time, maxNotBack int) func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error) {
+		return func(r maintenance.WaveRow, o maintenance.OperatorChange) (table.Transaction, error) {
 			return maintenance.Plan(start, r, o, deadline, maxNotBack)
 		}
 	}
@@ -123,7 +123,7 @@
 	assert.Equal(t, try(maintenance.Pause), core.CodeConflict)
 	assert.Equal(t, try(plan(start, 1)), core.CodeInvalidSetting)
 	assert.Equal(t, try(plan(start.Add(time.Hour), -1)), core.CodeInvalidSetting)
-	order(t, z, "plan-1")
-	order(t, z, "start-1")
+	submitChange(t, z, "plan-1")
+	submitChange(t, z, "start-1")
 	assert.Equal(t, try(plan(start.Add(time.Hour), 1)), core.CodeConflict)
 }
--- a/core/maintenance/spread/export_test.go
+++ b/core/maintenance/spread/export_test.go
@@ -13,7 +13,7 @@
 	case "reserve":
 		p.noReserve = true
 	case "racks":
-		p.noRacks = true
+		p.noRackLimit = true
 	case "repair":
 		p.noRepair = true
 	}
--- a/core/maintenance/spread/repair.go
+++ b/core/maintenance/spread/repair.go
@@ -19,8 +19,8 @@
 	if r.spare == "" || r.noRepair {
 		return nil
 	}
-	commands := r.sendHome()
-	spares := r.spares()
+	commands := r.refillSpares()
+	spares := r.availableSpares()
 	for _, id := range r.poolIDs() {
 		for range r.repairsNeeded(r.pools[id]) {
 			i := r.chooseSpare(spares)
@@ -35,9 +35,9 @@
 }
 
 func (r *round) repair(to core.PoolID, vm *fleet.VMRow) maintenance.Command {
-	r.pools[r.spare].room--
+	r.pools[r.spare].headroom--
 	change := core.ChangeID(fmt.Sprintf("repair/%s/%s/%d", to, vm.Ref.VM, vm.Row.Version))
-	return maintenance.Take{VM: vm.Ref, Permit: fleet.Permit{Change: change, MoveTo: to}}
+	return maintenance.TakeOut{VM: vm.Ref, Permit: fleet.Permit{Change: change, MoveTo: to}}
 }
 
 // repairsNeeded returns how many spare VMs of this zone p should get: as many as
@@ -45,32 +45,32 @@
 // and at most one for each of the zone's VMs that failed long ago. VMs that are out
 // by plan come back by themselves and call for no move.
 func (r *round) repairsNeeded(p *pool) int {
-	room := 1
+	headroom := 1
 	if r.view.Wave.Status == maintenance.Running && p.due > 0 {
-		room += r.reserve(p, r.pressed(p))
+		headroom += r.reserve(p, r.behindSchedule(p))
 	}
-	lost := p.Size - p.Members + p.Failed() - p.incoming - p.recovering
-	missing := room + lost - p.MaxUnavailable
+	unavailable := p.Size - p.Members + p.Failed() - p.incoming - p.recovering
+	missing := headroom + unavailable - p.MaxUnavailable
 	if p.Spare || missing < 1 {
 		return 0
 	}
-	here, all := 0, 0
+	failedInZone, failedTotal := 0, 0
 	for _, o := range p.Out {
 		if o.Planned || r.now.Before(o.Since.Add(r.RepairAfter)) {
 			continue
 		}
-		all++
+		failedTotal++
 		if o.Zone == r.view.Zone {
-			here++
+			failedInZone++
 		}
 	}
 	substitutes := p.Members - p.Size + p.incoming
-	return min(missing, here, all-substitutes)
+	return min(missing, failedInZone, failedTotal-substitutes)
 }
 
-// spares returns the spare VMs that may leave, those that are not due first: one
+// availableSpares returns the spare VMs that may leave, those that are not due first: one
 // that is due would need a planned stop in its new pool.
-func (r *round) spares() []*fleet.VMRow {
+func (r *round) availableSpares() []*fleet.VMRow {
 	var spares []*fleet.VMRow
 	for _, vm := range r.view.VMs {
 		if vm.VM.Pool == r.spare && vm.VM.State == fleet.Serving {
@@ -85,16 +85,16 @@
 
 // chooseSpare prefers a VM of a rack in which nothing failed.
 func (r *round) chooseSpare(spares []*fleet.VMRow) int {
-	if len(spares) == 0 || r.pools[r.spare].room < 1 {
+	if len(spares) == 0 || r.pools[r.spare].headroom < 1 {
 		return -1
 	}
 	i := slices.IndexFunc(spares, func(vm *fleet.VMRow) bool { return r.racks[vm.VM.Rack].failed == 0 })
 	return max(i, 0)
 }
 
-// sendHome refills the spare pool from VMs that are being verified: nothing runs
+// refillSpares refills the spare pool from VMs that are being verified: nothing runs
 // there, so the move needs no drain.
-func (r *round) sendHome() []maintenance.Command {
+func (r *round) refillSpares() []maintenance.Command {
 	var commands []maintenance.Command
 	spare := r.pools[r.spare]
 	missing := spare.Size - spare.Members - spare.incoming
@@ -104,14 +104,14 @@
 			continue
 		}
 		surplus := p.Members - p.Size
-		out, known := p.FindOut(vm.Ref)
-		if missing < 1 || surplus < 1 || !known || out.Planned {
+		out, isOut := p.FindOut(vm.Ref)
+		if missing < 1 || surplus < 1 || !isOut || out.Planned {
 			continue
 		}
 		missing--
 		p.Members--
 		p.Out = slices.DeleteFunc(slices.Clone(p.Out), func(o fleet.Out) bool { return o.Ref == vm.Ref })
-		commands = append(commands, maintenance.SendHome{VM: vm.Ref, To: r.spare})
+		commands = append(commands, maintenance.MoveToSpare{VM: vm.Ref, To: r.spare})
 	}
 	return commands
 }
--- a/core/maintenance/spread/spread.go
+++ b/core/maintenance/spread/spread.go
@@ -22,9 +22,9 @@
 	DefaultRepairAfter = 15 * time.Minute
 	// DefaultStopTime is the time that one planned stop is taken to need.
 	DefaultStopTime = time.Hour
-	// rackSettles is how long after a VM's failure the rest of its rack is spared:
+	// rackFailureWindow is how long after a VM's failure the rest of its rack is spared:
 	// by then a failing rack has shown itself.
-	rackSettles = time.Hour
+	rackFailureWindow = time.Hour
 )
 
 // Planner is a maintenance.Planner. Its zero value works.
@@ -34,7 +34,7 @@
 	// StopTime is an estimate of a planned stop, from the permit to the return.
 	StopTime time.Duration
 	// Test-only: each switches one rule off.
-	noHalt, noReserve, noRamp, noRacks, noRepair bool
+	noHalt, noReserve, noRamp, noRackLimit, noRepair bool
 }
 
 var _ maintenance.Planner = Planner{}
@@ -54,7 +54,7 @@
 	if r.progress.Maintained == r.progress.Total {
 		return append(commands, maintenance.Finish{})
 	}
-	return append(commands, r.takes()...)
+	return append(commands, r.takeOuts()...)
 }
 
 // round is one call of Plan.
@@ -68,13 +68,13 @@
 	racks    map[core.RackID]rack
 	spare    core.PoolID
 	// out and back count VMs of this wave.
-	out, back int
+	out, returned int
 }
 
 type pool struct {
 	fleet.Pool
-	// room is how many more VMs may be taken out, by this round's knowledge.
-	room int
+	// headroom is how many more VMs may be taken out, by this round's knowledge.
+	headroom int
 	// due counts the VMs of this zone that are yet to be maintained.
 	due int
 	// incoming counts VMs that are on their way to the pool.
@@ -100,7 +100,7 @@
 		r.StopTime = DefaultStopTime
 	}
 	for id, row := range v.Pools {
-		r.pools[id] = &pool{Pool: row.Pool, room: row.Pool.Headroom()}
+		r.pools[id] = &pool{Pool: row.Pool, headroom: row.Pool.Headroom()}
 		if row.Pool.Spare {
 			r.spare = id
 		}
@@ -123,11 +123,11 @@
 	switch vm.State {
 	case fleet.Serving:
 		if vm.Wave == r.name && !r.isDue(vm) {
-			r.back++
+			r.returned++
 		}
 		return
 	case fleet.Failed:
-		if r.now.Before(vm.Since.Add(rackSettles)) {
+		if r.now.Before(vm.Since.Add(rackFailureWindow)) {
 			k.failed++
 		}
 	default:
@@ -151,24 +151,24 @@
 
 func (r *round) isDue(vm *fleet.VM) bool { return vm.LastMaintained.Before(r.view.Wave.Began) }
 
-// takes chooses the VMs to take out now, those of the tightest pool first.
-func (r *round) takes() []maintenance.Command {
+// takeOuts chooses the VMs to take out now, those of the tightest pool first.
+func (r *round) takeOuts() []maintenance.Command {
 	var commands []maintenance.Command
-	allowed := r.ramp() - r.out
+	allowed := r.rampLimit() - r.out
 	for _, vm := range r.candidates() {
 		if len(commands) >= allowed {
 			break
 		}
 		p := r.pools[vm.VM.Pool]
-		pressed := r.pressed(p)
-		if p.room-r.reserve(p, pressed) < 1 || r.rackBlocked(vm.VM.Rack, pressed) {
+		behindSchedule := r.behindSchedule(p)
+		if p.headroom-r.reserve(p, behindSchedule) < 1 || r.rackBlocked(vm.VM.Rack, behindSchedule) {
 			continue
 		}
-		p.room--
+		p.headroom--
 		k := r.racks[vm.VM.Rack]
 		k.planned++
 		r.racks[vm.VM.Rack] = k
-		commands = append(commands, maintenance.Take{VM: vm.Ref, Permit: fleet.Permit{Change: r.change(vm), Wave: r.name}})
+		commands = append(commands, maintenance.TakeOut{VM: vm.Ref, Permit: fleet.Permit{Change: r.changeID(vm), Wave: r.name}})
 	}
 	return commands
 }
@@ -177,57 +177,57 @@
 	var due []*fleet.VMRow
 	for _, vm := range r.view.VMs {
 		p := r.pools[vm.VM.Pool]
-		if p != nil && p.room > 0 && vm.VM.State == fleet.Serving && r.isDue(&vm.VM) {
+		if p != nil && p.headroom > 0 && vm.VM.State == fleet.Serving && r.isDue(&vm.VM) {
 			due = append(due, vm)
 		}
 	}
 	slices.SortStableFunc(due, func(a, b *fleet.VMRow) int {
 		pa, pb := r.pools[a.VM.Pool], r.pools[b.VM.Pool]
 		// due/max descending, compared without a division.
-		tighter := cmp.Compare(pb.due*max(pa.MaxUnavailable, 1), pa.due*max(pb.MaxUnavailable, 1))
-		return cmp.Or(tighter, a.VM.NextDue.Compare(b.VM.NextDue))
+		byTightness := cmp.Compare(pb.due*max(pa.MaxUnavailable, 1), pa.due*max(pb.MaxUnavailable, 1))
+		return cmp.Or(byTightness, a.VM.NextDue.Compare(b.VM.NextDue))
 	})
 	return due
 }
 
-// ramp bounds how many VMs of the wave may be out at once: one at first, more as
+// rampLimit bounds how many VMs of the wave may be out at once: one at first, more as
 // VMs come back, fewer as they don't.
 //
 // A reboot that breaks VMs would otherwise break as many as the budgets allow
 // before the first is missed.
-func (r *round) ramp() int {
+func (r *round) rampLimit() int {
 	if r.noRamp {
 		return len(r.view.VMs)
 	}
-	bound := r.view.Wave.MaxNotBack + 1
-	return max(1, (1+2*r.back)*(bound-r.progress.NotBack)/bound)
+	haltThreshold := r.view.Wave.MaxNotBack + 1
+	return max(1, (1+2*r.returned)*(haltThreshold-r.progress.NotBack)/haltThreshold)
 }
 
 // reserve is the part of a budget that is left to unplanned failures, so that an
 // ordinary one doesn't go beyond it. A pool that would miss its deadline, or has
 // a budget of one, has none.
-func (r *round) reserve(p *pool, pressed bool) int {
-	if pressed || r.noReserve || p.MaxUnavailable < 2 {
+func (r *round) reserve(p *pool, behindSchedule bool) int {
+	if behindSchedule || r.noReserve || p.MaxUnavailable < 2 {
 		return 0
 	}
 	return 1
 }
 
-// pressed reports whether p's due VMs, taken with the reserve kept, would take
+// behindSchedule reports whether p's due VMs, taken with the reserve kept, would take
 // longer than the time that is left.
-func (r *round) pressed(p *pool) bool {
-	left := r.view.Wave.Deadline.Sub(r.now)
+func (r *round) behindSchedule(p *pool) bool {
+	remaining := r.view.Wave.Deadline.Sub(r.now)
 	needed := time.Duration(p.due) * r.StopTime / time.Duration(max(p.MaxUnavailable-1, 1))
-	return needed > left
+	return needed > remaining
 }
 
 // rackBlocked keeps planned stops of one rack apart, and for a while away from a
 // rack that may be failing. The latter gives way to the deadline.
-func (r *round) rackBlocked(id core.RackID, pressed bool) bool {
+func (r *round) rackBlocked(id core.RackID, behindSchedule bool) bool {
 	k := r.racks[id]
-	return !r.noRacks && (k.planned > 0 || k.failed > 0 && !pressed)
+	return !r.noRackLimit && (k.planned > 0 || k.failed > 0 && !behindSchedule)
 }
 
-func (r *round) change(vm *fleet.VMRow) core.ChangeID {
+func (r *round) changeID(vm *fleet.VMRow) core.ChangeID {
 	return core.ChangeID(fmt.Sprintf("%s/%s/%d", r.name, vm.Ref.VM, vm.Row.Version))
 }
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -19,14 +19,14 @@
 // result is what the World saw of some seeds.
 type result struct {
 	breaches, stops, broken, halted, finished int
-	// over counts moments at which a pool lacked more than its budget, and sameRack
+	// overBudget counts moments at which a pool lacked more than its budget, and sameRack
 	// those at which two VMs of a rack were out by plan.
-	over, sameRack int
+	overBudget, sameRack int
 }
 
-// maintain runs one zone of five pools until its maintenance ends, for at most
+// runMaintenance runs one zone of five pools until its maintenance ends, for at most
 // six hours, and lets prepare break something first.
-func maintain(t *testing.T, seed uint64, rule string, maxNotBack int, prepare func(*sim.World)) result {
+func runMaintenance(t *testing.T, seed uint64, rule string, maxNotBack int, prepare func(*sim.World)) result {
 	t.Helper()
 	size := sim.Size{Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 8, RackVMs: 4, MaxUnavailable: 2}
 	w := sim.NewWorld(seed, start, size, size.MaxUnavailable)
@@ -35,10 +35,10 @@
 	prepare(w)
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
 		func(r maintenance.WaveRow) (table.Transaction, error) {
-			return maintenance.Plan(start, r, maintenance.Order{Change: "plan"}, start.Add(48*time.Hour), maxNotBack)
+			return maintenance.Plan(start, r, maintenance.OperatorChange{Change: "plan"}, start.Add(48*time.Hour), maxNotBack)
 		},
 		func(r maintenance.WaveRow) (table.Transaction, error) {
-			return maintenance.Start(r, maintenance.Order{Change: "start"})
+			return maintenance.Start(r, maintenance.OperatorChange{Change: "start"})
 		},
 	} {
 		assert.NilError(t, z.Order(build))
@@ -47,7 +47,7 @@
 	for range 6 * 60 * 6 {
 		w.Advance(10 * time.Second)
 		assert.NilError(t, z.Tick())
-		r.look(w)
+		r.observe(w)
 		if z.Wave().Status != maintenance.Running {
 			break
 		}
@@ -67,7 +67,7 @@
 	return r
 }
 
-func (r *result) look(w *sim.World) {
+func (r *result) observe(w *sim.World) {
 	racks := make(map[string]int)
 	for _, m := range w.Machines() {
 		if s := w.Row(m.Ref).VM.State; s != fleet.Serving && s != fleet.Failed {
@@ -81,7 +81,7 @@
 	}
 	for _, p := range w.Pools() {
 		if p.Pool.Headroom() < 0 {
-			r.over++
+			r.overBudget++
 		}
 	}
 }
@@ -92,17 +92,17 @@
 	r.broken += o.broken
 	r.halted += o.halted
 	r.finished += o.finished
-	r.over += o.over
+	r.overBudget += o.overBudget
 	r.sameRack += o.sameRack
 }
 
 const seeds = 10
 
-func maintainAll(t *testing.T, rule string, maxNotBack int, prepare func(*sim.World)) result {
+func runSeeds(t *testing.T, rule string, maxNotBack int, prepare func(*sim.World)) result {
 	t.Helper()
 	var sum result
 	for seed := range uint64(seeds) {
-		r := maintain(t, seed, rule, maxNotBack, prepare)
+		r := runMaintenance(t, seed, rule, maxNotBack, prepare)
 		assert.Equal(t, r.breaches, 0, "seed %d: a planned stop broke a budget", seed)
 		sum.add(r)
 	}
@@ -113,40 +113,40 @@
 // A reboot breaks every VM that it is done to, as a bad image does. Callers lose
 // one VM after the other. The wave starts with one VM, misses it, and halts after
 // a bounded number; without the halt or the small start, more are lost.
-func TestWaveHaltsByItself(t *testing.T) {
-	bad := func(w *sim.World) { w.Faults.NotBack = 1 }
-	with := maintainAll(t, "", 2, bad)
+func TestWaveHaltsAutomatically(t *testing.T) {
+	breakReboots := func(w *sim.World) { w.Faults.NotBack = 1 }
+	with := runSeeds(t, "", 2, breakReboots)
 	assert.Equal(t, with.halted, seeds)
 	assert.Assert(t, with.broken <= 4*seeds, "max_not_back is 2")
-	assert.Assert(t, maintainAll(t, "halt", 2, bad).broken > with.broken)
-	assert.Assert(t, maintainAll(t, "ramp", 2, bad).broken > with.broken)
+	assert.Assert(t, runSeeds(t, "halt", 2, breakReboots).broken > with.broken)
+	assert.Assert(t, runSeeds(t, "ramp", 2, breakReboots).broken > with.broken)
 }
 
 // Two VMs of a pool have failed for good and its budget of two is spent: there is
 // no planned stop in it until spare VMs have taken their places. Without the
 // repair, its VMs miss their maintenance.
 func TestSpentBudgetIsRepaired(t *testing.T) {
-	spent := func(w *sim.World) { w.FailAll(w.Machines()[:2], 100*time.Hour) }
+	spendBudget := func(w *sim.World) { w.FailAll(w.Machines()[:2], 100*time.Hour) }
 	// The two that are gone can't be maintained; the others must be.
-	with := maintainAll(t, "", 2, spent)
-	without := maintainAll(t, "repair", 2, spent)
+	with := runSeeds(t, "", 2, spendBudget)
+	without := runSeeds(t, "repair", 2, spendBudget)
 	assert.Equal(t, without.stops, 38*seeds, "the pool's other 8 VMs must not be stopped, all else is")
 	assert.Equal(t, with.stops, 46*seeds)
 }
 
 // VMs fail at many times the ordinary rate during the wave. The reserve keeps
 // room for them: without it, pools lack more than their budgets far more often.
-func TestReserveTakesOrdinaryFailures(t *testing.T) {
-	failing := func(w *sim.World) { w.Faults.PerVMDay = 2 }
-	with, without := maintainAll(t, "", 10, failing), maintainAll(t, "reserve", 10, failing)
-	assert.Assert(t, without.over > 2*with.over, fmt.Sprintf("%d moments without, %d with", without.over, with.over))
+func TestReserveAbsorbsFailures(t *testing.T) {
+	raiseFailureRate := func(w *sim.World) { w.Faults.PerVMDay = 2 }
+	with, without := runSeeds(t, "", 10, raiseFailureRate), runSeeds(t, "reserve", 10, raiseFailureRate)
+	assert.Assert(t, without.overBudget > 2*with.overBudget, fmt.Sprintf("%d moments without, %d with", without.overBudget, with.overBudget))
 }
 
 // A rack must not lose two VMs to plan at once: its failure would hit both.
-func TestRacksApart(t *testing.T) {
-	quiet := func(*sim.World) {}
-	with := maintainAll(t, "", 2, quiet)
+func TestOneStopPerRack(t *testing.T) {
+	noFaults := func(*sim.World) {}
+	with := runSeeds(t, "", 2, noFaults)
 	assert.Equal(t, with.sameRack, 0)
 	assert.Equal(t, with.finished, seeds)
-	assert.Assert(t, maintainAll(t, "racks", 2, quiet).sameRack > 0)
+	assert.Assert(t, runSeeds(t, "racks", 2, noFaults).sameRack > 0)
 }
--- a/core/maintenance/carry.go
+++ b/core/maintenance/transaction.go
@@ -11,16 +11,16 @@
 // Transaction turns a planner's command into a transaction on the rows of v.
 func (d Driver) Transaction(now time.Time, v View, w WaveRow, c Command) (table.Transaction, error) {
 	switch c := c.(type) {
-	case Take:
-		vm, pool, err := v.find(c.VM)
+	case TakeOut:
+		vm, pool, err := v.findVM(c.VM)
 		if err != nil {
 			return table.Transaction{}, err
 		}
 		p := c.Permit
-		p.DrainBy = now.Add(d.Timing.withDefaults().DrainFor)
+		p.DrainBy = now.Add(d.Timing.withDefaults().DrainTimeout)
 		return d.Rules.Permit(now, vm, pool, p)
-	case SendHome:
-		vm, pool, err := v.find(c.VM)
+	case MoveToSpare:
+		vm, pool, err := v.findVM(c.VM)
 		if err != nil {
 			return table.Transaction{}, err
 		}
@@ -37,7 +37,7 @@
 	return table.Transaction{}, core.Errorf(core.CodeInternal, "unknown command %T", c)
 }
 
-func (v View) find(ref fleet.Ref) (fleet.VMRow, fleet.PoolRow, error) {
+func (v View) findVM(ref fleet.Ref) (fleet.VMRow, fleet.PoolRow, error) {
 	for _, r := range v.VMs {
 		if r.Ref == ref {
 			return *r, v.Pools[r.VM.Pool], nil
--- a/core/maintenance/wave.go
+++ b/core/maintenance/wave.go
@@ -96,8 +96,8 @@
 	return r, row.Decode(&r.Wave)
 }
 
-// Order is an operator's change of a zone's maintenance.
-type Order struct {
+// OperatorChange is an operator's change of a zone's maintenance.
+type OperatorChange struct {
 	Author string
 	Reason string
 	Change core.ChangeID
@@ -108,7 +108,7 @@
 
 // Plan makes every VM of the zone due by deadline. It starts nothing. A
 // maxNotBack of 0 means DefaultMaxNotBack.
-func Plan(now time.Time, w WaveRow, o Order, deadline time.Time, maxNotBack int) (table.Transaction, error) {
+func Plan(now time.Time, w WaveRow, o OperatorChange, deadline time.Time, maxNotBack int) (table.Transaction, error) {
 	if !deadline.After(now) {
 		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "deadline %s has passed", deadline)
 	}
@@ -123,11 +123,11 @@
 	}
 	next := w.Wave
 	next.Status, next.Began, next.Deadline, next.MaxNotBack = Planned, now, deadline, maxNotBack
-	return w.write(next, o)
+	return w.applyOnce(next, o)
 }
 
 // Start starts or resumes the zone's maintenance.
-func Start(w WaveRow, o Order) (table.Transaction, error) {
+func Start(w WaveRow, o OperatorChange) (table.Transaction, error) {
 	next := w.Wave
 	switch next.Status {
 	case Idle, Finished:
@@ -136,21 +136,21 @@
 		next.Number++
 	}
 	next.Status = Running
-	return w.write(next, o)
+	return w.applyOnce(next, o)
 }
 
 // Pause stops the zone's maintenance from taking out further VMs.
-func Pause(w WaveRow, o Order) (table.Transaction, error) {
+func Pause(w WaveRow, o OperatorChange) (table.Transaction, error) {
 	if w.Wave.Status != Running && w.Wave.Change != o.Change {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "maintenance of zone %q is %s, not running", w.Zone, w.Wave.Status)
 	}
 	next := w.Wave
 	next.Status = Paused
-	return w.write(next, o)
+	return w.applyOnce(next, o)
 }
 
-// write stores next as o's change, once.
-func (w WaveRow) write(next Wave, o Order) (table.Transaction, error) {
+// applyOnce stores next as o's change, once.
+func (w WaveRow) applyOnce(next Wave, o OperatorChange) (table.Transaction, error) {
 	if o.Change != "" && w.Wave.Change == o.Change {
 		return table.Transaction{}, nil
 	}
--- a/io/operator/wave.go
+++ b/io/operator/wave.go
@@ -17,7 +17,7 @@
 type wave struct {
 	zone, reason, kind string
 	plan               *pb.PlanMaintenance
-	step               func(maintenance.WaveRow, maintenance.Order) (table.Transaction, error)
+	step               func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error)
 }
 
 func (a wave) subject() table.Key { return maintenance.WaveKey(core.ZoneID(a.zone)) }
@@ -36,7 +36,7 @@
 	if err != nil {
 		return table.Transaction{}, err
 	}
-	o := maintenance.Order{Author: m.Author, Reason: a.reason, Change: core.ChangeID(m.ChangeId)}
+	o := maintenance.OperatorChange{Author: m.Author, Reason: a.reason, Change: core.ChangeID(m.ChangeId)}
 	if a.plan != nil {
 		return maintenance.Plan(now, w, o, instant(a.plan.Deadline), int(a.plan.MaxNotBack))
 	}
--- a/io/platform/controller.go
+++ b/io/platform/controller.go
@@ -53,10 +53,10 @@
 	list listPace
 	// listed, leaving and gone are what the live list last said.
 	listed, leaving, gone map[core.VMID]bool
-	looks                 maintenance.Looks
+	looks                 maintenance.CheckScheduler
 	// renewAt is when the lease is to be renewed.
 	renewAt time.Time
-	choice  maintenance.Choice
+	choice  maintenance.LeasePolicy
 	// Test-only: switches the check of a reboot's deadline off.
 	noDeadline bool
 }
@@ -120,7 +120,7 @@
 		return err
 	}
 	rest, err := c.attend(ctx)
-	if err != nil || slices.ContainsFunc(rest, func(d maintenance.Due) bool { return d.Suspect }) {
+	if err != nil || slices.ContainsFunc(rest, func(d maintenance.DueCheck) bool { return d.Suspect }) {
 		// A stop that is planned now might come on top of failures not yet recorded.
 		return err
 	}
@@ -157,7 +157,7 @@
 			c.leaving[id] = true
 		}
 		if !c.listed[id] {
-			c.looks.Expect(id) // It may be back.
+			c.looks.MarkDue(id) // It may be back.
 		}
 	}
 	for _, vm := range c.rows().VMs() {
--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -35,16 +35,16 @@
 	}
 	now := c.Now()
 	switch c.choice.Next(now, l, c.Self, c.entries(ctx), patienceIntervals*c.interval()) {
-	case maintenance.TakeLease:
+	case maintenance.LeaseAcquire:
 		return c.acquire(ctx, row)
-	case maintenance.OfferLease:
+	case maintenance.LeaseRelease:
 		c.setHolds(false)
 		t, err := maintenance.Release(now, row)
 		if err != nil {
 			return false, err
 		}
 		return false, c.Table.Transact(ctx, t)
-	case maintenance.LeaveLease:
+	case maintenance.LeaseNoAction:
 	}
 	c.setHolds(false)
 	return false, nil
--- a/io/platform/controller_look.go
+++ b/io/platform/controller_look.go
@@ -22,11 +22,11 @@
 
 // attend looks at the VMs that are due and takes each as far as it can go now. It
 // returns those that it didn't come to: a tick is bounded in VMs and in time.
-func (c *Controller) attend(ctx context.Context) ([]maintenance.Due, error) {
+func (c *Controller) attend(ctx context.Context) ([]maintenance.DueCheck, error) {
 	c.readList(ctx)
 	suspects := c.takeSuspects()
 	for id := range suspects {
-		c.looks.Expect(id)
+		c.looks.MarkDue(id)
 	}
 	now := c.Now()
 	due := c.looks.Due(now, c.Driver, c.rows().VMs(), func(id core.VMID) bool {
@@ -49,7 +49,7 @@
 
 // attendBatch looks at VMs in one call, and takes them further until end, but one
 // at least. It returns how many it came to.
-func (c *Controller) attendBatch(ctx context.Context, batch []maintenance.Due, end time.Time) (int, error) {
+func (c *Controller) attendBatch(ctx context.Context, batch []maintenance.DueCheck, end time.Time) (int, error) {
 	if err := c.keepLease(ctx); err != nil {
 		return 0, err
 	}
@@ -73,7 +73,7 @@
 
 // isUnsettled reports whether the suspicion against vm is still neither refuted nor
 // recorded: the platform's answer was lost, or the change of the row was.
-func (c *Controller) isUnsettled(vm *fleet.VMRow, seen *maintenance.Seen) bool {
+func (c *Controller) isUnsettled(vm *fleet.VMRow, seen *maintenance.Observation) bool {
 	if seen != nil && seen.Up {
 		return false
 	}
@@ -84,17 +84,17 @@
 // lookAll is look for many VMs in one call. A VM that the answer leaves out stays
 // nil: the platform didn't answer for it, which says nothing of the VM. Taken for
 // down, a partial or lost answer would take a fleet that works out of service.
-func (c *Controller) lookAll(ctx context.Context, batch []maintenance.Due) []*maintenance.Seen {
+func (c *Controller) lookAll(ctx context.Context, batch []maintenance.DueCheck) []*maintenance.Observation {
 	now := c.Now()
 	asks := make([]LookRequest, len(batch))
 	places := make(map[core.VMID]int, len(batch))
 	for i, due := range batch {
 		asks[i].VM, places[due.VM.Ref.VM] = due.VM.Ref.VM, i
-		if until, ok := c.Driver.Hold(now, *due.VM); ok {
+		if until, ok := c.Driver.HoldUntil(now, *due.VM); ok {
 			asks[i].Drain = &DrainRequest{Until: until, Fence: due.VM.Row.Version}
 		}
 	}
-	seen := make([]*maintenance.Seen, len(batch))
+	seen := make([]*maintenance.Observation, len(batch))
 	looks, err := c.VMs.Look(ctx, c.Zone, asks)
 	if err != nil {
 		c.Log.Debug().Err(err).Int("vms", len(asks)).Msg("VMs not looked at")
@@ -105,7 +105,7 @@
 		if !asked {
 			continue
 		}
-		seen[i] = &maintenance.Seen{Up: l.Up, Running: l.Running}
+		seen[i] = &maintenance.Observation{Up: l.Up, Running: l.Running}
 		if drain := asks[i].Drain; drain != nil && l.Drained {
 			seen[i].RefusesUntil = drain.Until
 		}
@@ -115,9 +115,9 @@
 
 // look tells the VM to refuse new work or to take it again, and then asks what
 // runs there: in this order, nothing can start after the answer was taken.
-func (c *Controller) look(ctx context.Context, vm *fleet.VMRow) *maintenance.Seen {
+func (c *Controller) look(ctx context.Context, vm *fleet.VMRow) *maintenance.Observation {
 	var refuses time.Time
-	if until, ok := c.Driver.Hold(c.Now(), *vm); ok {
+	if until, ok := c.Driver.HoldUntil(c.Now(), *vm); ok {
 		err := c.VMs.Drain(ctx, vm.Ref, DrainRequest{Until: until, Fence: vm.Row.Version})
 		if err == nil {
 			refuses = until
@@ -127,5 +127,5 @@
 	if err != nil {
 		return nil
 	}
-	return &maintenance.Seen{Up: status.Up, Running: status.Running, RefusesUntil: refuses}
+	return &maintenance.Observation{Up: status.Up, Running: status.Running, RefusesUntil: refuses}
 }
--- a/io/platform/controller_return_test.go
+++ b/io/platform/controller_return_test.go
@@ -194,7 +194,7 @@
 	for _, vm := range v.VMs {
 		if vm.VM.State == fleet.Serving && !seen[vm.VM.Pool] && v.Pools[vm.VM.Pool].Pool.Headroom() > 0 {
 			seen[vm.VM.Pool] = true
-			commands = append(commands, maintenance.Take{VM: vm.Ref, Permit: fleet.Permit{Change: core.ChangeID(vm.Ref.VM)}})
+			commands = append(commands, maintenance.TakeOut{VM: vm.Ref, Permit: fleet.Permit{Change: core.ChangeID(vm.Ref.VM)}})
 		}
 	}
 	return commands
@@ -247,7 +247,7 @@
 	z.tick()
 	assert.Equal(t, z.count(fleet.Draining), len(z.world.Pools()))
 	z.answers = func(looks []VMLook) ([]VMLook, error) {
-		z.world.Advance(testTiming.Hold)
+		z.world.Advance(testTiming.HoldDuration)
 		for _, l := range looks {
 			z.world.Dispatch(fleet.Ref{Zone: "z0", VM: l.VM}, time.Hour)
 		}
--- a/io/platform/controller_step.go
+++ b/io/platform/controller_step.go
@@ -14,10 +14,10 @@
 
 // steps takes a VM as many steps further as it can go now. seen is what a look at
 // it just showed.
-func (c *Controller) steps(ctx context.Context, vm *fleet.VMRow, seen *maintenance.Seen) error {
+func (c *Controller) steps(ctx context.Context, vm *fleet.VMRow, seen *maintenance.Observation) error {
 	for range stepsPerTick {
 		err := c.step(ctx, vm, seen)
-		c.looks.Looked(c.Now(), vm.Ref.VM, seen)
+		c.looks.RecordCheck(c.Now(), vm.Ref.VM, seen)
 		if err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 
 // step takes one VM a step further. A refusal by the rules or a lost race ends
 // this VM's step only; an unreachable table ends the tick.
-func (c *Controller) step(ctx context.Context, vm *fleet.VMRow, seen *maintenance.Seen) error {
+func (c *Controller) step(ctx context.Context, vm *fleet.VMRow, seen *maintenance.Observation) error {
 	if seen != nil {
 		seen.Leaving = c.leaving[vm.Ref.VM]
 	}
--- a/io/platform/session_test.go
+++ b/io/platform/session_test.go
@@ -19,8 +19,8 @@
 )
 
 var testTiming = maintenance.Timing{
-	ViewAge: 10 * time.Second, Hold: 90 * time.Second, RebootWithin: 20 * time.Second, Skew: 5 * time.Second,
-	BackWithin: 3 * time.Minute, VerifyFor: 5 * time.Second, ListLag: 30 * time.Second, DrainFor: 10 * time.Minute,
+	MaxViewAge: 10 * time.Second, HoldDuration: 90 * time.Second, RebootWindow: 20 * time.Second, MaxClockSkew: 5 * time.Second,
+	ReturnTimeout: 3 * time.Minute, VerifyDuration: 5 * time.Second, MaxListLag: 30 * time.Second, DrainTimeout: 10 * time.Minute,
 }
 
 const testStep = 5 * time.Second
@@ -49,7 +49,7 @@
 // prevent: the list lags, the lease's holder may be paused, and so may the one
 // that asks for the reboot.
 func (f faults) unseen() time.Duration {
-	return f.listLag + leaseIntervals*testStep + testTiming.RebootWithin + 3*testStep
+	return f.listLag + leaseIntervals*testStep + testTiming.RebootWindow + 3*testStep
 }
 
 // session is one zone with two controllers and three entries, over a World.
@@ -102,10 +102,10 @@
 		assert.NilError(t, w.Transact(tx))
 	}
 	order(func(r maintenance.WaveRow) (table.Transaction, error) {
-		return maintenance.Plan(w.Now, r, maintenance.Order{Change: "plan"}, w.Now.Add(24*time.Hour), 3)
+		return maintenance.Plan(w.Now, r, maintenance.OperatorChange{Change: "plan"}, w.Now.Add(24*time.Hour), 3)
 	})
 	order(func(r maintenance.WaveRow) (table.Transaction, error) {
-		return maintenance.Start(r, maintenance.Order{Change: "start"})
+		return maintenance.Start(r, maintenance.OperatorChange{Change: "start"})
 	})
 	return s
 }
