--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -117,7 +117,7 @@
 			pool.Size, pool.Members = pool.Size+1, pool.Members+1
 			if i < c.Out {
 				vm.State = fleet.Failed
-				pool.Out = append(pool.Out, fleet.Out{Ref: ref, Since: since})
+				pool.Out = append(pool.Out, fleet.OutVM{Ref: ref, Since: since})
 			}
 			c.set(ref.Key(), vm)
 		}
--- a/core/fleet/admin.go
+++ b/core/fleet/admin.go
@@ -18,12 +18,12 @@
 		return table.Transaction{}, nil
 	}
 	p.MaxUnavailable, p.Spare = maxUnavailable, spare
-	return write(change{pool: &pool, poolValue: p})
+	return newTransaction(rowWrites{pool: &pool, poolValue: p})
 }
 
 // ResizePool changes how many VMs the pool is meant to have.
 func ResizePool(pool PoolRow, size int) (table.Transaction, error) {
-	if err := pool.mustExist(); err != nil {
+	if err := pool.checkExists(); err != nil {
 		return table.Transaction{}, err
 	}
 	if size < 0 {
@@ -31,7 +31,7 @@
 	}
 	p := pool.Pool
 	p.Size = size
-	return write(change{pool: &pool, poolValue: p})
+	return newTransaction(rowWrites{pool: &pool, poolValue: p})
 }
 
 // DeletePool deletes a pool that no VM is in. Every change of membership checks
@@ -54,7 +54,7 @@
 // checked first. grow raises the pool's size by one once the VM serves; without
 // it, the VM replaces one that was removed.
 func AddVM(now time.Time, vm VMRow, pool PoolRow, grow bool) (table.Transaction, error) {
-	if err := pool.mustExist(); err != nil {
+	if err := pool.checkExists(); err != nil {
 		return table.Transaction{}, err
 	}
 	if vm.Exists() {
@@ -66,11 +66,11 @@
 	switch {
 	case v.State != Serving:
 		v.State, v.Resize = Verifying, grow
-		p = p.withOut(Out{Ref: vm.Ref, Planned: true, Since: now})
+		p = p.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
 	case grow:
 		p.Size++
 	}
-	return write(change{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
+	return newTransaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
 }
 
 // RemoveVM takes a VM that is not serving out of the fleet. shrink lowers the
@@ -80,21 +80,21 @@
 	if !vm.Exists() {
 		return t, nil
 	}
-	if err := vm.inPool(pool); err != nil {
+	if err := vm.checkInPool(pool); err != nil {
 		return t, err
 	}
 	if vm.VM.State != Failed && vm.VM.State != Stopped && vm.VM.State != Verifying {
 		return t, core.Errorf(core.CodeConflict, "VM %s is %s; drain it first", vm.Ref, vm.VM.State)
 	}
-	p := pool.Pool.withoutOut(vm.Ref)
+	p := pool.Pool.removeOut(vm.Ref)
 	p.Members--
 	// The place of a VM that hasn't served yet isn't in Size: taken off, Size would lack
 	// another VM's place, and the budget would let one VM too many go.
-	placed := !vm.VM.Resize || vm.VM.MoveTo != ""
-	if shrink && placed {
+	inSize := !vm.VM.Resize || vm.VM.MoveTo != ""
+	if shrink && inSize {
 		p.Size--
 	}
-	t, err := write(change{pool: &pool, poolValue: p})
+	t, err := newTransaction(rowWrites{pool: &pool, poolValue: p})
 	t.Check(vm.Row)
 	t.Delete(vm.Row.Key)
 	return t, err
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -31,24 +31,24 @@
 // Unreachable says that no connection to a VM could be made.
 type Unreachable struct{ VM core.VMID }
 
-// Answered says that a VM took work, or told a probe that it would. Asked is
+// Accepted says that a VM took work, or told a probe that it would. Asked is
 // when the request or probe was sent.
-type Answered struct {
-	VM    core.VMID
-	Asked time.Time
+type Accepted struct {
+	VM     core.VMID
+	SentAt time.Time
 }
 
 func (RowsChanged) isEvent() {}
 func (Listed) isEvent()      {}
 func (Refused) isEvent()     {}
 func (Unreachable) isEvent() {}
-func (Answered) isEvent()    {}
+func (Accepted) isEvent()    {}
 
 // Probe pacing: the first probe follows the refusal by probeStep, and each next
 // one waits as much longer, up to probeMax.
 const (
-	probeStep = time.Second
-	probeMax  = 15 * time.Second
+	probeBackoff     = time.Second
+	maxProbeInterval = 15 * time.Second
 )
 
 // Membership knows which VMs of a zone may be given new work. It combines the
@@ -81,13 +81,13 @@
 	case RowsChanged:
 		return m.rowsChanged(e.Rows)
 	case Listed:
-		return m.list(e.VMs)
+		return m.listReceived(e.VMs)
 	case Refused:
 		return m.hold(now, e.VM)
 	case Unreachable:
 		return m.hold(now, e.VM)
-	case Answered:
-		return m.answered(e)
+	case Accepted:
+		return m.accepted(e)
 	}
 	return false
 }
@@ -96,7 +96,7 @@
 func (m *Membership) Targets() []route.Target {
 	var targets []route.Target
 	for _, v := range m.vms {
-		if v.mayWork(m) {
+		if v.acceptsWork(m) {
 			targets = append(targets, v.target())
 		}
 	}
@@ -122,7 +122,7 @@
 			continue
 		}
 		v.probes++
-		v.probeAt = now.Add(min(time.Duration(v.probes)*probeStep, probeMax))
+		v.probeAt = now.Add(min(time.Duration(v.probes)*probeBackoff, maxProbeInterval))
 		due = append(due, *v.row)
 	}
 	slices.SortFunc(due, func(a, b VMRow) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
@@ -155,14 +155,14 @@
 	return true
 }
 
-func (m *Membership) list(vms []ListedVM) bool {
-	now := make(map[core.VMID]ListedVM, len(vms))
+func (m *Membership) listReceived(vms []ListedVM) bool {
+	listedNow := make(map[core.VMID]ListedVM, len(vms))
 	for _, l := range vms {
-		now[l.VM] = l
+		listedNow[l.VM] = l
 	}
 	changed := false
 	for id, v := range m.vms {
-		l, ok := now[id]
+		l, ok := listedNow[id]
 		before := *v
 		v.gone = v.gone && !ok || v.listed && !ok
 		v.listed = v.listed || ok
@@ -178,17 +178,17 @@
 		return false
 	}
 	if v.heldAt.IsZero() {
-		v.probes, v.probeAt = 0, now.Add(probeStep)
+		v.probes, v.probeAt = 0, now.Add(probeBackoff)
 	}
 	v.heldAt = now
 	return true
 }
 
-// answered lifts a hold, unless the VM was asked before it showed that it takes
+// accepted lifts a hold, unless the VM was asked before it showed that it takes
 // nothing: answers cross.
-func (m *Membership) answered(e Answered) bool {
+func (m *Membership) accepted(e Accepted) bool {
 	v, ok := m.vms[e.VM]
-	if !ok || v.heldAt.IsZero() || !e.Asked.After(v.heldAt) {
+	if !ok || v.heldAt.IsZero() || !e.SentAt.After(v.heldAt) {
 		return false
 	}
 	v.heldAt = time.Time{}
@@ -207,10 +207,10 @@
 	return v
 }
 
-func (v *member) mayWork(m *Membership) bool {
-	listedOut := (v.leaving || v.gone) && !m.ignoreList
+func (v *member) acceptsWork(m *Membership) bool {
+	unavailable := (v.leaving || v.gone) && !m.ignoreList
 	held := !v.heldAt.IsZero() && !m.ignoreConnections
-	return v.row.VM.State == Serving && !listedOut && !held
+	return v.row.VM.State == Serving && !unavailable && !held
 }
 
 func (v *member) target() route.Target {
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -22,8 +22,8 @@
 	return RowsChanged{Rows: []*VMRow{&vm}}
 }
 
-// sight is one event as the naive version keeps it.
-type sight struct {
+// timedEvent is one event as the naive version keeps it.
+type timedEvent struct {
 	at    time.Time
 	event Event
 }
@@ -31,7 +31,7 @@
 // naiveTargets goes through the whole history for each VM. It is slow and plain:
 // a VM may work if its newest row says Serving, and nothing seen since that row
 // began to say so speaks against it.
-func naiveTargets(history []sight, vms []core.VMID) []core.VMID {
+func naiveTargets(history []timedEvent, vms []core.VMID) []core.VMID {
 	var targets []core.VMID
 	for _, vm := range vms {
 		if naiveMayWork(history, vm) {
@@ -41,7 +41,7 @@
 	return targets
 }
 
-func naiveMayWork(history []sight, vm core.VMID) bool {
+func naiveMayWork(history []timedEvent, vm core.VMID) bool {
 	row := &VMRow{}
 	var listed, leaving, gone, held bool
 	var heldAt time.Time
@@ -70,8 +70,8 @@
 			if e.VM == vm {
 				held, heldAt = true, s.at
 			}
-		case Answered:
-			if e.VM == vm && e.Asked.After(heldAt) {
+		case Accepted:
+			if e.VM == vm && e.SentAt.After(heldAt) {
 				held = false
 			}
 		}
@@ -87,24 +87,24 @@
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		var m Membership
-		var history []sight
+		var history []timedEvent
 		now := testStart
 		versions := make([]core.Version, len(vms))
-		see := func(e Event) {
+		handle := func(e Event) {
 			m.Handle(now, e)
-			history = append(history, sight{now, e})
+			history = append(history, timedEvent{now, e})
 		}
 		row := func(i int, s State) table.Row {
 			versions[i]++
 			return table.MustRow(table.VMKey("z", vms[i]), versions[i], VM{State: s})
 		}
 		for i := range vms {
-			see(changed(row(i, Serving)))
+			handle(changed(row(i, Serving)))
 		}
 		for range 100 {
 			now = now.Add(time.Duration(r.IntN(3)) * time.Second)
 			i := r.IntN(len(vms))
-			see([]func() Event{
+			handle([]func() Event{
 				func() Event {
 					return changed(row(i, []State{Serving, Serving, Draining, Failed}[r.IntN(4)]))
 				},
@@ -120,7 +120,7 @@
 				func() Event { return Refused{VM: vms[i]} },
 				func() Event { return Unreachable{VM: vms[i]} },
 				func() Event {
-					return Answered{VM: vms[i], Asked: now.Add(-time.Duration(r.IntN(4)) * time.Second)}
+					return Accepted{VM: vms[i], SentAt: now.Add(-time.Duration(r.IntN(4)) * time.Second)}
 				},
 			}[r.IntN(5)]())
 			var got []core.VMID
@@ -136,7 +136,7 @@
 // A VM leaves while the table, the list or the connections are silent: whichever
 // source speaks first ends its new work. Callers whose work goes to a leaving VM
 // see refusals and delays; with the source switched off, they see them for long.
-func TestLeavingFoundBySourceAlone(t *testing.T) {
+func TestEachSourceDetectsLeavingVM(t *testing.T) {
 	serving := table.MustRow(table.VMKey("z", "v"), 1, VM{State: Serving})
 	draining := table.MustRow(table.VMKey("z", "v"), 2, VM{State: Draining})
 	for _, c := range []struct {
@@ -171,16 +171,16 @@
 	var m Membership
 	m.Handle(testStart, changed(table.MustRow(table.VMKey("z", "v"), 1, VM{State: Serving})))
 	m.Handle(testStart, Refused{VM: "v"})
-	var asked []string
+	var probedAt []string
 	for s := range 40 {
 		now := testStart.Add(time.Duration(s) * time.Second)
 		if len(m.Probes(now)) > 0 {
-			asked = append(asked, fmt.Sprint(s))
+			probedAt = append(probedAt, fmt.Sprint(s))
 		}
 	}
-	assert.DeepEqual(t, asked, []string{"1", "2", "4", "7", "11", "16", "22", "29", "37"})
-	m.Handle(testStart, Answered{VM: "v", Asked: testStart})
+	assert.DeepEqual(t, probedAt, []string{"1", "2", "4", "7", "11", "16", "22", "29", "37"})
+	m.Handle(testStart, Accepted{VM: "v", SentAt: testStart})
 	assert.Equal(t, len(m.Targets()), 0, "a crossed answer")
-	m.Handle(testStart, Answered{VM: "v", Asked: testStart.Add(time.Second)})
+	m.Handle(testStart, Accepted{VM: "v", SentAt: testStart.Add(time.Second)})
 	assert.Equal(t, len(m.Targets()), 1)
 }
--- a/core/fleet/pool.go
+++ b/core/fleet/pool.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/table"
 )
 
-// Out is a VM of a pool that is not serving, in the pool's row.
-type Out struct {
+// OutVM is a VM of a pool that is not serving, in the pool's row.
+type OutVM struct {
 	Ref
 	// Planned VMs hold a drain permit; the others failed.
 	Planned bool      `json:"planned"`
@@ -30,7 +30,7 @@
 	// Spare marks the pool whose VMs repair others.
 	Spare bool `json:"spare,omitempty"`
 	// Out lists the members that are not serving.
-	Out []Out `json:"out,omitempty"`
+	Out []OutVM `json:"out,omitempty"`
 }
 
 // Unavailable returns how many serving VMs the pool lacks. It is negative when
@@ -52,24 +52,24 @@
 }
 
 // FindOut returns the entry of vm in Out.
-func (p Pool) FindOut(vm Ref) (Out, bool) {
-	i := slices.IndexFunc(p.Out, func(o Out) bool { return o.Ref == vm })
+func (p Pool) FindOut(vm Ref) (OutVM, bool) {
+	i := slices.IndexFunc(p.Out, func(o OutVM) bool { return o.Ref == vm })
 	if i < 0 {
-		return Out{}, false
+		return OutVM{}, false
 	}
 	return p.Out[i], true
 }
 
-// withOut returns p with o in place of what Out says of the same VM.
-func (p Pool) withOut(o Out) Pool {
-	p = p.withoutOut(o.Ref)
+// addOut returns p with o in place of what Out says of the same VM.
+func (p Pool) addOut(o OutVM) Pool {
+	p = p.removeOut(o.Ref)
 	p.Out = append(p.Out, o)
 	return p
 }
 
-// withoutOut returns p with vm serving or gone.
-func (p Pool) withoutOut(vm Ref) Pool {
-	p.Out = slices.DeleteFunc(slices.Clone(p.Out), func(o Out) bool { return o.Ref == vm })
+// removeOut returns p with vm serving or gone.
+func (p Pool) removeOut(vm Ref) Pool {
+	p.Out = slices.DeleteFunc(slices.Clone(p.Out), func(o OutVM) bool { return o.Ref == vm })
 	return p
 }
 
@@ -93,7 +93,7 @@
 // Exists reports whether the row was there when it was read.
 func (r PoolRow) Exists() bool { return r.Row.Version != 0 }
 
-func (r PoolRow) mustExist() error {
+func (r PoolRow) checkExists() error {
 	if r.Exists() {
 		return nil
 	}
--- a/core/fleet/steps.go
+++ b/core/fleet/rules.go
@@ -28,7 +28,7 @@
 // has taken effect already. The zero value is ready to use.
 type Rules struct {
 	// Test-only: each switches one safeguard off.
-	noBudget, noPoolCheck, noStopCheck, freeUnplanned bool
+	noBudgetCheck, noPoolCheck, noStopBudgetCheck, noFailureCount bool
 }
 
 // Permit grants a drain permit: it checks the budget and marks the VM's and the
@@ -39,7 +39,7 @@
 // of the pool's row and both write it, so the second fails with a conflict and
 // has to decide again on the new row.
 func (r Rules) Permit(now time.Time, vm VMRow, pool PoolRow, p Permit) (table.Transaction, error) {
-	if err := vm.inPool(pool); err != nil {
+	if err := vm.checkInPool(pool); err != nil {
 		return table.Transaction{}, err
 	}
 	if p.Change != "" && vm.VM.Change == p.Change {
@@ -51,14 +51,14 @@
 	if p.MoveTo == pool.ID {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is in pool %q already", vm.Ref, pool.ID)
 	}
-	if pool.Pool.Headroom() < 1 && !r.noBudget {
+	if pool.Pool.Headroom() < 1 && !r.noBudgetCheck {
 		return table.Transaction{}, budgetSpent(pool)
 	}
 	v := vm.VM
 	v.State, v.Since = Cordoned, now
 	v.Change, v.Wave, v.MoveTo, v.Resize, v.DrainBy = p.Change, p.Wave, p.MoveTo, p.Resize, p.DrainBy
-	out := pool.Pool.withOut(Out{Ref: vm.Ref, Planned: true, Since: now})
-	return r.write(change{vm: &vm, vmValue: v, pool: &pool, poolValue: out})
+	poolValue := pool.Pool.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
+	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: poolValue})
 }
 
 // Drain marks a cordoned VM as draining, once the VM itself refuses new work.
@@ -68,11 +68,11 @@
 	if v.State == Draining {
 		return table.Transaction{}, nil
 	}
-	if err := vm.mustBe(Cordoned); err != nil {
+	if err := vm.checkState(Cordoned); err != nil {
 		return table.Transaction{}, err
 	}
 	v.State, v.Since, v.StopAfter = Draining, now, stopAfter
-	return write(change{vm: &vm, vmValue: v})
+	return newTransaction(rowWrites{vm: &vm, vmValue: v})
 }
 
 // Stop marks a drained VM as stopped: it may be rebooted until rebootBy, and has
@@ -85,23 +85,23 @@
 	if v.State == Stopped && !rebootBy.After(v.RebootBy) {
 		return table.Transaction{}, nil
 	}
-	if err := vm.inPool(pool); err != nil {
+	if err := vm.checkInPool(pool); err != nil {
 		return table.Transaction{}, err
 	}
 	if v.State != Stopped {
-		if err := vm.mustBe(Draining); err != nil {
+		if err := vm.checkState(Draining); err != nil {
 			return table.Transaction{}, err
 		}
 		if now.Before(v.StopAfter) {
 			return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s may be stopped at %s", vm.Ref, v.StopAfter)
 		}
-		if pool.Pool.Headroom() < 0 && !r.noStopCheck {
+		if pool.Pool.Headroom() < 0 && !r.noStopBudgetCheck {
 			return table.Transaction{}, budgetSpent(pool)
 		}
 		v.State, v.Since, v.BackBy = Stopped, now, backBy
 	}
 	v.RebootBy = rebootBy
-	return r.write(change{vm: &vm, vmValue: v, pool: &pool, poolValue: pool.Pool})
+	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: pool.Pool})
 }
 
 // Withdraw takes a permit back before the stop: the VM serves again.
@@ -109,7 +109,7 @@
 	if vm.VM.State != Cordoned && vm.VM.State != Draining {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is %s; only a drain can be withdrawn", vm.Ref, vm.VM.State)
 	}
-	return r.serve(now, vm, pool)
+	return r.returnToService(now, vm, pool)
 }
 
 // Verify marks a VM as back from its reboot, or a failed one as up again.
@@ -119,12 +119,12 @@
 		return table.Transaction{}, nil
 	}
 	if v.State != Failed {
-		if err := vm.mustBe(Stopped); err != nil {
+		if err := vm.checkState(Stopped); err != nil {
 			return table.Transaction{}, err
 		}
 	}
 	v.State, v.Since, v.BackBy = Verifying, now, backBy
-	return write(change{vm: &vm, vmValue: v})
+	return newTransaction(rowWrites{vm: &vm, vmValue: v})
 }
 
 // Return puts a verified VM back into service. nextDue is its next maintenance's
@@ -136,7 +136,7 @@
 	if vm.VM.State == Serving {
 		return table.Transaction{}, nil
 	}
-	if err := vm.mustBe(Verifying); err != nil {
+	if err := vm.checkState(Verifying); err != nil {
 		return table.Transaction{}, err
 	}
 	if !now.After(vm.VM.RebootBy) {
@@ -145,14 +145,14 @@
 	if !nextDue.IsZero() {
 		vm.VM.LastMaintained, vm.VM.NextDue = now, nextDue
 	}
-	return r.serve(now, vm, pool)
+	return r.returnToService(now, vm, pool)
 }
 
 // Fail records that a VM went out unplanned or did not come back. It is always
 // possible, also beyond the budget: what failed is out whatever the row says,
 // and the budget that it uses is not there for planned stops.
 func (r Rules) Fail(now time.Time, vm VMRow, pool PoolRow) (table.Transaction, error) {
-	if err := vm.inPool(pool); err != nil {
+	if err := vm.checkInPool(pool); err != nil {
 		return table.Transaction{}, err
 	}
 	if vm.VM.State == Failed {
@@ -164,10 +164,10 @@
 		v.MoveTo, v.Resize = "", false
 	}
 	p := pool.Pool
-	if !r.freeUnplanned {
-		p = p.withOut(Out{Ref: vm.Ref, Since: now})
+	if !r.noFailureCount {
+		p = p.addOut(OutVM{Ref: vm.Ref, Since: now})
 	}
-	return r.write(change{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
+	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
 }
 
 // Join is the last of a move's three swaps: a VM on which nothing runs changes
@@ -181,24 +181,24 @@
 	if vm.VM.Pool == to.ID {
 		return table.Transaction{}, nil
 	}
-	if err := vm.inPool(from); err != nil {
+	if err := vm.checkInPool(from); err != nil {
 		return table.Transaction{}, err
 	}
-	if err := to.mustExist(); err != nil {
+	if err := to.checkExists(); err != nil {
 		return table.Transaction{}, err
 	}
 	if vm.VM.State != Stopped && vm.VM.State != Verifying {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is %s; it must be drained before it moves", vm.Ref, vm.VM.State)
 	}
-	v, a, b := vm.VM, from.Pool.withoutOut(vm.Ref), to.Pool
+	v, a, b := vm.VM, from.Pool.removeOut(vm.Ref), to.Pool
 	v.Pool, v.State, v.Since, v.MoveTo = to.ID, Verifying, now, ""
 	a.Members--
 	b.Members++
 	if v.Resize {
 		a.Size--
 	}
-	b = b.withOut(Out{Ref: vm.Ref, Planned: true, Since: now})
-	t, err := write(change{vm: &vm, vmValue: v, pool: &from, poolValue: a})
+	b = b.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
+	t, err := newTransaction(rowWrites{vm: &vm, vmValue: v, pool: &from, poolValue: a})
 	if err != nil {
 		return t, err
 	}
@@ -206,36 +206,36 @@
 	return t, t.Set(to.Row.Key, b)
 }
 
-func (r Rules) serve(now time.Time, vm VMRow, pool PoolRow) (table.Transaction, error) {
-	if err := vm.inPool(pool); err != nil {
+func (r Rules) returnToService(now time.Time, vm VMRow, pool PoolRow) (table.Transaction, error) {
+	if err := vm.checkInPool(pool); err != nil {
 		return table.Transaction{}, err
 	}
-	v, p := vm.VM, pool.Pool.withoutOut(vm.Ref)
+	v, p := vm.VM, pool.Pool.removeOut(vm.Ref)
 	if v.Resize && v.MoveTo == "" {
 		p.Size++
 	}
 	v.State, v.Since, v.MoveTo, v.Resize = Serving, now, "", false
 	v.DrainBy, v.StopAfter, v.RebootBy, v.BackBy = time.Time{}, time.Time{}, time.Time{}, time.Time{}
-	return r.write(change{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
+	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
 }
 
-// change is a write of a VM's and a pool's row, each left out when nil.
-type change struct {
+// rowWrites is a write of a VM's and a pool's row, each left out when nil.
+type rowWrites struct {
 	vm        *VMRow
 	vmValue   VM
 	pool      *PoolRow
 	poolValue Pool
 }
 
-func (r Rules) write(c change) (table.Transaction, error) {
-	t, err := write(c)
+func (r Rules) transaction(c rowWrites) (table.Transaction, error) {
+	t, err := newTransaction(c)
 	if r.noPoolCheck && len(t.Checks) > 1 {
 		t.Checks = t.Checks[:1]
 	}
 	return t, err
 }
 
-func write(c change) (table.Transaction, error) {
+func newTransaction(c rowWrites) (table.Transaction, error) {
 	var t table.Transaction
 	if c.vm != nil {
 		t.Check(c.vm.Row)
@@ -250,18 +250,18 @@
 	return t, t.Set(c.pool.Row.Key, c.poolValue)
 }
 
-func (r VMRow) mustBe(s State) error {
+func (r VMRow) checkState(s State) error {
 	if r.VM.State == s {
 		return nil
 	}
 	return core.Errorf(core.CodeConflict, "VM %s is %s, not %s", r.Ref, r.VM.State, s)
 }
 
-func (r VMRow) inPool(pool PoolRow) error {
+func (r VMRow) checkInPool(pool PoolRow) error {
 	if !r.Exists() {
 		return core.Errorf(core.CodeNotFound, "no VM %s", r.Ref)
 	}
-	if err := pool.mustExist(); err != nil {
+	if err := pool.checkExists(); err != nil {
 		return err
 	}
 	if r.VM.Pool != pool.ID {
--- a/core/fleet/rules_test.go
+++ b/core/fleet/rules_test.go
@@ -19,9 +19,9 @@
 
 const vmsPerPool = 4
 
-// race is a table with three actors that act on views of any age. It judges
+// raceSimulation is a table with three actors that act on views of any age. It judges
 // commits by the VMs' rows and its own sizes, never by the pools' counters.
-type race struct {
+type raceSimulation struct {
 	rand  *rand.Rand
 	now   time.Time
 	table table.Memory
@@ -33,8 +33,8 @@
 	vms      []Ref
 }
 
-func newRace(t *testing.T, seed uint64, rules Rules) *race {
-	r := &race{
+func newRaceSimulation(t *testing.T, seed uint64, rules Rules) *raceSimulation {
+	r := &raceSimulation{
 		rand: rand.New(rand.NewPCG(seed, 2)), now: testStart, rules: rules,
 		permits: make(map[core.ChangeID]int), views: make([]map[table.Key]table.Row, 3),
 	}
@@ -49,7 +49,7 @@
 	return r
 }
 
-func (r *race) commit(t *testing.T) func(table.Transaction, error) {
+func (r *raceSimulation) commit(t *testing.T) func(table.Transaction, error) {
 	return func(tx table.Transaction, err error) {
 		assert.NilError(t, err)
 		assert.NilError(t, r.table.Transact(tx))
@@ -58,7 +58,7 @@
 
 type reader func(table.Key) table.Row
 
-func (r *race) vm(read reader, ref Ref) VMRow {
+func (r *raceSimulation) vm(read reader, ref Ref) VMRow {
 	row, err := DecodeVM(read(ref.Key()))
 	if err != nil {
 		panic(err)
@@ -66,7 +66,7 @@
 	return row
 }
 
-func (r *race) pool(read reader, id core.PoolID) PoolRow {
+func (r *raceSimulation) pool(read reader, id core.PoolID) PoolRow {
 	row, err := DecodePool(read(table.PoolStateKey(id)))
 	if err != nil {
 		panic(err)
@@ -75,7 +75,7 @@
 }
 
 // view returns actor i's reader: rows as they stood when it last looked.
-func (r *race) view(i int) reader {
+func (r *raceSimulation) view(i int) reader {
 	if r.views[i] == nil || r.rand.IntN(3) == 0 {
 		r.views[i] = make(map[table.Key]table.Row)
 		for _, row := range r.table.Scan("") {
@@ -91,7 +91,7 @@
 }
 
 // step lets an actor do something to a random VM, perhaps with a lost answer.
-func (r *race) step(n int) {
+func (r *raceSimulation) step(n int) {
 	r.now = r.now.Add(time.Second)
 	actor := r.rand.IntN(len(r.views))
 	read := r.view(actor)
@@ -115,7 +115,7 @@
 	}
 }
 
-func (r *race) decide(read reader, vm VMRow, change core.ChangeID) (table.Transaction, error) {
+func (r *raceSimulation) decide(read reader, vm VMRow, change core.ChangeID) (table.Transaction, error) {
 	pool := r.pool(read, vm.VM.Pool)
 	if r.rand.IntN(12) == 0 {
 		return r.rules.Fail(r.now, vm, pool)
@@ -147,7 +147,7 @@
 }
 
 // transact applies tx and judges it, and loses one answer in four.
-func (r *race) transact(ref Ref, tx table.Transaction) error {
+func (r *raceSimulation) transact(ref Ref, tx table.Transaction) error {
 	before := r.vm(r.table.Read, ref).VM
 	if err := r.table.Transact(tx); err != nil {
 		return err
@@ -157,7 +157,7 @@
 		r.permits[after.Change]++
 	}
 	if after.State == Cordoned || before.State == Draining && after.State == Stopped {
-		r.judge(ref, after)
+		r.checkBudget(ref, after)
 	}
 	if r.rand.IntN(4) == 0 {
 		return table.ErrUnknown
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// judge counts the VMs that the pool lacks by their rows alone.
-func (r *race) judge(ref Ref, vm VM) {
+// checkBudget counts the VMs that the pool lacks by their rows alone.
+func (r *raceSimulation) checkBudget(ref Ref, vm VM) {
 	serving := 0
 	for _, other := range r.vms {
 		if o := r.vm(r.table.Read, other).VM; o.Pool == vm.Pool && o.State == Serving {
@@ -178,9 +178,9 @@
 	}
 }
 
-// check compares the pools' counters with the VMs' rows: a VM that two pools
+// checkCounters compares the pools' counters with the VMs' rows: a VM that two pools
 // count, or none, shows here.
-func (r *race) check() error {
+func (r *raceSimulation) checkCounters() error {
 	for id := range budgets {
 		members, out := 0, 0
 		for _, ref := range r.vms {
@@ -206,12 +206,12 @@
 // runRaces returns how many of the seeds broke a budget, and how many a count.
 func runRaces(t *testing.T, seeds uint64, rules Rules) (breaches, miscounts int) {
 	for seed := range seeds {
-		r := newRace(t, seed, rules)
+		r := newRaceSimulation(t, seed, rules)
 		var err error
 		for n := range 300 {
 			r.step(n)
 			if n%20 == 19 && err == nil {
-				err = r.check()
+				err = r.checkCounters()
 			}
 		}
 		if len(r.breaches) > 0 {
@@ -244,10 +244,10 @@
 		name  string
 		rules Rules
 	}{
-		{"no budget check at the permit", Rules{noBudget: true}},
+		{"no budget check at the permit", Rules{noBudgetCheck: true}},
 		{"pool row not checked", Rules{noPoolCheck: true}},
-		{"no budget check at the stop", Rules{noStopCheck: true}},
-		{"failures not counted", Rules{freeUnplanned: true}},
+		{"no budget check at the stop", Rules{noStopBudgetCheck: true}},
+		{"failures not counted", Rules{noFailureCount: true}},
 	} {
 		breaches, miscounts := runRaces(t, seeds, c.rules)
 		t.Logf("%s: %d of %d seeds broke a budget, %d a count", c.name, breaches, seeds, miscounts)
@@ -259,7 +259,7 @@
 // operator moves the same VM: the first is settled by its id, the second is told
 // of the conflict. Deleting a pool, or lowering its budget, races the same way.
 func TestOperatorsRace(t *testing.T) {
-	r := newRace(t, 1, Rules{})
+	r := newRaceSimulation(t, 1, Rules{})
 	read := r.table.Read
 	vm, a := r.vm(read, Ref{"z", "a0"}), r.pool(read, "a")
 	r.commit(t)(r.rules.Permit(r.now, vm, a, Permit{Change: "one", MoveTo: "b", Resize: true}))
@@ -284,27 +284,27 @@
 	r.commit(t)(r.rules.Return(r.now, r.vm(read, vm.Ref), r.pool(read, "b"), time.Time{}))
 	assert.Equal(t, r.pool(read, "a").Pool.Size, vmsPerPool-1)
 	assert.Equal(t, r.pool(read, "b").Pool.Size, vmsPerPool+1)
-	assert.NilError(t, r.check())
+	assert.NilError(t, r.checkCounters())
 }
 
 // A VM is gone for good and another takes its place: the pool goes on lacking it
 // until the replacement has been verified, and no planned stop uses the gap.
 func TestReplacedVM(t *testing.T) {
-	r := newRace(t, 1, Rules{})
+	r := newRaceSimulation(t, 1, Rules{})
 	read := r.table.Read
-	old, fresh := Ref{"z", "b0"}, Ref{"z", "b9"}
+	old, replacement := Ref{"z", "b0"}, Ref{"z", "b9"}
 	r.commit(t)(r.rules.Fail(r.now, r.vm(read, old), r.pool(read, "b")))
 	r.commit(t)(RemoveVM(r.vm(read, old), r.pool(read, "b"), false))
 	_, err := r.rules.Permit(r.now, r.vm(read, Ref{"z", "b1"}), r.pool(read, "b"), Permit{Change: "stop"})
 	assert.Equal(t, core.ErrorCode(err), core.CodeBudgetSpent)
 
-	added := r.vm(read, fresh)
+	added := r.vm(read, replacement)
 	added.VM.State = Verifying
 	r.commit(t)(AddVM(r.now, added, r.pool(read, "b"), false))
 	assert.Equal(t, r.pool(read, "b").Pool.Unavailable(), 1)
-	_, err = AddVM(r.now, r.vm(read, fresh), r.pool(read, "a"), true)
+	_, err = AddVM(r.now, r.vm(read, replacement), r.pool(read, "a"), true)
 	assert.Equal(t, core.ErrorCode(err), core.CodeConflict)
-	r.commit(t)(r.rules.Return(r.now, r.vm(read, fresh), r.pool(read, "b"), time.Time{}))
+	r.commit(t)(r.rules.Return(r.now, r.vm(read, replacement), r.pool(read, "b"), time.Time{}))
 	assert.Equal(t, r.pool(read, "b").Pool.Unavailable(), 0)
 }
 
@@ -313,16 +313,16 @@
 // the VM serves. One less, and the budget would let one serving VM more be taken out.
 func TestRemoveVMBeforeItServed(t *testing.T) {
 	for _, fail := range []bool{false, true} {
-		r := newRace(t, 1, Rules{})
+		r := newRaceSimulation(t, 1, Rules{})
 		read := r.table.Read
-		fresh, before := Ref{"z", "b9"}, r.pool(read, "b").Pool
-		added := r.vm(read, fresh)
+		newRef, before := Ref{"z", "b9"}, r.pool(read, "b").Pool
+		added := r.vm(read, newRef)
 		added.VM.State = Verifying
 		r.commit(t)(AddVM(r.now, added, r.pool(read, "b"), true))
 		if fail {
-			r.commit(t)(r.rules.Fail(r.now, r.vm(read, fresh), r.pool(read, "b")))
+			r.commit(t)(r.rules.Fail(r.now, r.vm(read, newRef), r.pool(read, "b")))
 		}
-		r.commit(t)(RemoveVM(r.vm(read, fresh), r.pool(read, "b"), true))
+		r.commit(t)(RemoveVM(r.vm(read, newRef), r.pool(read, "b"), true))
 		after := r.pool(read, "b").Pool
 		assert.Equal(t, after.Size, before.Size)
 		assert.Equal(t, after.Headroom(), before.Headroom())
--- a/core/maintenance/driver_test.go
+++ b/core/maintenance/driver_test.go
@@ -19,7 +19,7 @@
 // still due for maintenance.
 func TestStoppedBeyondBudgetIsNotRebooted(t *testing.T) {
 	ref := fleet.Ref{Zone: "z", VM: "v0"}
-	pool := fleet.Pool{MaxUnavailable: 2, Size: 10, Members: 10, Out: []fleet.Out{
+	pool := fleet.Pool{MaxUnavailable: 2, Size: 10, Members: 10, Out: []fleet.OutVM{
 		{Ref: ref, Planned: true}, {Ref: fleet.Ref{Zone: "z", VM: "v1"}}, {Ref: fleet.Ref{Zone: "z", VM: "v2"}},
 	}}
 	rebootBy := start.Add(time.Minute)
--- a/core/maintenance/spread/repair.go
+++ b/core/maintenance/spread/repair.go
@@ -110,7 +110,7 @@
 		}
 		missing--
 		p.Members--
-		p.Out = slices.DeleteFunc(slices.Clone(p.Out), func(o fleet.Out) bool { return o.Ref == vm.Ref })
+		p.Out = slices.DeleteFunc(slices.Clone(p.Out), func(o fleet.OutVM) bool { return o.Ref == vm.Ref })
 		commands = append(commands, maintenance.MoveToSpare{VM: vm.Ref, To: r.spare})
 	}
 	return commands
--- a/io/platform/fleet.go
+++ b/io/platform/fleet.go
@@ -94,7 +94,7 @@
 
 // Answered tells that a VM took work that was sent at asked.
 func (w *FleetWatcher) Answered(vm core.VMID, asked time.Time) {
-	w.handle(fleet.Answered{VM: vm, Asked: asked})
+	w.handle(fleet.Accepted{VM: vm, SentAt: asked})
 }
 
 // pollRows also hands on what the controller's polls and writes have changed.
@@ -137,7 +137,7 @@
 	for _, vm := range due {
 		asked := w.Now()
 		if w.Probe(ctx, vm) {
-			w.handle(fleet.Answered{VM: vm.Ref.VM, Asked: asked})
+			w.handle(fleet.Accepted{VM: vm.Ref.VM, SentAt: asked})
 		}
 	}
 }
