--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -10,9 +10,9 @@
 	"lavenderpond/core/table"
 )
 
-// fleetTable holds the configuration of a fleet: teams, pools, two queues a pool, and
+// newFleetTable holds the configuration of a fleet: teams, pools, two queues a pool, and
 // three keys a team.
-func fleetTable(teams, pools int) *table.Memory {
+func newFleetTable(teams, pools int) *table.Memory {
 	var m table.Memory
 	var t table.Transaction
 	set := func(key table.Key, value any) { _ = t.Set(key, value) }
@@ -42,9 +42,9 @@
 func BenchmarkViewMemory(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("teams=%d/pools=%d", size.teams, size.pools), func(b *testing.B) {
-			rows := fleetTable(size.teams, size.pools).Scan("")
+			rows := newFleetTable(size.teams, size.pools).Scan("")
 			data, _ := json.Marshal(rows)
-			before := heap()
+			before := heapBytes()
 			var v *View
 			for b.Loop() {
 				v = &View{}
@@ -52,7 +52,7 @@
 				_ = json.Unmarshal(data, &own)
 				_, _ = v.Apply(Delta{Version: 1, Rows: own}, FromTable)
 			}
-			b.ReportMetric(float64(heap()-before), "B")
+			b.ReportMetric(float64(heapBytes()-before), "B")
 			b.ReportMetric(float64(len(data)), "B-first-delta")
 			runtime.KeepAlive(v)
 		})
@@ -63,29 +63,29 @@
 func BenchmarkChange(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("teams=%d/pools=%d", size.teams, size.pools), func(b *testing.B) {
-			m := fleetTable(size.teams, size.pools)
+			m := newFleetTable(size.teams, size.pools)
 			var v View
 			_, _ = v.Apply(Delta{Version: 1, Rows: m.Scan("")}, FromTable)
-			var written, told, n int
+			var writtenBytes, deltaBytes, n int
 			for b.Loop() {
 				n++
 				c := SetTeam{Author: "ana", Team: "team-0001", Value: Team{Share: 1, Limit: core.Slots(n % 1000)}}
 				id := core.ChangeID(fmt.Sprintf("change-%04d", n))
 				rows := Rows{}
-				for _, key := range Needs(c, id) {
+				for _, key := range RequiredKeys(c, id) {
 					rows[key] = m.Read(key)
 				}
 				t, _ := Plan(c, id, testStart, rows)
 				data, _ := json.Marshal(t)
-				written = len(data)
+				writtenBytes = len(data)
 				_ = m.Transact(t)
 				d := Delta{Base: v.Version(), Version: v.Version() + 1, Rows: []table.Row{m.Read(table.ConfigHead), m.Read(c.Key())}}
 				_, _ = v.Apply(d, FromTable)
 				data, _ = json.Marshal(v.DeltaSince(d.Base))
-				told = len(data)
+				deltaBytes = len(data)
 			}
-			b.ReportMetric(float64(written), "B-written")
-			b.ReportMetric(float64(told), "B-delta")
+			b.ReportMetric(float64(writtenBytes), "B-written")
+			b.ReportMetric(float64(deltaBytes), "B-delta")
 		})
 	}
 }
@@ -93,13 +93,13 @@
 // BenchmarkTeam measures the lookup on the path of a request.
 func BenchmarkTeam(b *testing.B) {
 	var v View
-	_, _ = v.Apply(Delta{Version: 1, Rows: fleetTable(620, 215).Scan("")}, FromTable)
+	_, _ = v.Apply(Delta{Version: 1, Rows: newFleetTable(620, 215).Scan("")}, FromTable)
 	for b.Loop() {
 		_, _ = v.Team(testStart, "team-0001")
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -112,7 +112,7 @@
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("teams=%d/pools=%d", size.teams, size.pools), func(b *testing.B) {
 			var v View
-			_, _ = v.Apply(Delta{Version: 1, Rows: fleetTable(size.teams, size.pools).Scan("")}, FromTable)
+			_, _ = v.Apply(Delta{Version: 1, Rows: newFleetTable(size.teams, size.pools).Scan("")}, FromTable)
 			for b.Loop() {
 				_ = v.DeltaSince(1)
 			}
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -12,8 +12,8 @@
 type Change interface {
 	// Key returns the row that the change writes.
 	Key() table.Key
-	// By returns the author.
-	By() string
+	// ChangedBy returns the author.
+	ChangedBy() string
 	isChange()
 }
 
@@ -113,32 +113,32 @@
 // Key implements Change.
 func (c AttestZone) Key() table.Key { return ZoneDownKey(c.Zone) }
 
-// By implements Change.
-func (c SetTeam) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c SetTeam) ChangedBy() string { return c.Author }
 
-// By implements Change.
-func (c SetPool) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c SetPool) ChangedBy() string { return c.Author }
 
-// By implements Change.
-func (c SetQueue) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c SetQueue) ChangedBy() string { return c.Author }
 
-// By implements Change.
-func (c SetDefaults) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c SetDefaults) ChangedBy() string { return c.Author }
 
-// By implements Change.
-func (c AddException) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c AddException) ChangedBy() string { return c.Author }
 
-// By implements Change.
-func (c RetireException) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c RetireException) ChangedBy() string { return c.Author }
 
-// By implements Change.
-func (c GrantKey) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c GrantKey) ChangedBy() string { return c.Author }
 
-// By implements Change.
-func (c WithdrawKey) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c WithdrawKey) ChangedBy() string { return c.Author }
 
-// By implements Change.
-func (c AttestZone) By() string { return c.Author }
+// ChangedBy implements Change.
+func (c AttestZone) ChangedBy() string { return c.Author }
 
 func (SetTeam) isChange()         {}
 func (SetPool) isChange()         {}
--- a/core/config/lookup.go
+++ b/core/config/lookup.go
@@ -22,7 +22,7 @@
 	if t.Limit == 0 {
 		t.Limit = d.Limit
 	}
-	override(v, now, table.TeamKey(id), teamFields, &t)
+	applyExceptions(v, now, table.TeamKey(id), teamFields, &t)
 	return t, true
 }
 
@@ -36,7 +36,7 @@
 	if p.MaxUnavailable == 0 {
 		p.MaxUnavailable = v.Defaults(now).MaxUnavailable
 	}
-	override(v, now, table.PoolConfigKey(id), poolFields, &p)
+	applyExceptions(v, now, table.PoolConfigKey(id), poolFields, &p)
 	return p, true
 }
 
@@ -50,14 +50,14 @@
 	if q.MaxQueued == 0 {
 		q.MaxQueued = v.Defaults(now).MaxQueued
 	}
-	override(v, now, table.QueueKey(id), queueFields, &q)
+	applyExceptions(v, now, table.QueueKey(id), queueFields, &q)
 	return q, true
 }
 
 // Defaults returns the fleet-wide defaults in force at now.
 func (v *View) Defaults(now time.Time) Defaults {
 	d := v.defaults
-	override(v, now, table.ConfigDefaults, defaultsFields, &d)
+	applyExceptions(v, now, table.ConfigDefaults, defaultsFields, &d)
 	return d
 }
 
@@ -107,9 +107,9 @@
 	return keys
 }
 
-// override sets the values of the exceptions of a row that haven't ended. Of two
+// applyExceptions sets the values of the exceptions of a row that haven't ended. Of two
 // exceptions for one value, the one whose id sorts last holds.
-func override[T any](v *View, now time.Time, scope table.Key, fields map[string]field[T], value *T) {
+func applyExceptions[T any](v *View, now time.Time, scope table.Key, fields map[string]field[T], value *T) {
 	for _, key := range v.byScope[scope] {
 		e := v.exceptions[key]
 		if !e.End.After(now) {
--- a/core/config/plan.go
+++ b/core/config/plan.go
@@ -15,13 +15,13 @@
 // exist has Version 0.
 type Rows map[table.Key]table.Row
 
-// RecordLife is how long a Record is kept, so how long a change may be repeated under
+// RecordRetention is how long a Record is kept, so how long a change may be repeated under
 // its id. It is far above the seconds for which a command repeats it by itself.
-const RecordLife = 24 * time.Hour
+const RecordRetention = 24 * time.Hour
 
-// Record is the row of a change id that took effect. It settles a lost answer and
+// ChangeRecord is the row of a change id that took effect. It settles a lost answer and
 // keeps a change from being applied twice.
-type Record struct {
+type ChangeRecord struct {
 	Version core.Version `json:"version"`
 	Key     table.Key    `json:"key"`
 	Author  string       `json:"author"`
@@ -32,9 +32,9 @@
 	Digest string `json:"digest"`
 }
 
-// Audit is the record of an accepted change, for the monitor. It holds no keys,
+// AuditRecord is the record of an accepted change, for the monitor. It holds no keys,
 // only their digests.
-type Audit struct {
+type AuditRecord struct {
 	Version core.Version    `json:"version"`
 	Change  core.ChangeID   `json:"change"`
 	Kind    string          `json:"kind"`
@@ -46,20 +46,20 @@
 	After   json.RawMessage `json:"after"`
 }
 
-// Record returns the record of the change id that a is about.
-func (a Audit) Record(digest string) Record {
-	return Record{Version: a.Version, Key: a.Key, Author: a.Author, At: a.At, KeepUntil: a.At.Add(RecordLife), Digest: digest}
+// ChangeRecord returns the record of the change id that a is about.
+func (a AuditRecord) ChangeRecord(digest string) ChangeRecord {
+	return ChangeRecord{Version: a.Version, Key: a.Key, Author: a.Author, At: a.At, KeepUntil: a.At.Add(RecordRetention), Digest: digest}
 }
 
-// Needs returns the rows that Plan has to be given.
-func Needs(c Change, id core.ChangeID) []table.Key {
+// RequiredKeys returns the rows that Plan has to be given.
+func RequiredKeys(c Change, id core.ChangeID) []table.Key {
 	return []table.Key{table.ChangeKey(id), table.ConfigHead, c.Key()}
 }
 
 // Applied returns the record of the change id, if it took effect before. An error
 // says that the id was used for another change.
-func Applied(c Change, id core.ChangeID, rows Rows) (Record, bool, error) {
-	var record Record
+func Applied(c Change, id core.ChangeID, rows Rows) (ChangeRecord, bool, error) {
+	var record ChangeRecord
 	row := rows[table.ChangeKey(id)]
 	if row.Version == 0 {
 		return record, false, nil
@@ -67,7 +67,7 @@
 	if err := row.Decode(&record); err != nil {
 		return record, false, err
 	}
-	if record.Digest != digest(c) {
+	if record.Digest != changeDigest(c) {
 		return record, false, core.Errorf(core.CodeConflict,
 			"change id %q was used by %s for %s in version %d; choose a new change id", id, record.Author, record.Key, record.Version)
 	}
@@ -84,7 +84,7 @@
 	}
 	before := rows[c.Key()]
 	before.Key = c.Key()
-	after, err := value(c, now, before)
+	after, err := newValue(c, now, before)
 	if err != nil {
 		return t, err
 	}
@@ -98,32 +98,32 @@
 	t.Check(table.Row{Key: table.ChangeKey(id)})
 	t.Check(headRow)
 	t.Check(before)
-	return t, writeAll(&t, c, now, head, before, after)
+	return t, addWrites(&t, c, now, head, before, after)
 }
 
-// writeAll adds the four writes of a change.
-func writeAll(t *table.Transaction, c Change, now time.Time, head Head, before table.Row, after any) error {
+// addWrites adds the four writes of a change.
+func addWrites(t *table.Transaction, c Change, now time.Time, head Head, before table.Row, after any) error {
 	if err := t.Set(table.ConfigHead, head); err != nil {
 		return err
 	}
 	if err := t.Set(c.Key(), after); err != nil {
 		return err
 	}
-	audit := Audit{
-		Version: head.Version, Change: head.Change, Kind: Kind(c), Key: c.Key(), Author: c.By(), At: now, Reason: reason(c),
+	audit := AuditRecord{
+		Version: head.Version, Change: head.Change, Kind: Kind(c), Key: c.Key(), Author: c.ChangedBy(), At: now, Reason: changeReason(c),
 		After: t.Writes[1].Value,
 	}
 	if before.Version > 0 {
 		audit.Before = before.Value
 	}
-	if err := t.Set(table.ChangeKey(head.Change), audit.Record(digest(c))); err != nil {
+	if err := t.Set(table.ChangeKey(head.Change), audit.ChangeRecord(changeDigest(c))); err != nil {
 		return err
 	}
 	return t.Set(table.AuditKey(head.Version), audit)
 }
 
-// value returns the new value of the row that c writes.
-func value(c Change, now time.Time, before table.Row) (any, error) {
+// newValue returns the new value of the row that c writes.
+func newValue(c Change, now time.Time, before table.Row) (any, error) {
 	switch c := c.(type) {
 	case SetTeam:
 		return c.Value, nil
@@ -136,11 +136,11 @@
 	case AddException:
 		return Exception{Scope: string(c.Scope), Reason: c.Reason, Author: c.Author, End: c.End, Value: c.Value}, nil
 	case RetireException:
-		return retired(c, now, before)
+		return retiredException(c, now, before)
 	case GrantKey:
-		return granted(c, before)
+		return grantedKey(c, before)
 	case WithdrawKey:
-		return withdrawn(c, before)
+		return withdrawnKey(c, before)
 	case AttestZone:
 		return ZoneDown{Down: c.Down, Reason: c.Reason, Author: c.Author, Since: now}, nil
 	default:
@@ -148,7 +148,7 @@
 	}
 }
 
-func retired(c RetireException, now time.Time, before table.Row) (any, error) {
+func retiredException(c RetireException, now time.Time, before table.Row) (any, error) {
 	if before.Version == 0 {
 		return nil, core.Errorf(core.CodeNotFound, "no exception %q", c.ID)
 	}
@@ -162,9 +162,9 @@
 	return e, nil
 }
 
-// granted refuses a digest that is withdrawn, so that a grant that races a
+// grantedKey refuses a digest that is withdrawn, so that a grant that races a
 // withdrawal can't undo it, whichever comes first.
-func granted(c GrantKey, before table.Row) (any, error) {
+func grantedKey(c GrantKey, before table.Row) (any, error) {
 	var k Key
 	if err := before.Decode(&k); err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 	return Key{Team: c.Team}, nil
 }
 
-func withdrawn(c WithdrawKey, before table.Row) (any, error) {
+func withdrawnKey(c WithdrawKey, before table.Row) (any, error) {
 	k := Key{Team: c.Team}
 	if err := before.Decode(&k); err != nil {
 		return nil, err
@@ -187,7 +187,7 @@
 	return k, nil
 }
 
-func digest(c Change) string {
+func changeDigest(c Change) string {
 	data, err := json.Marshal(c)
 	if err != nil {
 		// A Change holds strings, numbers and times only.
@@ -223,7 +223,7 @@
 	}
 }
 
-func reason(c Change) string {
+func changeReason(c Change) string {
 	switch c := c.(type) {
 	case AddException:
 		return c.Reason
--- a/core/config/plan_test.go
+++ b/core/config/plan_test.go
@@ -23,10 +23,10 @@
 	apply := func(id core.ChangeID, c Change) {
 		now = now.Add(time.Minute)
 		rows := Rows{}
-		for _, key := range Needs(c, id) {
+		for _, key := range RequiredKeys(c, id) {
 			rows[key] = m.Read(key)
 		}
-		fmt.Fprintf(&b, "%s %s %s by %q\n", now.Format("15:04"), id, Kind(c), c.By())
+		fmt.Fprintf(&b, "%s %s %s by %q\n", now.Format("15:04"), id, Kind(c), c.ChangedBy())
 		record, applied, err := Applied(c, id, rows)
 		if applied {
 			fmt.Fprintf(&b, "  applied before, in version %d\n", record.Version)
@@ -58,10 +58,10 @@
 	apply("c7", AddException{Author: "bo", ID: "x1", Scope: table.TeamKey("frames"), Reason: "deep field", Value: map[string]int{"limit": 60}})
 	apply("c8", AddException{Author: "bo", ID: "x1", Scope: table.TeamKey("frames"), Reason: "deep field", End: later, Value: map[string]int{"speed": 1}})
 	apply("c9", AddException{Author: "bo", ID: "x1", Scope: table.TeamKey("frames"), Reason: "deep field", End: later, Value: map[string]int{"limit": 60}})
-	inForce(&b, &m, now)
+	writeEffectiveTeam(&b, &m, now)
 	apply("c10", RetireException{Author: "ana", ID: "x2", Reason: "over"})
 	apply("c11", RetireException{Author: "ana", ID: "x1", Reason: "over"})
-	inForce(&b, &m, now)
+	writeEffectiveTeam(&b, &m, now)
 	apply("c12", GrantKey{Author: "ana", Team: "frames", Digest: digest})
 	apply("c13", GrantKey{Author: "ana", Team: "surveys", Digest: digest})
 	apply("c14", GrantKey{Author: "ana", Team: "frames", Digest: "the key"})
@@ -74,7 +74,7 @@
 	golden.Assert(t, b.String(), "session.golden")
 }
 
-func inForce(b *strings.Builder, m *table.Memory, now time.Time) {
+func writeEffectiveTeam(b *strings.Builder, m *table.Memory, now time.Time) {
 	var v View
 	if _, err := v.Apply(Delta{Rows: m.Scan("")}, FromTable); err != nil {
 		fmt.Fprintf(b, "  %v\n", err)
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -8,8 +8,8 @@
 	"lavenderpond/core"
 )
 
-// MaxException is the furthest that an exception's end may lie ahead.
-const MaxException = 366 * 24 * time.Hour
+// MaxExceptionDuration is the furthest that an exception's end may lie ahead.
+const MaxExceptionDuration = 366 * 24 * time.Hour
 
 var (
 	namePattern   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
@@ -20,9 +20,9 @@
 // validate refuses a change whose values are outside what is allowed.
 func validate(c Change, id core.ChangeID, now time.Time) error {
 	if !changePattern.MatchString(string(id)) {
-		return invalid("change id", string(id), "letters, digits and _.:- up to 128")
+		return invalidValue("change id", string(id), "letters, digits and _.:- up to 128")
 	}
-	if c.By() == "" {
+	if c.ChangedBy() == "" {
 		return core.Errorf(core.CodeReasonMissing, "%s needs an author", Kind(c))
 	}
 	switch c := c.(type) {
@@ -67,13 +67,13 @@
 	if c.End.IsZero() {
 		return core.Errorf(core.CodeReasonMissing, "exception %s needs an end", c.ID)
 	}
-	if !c.End.After(now) || c.End.After(now.Add(MaxException)) {
-		return invalid("end", c.End.Format(time.RFC3339), "a time ahead, at most 366 days")
+	if !c.End.After(now) || c.End.After(now.Add(MaxExceptionDuration)) {
+		return invalidValue("end", c.End.Format(time.RFC3339), "a time ahead, at most 366 days")
 	}
 	if len(c.Value) == 0 {
-		return invalid("value", "nothing", "at least one value to replace")
+		return invalidValue("value", "nothing", "at least one value to replace")
 	}
-	switch kind, _ := split(c.Scope); kind {
+	switch kind, _ := splitKey(c.Scope); kind {
 	case kindTeam:
 		return checkFields(c.Value, teamFields)
 	case kindPool:
@@ -83,7 +83,7 @@
 	case kindDefaults:
 		return checkFields(c.Value, defaultsFields)
 	default:
-		return invalid("scope", string(c.Scope), "the key of a team, pool, queue or defaults row")
+		return invalidValue("scope", string(c.Scope), "the key of a team, pool, queue or defaults row")
 	}
 }
 
@@ -91,7 +91,7 @@
 	for _, name := range sortedKeys(values) {
 		f, ok := fields[name]
 		if !ok {
-			return invalid("value", name, strings.Join(sortedKeys(fields), ", "))
+			return invalidValue("value", name, strings.Join(sortedKeys(fields), ", "))
 		}
 		if err := checkRange(name, values[name], f.max); err != nil {
 			return err
@@ -100,18 +100,18 @@
 	return nil
 }
 
-func checkName(what, name string) error {
+func checkName(setting, name string) error {
 	if namePattern.MatchString(name) {
 		return nil
 	}
-	return invalid(what, name, "letters, digits and _.- up to 64")
+	return invalidValue(setting, name, "letters, digits and _.- up to 64")
 }
 
-func checkRange(what string, n, most int) error {
-	if n >= 0 && n <= most {
+func checkRange(setting string, n, maxValue int) error {
+	if n >= 0 && n <= maxValue {
 		return nil
 	}
-	return core.Errorf(core.CodeInvalidSetting, "%s is %d; allowed is 0 to %d", what, n, most)
+	return core.Errorf(core.CodeInvalidSetting, "%s is %d; allowed is 0 to %d", setting, n, maxValue)
 }
 
 func checkReason(c Change, reason string) error {
@@ -129,8 +129,8 @@
 	return core.Errorf(core.CodeInvalidSetting, "a key's digest is its SHA-256 in 64 hex digits")
 }
 
-func invalid(what, got, allowed string) error {
-	return core.Errorf(core.CodeInvalidSetting, "%s is %q; allowed: %s", what, got, allowed)
+func invalidValue(setting, got, allowed string) error {
+	return core.Errorf(core.CodeInvalidSetting, "%s is %q; allowed: %s", setting, got, allowed)
 }
 
 func firstError(errs ...error) error {
--- a/core/config/view.go
+++ b/core/config/view.go
@@ -36,8 +36,8 @@
 type View struct {
 	version core.Version
 	rows    map[table.Key]viewRow
-	// learned is the greatest of the rows.
-	learned    core.Version
+	// maxLearned is the greatest of the rows.
+	maxLearned core.Version
 	defaults   Defaults
 	teams      map[core.TeamID]Team
 	pools      map[core.PoolID]Pool
@@ -48,20 +48,20 @@
 	byScope map[table.Key][]table.Key
 
 	// Switched on in tests only, to see the safeguards fail.
-	unsafe unsafe
+	disabled disabledSafeguards
 }
 
-// unsafe names the safeguards that a test switches off.
-type unsafe struct {
+// disabledSafeguards names the safeguards that a test switches off.
+type disabledSafeguards struct {
 	acceptOlder bool
 	ignoreBase  bool
 }
 
 type viewRow struct {
 	table.Row
-	// learned is the view's version once the row was applied, so never less than
+	// learnedAt is the view's version once the row was applied, so never less than
 	// the head version at which the row changed.
-	learned core.Version
+	learnedAt core.Version
 	// deleted rows stay as tombstones. A peer with an older view can't tell a
 	// version after the deletion from one before it, so only the table's own word
 	// brings such a row back.
@@ -74,35 +74,35 @@
 // Apply takes in the rows of d and returns those that were news. A row that can't
 // be decoded is skipped and reported; the version that the view had stays.
 func (v *View) Apply(d Delta, from Source) ([]table.Row, error) {
-	var news []table.Row
+	var applied []table.Row
 	var failed error
 	version := v.version
 	// A delta that starts after this view's version has a gap before it: its rows are
 	// good, but the view would claim changes in force that it never saw.
-	if (d.Base <= v.version || v.unsafe.ignoreBase) && d.Version > v.version {
+	if (d.Base <= v.version || v.disabled.ignoreBase) && d.Version > v.version {
 		version = d.Version
 	}
 	for _, r := range d.Rows {
-		if !v.isNews(r, from) {
+		if !v.isNewer(r, from) {
 			continue
 		}
-		if err := v.put(r, max(version, d.Version)); err != nil {
+		if err := v.applyRow(r, max(version, d.Version)); err != nil {
 			failed = err
 			continue
 		}
-		news = append(news, r)
+		applied = append(applied, r)
 	}
 	if failed == nil {
 		v.version = version
 	}
-	return news, failed
+	return applied, failed
 }
 
-// isNews compares versions row by row. Without it an entry that restarts, or that
+// isNewer compares versions row by row. Without it an entry that restarts, or that
 // was cut off, would tell its old rows to others and undo accepted changes there.
-func (v *View) isNews(r table.Row, from Source) bool {
+func (v *View) isNewer(r table.Row, from Source) bool {
 	old, known := v.rows[r.Key]
-	if v.unsafe.acceptOlder {
+	if v.disabled.acceptOlder {
 		return r.Version != old.Version
 	}
 	if r.Version == 0 {
@@ -114,39 +114,39 @@
 	return r.Version > old.Version
 }
 
-func (v *View) put(r table.Row, learned core.Version) error {
+func (v *View) applyRow(r table.Row, learnedAt core.Version) error {
 	old := v.rows[r.Key]
 	if r.Version == 0 {
-		v.forget(r.Key)
-		old.deleted, old.learned = true, learned
-		v.keep(r.Key, old)
+		v.removeValue(r.Key)
+		old.deleted, old.learnedAt = true, learnedAt
+		v.store(r.Key, old)
 		return nil
 	}
-	if err := v.decode(r); err != nil {
+	if err := v.decodeRow(r); err != nil {
 		return err
 	}
-	v.keep(r.Key, viewRow{Row: r, learned: learned})
+	v.store(r.Key, viewRow{Row: r, learnedAt: learnedAt})
 	return nil
 }
 
-func (v *View) keep(key table.Key, r viewRow) {
+func (v *View) store(key table.Key, r viewRow) {
 	if v.rows == nil {
 		v.rows = make(map[table.Key]viewRow)
 	}
 	v.rows[key] = r
-	v.learned = max(v.learned, r.learned)
+	v.maxLearned = max(v.maxLearned, r.learnedAt)
 }
 
 // DeltaSince returns what a peer whose view is complete up to since lacks.
 func (v *View) DeltaSince(since core.Version) Delta {
 	d := Delta{Base: since, Version: v.version}
-	if since >= v.learned {
+	if since >= v.maxLearned {
 		// Peers ask every second and mostly have all. A walk through the rows took 58 us
 		// at 620 teams, and a relay makes ten a second.
 		return d
 	}
 	for _, r := range v.rows {
-		if !r.deleted && r.learned > since {
+		if !r.deleted && r.learnedAt > since {
 			d.Rows = append(d.Rows, r.Row)
 		}
 	}
@@ -171,20 +171,20 @@
 	return r.Row, ok && !r.deleted
 }
 
-// decode parses r into the typed map of its kind.
-func (v *View) decode(r table.Row) error {
-	kind, name := split(r.Key)
+// decodeRow parses r into the typed map of its kind.
+func (v *View) decodeRow(r table.Row) error {
+	kind, name := splitKey(r.Key)
 	switch kind {
 	case kindDefaults:
 		return decodeInto(r, func(d Defaults) { v.defaults = d })
 	case kindTeam:
-		return decodeInto(r, func(t Team) { put(&v.teams, core.TeamID(name), t) })
+		return decodeInto(r, func(t Team) { putInMap(&v.teams, core.TeamID(name), t) })
 	case kindPool:
-		return decodeInto(r, func(p Pool) { put(&v.pools, core.PoolID(name), p) })
+		return decodeInto(r, func(p Pool) { putInMap(&v.pools, core.PoolID(name), p) })
 	case kindQueue:
-		return decodeInto(r, func(q Queue) { put(&v.queues, core.QueueID(name), q) })
+		return decodeInto(r, func(q Queue) { putInMap(&v.queues, core.QueueID(name), q) })
 	case kindZoneDown:
-		return decodeInto(r, func(z ZoneDown) { put(&v.downZones, core.ZoneID(name), z) })
+		return decodeInto(r, func(z ZoneDown) { putInMap(&v.downZones, core.ZoneID(name), z) })
 	case kindException:
 		return decodeInto(r, func(e Exception) { v.putException(r.Key, e) })
 	case kindKey:
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func put[K comparable, T any](m *map[K]T, key K, value T) {
+func putInMap[K comparable, T any](m *map[K]T, key K, value T) {
 	if *m == nil {
 		*m = make(map[K]T)
 	}
@@ -213,35 +213,35 @@
 }
 
 func (v *View) putException(key table.Key, e Exception) {
-	v.dropException(key)
-	put(&v.exceptions, key, e)
+	v.removeException(key)
+	putInMap(&v.exceptions, key, e)
 	scope := table.Key(e.Scope)
 	keys := append(v.byScope[scope], key)
 	sort.Slice(keys, func(i, j int) bool { return keys[i] < keys[j] })
-	put(&v.byScope, scope, keys)
+	putInMap(&v.byScope, scope, keys)
 }
 
-func (v *View) dropException(key table.Key) {
+func (v *View) removeException(key table.Key) {
 	old, ok := v.exceptions[key]
 	if !ok {
 		return
 	}
 	delete(v.exceptions, key)
 	scope := table.Key(old.Scope)
-	var rest []table.Key
+	var remaining []table.Key
 	for _, k := range v.byScope[scope] {
 		if k != key {
-			rest = append(rest, k)
+			remaining = append(remaining, k)
 		}
 	}
-	v.byScope[scope] = rest
-	if len(rest) == 0 {
+	v.byScope[scope] = remaining
+	if len(remaining) == 0 {
 		delete(v.byScope, scope)
 	}
 }
 
-func (v *View) forget(key table.Key) {
-	kind, name := split(key)
+func (v *View) removeValue(key table.Key) {
+	kind, name := splitKey(key)
 	switch kind {
 	case kindDefaults:
 		v.defaults = Defaults{}
@@ -254,7 +254,7 @@
 	case kindZoneDown:
 		delete(v.downZones, core.ZoneID(name))
 	case kindException:
-		v.dropException(key)
+		v.removeException(key)
 	}
 }
 
@@ -270,8 +270,8 @@
 	kindKey       = "key"
 )
 
-// split returns the kind of a row and its name within the kind.
-func split(key table.Key) (kind, name string) {
+// splitKey returns the kind of a row and its name within the kind.
+func splitKey(key table.Key) (kind, name string) {
 	if digest, ok := strings.CutPrefix(string(key), table.PrefixKey); ok {
 		return kindKey, digest
 	}
--- a/core/config/view_test.go
+++ b/core/config/view_test.go
@@ -14,34 +14,34 @@
 
 var testStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// viewWorld is entries that read a table, tell one another what they hold, and
+// viewSimulation is entries that read a table, tell one another what they hold, and
 // restart on what an old peer tells.
-type viewWorld struct {
-	r      *rand.Rand
-	table  table.Memory
-	now    time.Time
-	views  []*View
-	since  []table.Revision
-	base   []core.Version
-	unsafe unsafe
-	n      int
-	stored []Delta
+type viewSimulation struct {
+	r        *rand.Rand
+	table    table.Memory
+	now      time.Time
+	views    []*View
+	since    []table.Revision
+	base     []core.Version
+	disabled disabledSafeguards
+	n        int
+	delayed  []Delta
 	// highest is the highest version that each entry had of each row.
-	highest []map[table.Key]core.Version
-	back    int
+	highest    []map[table.Key]core.Version
+	violations int
 }
 
-func newViewWorld(seed uint64, u unsafe) *viewWorld {
-	w := &viewWorld{r: rand.New(rand.NewPCG(seed, 2)), now: testStart, unsafe: u}
+func newViewSimulation(seed uint64, u disabledSafeguards) *viewSimulation {
+	w := &viewSimulation{r: rand.New(rand.NewPCG(seed, 2)), now: testStart, disabled: u}
 	for range 6 {
-		w.views = append(w.views, &View{unsafe: u})
+		w.views = append(w.views, &View{disabled: u})
 		w.since, w.base = append(w.since, 0), append(w.base, 0)
 		w.highest = append(w.highest, map[table.Key]core.Version{})
 	}
 	return w
 }
 
-func (w *viewWorld) step() {
+func (w *viewSimulation) step() {
 	w.now = w.now.Add(time.Second)
 	i := w.r.IntN(len(w.views))
 	switch w.r.IntN(10) {
@@ -51,8 +51,8 @@
 		w.read(i)
 	case 5:
 		// A message that was under way for long arrives.
-		w.stored = append(w.stored, w.views[i].DeltaSince(w.views[w.r.IntN(len(w.views))].Version()))
-		w.apply(w.r.IntN(len(w.views)), w.stored[w.r.IntN(len(w.stored))], FromPeer)
+		w.delayed = append(w.delayed, w.views[i].DeltaSince(w.views[w.r.IntN(len(w.views))].Version()))
+		w.apply(w.r.IntN(len(w.views)), w.delayed[w.r.IntN(len(w.delayed))], FromPeer)
 	case 6:
 		if w.r.IntN(4) == 0 {
 			w.restart(i)
@@ -63,12 +63,12 @@
 	}
 }
 
-func (w *viewWorld) restart(i int) {
-	w.views[i], w.since[i], w.base[i] = &View{unsafe: w.unsafe}, 0, 0
+func (w *viewSimulation) restart(i int) {
+	w.views[i], w.since[i], w.base[i] = &View{disabled: w.disabled}, 0, 0
 	w.highest[i] = map[table.Key]core.Version{}
 }
 
-func (w *viewWorld) change() {
+func (w *viewSimulation) change() {
 	w.n++
 	id := core.ChangeID(fmt.Sprint("c", w.n))
 	team := core.TeamID(fmt.Sprint("t", w.r.IntN(3)))
@@ -82,7 +82,7 @@
 		c = SetTeam{Author: "ana", Team: team, Value: Team{Share: 1, Limit: core.Slots(w.r.IntN(50) + 1)}}
 	}
 	rows := Rows{}
-	for _, key := range Needs(c, id) {
+	for _, key := range RequiredKeys(c, id) {
 		rows[key] = w.table.Read(key)
 	}
 	if t, err := Plan(c, id, w.now, rows); err == nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (w *viewWorld) read(i int) {
+func (w *viewSimulation) read(i int) {
 	d := Delta{Base: w.base[i], Rows: w.table.Changes(table.PrefixConfig, w.since[i])}
 	var head Head
 	_ = w.table.Read(table.ConfigHead).Decode(&head)
@@ -101,11 +101,11 @@
 
 // apply checks every row afterwards: no entry ever holds an older version of a row
 // than it held before, nor claims a version whose rows it lacks.
-func (w *viewWorld) apply(i int, d Delta, from Source) {
+func (w *viewSimulation) apply(i int, d Delta, from Source) {
 	_, _ = w.views[i].Apply(d, from)
 	for key, r := range w.views[i].rows {
 		if r.Version < w.highest[i][key] {
-			w.back++
+			w.violations++
 		}
 		w.highest[i][key] = max(r.Version, w.highest[i][key])
 	}
@@ -116,7 +116,7 @@
 	}
 	for _, r := range w.table.Scan(table.PrefixConfig) {
 		if got, _ := w.views[i].Row(r.Key); got.Version != r.Version {
-			w.back++
+			w.violations++
 		}
 	}
 }
@@ -124,22 +124,22 @@
 // Operators see a change go back if an entry applies what it is told by one that was
 // cut off or restarted on an old view. Every row is compared with what the entry held
 // before, in any order of messages; without the comparison of versions it goes back.
-func TestViewNeverGoesBack(t *testing.T) {
+func TestViewRowsNeverRegress(t *testing.T) {
 	const seeds = 300
-	for _, u := range []unsafe{{}, {acceptOlder: true}, {ignoreBase: true}} {
+	for _, u := range []disabledSafeguards{{}, {acceptOlder: true}, {ignoreBase: true}} {
 		broken := 0
 		for seed := range uint64(seeds) {
-			w := newViewWorld(seed, u)
+			w := newViewSimulation(seed, u)
 			for range 300 {
 				w.step()
 			}
-			if w.back > 0 {
-				assert.Check(t, u != unsafe{}, "seed %d: %d rows went back or are missing", seed, w.back)
+			if w.violations > 0 {
+				assert.Check(t, u != disabledSafeguards{}, "seed %d: %d rows went back or are missing", seed, w.violations)
 				broken++
 			}
 		}
 		t.Logf("switched off %+v: %d of %d seeds with a row that went back or is missing", u, broken, seeds)
-		assert.Check(t, u == unsafe{} || broken > 0)
+		assert.Check(t, u == disabledSafeguards{} || broken > 0)
 	}
 }
 
@@ -206,11 +206,11 @@
 // DeltaSince returns is held against a walk through all rows, for every version.
 func TestDeltaSinceMissesNothing(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newViewWorld(seed, unsafe{})
+		w := newViewSimulation(seed, disabledSafeguards{})
 		for step := range 300 {
 			w.step()
 			v := w.views[w.r.IntN(len(w.views))]
-			for since := range v.learned + 3 {
+			for since := range v.maxLearned + 3 {
 				assert.Equal(t, len(v.DeltaSince(since).Rows), naiveDelta(v, since), "seed %d step %d since %d", seed, step, since)
 			}
 		}
@@ -220,7 +220,7 @@
 func naiveDelta(v *View, since core.Version) int {
 	n := 0
 	for _, r := range v.rows {
-		if !r.deleted && r.learned > since {
+		if !r.deleted && r.learnedAt > since {
 			n++
 		}
 	}
--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -241,7 +241,7 @@
 	w.n++
 	id := core.ChangeID(fmt.Sprint("c", w.n))
 	rows := config.Rows{}
-	for _, key := range config.Needs(c, id) {
+	for _, key := range config.RequiredKeys(c, id) {
 		rows[key] = w.table.Read(key)
 	}
 	t, err := config.Plan(c, id, w.now, rows)
--- a/io/operator/admin.go
+++ b/io/operator/admin.go
@@ -92,7 +92,7 @@
 }
 
 func repeatedAdmin(m *pb.ApplyChangeRequest, row table.Row) (*pb.ApplyChangeReply, error) {
-	var record config.Record
+	var record config.ChangeRecord
 	if err := row.Decode(&record); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 	}
 	head = config.Head{Version: head.Version + 1, Change: core.ChangeID(m.ChangeId)}
 	kind, reason := a.about()
-	audit := config.Audit{
+	audit := config.AuditRecord{
 		Version: head.Version, Change: head.Change, Kind: kind, Key: a.subject(), Author: m.Author, At: now, Reason: reason,
 		Before: before.Value,
 	}
@@ -127,7 +127,7 @@
 	t.Check(headRow)
 	return head.Version, firstError(
 		t.Set(table.ConfigHead, head),
-		t.Set(recordRow.Key, audit.Record(digestOf(m))),
+		t.Set(recordRow.Key, audit.ChangeRecord(digestOf(m))),
 		t.Set(table.AuditKey(head.Version), audit))
 }
 
--- a/io/operator/config.go
+++ b/io/operator/config.go
@@ -58,7 +58,7 @@
 	if err != nil || recordRow.Version == 0 {
 		return row, false, err
 	}
-	var record config.Record
+	var record config.ChangeRecord
 	if err := recordRow.Decode(&record); err != nil {
 		return row, false, err
 	}
--- a/io/operator/export_delete.go
+++ b/io/operator/export_delete.go
@@ -80,12 +80,12 @@
 // deleteOne adds to t the deletion of version v's records. If it isn't time yet, it
 // adds nothing and returns when it is.
 func (e *Exporter) deleteOne(ctx context.Context, t *table.Transaction, v core.Version) (time.Time, error) {
-	var audit config.Audit
+	var audit config.AuditRecord
 	auditRow, err := e.read(ctx, table.AuditKey(v), &audit)
 	if err != nil || auditRow.Version == 0 {
 		return time.Time{}, err
 	}
-	var record config.Record
+	var record config.ChangeRecord
 	recordRow, err := e.read(ctx, table.ChangeKey(audit.Change), &record)
 	if err != nil {
 		return time.Time{}, err
@@ -109,7 +109,7 @@
 // who repeats a change whose answer was lost would make it a second time, over what
 // others have changed since. The audit record stays as long: it tells what the change
 // was merged with, and who won a race.
-func (e *Exporter) deleteAt(a config.Audit, r config.Record) time.Time {
+func (e *Exporter) deleteAt(a config.AuditRecord, r config.ChangeRecord) time.Time {
 	if e.deleteEarly {
 		return time.Time{}
 	}
@@ -117,7 +117,7 @@
 	if r.Version != a.Version || until.IsZero() {
 		// The change id is another change's by now, or the record is from before records
 		// had a deadline.
-		until = a.At.Add(config.RecordLife)
+		until = a.At.Add(config.RecordRetention)
 	}
 	return until.Add(deleteMargin)
 }
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -26,7 +26,7 @@
 
 type acceptedChange struct {
 	row   table.Row
-	audit config.Audit
+	audit config.AuditRecord
 }
 
 func newExportRun(seed uint64, with Exporter) *exportRun {
@@ -73,7 +73,7 @@
 		if !kept && r.store.objects[AuditObject(v)] != string(c.row.Value) {
 			r.fault = "an accepted change is neither in the table nor in the object store"
 		}
-		early := r.now.Before(c.audit.At.Add(config.RecordLife))
+		early := r.now.Before(c.audit.At.Add(config.RecordRetention))
 		if early && r.t.rows.Read(table.ChangeKey(c.audit.Change)).Version == 0 {
 			r.fault = "a change id was forgotten before its time"
 		}
@@ -89,7 +89,7 @@
 	}
 	r.t.quiet = true
 	for range 20 {
-		r.now = r.now.Add(config.RecordLife)
+		r.now = r.now.Add(config.RecordRetention)
 		r.export()
 	}
 	left := len(r.t.rows.Scan(table.PrefixAudit)) + len(r.t.rows.Scan(table.PrefixChange))
@@ -136,7 +136,7 @@
 	r.exporters[0].Objects, r.exporters[1].Objects = down, down
 	for range 30 {
 		r.random()
-		r.now = r.now.Add(config.RecordLife)
+		r.now = r.now.Add(config.RecordRetention)
 		r.export()
 	}
 	changes := len(r.accepted)
@@ -216,19 +216,19 @@
 	}
 	latest := config.Team{Share: 3, Limit: 60}
 	for _, between := range []bool{false, true} {
-		team, reply := repeat(Exporter{}, config.RecordLife-time.Second, between)
+		team, reply := repeat(Exporter{}, config.RecordRetention-time.Second, between)
 		assert.Assert(t, reply.Repeated)
 		assert.Equal(t, team, latest)
 	}
-	team, reply := repeat(Exporter{}, config.RecordLife+2*deleteMargin, true)
+	team, reply := repeat(Exporter{}, config.RecordRetention+2*deleteMargin, true)
 	assert.Assert(t, reply.Repeated)
 	assert.Equal(t, team, latest)
 	// After its time, the id is a new change's: it sets what it names, and undoes
 	// nothing else.
-	team, reply = repeat(Exporter{}, config.RecordLife+2*deleteMargin, false)
+	team, reply = repeat(Exporter{}, config.RecordRetention+2*deleteMargin, false)
 	assert.Assert(t, !reply.Repeated)
 	assert.Equal(t, team, config.Team{Share: 3, Limit: 40})
-	team, reply = repeat(Exporter{deleteEarly: true}, config.RecordLife-time.Second, false)
+	team, reply = repeat(Exporter{deleteEarly: true}, config.RecordRetention-time.Second, false)
 	assert.Assert(t, !reply.Repeated && team.Limit == 40, "red: the safeguard is not needed")
 }
 
@@ -247,7 +247,7 @@
 	before := list()
 	assert.Equal(t, len(before), 5)
 	for range 4 {
-		r.now = r.now.Add(config.RecordLife)
+		r.now = r.now.Add(config.RecordRetention)
 		r.export()
 	}
 	assert.Equal(t, len(r.t.rows.Scan(table.PrefixAudit)), 0)
@@ -308,7 +308,7 @@
 		r.random()
 	}
 	r.export()
-	r.now = r.now.Add(2 * config.RecordLife)
+	r.now = r.now.Add(2 * config.RecordRetention)
 	s := &simultaneous{faultyTable: r.t}
 	var all []*Exporter
 	for range entries {
--- a/io/operator/lists.go
+++ b/io/operator/lists.go
@@ -249,8 +249,8 @@
 
 // audit returns the record of version v, from the table, or from the object store if
 // the table no longer keeps it.
-func (s *Server) audit(ctx context.Context, v core.Version) (config.Audit, error) {
-	var a config.Audit
+func (s *Server) audit(ctx context.Context, v core.Version) (config.AuditRecord, error) {
+	var a config.AuditRecord
 	row, err := s.Table.Read(ctx, table.AuditKey(v))
 	if err != nil || row.Version > 0 {
 		return a, firstError(err, row.Decode(&a))
--- a/io/operator/once_test.go
+++ b/io/operator/once_test.go
@@ -161,7 +161,7 @@
 	records := map[string]int{}
 	last := map[table.Key]string{}
 	for _, r := range h.t.rows.Scan(table.PrefixAudit) {
-		var a config.Audit
+		var a config.AuditRecord
 		if err := r.Decode(&a); err != nil {
 			return err.Error()
 		}
--- a/io/peer/spread_test.go
+++ b/io/peer/spread_test.go
@@ -271,7 +271,7 @@
 	f.second()
 	recorded := 0
 	for _, row := range f.rows.Scan(table.PrefixAudit) {
-		var audit config.Audit
+		var audit config.AuditRecord
 		assert.NilError(t, row.Decode(&audit))
 		if audit.Kind == "withdraw_key" {
 			recorded++
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -104,7 +104,7 @@
 
 func (a *applier) read(ctx context.Context) (config.Rows, error) {
 	rows := make(config.Rows)
-	for _, key := range config.Needs(a.change, a.id) {
+	for _, key := range config.RequiredKeys(a.change, a.id) {
 		row, err := a.table.Read(ctx, key)
 		if err != nil {
 			return nil, err
@@ -134,7 +134,7 @@
 func (a *applier) winner(ctx context.Context, head core.Version) string {
 	for v := head; v > a.baseHead; v-- {
 		row, err := a.table.Read(ctx, table.AuditKey(v))
-		var audit config.Audit
+		var audit config.AuditRecord
 		if err != nil || row.Decode(&audit) != nil || audit.Key != a.change.Key() {
 			continue
 		}
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -110,7 +110,7 @@
 			}
 			count := map[core.ChangeID]int{}
 			for _, row := range x.t.rows.Scan(table.PrefixAudit) {
-				var audit config.Audit
+				var audit config.AuditRecord
 				assert.NilError(t, row.Decode(&audit))
 				count[audit.Change]++
 			}
