--- a/core/maintenance/check_scheduler.go
+++ b/core/maintenance/check_scheduler.go
@@ -9,65 +9,69 @@
 	"lavenderpond/core/fleet"
 )
 
-// Pace of Looks.
+// Parameters of CheckScheduler.
 const (
-	// failedIntervalDivisor is the part of its time out after which a failed VM is looked at
-	// again: one that is out for long is found back later by no more than that.
+	// failedIntervalDivisor sets the interval between checks of a failed VM: the time
+	// since its failure divided by this number. The delay until a recovery is noticed
+	// thus stays in proportion to the outage.
 	failedIntervalDivisor = 8
-	// maxFailedInterval is the longest time between two looks at a failed VM.
+	// maxFailedInterval is the longest interval between two checks of a failed VM.
 	maxFailedInterval = time.Minute
-	// suspicionClearedFor is for how long an answer lifts a suspicion. A list that misses
-	// a whole zone would else keep every look to itself.
+	// suspicionClearedFor is how long a VM that answered is not checked as a suspect.
+	// Without it, a live list that misses a whole zone would take up every check.
 	suspicionClearedFor = time.Minute
-	// roundRobinChecks is how many serving VMs are due at each call even though nothing
-	// speaks against them, because the live list may lag for long.
+	// roundRobinChecks is how many serving VMs without a suspicion are due at each call,
+	// because the live list may lag for a long time.
 	roundRobinChecks = 4
 )
 
-// CheckScheduler paces a controller's looks at the VMs of its zone. It remembers, for VMs
-// that need attention, when each was last looked at. Losing it costs looks and
-// nothing else. Its zero value works. It is not safe for concurrent use.
+// CheckScheduler schedules a controller's status checks of the VMs in its zone. It
+// remembers when each VM that needs attention was last checked. Losing this state only
+// costs additional checks. The zero value is ready to use. A CheckScheduler is not safe
+// for concurrent use.
 type CheckScheduler struct {
 	last map[core.VMID]checkTimes
-	// roundRobinNext is the VM from which the looks in turn go on.
+	// roundRobinNext is the index of the VM at which the round-robin checks continue.
 	roundRobinNext int
 }
 
 type checkTimes struct {
-	// requested is when the VM was last asked for, answered when the platform last answered.
+	// requested is when the VM was last checked, and answered is when the platform last
+	// answered a check.
 	requested, answered time.Time
 }
 
-// DueCheck is a VM to look at.
+// DueCheck is a VM to check now.
 type DueCheck struct {
 	VM *fleet.VMRow
-	// Suspect VMs serve by their rows, and something speaks against them. Until they
-	// were looked at, no budget is known to have room for a planned stop.
+	// Suspect marks a VM that serves according to its row but may have failed. Until
+	// every suspect was checked, no budget is known to have headroom for a planned stop.
 	Suspect bool
 }
 
-// urgency orders looks.
+// urgency orders checks, the most urgent first.
 type urgency int
 
 const (
-	// suspected VMs may have failed: what they use of a budget is to be recorded
-	// before anything is stopped.
+	// suspected VMs may have failed. Their failures must be recorded against the budgets
+	// before any VM is stopped.
 	suspected urgency = iota
-	// planned VMs are out by plan. Budgets bound how many there are.
+	// planned VMs are out of service for a planned stop. Budgets bound their number.
 	planned
 	ordinary
 	notDue
 )
 
-// candidate is a VM that is due.
+// candidate is a due check with its sort keys.
 type candidate struct {
 	DueCheck
 	urgency       urgency
 	lastRequested time.Time
 }
 
-// Due returns the VMs to look at now, the most urgent first and among equals the
-// one that waits the longest. vms are the zone's, by name.
+// Due returns the VMs to check now, the most urgent first. VMs of the same urgency are
+// ordered by the time of their last check, the oldest first. vms are the zone's VMs,
+// sorted by name.
 func (s *CheckScheduler) Due(now time.Time, d Driver, vms []*fleet.VMRow, isSuspect func(core.VMID) bool) []DueCheck {
 	if len(s.last) > len(vms) {
 		clear(s.last) // VMs were removed
@@ -94,7 +98,7 @@
 	return due
 }
 
-// RecordCheck notes a look at vm; seen is nil if the platform didn't answer for it.
+// RecordCheck records a check of vm. observed is nil if the platform didn't answer.
 func (s *CheckScheduler) RecordCheck(now time.Time, vm core.VMID, observed *Observation) {
 	if s.last == nil {
 		s.last = make(map[core.VMID]checkTimes)
@@ -107,7 +111,7 @@
 	s.last[vm] = times
 }
 
-// MarkDue makes vm due at once, however lately it was looked at.
+// MarkDue makes vm due at once, regardless of when it was last checked.
 func (s *CheckScheduler) MarkDue(vm core.VMID) { delete(s.last, vm) }
 
 func (s *CheckScheduler) urgency(now time.Time, d Driver, vm *fleet.VMRow, suspect bool) urgency {
@@ -133,10 +137,10 @@
 	return planned
 }
 
-// servingUrgency is that of a VM that serves by its row. One that returned lately is
-// looked at each time, not only until it was told to take work: it may fail again
-// before the list shows that it was back. One that returned a while ago and that
-// nothing speaks against is forgotten.
+// servingUrgency returns the urgency of a VM that serves according to its row. A VM that
+// returned recently is checked at each call, even after it was told to take work: it
+// may fail again before the live list shows its return. The state of a VM that returned
+// earlier and isn't suspected is dropped.
 func (s *CheckScheduler) servingUrgency(now time.Time, d Driver, vm *fleet.VMRow, suspect bool) urgency {
 	last := s.last[vm.Ref.VM]
 	if suspect && now.Before(last.answered.Add(suspicionClearedFor)) {
--- a/core/maintenance/driver.go
+++ b/core/maintenance/driver.go
@@ -8,31 +8,32 @@
 	"lavenderpond/core/table"
 )
 
-// Observation is what the platform just said of a VM.
+// Observation is the platform's answer to a status check of a VM.
 type Observation struct {
 	Up bool
 	// Running is how many tasks run on the VM.
 	Running int
-	// RefusesUntil is until when the VM has agreed to refuse new work, as it was
-	// told right before it was asked for Running. Zero if it wasn't, or didn't answer.
+	// RefusesUntil is until when the VM has agreed to refuse new work. It is told to
+	// right before Running is queried. RefusesUntil is zero if the VM wasn't told, or
+	// didn't answer.
 	RefusesUntil time.Time
-	// Leaving VMs are listed by the platform as about to go.
+	// Leaving is set if the platform lists the VM as about to be removed.
 	Leaving bool
 }
 
-// Step is what a VM needs next. The zero value is to wait.
+// Step is the next step of a VM. The zero value means to wait.
 type Step struct {
-	// Reboot asks the platform for a reboot first. Transaction follows only if the
-	// platform took it.
+	// Reboot requests a reboot from the platform first. Transaction is applied only if
+	// the platform accepted the request.
 	Reboot bool
-	// NotAfter is the last moment at which Reboot may be asked for.
+	// NotAfter is the latest time at which the reboot may be requested.
 	NotAfter    time.Time
 	Transaction table.Transaction
 }
 
-// Driver takes each VM through cordon, drain, stop, verify and return. It reads
-// everything from the rows, so that any controller can go on where another one
-// stopped. Its zero value works.
+// Driver takes each VM through cordon, drain, stop, verify and return. All its state
+// is in the rows, so any controller can continue where another one stopped. The zero
+// value is ready to use.
 type Driver struct {
 	Timing Timing
 	Rules  fleet.Rules
@@ -43,20 +44,21 @@
 	return fleet.Permit{Change: change, DrainBy: now.Add(d.Timing.withDefaults().DrainTimeout)}
 }
 
-// HoldUntil returns until when the VM has to be told to refuse new work, or the time
-// now if it has to be told to take work again; false if it needn't be told.
+// HoldUntil returns the time until which the VM must be told to refuse new work. It
+// returns now if the VM must be told to accept work again, and false if the VM needs no
+// message.
 //
-// An entry that is cut off from the table keeps its old view and goes on
-// dispatching. Only the VM's own refusal reaches it: without it, work that
-// arrives between the look at what runs and the reboot is cut off. A VM that
-// serves again is told so for a while, since the first word may be lost.
+// An entry that can't reach the table keeps its old view and continues to dispatch. Only
+// a refusal by the VM itself stops such an entry: otherwise the reboot would kill work
+// that arrives after the check for running tasks. A VM that serves again is told so for
+// some time, since the first message may be lost.
 func (d Driver) HoldUntil(now time.Time, vm fleet.VMRow) (time.Time, bool) {
 	hold := d.Timing.withDefaults().HoldDuration
 	switch vm.VM.State {
 	case fleet.Cordoned, fleet.Draining, fleet.Stopped:
 		return now.Add(hold), true
 	case fleet.Verifying:
-		// A paused controller may ask for a second reboot until RebootBy.
+		// A controller process that was suspended may request a second reboot until RebootBy.
 		if d.mayStillReboot(now, vm.VM) {
 			return now.Add(hold), true
 		}
@@ -67,13 +69,14 @@
 	return time.Time{}, false
 }
 
-// mayStillReboot reports whether a paused controller could still reboot the VM.
+// mayStillReboot reports whether a controller process that was suspended and then
+// resumed could still reboot the VM.
 func (d Driver) mayStillReboot(now time.Time, vm fleet.VM) bool {
 	skew := d.Timing.withDefaults().MaxClockSkew
 	return !vm.RebootBy.IsZero() && !now.After(vm.RebootBy.Add(skew))
 }
 
-// Next returns the VM's next step. seen is nil if the platform did not answer.
+// Next returns the VM's next step. observed is nil if the platform did not answer.
 func (d Driver) Next(now time.Time, vm fleet.VMRow, pools map[core.PoolID]fleet.PoolRow, observed *Observation) (Step, error) {
 	s := &stepper{Driver: d, now: now, vm: vm, pool: pools[vm.VM.Pool], pools: pools, observed: observed}
 	s.Timing = d.Timing.withDefaults()
@@ -94,7 +97,7 @@
 	return Step{}, core.Errorf(core.CodeMalformed, "VM %s has the unknown state %d", vm.Ref, vm.VM.State)
 }
 
-// stepper is a Driver at work on one VM.
+// stepper computes the next step of one VM.
 type stepper struct {
 	Driver
 	now      time.Time
@@ -104,9 +107,10 @@
 	observed *Observation
 }
 
-// serving records a failure. A VM that the platform takes away counts as failed
-// too: it gets no new work and won't come back. A list that lags may still show
-// it as leaving after its own return, so a fresh return is believed.
+// serving records the failure of a VM. A VM that the platform is removing counts as
+// failed too, since it gets no new work and won't come back. A live list that lags may
+// still show a VM as leaving after it has returned, so Leaving is ignored for MaxListLag
+// after the return.
 func (s *stepper) serving() (Step, error) {
 	leaving := s.observed != nil && s.observed.Leaving && s.now.After(s.vm.VM.Since.Add(s.Timing.MaxListLag))
 	if s.isDown() || leaving {
@@ -139,12 +143,13 @@
 	return s.stop()
 }
 
-// stopped reboots the VM, again after an answer that was lost: nothing runs
-// there, which is checked each time.
+// stopped requests the reboot of the VM. It repeats the request if the answer was lost,
+// after checking each time that nothing runs on the VM.
 //
-// VMs that failed since the stop may have spent the budget. A reboot would then keep
-// one more VM out that is up and could serve. It counts as failed, so that it is
-// verified and returned, and is still due: whether it was rebooted is not known.
+// VMs that failed since the stop may have used up the budget. A reboot would then keep
+// out a VM that is up and could serve. Such a VM is recorded as failed instead, so that
+// it is verified and returned. It stays due for maintenance, because it is unknown
+// whether it was rebooted.
 func (s *stepper) stopped() (Step, error) {
 	v := s.vm.VM
 	switch {
@@ -183,8 +188,8 @@
 	return transact(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.ReturnTimeout)))
 }
 
-// stop marks the VM as stopped. The reboot has to be asked for while the VM
-// surely refuses work.
+// stop marks the VM as stopped. The reboot must be requested while the VM is certain to
+// refuse work.
 func (s *stepper) stop() (Step, error) {
 	var rebootBy time.Time
 	if s.vm.VM.MoveTo == "" {
@@ -193,7 +198,7 @@
 	return transact(s.Rules.Stop(s.now, s.vm, s.pool, rebootBy, s.now.Add(s.Timing.ReturnTimeout)))
 }
 
-// join moves the VM, or keeps it where it is if its new pool was deleted.
+// join moves the VM to its new pool. It stays in its pool if the new one was deleted.
 func (s *stepper) join() (Step, error) {
 	to, ok := s.pools[s.vm.VM.MoveTo]
 	if !ok || !to.Exists() {
@@ -202,14 +207,14 @@
 	return transact(s.Rules.Join(s.now, s.vm, s.pool, to))
 }
 
-// mustWithdraw reports whether the permit has to be given back: the drain takes
-// too long, or VMs that failed since have spent the budget.
+// mustWithdraw reports whether the drain permit must be withdrawn, because the drain
+// takes too long or because later failures have exceeded the budget.
 func (s *stepper) mustWithdraw() bool {
 	return s.pool.Pool.Headroom() < 0 || s.now.After(s.vm.VM.DrainBy)
 }
 
-// nextDue returns the deadline of the next maintenance, or zero if the VM was
-// out for another cause than a planned stop.
+// nextDue returns the deadline of the next maintenance, or zero if the VM was out of
+// service for another reason than a planned reboot.
 func (s *stepper) nextDue() time.Time {
 	out, ok := s.pool.Pool.FindOut(s.vm.Ref)
 	if !ok || !out.Planned || s.vm.VM.RebootBy.IsZero() {
--- a/core/maintenance/driver_test.go
+++ b/core/maintenance/driver_test.go
@@ -13,10 +13,10 @@
 	"lavenderpond/core/table"
 )
 
-// Callers lose one VM more than a budget allows, by a planned reboot. The answer to
-// the reboot was lost, so the VM's row still says stopped; the VM is back, and then
-// two others of its pool fail. It must not be rebooted again but return, and it is
-// still due for maintenance.
+// TestStoppedBeyondBudgetIsNotRebooted guards against a planned reboot that takes out one
+// VM more than the budget allows. The answer to the first reboot was lost, so the VM's row
+// still says stopped. The VM is back, and then two others of its pool fail. It must return
+// to service without another reboot, and stay due for maintenance.
 func TestStoppedBeyondBudgetIsNotRebooted(t *testing.T) {
 	ref := fleet.Ref{Zone: "z", VM: "v0"}
 	pool := fleet.Pool{MaxUnavailable: 2, Size: 10, Members: 10, Out: []fleet.OutVM{
--- a/core/maintenance/fixed/fixed.go
+++ b/core/maintenance/fixed/fixed.go
@@ -1,6 +1,6 @@
-// Package fixed is the naive planner: fixed-size waves in the order of names,
-// each begun when the one before is back. It knows no budgets, racks or pace. It
-// is the baseline of measurements.
+// Package fixed implements a naive planner that serves as the baseline of measurements.
+// It takes out batches of a fixed size in the order of the VMs' names, and begins a
+// batch when the previous one is back. It ignores budgets, racks and failure rates.
 package fixed
 
 import (
@@ -10,12 +10,12 @@
 	"lavenderpond/core/maintenance"
 )
 
-// DefaultSize is how many VMs a wave takes at once.
+// DefaultSize is the default batch size, in VMs.
 const DefaultSize = 5
 
-// Planner is a maintenance.Planner. Its zero value works.
+// Planner is a maintenance.Planner. The zero value is ready to use.
 type Planner struct {
-	// Size is how many VMs a wave takes; 0 means DefaultSize.
+	// Size is how many VMs a batch takes out at once. 0 means DefaultSize.
 	Size int
 }
 
--- a/core/maintenance/lease.go
+++ b/core/maintenance/lease.go
@@ -7,26 +7,29 @@
 	"lavenderpond/core/table"
 )
 
-// Lease is the row that says which entry is a zone's controller. It only saves
-// work: two controllers at once do no harm, since each transaction stands alone.
+// Lease is the row that names the entry that acts as a zone's controller. It only
+// avoids duplicate work. Two controllers at once are safe, because each transaction
+// checks the rows that it depends on.
 type Lease struct {
 	Holder core.EntryID `json:"holder"`
 	Epoch  core.Epoch   `json:"epoch"`
 	Until  time.Time    `json:"until"`
 }
 
-// LeaseKey returns the row of a zone's controller.
+// LeaseKey returns the key of a zone's controller lease.
 func LeaseKey(zone core.ZoneID) table.Key {
 	return table.Key(table.PrefixWave + "controller/" + string(zone))
 }
 
-// DecodeLease reads a row of LeaseKey. A row that doesn't exist gives a free lease.
+// DecodeLease decodes a row stored under LeaseKey. A row that doesn't exist decodes
+// to a free lease.
 func DecodeLease(row table.Row) (Lease, error) {
 	var l Lease
 	return l, row.Decode(&l)
 }
 
-// Release frees a lease that its holder gives up, as of now.
+// Release returns the transaction that ends the lease now. Only its holder may
+// release it.
 func Release(now time.Time, row table.Row) (table.Transaction, error) {
 	l, err := DecodeLease(row)
 	if err != nil {
@@ -38,8 +41,8 @@
 	return t, t.Set(row.Key, l)
 }
 
-// Acquire takes or renews the lease for self until the given time. It returns
-// false if another entry holds it.
+// Acquire returns the transaction that takes or renews the lease for self until the
+// given time, or false if another entry holds the lease.
 func Acquire(now time.Time, row table.Row, self core.EntryID, until time.Time) (table.Transaction, bool, error) {
 	l, err := DecodeLease(row)
 	if err != nil {
--- a/core/maintenance/lease_policy.go
+++ b/core/maintenance/lease_policy.go
@@ -6,40 +6,43 @@
 	"lavenderpond/core"
 )
 
-// releaseAfter is how long an entry that is better spared has held the lease when it
-// offers it to the others.
+// releaseAfter is how long the zone's relay holds the lease before it releases it to
+// the other entries.
 const releaseAfter = time.Minute
 
-// LeaseAction is what an entry does with its zone's lease now.
+// LeaseAction is what an entry should do with its zone's lease.
 type LeaseAction int
 
-// The moves. LeaveLease changes nothing.
+// The lease actions. LeaseNoAction leaves the lease as it is.
 const (
 	LeaseNoAction LeaseAction = iota
-	// LeaseAcquire takes or renews the lease, if no other entry holds it.
+	// LeaseAcquire takes or renews the lease, unless another entry holds it.
 	LeaseAcquire
-	// LeaseRelease gives the lease up, so that another entry may take it at once.
+	// LeaseRelease ends the lease, so that another entry can take it at once.
 	LeaseRelease
 )
 
-// LeasePolicy leaves a zone's lease to an entry that is not the zone's relay, where
-// there is one. The relay is the first of the zone's entries by id (io/peer), and is
-// often the first that started and took the lease: with both roles it passed the
-// bytes that a daemon may spend (docs/CAPACITY.md).
+// LeasePolicy decides which entry of a zone holds the controller lease. It prefers an
+// entry that is not the zone's relay. The relay is the entry with the lowest id (see
+// io/peer), and it often starts first and takes the lease. An entry with both roles
+// exceeds the network budget of a daemon (docs/CAPACITY.md).
 //
-// A zone is not left without a controller by this. The relay takes a free lease too,
-// only later than the others would, and offers its own once: if no other entry takes
-// it, the relay does again, and keeps it until another has held it. Its zero value
-// works. It is not safe for concurrent use.
+// The policy doesn't leave a zone without a controller. The relay takes a free lease
+// too, but later than the other entries would. It releases its own lease only once: if
+// no other entry takes it, the relay takes it back and keeps it until another entry has
+// held it.
+//
+// The zero value is ready to use. A LeasePolicy is not safe for concurrent use.
 type LeasePolicy struct {
-	// waitUntil is until when an offered lease is left to the others.
+	// waitUntil is until when a released lease is left to the other entries.
 	waitUntil time.Time
 	heldSince time.Time
 	released  bool
 }
 
-// Next decides for self. entries are those of the zone that are known to run, in
-// any order; patience is the time in which another of them would take a free lease.
+// Next returns the action of the entry self. entries are the zone's entries that are
+// known to run, in any order. takeoverDelay is the time within which another of them
+// would take a free lease.
 func (p *LeasePolicy) Next(now time.Time, l Lease, self core.EntryID, entries []core.EntryID, takeoverDelay time.Duration) LeaseAction {
 	if l.Holder != self {
 		p.heldSince = time.Time{}
@@ -68,7 +71,8 @@
 	return LeaseAcquire
 }
 
-// isRelay reports whether self is the first of several entries.
+// isRelay reports whether self has the lowest id among several entries. An entry that
+// runs alone doesn't count as a relay.
 func isRelay(self core.EntryID, entries []core.EntryID) bool {
 	others := false
 	for _, e := range entries {
--- a/core/maintenance/lease_policy_test.go
+++ b/core/maintenance/lease_policy_test.go
@@ -11,21 +11,21 @@
 	"lavenderpond/core/table"
 )
 
-// leaseEntry is an entry of the test: its controller ticks unless it is frozen.
+// leaseEntry is a simulated entry. Its controller ticks unless it is frozen.
 type leaseEntry struct {
 	id     core.EntryID
 	policy LeasePolicy
 	frozen bool
 }
 
-// leaseZone is a zone's entries and its lease row. Every entry ticks once in a step.
+// leaseZone simulates a zone's entries and its lease row. Every entry ticks once a step.
 type leaseZone struct {
 	t       *testing.T
 	now     time.Time
 	table   table.Memory
 	entries []*leaseEntry
-	// releases counts the leases given up, gap the steps without a holder in a row, and
-	// longest is the longest such gap.
+	// releases counts the leases that were released, gap counts the consecutive steps
+	// without a holder, and longest is the longest such gap.
 	releases, gap, longest int
 }
 
@@ -90,8 +90,9 @@
 	}
 }
 
-// The relay starts first and takes the lease. Once others run it offers the lease,
-// and one of them has it from then on, in the very same round.
+// TestLeasePolicyAvoidsRelay covers a relay that starts first and takes the lease. Once
+// other entries run, it releases the lease, and another entry takes it in the same step
+// and keeps it.
 func TestLeasePolicyAvoidsRelay(t *testing.T) {
 	z := newLeaseZone(t, 1)
 	z.steps(20)
@@ -105,9 +106,10 @@
 	assert.Equal(t, z.longest, 0)
 }
 
-// VMs fail and nobody records it, since each entry leaves the lease to another: the
-// others are listed as running but are frozen, or cut off from the table. The relay
-// takes its lease back after its patience, and doesn't offer it again and again.
+// TestLeasePolicyKeepsController guards against a zone without a controller, in which
+// nobody would record failed VMs. The other entries are listed as running but are frozen,
+// or can't reach the table. The relay must take the lease back after the takeover delay,
+// and not release it again and again.
 func TestLeasePolicyKeepsController(t *testing.T) {
 	z := newLeaseZone(t, 3)
 	z.entries[1].frozen, z.entries[2].frozen = true, true
@@ -116,7 +118,7 @@
 	assert.Equal(t, z.releases, 1)
 	assert.Assert(t, z.longest <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longest)
 
-	// They come back; another holds it, freezes, and the relay steps in again.
+	// Another entry resumes and takes the lease. It freezes, and the relay takes over again.
 	z.entries[1].frozen = false
 	z.entries[0].frozen = true
 	z.steps(10)
--- a/core/maintenance/planner.go
+++ b/core/maintenance/planner.go
@@ -7,38 +7,38 @@
 	"lavenderpond/core/fleet"
 )
 
-// View is what a planner sees: one zone's VMs, and the pools that they are in.
+// View is a planner's input: one zone's VMs and the pools that they belong to.
 type View struct {
 	Zone core.ZoneID
 	Wave Wave
-	// VMs are the zone's VMs, by name. They are shared: neither the slice nor the
-	// rows may be changed.
+	// VMs are the zone's VMs, sorted by name. The slice and its rows are shared and
+	// must not be modified.
 	VMs []*fleet.VMRow
-	// Pools are the pools of those VMs. Their rows count VMs of every zone.
+	// Pools are the pools of those VMs. A pool's row counts its VMs of all zones.
 	Pools map[core.PoolID]fleet.PoolRow
 }
 
-// Command is a planner's decision. The transactions that carry it out check the
-// budget again, so a decision on an old view does no harm.
+// Command is a planner's decision. The transaction that carries it out checks the
+// budget again, so a decision based on a stale view is safe.
 type Command interface{ isCommand() }
 
-// TakeOut takes a VM out of service under permit.
+// TakeOut takes a VM out of service under a drain permit.
 type TakeOut struct {
 	VM     fleet.Ref
 	Permit fleet.Permit
 }
 
-// MoveToSpare puts a VM that is being verified into the spare pool: a spare VM has
-// taken its place.
+// MoveToSpare moves a VM that is being verified into the spare pool, because a spare
+// VM has taken its place.
 type MoveToSpare struct {
 	VM fleet.Ref
 	To core.PoolID
 }
 
-// Halt stops the wave.
+// Halt stops the wave until an operator starts it again.
 type Halt struct{ Reason string }
 
-// Finish ends the maintenance: every VM was maintained.
+// Finish ends the wave after every VM was maintained.
 type Finish struct{}
 
 func (TakeOut) isCommand()     {}
@@ -46,8 +46,8 @@
 func (Halt) isCommand()        {}
 func (Finish) isCommand()      {}
 
-// Planner decides which VMs are taken out next. Implementations are pure: the
-// same view gives the same commands.
+// Planner decides which VMs are taken out of service next. Implementations are
+// pure: the same time and view give the same commands.
 type Planner interface {
 	Plan(now time.Time, v View) []Command
 }
--- a/core/maintenance/session_test.go
+++ b/core/maintenance/session_test.go
@@ -41,7 +41,8 @@
 	}))
 }
 
-// recorder writes down every change of a row, as an operator would see it.
+// recorder logs every change of the wave's and the VMs' rows, as an operator would see
+// them.
 type recorder struct {
 	strings.Builder
 	zone *sim.Zone
@@ -69,10 +70,10 @@
 	}
 }
 
-// A whole maintenance: planned, started, paused and resumed by an operator; a
-// rack fails within the wave and spends two budgets, which the spare pool
-// repairs; reboots break VMs until the wave halts by itself; an operator looks
-// and starts it again; the VMs that recover go into the spare pool.
+// TestSessionGolden runs a whole maintenance. An operator plans, starts, pauses and
+// resumes it. A rack fails during the wave and uses up two budgets, which the spare pool
+// repairs. Reboots break VMs until the wave halts automatically. An operator starts it
+// again, and the VMs that recover move to the spare pool.
 func TestSessionGolden(t *testing.T) {
 	z := newZone(7)
 	r := &recorder{zone: z, last: make(map[fleet.Ref]string)}
@@ -84,7 +85,7 @@
 			submitChange(t, z, "pause-1")
 		case 60:
 			submitChange(t, z, "start-2")
-			submitChange(t, z, "start-2") // The answer was lost; the repetition changes nothing.
+			submitChange(t, z, "start-2") // A repetition after a lost answer must change nothing.
 		case 90:
 			z.World.FailAll(z.World.Rack(1), 40*time.Minute)
 		case 70:
@@ -106,7 +107,8 @@
 	golden.Assert(t, r.String(), "session.txt")
 }
 
-// Operators get a numbered refusal for an order that doesn't fit.
+// TestOrdersRefused checks that an operator's change that doesn't fit the status or has
+// invalid values is refused with the right error code.
 func TestOrdersRefused(t *testing.T) {
 	z := newZone(1)
 	try := func(build func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error)) core.Code {
--- a/core/maintenance/spread/bench_test.go
+++ b/core/maintenance/spread/bench_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/maintenance/spread"
 )
 
-// BenchmarkPlan measures a tick's planning for one zone, in the middle of a wave,
-// at three sizes of the zone. The second is a zone of the two-year fleet.
+// BenchmarkPlan measures one call of Plan for a zone in the middle of a wave, at three
+// zone sizes. The second is a zone of the fleet size expected in two years.
 func BenchmarkPlan(b *testing.B) {
 	for _, pools := range []int{21, 214, 2140} {
 		size := sim.Size{Zones: 7, Pools: pools, PoolVMs: 46, SpareVMs: 156, RackVMs: 4, MaxUnavailable: 4}
--- a/core/maintenance/spread/export_test.go
+++ b/core/maintenance/spread/export_test.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Without returns a planner for tests that lacks one rule, or none.
+// Without returns a planner for tests with the named rule disabled. An empty name
+// disables none.
 func Without(rule string) Planner {
 	p := Planner{RepairAfter: 5 * time.Minute, StopTime: 5 * time.Minute}
 	switch rule {
--- a/core/maintenance/spread/repair.go
+++ b/core/maintenance/spread/repair.go
@@ -10,11 +10,11 @@
 	"lavenderpond/core/maintenance"
 )
 
-// repairs moves spare VMs into pools whose budget is spent by failures, and VMs
-// that recover after such a move back into the spare pool.
+// repairs moves spare VMs into pools whose budget is used up by failures. VMs that
+// recover after they were replaced move to the spare pool.
 //
-// A pool with room left in its budget is not repaired: most VMs that fail come
-// back by themselves, and every move is a cost.
+// A pool with headroom in its budget is not repaired: most VMs that fail come back by
+// themselves, and every move has a cost.
 func (r *round) repairs() []maintenance.Command {
 	if r.spare == "" || r.noRepair {
 		return nil
@@ -40,10 +40,10 @@
 	return maintenance.TakeOut{VM: vm.Ref, Permit: fleet.Permit{Change: change, MoveTo: to}}
 }
 
-// repairsNeeded returns how many spare VMs of this zone p should get: as many as
-// give its budget room for one failure or, during a wave, one planned stop again,
-// and at most one for each of the zone's VMs that failed long ago. VMs that are out
-// by plan come back by themselves and call for no move.
+// repairsNeeded returns how many spare VMs of this zone should move to p. They are as
+// many as restore headroom for one failure or, during a wave, also for one planned stop,
+// but at most one for each of the zone's VMs that failed more than RepairAfter ago. VMs
+// that are out for a planned stop come back by themselves and need no replacement.
 func (r *round) repairsNeeded(p *pool) int {
 	headroom := 1
 	if r.view.Wave.Status == maintenance.Running && p.due > 0 {
@@ -68,8 +68,8 @@
 	return min(missing, failedInZone, failedTotal-substitutes)
 }
 
-// availableSpares returns the spare VMs that may leave, those that are not due first: one
-// that is due would need a planned stop in its new pool.
+// availableSpares returns the spare VMs that may move, the most recently maintained
+// first: a VM that is due for maintenance would need a planned stop in its new pool.
 func (r *round) availableSpares() []*fleet.VMRow {
 	var spares []*fleet.VMRow
 	for _, vm := range r.view.VMs {
@@ -83,7 +83,8 @@
 	return spares
 }
 
-// chooseSpare prefers a VM of a rack in which nothing failed.
+// chooseSpare returns the index of the spare VM to move, or -1 if there is none. It
+// prefers a VM of a rack without recent failures.
 func (r *round) chooseSpare(spares []*fleet.VMRow) int {
 	if len(spares) == 0 || r.pools[r.spare].headroom < 1 {
 		return -1
@@ -92,8 +93,8 @@
 	return max(i, 0)
 }
 
-// refillSpares refills the spare pool from VMs that are being verified: nothing runs
-// there, so the move needs no drain.
+// refillSpares refills the spare pool with VMs that are being verified. Nothing runs on
+// them, so the move needs no drain.
 func (r *round) refillSpares() []maintenance.Command {
 	var commands []maintenance.Command
 	spare := r.pools[r.spare]
--- a/core/maintenance/spread/spread.go
+++ b/core/maintenance/spread/spread.go
@@ -1,7 +1,7 @@
-// Package spread is the planner that the daemon runs. It spreads planned stops
-// over pools and racks, keeps room in each budget for ordinary failures, starts
-// each wave small, repairs spent budgets from the spare pool, and halts a wave
-// whose VMs do not come back.
+// Package spread implements the planner that the daemon runs. It spreads planned stops
+// over pools and racks, reserves part of each availability budget for failures, ramps up
+// each wave from a single VM, replaces failed VMs from the spare pool when a budget is
+// used up, and halts a wave whose VMs do not come back.
 package spread
 
 import (
@@ -17,30 +17,32 @@
 
 // Defaults of Planner.
 const (
-	// DefaultRepairAfter leaves a failed VM time to restart by itself: most do, and
-	// a move would be wasted.
+	// DefaultRepairAfter gives a failed VM time to restart by itself. Most VMs do, and
+	// replacing them would be wasted.
 	DefaultRepairAfter = 15 * time.Minute
-	// DefaultStopTime is the time that one planned stop is taken to need.
+	// DefaultStopTime is the estimated duration of one planned stop.
 	DefaultStopTime = time.Hour
-	// rackFailureWindow is how long after a VM's failure the rest of its rack is spared:
-	// by then a failing rack has shown itself.
+	// rackFailureWindow is how long after a VM's failure the planner avoids the rest of
+	// its rack. Within this time, a failure of the whole rack becomes apparent.
 	rackFailureWindow = time.Hour
 )
 
-// Planner is a maintenance.Planner. Its zero value works.
+// Planner is a maintenance.Planner. The zero value is ready to use.
 type Planner struct {
-	// RepairAfter is how long a VM has failed before a spare one takes its place.
+	// RepairAfter is how long a VM must have been failed before a spare VM replaces it.
+	// 0 means DefaultRepairAfter.
 	RepairAfter time.Duration
-	// StopTime is an estimate of a planned stop, from the permit to the return.
+	// StopTime is the estimated duration of a planned stop, from the permit to the return.
+	// 0 means DefaultStopTime.
 	StopTime time.Duration
-	// Test-only: each switches one rule off.
+	// For tests only: each field disables one rule.
 	noHalt, noReserve, noRamp, noRackLimit, noRepair bool
 }
 
 var _ maintenance.Planner = Planner{}
 
-// Plan implements maintenance.Planner. Repairs go on while a wave is paused or
-// halted: they raise availability.
+// Plan implements maintenance.Planner. Repairs continue while a wave is paused or
+// halted, because they raise availability.
 func (p Planner) Plan(now time.Time, v maintenance.View) []maintenance.Command {
 	r := newRound(p, now, v)
 	commands := r.repairs()
@@ -57,7 +59,7 @@
 	return append(commands, r.takeOuts()...)
 }
 
-// round is one call of Plan.
+// round holds the state of one call of Plan.
 type round struct {
 	Planner
 	now      time.Time
@@ -67,23 +69,25 @@
 	pools    map[core.PoolID]*pool
 	racks    map[core.RackID]rack
 	spare    core.PoolID
-	// out and back count VMs of this wave.
+	// out and returned count the VMs of this wave that are out of service and that are
+	// back after their maintenance.
 	out, returned int
 }
 
 type pool struct {
 	fleet.Pool
-	// headroom is how many more VMs may be taken out, by this round's knowledge.
+	// headroom is how many more VMs may be taken out, less those that this round takes.
 	headroom int
-	// due counts the VMs of this zone that are yet to be maintained.
+	// due counts the VMs of this zone that still need maintenance.
 	due int
-	// incoming counts VMs that are on their way to the pool.
+	// incoming counts the VMs that are moving to the pool.
 	incoming int
-	// recovering counts failed VMs that are up again and being verified.
+	// recovering counts the failed VMs that are up again and being verified.
 	recovering int
 }
 
-// rack counts a rack's VMs that are out by plan, and those that failed lately.
+// rack counts a rack's VMs that are out for a planned stop, and those that failed within
+// rackFailureWindow.
 type rack struct{ planned, failed int }
 
 func newRound(p Planner, now time.Time, v maintenance.View) *round {
@@ -151,7 +155,8 @@
 
 func (r *round) isDue(vm *fleet.VM) bool { return vm.LastMaintained.Before(r.view.Wave.Began) }
 
-// takeOuts chooses the VMs to take out now, those of the tightest pool first.
+// takeOuts chooses the VMs to take out now. It prefers VMs of the pool with the most due
+// VMs in proportion to its budget.
 func (r *round) takeOuts() []maintenance.Command {
 	var commands []maintenance.Command
 	allowed := r.rampLimit() - r.out
@@ -183,18 +188,18 @@
 	}
 	slices.SortStableFunc(due, func(a, b *fleet.VMRow) int {
 		pa, pb := r.pools[a.VM.Pool], r.pools[b.VM.Pool]
-		// due/max descending, compared without a division.
+		// Compares due/MaxUnavailable in descending order, multiplied out to avoid a division.
 		byTightness := cmp.Compare(pb.due*max(pa.MaxUnavailable, 1), pa.due*max(pb.MaxUnavailable, 1))
 		return cmp.Or(byTightness, a.VM.NextDue.Compare(b.VM.NextDue))
 	})
 	return due
 }
 
-// rampLimit bounds how many VMs of the wave may be out at once: one at first, more as
-// VMs come back, fewer as they don't.
+// rampLimit bounds how many VMs of the wave may be out at once. It starts at one, grows
+// with the VMs that come back, and shrinks with those that don't.
 //
-// A reboot that breaks VMs would otherwise break as many as the budgets allow
-// before the first is missed.
+// Without it, a reboot that breaks VMs would break as many as the budgets allow before
+// the first failure is noticed.
 func (r *round) rampLimit() int {
 	if r.noRamp {
 		return len(r.view.VMs)
@@ -203,9 +208,9 @@
 	return max(1, (1+2*r.returned)*(haltThreshold-r.progress.NotBack)/haltThreshold)
 }
 
-// reserve is the part of a budget that is left to unplanned failures, so that an
-// ordinary one doesn't go beyond it. A pool that would miss its deadline, or has
-// a budget of one, has none.
+// reserve returns the part of a pool's budget that is kept free, so that a single
+// unplanned failure doesn't exceed the budget. A pool that would miss its deadline, or
+// whose budget is one VM, keeps no reserve.
 func (r *round) reserve(p *pool, behindSchedule bool) int {
 	if behindSchedule || r.noReserve || p.MaxUnavailable < 2 {
 		return 0
@@ -213,16 +218,18 @@
 	return 1
 }
 
-// behindSchedule reports whether p's due VMs, taken with the reserve kept, would take
-// longer than the time that is left.
+// behindSchedule reports whether the maintenance of p's due VMs would miss the deadline
+// if the reserve were kept.
 func (r *round) behindSchedule(p *pool) bool {
 	remaining := r.view.Wave.Deadline.Sub(r.now)
 	needed := time.Duration(p.due) * r.StopTime / time.Duration(max(p.MaxUnavailable-1, 1))
 	return needed > remaining
 }
 
-// rackBlocked keeps planned stops of one rack apart, and for a while away from a
-// rack that may be failing. The latter gives way to the deadline.
+// rackBlocked reports whether no VM of the rack may be stopped now: at most one VM of a
+// rack is out for a planned stop, and a rack with recent failures is avoided because the
+// whole rack may be failing. The second rule doesn't apply to a pool that is behind
+// schedule.
 func (r *round) rackBlocked(id core.RackID, behindSchedule bool) bool {
 	k := r.racks[id]
 	return !r.noRackLimit && (k.planned > 0 || k.failed > 0 && !behindSchedule)
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -16,16 +16,16 @@
 
 var start = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
-// result is what the World saw of some seeds.
+// result sums up what the simulated world recorded over some seeds.
 type result struct {
 	breaches, stops, broken, halted, finished int
-	// overBudget counts moments at which a pool lacked more than its budget, and sameRack
-	// those at which two VMs of a rack were out by plan.
+	// overBudget counts observations of a pool with more VMs missing than its budget
+	// allows, and sameRack those of a rack with two VMs out for planned stops.
 	overBudget, sameRack int
 }
 
-// runMaintenance runs one zone of five pools until its maintenance ends, for at most
-// six hours, and lets prepare break something first.
+// runMaintenance simulates one zone of five pools until its maintenance ends, for at most
+// six hours. prepare injects faults before the start.
 func runMaintenance(t *testing.T, seed uint64, rule string, maxNotBack int, prepare func(*sim.World)) result {
 	t.Helper()
 	size := sim.Size{Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 8, RackVMs: 4, MaxUnavailable: 2}
@@ -110,9 +110,9 @@
 	return sum
 }
 
-// A reboot breaks every VM that it is done to, as a bad image does. Callers lose
-// one VM after the other. The wave starts with one VM, misses it, and halts after
-// a bounded number; without the halt or the small start, more are lost.
+// TestWaveHaltsAutomatically guards against a reboot that breaks every VM, as a bad
+// image does. The wave must start with one VM and halt after a bounded number of losses.
+// Without the halt or the ramp-up, more VMs are lost.
 func TestWaveHaltsAutomatically(t *testing.T) {
 	breakReboots := func(w *sim.World) { w.Faults.NotBack = 1 }
 	with := runSeeds(t, "", 2, breakReboots)
@@ -122,27 +122,27 @@
 	assert.Assert(t, runSeeds(t, "ramp", 2, breakReboots).broken > with.broken)
 }
 
-// Two VMs of a pool have failed for good and its budget of two is spent: there is
-// no planned stop in it until spare VMs have taken their places. Without the
-// repair, its VMs miss their maintenance.
+// TestSpentBudgetIsRepaired covers a pool whose budget of two is used up by two VMs that
+// failed permanently. It allows no planned stop until spare VMs have replaced them.
+// Without the repair, the pool's other VMs miss their maintenance.
 func TestSpentBudgetIsRepaired(t *testing.T) {
 	spendBudget := func(w *sim.World) { w.FailAll(w.Machines()[:2], 100*time.Hour) }
-	// The two that are gone can't be maintained; the others must be.
+	// The two failed VMs can't be maintained. The others must be.
 	with := runSeeds(t, "", 2, spendBudget)
 	without := runSeeds(t, "repair", 2, spendBudget)
 	assert.Equal(t, without.stops, 38*seeds, "the pool's other 8 VMs must not be stopped, all else is")
 	assert.Equal(t, with.stops, 46*seeds)
 }
 
-// VMs fail at many times the ordinary rate during the wave. The reserve keeps
-// room for them: without it, pools lack more than their budgets far more often.
+// TestReserveAbsorbsFailures lets VMs fail at many times the usual rate during the wave.
+// Without the reserve, pools exceed their budgets far more often.
 func TestReserveAbsorbsFailures(t *testing.T) {
 	raiseFailureRate := func(w *sim.World) { w.Faults.PerVMDay = 2 }
 	with, without := runSeeds(t, "", 10, raiseFailureRate), runSeeds(t, "reserve", 10, raiseFailureRate)
 	assert.Assert(t, without.overBudget > 2*with.overBudget, fmt.Sprintf("%d moments without, %d with", without.overBudget, with.overBudget))
 }
 
-// A rack must not lose two VMs to plan at once: its failure would hit both.
+// TestOneStopPerRack checks that a rack never has two VMs out for planned stops at once.
 func TestOneStopPerRack(t *testing.T) {
 	noFaults := func(*sim.World) {}
 	with := runSeeds(t, "", 2, noFaults)
--- a/core/maintenance/timing.go
+++ b/core/maintenance/timing.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// Timing bounds the steps of a stop. Zero fields mean the defaults. Rows store
-// the deadlines that follow from it.
+// Timing configures the durations of a planned stop. A zero field means its
+// default. VM rows store the deadlines computed from it.
 type Timing struct {
-	// MaxViewAge is how long an entry in contact with the table may take to act on a
-	// changed row.
+	// MaxViewAge bounds how long an entry that can reach the table takes to act on
+	// a changed row.
 	MaxViewAge time.Duration
-	// DrainTimeout is how long a drain may stay busy before it is withdrawn.
+	// DrainTimeout is how long a VM may drain before its permit is withdrawn.
 	DrainTimeout time.Duration
-	// HoldDuration is how long a VM that is told to refuse new work does so, unless told
-	// again.
+	// HoldDuration is how long a VM refuses new work after it was told to. Telling it
+	// again extends the period.
 	HoldDuration time.Duration
-	// RebootWindow is how long after the stop a reboot may be asked for.
+	// RebootWindow is how long after the stop a reboot may be requested.
 	RebootWindow time.Duration
-	// ReturnTimeout is how long a VM may take to come back.
+	// ReturnTimeout is how long a VM may take to come back before it counts as failed.
 	ReturnTimeout time.Duration
-	// VerifyDuration is how long a VM must be up before it serves.
+	// VerifyDuration is how long a VM must stay in Verifying before it serves again.
 	VerifyDuration time.Duration
-	// MaxListLag is how old the list of live VMs may be when it is used.
+	// MaxListLag bounds the age of the platform's list of live VMs when it is used.
 	MaxListLag time.Duration
-	// MaxClockSkew bounds the difference between clocks, and a reboot's way to the platform.
+	// MaxClockSkew bounds the difference between clocks plus the time that a reboot
+	// request takes to reach the platform.
 	MaxClockSkew time.Duration
-	// MaintenanceInterval is how long after a maintenance the next one is due.
+	// MaintenanceInterval is the time from a VM's maintenance to the deadline of its
+	// next one.
 	MaintenanceInterval time.Duration
 }
 
-// The defaults of Timing.
+// Defaults of the Timing fields.
 const (
 	DefaultMaxViewAge          = 5 * time.Second
 	DefaultDrainTimeout        = 4 * time.Hour
--- a/core/maintenance/transaction.go
+++ b/core/maintenance/transaction.go
@@ -8,7 +8,8 @@
 	"lavenderpond/core/table"
 )
 
-// Transaction turns a planner's command into a transaction on the rows of v.
+// Transaction returns the transaction that carries out a planner's command on the
+// rows of v.
 func (d Driver) Transaction(now time.Time, v View, w WaveRow, c Command) (table.Transaction, error) {
 	switch c := c.(type) {
 	case TakeOut:
--- a/core/maintenance/wave.go
+++ b/core/maintenance/wave.go
@@ -1,8 +1,8 @@
-// Package maintenance decides which VMs are taken out of service next, and what
-// each VM that is out needs next.
+// Package maintenance decides which VMs are taken out of service, and which step each
+// VM that is out of service takes next.
 //
-// Planners stand in sub-packages behind the Planner interface: spread is what
-// the daemon runs, fixed is the naive baseline that measurements compare with.
+// Sub-packages implement the Planner interface: the daemon runs spread, and fixed is
+// the naive baseline that measurements compare it with.
 package maintenance
 
 import (
@@ -14,27 +14,30 @@
 	"lavenderpond/core/table"
 )
 
-// Status is what a zone's maintenance is doing.
+// Status is the status of a zone's maintenance.
 type Status int
 
-// The statuses of maintenance. Only Running takes VMs out for maintenance.
+// The statuses of maintenance. VMs are taken out for maintenance only while it is
+// Running.
 const (
-	// Idle: nothing is planned.
+	// Idle means that nothing is planned.
 	Idle Status = iota
-	// Planned: waits for an operator's start.
+	// Planned maintenance waits for an operator to start it.
 	Planned
 	Running
-	// Paused by an operator. Drains under way are finished, none is begun.
+	// Paused maintenance was paused by an operator. Drains in progress are completed,
+	// but no new ones begin.
 	Paused
-	// Halted by itself: VMs did not come back. Waits for an operator.
+	// Halted maintenance stopped automatically because too many VMs did not come back.
+	// It waits for an operator.
 	Halted
-	// Finished: every VM of the zone was maintained.
+	// Finished means that every VM of the zone was maintained.
 	Finished
 )
 
 var statusNames = [...]string{"idle", "planned", "running", "paused", "halted", "finished"}
 
-// String returns the status's name, as rows and commands show it.
+// String returns the name of the status as it appears in rows and command output.
 func (s Status) String() string {
 	if s < 0 || int(s) >= len(statusNames) {
 		return "unknown"
@@ -56,58 +59,60 @@
 	return core.Errorf(core.CodeMalformed, "unknown maintenance status %q", text)
 }
 
-// Wave is the row of a zone's maintenance.
+// Wave is the row that holds the state of a zone's maintenance.
 type Wave struct {
 	Status Status `json:"status"`
-	// Number counts the starts, so that VMs that did not come back in a wave that
-	// halted don't count against the next one.
+	// Number counts how often maintenance was started. A VM that did not come back in a
+	// wave that halted therefore doesn't count against the next wave.
 	Number int `json:"number"`
-	// Began is when the maintenance was planned: VMs that were last maintained
-	// before it are due.
+	// Began is when the maintenance was planned. A VM that was last maintained before
+	// then is due.
 	Began time.Time `json:"began,omitzero"`
-	// Deadline is when every VM must have been maintained.
+	// Deadline is the time by which every VM must have been maintained.
 	Deadline time.Time `json:"deadline,omitzero"`
-	// MaxNotBack is how many VMs may fail to come back; one more halts the wave.
+	// MaxNotBack is how many VMs may fail to come back. One more halts the wave.
 	MaxNotBack int `json:"max_not_back"`
-	// Author planned, started or paused it last.
+	// Author is the operator who last planned, started or paused the maintenance.
 	Author string `json:"author,omitempty"`
-	// Reason says why it is paused or halted.
+	// Reason says why the maintenance was planned, started, paused or halted.
 	Reason string `json:"reason,omitempty"`
-	// Change is the last operator's change, to recognise a repeated one.
+	// Change is the id of the last operator's change, to recognise a repeated request.
 	Change core.ChangeID `json:"change,omitempty"`
 }
 
-// WaveKey returns the row of a zone's maintenance.
+// WaveKey returns the key of a zone's maintenance row.
 func WaveKey(zone core.ZoneID) table.Key { return table.Key(table.PrefixWave + "zone/" + string(zone)) }
 
-// Name names the wave in the rows of the VMs that it takes out.
+// Name returns the wave's name, which is stored in the rows of the VMs that it takes
+// out of service.
 func (w Wave) Name(zone core.ZoneID) string { return fmt.Sprintf("%s/%d", zone, w.Number) }
 
-// WaveRow is a zone's maintenance as read.
+// WaveRow is a zone's maintenance row as it was read from the table.
 type WaveRow struct {
 	Zone core.ZoneID
 	Wave Wave
 	Row  table.Row
 }
 
-// DecodeWave reads a row of WaveKey.
+// DecodeWave decodes a row stored under WaveKey.
 func DecodeWave(zone core.ZoneID, row table.Row) (WaveRow, error) {
 	r := WaveRow{Zone: zone, Row: row}
 	return r, row.Decode(&r.Wave)
 }
 
-// OperatorChange is an operator's change of a zone's maintenance.
+// OperatorChange identifies an operator's request to plan, start or pause a zone's
+// maintenance.
 type OperatorChange struct {
 	Author string
 	Reason string
 	Change core.ChangeID
 }
 
-// DefaultMaxNotBack is how many VMs may stay away before a wave halts.
+// DefaultMaxNotBack is the default of Wave.MaxNotBack.
 const DefaultMaxNotBack = 2
 
-// Plan makes every VM of the zone due by deadline. It starts nothing. A
-// maxNotBack of 0 means DefaultMaxNotBack.
+// Plan returns the transaction that makes every VM of the zone due by deadline. It
+// doesn't start the maintenance. A maxNotBack of 0 means DefaultMaxNotBack.
 func Plan(now time.Time, w WaveRow, o OperatorChange, deadline time.Time, maxNotBack int) (table.Transaction, error) {
 	if !deadline.After(now) {
 		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "deadline %s has passed", deadline)
@@ -126,7 +131,7 @@
 	return w.applyOnce(next, o)
 }
 
-// Start starts or resumes the zone's maintenance.
+// Start returns the transaction that starts or resumes the zone's maintenance.
 func Start(w WaveRow, o OperatorChange) (table.Transaction, error) {
 	next := w.Wave
 	switch next.Status {
@@ -139,7 +144,8 @@
 	return w.applyOnce(next, o)
 }
 
-// Pause stops the zone's maintenance from taking out further VMs.
+// Pause returns the transaction that keeps the zone's maintenance from taking out
+// further VMs.
 func Pause(w WaveRow, o OperatorChange) (table.Transaction, error) {
 	if w.Wave.Status != Running && w.Wave.Change != o.Change {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "maintenance of zone %q is %s, not running", w.Zone, w.Wave.Status)
@@ -149,7 +155,7 @@
 	return w.applyOnce(next, o)
 }
 
-// applyOnce stores next as o's change, once.
+// applyOnce stores next as the result of change o, unless o was already applied.
 func (w WaveRow) applyOnce(next Wave, o OperatorChange) (table.Transaction, error) {
 	if o.Change != "" && w.Wave.Change == o.Change {
 		return table.Transaction{}, nil
@@ -164,19 +170,19 @@
 	return t, t.Set(w.Row.Key, next)
 }
 
-// Progress sums up a zone's maintenance for operators.
+// Progress summarises a zone's maintenance for operators.
 type Progress struct {
 	Total      int `json:"total"`
 	Maintained int `json:"maintained"`
 	Out        int `json:"out"`
 	Failed     int `json:"failed"`
-	// NotBack counts the VMs of this wave that did not come back.
+	// NotBack counts the VMs that this wave took out and that did not come back.
 	NotBack int `json:"not_back"`
-	// Late counts VMs that are due and whose deadline has passed.
+	// Late counts the VMs that are still due after the wave's deadline.
 	Late int `json:"late"`
 }
 
-// Progress counts the VMs of the view.
+// Progress returns the progress of the view's wave.
 func (v View) Progress(now time.Time) Progress {
 	p := Progress{Total: len(v.VMs)}
 	name := v.Wave.Name(v.Zone)
@@ -186,7 +192,7 @@
 	return p
 }
 
-// ProgressOf counts the zone's VMs.
+// ProgressOf returns the progress of wave w over vms, the zone's VMs.
 func ProgressOf(now time.Time, zone core.ZoneID, w Wave, vms []fleet.VMRow) Progress {
 	p := Progress{Total: len(vms)}
 	name := w.Name(zone)
