--- a/core/fleet/admin.go
+++ b/core/fleet/admin.go
@@ -7,8 +7,8 @@
 	"lavenderpond/core/table"
 )
 
-// SetPool creates the pool, or changes its budget and whether it is the spare
-// one. A budget below what is out stops planned work until VMs are back.
+// SetPool creates the pool, or changes its budget and whether it is the spare pool. A
+// budget below the number of unavailable VMs blocks planned stops until VMs are back.
 func SetPool(pool PoolRow, maxUnavailable int, spare bool) (table.Transaction, error) {
 	if maxUnavailable < 0 {
 		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "max_unavailable is %d, must be 0 or more", maxUnavailable)
@@ -21,7 +21,7 @@
 	return newTransaction(rowWrites{pool: &pool, poolValue: p})
 }
 
-// ResizePool changes how many VMs the pool is meant to have.
+// ResizePool changes the intended number of VMs in the pool.
 func ResizePool(pool PoolRow, size int) (table.Transaction, error) {
 	if err := pool.checkExists(); err != nil {
 		return table.Transaction{}, err
@@ -34,8 +34,8 @@
 	return newTransaction(rowWrites{pool: &pool, poolValue: p})
 }
 
-// DeletePool deletes a pool that no VM is in. Every change of membership checks
-// the pool's row, so no VM can join a pool that is being deleted.
+// DeletePool deletes a pool without VMs. Every change of a VM's pool checks the pool's
+// row, so no VM can join a pool that is being deleted.
 func DeletePool(pool PoolRow) (table.Transaction, error) {
 	var t table.Transaction
 	if !pool.Exists() {
@@ -49,10 +49,10 @@
 	return t, nil
 }
 
-// AddVM puts a new VM into pool. vm is the row as read (it must not exist) with
-// the VM's value filled in; its State is Serving, or Verifying to have it
-// checked first. grow raises the pool's size by one once the VM serves; without
-// it, the VM replaces one that was removed.
+// AddVM adds a new VM to pool. vm is the row as it was read, which must not exist, with
+// the VM's value filled in. Its State is Serving, or Verifying to have the VM verified
+// first. grow raises the pool's size by one once the VM serves. Without grow, the VM
+// replaces one that was removed.
 func AddVM(now time.Time, vm VMRow, pool PoolRow, grow bool) (table.Transaction, error) {
 	if err := pool.checkExists(); err != nil {
 		return table.Transaction{}, err
@@ -73,8 +73,8 @@
 	return newTransaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
 }
 
-// RemoveVM takes a VM that is not serving out of the fleet. shrink lowers the
-// pool's size by one; without it, the pool goes on lacking the VM.
+// RemoveVM removes a VM that is not serving from the fleet. shrink lowers the pool's size
+// by one. Without shrink, the pool lacks a VM until another one is added.
 func RemoveVM(vm VMRow, pool PoolRow, shrink bool) (table.Transaction, error) {
 	var t table.Transaction
 	if !vm.Exists() {
@@ -88,8 +88,8 @@
 	}
 	p := pool.Pool.removeOut(vm.Ref)
 	p.Members--
-	// The place of a VM that hasn't served yet isn't in Size: taken off, Size would lack
-	// another VM's place, and the budget would let one VM too many go.
+	// Size doesn't yet include a VM that was added with grow and hasn't served. Lowering
+	// Size for it would allow one VM too many to be taken out.
 	inSize := !vm.VM.Resize || vm.VM.MoveTo != ""
 	if shrink && inSize {
 		p.Size--
--- a/core/fleet/fuzz_test.go
+++ b/core/fleet/fuzz_test.go
@@ -7,9 +7,9 @@
 	"lavenderpond/core/table"
 )
 
-// FuzzDecode throws rows at the decoders that another version, or a broken writer,
-// may have left in the table. They refuse what they can't read; what they take can
-// be written and read again, and the decisions over it don't fail.
+// FuzzDecode feeds the decoders rows that another version of the program, or a faulty
+// writer, may have left in the table. The decoders must reject what they can't read. What
+// they accept must be encodable again and must not make the functions that use it panic.
 func FuzzDecode(f *testing.F) {
 	f.Add("vm/zone_a/vm-1", `{"pool":"frames","state":"serving","rack":"r1","slots":8}`)
 	f.Add("vm/zone_a", `{"state":"asleep"}`)
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -9,30 +9,30 @@
 	"lavenderpond/core/route"
 )
 
-// Event is what an entry learns about the VMs of its zone.
+// Event is information that an entry receives about the VMs of its zone.
 type Event interface{ isEvent() }
 
-// RowsChanged carries VM rows that changed; deleted rows have Version 0. The rows
-// are kept, so they must not be changed afterwards.
+// RowsChanged carries VM rows that changed. A deleted row has Version 0. The rows are
+// retained and must not be modified afterwards.
 type RowsChanged struct{ Rows []*VMRow }
 
 // Listed carries the platform's list of the zone's live VMs.
 type Listed struct{ VMs []ListedVM }
 
-// ListedVM is one line of the live list.
+// ListedVM is one entry of the platform's live list.
 type ListedVM struct {
 	VM      core.VMID
 	Leaving bool
 }
 
-// Refused says that a VM answered that it is leaving.
+// Refused reports that a VM refused work because it is leaving.
 type Refused struct{ VM core.VMID }
 
-// Unreachable says that no connection to a VM could be made.
+// Unreachable reports that no connection to a VM could be established.
 type Unreachable struct{ VM core.VMID }
 
-// Accepted says that a VM took work, or told a probe that it would. Asked is
-// when the request or probe was sent.
+// Accepted reports that a VM accepted work, or answered a probe that it would. SentAt
+// is when the request or probe was sent.
 type Accepted struct {
 	VM     core.VMID
 	SentAt time.Time
@@ -44,38 +44,41 @@
 func (Unreachable) isEvent() {}
 func (Accepted) isEvent()    {}
 
-// Probe pacing: the first probe follows the refusal by probeStep, and each next
-// one waits as much longer, up to probeMax.
+// The first probe follows probeBackoff after the refusal. The intervals after it are 1,
+// 2, 3 and so on times probeBackoff, up to maxProbeInterval.
 const (
 	probeBackoff     = time.Second
 	maxProbeInterval = 15 * time.Second
 )
 
-// Membership knows which VMs of a zone may be given new work. It combines the
-// VMs' rows, the lagging live list and what connections show: each can hold a
-// VM back, none can overrule the others. Its zero value works.
+// Membership tracks which VMs of a zone may be given new work. It combines three
+// sources: the VMs' rows, the platform's live list, which may lag, and the outcome of
+// connections. Each source can exclude a VM, and none can overrule the others.
 //
-// A VM that is leaving is found by whichever source is first: its row, within
-// one poll; the live list, within its lag; or its own refusal, at once. What
-// already runs there isn't touched. It is not safe for concurrent use.
+// The first source to report that a VM is leaving excludes it: its row within one poll,
+// the live list within its lag, or the VM's own refusal at once. Work that already runs
+// on the VM isn't affected.
+//
+// The zero value is ready to use. A Membership is not safe for concurrent use.
 type Membership struct {
 	vms map[core.VMID]*member
-	// Test-only: each switches one source off.
+	// For tests only: each field disables one source.
 	ignoreList, ignoreConnections bool
 }
 
 type member struct {
 	row *VMRow
-	// listed stays true once the live list had the VM: if it then goes missing,
-	// the VM has gone for good. Before, the list may just lag.
+	// listed is set once the live list contained the VM. If the VM then disappears from
+	// the list, it is gone. Before that, the list may only lag.
 	listed, leaving, gone bool
-	// heldAt is when a connection last showed that the VM takes nothing.
+	// heldAt is when a connection last showed that the VM accepts no work. It is zero if
+	// none has since the VM last accepted work.
 	heldAt  time.Time
 	probes  int
 	probeAt time.Time
 }
 
-// Handle takes in an event and reports whether Targets may have changed.
+// Handle processes an event and reports whether the result of Targets may have changed.
 func (m *Membership) Handle(now time.Time, e Event) bool {
 	switch e := e.(type) {
 	case RowsChanged:
@@ -92,7 +95,7 @@
 	return false
 }
 
-// Targets returns the VMs that may get new work, by name.
+// Targets returns the VMs that may be given new work, sorted by name.
 func (m *Membership) Targets() []route.Target {
 	var targets []route.Target
 	for _, v := range m.vms {
@@ -104,7 +107,7 @@
 	return targets
 }
 
-// Row returns what the VM's row said when it was last read.
+// Row returns the VM's row as it was last read, or false if there is none.
 func (m *Membership) Row(vm core.VMID) (VMRow, bool) {
 	v, ok := m.vms[vm]
 	if !ok || !v.row.Exists() {
@@ -113,8 +116,8 @@
 	return *v.row, true
 }
 
-// Probes returns the VMs that have to be asked now whether they take work
-// again. Each is due again later, with linear back-off, until it answers.
+// Probes returns the VMs to probe now for whether they accept work again, sorted by
+// name. A VM is probed repeatedly, with linear back-off, until it accepts.
 func (m *Membership) Probes(now time.Time) []VMRow {
 	var due []VMRow
 	for _, v := range m.vms {
@@ -143,12 +146,12 @@
 		return true
 	}
 	v := m.member(r.Ref.VM)
-	// An answer that was overtaken by a later one must not undo it.
+	// A delayed read must not replace a newer row.
 	if r.Row.Version <= v.row.Row.Version {
 		return false
 	}
 	if v.row.VM.State != Serving && r.VM.State == Serving {
-		// The VM was verified after whatever a connection showed before.
+		// The VM was verified after any earlier refusal or failed connection.
 		v.heldAt, v.gone, v.listed = time.Time{}, false, false
 	}
 	v.row = r
@@ -184,8 +187,8 @@
 	return true
 }
 
-// accepted lifts a hold, unless the VM was asked before it showed that it takes
-// nothing: answers cross.
+// accepted lifts a hold, unless the request was sent before the refusal that caused the
+// hold: answers may arrive out of order.
 func (m *Membership) accepted(e Accepted) bool {
 	v, ok := m.vms[e.VM]
 	if !ok || v.heldAt.IsZero() || !e.SentAt.After(v.heldAt) {
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -13,7 +13,7 @@
 	"lavenderpond/core/table"
 )
 
-// changed returns the event of a row that was read.
+// changed returns the event for a row that was read.
 func changed(row table.Row) RowsChanged {
 	vm, err := DecodeVM(row)
 	if err != nil {
@@ -22,15 +22,15 @@
 	return RowsChanged{Rows: []*VMRow{&vm}}
 }
 
-// timedEvent is one event as the naive version keeps it.
+// timedEvent is an event in the history of the naive implementation.
 type timedEvent struct {
 	at    time.Time
 	event Event
 }
 
-// naiveTargets goes through the whole history for each VM. It is slow and plain:
-// a VM may work if its newest row says Serving, and nothing seen since that row
-// began to say so speaks against it.
+// naiveTargets is a slow and simple reference implementation that walks through the whole
+// history for each VM. A VM may be given work if its newest row says Serving and no event
+// since the row first said so excludes the VM.
 func naiveTargets(history []timedEvent, vms []core.VMID) []core.VMID {
 	var targets []core.VMID
 	for _, vm := range vms {
@@ -79,9 +79,9 @@
 	return row.Exists() && row.VM.State == Serving && !leaving && !gone && !held
 }
 
-// An entry hears of its VMs by rows, by a list that lags and by connections, in
-// any order, and answers cross. At every moment it sends work to exactly those
-// VMs that the whole history allows, as the naive version works out afresh.
+// TestMembershipMatchesNaive feeds rows, live lists and connection outcomes to a
+// Membership in random order, with answers that arrive out of order. After each event, its
+// targets must equal those that the naive implementation computes from the whole history.
 func TestMembershipMatchesNaive(t *testing.T) {
 	vms := []core.VMID{"v0", "v1", "v2", "v3"}
 	for seed := range uint64(100) {
@@ -133,9 +133,9 @@
 	}
 }
 
-// A VM leaves while the table, the list or the connections are silent: whichever
-// source speaks first ends its new work. Callers whose work goes to a leaving VM
-// see refusals and delays; with the source switched off, they see them for long.
+// TestEachSourceDetectsLeavingVM checks that each source alone excludes a leaving VM. Work
+// that is sent to a leaving VM is refused and delayed. With the source disabled, the VM
+// must remain a target, which shows that this source is the one that excludes it.
 func TestEachSourceDetectsLeavingVM(t *testing.T) {
 	serving := table.MustRow(table.VMKey("z", "v"), 1, VM{State: Serving})
 	draining := table.MustRow(table.VMKey("z", "v"), 2, VM{State: Draining})
@@ -165,8 +165,8 @@
 	}
 }
 
-// A VM that refused is asked again with growing pauses, and works again once an
-// answer to a question that was asked after the refusal says so.
+// TestProbes checks that a VM that refused is probed at growing intervals, and becomes a
+// target again only by an answer to a probe that was sent after the refusal.
 func TestProbes(t *testing.T) {
 	var m Membership
 	m.Handle(testStart, changed(table.MustRow(table.VMKey("z", "v"), 1, VM{State: Serving})))
--- a/core/fleet/pool.go
+++ b/core/fleet/pool.go
@@ -9,38 +9,39 @@
 	"lavenderpond/core/table"
 )
 
-// OutVM is a VM of a pool that is not serving, in the pool's row.
+// OutVM records in a pool's row that a VM of the pool is not serving.
 type OutVM struct {
 	Ref
-	// Planned VMs hold a drain permit; the others failed.
+	// Planned is set for a VM that holds a drain permit. Otherwise the VM failed.
 	Planned bool      `json:"planned"`
 	Since   time.Time `json:"since"`
 }
 
-// Pool is a pool's row of state. It alone decides about drain permits, so it
-// stands for the pool's VMs of all zones.
+// Pool is the row that holds a pool's state. Drain permits are granted on it alone, so
+// it covers the pool's VMs of all zones.
 type Pool struct {
-	// MaxUnavailable is the availability budget: how many of Size VMs may be
-	// missing at once, planned and unplanned together.
+	// MaxUnavailable is the availability budget: how many of the Size VMs may be
+	// unavailable at once, planned and unplanned together.
 	MaxUnavailable int `json:"max_unavailable"`
-	// Size is how many VMs the pool is meant to have.
+	// Size is the intended number of VMs in the pool.
 	Size int `json:"size"`
-	// Members is how many VMs name the pool in their rows.
+	// Members is the number of VMs whose rows name the pool.
 	Members int `json:"members"`
-	// Spare marks the pool whose VMs repair others.
+	// Spare marks the pool whose VMs replace failed VMs of other pools.
 	Spare bool `json:"spare,omitempty"`
 	// Out lists the members that are not serving.
 	Out []OutVM `json:"out,omitempty"`
 }
 
-// Unavailable returns how many serving VMs the pool lacks. It is negative when
-// a repair left it with more than Size.
+// Unavailable returns how many serving VMs the pool lacks. It is negative if a repair
+// left the pool with more than Size VMs.
 func (p Pool) Unavailable() int { return p.Size - p.Members + len(p.Out) }
 
-// Headroom returns how many more VMs may be taken out now.
+// Headroom returns how many more VMs may be taken out of service. It is negative if the
+// budget is exceeded.
 func (p Pool) Headroom() int { return p.MaxUnavailable - p.Unavailable() }
 
-// Failed returns how many members are out unplanned.
+// Failed returns how many members are out of service without a drain permit.
 func (p Pool) Failed() int {
 	n := 0
 	for _, o := range p.Out {
@@ -60,27 +61,27 @@
 	return p.Out[i], true
 }
 
-// addOut returns p with o in place of what Out says of the same VM.
+// addOut returns p with o in Out, replacing any entry of the same VM.
 func (p Pool) addOut(o OutVM) Pool {
 	p = p.removeOut(o.Ref)
 	p.Out = append(p.Out, o)
 	return p
 }
 
-// removeOut returns p with vm serving or gone.
+// removeOut returns p without an entry of vm in Out.
 func (p Pool) removeOut(vm Ref) Pool {
 	p.Out = slices.DeleteFunc(slices.Clone(p.Out), func(o OutVM) bool { return o.Ref == vm })
 	return p
 }
 
-// PoolRow is a pool as read, with the version that transactions check.
+// PoolRow is a pool's row as it was read, with the version that transactions check.
 type PoolRow struct {
 	ID   core.PoolID
 	Pool Pool
 	Row  table.Row
 }
 
-// DecodePool reads a row of table.PoolStateKey.
+// DecodePool decodes a row stored under table.PoolStateKey.
 func DecodePool(row table.Row) (PoolRow, error) {
 	id, ok := strings.CutPrefix(string(row.Key), table.PrefixPool)
 	if !ok {
@@ -90,7 +91,7 @@
 	return r, row.Decode(&r.Pool)
 }
 
-// Exists reports whether the row was there when it was read.
+// Exists reports whether the row existed when it was read.
 func (r PoolRow) Exists() bool { return r.Row.Version != 0 }
 
 func (r PoolRow) checkExists() error {
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -7,37 +7,37 @@
 	"lavenderpond/core/table"
 )
 
-// Permit says why a VM is taken out, and what for.
+// Permit describes why a VM is taken out of service, and for what.
 type Permit struct {
-	// Change settles a lost answer: a VM that carries it has the permit already.
+	// Change identifies the request. A VM whose row carries it already has the permit,
+	// which settles the outcome if an answer was lost.
 	Change core.ChangeID
-	// Wave is the maintenance wave, empty for an operator's own drain.
+	// Wave is the name of the maintenance wave. It is empty for an operator's drain.
 	Wave string
-	// MoveTo is the pool to go to; empty for a stop and return to the same pool.
+	// MoveTo is the pool that the VM moves to. It is empty if the VM returns to its pool.
 	MoveTo core.PoolID
-	// Resize takes the VM's place along: the old pool's size falls by one and the
-	// new one's rises. A repair by a spare VM leaves it unset.
+	// Resize moves the VM's place with it: the size of the old pool falls by one, and
+	// that of the new pool rises by one. It is unset if a spare VM replaces a failed one.
 	Resize bool
-	// DrainBy is when a drain that is still busy is withdrawn.
+	// DrainBy is when the permit is withdrawn if the VM is still draining.
 	DrainBy time.Time
 }
 
-// Rules builds the transactions that take VMs out of service and back. Each
-// checks the version of every row that it relies on, so it takes effect only on
-// the state that it was decided on. An empty transaction says that the change
-// has taken effect already. The zero value is ready to use.
+// Rules builds the transactions that take VMs out of service and return them. Each
+// transaction checks the version of every row that the decision relies on, so it is
+// applied only if none of them has changed since. An empty transaction means that the
+// change has already taken effect. The zero value is ready to use.
 type Rules struct {
-	// Test-only: each switches one safeguard off.
+	// For tests only: each field disables one safeguard.
 	noBudgetCheck, noPoolCheck, noStopBudgetCheck, noFailureCount bool
 }
 
-// Permit grants a drain permit: it checks the budget and marks the VM's and the
-// pool's row in one transaction.
+// Permit grants a drain permit: it checks the budget, and marks the rows of the VM and
+// the pool in one transaction.
 //
-// Two controllers that both see the last free place would take two VMs out, and
-// the pool would fall below its budget. Both transactions check the same version
-// of the pool's row and both write it, so the second fails with a conflict and
-// has to decide again on the new row.
+// Two controllers that both see a headroom of one could each take out a VM and exceed
+// the budget. Both transactions check the same version of the pool's row and write the
+// row, so the second one fails with a conflict and must be decided again.
 func (r Rules) Permit(now time.Time, vm VMRow, pool PoolRow, p Permit) (table.Transaction, error) {
 	if err := vm.checkInPool(pool); err != nil {
 		return table.Transaction{}, err
@@ -61,8 +61,8 @@
 	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: poolValue})
 }
 
-// Drain marks a cordoned VM as draining, once the VM itself refuses new work.
-// stopAfter is when every entry's view must have the drain.
+// Drain marks a cordoned VM as draining, once the VM itself refuses new work. stopAfter
+// is the time by which every entry's view must include the drain.
 func (r Rules) Drain(now time.Time, vm VMRow, stopAfter time.Time) (table.Transaction, error) {
 	v := vm.VM
 	if v.State == Draining {
@@ -75,11 +75,12 @@
 	return newTransaction(rowWrites{vm: &vm, vmValue: v})
 }
 
-// Stop marks a drained VM as stopped: it may be rebooted until rebootBy, and has
-// failed if it isn't back by backBy. The caller has seen that nothing runs.
+// Stop marks a drained VM as stopped. It may be rebooted until rebootBy, and counts as
+// failed if it isn't back by backBy. The caller must have checked that nothing runs on
+// the VM.
 //
-// The budget is checked again: VMs that failed during the drain have spent it,
-// and the stop would turn their loss into a breach. Withdraw is then due.
+// Stop checks the budget again, because VMs that failed during the drain may have
+// exceeded it. The caller must then withdraw the permit instead.
 func (r Rules) Stop(now time.Time, vm VMRow, pool PoolRow, rebootBy, backBy time.Time) (table.Transaction, error) {
 	v := vm.VM
 	if v.State == Stopped && !rebootBy.After(v.RebootBy) {
@@ -104,7 +105,7 @@
 	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: pool.Pool})
 }
 
-// Withdraw takes a permit back before the stop: the VM serves again.
+// Withdraw withdraws a drain permit before the stop. The VM serves again.
 func (r Rules) Withdraw(now time.Time, vm VMRow, pool PoolRow) (table.Transaction, error) {
 	if vm.VM.State != Cordoned && vm.VM.State != Draining {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is %s; only a drain can be withdrawn", vm.Ref, vm.VM.State)
@@ -112,7 +113,8 @@
 	return r.returnToService(now, vm, pool)
 }
 
-// Verify marks a VM as back from its reboot, or a failed one as up again.
+// Verify marks a VM that is back from its reboot, or a failed VM that is up again, as
+// being verified.
 func (r Rules) Verify(now time.Time, vm VMRow, backBy time.Time) (table.Transaction, error) {
 	v := vm.VM
 	if v.State == Verifying {
@@ -127,11 +129,13 @@
 	return newTransaction(rowWrites{vm: &vm, vmValue: v})
 }
 
-// Return puts a verified VM back into service. nextDue is its next maintenance's
-// deadline; zero leaves what the row says, for a VM that was not maintained.
+// Return puts a verified VM back into service. nextDue is the deadline of its next
+// maintenance. A zero nextDue keeps the deadline in the row, for a VM that was not
+// maintained.
 //
-// It waits for RebootBy: until then a paused controller may still ask for the
-// reboot, which would cut off what runs on a VM that serves again.
+// Return fails until RebootBy has passed. Until then, a controller process that was
+// suspended may still request the reboot, which would kill the work of a VM that serves
+// again.
 func (r Rules) Return(now time.Time, vm VMRow, pool PoolRow, nextDue time.Time) (table.Transaction, error) {
 	if vm.VM.State == Serving {
 		return table.Transaction{}, nil
@@ -148,9 +152,9 @@
 	return r.returnToService(now, vm, pool)
 }
 
-// Fail records that a VM went out unplanned or did not come back. It is always
-// possible, also beyond the budget: what failed is out whatever the row says,
-// and the budget that it uses is not there for planned stops.
+// Fail records that a VM failed or did not come back. It is allowed even beyond the
+// budget: a failed VM is unavailable in any case, and recording it keeps planned stops
+// from using its part of the budget.
 func (r Rules) Fail(now time.Time, vm VMRow, pool PoolRow) (table.Transaction, error) {
 	if err := vm.checkInPool(pool); err != nil {
 		return table.Transaction{}, err
@@ -170,13 +174,13 @@
 	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
 }
 
-// Join is the last of a move's three swaps: a VM on which nothing runs changes
-// its pool. It is out in the new pool until it is verified and returned; a place
-// that it takes along counts there from then on, so that the move never looks
-// like a loss to the new pool.
+// Join moves a VM on which nothing runs to another pool. It is the last step of a move,
+// after Permit, Drain and Stop. The VM is out of service in the new pool until it is
+// verified and returned. With Resize, the new pool's size rises only on the return, so
+// the move never makes the new pool appear to lack a VM.
 //
-// The pool is a single field of the VM's row, and both pools' rows are checked
-// and written with it: the VM is in exactly one pool before and after.
+// The pool is a single field of the VM's row, and the rows of both pools are checked and
+// written in the same transaction. The VM is therefore in exactly one pool at any time.
 func (r Rules) Join(now time.Time, vm VMRow, from, to PoolRow) (table.Transaction, error) {
 	if vm.VM.Pool == to.ID {
 		return table.Transaction{}, nil
@@ -219,7 +223,7 @@
 	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
 }
 
-// rowWrites is a write of a VM's and a pool's row, each left out when nil.
+// rowWrites holds new values for a VM's row and a pool's row. A nil row is not written.
 type rowWrites struct {
 	vm        *VMRow
 	vmValue   VM
--- a/core/fleet/rules_test.go
+++ b/core/fleet/rules_test.go
@@ -19,8 +19,9 @@
 
 const vmsPerPool = 4
 
-// raceSimulation is a table with three actors that act on views of any age. It judges
-// commits by the VMs' rows and its own sizes, never by the pools' counters.
+// raceSimulation is a table with three actors that act on views of any age. It checks
+// commits against the VMs' rows and the sizes and budgets of the test, never against the
+// pools' counters.
 type raceSimulation struct {
 	rand  *rand.Rand
 	now   time.Time
@@ -74,7 +75,7 @@
 	return row
 }
 
-// view returns actor i's reader: rows as they stood when it last looked.
+// view returns the reader of actor i. It reads the rows as of the actor's last refresh.
 func (r *raceSimulation) view(i int) reader {
 	if r.views[i] == nil || r.rand.IntN(3) == 0 {
 		r.views[i] = make(map[table.Key]table.Row)
@@ -90,7 +91,7 @@
 	}
 }
 
-// step lets an actor do something to a random VM, perhaps with a lost answer.
+// step lets a random actor change a random VM. The answer may be lost.
 func (r *raceSimulation) step(n int) {
 	r.now = r.now.Add(time.Second)
 	actor := r.rand.IntN(len(r.views))
@@ -146,7 +147,7 @@
 	return r.rules.Return(r.now, vm, pool, time.Time{})
 }
 
-// transact applies tx and judges it, and loses one answer in four.
+// transact applies tx, checks the budget, and loses one answer in four.
 func (r *raceSimulation) transact(ref Ref, tx table.Transaction) error {
 	before := r.vm(r.table.Read, ref).VM
 	if err := r.table.Transact(tx); err != nil {
@@ -165,7 +166,8 @@
 	return nil
 }
 
-// checkBudget counts the VMs that the pool lacks by their rows alone.
+// checkBudget compares the number of VMs that the pool lacks, by the VMs' rows alone, with
+// its budget.
 func (r *raceSimulation) checkBudget(ref Ref, vm VM) {
 	serving := 0
 	for _, other := range r.vms {
@@ -178,8 +180,8 @@
 	}
 }
 
-// checkCounters compares the pools' counters with the VMs' rows: a VM that two pools
-// count, or none, shows here.
+// checkCounters compares the pools' counters with the VMs' rows, to find a VM that two
+// pools count, or none.
 func (r *raceSimulation) checkCounters() error {
 	for id := range budgets {
 		members, out := 0, 0
@@ -203,7 +205,8 @@
 	return nil
 }
 
-// runRaces returns how many of the seeds broke a budget, and how many a count.
+// runRaces returns in how many seeds a budget was exceeded, and in how many a counter was
+// wrong.
 func runRaces(t *testing.T, seeds uint64, rules Rules) (breaches, miscounts int) {
 	for seed := range seeds {
 		r := newRaceSimulation(t, seed, rules)
@@ -228,16 +231,17 @@
 	return breaches, miscounts
 }
 
-// Callers see a pool with fewer VMs than its budget promises, or a VM that two
-// pools count. Controllers and operators act on old views at once: permits,
-// moves, failures and returns cross, answers are lost after the write took
-// effect. Every transaction checks VM and pool rows, so only one of two that
-// were decided on the same state takes effect.
+// TestRaces guards against a pool with fewer serving VMs than its budget allows, and
+// against a VM that two pools count. Controllers and operators act concurrently on stale
+// views: permits, moves, failures and returns interleave, and answers are lost after the
+// write took effect. Every transaction checks the rows of the VM and the pool, so only one
+// of two that were decided on the same state takes effect.
 func TestRaces(t *testing.T) {
 	runRaces(t, 300, Rules{})
 }
 
-// Each safeguard is needed: without it, some seed breaks a budget or a count.
+// TestRacesWithoutSafeguard checks that each safeguard is needed: without it, some seed
+// exceeds a budget or gets a counter wrong.
 func TestRacesWithoutSafeguard(t *testing.T) {
 	const seeds = 100
 	for _, c := range []struct {
@@ -255,9 +259,10 @@
 	}
 }
 
-// An operator's command repeats a change whose answer was lost, and another
-// operator moves the same VM: the first is settled by its id, the second is told
-// of the conflict. Deleting a pool, or lowering its budget, races the same way.
+// TestOperatorsRace covers an operator's command that repeats a change whose answer was
+// lost, while another operator moves the same VM. The repetition is recognised by its
+// change id, and the second operator gets a conflict. Deleting a pool and lowering its
+// budget race in the same way.
 func TestOperatorsRace(t *testing.T) {
 	r := newRaceSimulation(t, 1, Rules{})
 	read := r.table.Read
@@ -276,7 +281,7 @@
 	_, err = DeletePool(r.pool(read, "a"))
 	assert.Equal(t, core.ErrorCode(err), core.CodeConflict)
 
-	// The move goes on: drained, cleared, joined. The place goes with the VM.
+	// The move completes: drain, stop, join, return. The VM takes its place in Size along.
 	r.commit(t)(r.rules.Drain(r.now, r.vm(read, vm.Ref), r.now))
 	r.commit(t)(r.rules.Stop(r.now, r.vm(read, vm.Ref), r.pool(read, "a"), time.Time{}, r.now))
 	r.commit(t)(r.rules.Join(r.now, r.vm(read, vm.Ref), r.pool(read, "a"), r.pool(read, "b")))
@@ -287,8 +292,9 @@
 	assert.NilError(t, r.checkCounters())
 }
 
-// A VM is gone for good and another takes its place: the pool goes on lacking it
-// until the replacement has been verified, and no planned stop uses the gap.
+// TestReplacedVM covers a VM that is gone permanently and replaced by another one. The
+// pool must lack a VM until the replacement was verified, and must allow no planned stop
+// beyond its budget in the meantime.
 func TestReplacedVM(t *testing.T) {
 	r := newRaceSimulation(t, 1, Rules{})
 	read := r.table.Read
@@ -308,9 +314,10 @@
 	assert.Equal(t, r.pool(read, "b").Pool.Unavailable(), 0)
 }
 
-// An operator adds a VM to be checked first, sees that it is the wrong one and removes
-// it with its place. The pool's size must be what it was: the place is counted only once
-// the VM serves. One less, and the budget would let one serving VM more be taken out.
+// TestRemoveVMBeforeItServed covers an operator who adds a VM that is verified first, and
+// then removes it with shrink. The pool's size must be as before, because it includes the
+// VM only once the VM serves. If it were one less, the budget would allow one VM too many
+// to be taken out.
 func TestRemoveVMBeforeItServed(t *testing.T) {
 	for _, fail := range []bool{false, true} {
 		r := newRaceSimulation(t, 1, Rules{})
--- a/core/fleet/vm.go
+++ b/core/fleet/vm.go
@@ -1,5 +1,6 @@
-// Package fleet holds the rows of pools and target VMs, and the decisions that
-// take a VM out of service, bring it back, or move it to another pool.
+// Package fleet defines the rows of pools and target VMs, and the transactions that take
+// a VM out of service, return it, or move it to another pool. It also tracks which VMs
+// may be given new work.
 package fleet
 
 import (
@@ -10,7 +11,7 @@
 	"lavenderpond/core/table"
 )
 
-// State is what a VM is doing, as its row says.
+// State is the state of a VM according to its row.
 type State int
 
 // The states of a VM. Only a Serving VM is given new work.
@@ -18,19 +19,19 @@
 	Serving State = iota
 	// Cordoned VMs get no new work.
 	Cordoned
-	// Draining VMs get no new work and are left by what runs there.
+	// Draining VMs get no new work, and wait until nothing runs on them.
 	Draining
 	// Stopped VMs are being rebooted or serviced.
 	Stopped
-	// Verifying VMs are back and have yet to show that they can work.
+	// Verifying VMs are back and must stay up for a while before they serve.
 	Verifying
-	// Failed VMs went out unplanned, or did not come back.
+	// Failed VMs went out of service without a permit, or did not come back.
 	Failed
 )
 
 var stateNames = [...]string{"serving", "cordoned", "draining", "stopped", "verifying", "failed"}
 
-// String returns the state's name, as rows and commands show it.
+// String returns the name of the state as it appears in rows and command output.
 func (s State) String() string {
 	if s < 0 || int(s) >= len(stateNames) {
 		return "unknown"
@@ -52,7 +53,7 @@
 	return core.Errorf(core.CodeMalformed, "unknown VM state %q", text)
 }
 
-// VM is a target VM's row.
+// VM is the row of a target VM.
 type VM struct {
 	Pool  core.PoolID `json:"pool"`
 	State State       `json:"state"`
@@ -60,26 +61,27 @@
 	// Address is the IP address and port of the VM's task service.
 	Address string     `json:"address"`
 	Slots   core.Slots `json:"slots"`
-	// Connections is how many connections the VM accepts.
+	// Connections is the maximum number of connections that the VM accepts.
 	Connections int `json:"connections"`
 
 	// Since is when the VM entered State.
 	Since time.Time `json:"since,omitzero"`
-	// Change is the last change that took the VM out, or put it into its pool. It
-	// stays until the next one, so that a repeated change is recognised.
+	// Change is the id of the last change that took the VM out of service, or added it to
+	// its pool. It stays until the next change, so that a repeated change is recognised.
 	Change core.ChangeID `json:"change,omitempty"`
-	// Wave is the maintenance wave that the VM was last taken out by.
+	// Wave is the name of the maintenance wave that last took the VM out of service.
 	Wave string `json:"wave,omitempty"`
-	// MoveTo is the pool that the VM goes to once nothing runs on it.
+	// MoveTo is the pool that the VM moves to once nothing runs on it.
 	MoveTo core.PoolID `json:"move_to,omitempty"`
-	// Resize makes the VM bring a place along: the size of the pool that it moves
-	// to, or was added to, rises by one when it serves there.
+	// Resize raises the size of the pool that the VM moves to, or was added to, by one
+	// when the VM serves there.
 	Resize bool `json:"resize,omitempty"`
-	// DrainBy is when a drain that is still busy is withdrawn.
+	// DrainBy is when the permit is withdrawn if the VM is still draining.
 	DrainBy time.Time `json:"drain_by,omitzero"`
-	// StopAfter is the earliest stop: by then every entry's view has the drain.
+	// StopAfter is the earliest time of the stop. By then, every entry's view includes
+	// the drain.
 	StopAfter time.Time `json:"stop_after,omitzero"`
-	// RebootBy is the last moment at which a reboot may be asked for.
+	// RebootBy is the latest time at which a reboot may be requested.
 	RebootBy time.Time `json:"reboot_by,omitzero"`
 	// BackBy is when a stopped VM that has not come back counts as failed.
 	BackBy time.Time `json:"back_by,omitzero"`
@@ -89,26 +91,27 @@
 	NextDue time.Time `json:"next_due,omitzero"`
 }
 
-// Ref names a VM fleet-wide.
+// Ref identifies a VM fleet-wide.
 type Ref struct {
 	Zone core.ZoneID `json:"zone"`
 	VM   core.VMID   `json:"vm"`
 }
 
-// Key returns the VM's row.
+// Key returns the key of the VM's row.
 func (r Ref) Key() table.Key { return table.VMKey(r.Zone, r.VM) }
 
 // String returns the reference as "zone/vm".
 func (r Ref) String() string { return string(r.Zone) + "/" + string(r.VM) }
 
-// VMRow is a VM as read, with the version that transactions check.
+// VMRow is a VM's row as it was read, with the version that transactions check.
 type VMRow struct {
 	Ref
 	VM  VM
 	Row table.Row
 }
 
-// DecodeVM reads a row of table.VMKey. A row that doesn't exist gives a zero VM.
+// DecodeVM decodes a row stored under table.VMKey. A row that doesn't exist decodes to a
+// zero VM.
 func DecodeVM(row table.Row) (VMRow, error) {
 	zone, vm, ok := strings.Cut(strings.TrimPrefix(string(row.Key), table.PrefixVM), "/")
 	if !ok {
@@ -118,5 +121,5 @@
 	return r, row.Decode(&r.VM)
 }
 
-// Exists reports whether the row was there when it was read.
+// Exists reports whether the row existed when it was read.
 func (r VMRow) Exists() bool { return r.Row.Version != 0 }
