--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -10,8 +10,8 @@
 	"lavenderpond/core/table"
 )
 
-// newFleetTable holds the configuration of a fleet: teams, pools, two queues a pool, and
-// three keys a team.
+// newFleetTable returns a table with the configuration of a fleet: teams with three keys
+// each, and pools with two queues each.
 func newFleetTable(teams, pools int) *table.Memory {
 	var m table.Memory
 	var t table.Transaction
@@ -37,8 +37,8 @@
 
 var fleetSizes = []struct{ teams, pools int }{{62, 22}, {155, 54}, {310, 108}, {620, 215}}
 
-// BenchmarkViewMemory measures what an entry keeps of the configuration, and the size
-// of the first delta that it fetches.
+// BenchmarkViewMemory measures the memory of an entry's view, and the size of the first
+// delta that the entry fetches.
 func BenchmarkViewMemory(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("teams=%d/pools=%d", size.teams, size.pools), func(b *testing.B) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkChange measures one change: its transaction, and its delta at an entry.
+// BenchmarkChange measures one change: the sizes of its transaction and of its delta.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("teams=%d/pools=%d", size.teams, size.pools), func(b *testing.B) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// BenchmarkTeam measures the lookup on the path of a request.
+// BenchmarkTeam measures the lookup of a team, which is on the request path.
 func BenchmarkTeam(b *testing.B) {
 	var v View
 	_, _ = v.Apply(Delta{Version: 1, Rows: newFleetTable(620, 215).Scan("")}, FromTable)
@@ -107,7 +107,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkDeltaSince measures what is told to a peer that has all.
+// BenchmarkDeltaSince measures the delta for a peer that lacks nothing.
 func BenchmarkDeltaSince(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("teams=%d/pools=%d", size.teams, size.pools), func(b *testing.B) {
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -10,9 +10,9 @@
 // Change is an operator's change: SetTeam, SetPool, SetQueue, SetDefaults,
 // AddException, RetireException, GrantKey, WithdrawKey or AttestZone.
 type Change interface {
-	// Key returns the row that the change writes.
+	// Key returns the key of the row that the change writes.
 	Key() table.Key
-	// ChangedBy returns the author.
+	// ChangedBy returns the author of the change.
 	ChangedBy() string
 	isChange()
 }
@@ -44,7 +44,7 @@
 	Value  Defaults
 }
 
-// AddException adds an exception, or replaces the one of the same id.
+// AddException adds an exception, or replaces the one with the same id.
 type AddException struct {
 	Author string
 	ID     string
@@ -54,22 +54,23 @@
 	Value  map[string]int
 }
 
-// RetireException ends an exception at once. Its row stays, with the end moved to
-// now: a deletion would have no version, and an old view could bring it back.
+// RetireException ends an exception at once. Its row stays, with End set to the current
+// time. A deletion would have no version, so a stale view could restore the exception.
 type RetireException struct {
 	Author string
 	ID     string
 	Reason string
 }
 
-// GrantKey lets a key speak for a team. A withdrawn key can't be granted again.
+// GrantKey lets a key authenticate a team. A withdrawn key can't be granted again.
 type GrantKey struct {
 	Author string
 	Team   core.TeamID
 	Digest core.KeyDigest
 }
 
-// WithdrawKey ends a key for good. It takes effect in any order with GrantKey.
+// WithdrawKey revokes a key permanently. It takes effect whether it is applied before or
+// after GrantKey.
 type WithdrawKey struct {
 	Author string
 	Team   core.TeamID
@@ -77,8 +78,8 @@
 	Reason string
 }
 
-// AttestZone states that a zone is down with all its VMs, so that its allotments
-// may be reclaimed, or that it is back.
+// AttestZone states that a zone and all its VMs are down, so that its allotments may be
+// reclaimed, or that the zone is back.
 type AttestZone struct {
 	Author string
 	Zone   core.ZoneID
--- a/core/config/lookup.go
+++ b/core/config/lookup.go
@@ -8,8 +8,7 @@
 	"lavenderpond/core/table"
 )
 
-// Team returns the share and limit in force for a team at now. It is false for a
-// team without a row.
+// Team returns the effective settings of a team at now, or false if the team has no row.
 func (v *View) Team(now time.Time, id core.TeamID) (Team, bool) {
 	t, ok := v.teams[id]
 	if !ok {
@@ -26,8 +25,7 @@
 	return t, true
 }
 
-// Pool returns the settings in force for a pool at now. It is false for a pool
-// without a row.
+// Pool returns the effective settings of a pool at now, or false if the pool has no row.
 func (v *View) Pool(now time.Time, id core.PoolID) (Pool, bool) {
 	p, ok := v.pools[id]
 	if !ok {
@@ -40,8 +38,8 @@
 	return p, true
 }
 
-// Queue returns the settings in force for a queue at now. It is false for a queue
-// without a row.
+// Queue returns the effective settings of a queue at now, or false if the queue has no
+// row.
 func (v *View) Queue(now time.Time, id core.QueueID) (Queue, bool) {
 	q, ok := v.queues[id]
 	if !ok {
@@ -54,14 +52,15 @@
 	return q, true
 }
 
-// Defaults returns the fleet-wide defaults in force at now.
+// Defaults returns the effective fleet-wide defaults at now.
 func (v *View) Defaults(now time.Time) Defaults {
 	d := v.defaults
 	applyExceptions(v, now, table.ConfigDefaults, defaultsFields, &d)
 	return d
 }
 
-// ZoneDown returns the attestation that z is down, if one stands.
+// ZoneDown returns the attestation that z is down, or false if z is not attested to be
+// down.
 func (v *View) ZoneDown(z core.ZoneID) (ZoneDown, bool) {
 	d := v.downZones[z]
 	return d, d.Down
@@ -87,7 +86,7 @@
 	return zones
 }
 
-// Exceptions returns the exceptions that are in force at now, by key.
+// Exceptions returns the exceptions that are active at now, by key.
 func (v *View) Exceptions(now time.Time) map[table.Key]Exception {
 	active := make(map[table.Key]Exception)
 	for key, e := range v.exceptions {
@@ -107,8 +106,8 @@
 	return keys
 }
 
-// applyExceptions sets the values of the exceptions of a row that haven't ended. Of two
-// exceptions for one value, the one whose id sorts last holds.
+// applyExceptions applies the active exceptions of a row to value. If two exceptions
+// replace the same setting, the one whose id sorts last takes precedence.
 func applyExceptions[T any](v *View, now time.Time, scope table.Key, fields map[string]field[T], value *T) {
 	for _, key := range v.byScope[scope] {
 		e := v.exceptions[key]
@@ -123,19 +122,19 @@
 	}
 }
 
-// field is a value that an exception can replace, with its greatest value.
+// field describes a setting that an exception can replace: its maximum and its setter.
 type field[T any] struct {
 	max int
 	set func(*T, int)
 }
 
-// The greatest values of settings.
+// Maximum values of settings.
 const (
 	MaxShare       = 1_000_000
 	MaxLimit       = 1_000_000
 	MaxUnavailable = 100_000
 	MaxQueued      = 1_000_000
-	// MaxBody is the greatest max_body, in bytes.
+	// MaxBody is the maximum of max_body, in bytes.
 	MaxBody = 256 << 20
 )
 
--- a/core/config/plan.go
+++ b/core/config/plan.go
@@ -11,29 +11,30 @@
 	"lavenderpond/core/table"
 )
 
-// Rows are the rows that a plan was given, by key. A row that was read and doesn't
-// exist has Version 0.
+// Rows holds the rows that Plan reads, by key. A row that doesn't exist has Version 0.
 type Rows map[table.Key]table.Row
 
-// RecordRetention is how long a Record is kept, so how long a change may be repeated under
-// its id. It is far above the seconds for which a command repeats it by itself.
+// RecordRetention is how long a ChangeRecord is kept, and thus how long a change may be
+// repeated under its id. It is far longer than the few seconds during which a command
+// retries a change automatically.
 const RecordRetention = 24 * time.Hour
 
-// ChangeRecord is the row of a change id that took effect. It settles a lost answer and
-// keeps a change from being applied twice.
+// ChangeRecord is the row that records that the change with an id took effect. It
+// settles the outcome if an answer was lost, and prevents a change from being applied
+// twice.
 type ChangeRecord struct {
 	Version core.Version `json:"version"`
 	Key     table.Key    `json:"key"`
 	Author  string       `json:"author"`
 	At      time.Time    `json:"at"`
-	// KeepUntil is when the record may be deleted, with the audit record of Version.
+	// KeepUntil is when this record and the audit record of Version may be deleted.
 	KeepUntil time.Time `json:"keep_until"`
-	// Digest tells another change under the same id apart.
+	// Digest is the digest of the change. It detects another change under the same id.
 	Digest string `json:"digest"`
 }
 
-// AuditRecord is the record of an accepted change, for the monitor. It holds no keys,
-// only their digests.
+// AuditRecord is the row that documents an accepted change for the monitor. It holds the
+// digests of keys, never the keys.
 type AuditRecord struct {
 	Version core.Version    `json:"version"`
 	Change  core.ChangeID   `json:"change"`
@@ -46,18 +47,18 @@
 	After   json.RawMessage `json:"after"`
 }
 
-// ChangeRecord returns the record of the change id that a is about.
+// ChangeRecord returns the change record that belongs to a.
 func (a AuditRecord) ChangeRecord(digest string) ChangeRecord {
 	return ChangeRecord{Version: a.Version, Key: a.Key, Author: a.Author, At: a.At, KeepUntil: a.At.Add(RecordRetention), Digest: digest}
 }
 
-// RequiredKeys returns the rows that Plan has to be given.
+// RequiredKeys returns the keys of the rows that Plan and Applied need.
 func RequiredKeys(c Change, id core.ChangeID) []table.Key {
 	return []table.Key{table.ChangeKey(id), table.ConfigHead, c.Key()}
 }
 
-// Applied returns the record of the change id, if it took effect before. An error
-// says that the id was used for another change.
+// Applied returns the change record of id and true if the change already took effect. It
+// returns an error if the id was used for another change.
 func Applied(c Change, id core.ChangeID, rows Rows) (ChangeRecord, bool, error) {
 	var record ChangeRecord
 	row := rows[table.ChangeKey(id)]
@@ -74,9 +75,9 @@
 	return record, true, nil
 }
 
-// Plan returns the transaction that carries out c as the change id: the head row
-// with the next version, the row itself, the audit record and the change's record,
-// all or nothing. It validates c against rows, and fails with a core.Error.
+// Plan returns the transaction that applies c under the change id. It writes the head row
+// with the next version, the row of c, the change record and the audit record atomically.
+// Plan validates c against rows, and fails with a core.Error.
 func Plan(c Change, id core.ChangeID, now time.Time, rows Rows) (table.Transaction, error) {
 	var t table.Transaction
 	if err := validate(c, id, now); err != nil {
@@ -101,7 +102,7 @@
 	return t, addWrites(&t, c, now, head, before, after)
 }
 
-// addWrites adds the four writes of a change.
+// addWrites adds the four writes of a change to t.
 func addWrites(t *table.Transaction, c Change, now time.Time, head Head, before table.Row, after any) error {
 	if err := t.Set(table.ConfigHead, head); err != nil {
 		return err
@@ -162,8 +163,8 @@
 	return e, nil
 }
 
-// grantedKey refuses a digest that is withdrawn, so that a grant that races a
-// withdrawal can't undo it, whichever comes first.
+// grantedKey returns the row of a granted key. It refuses a key that was withdrawn, so that
+// a concurrent grant can't undo a withdrawal, in whichever order the two are applied.
 func grantedKey(c GrantKey, before table.Row) (any, error) {
 	var k Key
 	if err := before.Decode(&k); err != nil {
@@ -190,14 +191,14 @@
 func changeDigest(c Change) string {
 	data, err := json.Marshal(c)
 	if err != nil {
-		// A Change holds strings, numbers and times only.
+		// Can't happen: a Change holds only strings, numbers and times.
 		panic(err)
 	}
 	sum := sha256.Sum256(append([]byte(Kind(c)), data...))
 	return hex.EncodeToString(sum[:])
 }
 
-// Kind returns the name of a change in audit records, in snake case.
+// Kind returns the name of the change's type in audit records, in snake case.
 func Kind(c Change) string {
 	switch c.(type) {
 	case SetTeam:
--- a/core/config/plan_test.go
+++ b/core/config/plan_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/core/table"
 )
 
-// TestSession is a whole session of operators: accepted, refused and repeated
-// changes, what stands in the table and what an entry has in force.
+// TestSession runs a session of operators with accepted, refused and repeated changes. The
+// golden file holds the rows written and the settings in effect at an entry.
 func TestSession(t *testing.T) {
 	var m table.Memory
 	var b strings.Builder
--- a/core/config/team.go
+++ b/core/config/team.go
@@ -1,5 +1,5 @@
-// Package config holds the operators' configuration as rows of the platform's
-// table, the view that an entry has of it, and the changes to it.
+// Package config defines the configuration that operators set: its rows in the platform's
+// table, an entry's view of these rows, and the changes to them.
 package config
 
 import (
@@ -8,65 +8,65 @@
 	"lavenderpond/core"
 )
 
-// Team is a team's row.
+// Team is the row of a team, a client account.
 type Team struct {
-	// Share is the team's weight when the fleet is full, relative to others.
+	// Share is the team's weight relative to other teams when the fleet is full.
 	Share int `json:"share"`
-	// Limit is the most slots that the team may use at once, fleet-wide.
+	// Limit is the maximum number of slots that the team may use at once, fleet-wide.
 	Limit core.Slots `json:"limit"`
 }
 
-// Pool is a pool's row of settings.
+// Pool is the row that holds a pool's settings.
 type Pool struct {
-	// MaxUnavailable is the availability budget: the most VMs of the pool that
-	// may be out at once, planned and unplanned together.
+	// MaxUnavailable is the availability budget: the maximum number of VMs of the pool
+	// that may be unavailable at once, planned and unplanned together.
 	MaxUnavailable int `json:"max_unavailable"`
-	// Spare marks the pool whose VMs repair others.
+	// Spare marks the pool whose VMs replace failed VMs of other pools.
 	Spare bool `json:"spare,omitempty"`
-	// LendsIdle lets other queues' requests run in the pool's idle slots.
+	// LendsIdle lets requests of other pools' queues run in the pool's idle slots.
 	LendsIdle bool `json:"lends_idle,omitempty"`
 }
 
-// Queue is a queue's row.
+// Queue is the row that holds a queue's settings.
 type Queue struct {
 	Pool core.PoolID `json:"pool"`
-	// Overflow lets requests run in idle slots of pools that lend them.
+	// Overflow lets the queue's requests run in idle slots of pools with LendsIdle.
 	Overflow bool `json:"overflow,omitempty"`
-	// MaxQueued bounds the requests that wait at one entry.
+	// MaxQueued is the maximum number of the queue's requests that wait at one entry.
 	MaxQueued int `json:"max_queued"`
 }
 
-// Defaults is the row of fleet-wide defaults, for teams, pools and queues whose
-// own rows leave a value at zero.
+// Defaults is the row of fleet-wide defaults. They apply to teams, pools and queues whose
+// own rows have a zero value.
 type Defaults struct {
 	Share          int        `json:"share"`
 	Limit          core.Slots `json:"limit"`
 	MaxUnavailable int        `json:"max_unavailable"`
 	MaxQueued      int        `json:"max_queued"`
-	// MaxBody is the largest body of a request, in bytes.
+	// MaxBody is the maximum size of a request's body, in bytes.
 	MaxBody int `json:"max_body"`
 }
 
-// Exception is an exception from the defaults, for the monitor to read.
+// Exception is the row of a temporary deviation from the settings. The monitor reads it.
 type Exception struct {
-	// Scope is the key of the row that the exception changes.
+	// Scope is the key of the row whose values the exception replaces.
 	Scope  string    `json:"scope"`
 	Reason string    `json:"reason"`
 	Author string    `json:"author"`
 	End    time.Time `json:"end"`
-	// Value replaces the row's value until End.
+	// Value holds the replaced settings by name. They apply until End.
 	Value map[string]int `json:"value"`
 }
 
-// Head is the row that orders all changes.
+// Head is the row that orders all configuration changes. Each change increments Version.
 type Head struct {
 	Version core.Version  `json:"version"`
 	Change  core.ChangeID `json:"change"`
 }
 
-// Key is the row of a team key, stored under its digest.
+// Key is the row of a team key. It is stored under the key's digest.
 type Key struct {
 	Team core.TeamID `json:"team"`
-	// Withdrawn never goes back to false: a withdrawal is final.
+	// Withdrawn is never reset: a withdrawal is final.
 	Withdrawn bool `json:"withdrawn,omitempty"`
 }
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -8,7 +8,7 @@
 	"lavenderpond/core"
 )
 
-// MaxExceptionDuration is the furthest that an exception's end may lie ahead.
+// MaxExceptionDuration is the maximum time from now to the end of an exception.
 const MaxExceptionDuration = 366 * 24 * time.Hour
 
 var (
@@ -17,7 +17,7 @@
 	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// validate refuses a change whose values are outside what is allowed.
+// validate returns an error if a value of the change is not allowed.
 func validate(c Change, id core.ChangeID, now time.Time) error {
 	if !changePattern.MatchString(string(id)) {
 		return invalidValue("change id", string(id), "letters, digits and _.:- up to 128")
@@ -125,7 +125,7 @@
 	if digestPattern.MatchString(string(d)) {
 		return nil
 	}
-	// The value isn't shown: it could be the key itself.
+	// The message omits the value, because it could be the key itself.
 	return core.Errorf(core.CodeInvalidSetting, "a key's digest is its SHA-256 in 64 hex digits")
 }
 
--- a/core/config/view.go
+++ b/core/config/view.go
@@ -11,32 +11,31 @@
 	"lavenderpond/core/table"
 )
 
-// Source says where rows come from.
+// Source tells where rows come from.
 type Source int
 
 const (
-	// FromTable rows were read by this entry itself.
+	// FromTable means that this entry read the rows from the table.
 	FromTable Source = iota
-	// FromPeer rows were told by another entry, whose view may be older.
+	// FromPeer means that another entry sent the rows. Its view may be older.
 	FromPeer
 )
 
-// Delta is the rows that changed after head version Base up to head version
-// Version. It may hold more rows than that, never fewer.
+// Delta holds the rows that changed after head version Base, up to head version Version.
+// It may hold additional rows, but lacks none.
 type Delta struct {
 	Base    core.Version `json:"base"`
 	Version core.Version `json:"version"`
 	Rows    []table.Row  `json:"rows"`
 }
 
-// View is an entry's view of the rows under "config/" and "key/". It never goes
-// back: a row is replaced only by a higher version of it, and the view's own
-// version only rises. The zero value is an empty view. Not safe for concurrent
-// use.
+// View is an entry's view of the rows under "config/" and "key/". It is monotonic: a row
+// is replaced only by a higher version of it, and the view's own version only increases.
+// The zero value is an empty view. A View is not safe for concurrent use.
 type View struct {
 	version core.Version
 	rows    map[table.Key]viewRow
-	// maxLearned is the greatest of the rows.
+	// maxLearned is the maximum of learnedAt over all rows.
 	maxLearned core.Version
 	defaults   Defaults
 	teams      map[core.TeamID]Team
@@ -44,14 +43,14 @@
 	queues     map[core.QueueID]Queue
 	downZones  map[core.ZoneID]ZoneDown
 	exceptions map[table.Key]Exception
-	// byScope lists the exceptions of a row, by key.
+	// byScope holds the sorted keys of the exceptions that apply to a row.
 	byScope map[table.Key][]table.Key
 
-	// Switched on in tests only, to see the safeguards fail.
+	// For tests only, to show that each safeguard is needed.
 	disabled disabledSafeguards
 }
 
-// disabledSafeguards names the safeguards that a test switches off.
+// disabledSafeguards selects the safeguards that a test disables.
 type disabledSafeguards struct {
 	acceptOlder bool
 	ignoreBase  bool
@@ -59,26 +58,26 @@
 
 type viewRow struct {
 	table.Row
-	// learnedAt is the view's version once the row was applied, so never less than
+	// learnedAt is the view's version after the row was applied. It is never less than
 	// the head version at which the row changed.
 	learnedAt core.Version
-	// deleted rows stay as tombstones. A peer with an older view can't tell a
-	// version after the deletion from one before it, so only the table's own word
-	// brings such a row back.
+	// deleted marks a tombstone. A row from a peer may be a version from before the
+	// deletion, so only a row read from the table replaces a tombstone.
 	deleted bool
 }
 
 // Version returns the head version up to which the view is complete.
 func (v *View) Version() core.Version { return v.version }
 
-// Apply takes in the rows of d and returns those that were news. A row that can't
-// be decoded is skipped and reported; the version that the view had stays.
+// Apply applies the rows of d and returns those that were newer than the view's. A row
+// that can't be decoded is skipped, and Apply then returns an error and leaves the view's
+// version unchanged.
 func (v *View) Apply(d Delta, from Source) ([]table.Row, error) {
 	var applied []table.Row
 	var failed error
 	version := v.version
-	// A delta that starts after this view's version has a gap before it: its rows are
-	// good, but the view would claim changes in force that it never saw.
+	// If the delta starts after the view's version, the rows between the two are missing.
+	// The delta's rows are valid, but the view must not claim to be complete up to it.
 	if (d.Base <= v.version || v.disabled.ignoreBase) && d.Version > v.version {
 		version = d.Version
 	}
@@ -98,8 +97,9 @@
 	return applied, failed
 }
 
-// isNewer compares versions row by row. Without it an entry that restarts, or that
-// was cut off, would tell its old rows to others and undo accepted changes there.
+// isNewer reports whether r is newer than the view's row. Without this check, an entry
+// that restarts, or that could not reach the table for some time, would send its old rows
+// to other entries and undo accepted changes there.
 func (v *View) isNewer(r table.Row, from Source) bool {
 	old, known := v.rows[r.Key]
 	if v.disabled.acceptOlder {
@@ -137,12 +137,12 @@
 	v.maxLearned = max(v.maxLearned, r.learnedAt)
 }
 
-// DeltaSince returns what a peer whose view is complete up to since lacks.
+// DeltaSince returns the rows that a peer lacks whose view is complete up to since.
 func (v *View) DeltaSince(since core.Version) Delta {
 	d := Delta{Base: since, Version: v.version}
 	if since >= v.maxLearned {
-		// Peers ask every second and mostly have all. A walk through the rows took 58 us
-		// at 620 teams, and a relay makes ten a second.
+		// Peers ask every second and mostly lack nothing. Iterating over the rows takes
+		// 58 us at 620 teams, and a relay answers ten peers a second.
 		return d
 	}
 	for _, r := range v.rows {
@@ -154,8 +154,8 @@
 	return d
 }
 
-// Head returns the head row if the view is complete up to it, else a row of Version
-// 0. A transaction that checks it takes effect only if no later change was accepted.
+// Head returns the head row if the view is complete up to it, or else a row with Version
+// 0. A transaction that checks this row fails if a later change was accepted.
 func (v *View) Head() table.Row {
 	var head Head
 	row, ok := v.Row(table.ConfigHead)
@@ -165,13 +165,13 @@
 	return row
 }
 
-// Row returns the row that the view holds under key, if any.
+// Row returns the row that the view holds under key, or false if there is none.
 func (v *View) Row(key table.Key) (table.Row, bool) {
 	r, ok := v.rows[key]
 	return r.Row, ok && !r.deleted
 }
 
-// decodeRow parses r into the typed map of its kind.
+// decodeRow decodes r and stores its value by the row's kind.
 func (v *View) decodeRow(r table.Row) error {
 	kind, name := splitKey(r.Key)
 	switch kind {
@@ -258,7 +258,7 @@
 	}
 }
 
-// The kinds of rows, as their keys name them.
+// The kinds of rows, as they appear in row keys.
 const (
 	kindHead      = "head"
 	kindDefaults  = "defaults"
@@ -270,7 +270,7 @@
 	kindKey       = "key"
 )
 
-// splitKey returns the kind of a row and its name within the kind.
+// splitKey returns the kind of a row and its name within that kind.
 func splitKey(key table.Key) (kind, name string) {
 	if digest, ok := strings.CutPrefix(string(key), table.PrefixKey); ok {
 		return kindKey, digest
@@ -283,8 +283,8 @@
 	return kind, name
 }
 
-// ZoneDown is the row in which an operator attests that a zone is down, so that
-// others may reclaim its allotments.
+// ZoneDown is the row in which an operator attests that a zone is down, so that other
+// zones may reclaim its allotments.
 type ZoneDown struct {
 	Down   bool   `json:"down"`
 	Reason string `json:"reason"`
@@ -293,7 +293,7 @@
 	Since time.Time `json:"since"`
 }
 
-// ZoneDownKey returns the row of the attestation about z.
+// ZoneDownKey returns the key of the attestation row of z.
 func ZoneDownKey(z core.ZoneID) table.Key {
 	return table.Key(table.PrefixConfig + kindZoneDown + "/" + string(z))
 }
--- a/core/config/view_test.go
+++ b/core/config/view_test.go
@@ -14,8 +14,8 @@
 
 var testStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// viewSimulation is entries that read a table, tell one another what they hold, and
-// restart on what an old peer tells.
+// viewSimulation simulates entries that read a table, send their rows to one another, and
+// restart with the rows of a peer whose view may be old.
 type viewSimulation struct {
 	r        *rand.Rand
 	table    table.Memory
@@ -26,7 +26,7 @@
 	disabled disabledSafeguards
 	n        int
 	delayed  []Delta
-	// highest is the highest version that each entry had of each row.
+	// highest is the highest version of each row that each entry has held.
 	highest    []map[table.Key]core.Version
 	violations int
 }
@@ -50,7 +50,7 @@
 	case 3, 4:
 		w.read(i)
 	case 5:
-		// A message that was under way for long arrives.
+		// A delayed message arrives.
 		w.delayed = append(w.delayed, w.views[i].DeltaSince(w.views[w.r.IntN(len(w.views))].Version()))
 		w.apply(w.r.IntN(len(w.views)), w.delayed[w.r.IntN(len(w.delayed))], FromPeer)
 	case 6:
@@ -99,8 +99,8 @@
 	w.apply(i, d, FromTable)
 }
 
-// apply checks every row afterwards: no entry ever holds an older version of a row
-// than it held before, nor claims a version whose rows it lacks.
+// apply applies d and then checks every row: an entry must never hold an older version of
+// a row than before, nor claim a version whose rows it lacks.
 func (w *viewSimulation) apply(i int, d Delta, from Source) {
 	_, _ = w.views[i].Apply(d, from)
 	for key, r := range w.views[i].rows {
@@ -121,9 +121,10 @@
 	}
 }
 
-// Operators see a change go back if an entry applies what it is told by one that was
-// cut off or restarted on an old view. Every row is compared with what the entry held
-// before, in any order of messages; without the comparison of versions it goes back.
+// TestViewRowsNeverRegress guards against a change that is undone, because an entry applies
+// rows from a peer that could not reach the table, or that restarted with an old view. Every
+// row is compared with the version that the entry held before, in any order of messages.
+// Without each safeguard, some seed must show a row that regressed or is missing.
 func TestViewRowsNeverRegress(t *testing.T) {
 	const seeds = 300
 	for _, u := range []disabledSafeguards{{}, {acceptOlder: true}, {ignoreBase: true}} {
@@ -143,8 +144,9 @@
 	}
 }
 
-// A retired exception must not come back, neither from a peer's old view nor by the
-// deletion of its row: only the table's own word brings a deleted row back.
+// TestRetiredExceptionStaysRetired checks that neither a peer's old view nor the deletion
+// of its row restores a retired exception. Only a row read from the table may replace a
+// deleted row.
 func TestRetiredExceptionStaysRetired(t *testing.T) {
 	var v View
 	key := table.ExceptionKey("x")
@@ -176,8 +178,8 @@
 	}
 }
 
-// FuzzViewApply feeds the row decoders. A row that can't be read must change neither
-// the view's version nor what was in force.
+// FuzzViewApply feeds arbitrary rows to the decoders. A row that can't be decoded must
+// change neither the view's version nor the effective settings.
 func FuzzViewApply(f *testing.F) {
 	for _, kind := range []string{"team/a", "pool/a", "queue/a", "defaults", "exception/a", "zone_down/a", "head"} {
 		f.Add(table.PrefixConfig+kind, []byte(`{"share":1,"limit":2,"end":"2026-12-02T12:00:00Z","value":{"limit":1}}`))
@@ -201,9 +203,10 @@
 	})
 }
 
-// A peer would miss a row for good if an entry took it to have all when it hasn't:
-// rows are learned from tellers with gaps, late messages, restarts and deletions. What
-// DeltaSince returns is held against a walk through all rows, for every version.
+// TestDeltaSinceMissesNothing guards against a peer that misses a row permanently, because
+// an entry wrongly assumes that the peer has it. Rows arrive in deltas with gaps and in
+// delayed messages, and there are restarts and deletions. The result of DeltaSince is
+// compared with an iteration over all rows, for every version.
 func TestDeltaSinceMissesNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newViewSimulation(seed, disabledSafeguards{})
