--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -194,20 +194,20 @@
 	if vm.VM.State != Stopped && vm.VM.State != Verifying {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is %s; it must be drained before it moves", vm.Ref, vm.VM.State)
 	}
-	v, a, b := vm.VM, from.Pool.removeOut(vm.Ref), to.Pool
+	v, fromPool, toPool := vm.VM, from.Pool.removeOut(vm.Ref), to.Pool
 	v.Pool, v.State, v.Since, v.MoveTo = to.ID, Verifying, now, ""
-	a.Members--
-	b.Members++
+	fromPool.Members--
+	toPool.Members++
 	if v.Resize {
-		a.Size--
+		fromPool.Size--
 	}
-	b = b.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
-	t, err := newTransaction(rowWrites{vm: &vm, vmValue: v, pool: &from, poolValue: a})
+	toPool = toPool.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
+	t, err := newTransaction(rowWrites{vm: &vm, vmValue: v, pool: &from, poolValue: fromPool})
 	if err != nil {
 		return t, err
 	}
 	t.Check(to.Row)
-	return t, t.Set(to.Row.Key, b)
+	return t, t.Set(to.Row.Key, toPool)
 }
 
 func (r Rules) returnToService(now time.Time, vm VMRow, pool PoolRow) (table.Transaction, error) {
--- a/core/maintenance/driver.go
+++ b/core/maintenance/driver.go
@@ -114,7 +114,7 @@
 func (s *stepper) serving() (Step, error) {
 	leaving := s.observed != nil && s.observed.Leaving && s.now.After(s.vm.VM.Since.Add(s.Timing.MaxListLag))
 	if s.isDown() || leaving {
-		return transact(s.Rules.Fail(s.now, s.vm, s.pool))
+		return transactionStep(s.Rules.Fail(s.now, s.vm, s.pool))
 	}
 	return Step{}, nil
 }
@@ -122,21 +122,21 @@
 func (s *stepper) cordoned() (Step, error) {
 	switch {
 	case s.isDown():
-		return transact(s.Rules.Fail(s.now, s.vm, s.pool))
+		return transactionStep(s.Rules.Fail(s.now, s.vm, s.pool))
 	case s.mustWithdraw():
-		return transact(s.Rules.Withdraw(s.now, s.vm, s.pool))
+		return transactionStep(s.Rules.Withdraw(s.now, s.vm, s.pool))
 	case !s.refuses():
 		return Step{}, nil
 	}
-	return transact(s.Rules.Drain(s.now, s.vm, s.now.Add(s.Timing.MaxViewAge)))
+	return transactionStep(s.Rules.Drain(s.now, s.vm, s.now.Add(s.Timing.MaxViewAge)))
 }
 
 func (s *stepper) draining() (Step, error) {
 	switch {
 	case s.isDown():
-		return transact(s.Rules.Fail(s.now, s.vm, s.pool))
+		return transactionStep(s.Rules.Fail(s.now, s.vm, s.pool))
 	case s.mustWithdraw():
-		return transact(s.Rules.Withdraw(s.now, s.vm, s.pool))
+		return transactionStep(s.Rules.Withdraw(s.now, s.vm, s.pool))
 	case s.now.Before(s.vm.VM.StopAfter), !s.isIdle():
 		return Step{}, nil
 	}
@@ -156,15 +156,15 @@
 	case v.MoveTo != "":
 		return s.join()
 	case s.now.After(v.BackBy):
-		return transact(s.Rules.Fail(s.now, s.vm, s.pool))
+		return transactionStep(s.Rules.Fail(s.now, s.vm, s.pool))
 	case !s.isIdle():
 		return Step{}, nil
 	case s.pool.Pool.Headroom() < 0:
-		return transact(s.Rules.Fail(s.now, s.vm, s.pool))
+		return transactionStep(s.Rules.Fail(s.now, s.vm, s.pool))
 	case s.now.After(v.RebootBy):
 		return s.stop()
 	}
-	step, err := transact(s.Rules.Verify(s.now, s.vm, v.BackBy))
+	step, err := transactionStep(s.Rules.Verify(s.now, s.vm, v.BackBy))
 	step.Reboot, step.NotAfter = true, v.RebootBy
 	return step, err
 }
@@ -174,18 +174,18 @@
 	up := s.observed != nil && s.observed.Up
 	switch {
 	case !up && s.now.After(v.BackBy) && !v.BackBy.IsZero(), s.isDown() && v.BackBy.IsZero():
-		return transact(s.Rules.Fail(s.now, s.vm, s.pool))
+		return transactionStep(s.Rules.Fail(s.now, s.vm, s.pool))
 	case !up, s.now.Before(v.Since.Add(s.Timing.VerifyDuration)), s.mayStillReboot(s.now, v):
 		return Step{}, nil
 	}
-	return transact(s.Rules.Return(s.now, s.vm, s.pool, s.nextDue()))
+	return transactionStep(s.Rules.Return(s.now, s.vm, s.pool, s.nextDue()))
 }
 
 func (s *stepper) failed() (Step, error) {
 	if s.observed == nil || !s.observed.Up || s.observed.Leaving {
 		return Step{}, nil
 	}
-	return transact(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.ReturnTimeout)))
+	return transactionStep(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.ReturnTimeout)))
 }
 
 // stop marks the VM as stopped. The reboot must be requested while the VM is certain to
@@ -195,16 +195,16 @@
 	if s.vm.VM.MoveTo == "" {
 		rebootBy = earlier(s.now.Add(s.Timing.RebootWindow), s.observed.RefusesUntil.Add(-s.Timing.MaxClockSkew))
 	}
-	return transact(s.Rules.Stop(s.now, s.vm, s.pool, rebootBy, s.now.Add(s.Timing.ReturnTimeout)))
+	return transactionStep(s.Rules.Stop(s.now, s.vm, s.pool, rebootBy, s.now.Add(s.Timing.ReturnTimeout)))
 }
 
 // join moves the VM to its new pool. It stays in its pool if the new one was deleted.
 func (s *stepper) join() (Step, error) {
 	to, ok := s.pools[s.vm.VM.MoveTo]
 	if !ok || !to.Exists() {
-		return transact(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.ReturnTimeout)))
+		return transactionStep(s.Rules.Verify(s.now, s.vm, s.now.Add(s.Timing.ReturnTimeout)))
 	}
-	return transact(s.Rules.Join(s.now, s.vm, s.pool, to))
+	return transactionStep(s.Rules.Join(s.now, s.vm, s.pool, to))
 }
 
 // mustWithdraw reports whether the drain permit must be withdrawn, because the drain
@@ -233,7 +233,7 @@
 	return s.observed != nil && s.observed.RefusesUntil.After(s.now.Add(s.Timing.RebootWindow+s.Timing.MaxClockSkew))
 }
 
-func transact(t table.Transaction, err error) (Step, error) { return Step{Transaction: t}, err }
+func transactionStep(t table.Transaction, err error) (Step, error) { return Step{Transaction: t}, err }
 
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
--- a/core/maintenance/fixed/fixed.go
+++ b/core/maintenance/fixed/fixed.go
@@ -30,12 +30,12 @@
 	if size == 0 {
 		size = DefaultSize
 	}
-	name := v.Wave.Name(v.Zone)
+	waveName := v.Wave.Name(v.Zone)
 	var commands []maintenance.Command
 	due := 0
 	for _, r := range v.VMs {
 		maintained := !r.VM.LastMaintained.Before(v.Wave.Began)
-		if r.VM.Wave == name && r.VM.State != fleet.Serving && !maintained {
+		if r.VM.Wave == waveName && r.VM.State != fleet.Serving && !maintained {
 			return nil
 		}
 		if maintained {
@@ -43,7 +43,7 @@
 		}
 		due++
 		if r.VM.State == fleet.Serving && len(commands) < size {
-			commands = append(commands, maintenance.TakeOut{VM: r.Ref, Permit: fleet.Permit{Wave: name}})
+			commands = append(commands, maintenance.TakeOut{VM: r.Ref, Permit: fleet.Permit{Wave: waveName}})
 		}
 	}
 	if due == 0 {
--- a/core/maintenance/session_test.go
+++ b/core/maintenance/session_test.go
@@ -107,9 +107,9 @@
 	golden.Assert(t, r.String(), "session.txt")
 }
 
-// TestOrdersRefused checks that an operator's change that doesn't fit the status or has
+// TestOperatorChangesRefused checks that an operator's change that doesn't fit the status or has
 // invalid values is refused with the right error code.
-func TestOrdersRefused(t *testing.T) {
+func TestOperatorChangesRefused(t *testing.T) {
 	z := newZone(1)
 	try := func(build func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error)) core.Code {
 		return core.ErrorCode(z.Order(func(r maintenance.WaveRow) (table.Transaction, error) {
--- a/core/maintenance/spread/spread.go
+++ b/core/maintenance/spread/spread.go
@@ -64,7 +64,7 @@
 	Planner
 	now      time.Time
 	view     maintenance.View
-	name     string
+	waveName string
 	progress maintenance.Progress
 	pools    map[core.PoolID]*pool
 	racks    map[core.RackID]rack
@@ -92,7 +92,7 @@
 
 func newRound(p Planner, now time.Time, v maintenance.View) *round {
 	r := &round{
-		Planner: p, now: now, view: v, name: v.Wave.Name(v.Zone),
+		Planner: p, now: now, view: v, waveName: v.Wave.Name(v.Zone),
 		progress: v.Progress(now),
 		pools:    make(map[core.PoolID]*pool, len(v.Pools)),
 		racks:    make(map[core.RackID]rack),
@@ -126,7 +126,7 @@
 	k := r.racks[vm.Rack]
 	switch vm.State {
 	case fleet.Serving:
-		if vm.Wave == r.name && !r.isDue(vm) {
+		if vm.Wave == r.waveName && !r.isDue(vm) {
 			r.returned++
 		}
 		return
@@ -136,7 +136,7 @@
 		}
 	default:
 		k.planned++
-		if vm.Wave == r.name {
+		if vm.Wave == r.waveName {
 			r.out++
 		}
 	}
@@ -173,7 +173,7 @@
 		k := r.racks[vm.VM.Rack]
 		k.planned++
 		r.racks[vm.VM.Rack] = k
-		commands = append(commands, maintenance.TakeOut{VM: vm.Ref, Permit: fleet.Permit{Change: r.changeID(vm), Wave: r.name}})
+		commands = append(commands, maintenance.TakeOut{VM: vm.Ref, Permit: fleet.Permit{Change: r.changeID(vm), Wave: r.waveName}})
 	}
 	return commands
 }
@@ -236,5 +236,5 @@
 }
 
 func (r *round) changeID(vm *fleet.VMRow) core.ChangeID {
-	return core.ChangeID(fmt.Sprintf("%s/%s/%d", r.name, vm.Ref.VM, vm.Row.Version))
+	return core.ChangeID(fmt.Sprintf("%s/%s/%d", r.waveName, vm.Ref.VM, vm.Row.Version))
 }
--- a/core/maintenance/wave.go
+++ b/core/maintenance/wave.go
@@ -185,9 +185,9 @@
 // Progress returns the progress of the view's wave.
 func (v View) Progress(now time.Time) Progress {
 	p := Progress{Total: len(v.VMs)}
-	name := v.Wave.Name(v.Zone)
+	waveName := v.Wave.Name(v.Zone)
 	for _, r := range v.VMs {
-		p.count(now, v.Wave, name, &r.VM)
+		p.count(now, v.Wave, waveName, &r.VM)
 	}
 	return p
 }
@@ -195,19 +195,19 @@
 // ProgressOf returns the progress of wave w over vms, the zone's VMs.
 func ProgressOf(now time.Time, zone core.ZoneID, w Wave, vms []fleet.VMRow) Progress {
 	p := Progress{Total: len(vms)}
-	name := w.Name(zone)
+	waveName := w.Name(zone)
 	for i := range vms {
-		p.count(now, w, name, &vms[i].VM)
+		p.count(now, w, waveName, &vms[i].VM)
 	}
 	return p
 }
 
-func (p *Progress) count(now time.Time, w Wave, name string, vm *fleet.VM) {
+func (p *Progress) count(now time.Time, w Wave, waveName string, vm *fleet.VM) {
 	maintained := !vm.LastMaintained.Before(w.Began)
 	switch {
 	case vm.State == fleet.Failed:
 		p.Failed++
-		if vm.Wave == name && !maintained {
+		if vm.Wave == waveName && !maintained {
 			p.NotBack++
 		}
 	case vm.State != fleet.Serving:
