--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -71,7 +71,7 @@
 		return invalidValue("end", c.End.Format(time.RFC3339), "a time ahead, at most 366 days")
 	}
 	if len(c.Value) == 0 {
-		return invalidValue("value", "nothing", "at least one value to replace")
+		return invalidValue("value", "nothing", "at least one setting to replace")
 	}
 	switch kind, _ := splitKey(c.Scope); kind {
 	case kindTeam:
--- a/core/config/view_test.go
+++ b/core/config/view_test.go
@@ -135,11 +135,11 @@
 				w.step()
 			}
 			if w.violations > 0 {
-				assert.Check(t, u != disabledSafeguards{}, "seed %d: %d rows went back or are missing", seed, w.violations)
+				assert.Check(t, u != disabledSafeguards{}, "seed %d: %d rows regressed or are missing", seed, w.violations)
 				broken++
 			}
 		}
-		t.Logf("switched off %+v: %d of %d seeds with a row that went back or is missing", u, broken, seeds)
+		t.Logf("with safeguards disabled %+v: %d of %d seeds have a row that regressed or is missing", u, broken, seeds)
 		assert.Check(t, u == disabledSafeguards{} || broken > 0)
 	}
 }
--- a/core/fleet/fuzz_test.go
+++ b/core/fleet/fuzz_test.go
@@ -23,13 +23,13 @@
 			m.Handle(vm.VM.Since, RowsChanged{Rows: []*VMRow{&vm}})
 			m.Targets()
 			if _, err := json.Marshal(vm.VM); err != nil {
-				t.Fatalf("VM row can't be written again: %v", err)
+				t.Fatalf("decoded VM row can't be encoded: %v", err)
 			}
 		}
 		if pool, err := DecodePool(row); err == nil {
 			_ = pool.Pool.Headroom() + pool.Pool.Failed()
 			if _, err := json.Marshal(pool.Pool); err != nil {
-				t.Fatalf("pool row can't be written again: %v", err)
+				t.Fatalf("decoded pool row can't be encoded: %v", err)
 			}
 		}
 	})
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -128,7 +128,7 @@
 				got = append(got, target.VM)
 			}
 			want := naiveTargets(history, vms)
-			assert.Assert(t, slices.Equal(got, want), "seed %d: %v, naive %v", seed, got, want)
+			assert.Assert(t, slices.Equal(got, want), "seed %d: got targets %v, want %v", seed, got, want)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 			if i == 0 {
 				assert.Equal(t, len(m.Targets()), 0, c.name)
 			} else if c.name != "row" {
-				assert.Equal(t, len(m.Targets()), 1, "%s: the safeguard is not what ends the work", c.name)
+				assert.Equal(t, len(m.Targets()), 1, "%s: another source also excludes the VM", c.name)
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 	}
 	assert.DeepEqual(t, probedAt, []string{"1", "2", "4", "7", "11", "16", "22", "29", "37"})
 	m.Handle(testStart, Accepted{VM: "v", SentAt: testStart})
-	assert.Equal(t, len(m.Targets()), 0, "a crossed answer")
+	assert.Equal(t, len(m.Targets()), 0, "an answer to a probe sent before the refusal must not lift the hold")
 	m.Handle(testStart, Accepted{VM: "v", SentAt: testStart.Add(time.Second)})
 	assert.Equal(t, len(m.Targets()), 1)
 }
--- a/core/fleet/pool.go
+++ b/core/fleet/pool.go
@@ -85,7 +85,7 @@
 func DecodePool(row table.Row) (PoolRow, error) {
 	id, ok := strings.CutPrefix(string(row.Key), table.PrefixPool)
 	if !ok {
-		return PoolRow{}, core.Errorf(core.CodeMalformed, "row %q is no pool's row", row.Key)
+		return PoolRow{}, core.Errorf(core.CodeMalformed, "row %q is not a pool's row", row.Key)
 	}
 	r := PoolRow{ID: core.PoolID(id), Row: row}
 	return r, row.Decode(&r.Pool)
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -46,10 +46,10 @@
 		return table.Transaction{}, nil
 	}
 	if vm.VM.State != Serving {
-		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is %s, by change %q", vm.Ref, vm.VM.State, vm.VM.Change)
+		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is %s, not serving; its last change is %q", vm.Ref, vm.VM.State, vm.VM.Change)
 	}
 	if p.MoveTo == pool.ID {
-		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is in pool %q already", vm.Ref, pool.ID)
+		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is already in pool %q", vm.Ref, pool.ID)
 	}
 	if pool.Pool.Headroom() < 1 && !r.noBudgetCheck {
 		return table.Transaction{}, budgetSpent(pool)
@@ -94,7 +94,7 @@
 			return table.Transaction{}, err
 		}
 		if now.Before(v.StopAfter) {
-			return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s may be stopped at %s", vm.Ref, v.StopAfter)
+			return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s must not be stopped before %s", vm.Ref, v.StopAfter)
 		}
 		if pool.Pool.Headroom() < 0 && !r.noStopBudgetCheck {
 			return table.Transaction{}, budgetSpent(pool)
@@ -144,7 +144,7 @@
 		return table.Transaction{}, err
 	}
 	if !now.After(vm.VM.RebootBy) {
-		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s may be rebooted until %s", vm.Ref, vm.VM.RebootBy)
+		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s must not serve yet; it may still be rebooted until %s", vm.Ref, vm.VM.RebootBy)
 	}
 	if !nextDue.IsZero() {
 		vm.VM.LastMaintained, vm.VM.NextDue = now, nextDue
--- a/core/fleet/rules_test.go
+++ b/core/fleet/rules_test.go
@@ -176,7 +176,7 @@
 		}
 	}
 	if lacking := vmsPerPool - serving; lacking > budgets[vm.Pool] {
-		r.breaches = append(r.breaches, fmt.Sprintf("%s of %s %s: %d lacking", ref, vm.Pool, vm.State, lacking))
+		r.breaches = append(r.breaches, fmt.Sprintf("VM %s of pool %s became %s: the pool lacks %d VMs", ref, vm.Pool, vm.State, lacking))
 	}
 }
 
@@ -194,7 +194,7 @@
 			}
 		}
 		if p := r.pool(r.table.Read, id).Pool; p.Members != members || len(p.Out) != out {
-			return errors.Errorf("pool %s says %d members, %d out; rows say %d, %d", id, p.Members, len(p.Out), members, out)
+			return errors.Errorf("pool %s counts %d members and %d out; the VMs' rows give %d and %d", id, p.Members, len(p.Out), members, out)
 		}
 	}
 	for change, n := range r.permits {
@@ -254,7 +254,7 @@
 		{"failures not counted", Rules{noFailureCount: true}},
 	} {
 		breaches, miscounts := runRaces(t, seeds, c.rules)
-		t.Logf("%s: %d of %d seeds broke a budget, %d a count", c.name, breaches, seeds, miscounts)
+		t.Logf("%s: %d of %d seeds exceeded a budget, %d got a counter wrong", c.name, breaches, seeds, miscounts)
 		assert.Assert(t, breaches+miscounts > 0, c.name)
 	}
 }
--- a/core/fleet/vm.go
+++ b/core/fleet/vm.go
@@ -115,7 +115,7 @@
 func DecodeVM(row table.Row) (VMRow, error) {
 	zone, vm, ok := strings.Cut(strings.TrimPrefix(string(row.Key), table.PrefixVM), "/")
 	if !ok {
-		return VMRow{}, core.Errorf(core.CodeMalformed, "row %q is no VM's row", row.Key)
+		return VMRow{}, core.Errorf(core.CodeMalformed, "row %q is not a VM's row", row.Key)
 	}
 	r := VMRow{Ref: Ref{Zone: core.ZoneID(zone), VM: core.VMID(vm)}, Row: row}
 	return r, row.Decode(&r.VM)
--- a/core/maintenance/driver.go
+++ b/core/maintenance/driver.go
@@ -94,7 +94,7 @@
 	case fleet.Failed:
 		return s.failed()
 	}
-	return Step{}, core.Errorf(core.CodeMalformed, "VM %s has the unknown state %d", vm.Ref, vm.VM.State)
+	return Step{}, core.Errorf(core.CodeMalformed, "VM %s is in the unknown state %d", vm.Ref, vm.VM.State)
 }
 
 // stepper computes the next step of one VM.
--- a/core/maintenance/driver_test.go
+++ b/core/maintenance/driver_test.go
@@ -40,8 +40,8 @@
 	var after fleet.VM
 	assert.NilError(t, json.Unmarshal(step.Transaction.Writes[0].Value, &after))
 	assert.Equal(t, after.State, fleet.Failed)
-	assert.Assert(t, after.RebootBy.Equal(rebootBy), "a late reboot may still come until then")
+	assert.Assert(t, after.RebootBy.Equal(rebootBy), "a delayed reboot request may still take effect until then")
 
 	pool.Out = pool.Out[:2]
-	assert.Assert(t, next().Reboot, "within the budget it is asked for again")
+	assert.Assert(t, next().Reboot, "the reboot must be requested again within the budget")
 }
--- a/core/maintenance/lease_policy_test.go
+++ b/core/maintenance/lease_policy_test.go
@@ -96,7 +96,7 @@
 func TestLeasePolicyAvoidsRelay(t *testing.T) {
 	z := newLeaseZone(t, 1)
 	z.steps(20)
-	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"), "alone, the relay is the controller")
+	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"), "an entry that runs alone must be the controller")
 	for i := range 2 {
 		z.entries = append(z.entries, &leaseEntry{id: core.EntryID(fmt.Sprintf("entry_%d", i+1))})
 	}
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -103,10 +103,10 @@
 	var sum result
 	for seed := range uint64(seeds) {
 		r := runMaintenance(t, seed, rule, maxNotBack, prepare)
-		assert.Equal(t, r.breaches, 0, "seed %d: a planned stop broke a budget", seed)
+		assert.Equal(t, r.breaches, 0, "seed %d: a planned stop exceeded a budget", seed)
 		sum.add(r)
 	}
-	t.Logf("without %q: %+v in %d seeds", rule, sum, seeds)
+	t.Logf("with rule %q disabled: %+v in %d seeds", rule, sum, seeds)
 	return sum
 }
 
@@ -117,7 +117,7 @@
 	breakReboots := func(w *sim.World) { w.Faults.NotBack = 1 }
 	with := runSeeds(t, "", 2, breakReboots)
 	assert.Equal(t, with.halted, seeds)
-	assert.Assert(t, with.broken <= 4*seeds, "max_not_back is 2")
+	assert.Assert(t, with.broken <= 4*seeds, "a seed may break at most 4 VMs if max_not_back is 2")
 	assert.Assert(t, runSeeds(t, "halt", 2, breakReboots).broken > with.broken)
 	assert.Assert(t, runSeeds(t, "ramp", 2, breakReboots).broken > with.broken)
 }
@@ -130,7 +130,7 @@
 	// The two failed VMs can't be maintained. The others must be.
 	with := runSeeds(t, "", 2, spendBudget)
 	without := runSeeds(t, "repair", 2, spendBudget)
-	assert.Equal(t, without.stops, 38*seeds, "the pool's other 8 VMs must not be stopped, all else is")
+	assert.Equal(t, without.stops, 38*seeds, "the pool's other 8 VMs must not be stopped, and all VMs of other pools must be")
 	assert.Equal(t, with.stops, 46*seeds)
 }
 
@@ -139,7 +139,7 @@
 func TestReserveAbsorbsFailures(t *testing.T) {
 	raiseFailureRate := func(w *sim.World) { w.Faults.PerVMDay = 2 }
 	with, without := runSeeds(t, "", 10, raiseFailureRate), runSeeds(t, "reserve", 10, raiseFailureRate)
-	assert.Assert(t, without.overBudget > 2*with.overBudget, fmt.Sprintf("%d moments without, %d with", without.overBudget, with.overBudget))
+	assert.Assert(t, without.overBudget > 2*with.overBudget, fmt.Sprintf("budgets exceeded in %d observations without the reserve, in %d with it", without.overBudget, with.overBudget))
 }
 
 // TestOneStopPerRack checks that a rack never has two VMs out for planned stops at once.
