--- a/core/maintenance/lease_policy.go
+++ b/core/maintenance/lease_policy.go
@@ -25,7 +25,7 @@
 // LeasePolicy decides which entry of a zone holds the controller lease. It prefers an
 // entry that is not the zone's relay. The relay is the entry with the lowest id (see
 // io/peer), and it often starts first and takes the lease. An entry with both roles
-// exceeds the network budget of a daemon (docs/CAPACITY.md).
+// exceeds the byte budget of a daemon (docs/CAPACITY.md).
 //
 // The policy doesn't leave a zone without a controller. The relay takes a free lease
 // too, but later than the other entries would. It releases its own lease only once: if
