--- a/core/config/plan.go
+++ b/core/config/plan.go
@@ -11,30 +11,31 @@
 	"lavenderpond/core/table"
 )
 
-// Rows are the rows that a plan was given, by key. A row that was read and doesn't
-// exist has Version 0.
+// Rows holds the rows that Plan reads, by key. A row that doesn't exist has Version 0.
 type Rows map[table.Key]table.Row
 
-// RecordLife is how long a Record is kept, so how long a change may be repeated under
-// its id. It is far above the seconds for which a command repeats it by itself.
-const RecordLife = 24 * time.Hour
+// RecordRetention is how long a ChangeRecord is kept, and thus how long a change may be
+// repeated under its id. It is far longer than the few seconds during which a command
+// retries a change automatically.
+const RecordRetention = 24 * time.Hour
 
-// Record is the row of a change id that took effect. It settles a lost answer and
-// keeps a change from being applied twice.
-type Record struct {
+// ChangeRecord is the row that records that the change with an id took effect. It
+// settles the outcome if an answer was lost, and prevents a change from being applied
+// twice.
+type ChangeRecord struct {
 	Version core.Version `json:"version"`
 	Key     table.Key    `json:"key"`
 	Author  string       `json:"author"`
 	At      time.Time    `json:"at"`
-	// KeepUntil is when the record may be deleted, with the audit record of Version.
+	// KeepUntil is when this record and the audit record of Version may be deleted.
 	KeepUntil time.Time `json:"keep_until"`
-	// Digest tells another change under the same id apart.
+	// Digest is the digest of the change. It detects another change under the same id.
 	Digest string `json:"digest"`
 }
 
-// Audit is the record of an accepted change, for the monitor. It holds no keys,
-// only their digests.
-type Audit struct {
+// AuditRecord is the row that documents an accepted change for the monitor. It holds the
+// digests of keys, never the keys.
+type AuditRecord struct {
 	Version core.Version    `json:"version"`
 	Change  core.ChangeID   `json:"change"`
 	Kind    string          `json:"kind"`
@@ -46,20 +47,20 @@
 	After   json.RawMessage `json:"after"`
 }
 
-// Record returns the record of the change id that a is about.
-func (a Audit) Record(digest string) Record {
-	return Record{Version: a.Version, Key: a.Key, Author: a.Author, At: a.At, KeepUntil: a.At.Add(RecordLife), Digest: digest}
+// ChangeRecord returns the change record that belongs to a.
+func (a AuditRecord) ChangeRecord(digest string) ChangeRecord {
+	return ChangeRecord{Version: a.Version, Key: a.Key, Author: a.Author, At: a.At, KeepUntil: a.At.Add(RecordRetention), Digest: digest}
 }
 
-// Needs returns the rows that Plan has to be given.
-func Needs(c Change, id core.ChangeID) []table.Key {
+// RequiredKeys returns the keys of the rows that Plan and Applied need.
+func RequiredKeys(c Change, id core.ChangeID) []table.Key {
 	return []table.Key{table.ChangeKey(id), table.ConfigHead, c.Key()}
 }
 
-// Applied returns the record of the change id, if it took effect before. An error
-// says that the id was used for another change.
-func Applied(c Change, id core.ChangeID, rows Rows) (Record, bool, error) {
-	var record Record
+// Applied returns the change record of id and true if the change already took effect. It
+// returns an error if the id was used for another change.
+func Applied(c Change, id core.ChangeID, rows Rows) (ChangeRecord, bool, error) {
+	var record ChangeRecord
 	row := rows[table.ChangeKey(id)]
 	if row.Version == 0 {
 		return record, false, nil
@@ -67,16 +68,16 @@
 	if err := row.Decode(&record); err != nil {
 		return record, false, err
 	}
-	if record.Digest != digest(c) {
+	if record.Digest != changeDigest(c) {
 		return record, false, core.Errorf(core.CodeConflict,
 			"change id %q was used by %s for %s in version %d; choose a new change id", id, record.Author, record.Key, record.Version)
 	}
 	return record, true, nil
 }
 
-// Plan returns the transaction that carries out c as the change id: the head row
-// with the next version, the row itself, the audit record and the change's record,
-// all or nothing. It validates c against rows, and fails with a core.Error.
+// Plan returns the transaction that applies c under the change id. It writes the head row
+// with the next version, the row of c, the change record and the audit record atomically.
+// Plan validates c against rows, and fails with a core.Error.
 func Plan(c Change, id core.ChangeID, now time.Time, rows Rows) (table.Transaction, error) {
 	var t table.Transaction
 	if err := validate(c, id, now); err != nil {
@@ -84,7 +85,7 @@
 	}
 	before := rows[c.Key()]
 	before.Key = c.Key()
-	after, err := value(c, now, before)
+	after, err := newValue(c, now, before)
 	if err != nil {
 		return t, err
 	}
@@ -98,32 +99,32 @@
 	t.Check(table.Row{Key: table.ChangeKey(id)})
 	t.Check(headRow)
 	t.Check(before)
-	return t, writeAll(&t, c, now, head, before, after)
+	return t, addWrites(&t, c, now, head, before, after)
 }
 
-// writeAll adds the four writes of a change.
-func writeAll(t *table.Transaction, c Change, now time.Time, head Head, before table.Row, after any) error {
+// addWrites adds the four writes of a change to t.
+func addWrites(t *table.Transaction, c Change, now time.Time, head Head, before table.Row, after any) error {
 	if err := t.Set(table.ConfigHead, head); err != nil {
 		return err
 	}
 	if err := t.Set(c.Key(), after); err != nil {
 		return err
 	}
-	audit := Audit{
-		Version: head.Version, Change: head.Change, Kind: Kind(c), Key: c.Key(), Author: c.By(), At: now, Reason: reason(c),
+	audit := AuditRecord{
+		Version: head.Version, Change: head.Change, Kind: Kind(c), Key: c.Key(), Author: c.ChangedBy(), At: now, Reason: changeReason(c),
 		After: t.Writes[1].Value,
 	}
 	if before.Version > 0 {
 		audit.Before = before.Value
 	}
-	if err := t.Set(table.ChangeKey(head.Change), audit.Record(digest(c))); err != nil {
+	if err := t.Set(table.ChangeKey(head.Change), audit.ChangeRecord(changeDigest(c))); err != nil {
 		return err
 	}
 	return t.Set(table.AuditKey(head.Version), audit)
 }
 
-// value returns the new value of the row that c writes.
-func value(c Change, now time.Time, before table.Row) (any, error) {
+// newValue returns the new value of the row that c writes.
+func newValue(c Change, now time.Time, before table.Row) (any, error) {
 	switch c := c.(type) {
 	case SetTeam:
 		return c.Value, nil
@@ -136,11 +137,11 @@
 	case AddException:
 		return Exception{Scope: string(c.Scope), Reason: c.Reason, Author: c.Author, End: c.End, Value: c.Value}, nil
 	case RetireException:
-		return retired(c, now, before)
+		return retiredException(c, now, before)
 	case GrantKey:
-		return granted(c, before)
+		return grantedKey(c, before)
 	case WithdrawKey:
-		return withdrawn(c, before)
+		return withdrawnKey(c, before)
 	case AttestZone:
 		return ZoneDown{Down: c.Down, Reason: c.Reason, Author: c.Author, Since: now}, nil
 	default:
@@ -148,7 +149,7 @@
 	}
 }
 
-func retired(c RetireException, now time.Time, before table.Row) (any, error) {
+func retiredException(c RetireException, now time.Time, before table.Row) (any, error) {
 	if before.Version == 0 {
 		return nil, core.Errorf(core.CodeNotFound, "no exception %q", c.ID)
 	}
@@ -162,9 +163,9 @@
 	return e, nil
 }
 
-// granted refuses a digest that is withdrawn, so that a grant that races a
-// withdrawal can't undo it, whichever comes first.
-func granted(c GrantKey, before table.Row) (any, error) {
+// grantedKey returns the row of a granted key. It refuses a key that was withdrawn, so that
+// a concurrent grant can't undo a withdrawal, in whichever order the two are applied.
+func grantedKey(c GrantKey, before table.Row) (any, error) {
 	var k Key
 	if err := before.Decode(&k); err != nil {
 		return nil, err
@@ -178,7 +179,7 @@
 	return Key{Team: c.Team}, nil
 }
 
-func withdrawn(c WithdrawKey, before table.Row) (any, error) {
+func withdrawnKey(c WithdrawKey, before table.Row) (any, error) {
 	k := Key{Team: c.Team}
 	if err := before.Decode(&k); err != nil {
 		return nil, err
@@ -187,17 +188,17 @@
 	return k, nil
 }
 
-func digest(c Change) string {
+func changeDigest(c Change) string {
 	data, err := json.Marshal(c)
 	if err != nil {
-		// A Change holds strings, numbers and times only.
+		// Can't happen: a Change holds only strings, numbers and times.
 		panic(err)
 	}
 	sum := sha256.Sum256(append([]byte(Kind(c)), data...))
 	return hex.EncodeToString(sum[:])
 }
 
-// Kind returns the name of a change in audit records, in snake case.
+// Kind returns the name of the change's type in audit records, in snake case.
 func Kind(c Change) string {
 	switch c.(type) {
 	case SetTeam:
@@ -223,7 +224,7 @@
 	}
 }
 
-func reason(c Change) string {
+func changeReason(c Change) string {
 	switch c := c.(type) {
 	case AddException:
 		return c.Reason
--- a/core/fleet/fuzz_test.go
+++ b/core/fleet/fuzz_test.go
@@ -7,9 +7,9 @@
 	"lavenderpond/core/table"
 )
 
-// FuzzDecode throws rows at the decoders that another version, or a broken writer,
-// may have left in the table. They refuse what they can't read; what they take can
-// be written and read again, and the decisions over it don't fail.
+// FuzzDecode feeds the decoders rows that another version of the program, or a faulty
+// writer, may have left in the table. The decoders must reject what they can't read. What
+// they accept must be encodable again and must not make the functions that use it panic.
 func FuzzDecode(f *testing.F) {
 	f.Add("vm/zone_a/vm-1", `{"pool":"frames","state":"serving","rack":"r1","slots":8}`)
 	f.Add("vm/zone_a", `{"state":"asleep"}`)
@@ -23,13 +23,13 @@
 			m.Handle(vm.VM.Since, RowsChanged{Rows: []*VMRow{&vm}})
 			m.Targets()
 			if _, err := json.Marshal(vm.VM); err != nil {
-				t.Fatalf("VM row can't be written again: %v", err)
+				t.Fatalf("decoded VM row can't be encoded: %v", err)
 			}
 		}
 		if pool, err := DecodePool(row); err == nil {
 			_ = pool.Pool.Headroom() + pool.Pool.Failed()
 			if _, err := json.Marshal(pool.Pool); err != nil {
-				t.Fatalf("pool row can't be written again: %v", err)
+				t.Fatalf("decoded pool row can't be encoded: %v", err)
 			}
 		}
 	})
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -13,7 +13,7 @@
 	"lavenderpond/core/table"
 )
 
-// changed returns the event of a row that was read.
+// changed returns the event for a row that was read.
 func changed(row table.Row) RowsChanged {
 	vm, err := DecodeVM(row)
 	if err != nil {
@@ -22,16 +22,16 @@
 	return RowsChanged{Rows: []*VMRow{&vm}}
 }
 
-// sight is one event as the naive version keeps it.
-type sight struct {
+// timedEvent is an event in the history of the naive implementation.
+type timedEvent struct {
 	at    time.Time
 	event Event
 }
 
-// naiveTargets goes through the whole history for each VM. It is slow and plain:
-// a VM may work if its newest row says Serving, and nothing seen since that row
-// began to say so speaks against it.
-func naiveTargets(history []sight, vms []core.VMID) []core.VMID {
+// naiveTargets is a slow and simple reference implementation that walks through the whole
+// history for each VM. A VM may be given work if its newest row says Serving and no event
+// since the row first said so excludes the VM.
+func naiveTargets(history []timedEvent, vms []core.VMID) []core.VMID {
 	var targets []core.VMID
 	for _, vm := range vms {
 		if naiveMayWork(history, vm) {
@@ -41,7 +41,7 @@
 	return targets
 }
 
-func naiveMayWork(history []sight, vm core.VMID) bool {
+func naiveMayWork(history []timedEvent, vm core.VMID) bool {
 	row := &VMRow{}
 	var listed, leaving, gone, held bool
 	var heldAt time.Time
@@ -70,8 +70,8 @@
 			if e.VM == vm {
 				held, heldAt = true, s.at
 			}
-		case Answered:
-			if e.VM == vm && e.Asked.After(heldAt) {
+		case Accepted:
+			if e.VM == vm && e.SentAt.After(heldAt) {
 				held = false
 			}
 		}
@@ -79,32 +79,32 @@
 	return row.Exists() && row.VM.State == Serving && !leaving && !gone && !held
 }
 
-// An entry hears of its VMs by rows, by a list that lags and by connections, in
-// any order, and answers cross. At every moment it sends work to exactly those
-// VMs that the whole history allows, as the naive version works out afresh.
+// TestMembershipMatchesNaive feeds rows, live lists and connection outcomes to a
+// Membership in random order, with answers that arrive out of order. After each event, its
+// targets must equal those that the naive implementation computes from the whole history.
 func TestMembershipMatchesNaive(t *testing.T) {
 	vms := []core.VMID{"v0", "v1", "v2", "v3"}
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		var m Membership
-		var history []sight
+		var history []timedEvent
 		now := testStart
 		versions := make([]core.Version, len(vms))
-		see := func(e Event) {
+		handle := func(e Event) {
 			m.Handle(now, e)
-			history = append(history, sight{now, e})
+			history = append(history, timedEvent{now, e})
 		}
 		row := func(i int, s State) table.Row {
 			versions[i]++
 			return table.MustRow(table.VMKey("z", vms[i]), versions[i], VM{State: s})
 		}
 		for i := range vms {
-			see(changed(row(i, Serving)))
+			handle(changed(row(i, Serving)))
 		}
 		for range 100 {
 			now = now.Add(time.Duration(r.IntN(3)) * time.Second)
 			i := r.IntN(len(vms))
-			see([]func() Event{
+			handle([]func() Event{
 				func() Event {
 					return changed(row(i, []State{Serving, Serving, Draining, Failed}[r.IntN(4)]))
 				},
@@ -120,7 +120,7 @@
 				func() Event { return Refused{VM: vms[i]} },
 				func() Event { return Unreachable{VM: vms[i]} },
 				func() Event {
-					return Answered{VM: vms[i], Asked: now.Add(-time.Duration(r.IntN(4)) * time.Second)}
+					return Accepted{VM: vms[i], SentAt: now.Add(-time.Duration(r.IntN(4)) * time.Second)}
 				},
 			}[r.IntN(5)]())
 			var got []core.VMID
@@ -128,15 +128,15 @@
 				got = append(got, target.VM)
 			}
 			want := naiveTargets(history, vms)
-			assert.Assert(t, slices.Equal(got, want), "seed %d: %v, naive %v", seed, got, want)
+			assert.Assert(t, slices.Equal(got, want), "seed %d: got targets %v, want %v", seed, got, want)
 		}
 	}
 }
 
-// A VM leaves while the table, the list or the connections are silent: whichever
-// source speaks first ends its new work. Callers whose work goes to a leaving VM
-// see refusals and delays; with the source switched off, they see them for long.
-func TestLeavingFoundBySourceAlone(t *testing.T) {
+// TestEachSourceDetectsLeavingVM checks that each source alone excludes a leaving VM. Work
+// that is sent to a leaving VM is refused and delayed. With the source disabled, the VM
+// must remain a target, which shows that this source is the one that excludes it.
+func TestEachSourceDetectsLeavingVM(t *testing.T) {
 	serving := table.MustRow(table.VMKey("z", "v"), 1, VM{State: Serving})
 	draining := table.MustRow(table.VMKey("z", "v"), 2, VM{State: Draining})
 	for _, c := range []struct {
@@ -159,28 +159,28 @@
 			if i == 0 {
 				assert.Equal(t, len(m.Targets()), 0, c.name)
 			} else if c.name != "row" {
-				assert.Equal(t, len(m.Targets()), 1, "%s: the safeguard is not what ends the work", c.name)
+				assert.Equal(t, len(m.Targets()), 1, "%s: another source also excludes the VM", c.name)
 			}
 		}
 	}
 }
 
-// A VM that refused is asked again with growing pauses, and works again once an
-// answer to a question that was asked after the refusal says so.
+// TestProbes checks that a VM that refused is probed at growing intervals, and becomes a
+// target again only by an answer to a probe that was sent after the refusal.
 func TestProbes(t *testing.T) {
 	var m Membership
 	m.Handle(testStart, changed(table.MustRow(table.VMKey("z", "v"), 1, VM{State: Serving})))
 	m.Handle(testStart, Refused{VM: "v"})
-	var asked []string
+	var probedAt []string
 	for s := range 40 {
 		now := testStart.Add(time.Duration(s) * time.Second)
 		if len(m.Probes(now)) > 0 {
-			asked = append(asked, fmt.Sprint(s))
+			probedAt = append(probedAt, fmt.Sprint(s))
 		}
 	}
-	assert.DeepEqual(t, asked, []string{"1", "2", "4", "7", "11", "16", "22", "29", "37"})
-	m.Handle(testStart, Answered{VM: "v", Asked: testStart})
-	assert.Equal(t, len(m.Targets()), 0, "a crossed answer")
-	m.Handle(testStart, Answered{VM: "v", Asked: testStart.Add(time.Second)})
+	assert.DeepEqual(t, probedAt, []string{"1", "2", "4", "7", "11", "16", "22", "29", "37"})
+	m.Handle(testStart, Accepted{VM: "v", SentAt: testStart})
+	assert.Equal(t, len(m.Targets()), 0, "an answer to a probe sent before the refusal must not lift the hold")
+	m.Handle(testStart, Accepted{VM: "v", SentAt: testStart.Add(time.Second)})
 	assert.Equal(t, len(m.Targets()), 1)
 }
--- a/core/fleet/rules_test.go
+++ b/core/fleet/rules_test.go
@@ -19,9 +19,10 @@
 
 const vmsPerPool = 4
 
-// race is a table with three actors that act on views of any age. It judges
-// commits by the VMs' rows and its own sizes, never by the pools' counters.
-type race struct {
+// raceSimulation is a table with three actors that act on views of any age. It checks
+// commits against the VMs' rows and the sizes and budgets of the test, never against the
+// pools' counters.
+type raceSimulation struct {
 	rand  *rand.Rand
 	now   time.Time
 	table table.Memory
@@ -33,8 +34,8 @@
 	vms      []Ref
 }
 
-func newRace(t *testing.T, seed uint64, rules Rules) *race {
-	r := &race{
+func newRaceSimulation(t *testing.T, seed uint64, rules Rules) *raceSimulation {
+	r := &raceSimulation{
 		rand: rand.New(rand.NewPCG(seed, 2)), now: testStart, rules: rules,
 		permits: make(map[core.ChangeID]int), views: make([]map[table.Key]table.Row, 3),
 	}
@@ -49,7 +50,7 @@
 	return r
 }
 
-func (r *race) commit(t *testing.T) func(table.Transaction, error) {
+func (r *raceSimulation) commit(t *testing.T) func(table.Transaction, error) {
 	return func(tx table.Transaction, err error) {
 		assert.NilError(t, err)
 		assert.NilError(t, r.table.Transact(tx))
@@ -58,7 +59,7 @@
 
 type reader func(table.Key) table.Row
 
-func (r *race) vm(read reader, ref Ref) VMRow {
+func (r *raceSimulation) vm(read reader, ref Ref) VMRow {
 	row, err := DecodeVM(read(ref.Key()))
 	if err != nil {
 		panic(err)
@@ -66,7 +67,7 @@
 	return row
 }
 
-func (r *race) pool(read reader, id core.PoolID) PoolRow {
+func (r *raceSimulation) pool(read reader, id core.PoolID) PoolRow {
 	row, err := DecodePool(read(table.PoolStateKey(id)))
 	if err != nil {
 		panic(err)
@@ -74,8 +75,8 @@
 	return row
 }
 
-// view returns actor i's reader: rows as they stood when it last looked.
-func (r *race) view(i int) reader {
+// view returns the reader of actor i. It reads the rows as of the actor's last refresh.
+func (r *raceSimulation) view(i int) reader {
 	if r.views[i] == nil || r.rand.IntN(3) == 0 {
 		r.views[i] = make(map[table.Key]table.Row)
 		for _, row := range r.table.Scan("") {
@@ -90,8 +91,8 @@
 	}
 }
 
-// step lets an actor do something to a random VM, perhaps with a lost answer.
-func (r *race) step(n int) {
+// step lets a random actor change a random VM. The answer may be lost.
+func (r *raceSimulation) step(n int) {
 	r.now = r.now.Add(time.Second)
 	actor := r.rand.IntN(len(r.views))
 	read := r.view(actor)
@@ -115,7 +116,7 @@
 	}
 }
 
-func (r *race) decide(read reader, vm VMRow, change core.ChangeID) (table.Transaction, error) {
+func (r *raceSimulation) decide(read reader, vm VMRow, change core.ChangeID) (table.Transaction, error) {
 	pool := r.pool(read, vm.VM.Pool)
 	if r.rand.IntN(12) == 0 {
 		return r.rules.Fail(r.now, vm, pool)
@@ -146,8 +147,8 @@
 	return r.rules.Return(r.now, vm, pool, time.Time{})
 }
 
-// transact applies tx and judges it, and loses one answer in four.
-func (r *race) transact(ref Ref, tx table.Transaction) error {
+// transact applies tx, checks the budget, and loses one answer in four.
+func (r *raceSimulation) transact(ref Ref, tx table.Transaction) error {
 	before := r.vm(r.table.Read, ref).VM
 	if err := r.table.Transact(tx); err != nil {
 		return err
@@ -157,7 +158,7 @@
 		r.permits[after.Change]++
 	}
 	if after.State == Cordoned || before.State == Draining && after.State == Stopped {
-		r.judge(ref, after)
+		r.checkBudget(ref, after)
 	}
 	if r.rand.IntN(4) == 0 {
 		return table.ErrOutcomeUnknown
@@ -165,8 +166,9 @@
 	return nil
 }
 
-// judge counts the VMs that the pool lacks by their rows alone.
-func (r *race) judge(ref Ref, vm VM) {
+// checkBudget compares the number of VMs that the pool lacks, by the VMs' rows alone, with
+// its budget.
+func (r *raceSimulation) checkBudget(ref Ref, vm VM) {
 	serving := 0
 	for _, other := range r.vms {
 		if o := r.vm(r.table.Read, other).VM; o.Pool == vm.Pool && o.State == Serving {
@@ -174,13 +176,13 @@
 		}
 	}
 	if lacking := vmsPerPool - serving; lacking > budgets[vm.Pool] {
-		r.breaches = append(r.breaches, fmt.Sprintf("%s of %s %s: %d lacking", ref, vm.Pool, vm.State, lacking))
+		r.breaches = append(r.breaches, fmt.Sprintf("VM %s of pool %s became %s: the pool lacks %d VMs", ref, vm.Pool, vm.State, lacking))
 	}
 }
 
-// check compares the pools' counters with the VMs' rows: a VM that two pools
-// count, or none, shows here.
-func (r *race) check() error {
+// checkCounters compares the pools' counters with the VMs' rows, to find a VM that two
+// pools count, or none.
+func (r *raceSimulation) checkCounters() error {
 	for id := range budgets {
 		members, out := 0, 0
 		for _, ref := range r.vms {
@@ -192,7 +194,7 @@
 			}
 		}
 		if p := r.pool(r.table.Read, id).Pool; p.Members != members || len(p.Out) != out {
-			return errors.Errorf("pool %s says %d members, %d out; rows say %d, %d", id, p.Members, len(p.Out), members, out)
+			return errors.Errorf("pool %s counts %d members and %d out; the VMs' rows give %d and %d", id, p.Members, len(p.Out), members, out)
 		}
 	}
 	for change, n := range r.permits {
@@ -203,15 +205,16 @@
 	return nil
 }
 
-// runRaces returns how many of the seeds broke a budget, and how many a count.
+// runRaces returns in how many seeds a budget was exceeded, and in how many a counter was
+// wrong.
 func runRaces(t *testing.T, seeds uint64, rules Rules) (breaches, miscounts int) {
 	for seed := range seeds {
-		r := newRace(t, seed, rules)
+		r := newRaceSimulation(t, seed, rules)
 		var err error
 		for n := range 300 {
 			r.step(n)
 			if n%20 == 19 && err == nil {
-				err = r.check()
+				err = r.checkCounters()
 			}
 		}
 		if len(r.breaches) > 0 {
@@ -228,38 +231,40 @@
 	return breaches, miscounts
 }
 
-// Callers see a pool with fewer VMs than its budget promises, or a VM that two
-// pools count. Controllers and operators act on old views at once: permits,
-// moves, failures and returns cross, answers are lost after the write took
-// effect. Every transaction checks VM and pool rows, so only one of two that
-// were decided on the same state takes effect.
+// TestRaces guards against a pool with fewer serving VMs than its budget allows, and
+// against a VM that two pools count. Controllers and operators act concurrently on stale
+// views: permits, moves, failures and returns interleave, and answers are lost after the
+// write took effect. Every transaction checks the rows of the VM and the pool, so only one
+// of two that were decided on the same state takes effect.
 func TestRaces(t *testing.T) {
 	runRaces(t, 300, Rules{})
 }
 
-// Each safeguard is needed: without it, some seed breaks a budget or a count.
+// TestRacesWithoutSafeguard checks that each safeguard is needed: without it, some seed
+// exceeds a budget or gets a counter wrong.
 func TestRacesWithoutSafeguard(t *testing.T) {
 	const seeds = 100
 	for _, c := range []struct {
 		name  string
 		rules Rules
 	}{
-		{"no budget check at the permit", Rules{noBudget: true}},
+		{"no budget check at the permit", Rules{noBudgetCheck: true}},
 		{"pool row not checked", Rules{noPoolCheck: true}},
-		{"no budget check at the stop", Rules{noStopCheck: true}},
-		{"failures not counted", Rules{freeUnplanned: true}},
+		{"no budget check at the stop", Rules{noStopBudgetCheck: true}},
+		{"failures not counted", Rules{noFailureCount: true}},
 	} {
 		breaches, miscounts := runRaces(t, seeds, c.rules)
-		t.Logf("%s: %d of %d seeds broke a budget, %d a count", c.name, breaches, seeds, miscounts)
+		t.Logf("%s: %d of %d seeds exceeded a budget, %d got a counter wrong", c.name, breaches, seeds, miscounts)
 		assert.Assert(t, breaches+miscounts > 0, c.name)
 	}
 }
 
-// An operator's command repeats a change whose answer was lost, and another
-// operator moves the same VM: the first is settled by its id, the second is told
-// of the conflict. Deleting a pool, or lowering its budget, races the same way.
+// TestOperatorsRace covers an operator's command that repeats a change whose answer was
+// lost, while another operator moves the same VM. The repetition is recognised by its
+// change id, and the second operator gets a conflict. Deleting a pool and lowering its
+// budget race in the same way.
 func TestOperatorsRace(t *testing.T) {
-	r := newRace(t, 1, Rules{})
+	r := newRaceSimulation(t, 1, Rules{})
 	read := r.table.Read
 	vm, a := r.vm(read, Ref{"z", "a0"}), r.pool(read, "a")
 	r.commit(t)(r.rules.Permit(r.now, vm, a, Permit{Change: "one", MoveTo: "b", Resize: true}))
@@ -276,7 +281,7 @@
 	_, err = DeletePool(r.pool(read, "a"))
 	assert.Equal(t, core.ErrorCode(err), core.CodeConflict)
 
-	// The move goes on: drained, cleared, joined. The place goes with the VM.
+	// The move completes: drain, stop, join, return. The VM takes its place in Size along.
 	r.commit(t)(r.rules.Drain(r.now, r.vm(read, vm.Ref), r.now))
 	r.commit(t)(r.rules.Stop(r.now, r.vm(read, vm.Ref), r.pool(read, "a"), time.Time{}, r.now))
 	r.commit(t)(r.rules.Join(r.now, r.vm(read, vm.Ref), r.pool(read, "a"), r.pool(read, "b")))
@@ -284,45 +289,47 @@
 	r.commit(t)(r.rules.Return(r.now, r.vm(read, vm.Ref), r.pool(read, "b"), time.Time{}))
 	assert.Equal(t, r.pool(read, "a").Pool.Size, vmsPerPool-1)
 	assert.Equal(t, r.pool(read, "b").Pool.Size, vmsPerPool+1)
-	assert.NilError(t, r.check())
+	assert.NilError(t, r.checkCounters())
 }
 
-// A VM is gone for good and another takes its place: the pool goes on lacking it
-// until the replacement has been verified, and no planned stop uses the gap.
+// TestReplacedVM covers a VM that is gone permanently and replaced by another one. The
+// pool must lack a VM until the replacement was verified, and must allow no planned stop
+// beyond its budget in the meantime.
 func TestReplacedVM(t *testing.T) {
-	r := newRace(t, 1, Rules{})
+	r := newRaceSimulation(t, 1, Rules{})
 	read := r.table.Read
-	old, fresh := Ref{"z", "b0"}, Ref{"z", "b9"}
+	old, replacement := Ref{"z", "b0"}, Ref{"z", "b9"}
 	r.commit(t)(r.rules.Fail(r.now, r.vm(read, old), r.pool(read, "b")))
 	r.commit(t)(RemoveVM(r.vm(read, old), r.pool(read, "b"), false))
 	_, err := r.rules.Permit(r.now, r.vm(read, Ref{"z", "b1"}), r.pool(read, "b"), Permit{Change: "stop"})
 	assert.Equal(t, core.ErrorCode(err), core.CodeBudgetSpent)
 
-	added := r.vm(read, fresh)
+	added := r.vm(read, replacement)
 	added.VM.State = Verifying
 	r.commit(t)(AddVM(r.now, added, r.pool(read, "b"), false))
 	assert.Equal(t, r.pool(read, "b").Pool.Unavailable(), 1)
-	_, err = AddVM(r.now, r.vm(read, fresh), r.pool(read, "a"), true)
+	_, err = AddVM(r.now, r.vm(read, replacement), r.pool(read, "a"), true)
 	assert.Equal(t, core.ErrorCode(err), core.CodeConflict)
-	r.commit(t)(r.rules.Return(r.now, r.vm(read, fresh), r.pool(read, "b"), time.Time{}))
+	r.commit(t)(r.rules.Return(r.now, r.vm(read, replacement), r.pool(read, "b"), time.Time{}))
 	assert.Equal(t, r.pool(read, "b").Pool.Unavailable(), 0)
 }
 
-// An operator adds a VM to be checked first, sees that it is the wrong one and removes
-// it with its place. The pool's size must be what it was: the place is counted only once
-// the VM serves. One less, and the budget would let one serving VM more be taken out.
+// TestRemoveVMBeforeItServed covers an operator who adds a VM that is verified first, and
+// then removes it with shrink. The pool's size must be as before, because it includes the
+// VM only once the VM serves. If it were one less, the budget would allow one VM too many
+// to be taken out.
 func TestRemoveVMBeforeItServed(t *testing.T) {
 	for _, fail := range []bool{false, true} {
-		r := newRace(t, 1, Rules{})
+		r := newRaceSimulation(t, 1, Rules{})
 		read := r.table.Read
-		fresh, before := Ref{"z", "b9"}, r.pool(read, "b").Pool
-		added := r.vm(read, fresh)
+		newRef, before := Ref{"z", "b9"}, r.pool(read, "b").Pool
+		added := r.vm(read, newRef)
 		added.VM.State = Verifying
 		r.commit(t)(AddVM(r.now, added, r.pool(read, "b"), true))
 		if fail {
-			r.commit(t)(r.rules.Fail(r.now, r.vm(read, fresh), r.pool(read, "b")))
+			r.commit(t)(r.rules.Fail(r.now, r.vm(read, newRef), r.pool(read, "b")))
 		}
-		r.commit(t)(RemoveVM(r.vm(read, fresh), r.pool(read, "b"), true))
+		r.commit(t)(RemoveVM(r.vm(read, newRef), r.pool(read, "b"), true))
 		after := r.pool(read, "b").Pool
 		assert.Equal(t, after.Size, before.Size)
 		assert.Equal(t, after.Headroom(), before.Headroom())
--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -244,7 +244,7 @@
 	w.idCount++
 	id := core.ChangeID(fmt.Sprint("c", w.idCount))
 	rows := config.Rows{}
-	for _, key := range config.Needs(c, id) {
+	for _, key := range config.RequiredKeys(c, id) {
 		rows[key] = w.table.Read(key)
 	}
 	t, err := config.Plan(c, id, w.now, rows)
--- a/core/maintenance/driver_test.go
+++ b/core/maintenance/driver_test.go
@@ -13,13 +13,13 @@
 	"lavenderpond/core/table"
 )
 
-// Callers lose one VM more than a budget allows, by a planned reboot. The answer to
-// the reboot was lost, so the VM's row still says stopped; the VM is back, and then
-// two others of its pool fail. It must not be rebooted again but return, and it is
-// still due for maintenance.
+// TestStoppedBeyondBudgetIsNotRebooted guards against a planned reboot that takes out one
+// VM more than the budget allows. The answer to the first reboot was lost, so the VM's row
+// still says stopped. The VM is back, and then two others of its pool fail. It must return
+// to service without another reboot, and stay due for maintenance.
 func TestStoppedBeyondBudgetIsNotRebooted(t *testing.T) {
 	ref := fleet.Ref{Zone: "z", VM: "v0"}
-	pool := fleet.Pool{MaxUnavailable: 2, Size: 10, Members: 10, Out: []fleet.Out{
+	pool := fleet.Pool{MaxUnavailable: 2, Size: 10, Members: 10, Out: []fleet.OutVM{
 		{Ref: ref, Planned: true}, {Ref: fleet.Ref{Zone: "z", VM: "v1"}}, {Ref: fleet.Ref{Zone: "z", VM: "v2"}},
 	}}
 	rebootBy := start.Add(time.Minute)
@@ -27,7 +27,7 @@
 		Pool: "p", State: fleet.Stopped, RebootBy: rebootBy, BackBy: start.Add(time.Hour),
 	}))
 	assert.NilError(t, err)
-	seen := &maintenance.Seen{Up: true, RefusesUntil: start.Add(time.Hour)}
+	seen := &maintenance.Observation{Up: true, RefusesUntil: start.Add(time.Hour)}
 	next := func() maintenance.Step {
 		row, err := fleet.DecodePool(table.MustRow(table.PoolStateKey("p"), 7, pool))
 		assert.NilError(t, err)
@@ -40,8 +40,8 @@
 	var after fleet.VM
 	assert.NilError(t, json.Unmarshal(step.Transaction.Writes[0].Value, &after))
 	assert.Equal(t, after.State, fleet.Failed)
-	assert.Assert(t, after.RebootBy.Equal(rebootBy), "a late reboot may still come until then")
+	assert.Assert(t, after.RebootBy.Equal(rebootBy), "a delayed reboot request may still take effect until then")
 
 	pool.Out = pool.Out[:2]
-	assert.Assert(t, next().Reboot, "within the budget it is asked for again")
+	assert.Assert(t, next().Reboot, "the reboot must be requested again within the budget")
 }
--- a/core/maintenance/choice_test.go
+++ b/core/maintenance/lease_policy_test.go
@@ -11,28 +11,28 @@
 	"lavenderpond/core/table"
 )
 
-// leaseEntry is an entry of the test: its controller ticks unless it is frozen.
+// leaseEntry is a simulated entry. Its controller ticks unless it is frozen.
 type leaseEntry struct {
 	id     core.EntryID
-	choice Choice
+	policy LeasePolicy
 	frozen bool
 }
 
-// leaseZone is a zone's entries and its lease row. Every entry ticks once in a step.
+// leaseZone simulates a zone's entries and its lease row. Every entry ticks once a step.
 type leaseZone struct {
 	t       *testing.T
 	now     time.Time
 	table   table.Memory
 	entries []*leaseEntry
-	// offers counts the leases given up, gap the steps without a holder in a row, and
-	// longest is the longest such gap.
-	offers, gap, longest int
+	// releases counts the leases that were released, gap counts the consecutive steps
+	// without a holder, and longest is the longest such gap.
+	releases, gap, longest int
 }
 
 const (
-	leaseStep     = 5 * time.Second
-	leasePatience = 2 * leaseStep
-	leaseLasts    = 4 * leaseStep
+	leaseStep          = 5 * time.Second
+	leaseTakeoverDelay = 2 * leaseStep
+	leaseDuration      = 4 * leaseStep
 )
 
 func newLeaseZone(t *testing.T, entries int) *leaseZone {
@@ -63,18 +63,18 @@
 
 func (z *leaseZone) tick(e *leaseEntry, ids []core.EntryID) {
 	row := z.table.Read(LeaseKey("z"))
-	switch e.choice.Next(z.now, z.lease(), e.id, ids, leasePatience) {
-	case TakeLease:
-		tx, held, err := Acquire(z.now, row, e.id, z.now.Add(leaseLasts))
+	switch e.policy.Next(z.now, z.lease(), e.id, ids, leaseTakeoverDelay) {
+	case LeaseAcquire:
+		tx, held, err := Acquire(z.now, row, e.id, z.now.Add(leaseDuration))
 		assert.NilError(z.t, err)
 		assert.Assert(z.t, held)
 		assert.NilError(z.t, z.table.Transact(tx))
-	case OfferLease:
-		z.offers++
+	case LeaseRelease:
+		z.releases++
 		tx, err := Release(z.now, row)
 		assert.NilError(z.t, err)
 		assert.NilError(z.t, z.table.Transact(tx))
-	case LeaveLease:
+	case LeaseNoAction:
 	}
 }
 
@@ -90,33 +90,35 @@
 	}
 }
 
-// The relay starts first and takes the lease. Once others run it offers the lease,
-// and one of them has it from then on, in the very same round.
-func TestChoiceSparesRelay(t *testing.T) {
+// TestLeasePolicyAvoidsRelay covers a relay that starts first and takes the lease. Once
+// other entries run, it releases the lease, and another entry takes it in the same step
+// and keeps it.
+func TestLeasePolicyAvoidsRelay(t *testing.T) {
 	z := newLeaseZone(t, 1)
 	z.steps(20)
-	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"), "alone, the relay is the controller")
+	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"), "an entry that runs alone must be the controller")
 	for i := range 2 {
 		z.entries = append(z.entries, &leaseEntry{id: core.EntryID(fmt.Sprintf("entry_%d", i+1))})
 	}
 	z.steps(100)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_1"))
-	assert.Equal(t, z.offers, 1)
+	assert.Equal(t, z.releases, 1)
 	assert.Equal(t, z.longest, 0)
 }
 
-// VMs fail and nobody records it, since each entry leaves the lease to another: the
-// others are listed as running but are frozen, or cut off from the table. The relay
-// takes its lease back after its patience, and doesn't offer it again and again.
-func TestChoiceNeverLeavesZoneAlone(t *testing.T) {
+// TestLeasePolicyKeepsController guards against a zone without a controller, in which
+// nobody would record failed VMs. The other entries are listed as running but are frozen,
+// or can't reach the table. The relay must take the lease back after the takeover delay,
+// and not release it again and again.
+func TestLeasePolicyKeepsController(t *testing.T) {
 	z := newLeaseZone(t, 3)
 	z.entries[1].frozen, z.entries[2].frozen = true, true
 	z.steps(1000)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"))
-	assert.Equal(t, z.offers, 1)
-	assert.Assert(t, z.longest <= int(leasePatience/leaseStep), "%d steps without a controller", z.longest)
+	assert.Equal(t, z.releases, 1)
+	assert.Assert(t, z.longest <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longest)
 
-	// They come back; another holds it, freezes, and the relay steps in again.
+	// Another entry resumes and takes the lease. It freezes, and the relay takes over again.
 	z.entries[1].frozen = false
 	z.entries[0].frozen = true
 	z.steps(10)
@@ -124,6 +126,6 @@
 	z.entries[0].frozen, z.entries[1].frozen = false, true
 	z.steps(1000)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"))
-	assert.Equal(t, z.offers, 2)
-	assert.Assert(t, z.longest <= int(leasePatience/leaseStep), "%d steps without a controller", z.longest)
+	assert.Equal(t, z.releases, 2)
+	assert.Assert(t, z.longest <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longest)
 }
--- a/core/maintenance/timing.go
+++ b/core/maintenance/timing.go
@@ -2,42 +2,44 @@
 
 import "time"
 
-// Timing bounds the steps of a stop. Zero fields mean the defaults. Rows store
-// the deadlines that follow from it.
+// Timing configures the durations of a planned stop. A zero field means its
+// default. VM rows store the deadlines computed from it.
 type Timing struct {
-	// ViewAge is how long an entry in contact with the table may take to act on a
-	// changed row.
-	ViewAge time.Duration
-	// DrainFor is how long a drain may stay busy before it is withdrawn.
-	DrainFor time.Duration
-	// Hold is how long a VM that is told to refuse new work does so, unless told
-	// again.
-	Hold time.Duration
-	// RebootWithin is how long after the stop a reboot may be asked for.
-	RebootWithin time.Duration
-	// BackWithin is how long a VM may take to come back.
-	BackWithin time.Duration
-	// VerifyFor is how long a VM must be up before it serves.
-	VerifyFor time.Duration
-	// ListLag is how old the list of live VMs may be when it is used.
-	ListLag time.Duration
-	// Skew bounds the difference between clocks, and a reboot's way to the platform.
-	Skew time.Duration
-	// Cycle is how long after a maintenance the next one is due.
-	Cycle time.Duration
+	// MaxViewAge bounds how long an entry that can reach the table takes to act on
+	// a changed row.
+	MaxViewAge time.Duration
+	// DrainTimeout is how long a VM may drain before its permit is withdrawn.
+	DrainTimeout time.Duration
+	// HoldDuration is how long a VM refuses new work after it was told to. Telling it
+	// again extends the period.
+	HoldDuration time.Duration
+	// RebootWindow is how long after the stop a reboot may be requested.
+	RebootWindow time.Duration
+	// ReturnTimeout is how long a VM may take to come back before it counts as failed.
+	ReturnTimeout time.Duration
+	// VerifyDuration is how long a VM must stay in Verifying before it serves again.
+	VerifyDuration time.Duration
+	// MaxListLag bounds the age of the platform's list of live VMs when it is used.
+	MaxListLag time.Duration
+	// MaxClockSkew bounds the difference between clocks plus the time that a reboot
+	// request takes to reach the platform.
+	MaxClockSkew time.Duration
+	// MaintenanceInterval is the time from a VM's maintenance to the deadline of its
+	// next one.
+	MaintenanceInterval time.Duration
 }
 
-// The defaults of Timing.
+// Defaults of the Timing fields.
 const (
-	DefaultViewAge      = 5 * time.Second
-	DefaultDrainFor     = 4 * time.Hour
-	DefaultHold         = 2 * time.Minute
-	DefaultRebootWithin = 30 * time.Second
-	DefaultBackWithin   = 10 * time.Minute
-	DefaultVerifyFor    = 10 * time.Second
-	DefaultListLag      = 2 * time.Minute
-	DefaultSkew         = 5 * time.Second
-	DefaultCycle        = 7 * 7 * 24 * time.Hour
+	DefaultMaxViewAge          = 5 * time.Second
+	DefaultDrainTimeout        = 4 * time.Hour
+	DefaultHoldDuration        = 2 * time.Minute
+	DefaultRebootWindow        = 30 * time.Second
+	DefaultReturnTimeout       = 10 * time.Minute
+	DefaultVerifyDuration      = 10 * time.Second
+	DefaultMaxListLag          = 2 * time.Minute
+	DefaultMaxClockSkew        = 5 * time.Second
+	DefaultMaintenanceInterval = 7 * 7 * 24 * time.Hour
 )
 
 func (t Timing) withDefaults() Timing {
@@ -45,9 +47,9 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&t.ViewAge, DefaultViewAge}, {&t.DrainFor, DefaultDrainFor}, {&t.Hold, DefaultHold},
-		{&t.RebootWithin, DefaultRebootWithin}, {&t.BackWithin, DefaultBackWithin},
-		{&t.VerifyFor, DefaultVerifyFor}, {&t.ListLag, DefaultListLag}, {&t.Skew, DefaultSkew}, {&t.Cycle, DefaultCycle},
+		{&t.MaxViewAge, DefaultMaxViewAge}, {&t.DrainTimeout, DefaultDrainTimeout}, {&t.HoldDuration, DefaultHoldDuration},
+		{&t.RebootWindow, DefaultRebootWindow}, {&t.ReturnTimeout, DefaultReturnTimeout},
+		{&t.VerifyDuration, DefaultVerifyDuration}, {&t.MaxListLag, DefaultMaxListLag}, {&t.MaxClockSkew, DefaultMaxClockSkew}, {&t.MaintenanceInterval, DefaultMaintenanceInterval},
 	} {
 		if *f.field == 0 {
 			*f.field = f.value
