--- a/cmd/lavenderpond-edge/main.go
+++ b/cmd/lavenderpond-edge/main.go
@@ -71,7 +71,7 @@
 		log.Error().Err(err).Str("event", "start_failed").Send()
 		return exitFailed
 	}
-	log.Info().Str("event", "start").Str("zone", settings.Zone).Bool("fresh", settings.Fresh).Send()
+	log.Info().Str("event", "start").Str("zone", settings.Zone).Bool("fresh", settings.Bootstrap).Send()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var g supervisor.Group
--- a/io/node/front.go
+++ b/io/node/front.go
@@ -56,7 +56,7 @@
 	}
 	account, ok := conf.AccountForKey(call.Key)
 	if !ok && !q.Public {
-		f.deny(w, call, rest, platform.DeniedKey, "unknown key")
+		f.deny(w, call, rest, platform.DeniedUnknownKey, "unknown key")
 		return
 	}
 	p := partOf(call.Method, job.ID(rest))
@@ -104,29 +104,29 @@
 	// would be answered as unknown for no reason.
 	ctx = context.WithoutCancel(ctx)
 	switch {
-	case c.call.Method == platform.CallShow && c.id == "":
+	case c.call.Method == platform.CallFetch && c.id == "":
 		f.backlog(ctx, w, c)
 	case !platform.ValidID(string(c.id)):
-		f.deny(w, c.call, string(c.id), platform.DeniedForm, "malformed id")
+		f.deny(w, c.call, string(c.id), platform.DeniedMalformed, "malformed id")
 	case c.call.Method == platform.CallSubmit:
 		f.submit(ctx, w, r, c)
-	case c.call.Method == platform.CallShow:
+	case c.call.Method == platform.CallFetch:
 		f.show(ctx, w, c)
 	case c.call.Method == platform.CallCancel:
 		f.cancel(ctx, w, c)
 	default:
-		f.deny(w, c.call, string(c.id), platform.DeniedForm, "unknown method")
+		f.deny(w, c.call, string(c.id), platform.DeniedMalformed, "unknown method")
 	}
 }
 
 func (f *front) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, c request) {
 	body, err := platform.DecodeJob(r.Body, c.conf.Limits.BodyBytes)
 	if errors.Is(err, platform.ErrBodyTooLarge) {
-		f.deny(w, c.call, string(c.id), platform.DeniedSize, err.Error())
+		f.deny(w, c.call, string(c.id), platform.DeniedTooLarge, err.Error())
 		return
 	}
 	if err != nil {
-		f.deny(w, c.call, string(c.id), platform.DeniedForm, err.Error())
+		f.deny(w, c.call, string(c.id), platform.DeniedMalformed, err.Error())
 		return
 	}
 	q := c.queue
@@ -190,12 +190,12 @@
 
 // failed answers a call that the table didn't serve.
 func (f *front) failed(w http.ResponseWriter, c request, err error) {
-	d := platform.DeniedUnknown
+	d := platform.DeniedOutcomeUnknown
 	switch {
 	case errors.Is(err, errNotStored):
 		d = platform.DeniedUnavailable
 	case errors.Is(err, errTooLarge):
-		d = platform.DeniedSize
+		d = platform.DeniedTooLarge
 	}
 	f.deny(w, c.call, string(c.id), d, err.Error())
 }
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -132,8 +132,8 @@
 		AttemptBase:  job.Attempt(o.tenure.turn * attemptsPerTurn),
 		TookOver:     o.tookOver,
 		LeaseMax:     b.LeaseMax,
-		TaskStopMax:  b.TaskStop,
-		ShrinkNotice: b.Contact,
+		TaskStopMax:  b.TaskStopMax,
+		ShrinkNotice: b.ContactDelayMax,
 		MachineLease: b.MachineLease,
 		Observer:     o.node.observer,
 	})
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -45,7 +45,7 @@
 	log       zerolog.Logger
 	table     *platform.Table
 	machines  *platform.Machines
-	advice    *platform.Advice
+	advice    *platform.ApprovalService
 	view      *operatorView
 	front     *front
 	candidacy *candidacy
@@ -67,8 +67,8 @@
 		table:    platform.NewTable(s.TableAddress),
 		machines: platform.NewMachines(s.MachinesAddress),
 	}
-	if s.AdviceAddress != "" {
-		n.advice = platform.NewAdvice(s.AdviceAddress)
+	if s.ApprovalAddress != "" {
+		n.advice = platform.NewApprovalService(s.ApprovalAddress)
 	}
 	n.reach.log = log
 	n.observer = &decisionLog{log: log, count: n.metrics.count, elapsed: n.metrics.elapsed}
--- a/io/node/operator_test.go
+++ b/io/node/operator_test.go
@@ -49,7 +49,7 @@
 // rows is silent: it knows nothing of evacuations since.
 func TestOldViewStartsNothing(t *testing.T) {
 	n := &Node{view: &operatorView{log: zerolog.Nop(), reach: &reach{}}}
-	n.settings.Bounds.Evacuate = 5 * time.Second
+	n.settings.Bounds.EvacuationMax = 5 * time.Second
 	now := bootNow()
 	o := &owner{node: n, tenure: &tenure{}}
 	o.tenure.prove(now, now)
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -193,7 +193,7 @@
 func (o *owner) ask(ctx context.Context, c schedule.RequestTickets) {
 	callCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
-	a, err := o.node.advice.Ask(callCtx, c.Step, c.VMs)
+	a, err := o.node.advice.Approve(callCtx, c.Step, c.VMs)
 	if err != nil {
 		o.log.Warn().Err(err).Str("event", "advice_failed").Str("job", string(c.Step.Job)).Send()
 	}
@@ -206,7 +206,7 @@
 
 func (o *owner) upkeep(ctx context.Context, c schedule.Upkeep) {
 	out, why := o.orderMachine(ctx, "upkeep_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
-		return o.node.machines.Upkeep(ctx, o.holder(), c.Machine, c.Wave)
+		return o.node.machines.Maintain(ctx, o.holder(), c.Machine, c.Wave)
 	})
 	o.send(ctx, upkeepAnswered{c, out, why})
 }
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -210,7 +210,7 @@
 	case moveAnswered:
 		s.MoveAnswered(now, e.order, e.outcome, e.refusal)
 	case advised:
-		s.AdviceAnswered(now, e.step, e.approvals.Tickets, e.approvals.Valid)
+		s.AdviceAnswered(now, e.step, e.approvals.Tickets, e.approvals.ValidPeriod)
 	case reconfigured:
 		// The turn looks at the view.
 	}
@@ -236,7 +236,7 @@
 // feed of the operators' rows is silent would start tasks in a zone that was evacuated
 // since.
 func (o *owner) mayStart(now time.Time) bool {
-	within := o.node.settings.Bounds.Evacuate
+	within := o.node.settings.Bounds.EvacuationMax
 	current := within == 0 || o.node.view.age(now) < within-evacuationMargin
 	return current && o.tenure.mayStart(now)
 }
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -74,11 +74,11 @@
 	steps := c.steps()
 	spec := standin.Spec{CPU: steps[0].CPU, RunMS: steps[0].RunMS}
 	if c.serial%crashOneIn == c.crash {
-		if spec.Lasting = c.rng.IntN(crashLastsOneIn) == 0; spec.Lasting {
+		if spec.LongRunning = c.rng.IntN(crashLastsOneIn) == 0; spec.LongRunning {
 			steps = steps[:1]
-			steps[0].Lasting = true
+			steps[0].LongRunning = true
 		}
-		spec.Crash = &standin.Crash{Step: c.rng.IntN(len(steps))}
+		spec.Crash = &standin.CrashingTask{Step: c.rng.IntN(len(steps))}
 		one := &steps[spec.Crash.Step]
 		one.Count++
 		spec.Crash.Index = c.rng.IntN(one.Count)
--- a/io/soak/faults.go
+++ b/io/soak/faults.go
@@ -85,11 +85,11 @@
 	}},
 	{name: "table", strike: func(f *fleet, rng *rand.Rand) (string, func()) {
 		kind := standin.TableFault(1 + rng.IntN(int(standin.TableSlow)))
-		f.table.Suffer(kind)
-		return fmt.Sprint(int(kind)), func() { f.table.Suffer(standin.TableSound) }
+		f.table.SetFault(kind)
+		return fmt.Sprint(int(kind)), func() { f.table.SetFault(standin.TableHealthy) }
 	}},
 	{name: "history", strike: func(f *fleet, _ *rand.Rand) (string, func()) {
-		f.table.Forget()
+		f.table.DropHistory()
 		return "", func() {}
 	}},
 	{name: "crash_vm", strike: func(f *fleet, rng *rand.Rand) (string, func()) {
@@ -101,14 +101,14 @@
 	}},
 	{name: "late_orders", strike: func(f *fleet, rng *rand.Rand) (string, func()) {
 		share := 0.05 + 0.2*rng.Float64()
-		f.eachVM(func(v *standin.VM) { v.KeepBack(share) })
-		return fmt.Sprintf("%.2f", share), func() { f.eachVM(func(v *standin.VM) { v.KeepBack(0) }) }
+		f.eachVM(func(v *standin.VM) { v.DelayOrders(share) })
+		return fmt.Sprintf("%.2f", share), func() { f.eachVM(func(v *standin.VM) { v.DelayOrders(0) }) }
 	}},
 	{name: "slow_vm", strike: func(f *fleet, rng *rand.Rand) (string, func()) {
 		m := f.machines[rng.IntN(len(f.machines))]
 		vm, _ := m.life()
-		vm.Slow(2 + 6*rng.Float64())
-		return m.name, func() { vm.Slow(1) }
+		vm.SetSlowdown(2 + 6*rng.Float64())
+		return m.name, func() { vm.SetSlowdown(1) }
 	}},
 	{name: "configuration", strike: func(f *fleet, _ *rand.Rand) (string, func()) {
 		f.reconfigure()
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -230,7 +230,7 @@
 		m.lives++
 	}
 	m.vm = standin.NewVM(job.VMID(fmt.Sprintf("vm-%s-%d", m.name, m.lives)), vmRoom, f.judge, f.rng)
-	m.vm.Unguarded = m.unguarded
+	m.vm.IgnoresCapacity = m.unguarded
 	m.down = false
 	f.judge.Placed(m.vm.ID, Place{Zone: m.zone, Room: vmRoom, Unguarded: m.unguarded})
 }
--- a/io/soak/judge.go
+++ b/io/soak/judge.go
@@ -195,7 +195,7 @@
 
 // checkSpares checks that a task that crashes VMs isn't started for ever.
 func (j *Judge) checkSpares(vm job.VMID, t job.TaskID) {
-	if !j.jobs[t.Job].spec.Crashes(t) || j.crashed[t] < crashesMost {
+	if !j.jobs[t.Job].spec.CrashesVM(t) || j.crashed[t] < crashesMost {
 		return
 	}
 	j.spare[t]++
@@ -307,7 +307,7 @@
 	for id, k := range j.jobs {
 		switch {
 		case !k.accepted || k.cancelled || k.spec.Crash != nil:
-		case k.spec.Lasting:
+		case k.spec.LongRunning:
 			for i := range k.steps[0].Count {
 				if t := (job.TaskID{Job: id, Index: i}); len(j.running[t]) == 0 {
 					out = append(out, fmt.Sprintf("%v is to last and doesn't run", t))
--- a/io/soak/judge_test.go
+++ b/io/soak/judge_test.go
@@ -18,7 +18,7 @@
 
 // judged returns a judge that knows of an accepted job with a task that crashes VMs and
 // a sound one, and of a VM; clock is what it reads the time from.
-func judged(crash *standin.Crash, at Place) (j *Judge, clock *time.Time) {
+func judged(crash *standin.CrashingTask, at Place) (j *Judge, clock *time.Time) {
 	j = NewJudge()
 	clock = new(time.Now())
 	j.now = func() time.Time { return *clock }
@@ -49,7 +49,7 @@
 
 // Guards against a task that takes one VM after the other down without an end.
 func TestCrashingTaskHasTwoSpareStarts(t *testing.T) {
-	j, _ := judged(&standin.Crash{}, Place{Room: 2000})
+	j, _ := judged(&standin.CrashingTask{}, Place{Room: 2000})
 	startAndCrash(j, judgedTask(0), crashesMost+sparesMost)
 	assertBroken(t, j)
 	startAndCrash(j, judgedTask(0), 1)
@@ -58,14 +58,14 @@
 
 // Guards against a sound task that is given up since it ran beside a crashing one.
 func TestSoundTaskMayBeStartedAnyTime(t *testing.T) {
-	j, _ := judged(&standin.Crash{}, Place{Room: 2000})
+	j, _ := judged(&standin.CrashingTask{}, Place{Room: 2000})
 	startAndCrash(j, judgedTask(1), crashesMost+sparesMost+1)
 	assertBroken(t, j)
 }
 
 // Guards against a job that is given up before two VMs have crashed under one task.
 func TestFailedNeedsTwoCrashesUnderOneTask(t *testing.T) {
-	j, _ := judged(&standin.Crash{}, Place{Room: 2000})
+	j, _ := judged(&standin.CrashingTask{}, Place{Room: 2000})
 	startAndCrash(j, judgedTask(0), 1)
 	startAndCrash(j, judgedTask(1), 1)
 	j.Shown(judgedJob, 200, "failed")
@@ -77,7 +77,7 @@
 
 // Guards against an accepted job without a crashing task that never ends.
 func TestOnlyCrashingJobsMayStayOpen(t *testing.T) {
-	j, _ := judged(&standin.Crash{}, Place{Room: 2000})
+	j, _ := judged(&standin.CrashingTask{}, Place{Room: 2000})
 	j.Finish()
 	assertBroken(t, j)
 	j, _ = judged(nil, Place{Room: 2000})
--- a/io/soak/soak.go
+++ b/io/soak/soak.go
@@ -66,7 +66,7 @@
 	for i := range or(s.Callers, fewCallers) {
 		c := newCaller(f, i+1, rand.New(rand.NewPCG(s.Seed, uint64(i+2))))
 		if i == 0 {
-			c.submit(ctx, standin.Spec{CPU: 1000, Lasting: true}, []standin.StepBody{{Count: 3, CPU: 1000, MemMB: 100, Lasting: true}})
+			c.submit(ctx, standin.Spec{CPU: 1000, LongRunning: true}, []standin.StepBody{{Count: 3, CPU: 1000, MemMB: 100, LongRunning: true}})
 		}
 		g.Go(func() { c.run(ctx, work) })
 	}
