--- a/cmd/lavenderpond-edge/main.go
+++ b/cmd/lavenderpond-edge/main.go
@@ -64,7 +64,7 @@
 		return exitSettings
 	}
 	log = log.With().Str("node", settings.Node).Logger()
-	debug.SetGCPercent(node.CollectLeast)
+	debug.SetGCPercent(node.MinGCPercent)
 	debug.SetMemoryLimit(settings.MemoryMB << 20 * memoryPart / 100)
 	n, err := node.New(settings, log)
 	if err != nil {
--- a/io/node/front.go
+++ b/io/node/callers.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// answerMargin is left of a caller's patience for the answer's way back.
-	answerMargin = 150 * time.Millisecond
-	// defaultPatience is assumed of a caller that doesn't say how long it waits.
-	defaultPatience = 3 * time.Second
-	// comeBack is when a refused caller should try again: by then it reaches
+	// replyMargin is left of a caller's patience for the answer's way back.
+	replyMargin = 150 * time.Millisecond
+	// defaultCallerTimeout is assumed of a caller that doesn't say how long it waits.
+	defaultCallerTimeout = 3 * time.Second
+	// retryAfter is when a refused caller should try again: by then it reaches
 	// another entry VM, or the table is back.
-	comeBack = time.Second
-	// backlogAge is how old the owner's count may be. Callers may be shown one
+	retryAfter = time.Second
+	// maxBacklogAge is how old the owner's count may be. Callers may be shown one
 	// that is two seconds old.
-	backlogAge = 1800 * time.Millisecond
+	maxBacklogAge = 1800 * time.Millisecond
 )
 
-// front answers callers.
-type front struct {
+// callerHandler answers callers.
+type callerHandler struct {
 	view    *operatorView
-	reach   *reach
+	health  *tableHealth
 	jobs    *jobStore
 	log     zerolog.Logger
 	count   func(name string)
 	elapsed func(name string, d time.Duration)
 
-	// renewals remembers when each of the owner's counts was first seen.
-	renewals renewalSight
+	// renewalAge remembers when each of the owner's counts was first seen.
+	renewalAge renewalAgeTracker
 }
 
 // ServeHTTP implements http.Handler.
-func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	from := bootNow()
+func (f *callerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	started := bootNow()
 	call := platform.DecodeCall(r)
 	conf := f.view.configuration()
 	if conf == nil {
@@ -59,47 +59,47 @@
 		f.deny(w, call, rest, platform.DeniedKey, "unknown key")
 		return
 	}
-	p := partOf(call.Method, job.ID(rest))
-	verdict := f.reach.decide(p)
-	if verdict == contact.Refuse {
-		f.deny(w, call, rest, platform.DeniedUnavailable, "no word of part "+p+" of the table, none of any for "+f.reach.age().String())
+	p := tablePartFor(call.Method, job.ID(rest))
+	decision := f.health.decide(p)
+	if decision == contact.Refuse {
+		f.deny(w, call, rest, platform.DeniedUnavailable, "no word of part "+p+" of the table, none of any for "+f.health.sinceLastAnswer().String())
 		return
 	}
-	patience := call.Patience
-	if patience <= 0 {
-		patience = defaultPatience
+	timeout := call.Patience
+	if timeout <= 0 {
+		timeout = defaultCallerTimeout
 	}
 	if q.Timeout > 0 {
-		patience = min(patience, q.Timeout)
+		timeout = min(timeout, q.Timeout)
 	}
-	if verdict == contact.Probe && call.Method != platform.CallSubmit {
-		patience = min(patience, probeWithin+answerMargin)
+	if decision == contact.Probe && call.Method != platform.CallSubmit {
+		timeout = min(timeout, probeTimeout+replyMargin)
 	}
-	c := request{call: call, queue: q, account: account, id: job.ID(rest), until: from.Add(patience - answerMargin), conf: conf, verdict: verdict}
+	c := routedCall{call: call, queue: q, account: account, id: job.ID(rest), deadline: started.Add(timeout - replyMargin), conf: conf, decision: decision}
 	f.serve(r.Context(), w, r, c)
-	f.elapsed("call_"+call.Method.String(), bootNow().Sub(from))
+	f.elapsed("call_"+call.Method.String(), bootNow().Sub(started))
 }
 
-// request is a call whose queue and account are known.
-type request struct {
-	call    platform.Call
-	queue   *job.Queue
-	account job.AccountName
-	id      job.ID
-	until   time.Time
-	conf    *job.Configuration
-	verdict contact.Decision
+// routedCall is a call whose queue and account are known.
+type routedCall struct {
+	call     platform.Call
+	queue    *job.Queue
+	account  job.AccountName
+	id       job.ID
+	deadline time.Time
+	conf     *job.Configuration
+	decision contact.Decision
 }
 
-// partOf returns the part of the table that a call needs first.
-func partOf(m platform.CallMethod, id job.ID) string {
+// tablePartFor returns the part of the table that a call needs first.
+func tablePartFor(m platform.CallMethod, id job.ID) string {
 	if m == platform.CallSubmit {
 		return jobPart(id)
 	}
-	return part
+	return mainPart
 }
 
-func (f *front) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c request) {
+func (f *callerHandler) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
 	// The work goes on when the caller leaves: a submission that is half done
 	// would be answered as unknown for no reason.
 	ctx = context.WithoutCancel(ctx)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (f *front) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, c request) {
+func (f *callerHandler) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
 	body, err := platform.DecodeJob(r.Body, c.conf.Limits.BodyBytes)
 	if errors.Is(err, platform.ErrBodyTooLarge) {
 		f.deny(w, c.call, string(c.id), platform.DeniedSize, err.Error())
@@ -134,19 +134,19 @@
 		Queue: q.Name, Pool: q.Pool, Account: c.account, Priority: q.Priority, MaxAttempts: q.MaxAttempts,
 		Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance,
 	}}
-	err = f.jobs.submit(ctx, c.until, j, c.verdict)
+	err = f.jobs.submit(ctx, c.deadline, j, c.decision)
 	if err != nil {
-		f.failed(w, c, err)
+		f.denyFailed(w, c, err)
 		return
 	}
-	f.accepted(w, c)
+	f.accept(w, c)
 }
 
-func (f *front) show(ctx context.Context, w http.ResponseWriter, c request) {
-	state, known, err := f.jobs.show(ctx, c.until, c.id)
+func (f *callerHandler) show(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	state, known, err := f.jobs.show(ctx, c.deadline, c.id)
 	switch {
 	case err != nil:
-		f.failed(w, c, err)
+		f.denyFailed(w, c, err)
 	case !known:
 		f.deny(w, c.call, string(c.id), platform.DeniedNoJob, "no such job")
 	default:
@@ -155,32 +155,32 @@
 	}
 }
 
-func (f *front) cancel(ctx context.Context, w http.ResponseWriter, c request) {
-	known, err := f.jobs.cancel(ctx, c.until, c.id)
+func (f *callerHandler) cancel(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	known, err := f.jobs.cancel(ctx, c.deadline, c.id)
 	switch {
 	case err != nil:
-		f.failed(w, c, err)
+		f.denyFailed(w, c, err)
 	case !known:
 		f.deny(w, c.call, string(c.id), platform.DeniedNoJob, "no such job")
 	default:
-		f.accepted(w, c)
+		f.accept(w, c)
 	}
 }
 
-func (f *front) backlog(ctx context.Context, w http.ResponseWriter, c request) {
-	r, version, err := f.jobs.backlog(ctx, c.until)
+func (f *callerHandler) backlog(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	r, version, err := f.jobs.backlog(ctx, c.deadline)
 	if err != nil {
-		f.failed(w, c, err)
+		f.denyFailed(w, c, err)
 		return
 	}
-	if !r.Counted || f.renewals.age(bootNow(), version) > backlogAge {
+	if !r.Counted || f.renewalAge.age(bootNow(), version) > maxBacklogAge {
 		f.deny(w, c.call, "", platform.DeniedUnavailable, "no count that is new enough")
 		return
 	}
 	platform.WriteBacklog(w, r.Backlog[c.queue.Name])
 }
 
-func (f *front) accepted(w http.ResponseWriter, c request) {
+func (f *callerHandler) accept(w http.ResponseWriter, c routedCall) {
 	f.count("accepted_" + c.call.Method.String())
 	f.log.Info().Str("event", "call_accepted").Str("method", c.call.Method.String()).Str("job", string(c.id)).
 		Str("queue", string(c.queue.Name)).Str("account", string(c.account)).
@@ -188,8 +188,8 @@
 	platform.WriteAccepted(w)
 }
 
-// failed answers a call that the table didn't serve.
-func (f *front) failed(w http.ResponseWriter, c request, err error) {
+// denyFailed answers a call that the table didn't serve.
+func (f *callerHandler) denyFailed(w http.ResponseWriter, c routedCall, err error) {
 	d := platform.DeniedUnknown
 	switch {
 	case errors.Is(err, errNotStored):
@@ -200,35 +200,35 @@
 	f.deny(w, c.call, string(c.id), d, err.Error())
 }
 
-func (f *front) deny(w http.ResponseWriter, c platform.Call, id string, d platform.Denial, why string) {
+func (f *callerHandler) deny(w http.ResponseWriter, c platform.Call, id string, d platform.Denial, reason string) {
 	f.count("denied_" + c.Method.String())
 	f.log.Info().Str("event", "call_denied").Str("method", c.Method.String()).Str("job", id).
-		Int("status", d.Status()).Str("reason", why).Send()
-	pause := time.Duration(0)
+		Int("status", d.Status()).Str("reason", reason).Send()
+	comeBackIn := time.Duration(0)
 	if d == platform.DeniedUnavailable || d == platform.DeniedBusy {
-		pause = comeBack
+		comeBackIn = retryAfter
 	}
 	if d == platform.DeniedUnavailable {
 		// The balancer leaves an open connection where it is: a caller that keeps it comes
 		// back to this process for as long as its zone is cut off. A new one goes elsewhere.
 		w.Header().Set("Connection", "close")
 	}
-	platform.WriteDenial(w, d, pause)
+	platform.WriteDenial(w, d, comeBackIn)
 }
 
-// renewalSight tells how old the owner's last renewal is, by when it was first
+// renewalAgeTracker tells how old the owner's last renewal is, by when it was first
 // seen here. Its zero value works.
-type renewalSight struct {
-	mu      sync.Mutex
-	version platform.Version
-	seen    time.Time
+type renewalAgeTracker struct {
+	mu        sync.Mutex
+	version   platform.Version
+	firstSeen time.Time
 }
 
-func (s *renewalSight) age(now time.Time, v platform.Version) time.Duration {
+func (s *renewalAgeTracker) age(now time.Time, v platform.Version) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v != s.version {
-		s.version, s.seen = v, now
+		s.version, s.firstSeen = v, now
 	}
-	return now.Sub(s.seen)
+	return now.Sub(s.firstSeen)
 }
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// renewEvery is how often the owner renews its right if it has nothing to
+	// renewalInterval is how often the owner renews its right if it has nothing to
 	// store: three times within the period for which a proof lasts.
-	renewEvery = 250 * time.Millisecond
-	// groupFor gathers saves into one transaction: transactions are priced and
+	renewalInterval = 250 * time.Millisecond
+	// batchDelay gathers saves into one transaction: transactions are priced and
 	// the table takes 300 of them a second.
-	groupFor = 12 * time.Millisecond
-	// savesEach keeps a transaction, with its conditions and the renewal, below the
+	batchDelay = 12 * time.Millisecond
+	// maxBatchRows keeps a transaction, with its conditions and the renewal, below the
 	// table's bound on rows.
-	savesEach = platform.MaxTransactionRows - 10
-	// answerLeast bounds the wait for an answer from below; the table answers in
+	maxBatchRows = platform.MaxTransactionRows - 10
+	// minCommitTimeout bounds the wait for an answer from below; the table answers in
 	// about 4 ms. answerMost does so from above, for a table that is slow.
-	answerLeast = 250 * time.Millisecond
-	answerMost  = 1500 * time.Millisecond
-	// doublings bounds how often the wait doubles; it reaches answerMost before.
-	doublings = 3
-	// refusedPause is the pause after the table refused a transaction.
-	refusedPause = 60 * time.Millisecond
+	minCommitTimeout = 250 * time.Millisecond
+	maxCommitTimeout = 1500 * time.Millisecond
+	// maxTimeoutDoublings bounds how often the wait doubles; it reaches answerMost before.
+	maxTimeoutDoublings = 3
+	// refusedRetryDelay is the pause after the table refused a transaction.
+	refusedRetryDelay = 60 * time.Millisecond
 )
 
 // committer stores what the scheduler wants stored, in order, and renews the
@@ -42,15 +42,15 @@
 	log     zerolog.Logger
 	renewal platform.Version
 	batch   int64
-	answers answerTimes
-	// stored is called after each transaction with the last sequence stored.
-	stored func(sequence int64)
+	latency latencyEstimator
+	// onStored is called after each transaction with the last sequence stored.
+	onStored func(sequence int64)
 	// backlog returns the count of jobs that haven't begun, or nil before the first.
 	backlog func() map[job.QueueName]int
 	// entries returns the number of entry VMs; nil stands for not known.
-	entries func() int
-	took    func(d time.Duration)
-	reach   *reach
+	entries       func() int
+	recordLatency func(d time.Duration)
+	health        *tableHealth
 
 	mu    sync.Mutex
 	queue []schedule.Command
@@ -72,24 +72,24 @@
 func (c *committer) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.awaitWork(ctx)
-		saves, last := c.next()
+		saves, last := c.nextBatch()
 		if err := c.store(ctx, saves); err != nil {
-			c.tellUnstored(saves)
+			c.logUnstored(saves)
 			return err
 		}
 		if last > 0 {
-			c.stored(last)
+			c.onStored(last)
 		}
 	}
 	return nil
 }
 
-// tellUnstored logs how many saves an owner that ends leaves unstored.
-func (c *committer) tellUnstored(saves []schedule.Command) {
+// logUnstored logs how many saves an owner that ends leaves unstored.
+func (c *committer) logUnstored(saves []schedule.Command) {
 	c.mu.Lock()
-	waiting := len(c.queue)
+	queued := len(c.queue)
 	c.mu.Unlock()
-	if n := len(saves) + waiting; n > 0 {
+	if n := len(saves) + queued; n > 0 {
 		c.log.Info().Str("event", "saves_unstored").Int("saves", n).Uint64("fence", uint64(c.tenure.fence)).Send()
 	}
 }
@@ -99,12 +99,12 @@
 	c.mu.Lock()
 	n := len(c.queue)
 	c.mu.Unlock()
-	if n >= savesEach || !c.tenure.mayOrder(bootNow()) {
+	if n >= maxBatchRows || !c.tenure.mayOrderMachines(bootNow()) {
 		// A renewal that took many attempts is old when it is known.
 		return
 	}
 	if n == 0 {
-		t := time.NewTimer(renewEvery)
+		t := time.NewTimer(renewalInterval)
 		defer t.Stop()
 		select {
 		case <-ctx.Done():
@@ -114,29 +114,29 @@
 		case <-c.wake:
 		}
 	}
-	supervisor.Sleep(ctx, groupFor)
+	supervisor.Sleep(ctx, batchDelay)
 }
 
-// fitting returns how many of the waiting saves fit into one transaction. Saves of
+// nextBatchSize returns how many of the waiting saves fit into one transaction. Saves of
 // one row count once, since only the last of them is written: when the table is
 // slow, a job's saves pile up, and most of them needn't be written at all.
-func (c *committer) fitting() int {
+func (c *committer) nextBatchSize() int {
 	rows := map[platform.RowKey]bool{}
 	for i, s := range c.queue {
-		rows[changeOf(s).key] = true
-		if len(rows) > savesEach {
+		rows[rowChangeFor(s).key] = true
+		if len(rows) > maxBatchRows {
 			return i
 		}
 	}
 	return len(c.queue)
 }
 
-// next takes saves off the queue. last is the sequence up to which all are
+// nextBatch takes saves off the queue. last is the sequence up to which all are
 // stored once they are, or 0 if none is whole.
-func (c *committer) next() (saves []schedule.Command, last int64) {
+func (c *committer) nextBatch() (saves []schedule.Command, last int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.fitting()
+	n := c.nextBatchSize()
 	saves = c.queue[:n:n]
 	c.queue = c.queue[n:]
 	if n == 0 {
@@ -146,7 +146,7 @@
 	if len(c.queue) == 0 {
 		return saves, last
 	}
-	if waits, _ := schedule.SequenceOf(c.queue[0]); waits == last {
+	if nextSequence, _ := schedule.SequenceOf(c.queue[0]); nextSequence == last {
 		last--
 	}
 	return saves, last
@@ -169,17 +169,17 @@
 		{RowKey: renewalKey, Version: c.renewal},
 	}}
 	backlog := c.backlog()
-	value, err := encode(renewalRow{Life: c.tenure.life, Batch: c.batch, Counted: backlog != nil, Backlog: backlog, Entries: c.entryCount()})
+	value, err := encodeRow(renewalRow{Life: c.tenure.life, Batch: c.batch, Counted: backlog != nil, Backlog: backlog, Entries: c.entryCount()})
 	if err != nil {
 		return tx, err
 	}
 	tx.Writes = append(tx.Writes, platform.Write{RowKey: renewalKey, Value: value})
-	for _, change := range latest(saves) {
+	for _, change := range latestChanges(saves) {
 		if change.value == nil {
 			tx.Removals = append(tx.Removals, change.key)
 			continue
 		}
-		value, err := encode(change.value)
+		value, err := encodeRow(change.value)
 		if err != nil {
 			return tx, err
 		}
@@ -196,54 +196,54 @@
 	if err != nil {
 		return err
 	}
-	renewed := time.Time{}
+	firstSent := time.Time{}
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		sent := bootNow()
-		version, err := c.apply(ctx, tx, c.patience(attempt))
+		version, err := c.apply(ctx, tx, c.attemptTimeout(attempt))
 		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
-		if renewed.IsZero() && !refused {
-			renewed = sent
+		if firstSent.IsZero() && !refused {
+			firstSent = sent
 		}
 		var conflict *platform.ConflictError
 		switch {
 		case err == nil:
-			c.done(renewed, sent, version)
+			c.recordStored(firstSent, sent, version)
 			return nil
 		case errors.As(err, &conflict):
-			return c.settle(renewed, sent, conflict)
+			return c.resolveConflict(firstSent, sent, conflict)
 		case refused:
-			supervisor.Sleep(ctx, refusedPause)
-		case bootNow().Sub(sent) < overdueLeast:
+			supervisor.Sleep(ctx, refusedRetryDelay)
+		case bootNow().Sub(sent) < minOverdue:
 			// The connection was reset: the next one would be as soon.
-			supervisor.Sleep(ctx, overdueLeast)
+			supervisor.Sleep(ctx, minOverdue)
 		}
 		c.log.Debug().Err(err).Int64("batch", c.batch).Msg("transaction is sent again")
 	}
 	return context.Cause(ctx)
 }
 
-func (c *committer) apply(ctx context.Context, tx platform.Transaction, patience time.Duration) (platform.Version, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (c *committer) apply(ctx context.Context, tx platform.Transaction, timeout time.Duration) (platform.Version, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	from := bootNow()
-	v, err := c.applyOrSee(ctx, tx)
-	took := bootNow().Sub(from)
-	c.took(took)
-	c.answers.learn(took, !errors.Is(err, platform.ErrNoAnswer))
+	started := bootNow()
+	v, err := c.applyAndVerify(ctx, tx)
+	took := bootNow().Sub(started)
+	c.recordLatency(took)
+	c.latency.observe(took, !errors.Is(err, platform.ErrNoAnswer))
 	return v, err
 }
 
-// patience returns how long to wait for the answer to an attempt. It doubles with
+// attemptTimeout returns how long to wait for the answer to an attempt. It doubles with
 // each: a transaction that is given up and sent again takes the part as long as the
 // first. When the table turned slow (258 ms in place of 3 ms), a wait that grew by
 // an eighth each time kept the owner from renewing its right for 1.3 s.
-func (c *committer) patience(attempt int) time.Duration {
-	return min(c.answers.patience(answerLeast)<<min(attempt, doublings), answerMost)
+func (c *committer) attemptTimeout(attempt int) time.Duration {
+	return min(c.latency.timeout(minCommitTimeout)<<min(attempt, maxTimeoutDoublings), maxCommitTimeout)
 }
 
-// settle looks at why a condition failed: the transaction may have been carried
+// resolveConflict looks at why a condition failed: the transaction may have been carried
 // out already without an answer.
-func (c *committer) settle(renewed, sent time.Time, conflict *platform.ConflictError) error {
+func (c *committer) resolveConflict(renewed, sent time.Time, conflict *platform.ConflictError) error {
 	owner, renewal := conflict.Row(ownerKey), conflict.Row(renewalKey)
 	if owner == nil || owner.Version != c.tenure.fence || renewal == nil {
 		return errDeposed
@@ -255,15 +255,15 @@
 	if r.Life != c.tenure.life || r.Batch != c.batch {
 		return errors.Wrapf(errDeposed, "renewal %d of %s stands in place of %d", r.Batch, r.Life, c.batch)
 	}
-	c.done(renewed, sent, renewal.Version)
+	c.recordStored(renewed, sent, renewal.Version)
 	return nil
 }
 
-// done takes in that the transaction was carried out, by a call sent at renewed at the
+// recordStored takes in that the transaction was carried out, by a call sent at renewed at the
 // earliest, and that a call sent at sent has said so.
-func (c *committer) done(renewed, sent time.Time, version platform.Version) {
+func (c *committer) recordStored(renewed, sent time.Time, version platform.Version) {
 	c.renewal = version
-	c.tenure.renewed(version)
-	c.tenure.prove(renewed, sent)
-	c.reach.heard(part)
+	c.tenure.recordRenewal(version)
+	c.tenure.confirm(renewed, sent)
+	c.health.recordAnswer(mainPart)
 }
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -34,7 +34,7 @@
 	c.add(s.TakeCommands())
 	rows := 0
 	for {
-		saves, _ := c.next()
+		saves, _ := c.nextBatch()
 		if len(saves) == 0 {
 			break
 		}
@@ -50,7 +50,7 @@
 }
 
 // A VM that is gone leaves the roster in the same order as it came.
-func TestDroppedRowIsRemoved(t *testing.T) {
+func TestDroppedVMRowIsRemoved(t *testing.T) {
 	c := newCommitter(nil)
 	tx, err := c.transaction([]schedule.Command{
 		schedule.SaveVM{Sequence: 1, VM: schedule.RosterVM{ID: "v"}}, schedule.DropVM{Sequence: 2, VM: "v"},
@@ -66,50 +66,50 @@
 	c := newCommitter(nil)
 	sequence := int64(0)
 	for round := range 10 {
-		for i := range savesEach {
+		for i := range maxBatchRows {
 			sequence++
 			c.add([]schedule.Command{schedule.Save{
 				Sequence: sequence, Job: job.ID(fmt.Sprintf("%016x", i)), Progress: job.Progress{State: job.State(min(round, 1))},
 			}})
 		}
 	}
-	saves, last := c.next()
+	saves, last := c.nextBatch()
 	assert.Equal(t, last, sequence)
 	tx, err := c.transaction(saves)
 	assert.NilError(t, err)
-	assert.Equal(t, len(tx.Writes), savesEach+1)
+	assert.Equal(t, len(tx.Writes), maxBatchRows+1)
 }
 
 // The table turns slow while the owner renews its right: 258 ms for a transaction.
 // Each attempt that is given up too early is carried out all the same and holds up
 // the next one; the right runs out and nothing starts.
-func TestRenewalOutlastsATableThatTurnsSlow(t *testing.T) {
+func TestRenewalSucceedsWhenTableTurnsSlow(t *testing.T) {
 	const slow = 258 * time.Millisecond
 	c := newCommitter(nil)
-	c.answers.learn(4*time.Millisecond, true)
+	c.latency.observe(4*time.Millisecond, true)
 	// The part carries out one attempt after the other.
 	waited, busyUntil := time.Duration(0), time.Duration(0)
 	for attempt := 0; ; attempt++ {
 		busyUntil = max(busyUntil, waited) + slow
-		patience := c.patience(attempt)
+		patience := c.attemptTimeout(attempt)
 		if busyUntil-waited <= patience {
 			break
 		}
 		waited += patience
-		c.answers.learn(patience, false)
+		c.latency.observe(patience, false)
 	}
 	assert.Assert(t, busyUntil <= 600*time.Millisecond, "answered after %v", busyUntil)
-	assert.Assert(t, c.patience(0) > slow, "the next one waits long enough at once")
+	assert.Assert(t, c.attemptTimeout(0) > slow, "the next one waits long enough at once")
 }
 
 // Guards against ends that are lost at a planned stop: an owner that stops while the table
 // refuses its transaction must not take it for stored. VMs would forget the ends in it, and
 // the next owner would run their tasks again.
-func TestStoppedCommitterHasStoredNothing(t *testing.T) {
-	_, table := newFakeTable(t, status(http.StatusServiceUnavailable, ""))
+func TestStoppedCommitterReportsNothingStored(t *testing.T) {
+	_, table := newFakeTable(t, respondWith(http.StatusServiceUnavailable, ""))
 	c := newCommitter(table)
 	c.wake = make(chan struct{}, 1)
-	c.stored = func(sequence int64) { t.Errorf("%d is not stored", sequence) }
+	c.onStored = func(sequence int64) { t.Errorf("%d is not stored", sequence) }
 	c.add([]schedule.Command{schedule.Save{Sequence: 1, Job: "j", Progress: job.Progress{State: job.Completed}}})
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
@@ -117,22 +117,22 @@
 }
 
 // Guards against saves that count as stored while others of their sequence wait for the next transaction.
-func TestSequenceInTwoTransactionsIsStoredWithTheSecond(t *testing.T) {
+func TestSequenceSplitOverTwoTransactionsIsStoredWithTheSecond(t *testing.T) {
 	c := newCommitter(nil)
 	var saves []schedule.Command
-	for i := range savesEach + 10 {
+	for i := range maxBatchRows + 10 {
 		saves = append(saves, schedule.Save{Sequence: 7, Job: job.ID(fmt.Sprintf("%016x", i))})
 	}
 	c.add(saves)
-	_, last := c.next()
+	_, last := c.nextBatch()
 	assert.Equal(t, last, int64(6))
-	_, last = c.next()
+	_, last = c.nextBatch()
 	assert.Equal(t, last, int64(7))
 }
 
 // Guards against a fence that stays as it was: the version of each renewal is known to the tenure, whether its answer came or not.
-func TestRenewalIsKnownToTheTenure(t *testing.T) {
-	_, table := newFakeTable(t, status(http.StatusOK, `{"ver":11}`), lost, status(http.StatusPreconditionFailed, ownRows(10, `{"life":"me","batch":2}`)))
+func TestTenureRecordsEachRenewal(t *testing.T) {
+	_, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":11}`), dropAnswer, respondWith(http.StatusPreconditionFailed, conflictAnswer(10, `{"life":"me","batch":2}`)))
 	c := newCommitter(table)
 	assert.NilError(t, c.store(t.Context(), nil))
 	assert.Equal(t, c.tenure.lastRenewal(), platform.Version(11))
--- a/io/node/decisions.go
+++ b/io/node/decisions.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// linesPerSecond bounds the lines of one kind of decision. At the busiest
+	// maxLinesPerSecond bounds the lines of one kind of decision. At the busiest
 	// each kind comes about 250 times a second.
-	linesPerSecond = 400
+	maxLinesPerSecond = 400
 )
 
 // decisionLog writes the scheduler's decisions, at most so many a second of each
@@ -71,7 +71,7 @@
 }
 
 // admit tells whether a line may be written, and how many were left out before it.
-func (l *decisionLog) admit(w schedule.DecisionKind) (omitted int, ok bool) {
+func (l *decisionLog) admit(kind schedule.DecisionKind) (omitted int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := bootNow().Unix(); now != l.second || l.written == nil {
@@ -81,12 +81,12 @@
 	if l.omitted == nil {
 		l.omitted = map[schedule.DecisionKind]int{}
 	}
-	if l.written[w] >= linesPerSecond {
-		l.omitted[w]++
+	if l.written[kind] >= maxLinesPerSecond {
+		l.omitted[kind]++
 		return 0, false
 	}
-	l.written[w]++
-	omitted = l.omitted[w]
-	delete(l.omitted, w)
+	l.written[kind]++
+	omitted = l.omitted[kind]
+	delete(l.omitted, kind)
 	return omitted, true
 }
--- a/io/node/dump.go
+++ b/io/node/dump.go
@@ -25,18 +25,18 @@
 
 // ownerDump is what the owner believes beyond that.
 type ownerDump struct {
-	Fence    platform.Version      `json:"fence"`
-	Turn     int64                 `json:"turn"`
-	MayStart bool                  `json:"may_start"`
-	MayOrder bool                  `json:"may_order"`
-	Waiting  map[job.QueueName]int `json:"waiting"`
-	Relays   map[string][]string   `json:"relays"`
+	Fence        platform.Version      `json:"fence"`
+	TenureNumber int64                 `json:"turn"`
+	MayStart     bool                  `json:"may_start"`
+	MayOrder     bool                  `json:"may_order"`
+	Waiting      map[job.QueueName]int `json:"waiting"`
+	Relays       map[string][]string   `json:"relays"`
 }
 
 func (n *Node) dump(now time.Time) processDump {
 	d := processDump{
-		Node: n.settings.Node, Zone: n.settings.Zone, Life: n.candidacy.life, Ready: n.ready(),
-		Evacuated: n.view.evacuations(), ViewAgeMS: n.view.age(now).Milliseconds(), TableAgeMS: n.reach.age().Milliseconds(),
+		Node: n.settings.Node, Zone: n.settings.Zone, Life: n.election.life, Ready: n.ready(),
+		Evacuated: n.view.evacuations(), ViewAgeMS: n.view.age(now).Milliseconds(), TableAgeMS: n.health.sinceLastAnswer().Milliseconds(),
 	}
 	if c := n.view.configuration(); c != nil {
 		d.Configuration = c.Version
@@ -49,7 +49,7 @@
 
 func (o *owner) dump(now time.Time) *ownerDump {
 	return &ownerDump{
-		Fence: o.tenure.fence, Turn: o.tenure.turn, MayStart: o.mayStart(now), MayOrder: o.tenure.mayOrder(now),
+		Fence: o.tenure.fence, TenureNumber: o.tenure.number, MayStart: o.mayStartTasks(now), MayOrder: o.tenure.mayOrderMachines(now),
 		Waiting: o.backlog.get(), Relays: o.relays.addresses(),
 	}
 }
--- a/io/node/dump_test.go
+++ b/io/node/dump_test.go
@@ -14,15 +14,15 @@
 
 // The dump tells what the process believes, and of the owner what it may do and by which
 // relays.
-func TestDumpShowsBeliefs(t *testing.T) {
+func TestDumpShowsProcessAndOwnerState(t *testing.T) {
 	n, err := New(platform.Settings{Node: "entry-1", Zone: "east", TableAddress: "127.0.0.1:1", MachinesAddress: "127.0.0.1:1"}, zerolog.Nop())
 	assert.NilError(t, err)
-	n.view.take([]platform.Row{evacuationRow("west", false)}, true)
+	n.view.applyRows([]platform.Row{evacuationRow("west", false)}, true)
 	now := bootNow()
-	n.view.heard(now)
-	o := &owner{node: n, tenure: &tenure{fence: 7, turn: 2}, relays: newRelays("", zerolog.Nop())}
-	o.tenure.prove(now, now)
-	o.relays.set("west", []relay.Candidate{{Address: "10.2.0.1:7000", Capacity: 1}})
+	n.view.recordContact(now)
+	o := &owner{node: n, tenure: &tenure{fence: 7, number: 2}, relays: newRelaySet("", zerolog.Nop())}
+	o.tenure.confirm(now, now)
+	o.relays.setReady("west", []relay.Candidate{{Address: "10.2.0.1:7000", Capacity: 1}})
 	o.backlog.set(map[job.QueueName]int{"frames": 3})
 	n.setOwner(o)
 	d := n.dump(now)
@@ -31,7 +31,7 @@
 	assert.Equal(t, d.Owner.Waiting["frames"], 3)
 	assert.DeepEqual(t, d.Owner.Relays, map[string][]string{"west": {"10.2.0.1:7000"}})
 	w := httptest.NewRecorder()
-	n.probes().ServeHTTP(w, httptest.NewRequest("GET", "/dump", nil))
+	n.probeHandler().ServeHTTP(w, httptest.NewRequest("GET", "/dump", nil))
 	assert.Equal(t, w.Code, 200)
 	assert.Equal(t, w.Header().Get("Content-Type"), "application/json")
 }
--- a/io/node/event.go
+++ b/io/node/event.go
@@ -11,21 +11,21 @@
 type event interface{ event() }
 
 type (
-	// rowsChanged are changes of the job table. After a gap in the history they
+	// jobRowsChanged are changes of the job table. After a gap in the history they
 	// are all of it, with all progress.
-	rowsChanged struct {
+	jobRowsChanged struct {
 		rows     []platform.Row
 		progress []platform.Row
 	}
-	// vmsChanged are changes of the directory; whole tells that they are all of it.
-	vmsChanged struct {
-		rows  []platform.Row
-		whole bool
+	// vmRowsChanged are changes of the directory; whole tells that they are all of it.
+	vmRowsChanged struct {
+		rows     []platform.Row
+		complete bool
 	}
 	// directoryRead tells that the changes are known that were made before asOf.
 	directoryRead struct{ asOf time.Time }
-	// stored tells that all saves up to sequence are in the table.
-	stored struct{ sequence int64 }
+	// savesStored tells that all saves up to sequence are in the table.
+	savesStored struct{ sequence int64 }
 	// startAnswered, stopAnswered and holdAnswered are answers of VMs.
 	startAnswered struct {
 		order   schedule.Start
@@ -44,8 +44,8 @@
 	}
 	// machinesListed is the machines list, as asked for at asked.
 	machinesListed struct {
-		machines []job.Machine
-		asked    time.Time
+		machines    []job.Machine
+		requestedAt time.Time
 	}
 	upkeepAnswered struct {
 		order   schedule.Upkeep
@@ -57,7 +57,7 @@
 		outcome schedule.Outcome
 		refusal job.MachineRefusal
 	}
-	advised struct {
+	approvalsReceived struct {
 		step      job.StepID
 		approvals platform.Approvals
 	}
@@ -65,15 +65,15 @@
 	reconfigured struct{}
 )
 
-func (rowsChanged) event()    {}
-func (vmsChanged) event()     {}
-func (directoryRead) event()  {}
-func (stored) event()         {}
-func (startAnswered) event()  {}
-func (stopAnswered) event()   {}
-func (holdAnswered) event()   {}
-func (machinesListed) event() {}
-func (upkeepAnswered) event() {}
-func (moveAnswered) event()   {}
-func (advised) event()        {}
-func (reconfigured) event()   {}
+func (jobRowsChanged) event()    {}
+func (vmRowsChanged) event()     {}
+func (directoryRead) event()     {}
+func (savesStored) event()       {}
+func (startAnswered) event()     {}
+func (stopAnswered) event()      {}
+func (holdAnswered) event()      {}
+func (machinesListed) event()    {}
+func (upkeepAnswered) event()    {}
+func (moveAnswered) event()      {}
+func (approvalsReceived) event() {}
+func (reconfigured) event()      {}
--- a/io/node/orders.go
+++ b/io/node/execute.go
@@ -18,12 +18,12 @@
 	orderTimeout = 700 * time.Millisecond
 	// holdGrace is how much longer than its wait a hold may take.
 	holdGrace = 600 * time.Millisecond
-	// machineTimeout bounds an order for a machine.
-	machineTimeout = 2 * time.Second
-	// adviceTimeout bounds a question about VMs; the service decides one at a time.
-	adviceTimeout = 2 * time.Second
-	// statusTimeout bounds the publication of a wave's state.
-	statusTimeout = time.Second
+	// machineOrderTimeout bounds an order for a machine.
+	machineOrderTimeout = 2 * time.Second
+	// approvalTimeout bounds a question about VMs; the service decides one at a time.
+	approvalTimeout = 2 * time.Second
+	// tableWriteTimeout bounds the publication of a wave's state.
+	tableWriteTimeout = time.Second
 )
 
 // backlogCount passes the count from the loop to the committer.
@@ -49,15 +49,15 @@
 	vm      *platform.VM
 }
 
-// orders carries out the scheduler's commands.
-type orders struct {
+// orderRouter carries out the scheduler's commands.
+type orderRouter struct {
 	owner *owner
 	// clients is used by the owner's loop only.
 	clients map[job.VMID]*vmClient
 }
 
 // client returns the owner's own client of a VM.
-func (x *orders) client(id job.VMID) *platform.VM {
+func (x *orderRouter) client(id job.VMID) *platform.VM {
 	address, _ := x.owner.scheduler.Location(id)
 	c := x.clients[id]
 	if c == nil || c.address != address {
@@ -73,36 +73,36 @@
 // route returns the way for orders to a VM. Relays are used only by an owner that has
 // proved its right of late: one that is cut off from the table or slow would have its
 // orders, which rest on old knowledge, carried out by a process that is neither.
-func (x *orders) route(now time.Time, id job.VMID) vmOrders {
-	direct := directOrders{x.client(id)}
-	if !x.owner.tenure.mayOrder(now) {
+func (x *orderRouter) route(now time.Time, id job.VMID) vmOrderSender {
+	direct := directSender{x.client(id)}
+	if !x.owner.tenure.mayOrderMachines(now) {
 		return direct
 	}
 	address, zone := x.owner.scheduler.Location(id)
-	relay := x.owner.relays.of(string(zone), id)
+	relay := x.owner.relays.relayFor(string(zone), id)
 	if relay == "" {
 		return direct
 	}
-	return relayedOrders{relays: x.owner.relays, relay: relay, vm: id, address: address, direct: direct}
+	return relayedSender{relays: x.owner.relays, relay: relay, vm: id, address: address, direct: direct}
 }
 
 // holdRoute returns the way for a hold. A look goes to the VM itself: it finds out about
 // an order without an answer, for which the relay may be to blame.
-func (x *orders) holdRoute(now time.Time, c schedule.Hold) vmOrders {
+func (x *orderRouter) holdRoute(now time.Time, c schedule.Hold) vmOrderSender {
 	if c.Look {
-		return directOrders{x.client(c.VM)}
+		return directSender{x.client(c.VM)}
 	}
 	return x.route(now, c.VM)
 }
 
-func (x *orders) close() {
+func (x *orderRouter) close() {
 	for _, c := range x.clients {
 		c.vm.Close()
 	}
 }
 
-// carryOut starts all commands; their answers come back as events.
-func (o *owner) carryOut(ctx context.Context, commands []schedule.Command) {
+// execute starts all commands; their answers come back as events.
+func (o *owner) execute(ctx context.Context, commands []schedule.Command) {
 	var saves []schedule.Command
 	now := bootNow()
 	for _, c := range commands {
@@ -110,27 +110,27 @@
 		case schedule.Save, schedule.SaveVM, schedule.DropVM, schedule.SaveWave, schedule.SaveOrder, schedule.DropOrder:
 			saves = append(saves, c)
 		case schedule.Start:
-			vm := o.orders.route(now, c.VM)
+			vm := o.router.route(now, c.VM)
 			o.workers.Go(func() { o.start(ctx, vm, c) })
 		case schedule.Stop:
-			vm := o.orders.client(c.VM)
+			vm := o.router.client(c.VM)
 			o.workers.Go(func() { o.stop(ctx, vm, c) })
 		case schedule.Pace:
-			vm := o.orders.client(c.VM)
-			o.workers.Go(func() { o.pace(ctx, vm, c) })
+			vm := o.router.client(c.VM)
+			o.workers.Go(func() { o.setPace(ctx, vm, c) })
 		case schedule.Hold:
-			vm := o.orders.holdRoute(now, c)
+			vm := o.router.holdRoute(now, c)
 			o.workers.Go(func() { o.hold(ctx, vm, c) })
 		case schedule.RequestTickets:
-			o.workers.Go(func() { o.ask(ctx, c) })
+			o.workers.Go(func() { o.requestApprovals(ctx, c) })
 		case schedule.Upkeep:
-			o.workers.Go(func() { o.upkeep(ctx, c) })
+			o.workers.Go(func() { o.startMaintenance(ctx, c) })
 		case schedule.Move:
-			o.workers.Go(func() { o.move(ctx, c) })
+			o.workers.Go(func() { o.moveMachine(ctx, c) })
 		case schedule.DeleteJob:
-			o.workers.Go(func() { o.forget(ctx, c) })
+			o.workers.Go(func() { o.deleteJobRows(ctx, c) })
 		case schedule.PublishWave:
-			o.workers.Go(func() { o.showWave(ctx, c) })
+			o.workers.Go(func() { o.publishWave(ctx, c) })
 		}
 	}
 	if len(saves) > 0 {
@@ -138,8 +138,8 @@
 	}
 }
 
-// outcomeOf sorts the error of an order to a VM.
-func outcomeOf(err error) schedule.Outcome {
+// outcomeFromError sorts the error of an order to a VM.
+func outcomeFromError(err error) schedule.Outcome {
 	switch {
 	case err == nil:
 		return schedule.Answered
@@ -153,27 +153,27 @@
 	return schedule.Unanswered
 }
 
-func (o *owner) start(ctx context.Context, vm vmOrders, c schedule.Start) {
+func (o *owner) start(ctx context.Context, vm vmOrderSender, c schedule.Start) {
 	// Right and zone are looked at right before the order goes out: this process may
 	// have stood still since the scheduler decided.
-	if !o.mayStart(bootNow()) || !o.node.view.open(c.Zone) {
+	if !o.mayStartTasks(bootNow()) || !o.node.view.zoneOpen(c.Zone) {
 		o.send(ctx, startAnswered{order: c, outcome: schedule.NotDone})
 		return
 	}
-	from := bootNow()
-	r, out := vm.Start(ctx, c.Order)
-	o.node.metrics.elapsed("vm_start", bootNow().Sub(from))
-	o.send(ctx, startAnswered{c, out, r})
+	started := bootNow()
+	r, outcome := vm.Start(ctx, c.Order)
+	o.node.metrics.elapsed("vm_start", bootNow().Sub(started))
+	o.send(ctx, startAnswered{c, outcome, r})
 }
 
 func (o *owner) stop(ctx context.Context, vm *platform.VM, c schedule.Stop) {
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	r, err := vm.Stop(callCtx, c.Task, c.Attempt, c.Fence)
-	o.send(ctx, stopAnswered{c, outcomeOf(err), r})
+	o.send(ctx, stopAnswered{c, outcomeFromError(err), r})
 }
 
-func (o *owner) pace(ctx context.Context, vm *platform.VM, c schedule.Pace) {
+func (o *owner) setPace(ctx context.Context, vm *platform.VM, c schedule.Pace) {
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if _, err := vm.Pace(callCtx, c.Task, c.Attempt, c.Percent, c.Fence); err != nil {
@@ -181,60 +181,60 @@
 	}
 }
 
-func (o *owner) hold(ctx context.Context, vm vmOrders, c schedule.Hold) {
-	if !o.tenure.mayHold(bootNow()) {
+func (o *owner) hold(ctx context.Context, vm vmOrderSender, c schedule.Hold) {
+	if !o.tenure.mayExtendLeases(bootNow()) {
 		o.send(ctx, holdAnswered{order: c, outcome: schedule.NotDone})
 		return
 	}
-	r, out := vm.Hold(ctx, c.Order)
-	o.send(ctx, holdAnswered{c, out, r})
+	r, outcome := vm.Hold(ctx, c.Order)
+	o.send(ctx, holdAnswered{c, outcome, r})
 }
 
-func (o *owner) ask(ctx context.Context, c schedule.RequestTickets) {
-	callCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
+func (o *owner) requestApprovals(ctx context.Context, c schedule.RequestTickets) {
+	callCtx, cancel := context.WithTimeout(ctx, approvalTimeout)
 	defer cancel()
 	a, err := o.node.advice.Ask(callCtx, c.Step, c.VMs)
 	if err != nil {
 		o.log.Warn().Err(err).Str("event", "advice_failed").Str("job", string(c.Step.Job)).Send()
 	}
-	o.send(ctx, advised{c.Step, a})
+	o.send(ctx, approvalsReceived{c.Step, a})
 }
 
-func (o *owner) holder() job.OrderIssuer {
+func (o *owner) orderIssuer() job.OrderIssuer {
 	return job.OrderIssuer{Node: o.node.settings.Node, Fence: job.Fence(o.tenure.fence)}
 }
 
-func (o *owner) upkeep(ctx context.Context, c schedule.Upkeep) {
-	out, why := o.orderMachine(ctx, "upkeep_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
-		return o.node.machines.Upkeep(ctx, o.holder(), c.Machine, c.Wave)
+func (o *owner) startMaintenance(ctx context.Context, c schedule.Upkeep) {
+	outcome, refusal := o.orderMachine(ctx, "upkeep_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
+		return o.node.machines.Upkeep(ctx, o.orderIssuer(), c.Machine, c.Wave)
 	})
-	o.send(ctx, upkeepAnswered{c, out, why})
+	o.send(ctx, upkeepAnswered{c, outcome, refusal})
 }
 
-func (o *owner) move(ctx context.Context, c schedule.Move) {
-	out, why := o.orderMachine(ctx, "move_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
-		return o.node.machines.Move(ctx, o.holder(), c.Machine, c.Pool)
+func (o *owner) moveMachine(ctx context.Context, c schedule.Move) {
+	outcome, refusal := o.orderMachine(ctx, "move_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
+		return o.node.machines.Move(ctx, o.orderIssuer(), c.Machine, c.Pool)
 	})
-	o.send(ctx, moveAnswered{c, out, why})
+	o.send(ctx, moveAnswered{c, outcome, refusal})
 }
 
 // orderMachine gives an order for a machine, if this process is still the owner.
 func (o *owner) orderMachine(ctx context.Context, event string, m job.MachineID, order func(ctx context.Context) (job.MachineRefusal, error)) (schedule.Outcome, job.MachineRefusal) {
-	if !o.tenure.mayOrder(bootNow()) {
+	if !o.tenure.mayOrderMachines(bootNow()) {
 		return schedule.NotDone, job.MachineAccepted
 	}
-	callCtx, cancel := context.WithTimeout(ctx, machineTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, machineOrderTimeout)
 	defer cancel()
-	why, err := order(callCtx)
-	o.log.Info().Err(err).Str("event", event).Str("machine", string(m)).Str("refused", string(why)).Send()
-	return outcomeOf(err), why
+	refusal, err := order(callCtx)
+	o.log.Info().Err(err).Str("event", event).Str("machine", string(m)).Str("refused", string(refusal)).Send()
+	return outcomeFromError(err), refusal
 }
 
-// showWave publishes a wave's state until it is stored.
-func (o *owner) showWave(ctx context.Context, c schedule.PublishWave) {
+// publishWave publishes a wave's state until it is stored.
+func (o *owner) publishWave(ctx context.Context, c schedule.PublishWave) {
 	tx := platform.Transaction{Writes: []platform.Write{platform.WaveStatus(c.Number, c.State)}}
 	for ctx.Err() == nil {
-		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, tableWriteTimeout)
 		_, err := o.node.table.Apply(callCtx, tx)
 		cancel()
 		if err == nil {
@@ -244,10 +244,10 @@
 	}
 }
 
-// forget removes a job's rows, those as handed in first: a job without progress
+// deleteJobRows removes a job's rows, those as handed in first: a job without progress
 // would look new to the next owner. What fails is tried again by that one.
-func (o *owner) forget(ctx context.Context, c schedule.DeleteJob) {
-	callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+func (o *owner) deleteJobRows(ctx context.Context, c schedule.DeleteJob) {
+	callCtx, cancel := context.WithTimeout(ctx, tableWriteTimeout)
 	defer cancel()
 	_, err := o.node.table.Apply(callCtx, platform.Transaction{Removals: []platform.RowKey{jobKey(c.Job), cancelKey(c.Job)}})
 	if err == nil {
--- /dev/null
+++ b/io/node/jobstore.go
@@ -0,0 +1,294 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"lavenderpond/core/contact"
+	"lavenderpond/core/job"
+	"lavenderpond/io/supervisor"
+	"lavenderpond/platform"
+)
+
+const (
+	// minCallTimeout is the shortest wait for one answer of the table, which answers in
+	// about 4 ms.
+	minCallTimeout = 300 * time.Millisecond
+	// freshContactAge is how old the table's last word may be for a submission to be
+	// sent at once; before others the table is asked for the job.
+	freshContactAge = 100 * time.Millisecond
+	// lookupTimeout bounds that question, askUnlessSlow is the usual time of an answer
+	// from which on it would cost more than it saves.
+	lookupTimeout    = 250 * time.Millisecond
+	lookupMaxLatency = 50 * time.Millisecond
+	// probeTimeout bounds a call that finds out whether the table is back; its caller
+	// can go to another entry VM meanwhile. It covers an answer of a slow table.
+	probeTimeout = 400 * time.Millisecond
+	// callRetryDelay is the pause before a call is tried again.
+	callRetryDelay = 40 * time.Millisecond
+	// refusalTimeout is how long a refused or unreachable table is tried again
+	// before the caller is told to come back: it may be this entry VM alone that
+	// is turned away, and another one can serve.
+	refusalTimeout = 400 * time.Millisecond
+)
+
+// errOutcomeUnknown says that a request may or may not have been stored.
+var errOutcomeUnknown = errors.New("it is not known whether the request was stored")
+
+// errNotStored says that a request was not stored and never will be.
+var errNotStored = errors.New("the request was not stored")
+
+// jobStore hands jobs in, shows and cancels them, in the table.
+type jobStore struct {
+	table         *platform.Table
+	recordLatency func(d time.Duration)
+	health        *tableHealth
+	// rowBytes is the largest row that the table takes; 0 means that it isn't known.
+	rowBytes int
+
+	latency latencyEstimator
+}
+
+// withRetries calls f, which needs a part of the table, until it succeeds, fails for good,
+// or until is reached. maybe tells whether an attempt without an answer may have been
+// carried out.
+func (s *jobStore) withRetries(ctx context.Context, deadline time.Time, part string, call func(ctx context.Context) error) (maybeApplied bool, err error) {
+	refuseAt := bootNow().Add(refusalTimeout)
+	for timeout := s.latency.timeout(minCallTimeout); ; timeout *= 2 {
+		now := bootNow()
+		if !now.Before(deadline) && !maybeApplied {
+			// Nothing was sent, or all that was sent was refused.
+			return false, errors.Wrap(errNotStored, "out of time")
+		}
+		if !now.Before(deadline) {
+			return maybeApplied, errors.Wrap(errOutcomeUnknown, "out of time")
+		}
+		callCtx, cancel := context.WithTimeout(ctx, min(timeout, deadline.Sub(now)))
+		err = call(callCtx)
+		cancel()
+		took := bootNow().Sub(now)
+		s.recordLatency(took)
+		s.latency.observe(took, !errors.Is(err, platform.ErrNoAnswer))
+		if err == nil || deadline.Sub(now) >= timeout {
+			// A call that ended with its caller's patience says nothing of the part.
+			s.recordOutcome(part, err)
+		}
+		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
+		switch {
+		case refused && !maybeApplied && bootNow().After(refuseAt):
+			return false, errors.Wrap(errNotStored, err.Error())
+		case refused:
+		case errors.Is(err, platform.ErrNoAnswer):
+			maybeApplied = true
+		default:
+			return maybeApplied, err
+		}
+		if !supervisor.Sleep(ctx, callRetryDelay) {
+			return maybeApplied, errors.Wrap(errOutcomeUnknown, "stopping")
+		}
+	}
+}
+
+// recordOutcome takes in what came of a call to a part. A table that is busy is there.
+func (s *jobStore) recordOutcome(part string, err error) {
+	var conflict *platform.ConflictError
+	switch {
+	case err == nil, errors.As(err, &conflict):
+		s.health.recordAnswer(part)
+	case errors.Is(err, platform.ErrNoAnswer), errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrNotSent):
+		s.health.recordFailure(part)
+	}
+}
+
+// errTooLarge says that a job is larger than a row of the table.
+var errTooLarge = errors.New("the job is too large to be stored")
+
+// errTableSilent says that the table didn't answer a question.
+var errTableSilent = errors.New("the table does not answer")
+
+// lookupBeforeSubmit finds out whether the table can be reached, if its last word isn't fresh,
+// and whether it has the job. A submission that is sent into a partition can't be
+// refused any more, since it may be carried out later, and its caller can't try
+// again elsewhere: 44 of 3,400 jobs were lost so when a zone was cut off. After a
+// question without an answer nothing has been sent, and the caller goes elsewhere.
+func (s *jobStore) lookupBeforeSubmit(ctx context.Context, id job.ID, decision contact.Decision) (known bool, err error) {
+	if decision == contact.Call && (s.health.sinceLastAnswer() < freshContactAge || s.latency.slowerThan(lookupMaxLatency)) {
+		return false, nil
+	}
+	timeout := lookupTimeout
+	if decision == contact.Probe {
+		timeout = probeTimeout
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	started := bootNow()
+	snapshot, err := s.table.List(ctx, jobRowRange(id))
+	s.recordLatency(bootNow().Sub(started))
+	s.recordOutcome(jobPart(id), err)
+	switch {
+	case errors.Is(err, platform.ErrNoAnswer):
+		return false, errors.Wrap(errNotStored, errTableSilent.Error())
+	case err != nil:
+		// A refusal says that the table can be reached.
+		return false, nil //nolint:nilerr // The submission itself will be refused, and tries again.
+	}
+	return len(snapshot.Rows) > 0, nil
+}
+
+// jobRowRange is the range of a job's rows as handed in.
+func jobRowRange(id job.ID) platform.Range {
+	return platform.Range{
+		Table: jobTable, Part: jobPart(id), From: cancelKey(id).Key, To: jobKey(id).Key + "\x00",
+	}
+}
+
+// submit stores a job once. A job that is there already, in any state, is not
+// stored again; that is no error.
+func (s *jobStore) submit(ctx context.Context, deadline time.Time, j job.Job, decision contact.Decision) error {
+	if known, err := s.lookupBeforeSubmit(ctx, j.ID, decision); known || err != nil {
+		return err
+	}
+	value, err := encodeRow(j)
+	if err != nil {
+		return err
+	}
+	if s.rowBytes > 0 && len(value) > s.rowBytes {
+		return errors.Wrapf(errTooLarge, "%d bytes, compressed, of %d", len(value), s.rowBytes)
+	}
+	tx := platform.Transaction{
+		Conditions: []platform.Condition{{RowKey: jobKey(j.ID)}, {RowKey: cancelKey(j.ID)}},
+		Writes:     []platform.Write{{RowKey: jobKey(j.ID), Value: value}},
+	}
+	maybeApplied, err := s.withRetries(ctx, deadline, jobPart(j.ID), func(ctx context.Context) error {
+		_, err := s.table.Apply(ctx, tx)
+		return err
+	})
+	var conflict *platform.ConflictError
+	switch {
+	case err == nil, errors.As(err, &conflict):
+		return nil
+	case maybeApplied:
+		return errors.Wrap(errOutcomeUnknown, err.Error())
+	}
+	return err
+}
+
+// show returns a job's state; known is false if there is no such job.
+func (s *jobStore) show(ctx context.Context, deadline time.Time, id job.ID) (state job.State, known bool, err error) {
+	progressRow, jobRow, cancelRow, err := s.read(ctx, deadline, id)
+	switch {
+	case err != nil:
+		return 0, false, err
+	case progressRow != nil:
+		progress, err := decodeRow[job.Progress](progressRow)
+		return progress.State, true, err
+	case cancelRow != nil && jobRow != nil:
+		return job.Cancelled, true, nil
+	}
+	return job.Pending, jobRow != nil, nil
+}
+
+// read returns a job's rows, those as handed in only if there is no progress yet.
+func (s *jobStore) read(ctx context.Context, deadline time.Time, id job.ID) (progress, submitted, cancellation *platform.Row, err error) {
+	if progress, err = s.get(ctx, deadline, progressKey(id)); err != nil || progress != nil {
+		return progress, nil, nil, err
+	}
+	submitted, cancellation, err = s.getJob(ctx, deadline, id)
+	return nil, submitted, cancellation, err
+}
+
+func (s *jobStore) get(ctx context.Context, deadline time.Time, k platform.RowKey) (row *platform.Row, err error) {
+	_, err = s.withRetries(ctx, deadline, k.Part, func(ctx context.Context) error {
+		row, _, err = s.table.Get(ctx, k)
+		return err
+	})
+	return row, err
+}
+
+// getJob reads the job as handed in and its cancellation in one call.
+func (s *jobStore) getJob(ctx context.Context, deadline time.Time, id job.ID) (submitted, cancellation *platform.Row, err error) {
+	_, err = s.withRetries(ctx, deadline, jobPart(id), func(ctx context.Context) error {
+		snapshot, err := s.table.List(ctx, jobRowRange(id))
+		if err != nil {
+			return err
+		}
+		for i := range snapshot.Rows {
+			switch row := &snapshot.Rows[i]; row.Key {
+			case jobKey(id).Key:
+				submitted = row
+			case cancelKey(id).Key:
+				cancellation = row
+			}
+		}
+		return nil
+	})
+	return submitted, cancellation, err
+}
+
+// cancel stores that a job is not wanted any more; known is false if there is
+// no such job. An unknown one is marked too, so that its submission can't be
+// stored later by a call that is still on its way.
+func (s *jobStore) cancel(ctx context.Context, deadline time.Time, id job.ID) (known bool, err error) {
+	for range maxCancelAttempts {
+		progressRow, err := s.get(ctx, deadline, progressKey(id))
+		if err != nil {
+			return false, err
+		}
+		if progressRow != nil {
+			progress, err := decodeRow[job.Progress](progressRow)
+			if err != nil || progress.State.Final() {
+				return true, err
+			}
+		}
+		j, c, err := s.getJob(ctx, deadline, id)
+		if err != nil {
+			return false, err
+		}
+		if c != nil {
+			return j != nil, nil
+		}
+		stored, err := s.storeCancellation(ctx, deadline, id, j)
+		if err != nil || stored {
+			return j != nil, err
+		}
+	}
+	return false, errors.Wrap(errOutcomeUnknown, "the job changes all the time")
+}
+
+// maxCancelAttempts bounds how often a cancellation starts anew when the job's rows
+// change between reading and writing: they are written once each.
+const maxCancelAttempts = 3
+
+// storeCancellation writes the cancellation if the job's row is still as read.
+func (s *jobStore) storeCancellation(ctx context.Context, deadline time.Time, id job.ID, jobRow *platform.Row) (bool, error) {
+	version := platform.Version(0)
+	if jobRow != nil {
+		version = jobRow.Version
+	}
+	tx := platform.Transaction{
+		Conditions: []platform.Condition{{RowKey: jobKey(id), Version: version}},
+		Writes:     []platform.Write{{RowKey: cancelKey(id), Value: []byte("{}")}},
+	}
+	_, err := s.withRetries(ctx, deadline, jobPart(id), func(ctx context.Context) error {
+		_, err := s.table.Apply(ctx, tx)
+		return err
+	})
+	var conflict *platform.ConflictError
+	if errors.As(err, &conflict) {
+		return false, nil
+	}
+	return err == nil, err
+}
+
+// backlog returns the number of a queue's jobs that haven't begun, as the owner
+// last wrote it.
+func (s *jobStore) backlog(ctx context.Context, deadline time.Time) (renewalRow, platform.Version, error) {
+	row, err := s.get(ctx, deadline, renewalKey)
+	if err != nil || row == nil {
+		return renewalRow{}, 0, err
+	}
+	r, err := decodeRow[renewalRow](row)
+	return r, row.Version, err
+}
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -18,75 +18,75 @@
 // loadTimeout bounds the reading of whole tables. One that stands still ends sooner.
 const loadTimeout = 12 * time.Second
 
-// readsAtOnce is how many parts of the job table are read at a time. Over a slow link more
+// maxConcurrentReads is how many parts of the job table are read at a time. Over a slow link more
 // of them starve one another, and the renewals of the owner's right with them.
-const readsAtOnce = 8
+const maxConcurrentReads = 8
 
-// legacy is what former owners left in the table.
-type legacy struct {
+// storedState is what former owners left in the table.
+type storedState struct {
 	jobs, progress, waves, vms, orders []platform.Row
-	// jobsFrom is the version from which the feed of jobs goes on.
-	jobsFrom platform.Version
+	// jobFeedVersion is the version from which the feed of jobs goes on.
+	jobFeedVersion platform.Version
 }
 
 // load reads what the former owner left. It is tried until the right is lost.
 func (o *owner) load(ctx context.Context) error {
 	for ctx.Err() == nil {
-		l, err := o.readLegacy(ctx)
+		state, err := o.readStoredState(ctx)
 		if err == nil {
-			o.jobsFrom = l.jobsFrom
-			o.restore(l)
+			o.jobFeedVersion = state.jobFeedVersion
+			o.restore(state)
 			return nil
 		}
 		o.log.Warn().Err(err).Str("event", "load_failed").Send()
-		supervisor.Sleep(ctx, feedRetry)
+		supervisor.Sleep(ctx, feedRetryDelay)
 	}
 	return context.Cause(ctx)
 }
 
-func (o *owner) readLegacy(ctx context.Context) (legacy, error) {
+func (o *owner) readStoredState(ctx context.Context) (storedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	var l legacy
-	var failed [4]error
+	var state storedState
+	var errs [4]error
 	var g supervisor.Group
 	read := func(err *error, rows *[]platform.Row, table string) {
-		g.Go(func() { *rows, _, *err = o.node.table.ListAll(ctx, table, part) })
+		g.Go(func() { *rows, _, *err = o.node.table.ListAll(ctx, table, mainPart) })
 	}
-	read(&failed[0], &l.waves, waveTable)
-	read(&failed[1], &l.vms, vmTable)
-	read(&failed[2], &l.orders, orderTable)
-	l.jobs, l.jobsFrom, failed[3] = o.loadJobs(ctx)
+	read(&errs[0], &state.waves, waveTable)
+	read(&errs[1], &state.vms, vmTable)
+	read(&errs[2], &state.orders, machineOrderTable)
+	state.jobs, state.jobFeedVersion, errs[3] = o.loadJobs(ctx)
 	g.Wait()
-	for _, err := range failed {
+	for _, err := range errs {
 		if err != nil {
-			return l, err
+			return state, err
 		}
 	}
 	// The progress is read after the jobs: a job that ends in between is then
 	// known to be over.
 	var err error
-	l.progress, _, err = o.node.table.ListAll(ctx, progressTable, part)
-	return l, err
+	state.progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPart)
+	return state, err
 }
 
 // loadJobs reads the jobs of all parts. The feed goes on from the oldest
 // of the readings.
 func (o *owner) loadJobs(ctx context.Context) ([]platform.Row, platform.Version, error) {
-	var parts [jobParts][]platform.Row
-	var versions [jobParts]platform.Version
-	var failed [jobParts]error
+	var parts [jobPartCount][]platform.Row
+	var versions [jobPartCount]platform.Version
+	var errs [jobPartCount]error
 	var next atomic.Int32
 	var g supervisor.Group
-	for range readsAtOnce {
+	for range maxConcurrentReads {
 		g.Go(func() {
-			for i := int(next.Add(1)) - 1; i < jobParts; i = int(next.Add(1)) - 1 {
-				parts[i], versions[i], failed[i] = o.node.table.ListAll(ctx, jobTable, jobPartName(i))
+			for i := int(next.Add(1)) - 1; i < jobPartCount; i = int(next.Add(1)) - 1 {
+				parts[i], versions[i], errs[i] = o.node.table.ListAll(ctx, jobTable, jobPartName(i))
 			}
 		})
 	}
 	g.Wait()
-	for _, err := range failed {
+	for _, err := range errs {
 		if err != nil {
 			return nil, 0, err
 		}
@@ -95,30 +95,30 @@
 }
 
 // restore makes a scheduler that knows what former owners left.
-func (o *owner) restore(l legacy) {
+func (o *owner) restore(l storedState) {
 	now := bootNow()
-	var before []schedule.MachineOrder
+	var previousOrders []schedule.MachineOrder
 	orders := decodeRows[schedule.MachineOrder](l.orders, o.log)
 	for _, id := range slices.Sorted(maps.Keys(orders)) {
-		before = append(before, orders[id])
+		previousOrders = append(previousOrders, orders[id])
 	}
-	o.scheduler = o.newScheduler(before)
-	o.doneInWaves = map[string][]job.MachineID{}
+	o.scheduler = o.newScheduler(previousOrders)
+	o.maintainedByWave = map[string][]job.MachineID{}
 	for key, w := range decodeRows[waveRow](l.waves, o.log) {
-		o.doneInWaves[key] = w.Done
+		o.maintainedByWave[key] = w.Done
 	}
 	o.reconfigure(now)
 	vms := decodeRows[schedule.RosterVM](l.vms, o.log)
 	for _, id := range slices.Sorted(maps.Keys(vms)) {
 		o.scheduler.AddInheritedVM(vms[id])
 	}
-	known := o.decodeProgress(l.progress)
-	for _, id := range slices.Sorted(maps.Keys(known)) {
-		if known[id].State.Final() {
+	progress := o.decodeProgress(l.progress)
+	for _, id := range slices.Sorted(maps.Keys(progress)) {
+		if progress[id].State.Final() {
 			o.scheduler.AddEndedJob(now, id)
 		}
 	}
-	o.takeJobs(now, l.jobs, known)
+	o.applyJobRows(now, l.jobs, progress)
 	o.log.Info().Str("event", "loaded").Int("jobs", len(l.jobs)).Int("vms", len(vms)).Send()
 }
 
@@ -129,13 +129,13 @@
 		Holder:       o.node.settings.Node,
 		FormerOrders: before,
 		Fence:        job.Fence(o.tenure.fence),
-		AttemptBase:  job.Attempt(o.tenure.turn * attemptsPerTurn),
+		AttemptBase:  job.Attempt(o.tenure.number * attemptsPerTenure),
 		TookOver:     o.tookOver,
 		LeaseMax:     b.LeaseMax,
 		TaskStopMax:  b.TaskStop,
 		ShrinkNotice: b.Contact,
 		MachineLease: b.MachineLease,
-		Observer:     o.node.observer,
+		Observer:     o.node.decisions,
 	})
 }
 
--- a/io/node/load_test.go
+++ b/io/node/load_test.go
@@ -17,16 +17,16 @@
 // each is given up, and its renewals with them.
 func TestNewOwnerReadsFewPartsAtATime(t *testing.T) {
 	var mu sync.Mutex
-	read, now, most := map[string]int{}, 0, 0
+	read, running, maxRunning := map[string]int{}, 0, 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		read[r.URL.Query().Get("part")]++
-		now++
-		most = max(most, now)
+		running++
+		maxRunning = max(maxRunning, running)
 		mu.Unlock()
 		time.Sleep(2 * time.Millisecond)
 		mu.Lock()
-		now--
+		running--
 		mu.Unlock()
 		_, _ = w.Write([]byte(`{"ver":5,"rows":[{"table":"t","part":"p","key":"k","ver":3}]}`))
 	}))
@@ -34,9 +34,9 @@
 	o := &owner{node: &Node{table: platform.NewTable(strings.TrimPrefix(s.URL, "http://"))}}
 	rows, from, err := o.loadJobs(t.Context())
 	assert.NilError(t, err)
-	assert.Equal(t, len(rows), jobParts)
+	assert.Equal(t, len(rows), jobPartCount)
 	assert.Equal(t, from, platform.Version(5))
-	assert.Equal(t, len(read), jobParts)
-	const few = 16
-	assert.Assert(t, most <= few, "%d at a time", most)
+	assert.Equal(t, len(read), jobPartCount)
+	const maxAllowed = 16
+	assert.Assert(t, maxRunning <= maxAllowed, "%d at a time", maxRunning)
 }
--- a/io/node/member.go
+++ b/io/node/membership.go
@@ -21,8 +21,8 @@
 const (
 	// memberTimeout bounds one attempt to write or remove a row.
 	memberTimeout = time.Second
-	// memberRetry is the pause after a failed attempt.
-	memberRetry = 300 * time.Millisecond
+	// memberRetryDelay is the pause after a failed attempt.
+	memberRetryDelay = 300 * time.Millisecond
 )
 
 // memberRow is what an entry VM says of itself to the owner.
@@ -51,7 +51,7 @@
 
 // run writes the row and removes it once ctx has ended.
 func (m *membership) run(ctx context.Context) error {
-	value, err := encode(m.row)
+	value, err := encodeRow(m.row)
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 			return nil
 		}
 		m.log.Debug().Err(err).Msg("member row was not written")
-		supervisor.Sleep(ctx, memberRetry)
+		supervisor.Sleep(ctx, memberRetryDelay)
 	}
 	return nil
 }
--- /dev/null
+++ b/io/node/metrics.go
@@ -0,0 +1,50 @@
+package node
+
+import (
+	"context"
+	"net/http"
+	"runtime"
+	"time"
+
+	metrics "github.com/rcrowley/go-metrics"
+
+	"lavenderpond/io/supervisor"
+)
+
+// gaugeInterval is how often the gauges of this process are taken.
+const gaugeInterval = 5 * time.Second
+
+// histogramSampleSize bounds what a histogram remembers.
+const histogramSampleSize = 512
+
+// processMetrics are the counters and histograms of this process.
+type processMetrics struct{ registry metrics.Registry }
+
+func newFigures() *processMetrics { return &processMetrics{registry: metrics.NewRegistry()} }
+
+// count adds one to a counter.
+func (f *processMetrics) count(name string) {
+	f.registry.GetOrRegister(name, metrics.NewCounter).(metrics.Counter).Inc(1)
+}
+
+// elapsed adds a period to a histogram of microseconds.
+func (f *processMetrics) elapsed(name string, d time.Duration) {
+	h := f.registry.GetOrRegister(name+"_us", func() metrics.Histogram {
+		return metrics.NewHistogram(metrics.NewUniformSample(histogramSampleSize))
+	})
+	h.(metrics.Histogram).Update(d.Microseconds())
+}
+
+func (f *processMetrics) run(ctx context.Context) error {
+	return supervisor.Every(ctx, gaugeInterval, func(context.Context) {
+		metrics.GetOrRegisterGauge("goroutines", f.registry).Update(int64(runtime.NumGoroutine()))
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		metrics.GetOrRegisterGauge("heap_bytes", f.registry).Update(int64(m.HeapAlloc))
+		metrics.GetOrRegisterGauge("taken_bytes", f.registry).Update(int64(m.Sys))
+	})
+}
+
+func (f *processMetrics) serve(w http.ResponseWriter, _ *http.Request) {
+	metrics.WriteOnce(f.registry, w)
+}
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -20,45 +20,45 @@
 )
 
 const (
-	// readySlack is how much older than its last look at the owner's rows the table's
+	// readinessSlack is how much older than its last look at the owner's rows the table's
 	// last word may be while this process still says that it is ready. The balancer asks
 	// once a second and takes two misses: each tenth of a second is one more in which
 	// callers are refused here. It covers an answer of a slow table. While the whole
 	// table is out of reach no entry VM is ready, and callers stay where they are.
-	readySlack = 450 * time.Millisecond
-	// drainFor is how long callers are still served after the signal to stop:
+	readinessSlack = 450 * time.Millisecond
+	// drainDuration is how long callers are still served after the signal to stop:
 	// the balancer takes two misses of a second each to send no more.
-	drainFor = 2800 * time.Millisecond
-	// closeWithin bounds the end of the last calls after that. Both fit into the
+	drainDuration = 2800 * time.Millisecond
+	// shutdownTimeout bounds the end of the last calls after that. Both fit into the
 	// six seconds that the platform grants.
-	closeWithin = 2 * time.Second
+	shutdownTimeout = 2 * time.Second
 	// headerTimeout and idleTimeout bound slow and idle callers.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 30 * time.Second
-	// lifeBytes is the length of the name of a process's life.
-	lifeBytes = 6
+	// lifeIDBytes is the length of the name of a process's life.
+	lifeIDBytes = 6
 )
 
 // Node is the process. Use New.
 type Node struct {
-	settings  platform.Settings
-	log       zerolog.Logger
-	table     *platform.Table
-	machines  *platform.Machines
-	advice    *platform.Advice
-	view      *operatorView
-	front     *front
-	candidacy *candidacy
-	metrics   *figures
-	observer  *decisionLog
-	reach     reach
-	owner     atomic.Pointer[owner]
-	stop      atomic.Bool
+	settings      platform.Settings
+	log           zerolog.Logger
+	table         *platform.Table
+	machines      *platform.Machines
+	advice        *platform.Advice
+	view          *operatorView
+	callers       *callerHandler
+	election      *election
+	metrics       *processMetrics
+	decisions     *decisionLog
+	health        tableHealth
+	owner         atomic.Pointer[owner]
+	stopRequested atomic.Bool
 }
 
 // New prepares a process.
 func New(s platform.Settings, log zerolog.Logger) (*Node, error) {
-	life := make([]byte, lifeBytes)
+	life := make([]byte, lifeIDBytes)
 	if _, err := rand.Read(life); err != nil {
 		return nil, errors.Wrap(err, "name of this life")
 	}
@@ -70,19 +70,19 @@
 	if s.AdviceAddress != "" {
 		n.advice = platform.NewAdvice(s.AdviceAddress)
 	}
-	n.reach.log = log
-	n.observer = &decisionLog{log: log, count: n.metrics.count, elapsed: n.metrics.elapsed}
-	n.view = &operatorView{table: n.table, log: log, changed: n.reconfigured, reach: &n.reach}
-	n.front = &front{
-		view: n.view, reach: &n.reach, log: log, count: n.metrics.count, elapsed: n.metrics.elapsed,
+	n.health.log = log
+	n.decisions = &decisionLog{log: log, count: n.metrics.count, elapsed: n.metrics.elapsed}
+	n.view = &operatorView{table: n.table, log: log, onChange: n.reconfigured, health: &n.health}
+	n.callers = &callerHandler{
+		view: n.view, health: &n.health, log: log, count: n.metrics.count, elapsed: n.metrics.elapsed,
 		jobs: &jobStore{
-			table: n.table, took: func(d time.Duration) { n.metrics.elapsed("table_call", d) },
-			reach: &n.reach, rowBytes: s.RowBytes,
+			table: n.table, recordLatency: func(d time.Duration) { n.metrics.elapsed("table_call", d) },
+			health: &n.health, rowBytes: s.RowBytes,
 		},
 	}
-	n.candidacy = &candidacy{
+	n.election = &election{
 		table: n.table, node: s.Node, life: hex.EncodeToString(life), log: log, serve: n.serve,
-		weak: s.Cores > 0 && s.Cores < weakBelow, reach: &n.reach, readsPerSecond: s.TableReadsPerSecond,
+		lowCapacity: s.Cores > 0 && s.Cores < lowCapacityCores, health: &n.health, readsPerSecond: s.TableReadsPerSecond,
 	}
 	return n, nil
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-func (n *Node) stopping() bool { return n.stop.Load() }
+func (n *Node) stopping() bool { return n.stopRequested.Load() }
 
 // Run serves until ctx ends, and then until the callers that are there have
 // their answers.
@@ -117,17 +117,17 @@
 	// The parts outlast ctx: callers are still served while this process drains.
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	front := &http.Server{Handler: n.front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	ready := &http.Server{Handler: n.probes(), ReadHeaderTimeout: headerTimeout}
+	front := &http.Server{Handler: n.callers, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	ready := &http.Server{Handler: n.probeHandler(), ReadHeaderTimeout: headerTimeout}
 	tree := supervisor.Node{Name: "node", Log: n.log, Children: []supervisor.Child{
 		{Name: "operator", Run: func(context.Context) error { return n.view.follow(life) }},
-		{Name: "candidacy", Run: func(context.Context) error { return n.candidacy.run(ctx) }},
-		{Name: "callers", Run: func(context.Context) error { return served(front.Serve(callers)) }},
-		{Name: "probes", Run: func(context.Context) error { return served(ready.Serve(probes)) }},
-		{Name: "collector", Run: (&collector{log: n.log}).run},
+		{Name: "candidacy", Run: func(context.Context) error { return n.election.run(ctx) }},
+		{Name: "callers", Run: func(context.Context) error { return ignoreServerClosed(front.Serve(callers)) }},
+		{Name: "probes", Run: func(context.Context) error { return ignoreServerClosed(ready.Serve(probes)) }},
+		{Name: "collector", Run: (&gcTuner{log: n.log}).run},
 		{Name: "figures", Run: func(context.Context) error { return n.metrics.run(life) }},
 	}}
-	tree.Children = append(tree.Children, n.relaying(ctx, life)...)
+	tree.Children = append(tree.Children, n.relayChildren(ctx, life)...)
 	var g supervisor.Group
 	g.Go(func() {
 		<-ctx.Done()
@@ -140,14 +140,14 @@
 	return err
 }
 
-// relaying returns the parts that carry orders for the owner. The row goes at once when
+// relayChildren returns the parts that carry orders for the owner. The row goes at once when
 // this process is to stop; orders are taken until its end.
-func (n *Node) relaying(ctx, life context.Context) []supervisor.Child {
+func (n *Node) relayChildren(ctx, life context.Context) []supervisor.Child {
 	if n.settings.PeerAddress == "" {
 		return nil
 	}
 	m := membership{table: n.table, node: n.settings.Node, log: n.log, row: memberRow{
-		Zone: n.settings.Zone, Address: n.settings.PeerAddress, Cores: n.settings.Cores, LinkMbps: n.settings.LinkMbps, Life: n.candidacy.life,
+		Zone: n.settings.Zone, Address: n.settings.PeerAddress, Cores: n.settings.Cores, LinkMbps: n.settings.LinkMbps, Life: n.election.life,
 	}}
 	return []supervisor.Child{
 		{Name: "relay", Run: func(context.Context) error { return (&Relay{}).run(life, n.settings.PeerAddress) }},
@@ -159,13 +159,13 @@
 
 // Stop makes the process say that it isn't ready and give its rights back. The
 // context of Run has to end right after.
-func (n *Node) Stop() { n.stop.Store(true) }
+func (n *Node) Stop() { n.stopRequested.Store(true) }
 
 // drain serves on until the balancer sends no more callers, then ends.
 func (n *Node) drain(front *http.Server) {
 	front.SetKeepAlivesEnabled(false)
-	supervisor.Sleep(context.Background(), drainFor)
-	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
+	supervisor.Sleep(context.Background(), drainDuration)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := front.Shutdown(ctx); err != nil {
 		n.log.Warn().Err(err).Msg("calls were cut off")
@@ -173,7 +173,7 @@
 	}
 }
 
-func served(err error) error {
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -181,10 +181,10 @@
 }
 
 func (n *Node) ready() bool {
-	return !n.stopping() && n.view.configuration() != nil && n.reach.age() < readySlack+n.candidacy.every()
+	return !n.stopping() && n.view.configuration() != nil && n.health.sinceLastAnswer() < readinessSlack+n.election.pollInterval()
 }
 
-func (n *Node) probes() http.Handler {
+func (n *Node) probeHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -23,16 +23,16 @@
 
 // fakeTable answers transactions one after the other as told.
 type fakeTable struct {
-	mu      sync.Mutex
-	answers []func(w http.ResponseWriter)
-	bodies  []platform.Transaction
+	mu       sync.Mutex
+	answers  []func(w http.ResponseWriter)
+	requests []platform.Transaction
 }
 
 func (f *fakeTable) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var tx platform.Transaction
 	_ = json.NewDecoder(r.Body).Decode(&tx)
 	f.mu.Lock()
-	f.bodies = append(f.bodies, tx)
+	f.requests = append(f.requests, tx)
 	answer := f.answers[0]
 	if len(f.answers) > 1 {
 		f.answers = f.answers[1:]
@@ -41,14 +41,14 @@
 	answer(w)
 }
 
-func status(code int, body string) func(w http.ResponseWriter) {
+func respondWith(code int, body string) func(w http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
 		w.WriteHeader(code)
 		_, _ = io.WriteString(w, body)
 	}
 }
 
-func lost(http.ResponseWriter) { panic(http.ErrAbortHandler) }
+func dropAnswer(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
 func newFakeTable(t *testing.T, answers ...func(w http.ResponseWriter)) (*fakeTable, *platform.Table) {
 	f := &fakeTable{answers: answers}
@@ -60,38 +60,38 @@
 func newCommitter(table *platform.Table) *committer {
 	return &committer{
 		table: table, tenure: &tenure{life: "me", fence: 10}, log: zerolog.Nop(), renewal: 10,
-		backlog: func() map[job.QueueName]int { return nil }, took: func(time.Duration) {}, reach: &reach{},
+		backlog: func() map[job.QueueName]int { return nil }, recordLatency: func(time.Duration) {}, health: &tableHealth{},
 	}
 }
 
-// ownRows is the answer to a failed condition, with the renewal as given.
-func ownRows(fence int, renewal string) string {
+// conflictAnswer is the answer to a failed condition, with the renewal as given.
+func conflictAnswer(fence int, renewal string) string {
 	value := func(s string) string { b, _ := json.Marshal([]byte(s)); return string(b) }
-	return `{"rows":[{"table":"lavenderpond_owner","part":"main","key":"owner","value":"e30=","ver":` + number(fence) + `},` +
+	return `{"rows":[{"table":"lavenderpond_owner","part":"main","key":"owner","value":"e30=","ver":` + jsonNumber(fence) + `},` +
 		`{"table":"lavenderpond_owner","part":"main","key":"renewal","value":` + value(renewal) + `,"ver":21}]}`
 }
 
-func number(n int) string { b, _ := json.Marshal(n); return string(b) }
+func jsonNumber(n int) string { b, _ := json.Marshal(n); return string(b) }
 
 // A transaction is carried out and its answer is lost. It is sent again, fails on
 // its own effect, and must be taken for done: the row shows this very batch.
-func TestLostAnswerIsSettled(t *testing.T) {
-	_, table := newFakeTable(t, lost, status(http.StatusPreconditionFailed, ownRows(10, `{"life":"me","batch":1}`)))
+func TestLostAnswerIsResolvedByConflict(t *testing.T) {
+	_, table := newFakeTable(t, dropAnswer, respondWith(http.StatusPreconditionFailed, conflictAnswer(10, `{"life":"me","batch":1}`)))
 	c := newCommitter(table)
 	assert.NilError(t, c.store(t.Context(), nil))
 	assert.Equal(t, c.renewal, platform.Version(21))
-	assert.Assert(t, c.tenure.mayStart(bootNow()))
+	assert.Assert(t, c.tenure.mayStartTasks(bootNow()))
 }
 
 // Another process has taken over. Whatever the clock says, the former owner's
 // writes fail, and it must go.
-func TestDeposedOwnerLeaves(t *testing.T) {
+func TestDeposedOwnerStops(t *testing.T) {
 	for name, rows := range map[string]string{
-		"other owner":   ownRows(30, `{"life":"me","batch":1}`),
-		"other renewal": ownRows(10, `{"life":"other","batch":1}`),
-		"other batch":   ownRows(10, `{"life":"me","batch":7}`),
+		"other owner":   conflictAnswer(30, `{"life":"me","batch":1}`),
+		"other renewal": conflictAnswer(10, `{"life":"other","batch":1}`),
+		"other batch":   conflictAnswer(10, `{"life":"me","batch":7}`),
 	} {
-		_, table := newFakeTable(t, status(http.StatusPreconditionFailed, rows))
+		_, table := newFakeTable(t, respondWith(http.StatusPreconditionFailed, rows))
 		err := newCommitter(table).store(t.Context(), nil)
 		assert.Assert(t, errors.Is(err, errDeposed), "%s: %v", name, err)
 	}
@@ -99,15 +99,15 @@
 
 // Each transaction expects the last renewal. One whose answer was lost and that
 // is carried out seconds later can therefore not undo a later one.
-func TestEachTransactionExpectsTheLast(t *testing.T) {
-	f, table := newFakeTable(t, status(http.StatusOK, `{"ver":11}`), status(http.StatusOK, `{"ver":12}`))
+func TestEachTransactionExpectsTheLastRenewal(t *testing.T) {
+	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":11}`), respondWith(http.StatusOK, `{"ver":12}`))
 	c := newCommitter(table)
 	save := func(n int64) []schedule.Command {
 		return []schedule.Command{schedule.Save{Sequence: n, Job: "j", Progress: job.Progress{State: job.Running}}}
 	}
 	assert.NilError(t, c.store(t.Context(), save(1)))
 	assert.NilError(t, c.store(t.Context(), save(2)))
-	second := f.bodies[1].Conditions
+	second := f.requests[1].Conditions
 	assert.DeepEqual(t, second, []platform.Condition{
 		{RowKey: ownerKey, Version: 10}, {RowKey: renewalKey, Version: 11},
 	})
@@ -119,65 +119,65 @@
 		schedule.Save{Sequence: 1, Job: "j", Progress: job.Progress{State: job.Running}},
 		schedule.Save{Sequence: 2, Job: "j", Progress: job.Progress{State: job.Completed}},
 	}
-	kept := latest(saves)
+	kept := latestChanges(saves)
 	assert.Equal(t, len(kept), 1)
 	assert.Equal(t, kept[0].value.(job.Progress).State, job.Completed)
 }
 
 // newJobStore returns a store that has just heard of the table.
 func newJobStore(table *platform.Table) *jobStore {
-	return &jobStore{table: table, took: func(time.Duration) {}, reach: heardBefore(0)}
+	return &jobStore{table: table, recordLatency: func(time.Duration) {}, health: healthWithLastAnswer(0)}
 }
 
-// heardBefore knows a table whose last word is so old.
-func heardBefore(d time.Duration) *reach {
-	var r reach
-	r.table.RecordContact(bootNow().Add(-d))
+// healthWithLastAnswer knows a table whose last word is so old.
+func healthWithLastAnswer(d time.Duration) *tableHealth {
+	var r tableHealth
+	r.breaker.RecordContact(bootNow().Add(-d))
 	return &r
 }
 
-func body() job.Job { return job.Job{ID: "0123456789abcdef"} }
+func testJob() job.Job { return job.Job{ID: "0123456789abcdef"} }
 
 // The table doesn't answer a submission. It may be stored later, so the caller
 // must not be told that it never runs, even if later attempts are refused.
 func TestUnansweredSubmissionIsNeverRefused(t *testing.T) {
-	_, table := newFakeTable(t, lost, status(http.StatusServiceUnavailable, ""))
+	_, table := newFakeTable(t, dropAnswer, respondWith(http.StatusServiceUnavailable, ""))
 	s := newJobStore(table)
-	err := s.submit(t.Context(), bootNow().Add(700*time.Millisecond), body(), contact.Call)
-	assert.Assert(t, errors.Is(err, errUnknown), "%v", err)
+	err := s.submit(t.Context(), bootNow().Add(700*time.Millisecond), testJob(), contact.Call)
+	assert.Assert(t, errors.Is(err, errOutcomeUnknown), "%v", err)
 }
 
 // A table that refuses from the beginning has stored nothing: the caller may go
 // elsewhere, long before its patience is over.
-func TestRefusedSubmissionIsRefusedSoon(t *testing.T) {
-	_, table := newFakeTable(t, status(http.StatusServiceUnavailable, ""))
+func TestSubmissionToRefusingTableIsDeniedSoon(t *testing.T) {
+	_, table := newFakeTable(t, respondWith(http.StatusServiceUnavailable, ""))
 	s := newJobStore(table)
-	from := bootNow()
-	err := s.submit(t.Context(), from.Add(3*time.Second), body(), contact.Call)
+	started := bootNow()
+	err := s.submit(t.Context(), started.Add(3*time.Second), testJob(), contact.Call)
 	assert.Assert(t, errors.Is(err, errNotStored), "%v", err)
-	assert.Assert(t, bootNow().Sub(from) < time.Second)
+	assert.Assert(t, bootNow().Sub(started) < time.Second)
 }
 
 // The same submission arrives again, at another entry VM: it is one job.
 func TestSecondSubmissionIsAccepted(t *testing.T) {
-	_, table := newFakeTable(t, status(http.StatusPreconditionFailed, `{"rows":[]}`))
+	_, table := newFakeTable(t, respondWith(http.StatusPreconditionFailed, `{"rows":[]}`))
 	s := newJobStore(table)
-	assert.NilError(t, s.submit(t.Context(), bootNow().Add(time.Second), body(), contact.Call))
+	assert.NilError(t, s.submit(t.Context(), bootNow().Add(time.Second), testJob(), contact.Call))
 }
 
-func newFront(r *reach) *front {
+func newCallerHandler(r *tableHealth) *callerHandler {
 	conf := &job.Configuration{
 		Version: 1,
 		Queues:  []job.Queue{{Name: "q", Host: "h.example", Prefix: "/q/"}, {Name: "open", Host: "h.example", Prefix: "/open/", Public: true}},
 	}
 	conf.Index()
-	return &front{
-		view: &operatorView{conf: conf}, reach: r, log: zerolog.Nop(),
+	return &callerHandler{
+		view: &operatorView{conf: conf}, health: r, log: zerolog.Nop(),
 		count: func(string) {}, elapsed: func(string, time.Duration) {},
 	}
 }
 
-func answer(f *front, method, path string) *httptest.ResponseRecorder {
+func sendCall(f *callerHandler, method, path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(`{"spec":"x","steps":[{"count":1,"cpu":100}]}`))
 	r.Host = "h.example"
 	w := httptest.NewRecorder()
@@ -189,60 +189,60 @@
 // could not be refused any more; refused before, it goes to another entry VM. One call
 // in a while asks whether the table is back; the others send nothing.
 func TestNothingIsSentToASilentTable(t *testing.T) {
-	f, table := newFakeTable(t, lost)
-	front := newFront(heardBefore(time.Second))
+	f, table := newFakeTable(t, dropAnswer)
+	front := newCallerHandler(healthWithLastAnswer(time.Second))
 	front.jobs = newJobStore(table)
-	front.jobs.reach = front.reach
+	front.jobs.health = front.health
 	for range 5 {
-		w := answer(front, http.MethodPost, "/open/0123456789abcdef")
+		w := sendCall(front, http.MethodPost, "/open/0123456789abcdef")
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, w.Header().Get("Retry-After"), "1")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	assert.Equal(t, len(f.bodies), 1, "only the question")
-	assert.Equal(t, len(f.bodies[0].Writes), 0)
+	assert.Equal(t, len(f.requests), 1, "only the question")
+	assert.Equal(t, len(f.requests[0].Writes), 0)
 }
 
 // The part with the owner's rows is out of reach, the part of a caller's job is not:
 // the job is stored.
 func TestJobIsStoredWhileTheOwnersPartIsDown(t *testing.T) {
-	_, table := newFakeTable(t, status(http.StatusOK, `{"ver":1}`))
-	front := newFront(heardBefore(0))
+	_, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
+	front := newCallerHandler(healthWithLastAnswer(0))
 	front.jobs = newJobStore(table)
-	front.jobs.reach = front.reach
-	front.reach.failed(part)
-	w := answer(front, http.MethodPost, "/open/0123456789abcdef")
+	front.jobs.health = front.health
+	front.health.recordFailure(mainPart)
+	w := sendCall(front, http.MethodPost, "/open/0123456789abcdef")
 	assert.Equal(t, w.Code, http.StatusOK)
-	w = answer(front, http.MethodGet, "/open/")
+	w = sendCall(front, http.MethodGet, "/open/")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 }
 
 // A caller whose zone is cut off keeps its connection and would be refused at each try.
 // It is told to open a new one; callers who are refused for what they sent keep theirs.
-func TestCallerRefusedByACutProcessReconnects(t *testing.T) {
-	r := heardBefore(time.Second)
+func TestCallerRefusedWithoutTableReconnects(t *testing.T) {
+	r := healthWithLastAnswer(time.Second)
 	assert.Equal(t, r.decide(jobPart("0123456789abcdef")), contact.Probe)
-	f := newFront(r)
-	w := answer(f, http.MethodPost, "/open/0123456789abcdef")
+	f := newCallerHandler(r)
+	w := sendCall(f, http.MethodPost, "/open/0123456789abcdef")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Header().Get("Connection"), "close")
-	assert.Equal(t, answer(f, http.MethodGet, "/none/x").Header().Get("Connection"), "")
+	assert.Equal(t, sendCall(f, http.MethodGet, "/none/x").Header().Get("Connection"), "")
 }
 
 func TestUnknownRoutesAndKeys(t *testing.T) {
-	f := newFront(heardBefore(0))
-	assert.Equal(t, answer(f, http.MethodGet, "/none/x").Code, http.StatusNotFound)
-	assert.Equal(t, answer(f, http.MethodGet, "/q/0123456789abcdef").Code, http.StatusUnauthorized)
-	assert.Equal(t, answer(f, http.MethodGet, "/open/short").Code, http.StatusBadRequest)
+	f := newCallerHandler(healthWithLastAnswer(0))
+	assert.Equal(t, sendCall(f, http.MethodGet, "/none/x").Code, http.StatusNotFound)
+	assert.Equal(t, sendCall(f, http.MethodGet, "/q/0123456789abcdef").Code, http.StatusUnauthorized)
+	assert.Equal(t, sendCall(f, http.MethodGet, "/open/short").Code, http.StatusBadRequest)
 }
 
 // Decisions come faster than the bound. Lines are left out, and the next line of
 // the kind says how many.
-func TestLeftOutLinesAreCounted(t *testing.T) {
+func TestOmittedLogLinesAreCounted(t *testing.T) {
 	l := &decisionLog{log: zerolog.Nop(), count: func(string) {}, elapsed: func(string, time.Duration) {}}
 	left := 0
-	for range linesPerSecond + 10 {
+	for range maxLinesPerSecond + 10 {
 		if _, ok := l.admit(schedule.TaskStarted); !ok {
 			left++
 		}
@@ -262,11 +262,11 @@
 	} {
 		value, err := json.Marshal([]byte(renewal))
 		assert.NilError(t, err)
-		_, table := newFakeTable(t, status(http.StatusOK,
+		_, table := newFakeTable(t, respondWith(http.StatusOK,
 			`{"rows":[{"table":"lavenderpond_owner","part":"main","key":"renewal","value":`+string(value)+`,"ver":9}],"ver":9}`))
-		f := newFront(heardBefore(0))
+		f := newCallerHandler(healthWithLastAnswer(0))
 		f.jobs = newJobStore(table)
-		w := answer(f, http.MethodGet, "/open/")
+		w := sendCall(f, http.MethodGet, "/open/")
 		assert.Equal(t, w.Code, want, renewal)
 		if want == http.StatusOK {
 			assert.Equal(t, w.Body.String(), `{"backlog":6}`)
@@ -290,11 +290,11 @@
 // this call, so it isn't answered as unknown, after which the caller could not try
 // again: it is told that this call was not carried out.
 func TestCallWithoutTimeIsRefused(t *testing.T) {
-	f, table := newFakeTable(t, status(http.StatusOK, `{"ver":1}`))
+	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
-	err := s.submit(t.Context(), bootNow().Add(-time.Millisecond), body(), contact.Call)
+	err := s.submit(t.Context(), bootNow().Add(-time.Millisecond), testJob(), contact.Call)
 	assert.Assert(t, errors.Is(err, errNotStored), "%v", err)
-	assert.Equal(t, len(f.bodies), 0)
+	assert.Equal(t, len(f.requests), 0)
 }
 
 // The table takes 400 ms for an answer. A submission that is given up after 300 ms
@@ -302,54 +302,54 @@
 // submissions are what makes it slower still. Once it is known to be slow, one
 // call waits long enough.
 func TestSlowTableIsWaitedFor(t *testing.T) {
-	s := &answerTimes{}
-	assert.Equal(t, s.patience(callLeast), callLeast)
-	s.learn(callLeast, false)
-	s.learn(400*time.Millisecond, true)
-	assert.Assert(t, s.patience(callLeast) > 500*time.Millisecond, "%v", s.patience(callLeast))
+	s := &latencyEstimator{}
+	assert.Equal(t, s.timeout(minCallTimeout), minCallTimeout)
+	s.observe(minCallTimeout, false)
+	s.observe(400*time.Millisecond, true)
+	assert.Assert(t, s.timeout(minCallTimeout) > 500*time.Millisecond, "%v", s.timeout(minCallTimeout))
 	for range 50 {
-		s.learn(4*time.Millisecond, true)
+		s.observe(4*time.Millisecond, true)
 	}
-	assert.Equal(t, s.patience(callLeast), callLeast)
+	assert.Equal(t, s.timeout(minCallTimeout), minCallTimeout)
 }
 
 // A zone is cut off a moment before a caller hands a job in there. The entry VM
 // hasn't noticed yet. It asks before it writes, and since there is no answer it
 // refuses: nothing of the job is on its way, and the caller may go elsewhere.
 func TestSubmissionIntoAPartitionIsRefused(t *testing.T) {
-	f, table := newFakeTable(t, lost)
+	f, table := newFakeTable(t, dropAnswer)
 	s := newJobStore(table)
-	s.reach = heardBefore(300 * time.Millisecond)
-	err := s.submit(t.Context(), bootNow().Add(3*time.Second), body(), contact.Call)
+	s.health = healthWithLastAnswer(300 * time.Millisecond)
+	err := s.submit(t.Context(), bootNow().Add(3*time.Second), testJob(), contact.Call)
 	assert.Assert(t, errors.Is(err, errNotStored), "%v", err)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, tx := range f.bodies {
+	for _, tx := range f.requests {
 		assert.Equal(t, len(tx.Writes), 0)
 	}
 }
 
 // The question finds the job: it is the caller's second try, and is accepted.
-func TestAskedForJobIsKnown(t *testing.T) {
-	f, table := newFakeTable(t, status(http.StatusOK, `{"rows":[{"key":"0123456789abcdef/job","value":"e30=","ver":3}],"ver":9}`))
+func TestResubmittedJobIsFoundByLookup(t *testing.T) {
+	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"rows":[{"key":"0123456789abcdef/job","value":"e30=","ver":3}],"ver":9}`))
 	s := newJobStore(table)
-	s.reach = heardBefore(300 * time.Millisecond)
-	assert.NilError(t, s.submit(t.Context(), bootNow().Add(3*time.Second), body(), contact.Call))
-	assert.Equal(t, len(f.bodies), 1)
+	s.health = healthWithLastAnswer(300 * time.Millisecond)
+	assert.NilError(t, s.submit(t.Context(), bootNow().Add(3*time.Second), testJob(), contact.Call))
+	assert.Equal(t, len(f.requests), 1)
 }
 
 // A caller hands in a job of 3,000 steps, which is within the body's limit but four
 // times as long as a row. It is stored compressed, and the owner reads it whole.
 func TestLargeJobIsStoredWhole(t *testing.T) {
-	f, table := newFakeTable(t, status(http.StatusOK, `{"ver":1}`))
+	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
 	s.rowBytes = rowBytes
-	j := body()
+	j := testJob()
 	for range 3000 {
 		j.Body.Steps = append(j.Body.Steps, job.Step{Count: 4, Resources: job.Resources{CPU: 1500, MemMB: 512}, Estimate: time.Second})
 	}
 	assert.NilError(t, s.submit(t.Context(), bootNow().Add(time.Second), j, contact.Call))
-	stored := f.bodies[0].Writes[0].Value
+	stored := f.requests[0].Writes[0].Value
 	assert.Assert(t, len(stored) < rowBytes)
 	back, err := decodeRow[job.Job](&platform.Row{Value: stored})
 	assert.NilError(t, err)
@@ -359,10 +359,10 @@
 // A job that no row holds is refused at once and as such, not kept waiting for the
 // table and then answered as unknown.
 func TestTooLargeJobIsRefused(t *testing.T) {
-	f, table := newFakeTable(t, status(http.StatusOK, `{"ver":1}`))
+	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
 	s.rowBytes = 10
-	err := s.submit(t.Context(), bootNow().Add(time.Second), body(), contact.Call)
+	err := s.submit(t.Context(), bootNow().Add(time.Second), testJob(), contact.Call)
 	assert.Assert(t, errors.Is(err, errTooLarge), "%v", err)
-	assert.Equal(t, len(f.bodies), 0)
+	assert.Equal(t, len(f.requests), 0)
 }
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -22,21 +22,21 @@
 	// entry VM is cut off from the table, so that feeds needn't: calls are priced.
 	feedWait  = 1200 * time.Millisecond
 	feedGrace = 600 * time.Millisecond
-	// feedRetry is the pause after a failed reading.
-	feedRetry = 100 * time.Millisecond
-	// readTimeout bounds the reading of the machines list.
-	readTimeout = 1500 * time.Millisecond
+	// feedRetryDelay is the pause after a failed reading.
+	feedRetryDelay = 100 * time.Millisecond
+	// machineListTimeout bounds the reading of the machines list.
+	machineListTimeout = 1500 * time.Millisecond
 )
 
 // operatorView is what operators have set, as of the newest reading.
 type operatorView struct {
 	table *platform.Table
 	log   zerolog.Logger
-	// changed is called after each change.
-	changed func()
+	// onChange is called after each change.
+	onChange func()
 
-	// reach is told of the table's answers.
-	reach *reach
+	// health is told of the table's answers.
+	health *tableHealth
 
 	mu    sync.Mutex
 	conf  *job.Configuration
@@ -74,16 +74,16 @@
 	return slices.Sorted(maps.Keys(v.evacuated))
 }
 
-// open tells whether tasks may start in an availability zone.
-func (v *operatorView) open(z job.ZoneName) bool {
+// zoneOpen tells whether tasks may start in an availability zone.
+func (v *operatorView) zoneOpen(z job.ZoneName) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	_, evacuated := v.evacuated[z]
 	return !evacuated
 }
 
-// changes counts the changes so far.
-func (v *operatorView) changes() uint64 {
+// changeCount counts the changes so far.
+func (v *operatorView) changeCount() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.generation
@@ -98,23 +98,23 @@
 
 // follow keeps the view up to date until ctx ends.
 func (v *operatorView) follow(ctx context.Context) error {
-	f := feed{table: v.table, name: platform.OperatorTable, log: v.log}
-	return f.run(ctx, v.take, v.heard)
+	f := feed{table: v.table, tableName: platform.OperatorTable, log: v.log}
+	return f.run(ctx, v.applyRows, v.recordContact)
 }
 
 // heard notes that the table has answered a reading.
-func (v *operatorView) heard(asOf time.Time) {
-	v.reach.heardAny()
+func (v *operatorView) recordContact(asOf time.Time) {
+	v.health.recordContact()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.asOf = asOf
 }
 
-// take takes in rows; whole tells that they are all there are.
-func (v *operatorView) take(rows []platform.Row, whole bool) {
-	touched := false
-	if whole {
-		touched = v.endMissing(rows)
+// applyRows takes in rows; whole tells that they are all there are.
+func (v *operatorView) applyRows(rows []platform.Row, complete bool) {
+	modified := false
+	if complete {
+		modified = v.endMissingEvacuations(rows)
 	}
 	for _, r := range rows {
 		c, err := platform.DecodeOperatorRow(r)
@@ -122,16 +122,16 @@
 			v.log.Error().Err(err).Str("row", r.Key).Msg("operator row ignored")
 			continue
 		}
-		touched = v.apply(c) || touched
+		modified = v.apply(c) || modified
 	}
-	if touched && v.changed != nil {
-		v.changed()
+	if modified && v.onChange != nil {
+		v.onChange()
 	}
 }
 
-// endMissing ends the evacuations that a whole reading lacks: they ended while changes
+// endMissingEvacuations ends the evacuations that a whole reading lacks: they ended while changes
 // were missed.
-func (v *operatorView) endMissing(rows []platform.Row) bool {
+func (v *operatorView) endMissingEvacuations(rows []platform.Row) bool {
 	present := map[job.ZoneName]bool{}
 	for _, r := range rows {
 		if c, err := platform.DecodeOperatorRow(r); err == nil {
@@ -205,33 +205,33 @@
 // feed follows one table: all its rows first, then each change. After an outage
 // or a gap in the history it reads all rows anew.
 type feed struct {
-	table *platform.Table
-	name  string
-	part  string
-	// anyPart follows the rows of all parts; from and whole must then be set.
-	anyPart bool
-	// whole reads all rows; nil reads those of part.
-	whole func(ctx context.Context) ([]platform.Row, platform.Version, error)
-	log   zerolog.Logger
+	table     *platform.Table
+	tableName string
+	part      string
+	// allParts follows the rows of all parts; from and whole must then be set.
+	allParts bool
+	// readSnapshot reads all rows; nil reads those of part.
+	readSnapshot func(ctx context.Context) ([]platform.Row, platform.Version, error)
+	log          zerolog.Logger
 	// from, if set, skips the first reading: changes after it are wanted only.
 	from platform.Version
 }
 
 // run calls take with rows, whole if they are the whole table, and contact after each
 // answer with the time up to which all changes are known, until ctx ends.
-func (f *feed) run(ctx context.Context, take func(rows []platform.Row, whole bool), contact func(asOf time.Time)) error {
+func (f *feed) run(ctx context.Context, onRows func(rows []platform.Row, whole bool), onContact func(asOf time.Time)) error {
 	after := f.from
 	lost := false
 	for ctx.Err() == nil {
-		asked := bootNow()
+		sent := bootNow()
 		if after == 0 {
 			rows, version, err := f.readAll(ctx)
 			if err != nil {
-				lost = f.failed(ctx, err, lost)
+				lost = f.handleFailure(ctx, err, lost)
 				continue
 			}
-			take(rows, true)
-			contact(asked)
+			onRows(rows, true)
+			onContact(sent)
 			after = version
 			continue
 		}
@@ -241,17 +241,17 @@
 			after = 0
 			continue
 		case err != nil:
-			lost = f.failed(ctx, err, lost)
+			lost = f.handleFailure(ctx, err, lost)
 			continue
 		}
 		if lost {
 			lost = false
-			f.log.Info().Str("event", "feed_regained").Str("table", f.name).Send()
+			f.log.Info().Str("event", "feed_regained").Str("table", f.tableName).Send()
 		}
 		if len(s.Rows) > 0 {
-			take(f.ours(s.Rows), false)
+			onRows(f.filterPart(s.Rows), false)
 		}
-		contact(asOf(asked, bootNow(), len(s.Rows)))
+		onContact(asOf(sent, bootNow(), len(s.Rows)))
 		after = max(after, s.Version)
 	}
 	return nil
@@ -260,17 +260,17 @@
 // asOf returns up to when all changes are known after an answer of the feed with so many
 // rows. One without any has waited for them to the end of feedWait.
 func asOf(asked, answered time.Time, rows int) time.Time {
-	waited := asked.Add(feedWait)
-	if rows > 0 || answered.Before(waited) {
+	waitEnd := asked.Add(feedWait)
+	if rows > 0 || answered.Before(waitEnd) {
 		return asked
 	}
-	return waited
+	return waitEnd
 }
 
-func (f *feed) ours(rows []platform.Row) []platform.Row {
+func (f *feed) filterPart(rows []platform.Row) []platform.Row {
 	out := rows[:0]
 	for _, r := range rows {
-		if f.anyPart || r.Part == f.part {
+		if f.allParts || r.Part == f.part {
 			out = append(out, r)
 		}
 	}
@@ -280,22 +280,22 @@
 func (f *feed) readAll(ctx context.Context) ([]platform.Row, platform.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	if f.whole != nil {
-		return f.whole(ctx)
+	if f.readSnapshot != nil {
+		return f.readSnapshot(ctx)
 	}
-	return f.table.ListAll(ctx, f.name, f.part)
+	return f.table.ListAll(ctx, f.tableName, f.part)
 }
 
 func (f *feed) next(ctx context.Context, after platform.Version) (platform.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, feedWait+feedGrace)
 	defer cancel()
-	return f.table.Feed(ctx, f.name, after, feedWait)
+	return f.table.Feed(ctx, f.tableName, after, feedWait)
 }
 
-func (f *feed) failed(ctx context.Context, err error, lost bool) bool {
+func (f *feed) handleFailure(ctx context.Context, err error, lost bool) bool {
 	if ctx.Err() == nil && !lost {
-		f.log.Warn().Err(err).Str("event", "feed_lost").Str("table", f.name).Send()
+		f.log.Warn().Err(err).Str("event", "feed_lost").Str("table", f.tableName).Send()
 	}
-	supervisor.Sleep(ctx, feedRetry)
+	supervisor.Sleep(ctx, feedRetryDelay)
 	return true
 }
--- a/io/node/operator_test.go
+++ b/io/node/operator_test.go
@@ -22,39 +22,39 @@
 
 // An evacuation is in force from its row's change to its removal, however often it is
 // told of, and tells the owner each time.
-func TestEvacuationIsFollowed(t *testing.T) {
-	told := 0
-	v := &operatorView{log: zerolog.Nop(), reach: &reach{}, changed: func() { told++ }}
-	v.take([]platform.Row{evacuationRow("east", false)}, false)
-	v.take([]platform.Row{evacuationRow("east", false)}, false)
+func TestEvacuationsFollowTheTable(t *testing.T) {
+	notified := 0
+	v := &operatorView{log: zerolog.Nop(), health: &tableHealth{}, onChange: func() { notified++ }}
+	v.applyRows([]platform.Row{evacuationRow("east", false)}, false)
+	v.applyRows([]platform.Row{evacuationRow("east", false)}, false)
 	assert.DeepEqual(t, v.evacuations(), []job.ZoneName{"east"})
-	assert.Assert(t, !v.open("east") && v.open("west"))
-	assert.Equal(t, told, 1)
-	v.take([]platform.Row{evacuationRow("east", true), evacuationRow("west", false)}, false)
+	assert.Assert(t, !v.zoneOpen("east") && v.zoneOpen("west"))
+	assert.Equal(t, notified, 1)
+	v.applyRows([]platform.Row{evacuationRow("east", true), evacuationRow("west", false)}, false)
 	assert.DeepEqual(t, v.evacuations(), []job.ZoneName{"west"})
-	assert.Equal(t, told, 2)
-	assert.Equal(t, v.changes(), uint64(3))
+	assert.Equal(t, notified, 2)
+	assert.Equal(t, v.changeCount(), uint64(3))
 }
 
 // Guards against a zone that stays evacuated for good: the table forgot its history, and
 // the change that ended the evacuation with it.
 func TestMissedEndOfAnEvacuation(t *testing.T) {
-	v := &operatorView{log: zerolog.Nop(), reach: &reach{}}
-	v.take([]platform.Row{evacuationRow("east", false), evacuationRow("west", false)}, true)
-	v.take([]platform.Row{evacuationRow("west", false)}, true)
+	v := &operatorView{log: zerolog.Nop(), health: &tableHealth{}}
+	v.applyRows([]platform.Row{evacuationRow("east", false), evacuationRow("west", false)}, true)
+	v.applyRows([]platform.Row{evacuationRow("west", false)}, true)
 	assert.DeepEqual(t, v.evacuations(), []job.ZoneName{"west"})
 }
 
 // Guards against starts by an owner whose right is fresh while its feed of the operators'
 // rows is silent: it knows nothing of evacuations since.
-func TestOldViewStartsNothing(t *testing.T) {
-	n := &Node{view: &operatorView{log: zerolog.Nop(), reach: &reach{}}}
+func TestStaleOperatorViewStartsNothing(t *testing.T) {
+	n := &Node{view: &operatorView{log: zerolog.Nop(), health: &tableHealth{}}}
 	n.settings.Bounds.Evacuate = 5 * time.Second
 	now := bootNow()
 	o := &owner{node: n, tenure: &tenure{}}
-	o.tenure.prove(now, now)
-	n.view.heard(now.Add(-3900 * time.Millisecond))
-	assert.Assert(t, o.mayStart(now))
-	n.view.heard(now.Add(-4100 * time.Millisecond))
-	assert.Assert(t, !o.mayStart(now))
+	o.tenure.confirm(now, now)
+	n.view.recordContact(now.Add(-3900 * time.Millisecond))
+	assert.Assert(t, o.mayStartTasks(now))
+	n.view.recordContact(now.Add(-4100 * time.Millisecond))
+	assert.Assert(t, !o.mayStartTasks(now))
 }
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	// tickEvery is how often the owner looks for what is due.
-	tickEvery = 40 * time.Millisecond
-	// eventsAhead bounds the events that wait for the owner's loop; what brings
+	// tickInterval is how often the owner looks for what is due.
+	tickInterval = 40 * time.Millisecond
+	// eventQueueSize bounds the events that wait for the owner's loop; what brings
 	// them waits while it is full.
-	eventsAhead = 1024
-	// machinesEvery is how often the machines list is read.
-	machinesEvery = 500 * time.Millisecond
-	// attemptsPerTurn is more starts of one task than fit into one tenure.
-	attemptsPerTurn = 10_000
+	eventQueueSize = 1024
+	// machineListInterval is how often the machines list is read.
+	machineListInterval = 500 * time.Millisecond
+	// attemptsPerTenure is more starts of one task than fit into one tenure.
+	attemptsPerTenure = 10_000
 )
 
 // owner runs the scheduler for one tenure and carries out its commands.
 type owner struct {
-	node      *Node
-	tenure    *tenure
-	log       zerolog.Logger
-	tookOver  time.Time
-	scheduler *schedule.Scheduler
-	committer *committer
-	events    chan event
-	orders    *orders
-	relays    *relays
-	workers   supervisor.Workers
-	jobsFrom  platform.Version
-	backlog   backlogCount
-	// view counts the changes of the operators' view that the scheduler knows.
-	view uint64
-	// doneInWaves are the machines that former owners saw back from their upkeep,
+	node           *Node
+	tenure         *tenure
+	log            zerolog.Logger
+	tookOver       time.Time
+	scheduler      *schedule.Scheduler
+	committer      *committer
+	events         chan event
+	router         *orderRouter
+	relays         *relaySet
+	workers        supervisor.Workers
+	jobFeedVersion platform.Version
+	backlog        backlogCount
+	// viewChanges counts the changes of the operators' view that the scheduler knows.
+	viewChanges uint64
+	// maintainedByWave are the machines that former owners saw back from their upkeep,
 	// by the key of the wave.
-	doneInWaves map[string][]job.MachineID
+	maintainedByWave map[string][]job.MachineID
 }
 
 // serve is the owner's life from take-over to the loss of its right.
 func (n *Node) serve(ctx context.Context, t *tenure, renewal platform.Version) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	o := &owner{node: n, tenure: t, log: n.log, events: make(chan event, eventsAhead), tookOver: bootNow()}
-	o.orders = &orders{owner: o, clients: map[job.VMID]*vmClient{}}
+	o := &owner{node: n, tenure: t, log: n.log, events: make(chan event, eventQueueSize), tookOver: bootNow()}
+	o.router = &orderRouter{owner: o, clients: map[job.VMID]*vmClient{}}
 	o.committer = &committer{
 		table: n.table, tenure: t, log: n.log, renewal: renewal, wake: make(chan struct{}, 1),
-		stored:  func(s int64) { o.send(ctx, stored{s}) },
-		backlog: o.backlog.get,
-		entries: func() int { return o.relays.memberCount() },
-		took:    func(d time.Duration) { n.metrics.elapsed("table_commit", d) },
-		reach:   &n.reach,
+		onStored:      func(s int64) { o.send(ctx, savesStored{s}) },
+		backlog:       o.backlog.get,
+		entries:       func() int { return o.relays.memberCount() },
+		recordLatency: func(d time.Duration) { n.metrics.elapsed("table_commit", d) },
+		health:        &n.health,
 	}
 	var g supervisor.Group
 	run := func(f func(ctx context.Context) error) {
@@ -68,7 +68,7 @@
 			}
 		})
 	}
-	o.relays = newRelays(n.settings.PeerAddress, n.log)
+	o.relays = newRelaySet(n.settings.PeerAddress, n.log)
 	run(o.committer.run)
 	run(func(ctx context.Context) error { return o.relays.follow(ctx, n.table) })
 	run(o.relays.run)
@@ -85,10 +85,10 @@
 	o.loop(ctx)
 	g.Wait()
 	o.workers.Wait()
-	o.orders.close()
+	o.router.close()
 	err := context.Cause(ctx)
 	if n.stopping() && !errors.Is(err, errDeposed) {
-		n.candidacy.vacate(t)
+		n.election.vacate(t)
 	}
 	return err
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// takeJobs takes in rows of the job table.
-func (o *owner) takeJobs(now time.Time, rows []platform.Row, known map[job.ID]*job.Progress) {
+// applyJobRows takes in rows of the job table.
+func (o *owner) applyJobRows(now time.Time, rows []platform.Row, known map[job.ID]*job.Progress) {
 	var cancelled []job.ID
 	for i := range rows {
 		r := &rows[i]
@@ -139,63 +139,63 @@
 
 // loop takes in events and carries out commands until ctx ends.
 func (o *owner) loop(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var pacer turnPacer
+	var pacer cyclePacer
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		case e := <-o.events:
-			o.take(bootNow(), e)
+			o.handle(bootNow(), e)
 		}
 		supervisor.Sleep(ctx, pacer.pause(bootNow()))
-		o.drain()
-		begun := bootNow()
-		o.turn(ctx, begun)
-		pacer.took(begun, bootNow())
+		o.drainEvents()
+		started := bootNow()
+		o.runCycle(ctx, started)
+		pacer.recordCycle(started, bootNow())
 	}
 }
 
-// turn decides on all that was taken in and carries out what was decided.
-func (o *owner) turn(ctx context.Context, now time.Time) {
-	if o.node.view.changes() != o.view {
+// runCycle decides on all that was taken in and carries out what was decided.
+func (o *owner) runCycle(ctx context.Context, now time.Time) {
+	if o.node.view.changeCount() != o.viewChanges {
 		o.reconfigure(now)
 	}
 	o.scheduler.RaiseFence(job.Fence(o.tenure.lastRenewal()))
 	o.scheduler.SetRights(schedule.Rights{
-		Order: o.tenure.mayOrder(now), Start: o.mayStart(now), Hold: o.tenure.mayHold(now),
+		Order: o.tenure.mayOrderMachines(now), Start: o.mayStartTasks(now), Hold: o.tenure.mayExtendLeases(now),
 	})
-	o.relays.wanted.Store(o.scheduler.VMCount() >= relayFrom)
+	o.relays.wanted.Store(o.scheduler.VMCount() >= minVMsForRelays)
 	o.scheduler.Tick(now)
 	o.scheduler.Assign(now, time.Now())
 	o.backlog.set(o.scheduler.Backlog(now))
-	o.carryOut(ctx, o.scheduler.TakeCommands())
+	o.execute(ctx, o.scheduler.TakeCommands())
 }
 
-// drain takes in the events that are there already.
-func (o *owner) drain() {
+// drainEvents takes in the events that are there already.
+func (o *owner) drainEvents() {
 	for {
 		select {
 		case e := <-o.events:
-			o.take(bootNow(), e)
+			o.handle(bootNow(), e)
 		default:
 			return
 		}
 	}
 }
 
-func (o *owner) take(now time.Time, e event) {
+func (o *owner) handle(now time.Time, e event) {
 	s := o.scheduler
 	switch e := e.(type) {
-	case rowsChanged:
-		o.takeJobs(now, e.rows, o.decodeProgress(e.progress))
-	case vmsChanged:
-		o.takeVMs(now, e)
+	case jobRowsChanged:
+		o.applyJobRows(now, e.rows, o.decodeProgress(e.progress))
+	case vmRowsChanged:
+		o.applyVMRows(now, e)
 	case directoryRead:
 		s.DirectoryRead(e.asOf)
-	case stored:
+	case savesStored:
 		s.SavesStored(now, e.sequence)
 	case startAnswered:
 		s.StartAnswered(now, e.order, e.outcome, e.report)
@@ -204,12 +204,12 @@
 	case holdAnswered:
 		s.HoldAnswered(now, e.order, e.outcome, e.report)
 	case machinesListed:
-		s.Machines(e.asked, e.machines)
+		s.Machines(e.requestedAt, e.machines)
 	case upkeepAnswered:
 		s.UpkeepAnswered(now, e.order, e.outcome, e.refusal)
 	case moveAnswered:
 		s.MoveAnswered(now, e.order, e.outcome, e.refusal)
-	case advised:
+	case approvalsReceived:
 		s.AdviceAnswered(now, e.step, e.approvals.Tickets, e.approvals.Valid)
 	case reconfigured:
 		// The turn looks at the view.
@@ -218,13 +218,13 @@
 
 // reconfigure passes the operators' view to the scheduler.
 func (o *owner) reconfigure(now time.Time) {
-	o.view = o.node.view.changes()
+	o.viewChanges = o.node.view.changeCount()
 	o.scheduler.SetEvacuatedZones(o.node.view.evacuations())
 	if c := o.node.view.configuration(); c != nil {
 		o.scheduler.Configure(c)
 	}
 	for _, w := range o.node.view.allWaves() {
-		o.scheduler.AddWave(now, w, o.doneInWaves[waveKey(w.Number).Key])
+		o.scheduler.AddWave(now, w, o.maintainedByWave[waveKey(w.Number).Key])
 	}
 }
 
@@ -232,16 +232,16 @@
 // it may still be carried out for so long.
 const evacuationMargin = time.Second
 
-// mayStart tells whether tasks may be started. An owner that renews its right while its
+// mayStartTasks tells whether tasks may be started. An owner that renews its right while its
 // feed of the operators' rows is silent would start tasks in a zone that was evacuated
 // since.
-func (o *owner) mayStart(now time.Time) bool {
-	within := o.node.settings.Bounds.Evacuate
-	current := within == 0 || o.node.view.age(now) < within-evacuationMargin
-	return current && o.tenure.mayStart(now)
+func (o *owner) mayStartTasks(now time.Time) bool {
+	maxAge := o.node.settings.Bounds.Evacuate
+	current := maxAge == 0 || o.node.view.age(now) < maxAge-evacuationMargin
+	return current && o.tenure.mayStartTasks(now)
 }
 
-func (o *owner) takeVMs(now time.Time, e vmsChanged) {
+func (o *owner) applyVMRows(now time.Time, e vmRowsChanged) {
 	present := map[job.VMID]bool{}
 	for _, r := range e.rows {
 		if r.Removed {
@@ -257,7 +257,7 @@
 		present[v.ID] = true
 		o.scheduler.VMSeen(now, v)
 	}
-	if !e.whole {
+	if !e.complete {
 		return
 	}
 	for _, id := range o.scheduler.VMs() {
@@ -272,26 +272,26 @@
 	// jobs that have ended since would look new.
 	var progress []platform.Row
 	f := feed{
-		table: o.node.table, name: jobTable, anyPart: true, log: o.log, from: o.jobsFrom,
-		whole: func(ctx context.Context) ([]platform.Row, platform.Version, error) {
+		table: o.node.table, tableName: jobTable, allParts: true, log: o.log, from: o.jobFeedVersion,
+		readSnapshot: func(ctx context.Context) ([]platform.Row, platform.Version, error) {
 			jobs, version, err := o.loadJobs(ctx)
 			if err != nil {
 				return nil, 0, err
 			}
-			progress, _, err = o.node.table.ListAll(ctx, progressTable, part)
+			progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPart)
 			return jobs, version, err
 		},
 	}
 	return f.run(ctx, func(rows []platform.Row, _ bool) {
-		o.send(ctx, rowsChanged{rows: rows, progress: progress})
+		o.send(ctx, jobRowsChanged{rows: rows, progress: progress})
 		progress = nil
 	}, func(time.Time) {})
 }
 
 func (o *owner) followVMs(ctx context.Context) error {
-	f := feed{table: o.node.table, name: platform.VMTable, log: o.log}
+	f := feed{table: o.node.table, tableName: platform.VMTable, log: o.log}
 	return f.run(ctx, func(rows []platform.Row, whole bool) {
-		o.send(ctx, vmsChanged{rows, whole})
+		o.send(ctx, vmRowsChanged{rows, whole})
 	}, func(asOf time.Time) {
 		o.send(ctx, directoryRead{asOf})
 	})
@@ -299,16 +299,16 @@
 
 func (o *owner) followMachines(ctx context.Context) error {
 	for ctx.Err() == nil {
-		asked := bootNow()
-		callCtx, cancel := context.WithTimeout(ctx, readTimeout)
+		requestedAt := bootNow()
+		callCtx, cancel := context.WithTimeout(ctx, machineListTimeout)
 		list, err := o.node.machines.List(callCtx)
 		cancel()
 		if err != nil {
 			o.log.Debug().Err(err).Msg("machines were not listed")
 		} else {
-			o.send(ctx, machinesListed{list, asked})
+			o.send(ctx, machinesListed{list, requestedAt})
 		}
-		supervisor.Sleep(ctx, machinesEvery)
+		supervisor.Sleep(ctx, machineListInterval)
 	}
 	return nil
 }
--- a/io/node/directory_test.go
+++ b/io/node/owner_test.go
@@ -19,11 +19,11 @@
 
 // Guards against a VM that still gets tasks by an entry that was replaced by one that
 // can't be read.
-func TestDamagedEntryNamesNoVM(t *testing.T) {
+func TestUnreadableDirectoryRowDropsVM(t *testing.T) {
 	o := &owner{log: zerolog.Nop(), scheduler: schedule.New(schedule.Settings{})}
 	take := func(value string) {
 		row := platform.Row{RowKey: platform.RowKey{Key: "vm-1"}, Value: []byte(value)}
-		o.takeVMs(time.Now(), vmsChanged{rows: []platform.Row{row}})
+		o.applyVMRows(time.Now(), vmRowsChanged{rows: []platform.Row{row}})
 	}
 	good := `{"service":"p","address":"10.1.1.1:80","state":"ready","capacity":{"cpu":8000},"born":5}`
 	take(good)
@@ -36,7 +36,7 @@
 
 // Guards against a directory without changes that counts as old while the next reading
 // waits, so that nothing starts on VMs that don't refuse what doesn't fit.
-func TestQuietDirectoryIsKnownUntilTheEndOfTheWait(t *testing.T) {
+func TestUnchangedDirectoryIsCurrentUntilTheEndOfTheWait(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "feed") {
 			time.Sleep(feedWait)
@@ -46,13 +46,13 @@
 	defer s.Close()
 	o := &owner{
 		node:   &Node{table: platform.NewTable(strings.TrimPrefix(s.URL, "http://"))},
-		events: make(chan event, eventsAhead), scheduler: schedule.New(schedule.Settings{}),
+		events: make(chan event, eventQueueSize), scheduler: schedule.New(schedule.Settings{}),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var g supervisor.Group
 	defer g.Wait()
 	g.Go(func() { _ = o.followVMs(ctx) })
-	_, whole := (<-o.events).(vmsChanged)
+	_, whole := (<-o.events).(vmRowsChanged)
 	assert.Assert(t, whole)
 	first, _ := (<-o.events).(directoryRead)
 	second, _ := (<-o.events).(directoryRead)
--- a/io/node/relay.go
+++ b/io/node/relay.go
@@ -16,10 +16,10 @@
 const relayName = "Relay"
 
 const (
-	// relayIdle is how long a VM gets no order until its connections are closed.
-	relayIdle = 15 * time.Second
-	// relaySweep is how often that is looked at.
-	relaySweep = 5 * time.Second
+	// relayIdleTimeout is how long a VM gets no order until its connections are closed.
+	relayIdleTimeout = 15 * time.Second
+	// relaySweepInterval is how often that is looked at.
+	relaySweepInterval = 5 * time.Second
 )
 
 // StartArgs is a start for a VM at an address.
@@ -47,8 +47,8 @@
 // owner by their fence and starts that come too late by their deadline, whoever
 // carries them.
 type Relay struct {
-	// life ends with the process: an order that waits at a VM must not hold up its end.
-	life context.Context
+	// lifetime ends with the process: an order that waits at a VM must not hold up its end.
+	lifetime context.Context
 
 	mu  sync.Mutex
 	vms map[job.VMID]*relayedVM
@@ -57,24 +57,24 @@
 // relayedVM is the connections to a VM.
 type relayedVM struct {
 	vmClient
-	used time.Time
+	lastUsed time.Time
 }
 
 // Start carries out a start.
 func (x *Relay) Start(args StartArgs, reply *OrderReply) error {
-	ctx, cancel := context.WithTimeout(x.life, orderTimeout)
+	ctx, cancel := context.WithTimeout(x.lifetime, orderTimeout)
 	defer cancel()
 	r, err := x.vm(args.VM, args.Address).Start(ctx, args.Order)
-	*reply = OrderReply{Outcome: outcomeOf(err), Report: r}
+	*reply = OrderReply{Outcome: outcomeFromError(err), Report: r}
 	return nil
 }
 
 // Hold carries out a hold.
 func (x *Relay) Hold(args HoldArgs, reply *OrderReply) error {
-	ctx, cancel := context.WithTimeout(x.life, args.Order.Wait+holdGrace)
+	ctx, cancel := context.WithTimeout(x.lifetime, args.Order.Wait+holdGrace)
 	defer cancel()
 	r, err := x.vm(args.VM, args.Address).Hold(ctx, args.Order)
-	*reply = OrderReply{Outcome: outcomeOf(err), Report: r}
+	*reply = OrderReply{Outcome: outcomeFromError(err), Report: r}
 	return nil
 }
 
@@ -93,16 +93,16 @@
 		v = &relayedVM{vmClient: vmClient{address: address, vm: platform.NewVM(id, address)}}
 		x.vms[id] = v
 	}
-	v.used = bootNow()
+	v.lastUsed = bootNow()
 	return v.vm
 }
 
-// sweep closes the connections to VMs that have had no order of late.
-func (x *Relay) sweep(now time.Time) {
+// closeIdle closes the connections to VMs that have had no order of late.
+func (x *Relay) closeIdle(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for id, v := range x.vms {
-		if now.Sub(v.used) > relayIdle {
+		if now.Sub(v.lastUsed) > relayIdleTimeout {
 			v.vm.Close()
 			delete(x.vms, id)
 		}
@@ -115,13 +115,15 @@
 	if err != nil {
 		return err
 	}
-	x.life = ctx
+	x.lifetime = ctx
 	s := netrpc.NewServer()
 	if err := s.Register(relayName, x); err != nil {
 		return err
 	}
 	var g supervisor.Group
 	defer g.Wait()
-	g.Go(func() { _ = supervisor.Every(ctx, relaySweep, func(context.Context) { x.sweep(bootNow()) }) })
+	g.Go(func() {
+		_ = supervisor.Every(ctx, relaySweepInterval, func(context.Context) { x.closeIdle(bootNow()) })
+	})
 	return s.Serve(ctx, l)
 }
--- a/io/node/relays.go
+++ b/io/node/relayset.go
@@ -18,69 +18,69 @@
 )
 
 const (
-	// relayFrom is the number of VMs from which the owner has its orders carried by
+	// minVMsForRelays is the number of VMs from which the owner has its orders carried by
 	// others. Each order is a call of its own: the owner of a thousand VMs would spend
 	// most of its processor time, and all of its connections, on carrying them itself.
-	relayFrom = 150
-	// relayCheck is how often the choice of relays is looked at.
-	relayCheck = 250 * time.Millisecond
-	// relayPing bounds the first sign of life of a relay.
-	relayPing = 300 * time.Millisecond
-	// relayLook is how often a relay that owes answers is asked for a sign of life;
+	minVMsForRelays = 150
+	// relayCheckInterval is how often the choice of relays is looked at.
+	relayCheckInterval = 250 * time.Millisecond
+	// relayPingTimeout bounds the first sign of life of a relay.
+	relayPingTimeout = 300 * time.Millisecond
+	// relayProbeInterval is how often a relay that owes answers is asked for a sign of life;
 	// four looks without one end its calls.
-	relayLook = 100 * time.Millisecond
-	// relayPause is how long a relay that has failed is left alone.
-	relayPause = 3 * time.Second
-	// zonePause is the same for a zone of which no member has answered: it is cut off, and
+	relayProbeInterval = 100 * time.Millisecond
+	// relayRetryDelay is how long a relay that has failed is left alone.
+	relayRetryDelay = 3 * time.Second
+	// zoneRetryDelay is the same for a zone of which no member has answered: it is cut off, and
 	// each of its members would be tried in turn.
-	zonePause = time.Second
+	zoneRetryDelay = time.Second
 )
 
-// relays knows which entry VMs carry orders for the owner. Its zero value knows none,
+// relaySet knows which entry VMs carry orders for the owner. Its zero value knows none,
 // so that the owner carries all of them.
-type relays struct {
-	// self is the address at which this process would take orders itself.
-	self string
-	log  zerolog.Logger
-	pool netrpc.Pool
+type relaySet struct {
+	// ownAddress is the address at which this process would take orders itself.
+	ownAddress string
+	log        zerolog.Logger
+	pool       netrpc.Pool
 	// wanted is set while the fleet is large enough for relays.
 	wanted atomic.Bool
-	// changed tells that the list of members has.
-	changed chan struct{}
+	// membersChanged tells that the list of members has.
+	membersChanged chan struct{}
 
 	mu sync.Mutex
 	// members are the rows of entry VMs, by their names.
 	members map[string]memberRow
-	// failed is until when an address is left alone, ready the addresses of each zone that
+	// failedUntil is until when an address is left alone, ready the addresses of each zone that
 	// carry orders now.
-	failed map[string]time.Time
-	ready  map[string][]relay.Candidate
-	// unreachable are the zones of which no member has answered, and until when they are
+	failedUntil map[string]time.Time
+	ready       map[string][]relay.Candidate
+	// unreachableUntil are the zones of which no member has answered, and until when they are
 	// left alone.
-	unreachable map[string]time.Time
+	unreachableUntil map[string]time.Time
 }
 
-func newRelays(self string, log zerolog.Logger) *relays {
-	return &relays{self: self, log: log, pool: netrpc.Pool{LookEvery: relayLook}, changed: make(chan struct{}, 1)}
+func newRelaySet(self string, log zerolog.Logger) *relaySet {
+	return &relaySet{ownAddress: self, log: log, pool: netrpc.Pool{LookEvery: relayProbeInterval}, membersChanged: make(chan struct{}, 1)}
 }
 
 // follow keeps the list of members up to date until ctx ends.
-func (x *relays) follow(ctx context.Context, table *platform.Table) error {
-	f := feed{table: table, name: memberTable, part: memberPart, log: x.log}
-	return f.run(ctx, x.take, func(time.Time) {})
+func (x *relaySet) follow(ctx context.Context, table *platform.Table) error {
+	f := feed{table: table, tableName: memberTable, part: memberPart, log: x.log}
+	return f.run(ctx, x.applyRows, func(time.Time) {})
 }
 
-// take takes in rows of the member table.
-func (x *relays) take(rows []platform.Row, whole bool) {
-	x.merge(rows, whole)
+// applyRows takes in rows of the member table.
+func (x *relaySet) applyRows(rows []platform.Row, complete bool) {
+	x.mergeMembers(rows, complete)
 	select {
-	case x.changed <- struct{}{}:
+	case x.membersChanged <- struct{}{}:
 	default:
 	}
 }
 
-// merge applies rows to the members.
-func (x *relays) merge(rows []platform.Row, whole bool) {
+// mergeMembers applies rows to the members.
+func (x *relaySet) mergeMembers(rows []platform.Row, whole bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if whole || x.members == nil {
@@ -102,14 +102,14 @@
 }
 
 // run chooses relays until ctx ends.
-func (x *relays) run(ctx context.Context) error {
+func (x *relaySet) run(ctx context.Context) error {
 	defer x.pool.Close()
 	for ctx.Err() == nil {
-		x.check(ctx)
-		t := time.NewTimer(relayCheck)
+		x.chooseRelays(ctx)
+		t := time.NewTimer(relayCheckInterval)
 		select {
 		case <-ctx.Done():
-		case <-x.changed:
+		case <-x.membersChanged:
 		case <-t.C:
 		}
 		t.Stop()
@@ -117,39 +117,39 @@
 	return nil
 }
 
-// check gives each zone its relays: the strongest members that answer.
-func (x *relays) check(ctx context.Context) {
+// chooseRelays gives each zone its relays: the strongest members that answer.
+func (x *relaySet) chooseRelays(ctx context.Context) {
 	var g supervisor.Group
 	for zone, candidates := range x.candidates(bootNow()) {
 		g.Go(func() {
-			ready := x.answering(ctx, candidates)
-			x.set(zone, ready)
+			ready := x.selectAnswering(ctx, candidates)
+			x.setReady(zone, ready)
 			if len(candidates) > 0 && len(ready) == 0 {
-				x.pauseZone(zone)
+				x.markZoneUnreachable(zone)
 			}
 		})
 	}
 	g.Wait()
 }
 
-// pauseZone leaves the members of a zone alone for a while.
-func (x *relays) pauseZone(zone string) {
+// markZoneUnreachable leaves the members of a zone alone for a while.
+func (x *relaySet) markZoneUnreachable(zone string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.unreachable == nil {
-		x.unreachable = map[string]time.Time{}
+	if x.unreachableUntil == nil {
+		x.unreachableUntil = map[string]time.Time{}
 	}
-	x.unreachable[zone] = bootNow().Add(zonePause)
+	x.unreachableUntil[zone] = bootNow().Add(zoneRetryDelay)
 	x.log.Info().Str("event", "zone_without_relays").Str("zone", zone).Send()
 }
 
-// answering returns the first members that carry orders, as many as a zone needs.
-func (x *relays) answering(ctx context.Context, candidates []relay.Candidate) []relay.Candidate {
+// selectAnswering returns the first members that carry orders, as many as a zone needs.
+func (x *relaySet) selectAnswering(ctx context.Context, candidates []relay.Candidate) []relay.Candidate {
 	candidates = candidates[:min(len(candidates), 2*relay.CountNeeded(candidates))]
 	alive := make([]bool, len(candidates))
 	var g supervisor.Group
 	for i, m := range candidates {
-		g.Go(func() { alive[i] = x.alive(ctx, m.Address) })
+		g.Go(func() { alive[i] = x.isAlive(ctx, m.Address) })
 	}
 	g.Wait()
 	var out []relay.Candidate
@@ -163,7 +163,7 @@
 
 // candidates returns the addresses of each zone's members that have not failed of
 // late, the strongest first.
-func (x *relays) candidates(now time.Time) map[string][]relay.Candidate {
+func (x *relaySet) candidates(now time.Time) map[string][]relay.Candidate {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	out := map[string][]relay.Candidate{}
@@ -173,11 +173,11 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(x.members)) {
 		m := x.members[name]
-		if now.Before(x.unreachable[m.Zone]) {
+		if now.Before(x.unreachableUntil[m.Zone]) {
 			continue
 		}
 		list := out[m.Zone]
-		if m.Address != x.self && !now.Before(x.failed[m.Address]) {
+		if m.Address != x.ownAddress && !now.Before(x.failedUntil[m.Address]) {
 			list = append(list, relay.Candidate{Address: m.Address, Capacity: relay.Capacity(m.Cores, m.LinkMbps)})
 		}
 		out[m.Zone] = list
@@ -188,8 +188,8 @@
 	return out
 }
 
-// alive tells whether a member carries orders; one that does already is not asked.
-func (x *relays) alive(ctx context.Context, address string) bool {
+// isAlive tells whether a member carries orders; one that does already is not asked.
+func (x *relaySet) isAlive(ctx context.Context, address string) bool {
 	x.mu.Lock()
 	for _, list := range x.ready {
 		if slices.ContainsFunc(list, func(m relay.Candidate) bool { return m.Address == address }) {
@@ -198,23 +198,23 @@
 		}
 	}
 	x.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, relayPing)
+	ctx, cancel := context.WithTimeout(ctx, relayPingTimeout)
 	defer cancel()
 	var reply int
 	if err := x.pool.Call(ctx, address, netrpc.AliveName+".Ping", 1, &reply); err != nil {
-		x.fail(address, err)
+		x.markFailed(address, err)
 		return false
 	}
 	return true
 }
 
-// set makes the list of ready relays of a zone what it is now.
-func (x *relays) set(zone string, ready []relay.Candidate) {
+// setReady makes the list of ready relays of a zone what it is now.
+func (x *relaySet) setReady(zone string, ready []relay.Candidate) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := bootNow()
 	// One may have failed meanwhile.
-	ready = slices.DeleteFunc(ready, func(m relay.Candidate) bool { return now.Before(x.failed[m.Address]) })
+	ready = slices.DeleteFunc(ready, func(m relay.Candidate) bool { return now.Before(x.failedUntil[m.Address]) })
 	if x.ready == nil {
 		x.ready = map[string][]relay.Candidate{}
 	}
@@ -224,23 +224,23 @@
 	x.ready[zone] = ready
 }
 
-func addresses(members []relay.Candidate) []string {
+func addresses(candidates []relay.Candidate) []string {
 	var out []string
-	for _, m := range members {
+	for _, m := range candidates {
 		out = append(out, m.Address)
 	}
 	return out
 }
 
 // memberCount returns the number of entry VMs that are known.
-func (x *relays) memberCount() int {
+func (x *relaySet) memberCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.members)
 }
 
 // addresses returns the addresses of each zone's relays.
-func (x *relays) addresses() map[string][]string {
+func (x *relaySet) addresses() map[string][]string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	out := map[string][]string{}
@@ -250,27 +250,27 @@
 	return out
 }
 
-// fail gives up a relay for a while.
-func (x *relays) fail(address string, err error) {
+// markFailed gives up a relay for a while.
+func (x *relaySet) markFailed(address string, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for zone, list := range x.ready {
 		x.ready[zone] = slices.DeleteFunc(slices.Clone(list), func(m relay.Candidate) bool { return m.Address == address })
 	}
 	now := bootNow()
-	if now.Before(x.failed[address]) {
+	if now.Before(x.failedUntil[address]) {
 		// Many calls fail with one relay.
 		return
 	}
-	if x.failed == nil {
-		x.failed = map[string]time.Time{}
+	if x.failedUntil == nil {
+		x.failedUntil = map[string]time.Time{}
 	}
-	x.failed[address] = now.Add(relayPause)
+	x.failedUntil[address] = now.Add(relayRetryDelay)
 	x.log.Warn().Err(err).Str("event", "relay_failed").Str("relay", address).Send()
 }
 
-// of returns the relay for a VM, or none.
-func (x *relays) of(zone string, id job.VMID) string {
+// relayFor returns the relay for a VM, or none.
+func (x *relaySet) relayFor(zone string, id job.VMID) string {
 	if !x.wanted.Load() {
 		return ""
 	}
--- a/io/node/changes.go
+++ b/io/node/rowchange.go
@@ -13,8 +13,8 @@
 	value any
 }
 
-// changeOf returns the row of a save.
-func changeOf(c schedule.Command) rowChange {
+// rowChangeFor returns the row of a save.
+func rowChangeFor(c schedule.Command) rowChange {
 	switch c := c.(type) {
 	case schedule.Save:
 		return rowChange{progressKey(c.Job), c.Progress}
@@ -25,20 +25,20 @@
 	case schedule.SaveWave:
 		return rowChange{waveKey(c.Number), waveRow{Done: c.Done}}
 	case schedule.SaveOrder:
-		return rowChange{orderKey(c.Order.Machine), c.Order}
+		return rowChange{machineOrderKey(c.Order.Machine), c.Order}
 	case schedule.DropOrder:
-		return rowChange{orderKey(c.Machine), nil}
+		return rowChange{machineOrderKey(c.Machine), nil}
 	}
 	panic("not a save")
 }
 
-// latest drops saves that a later one of the same row replaces: a transaction
+// latestChanges drops saves that a later one of the same row replaces: a transaction
 // may name a row once only.
-func latest(saves []schedule.Command) []rowChange {
+func latestChanges(saves []schedule.Command) []rowChange {
 	var out []rowChange
 	seen := map[platform.RowKey]bool{}
 	for _, c := range slices.Backward(saves) {
-		change := changeOf(c)
+		change := rowChangeFor(c)
 		if !seen[change.key] {
 			seen[change.key] = true
 			out = append(out, change)
--- a/io/node/rows.go
+++ b/io/node/rows.go
@@ -22,14 +22,14 @@
 // 140 ms for a transaction, 90 submissions a second fill 16 parts to 80%, so that
 // calls queue, are given up and are sent again; 64 parts are filled to 20%.
 const (
-	part          = "main"
-	jobParts      = 64
-	ownerTable    = "lavenderpond_owner"
-	jobTable      = "lavenderpond_job"
-	progressTable = "lavenderpond_progress"
-	waveTable     = "lavenderpond_wave"
-	vmTable       = "lavenderpond_vm"
-	orderTable    = "lavenderpond_machine"
+	mainPart          = "main"
+	jobPartCount      = 64
+	ownerTable        = "lavenderpond_owner"
+	jobTable          = "lavenderpond_job"
+	progressTable     = "lavenderpond_progress"
+	waveTable         = "lavenderpond_wave"
+	vmTable           = "lavenderpond_vm"
+	machineOrderTable = "lavenderpond_machine"
 
 	ownerKeyName   = "owner"
 	renewalKeyName = "renewal"
@@ -40,15 +40,15 @@
 )
 
 var (
-	ownerKey   = platform.RowKey{Table: ownerTable, Part: part, Key: ownerKeyName}
-	renewalKey = platform.RowKey{Table: ownerTable, Part: part, Key: renewalKeyName}
+	ownerKey   = platform.RowKey{Table: ownerTable, Part: mainPart, Key: ownerKeyName}
+	renewalKey = platform.RowKey{Table: ownerTable, Part: mainPart, Key: renewalKeyName}
 )
 
 // jobPart returns the part of a job's rows. It depends on nothing but the ID.
 func jobPart(id job.ID) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // A hash never fails.
-	return jobPartName(int(h.Sum32() % jobParts))
+	return jobPartName(int(h.Sum32() % jobPartCount))
 }
 
 func jobPartName(n int) string { return "j" + strconv.Itoa(n) }
@@ -62,21 +62,21 @@
 }
 
 func waveKey(number int64) platform.RowKey {
-	return platform.RowKey{Table: waveTable, Part: part, Key: strconv.FormatInt(number, 10)}
+	return platform.RowKey{Table: waveTable, Part: mainPart, Key: strconv.FormatInt(number, 10)}
 }
 
 // vmKey names the row that says that tasks may run on a VM.
 func vmKey(id job.VMID) platform.RowKey {
-	return platform.RowKey{Table: vmTable, Part: part, Key: string(id)}
+	return platform.RowKey{Table: vmTable, Part: mainPart, Key: string(id)}
 }
 
-// orderKey names the row that says that a machine has been given an order of late.
-func orderKey(id job.MachineID) platform.RowKey {
-	return platform.RowKey{Table: orderTable, Part: part, Key: string(id)}
+// machineOrderKey names the row that says that a machine has been given an order of late.
+func machineOrderKey(id job.MachineID) platform.RowKey {
+	return platform.RowKey{Table: machineOrderTable, Part: mainPart, Key: string(id)}
 }
 
 func progressKey(id job.ID) platform.RowKey {
-	return platform.RowKey{Table: progressTable, Part: part, Key: string(id)}
+	return platform.RowKey{Table: progressTable, Part: mainPart, Key: string(id)}
 }
 
 // ownerRow says which process owns the fleet's jobs and VMs.
@@ -84,8 +84,8 @@
 	Node string `json:"node"`
 	// Life tells apart the processes of one node.
 	Life string `json:"life"`
-	// Turn counts the take-overs; attempts are numbered from it.
-	Turn int64 `json:"turn"`
+	// TenureNumber counts the take-overs; attempts are numbered from it.
+	TenureNumber int64 `json:"turn"`
 	// Vacant is set when the owner has given its right back.
 	Vacant bool `json:"vacant,omitempty"`
 }
@@ -108,19 +108,19 @@
 	Done []job.MachineID `json:"done"`
 }
 
-// largestPlain is the size, in bytes, from which a row is compressed: half of what
+// compressionThreshold is the size, in bytes, from which a row is compressed: half of what
 // the table takes on all deployments so far.
-const largestPlain = 32 << 10
+const compressionThreshold = 32 << 10
 
 // gzipMagic is how compressed rows begin; plain ones begin with a brace.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// encode returns a row's value. Large ones are compressed: a job of hundreds of
+// encodeRow returns a row's value. Large ones are compressed: a job of hundreds of
 // steps, which callers may hand in, is beyond what a row holds, and the table would
 // refuse it after the caller had been kept waiting.
-func encode(v any) ([]byte, error) {
+func encodeRow(v any) ([]byte, error) {
 	b, err := json.Marshal(v)
-	if err != nil || len(b) < largestPlain {
+	if err != nil || len(b) < compressionThreshold {
 		return b, errors.Wrap(err, "encode row")
 	}
 	var out bytes.Buffer
@@ -134,8 +134,8 @@
 	return out.Bytes(), nil
 }
 
-// plain returns the value of a row as it was before compression.
-func plain(b []byte) ([]byte, error) {
+// decompress returns the value of a row as it was before compression.
+func decompress(b []byte) ([]byte, error) {
 	if !bytes.HasPrefix(b, gzipMagic) {
 		return b, nil
 	}
@@ -152,7 +152,7 @@
 	if r == nil {
 		return v, nil
 	}
-	b, err := plain(r.Value)
+	b, err := decompress(r.Value)
 	if err == nil {
 		err = json.Unmarshal(b, &v)
 	}
--- a/io/node/tenure.go
+++ b/io/node/tenure.go
@@ -15,48 +15,48 @@
 
 // tenure is one owner's time in office, as the table knows it.
 type tenure struct {
-	life  string
-	fence platform.Version
-	turn  int64
-
-	mu    sync.Mutex
-	right lease.Ownership
-	// newest is the last version at which the table has confirmed the right.
-	newest platform.Version
+	life   string
+	fence  platform.Version
+	number int64
+
+	mu        sync.Mutex
+	ownership lease.Ownership
+	// latestRenewal is the last version at which the table has confirmed the right.
+	latestRenewal platform.Version
 }
 
-func (t *tenure) prove(renewed, seen time.Time) {
+func (t *tenure) confirm(renewalSent, confirmationSent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.right.Confirm(renewed, seen)
+	t.ownership.Confirm(renewalSent, confirmationSent)
 }
 
-func (t *tenure) renewed(version platform.Version) {
+func (t *tenure) recordRenewal(version platform.Version) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.newest = max(t.newest, version)
+	t.latestRenewal = max(t.latestRenewal, version)
 }
 
 func (t *tenure) lastRenewal() platform.Version {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.newest
+	return t.latestRenewal
 }
 
-func (t *tenure) mayOrder(now time.Time) bool {
+func (t *tenure) mayOrderMachines(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.right.MayOrderMachines(now)
+	return t.ownership.MayOrderMachines(now)
 }
 
-func (t *tenure) mayStart(now time.Time) bool {
+func (t *tenure) mayStartTasks(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.right.MayStartTasks(now)
+	return t.ownership.MayStartTasks(now)
 }
 
-func (t *tenure) mayHold(now time.Time) bool {
+func (t *tenure) mayExtendLeases(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.right.MayExtendLeases(now)
+	return t.ownership.MayExtendLeases(now)
 }
