--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -41,28 +41,28 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (f *callerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *callerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := bootNow()
 	call := platform.DecodeCall(r)
-	conf := f.view.configuration()
+	conf := h.view.configuration()
 	if conf == nil {
-		f.deny(w, call, "", platform.DeniedUnavailable, "no configuration yet")
+		h.deny(w, call, "", platform.DeniedUnavailable, "no configuration yet")
 		return
 	}
 	q, rest := conf.Route(call.Host, call.Path)
 	if q == nil {
-		f.deny(w, call, "", platform.DeniedNoQueue, "no such queue")
+		h.deny(w, call, "", platform.DeniedNoQueue, "no such queue")
 		return
 	}
 	account, ok := conf.AccountForKey(call.Key)
 	if !ok && !q.Public {
-		f.deny(w, call, rest, platform.DeniedKey, "unknown key")
+		h.deny(w, call, rest, platform.DeniedKey, "unknown key")
 		return
 	}
 	p := tablePartFor(call.Method, job.ID(rest))
-	decision := f.health.decide(p)
+	decision := h.health.decide(p)
 	if decision == contact.Refuse {
-		f.deny(w, call, rest, platform.DeniedUnavailable, "no word of part "+p+" of the table, none of any for "+f.health.sinceLastAnswer().String())
+		h.deny(w, call, rest, platform.DeniedUnavailable, "no word of part "+p+" of the table, none of any for "+h.health.sinceLastAnswer().String())
 		return
 	}
 	timeout := call.Patience
@@ -75,9 +75,9 @@
 	if decision == contact.Probe && call.Method != platform.CallSubmit {
 		timeout = min(timeout, probeTimeout+replyMargin)
 	}
-	c := routedCall{call: call, queue: q, account: account, id: job.ID(rest), deadline: started.Add(timeout - replyMargin), conf: conf, decision: decision}
-	f.serve(r.Context(), w, r, c)
-	f.elapsed("call_"+call.Method.String(), bootNow().Sub(started))
+	rc := routedCall{call: call, queue: q, account: account, id: job.ID(rest), deadline: started.Add(timeout - replyMargin), conf: conf, decision: decision}
+	h.serve(r.Context(), w, r, rc)
+	h.elapsed("call_"+call.Method.String(), bootNow().Sub(started))
 }
 
 // routedCall is a call whose queue and account are known.
@@ -99,34 +99,34 @@
 	return mainPart
 }
 
-func (f *callerHandler) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
+func (h *callerHandler) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
 	// The work goes on when the caller leaves: a submission that is half done
 	// would be answered as unknown for no reason.
 	ctx = context.WithoutCancel(ctx)
 	switch {
 	case c.call.Method == platform.CallShow && c.id == "":
-		f.backlog(ctx, w, c)
+		h.backlog(ctx, w, c)
 	case !platform.ValidID(string(c.id)):
-		f.deny(w, c.call, string(c.id), platform.DeniedForm, "malformed id")
+		h.deny(w, c.call, string(c.id), platform.DeniedForm, "malformed id")
 	case c.call.Method == platform.CallSubmit:
-		f.submit(ctx, w, r, c)
+		h.submit(ctx, w, r, c)
 	case c.call.Method == platform.CallShow:
-		f.show(ctx, w, c)
+		h.show(ctx, w, c)
 	case c.call.Method == platform.CallCancel:
-		f.cancel(ctx, w, c)
+		h.cancel(ctx, w, c)
 	default:
-		f.deny(w, c.call, string(c.id), platform.DeniedForm, "unknown method")
+		h.deny(w, c.call, string(c.id), platform.DeniedForm, "unknown method")
 	}
 }
 
-func (f *callerHandler) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
+func (h *callerHandler) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
 	body, err := platform.DecodeJob(r.Body, c.conf.Limits.BodyBytes)
 	if errors.Is(err, platform.ErrBodyTooLarge) {
-		f.deny(w, c.call, string(c.id), platform.DeniedSize, err.Error())
+		h.deny(w, c.call, string(c.id), platform.DeniedSize, err.Error())
 		return
 	}
 	if err != nil {
-		f.deny(w, c.call, string(c.id), platform.DeniedForm, err.Error())
+		h.deny(w, c.call, string(c.id), platform.DeniedForm, err.Error())
 		return
 	}
 	q := c.queue
@@ -134,62 +134,62 @@
 		Queue: q.Name, Pool: q.Pool, Account: c.account, Priority: q.Priority, MaxAttempts: q.MaxAttempts,
 		Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance,
 	}}
-	err = f.jobs.submit(ctx, c.deadline, j, c.decision)
+	err = h.jobs.submit(ctx, c.deadline, j, c.decision)
 	if err != nil {
-		f.denyFailed(w, c, err)
+		h.denyFailed(w, c, err)
 		return
 	}
-	f.accept(w, c)
+	h.accept(w, c)
 }
 
-func (f *callerHandler) show(ctx context.Context, w http.ResponseWriter, c routedCall) {
-	state, known, err := f.jobs.show(ctx, c.deadline, c.id)
+func (h *callerHandler) show(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	state, known, err := h.jobs.show(ctx, c.deadline, c.id)
 	switch {
 	case err != nil:
-		f.denyFailed(w, c, err)
+		h.denyFailed(w, c, err)
 	case !known:
-		f.deny(w, c.call, string(c.id), platform.DeniedNoJob, "no such job")
+		h.deny(w, c.call, string(c.id), platform.DeniedNoJob, "no such job")
 	default:
-		f.count("shown_" + state.String())
+		h.count("shown_" + state.String())
 		platform.WriteState(w, state)
 	}
 }
 
-func (f *callerHandler) cancel(ctx context.Context, w http.ResponseWriter, c routedCall) {
-	known, err := f.jobs.cancel(ctx, c.deadline, c.id)
+func (h *callerHandler) cancel(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	known, err := h.jobs.cancel(ctx, c.deadline, c.id)
 	switch {
 	case err != nil:
-		f.denyFailed(w, c, err)
+		h.denyFailed(w, c, err)
 	case !known:
-		f.deny(w, c.call, string(c.id), platform.DeniedNoJob, "no such job")
+		h.deny(w, c.call, string(c.id), platform.DeniedNoJob, "no such job")
 	default:
-		f.accept(w, c)
+		h.accept(w, c)
 	}
 }
 
-func (f *callerHandler) backlog(ctx context.Context, w http.ResponseWriter, c routedCall) {
-	r, version, err := f.jobs.backlog(ctx, c.deadline)
+func (h *callerHandler) backlog(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	r, version, err := h.jobs.backlog(ctx, c.deadline)
 	if err != nil {
-		f.denyFailed(w, c, err)
+		h.denyFailed(w, c, err)
 		return
 	}
-	if !r.Counted || f.renewalAge.age(bootNow(), version) > maxBacklogAge {
-		f.deny(w, c.call, "", platform.DeniedUnavailable, "no count that is new enough")
+	if !r.Counted || h.renewalAge.age(bootNow(), version) > maxBacklogAge {
+		h.deny(w, c.call, "", platform.DeniedUnavailable, "no count that is new enough")
 		return
 	}
 	platform.WriteBacklog(w, r.Backlog[c.queue.Name])
 }
 
-func (f *callerHandler) accept(w http.ResponseWriter, c routedCall) {
-	f.count("accepted_" + c.call.Method.String())
-	f.log.Info().Str("event", "call_accepted").Str("method", c.call.Method.String()).Str("job", string(c.id)).
+func (h *callerHandler) accept(w http.ResponseWriter, c routedCall) {
+	h.count("accepted_" + c.call.Method.String())
+	h.log.Info().Str("event", "call_accepted").Str("method", c.call.Method.String()).Str("job", string(c.id)).
 		Str("queue", string(c.queue.Name)).Str("account", string(c.account)).
 		Int64("configuration", int64(c.conf.Version)).Send()
 	platform.WriteAccepted(w)
 }
 
 // denyFailed answers a call that the table didn't serve.
-func (f *callerHandler) denyFailed(w http.ResponseWriter, c routedCall, err error) {
+func (h *callerHandler) denyFailed(w http.ResponseWriter, c routedCall, err error) {
 	d := platform.DeniedUnknown
 	switch {
 	case errors.Is(err, errNotStored):
@@ -197,12 +197,12 @@
 	case errors.Is(err, errTooLarge):
 		d = platform.DeniedSize
 	}
-	f.deny(w, c.call, string(c.id), d, err.Error())
+	h.deny(w, c.call, string(c.id), d, err.Error())
 }
 
-func (f *callerHandler) deny(w http.ResponseWriter, c platform.Call, id string, d platform.Denial, reason string) {
-	f.count("denied_" + c.Method.String())
-	f.log.Info().Str("event", "call_denied").Str("method", c.Method.String()).Str("job", id).
+func (h *callerHandler) deny(w http.ResponseWriter, c platform.Call, id string, d platform.Denial, reason string) {
+	h.count("denied_" + c.Method.String())
+	h.log.Info().Str("event", "call_denied").Str("method", c.Method.String()).Str("job", id).
 		Int("status", d.Status()).Str("reason", reason).Send()
 	comeBackIn := time.Duration(0)
 	if d == platform.DeniedUnavailable || d == platform.DeniedBusy {
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -85,11 +85,11 @@
 }
 
 // logUnstored logs how many saves an owner that ends leaves unstored.
-func (c *committer) logUnstored(saves []schedule.Command) {
+func (c *committer) logUnstored(inFlight []schedule.Command) {
 	c.mu.Lock()
 	queued := len(c.queue)
 	c.mu.Unlock()
-	if n := len(saves) + queued; n > 0 {
+	if n := len(inFlight) + queued; n > 0 {
 		c.log.Info().Str("event", "saves_unstored").Int("saves", n).Uint64("fence", uint64(c.tenure.fence)).Send()
 	}
 }
@@ -243,7 +243,7 @@
 
 // resolveConflict looks at why a condition failed: the transaction may have been carried
 // out already without an answer.
-func (c *committer) resolveConflict(renewed, sent time.Time, conflict *platform.ConflictError) error {
+func (c *committer) resolveConflict(firstSent, sent time.Time, conflict *platform.ConflictError) error {
 	owner, renewal := conflict.Row(ownerKey), conflict.Row(renewalKey)
 	if owner == nil || owner.Version != c.tenure.fence || renewal == nil {
 		return errDeposed
@@ -255,15 +255,15 @@
 	if r.Life != c.tenure.life || r.Batch != c.batch {
 		return errors.Wrapf(errDeposed, "renewal %d of %s stands in place of %d", r.Batch, r.Life, c.batch)
 	}
-	c.recordStored(renewed, sent, renewal.Version)
+	c.recordStored(firstSent, sent, renewal.Version)
 	return nil
 }
 
 // recordStored takes in that the transaction was carried out, by a call sent at renewed at the
 // earliest, and that a call sent at sent has said so.
-func (c *committer) recordStored(renewed, sent time.Time, version platform.Version) {
+func (c *committer) recordStored(firstSent, sent time.Time, version platform.Version) {
 	c.renewal = version
 	c.tenure.recordRenewal(version)
-	c.tenure.confirm(renewed, sent)
+	c.tenure.confirm(firstSent, sent)
 	c.health.recordAnswer(mainPart)
 }
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -91,12 +91,12 @@
 	waited, busyUntil := time.Duration(0), time.Duration(0)
 	for attempt := 0; ; attempt++ {
 		busyUntil = max(busyUntil, waited) + slow
-		patience := c.attemptTimeout(attempt)
-		if busyUntil-waited <= patience {
+		timeout := c.attemptTimeout(attempt)
+		if busyUntil-waited <= timeout {
 			break
 		}
-		waited += patience
-		c.latency.observe(patience, false)
+		waited += timeout
+		c.latency.observe(timeout, false)
 	}
 	assert.Assert(t, busyUntil <= 600*time.Millisecond, "answered after %v", busyUntil)
 	assert.Assert(t, c.attemptTimeout(0) > slow, "the next one waits long enough at once")
--- a/io/node/election.go
+++ b/io/node/election.go
@@ -51,40 +51,40 @@
 }
 
 // run watches the owner and takes over when it must, until ctx ends.
-func (c *election) run(ctx context.Context) error {
-	watcher := lease.Watcher{LowCapacity: c.lowCapacity}
+func (e *election) run(ctx context.Context) error {
+	watcher := lease.Watcher{LowCapacity: e.lowCapacity}
 	for ctx.Err() == nil {
-		nextPoll := bootNow().Add(c.pollInterval())
-		observation, rows, err := c.readOwnerRows(ctx)
+		nextPoll := bootNow().Add(e.pollInterval())
+		observation, rows, err := e.readOwnerRows(ctx)
 		if err != nil {
-			c.log.Debug().Err(err).Msg("the owner's rows were not read")
+			e.log.Debug().Err(err).Msg("the owner's rows were not read")
 		}
 		if err != nil || !watcher.TakeoverDue(observation) {
 			supervisor.Sleep(ctx, max(minPollPause, nextPoll.Sub(bootNow())))
 			continue
 		}
-		t, renewal, err := c.takeOver(ctx, rows)
+		t, renewal, err := e.takeOver(ctx, rows)
 		if err != nil {
-			c.log.Info().Err(err).Str("event", "take_over_failed").Send()
+			e.log.Info().Err(err).Str("event", "take_over_failed").Send()
 			supervisor.Sleep(ctx, basePollInterval+rand.N(basePollInterval))
 			continue
 		}
-		c.log.Info().Str("event", "owner").Uint64("fence", uint64(t.fence)).Int64("turn", t.number).
+		e.log.Info().Str("event", "owner").Uint64("fence", uint64(t.fence)).Int64("turn", t.number).
 			Str("former", rows.owner.Node).Bool("vacant", rows.owner.Vacant).Send()
-		err = c.serve(ctx, t, renewal)
-		c.log.Info().Err(err).Str("event", "owner_no_more").Uint64("fence", uint64(t.fence)).Send()
-		watcher = lease.Watcher{LowCapacity: c.lowCapacity}
+		err = e.serve(ctx, t, renewal)
+		e.log.Info().Err(err).Str("event", "owner_no_more").Uint64("fence", uint64(t.fence)).Send()
+		watcher = lease.Watcher{LowCapacity: e.lowCapacity}
 	}
 	return nil
 }
 
 // pollInterval returns the period of the looks.
-func (c *election) pollInterval() time.Duration {
+func (e *election) pollInterval() time.Duration {
 	interval := basePollInterval
-	if c.lowCapacity {
+	if e.lowCapacity {
 		interval = lowCapacityPollInterval
 	}
-	return lease.PollInterval(interval, int(c.entries.Load()), c.readsPerSecond)
+	return lease.PollInterval(interval, int(e.entries.Load()), e.readsPerSecond)
 }
 
 // ownerRows are the owner's rows as read.
@@ -94,18 +94,18 @@
 	renewalVersion platform.Version
 }
 
-func (c *election) readOwnerRows(ctx context.Context) (lease.Observation, ownerRows, error) {
+func (e *election) readOwnerRows(ctx context.Context) (lease.Observation, ownerRows, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var rows ownerRows
 	observation := lease.Observation{Sent: bootNow()}
-	snapshot, err := c.table.List(ctx, platform.Range{Table: ownerTable, Part: mainPart, From: ownerKeyName, To: renewalKeyName + "\x00"})
+	snapshot, err := e.table.List(ctx, platform.Range{Table: ownerTable, Part: mainPart, From: ownerKeyName, To: renewalKeyName + "\x00"})
 	if err != nil {
-		c.health.recordFailure(mainPart)
+		e.health.recordFailure(mainPart)
 		return observation, rows, err
 	}
 	observation.Received = bootNow()
-	c.health.recordAnswer(mainPart)
+	e.health.recordAnswer(mainPart)
 	for i := range snapshot.Rows {
 		r := &snapshot.Rows[i]
 		switch r.Key {
@@ -116,37 +116,37 @@
 			rows.ownerVersion = r.Version
 		case renewalKeyName:
 			rows.renewalVersion = r.Version
-			c.updateEntryCount(r)
+			e.updateEntryCount(r)
 		}
 	}
 	observation.Owner, observation.Renewal = uint64(rows.ownerVersion), uint64(rows.renewalVersion)
 	observation.Vacant = rows.owner.Vacant
-	observation.PreviousRun = rows.owner.Node == c.node && rows.owner.Life != c.life
+	observation.PreviousRun = rows.owner.Node == e.node && rows.owner.Life != e.life
 	return observation, rows, nil
 }
 
 // updateEntryCount takes in how many entry VMs there are. A renewal that can't be read still
 // is one.
-func (c *election) updateEntryCount(r *platform.Row) {
+func (e *election) updateEntryCount(r *platform.Row) {
 	renewal, err := decodeRow[renewalRow](r)
 	if err != nil {
-		c.log.Error().Err(err).Str("event", "row_ignored").Send()
+		e.log.Error().Err(err).Str("event", "row_ignored").Send()
 		return
 	}
-	c.entries.Store(int64(renewal.Entries))
+	e.entries.Store(int64(renewal.Entries))
 }
 
 // takeOver writes this process into the owner's row. It expects both rows as
 // they were read, so that a renewal in between wins.
-func (c *election) takeOver(ctx context.Context, rows ownerRows) (*tenure, platform.Version, error) {
+func (e *election) takeOver(ctx context.Context, rows ownerRows) (*tenure, platform.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
 	number := rows.owner.TenureNumber + 1
-	owner, err := encodeRow(ownerRow{Node: c.node, Life: c.life, TenureNumber: number})
+	owner, err := encodeRow(ownerRow{Node: e.node, Life: e.life, TenureNumber: number})
 	if err != nil {
 		return nil, 0, err
 	}
-	renewal, err := encodeRow(renewalRow{Life: c.life, Entries: int(c.entries.Load())})
+	renewal, err := encodeRow(renewalRow{Life: e.life, Entries: int(e.entries.Load())})
 	if err != nil {
 		return nil, 0, err
 	}
@@ -157,33 +157,33 @@
 		Writes: []platform.Write{{RowKey: ownerKey, Value: owner}, {RowKey: renewalKey, Value: renewal}},
 	}
 	sent := bootNow()
-	version, err := c.table.Apply(ctx, tx)
+	version, err := e.table.Apply(ctx, tx)
 	if errors.Is(err, platform.ErrNoAnswer) {
-		version, err = c.confirmTakeover(number)
+		version, err = e.confirmTakeover(number)
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	t := &tenure{life: c.life, fence: version, number: number}
+	t := &tenure{life: e.life, fence: version, number: number}
 	t.confirm(sent, sent)
 	return t, version, nil
 }
 
 // confirmTakeover looks whether a take-over without an answer was carried out.
-func (c *election) confirmTakeover(turn int64) (platform.Version, error) {
-	_, rows, err := c.readOwnerRows(context.Background())
+func (e *election) confirmTakeover(number int64) (platform.Version, error) {
+	_, rows, err := e.readOwnerRows(context.Background())
 	if err != nil {
 		return 0, err
 	}
-	if rows.owner.Life != c.life || rows.owner.TenureNumber != turn || rows.renewalVersion != rows.ownerVersion {
+	if rows.owner.Life != e.life || rows.owner.TenureNumber != number || rows.renewalVersion != rows.ownerVersion {
 		return 0, errors.New("another process took over")
 	}
 	return rows.ownerVersion, nil
 }
 
 // vacate gives the right back, so that another process takes over at once.
-func (c *election) vacate(t *tenure) {
-	value, err := encodeRow(ownerRow{Node: c.node, Life: c.life, TenureNumber: t.number, Vacant: true})
+func (e *election) vacate(t *tenure) {
+	value, err := encodeRow(ownerRow{Node: e.node, Life: e.life, TenureNumber: t.number, Vacant: true})
 	tx := platform.Transaction{
 		Conditions: []platform.Condition{{RowKey: ownerKey, Version: t.fence}},
 		Writes:     []platform.Write{{RowKey: ownerKey, Value: value}},
@@ -191,12 +191,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), vacateTimeout)
 	defer cancel()
 	for err == nil {
-		_, err = c.table.Apply(ctx, tx)
+		_, err = e.table.Apply(ctx, tx)
 		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
 		if !refused || !supervisor.Sleep(ctx, refusedRetryDelay) {
 			break
 		}
 		err = nil
 	}
-	c.log.Info().Err(err).Str("event", "owner_vacates").Uint64("fence", uint64(t.fence)).Send()
+	e.log.Info().Err(err).Str("event", "owner_vacates").Uint64("fence", uint64(t.fence)).Send()
 }
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -57,15 +57,15 @@
 }
 
 // client returns the owner's own client of a VM.
-func (x *orderRouter) client(id job.VMID) *platform.VM {
-	address, _ := x.owner.scheduler.Location(id)
-	c := x.clients[id]
+func (r *orderRouter) client(id job.VMID) *platform.VM {
+	address, _ := r.owner.scheduler.Location(id)
+	c := r.clients[id]
 	if c == nil || c.address != address {
 		if c != nil {
 			c.vm.Close()
 		}
 		c = &vmClient{address: address, vm: platform.NewVM(id, address)}
-		x.clients[id] = c
+		r.clients[id] = c
 	}
 	return c.vm
 }
@@ -73,30 +73,30 @@
 // route returns the way for orders to a VM. Relays are used only by an owner that has
 // proved its right of late: one that is cut off from the table or slow would have its
 // orders, which rest on old knowledge, carried out by a process that is neither.
-func (x *orderRouter) route(now time.Time, id job.VMID) vmOrderSender {
-	direct := directSender{x.client(id)}
-	if !x.owner.tenure.mayOrderMachines(now) {
+func (r *orderRouter) route(now time.Time, id job.VMID) vmOrderSender {
+	direct := directSender{r.client(id)}
+	if !r.owner.tenure.mayOrderMachines(now) {
 		return direct
 	}
-	address, zone := x.owner.scheduler.Location(id)
-	relay := x.owner.relays.relayFor(string(zone), id)
+	address, zone := r.owner.scheduler.Location(id)
+	relay := r.owner.relays.relayFor(string(zone), id)
 	if relay == "" {
 		return direct
 	}
-	return relayedSender{relays: x.owner.relays, relay: relay, vm: id, address: address, direct: direct}
+	return relayedSender{relays: r.owner.relays, relay: relay, vm: id, address: address, direct: direct}
 }
 
 // holdRoute returns the way for a hold. A look goes to the VM itself: it finds out about
 // an order without an answer, for which the relay may be to blame.
-func (x *orderRouter) holdRoute(now time.Time, c schedule.Hold) vmOrderSender {
+func (r *orderRouter) holdRoute(now time.Time, c schedule.Hold) vmOrderSender {
 	if c.Look {
-		return directSender{x.client(c.VM)}
+		return directSender{r.client(c.VM)}
 	}
-	return x.route(now, c.VM)
+	return r.route(now, c.VM)
 }
 
-func (x *orderRouter) close() {
-	for _, c := range x.clients {
+func (r *orderRouter) close() {
+	for _, c := range r.clients {
 		c.vm.Close()
 	}
 }
--- a/io/node/gctuner.go
+++ b/io/node/gctuner.go
@@ -46,19 +46,19 @@
 }
 
 // run sets the heap's growth until ctx ends.
-func (c *gcTuner) run(ctx context.Context) error {
-	c.percent = MinGCPercent
+func (t *gcTuner) run(ctx context.Context) error {
+	t.percent = MinGCPercent
 	last := readCPUTime()
 	return supervisor.Every(ctx, gcTuneInterval, func(context.Context) {
 		now := readCPUTime()
-		next := nextGCPercent(c.percent, now.gc-last.gc, now.user-last.user)
+		next := nextGCPercent(t.percent, now.gc-last.gc, now.user-last.user)
 		last = now
-		if next == c.percent {
+		if next == t.percent {
 			return
 		}
-		c.percent = next
+		t.percent = next
 		debug.SetGCPercent(next)
-		c.log.Info().Str("event", "heap_growth_changed").Int("percent", next).Send()
+		t.log.Info().Str("event", "heap_growth_changed").Int("percent", next).Send()
 	})
 }
 
--- a/io/node/latency.go
+++ b/io/node/latency.go
@@ -26,33 +26,33 @@
 }
 
 // observe takes in how long a call took, with or without an answer.
-func (a *latencyEstimator) observe(took time.Duration, answered bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (e *latencyEstimator) observe(took time.Duration, answered bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if answered {
-		a.average += (took - a.average) / answerSmoothing
+		e.average += (took - e.average) / answerSmoothing
 		return
 	}
-	a.average += max(0, took-a.average) / timeoutSmoothing
+	e.average += max(0, took-e.average) / timeoutSmoothing
 }
 
 // timeout returns how long to wait for an answer, and not less than least.
-func (a *latencyEstimator) timeout(minimum time.Duration) time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return max(minimum, answerTimeoutFactor*a.average)
+func (e *latencyEstimator) timeout(minimum time.Duration) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return max(minimum, answerTimeoutFactor*e.average)
 }
 
 // slowerThan tells whether answers usually take longer than d.
-func (a *latencyEstimator) slowerThan(d time.Duration) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.average > d
+func (e *latencyEstimator) slowerThan(d time.Duration) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.average > d
 }
 
 // typical returns how long an answer usually takes.
-func (a *latencyEstimator) typical() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.average
+func (e *latencyEstimator) typical() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.average
 }
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -95,39 +95,39 @@
 }
 
 // restore makes a scheduler that knows what former owners left.
-func (o *owner) restore(l storedState) {
+func (o *owner) restore(state storedState) {
 	now := bootNow()
 	var previousOrders []schedule.MachineOrder
-	orders := decodeRows[schedule.MachineOrder](l.orders, o.log)
+	orders := decodeRows[schedule.MachineOrder](state.orders, o.log)
 	for _, id := range slices.Sorted(maps.Keys(orders)) {
 		previousOrders = append(previousOrders, orders[id])
 	}
 	o.scheduler = o.newScheduler(previousOrders)
 	o.maintainedByWave = map[string][]job.MachineID{}
-	for key, w := range decodeRows[waveRow](l.waves, o.log) {
+	for key, w := range decodeRows[waveRow](state.waves, o.log) {
 		o.maintainedByWave[key] = w.Done
 	}
 	o.reconfigure(now)
-	vms := decodeRows[schedule.RosterVM](l.vms, o.log)
+	vms := decodeRows[schedule.RosterVM](state.vms, o.log)
 	for _, id := range slices.Sorted(maps.Keys(vms)) {
 		o.scheduler.AddInheritedVM(vms[id])
 	}
-	progress := o.decodeProgress(l.progress)
+	progress := o.decodeProgress(state.progress)
 	for _, id := range slices.Sorted(maps.Keys(progress)) {
 		if progress[id].State.Final() {
 			o.scheduler.AddEndedJob(now, id)
 		}
 	}
-	o.applyJobRows(now, l.jobs, progress)
-	o.log.Info().Str("event", "loaded").Int("jobs", len(l.jobs)).Int("vms", len(vms)).Send()
+	o.applyJobRows(now, state.jobs, progress)
+	o.log.Info().Str("event", "loaded").Int("jobs", len(state.jobs)).Int("vms", len(vms)).Send()
 }
 
 // newScheduler returns a scheduler for this tenure.
-func (o *owner) newScheduler(before []schedule.MachineOrder) *schedule.Scheduler {
+func (o *owner) newScheduler(previousOrders []schedule.MachineOrder) *schedule.Scheduler {
 	b := o.node.settings.Bounds
 	return schedule.New(schedule.Settings{
 		Holder:       o.node.settings.Node,
-		FormerOrders: before,
+		FormerOrders: previousOrders,
 		Fence:        job.Fence(o.tenure.fence),
 		AttemptBase:  job.Attempt(o.tenure.number * attemptsPerTenure),
 		TookOver:     o.tookOver,
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -140,13 +140,13 @@
 			}
 		}
 	}
-	touched := false
+	modified := false
 	for _, z := range v.evacuations() {
 		if !present[z] {
-			touched = v.apply(platform.EvacuationChange{Zone: z, Ended: true}) || touched
+			modified = v.apply(platform.EvacuationChange{Zone: z, Ended: true}) || modified
 		}
 	}
-	return touched
+	return modified
 }
 
 // apply takes in a change and tells whether it is news.
@@ -219,7 +219,7 @@
 
 // run calls take with rows, whole if they are the whole table, and contact after each
 // answer with the time up to which all changes are known, until ctx ends.
-func (f *feed) run(ctx context.Context, onRows func(rows []platform.Row, whole bool), onContact func(asOf time.Time)) error {
+func (f *feed) run(ctx context.Context, onRows func(rows []platform.Row, complete bool), onContact func(asOf time.Time)) error {
 	after := f.from
 	lost := false
 	for ctx.Err() == nil {
@@ -259,10 +259,10 @@
 
 // asOf returns up to when all changes are known after an answer of the feed with so many
 // rows. One without any has waited for them to the end of feedWait.
-func asOf(asked, answered time.Time, rows int) time.Time {
-	waitEnd := asked.Add(feedWait)
+func asOf(sent, answered time.Time, rows int) time.Time {
+	waitEnd := sent.Add(feedWait)
 	if rows > 0 || answered.Before(waitEnd) {
-		return asked
+		return sent
 	}
 	return waitEnd
 }
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -290,8 +290,8 @@
 
 func (o *owner) followVMs(ctx context.Context) error {
 	f := feed{table: o.node.table, tableName: platform.VMTable, log: o.log}
-	return f.run(ctx, func(rows []platform.Row, whole bool) {
-		o.send(ctx, vmRowsChanged{rows, whole})
+	return f.run(ctx, func(rows []platform.Row, complete bool) {
+		o.send(ctx, vmRowsChanged{rows, complete})
 	}, func(asOf time.Time) {
 		o.send(ctx, directoryRead{asOf})
 	})
--- a/io/node/owner_test.go
+++ b/io/node/owner_test.go
@@ -52,8 +52,8 @@
 	var g supervisor.Group
 	defer g.Wait()
 	g.Go(func() { _ = o.followVMs(ctx) })
-	_, whole := (<-o.events).(vmRowsChanged)
-	assert.Assert(t, whole)
+	_, isRows := (<-o.events).(vmRowsChanged)
+	assert.Assert(t, isRows)
 	first, _ := (<-o.events).(directoryRead)
 	second, _ := (<-o.events).(directoryRead)
 	cancel()
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -79,9 +79,9 @@
 	return x
 }
 
-func (x *relaySet) senderFor(address string) relayedSender {
+func (s *relaySet) senderFor(address string) relayedSender {
 	return relayedSender{
-		relays: x, relay: x.relayFor("a", "vm-1"), vm: "vm-1", address: address,
+		relays: s, relay: s.relayFor("a", "vm-1"), vm: "vm-1", address: address,
 		direct: directSender{platform.NewVM("vm-1", address)},
 	}
 }
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -65,51 +65,51 @@
 }
 
 // follow keeps the list of members up to date until ctx ends.
-func (x *relaySet) follow(ctx context.Context, table *platform.Table) error {
-	f := feed{table: table, tableName: memberTable, part: memberPart, log: x.log}
-	return f.run(ctx, x.applyRows, func(time.Time) {})
+func (s *relaySet) follow(ctx context.Context, table *platform.Table) error {
+	f := feed{table: table, tableName: memberTable, part: memberPart, log: s.log}
+	return f.run(ctx, s.applyRows, func(time.Time) {})
 }
 
 // applyRows takes in rows of the member table.
-func (x *relaySet) applyRows(rows []platform.Row, complete bool) {
-	x.mergeMembers(rows, complete)
+func (s *relaySet) applyRows(rows []platform.Row, complete bool) {
+	s.mergeMembers(rows, complete)
 	select {
-	case x.membersChanged <- struct{}{}:
+	case s.membersChanged <- struct{}{}:
 	default:
 	}
 }
 
 // mergeMembers applies rows to the members.
-func (x *relaySet) mergeMembers(rows []platform.Row, whole bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if whole || x.members == nil {
-		x.members = map[string]memberRow{}
+func (s *relaySet) mergeMembers(rows []platform.Row, complete bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if complete || s.members == nil {
+		s.members = map[string]memberRow{}
 	}
 	for i := range rows {
 		r := &rows[i]
 		if r.Removed {
-			delete(x.members, r.Key)
+			delete(s.members, r.Key)
 			continue
 		}
 		m, err := decodeRow[memberRow](r)
 		if err != nil {
-			x.log.Error().Err(err).Str("event", "row_ignored").Send()
+			s.log.Error().Err(err).Str("event", "row_ignored").Send()
 			continue
 		}
-		x.members[r.Key] = m
+		s.members[r.Key] = m
 	}
 }
 
 // run chooses relays until ctx ends.
-func (x *relaySet) run(ctx context.Context) error {
-	defer x.pool.Close()
+func (s *relaySet) run(ctx context.Context) error {
+	defer s.pool.Close()
 	for ctx.Err() == nil {
-		x.chooseRelays(ctx)
+		s.chooseRelays(ctx)
 		t := time.NewTimer(relayCheckInterval)
 		select {
 		case <-ctx.Done():
-		case <-x.membersChanged:
+		case <-s.membersChanged:
 		case <-t.C:
 		}
 		t.Stop()
@@ -118,14 +118,14 @@
 }
 
 // chooseRelays gives each zone its relays: the strongest members that answer.
-func (x *relaySet) chooseRelays(ctx context.Context) {
+func (s *relaySet) chooseRelays(ctx context.Context) {
 	var g supervisor.Group
-	for zone, candidates := range x.candidates(bootNow()) {
+	for zone, candidates := range s.candidates(bootNow()) {
 		g.Go(func() {
-			ready := x.selectAnswering(ctx, candidates)
-			x.setReady(zone, ready)
+			ready := s.selectAnswering(ctx, candidates)
+			s.setReady(zone, ready)
 			if len(candidates) > 0 && len(ready) == 0 {
-				x.markZoneUnreachable(zone)
+				s.markZoneUnreachable(zone)
 			}
 		})
 	}
@@ -133,23 +133,23 @@
 }
 
 // markZoneUnreachable leaves the members of a zone alone for a while.
-func (x *relaySet) markZoneUnreachable(zone string) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.unreachableUntil == nil {
-		x.unreachableUntil = map[string]time.Time{}
+func (s *relaySet) markZoneUnreachable(zone string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unreachableUntil == nil {
+		s.unreachableUntil = map[string]time.Time{}
 	}
-	x.unreachableUntil[zone] = bootNow().Add(zoneRetryDelay)
-	x.log.Info().Str("event", "zone_without_relays").Str("zone", zone).Send()
+	s.unreachableUntil[zone] = bootNow().Add(zoneRetryDelay)
+	s.log.Info().Str("event", "zone_without_relays").Str("zone", zone).Send()
 }
 
 // selectAnswering returns the first members that carry orders, as many as a zone needs.
-func (x *relaySet) selectAnswering(ctx context.Context, candidates []relay.Candidate) []relay.Candidate {
+func (s *relaySet) selectAnswering(ctx context.Context, candidates []relay.Candidate) []relay.Candidate {
 	candidates = candidates[:min(len(candidates), 2*relay.CountNeeded(candidates))]
 	alive := make([]bool, len(candidates))
 	var g supervisor.Group
 	for i, m := range candidates {
-		g.Go(func() { alive[i] = x.isAlive(ctx, m.Address) })
+		g.Go(func() { alive[i] = s.isAlive(ctx, m.Address) })
 	}
 	g.Wait()
 	var out []relay.Candidate
@@ -163,21 +163,21 @@
 
 // candidates returns the addresses of each zone's members that have not failed of
 // late, the strongest first.
-func (x *relaySet) candidates(now time.Time) map[string][]relay.Candidate {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (s *relaySet) candidates(now time.Time) map[string][]relay.Candidate {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	out := map[string][]relay.Candidate{}
-	for zone := range x.ready {
+	for zone := range s.ready {
 		// A zone that has lost all of its members has no relays any more.
 		out[zone] = nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(x.members)) {
-		m := x.members[name]
-		if now.Before(x.unreachableUntil[m.Zone]) {
+	for _, name := range slices.Sorted(maps.Keys(s.members)) {
+		m := s.members[name]
+		if now.Before(s.unreachableUntil[m.Zone]) {
 			continue
 		}
 		list := out[m.Zone]
-		if m.Address != x.ownAddress && !now.Before(x.failedUntil[m.Address]) {
+		if m.Address != s.ownAddress && !now.Before(s.failedUntil[m.Address]) {
 			list = append(list, relay.Candidate{Address: m.Address, Capacity: relay.Capacity(m.Cores, m.LinkMbps)})
 		}
 		out[m.Zone] = list
@@ -189,39 +189,39 @@
 }
 
 // isAlive tells whether a member carries orders; one that does already is not asked.
-func (x *relaySet) isAlive(ctx context.Context, address string) bool {
-	x.mu.Lock()
-	for _, list := range x.ready {
+func (s *relaySet) isAlive(ctx context.Context, address string) bool {
+	s.mu.Lock()
+	for _, list := range s.ready {
 		if slices.ContainsFunc(list, func(m relay.Candidate) bool { return m.Address == address }) {
-			x.mu.Unlock()
+			s.mu.Unlock()
 			return true
 		}
 	}
-	x.mu.Unlock()
+	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, relayPingTimeout)
 	defer cancel()
 	var reply int
-	if err := x.pool.Call(ctx, address, netrpc.AliveName+".Ping", 1, &reply); err != nil {
-		x.markFailed(address, err)
+	if err := s.pool.Call(ctx, address, netrpc.AliveName+".Ping", 1, &reply); err != nil {
+		s.markFailed(address, err)
 		return false
 	}
 	return true
 }
 
 // setReady makes the list of ready relays of a zone what it is now.
-func (x *relaySet) setReady(zone string, ready []relay.Candidate) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (s *relaySet) setReady(zone string, ready []relay.Candidate) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := bootNow()
 	// One may have failed meanwhile.
-	ready = slices.DeleteFunc(ready, func(m relay.Candidate) bool { return now.Before(x.failedUntil[m.Address]) })
-	if x.ready == nil {
-		x.ready = map[string][]relay.Candidate{}
+	ready = slices.DeleteFunc(ready, func(m relay.Candidate) bool { return now.Before(s.failedUntil[m.Address]) })
+	if s.ready == nil {
+		s.ready = map[string][]relay.Candidate{}
 	}
-	if !slices.Equal(x.ready[zone], ready) {
-		x.log.Info().Str("event", "relays_chosen").Str("zone", zone).Strs("relays", addresses(ready)).Send()
+	if !slices.Equal(s.ready[zone], ready) {
+		s.log.Info().Str("event", "relays_chosen").Str("zone", zone).Strs("relays", addresses(ready)).Send()
 	}
-	x.ready[zone] = ready
+	s.ready[zone] = ready
 }
 
 func addresses(candidates []relay.Candidate) []string {
@@ -233,48 +233,48 @@
 }
 
 // memberCount returns the number of entry VMs that are known.
-func (x *relaySet) memberCount() int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return len(x.members)
+func (s *relaySet) memberCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.members)
 }
 
 // addresses returns the addresses of each zone's relays.
-func (x *relaySet) addresses() map[string][]string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (s *relaySet) addresses() map[string][]string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	out := map[string][]string{}
-	for zone, list := range x.ready {
+	for zone, list := range s.ready {
 		out[zone] = addresses(list)
 	}
 	return out
 }
 
 // markFailed gives up a relay for a while.
-func (x *relaySet) markFailed(address string, err error) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for zone, list := range x.ready {
-		x.ready[zone] = slices.DeleteFunc(slices.Clone(list), func(m relay.Candidate) bool { return m.Address == address })
+func (s *relaySet) markFailed(address string, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for zone, list := range s.ready {
+		s.ready[zone] = slices.DeleteFunc(slices.Clone(list), func(m relay.Candidate) bool { return m.Address == address })
 	}
 	now := bootNow()
-	if now.Before(x.failedUntil[address]) {
+	if now.Before(s.failedUntil[address]) {
 		// Many calls fail with one relay.
 		return
 	}
-	if x.failedUntil == nil {
-		x.failedUntil = map[string]time.Time{}
+	if s.failedUntil == nil {
+		s.failedUntil = map[string]time.Time{}
 	}
-	x.failedUntil[address] = now.Add(relayRetryDelay)
-	x.log.Warn().Err(err).Str("event", "relay_failed").Str("relay", address).Send()
+	s.failedUntil[address] = now.Add(relayRetryDelay)
+	s.log.Warn().Err(err).Str("event", "relay_failed").Str("relay", address).Send()
 }
 
 // relayFor returns the relay for a VM, or none.
-func (x *relaySet) relayFor(zone string, id job.VMID) string {
-	if !x.wanted.Load() {
+func (s *relaySet) relayFor(zone string, id job.VMID) string {
+	if !s.wanted.Load() {
 		return ""
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return relay.Select(x.ready[zone], id)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return relay.Select(s.ready[zone], id)
 }
--- a/io/node/vmsender.go
+++ b/io/node/vmsender.go
@@ -22,18 +22,18 @@
 type directSender struct{ vm *platform.VM }
 
 // Start implements vmOrders.
-func (d directSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
+func (s directSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	r, err := d.vm.Start(ctx, o)
+	r, err := s.vm.Start(ctx, o)
 	return r, outcomeFromError(err)
 }
 
 // Hold implements vmOrders.
-func (d directSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
+func (s directSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
 	defer cancel()
-	r, err := d.vm.Hold(ctx, o)
+	r, err := s.vm.Hold(ctx, o)
 	return r, outcomeFromError(err)
 }
 
@@ -50,34 +50,34 @@
 }
 
 // Start implements vmOrders.
-func (x relayedSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
-	r, outcome, sent := x.call(ctx, orderTimeout, "Start", StartArgs{VM: x.vm, Address: x.address, Order: o})
+func (s relayedSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
+	r, outcome, sent := s.call(ctx, orderTimeout, "Start", StartArgs{VM: s.vm, Address: s.address, Order: o})
 	if !sent {
-		return x.direct.Start(ctx, o)
+		return s.direct.Start(ctx, o)
 	}
 	return r, outcome
 }
 
 // Hold implements vmOrders.
-func (x relayedSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
-	r, outcome, sent := x.call(ctx, o.Wait+holdGrace, "Hold", HoldArgs{VM: x.vm, Address: x.address, Order: o})
+func (s relayedSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
+	r, outcome, sent := s.call(ctx, o.Wait+holdGrace, "Hold", HoldArgs{VM: s.vm, Address: s.address, Order: o})
 	if !sent {
-		return x.direct.Hold(ctx, o)
+		return s.direct.Hold(ctx, o)
 	}
 	return r, outcome
 }
 
 // call makes a call to the relay. sent is false if the relay certainly has done nothing.
-func (x relayedSender) call(ctx context.Context, timeout time.Duration, method string, args any) (r job.Report, outcome schedule.Outcome, sent bool) {
+func (s relayedSender) call(ctx context.Context, timeout time.Duration, method string, args any) (r job.Report, outcome schedule.Outcome, sent bool) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout+relayGrace)
 	defer cancel()
 	var reply OrderReply
-	err := x.relays.pool.Call(callCtx, x.relay, relayName+"."+method, args, &reply)
+	err := s.relays.pool.Call(callCtx, s.relay, relayName+"."+method, args, &reply)
 	if err == nil {
 		return reply.Report, reply.Outcome, true
 	}
 	if ctx.Err() == nil {
-		x.relays.markFailed(x.relay, err)
+		s.relays.markFailed(s.relay, err)
 	}
 	if errors.Is(err, netrpc.ErrNotSent) {
 		return job.Report{}, schedule.NotDone, false
