--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// replyMargin is left of a caller's patience for the answer's way back.
+	// replyMargin is the part of a caller's timeout that is reserved for sending the reply
+	// back.
 	replyMargin = 150 * time.Millisecond
-	// defaultCallerTimeout is assumed of a caller that doesn't say how long it waits.
+	// defaultCallerTimeout is assumed for a caller that doesn't state its timeout.
 	defaultCallerTimeout = 3 * time.Second
-	// retryAfter is when a refused caller should try again: by then it reaches
-	// another entry VM, or the table is back.
+	// retryAfter is the delay after which a denied caller is told to retry. By then the
+	// caller reaches another entry VM, or the table is available again.
 	retryAfter = time.Second
-	// maxBacklogAge is how old the owner's count may be. Callers may be shown one
-	// that is two seconds old.
+	// maxBacklogAge bounds the age of the owner's backlog count that is shown to callers.
+	// Callers may be shown a count that is two seconds old.
 	maxBacklogAge = 1800 * time.Millisecond
 )
 
-// callerHandler answers callers.
+// callerHandler serves the HTTP calls that submit, show and cancel jobs and show backlogs.
 type callerHandler struct {
 	view    *operatorView
 	health  *tableHealth
@@ -36,7 +37,8 @@
 	count   func(name string)
 	elapsed func(name string, d time.Duration)
 
-	// renewalAge remembers when each of the owner's counts was first seen.
+	// renewalAge records when each version of the owner's renewal row, which holds the
+	// backlog count, was first seen.
 	renewalAge renewalAgeTracker
 }
 
@@ -80,7 +82,7 @@
 	h.elapsed("call_"+call.Method.String(), bootNow().Sub(started))
 }
 
-// routedCall is a call whose queue and account are known.
+// routedCall is a call whose queue and client account are known.
 type routedCall struct {
 	call     platform.Call
 	queue    *job.Queue
@@ -91,7 +93,7 @@
 	decision contact.Decision
 }
 
-// tablePartFor returns the part of the table that a call needs first.
+// tablePartFor returns the part of the table that a call accesses first.
 func tablePartFor(m platform.CallMethod, id job.ID) string {
 	if m == platform.CallSubmit {
 		return jobPart(id)
@@ -100,8 +102,8 @@
 }
 
 func (h *callerHandler) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
-	// The work goes on when the caller leaves: a submission that is half done
-	// would be answered as unknown for no reason.
+	// The work continues when the caller disconnects. Otherwise a submission that is half
+	// done would end with an unknown outcome for no reason.
 	ctx = context.WithoutCancel(ctx)
 	switch {
 	case c.call.Method == platform.CallShow && c.id == "":
@@ -188,7 +190,7 @@
 	platform.WriteAccepted(w)
 }
 
-// denyFailed answers a call that the table didn't serve.
+// denyFailed answers a call for which the table request failed.
 func (h *callerHandler) denyFailed(w http.ResponseWriter, c routedCall, err error) {
 	d := platform.DeniedUnknown
 	switch {
@@ -209,15 +211,16 @@
 		comeBackIn = retryAfter
 	}
 	if d == platform.DeniedUnavailable {
-		// The balancer leaves an open connection where it is: a caller that keeps it comes
-		// back to this process for as long as its zone is cut off. A new one goes elsewhere.
+		// The load balancer doesn't move open connections. A caller that keeps its
+		// connection would come back to this process for as long as the zone is cut off. A
+		// new connection goes to another entry VM.
 		w.Header().Set("Connection", "close")
 	}
 	platform.WriteDenial(w, d, comeBackIn)
 }
 
-// renewalAgeTracker tells how old the owner's last renewal is, by when it was first
-// seen here. Its zero value works.
+// renewalAgeTracker reports how long ago a version of the owner's renewal row was first
+// seen by this process. The zero value is ready to use.
 type renewalAgeTracker struct {
 	mu        sync.Mutex
 	version   platform.Version
--- a/io/node/clock.go
+++ b/io/node/clock.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootNow reads the clock that also counts the time for which the machine stood
-// still. Rights must be measured on it: on the usual steady clock a frozen
-// owner would think, when it wakes, that its right is still fresh.
+// bootNow reads CLOCK_BOOTTIME, which also counts time during which the machine was
+// suspended. Ownership must be measured with it: on the monotonic clock, an owner that was
+// suspended would still consider its ownership fresh when it resumes.
 func bootNow() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// renewalInterval is how often the owner renews its right if it has nothing to
-	// store: three times within the period for which a proof lasts.
+	// renewalInterval is how often the owner renews its ownership when it has nothing to
+	// store. Three renewals fit into the period for which a confirmation is valid.
 	renewalInterval = 250 * time.Millisecond
-	// batchDelay gathers saves into one transaction: transactions are priced and
-	// the table takes 300 of them a second.
+	// batchDelay is how long saves are collected into one transaction. Transactions are
+	// priced, and the table takes 300 of them a second.
 	batchDelay = 12 * time.Millisecond
-	// maxBatchRows keeps a transaction, with its conditions and the renewal, below the
-	// table's bound on rows.
+	// maxBatchRows keeps a transaction, including its conditions and the renewal, below
+	// the table's limit on rows.
 	maxBatchRows = platform.MaxTransactionRows - 10
-	// minCommitTimeout bounds the wait for an answer from below; the table answers in
-	// about 4 ms. answerMost does so from above, for a table that is slow.
+	// minCommitTimeout and maxCommitTimeout bound the wait for an answer. The table
+	// answers in about 4 ms; the upper bound is for a slow table.
 	minCommitTimeout = 250 * time.Millisecond
 	maxCommitTimeout = 1500 * time.Millisecond
-	// maxTimeoutDoublings bounds how often the wait doubles; it reaches answerMost before.
+	// maxTimeoutDoublings bounds how often the wait doubles. maxCommitTimeout is reached
+	// before that.
 	maxTimeoutDoublings = 3
 	// refusedRetryDelay is the pause after the table refused a transaction.
 	refusedRetryDelay = 60 * time.Millisecond
 )
 
-// committer stores what the scheduler wants stored, in order, and renews the
-// owner's right with the same transactions.
+// committer stores the scheduler's saves in order and renews the ownership in the same
+// transactions.
 type committer struct {
 	table   *platform.Table
 	tenure  *tenure
@@ -43,11 +44,13 @@
 	renewal platform.Version
 	batch   int64
 	latency latencyEstimator
-	// onStored is called after each transaction with the last sequence stored.
+	// onStored is called after each transaction with the last sequence that is stored
+	// completely.
 	onStored func(sequence int64)
-	// backlog returns the count of jobs that haven't begun, or nil before the first.
+	// backlog returns the number of jobs per queue that haven't begun, or nil before the
+	// first count.
 	backlog func() map[job.QueueName]int
-	// entries returns the number of entry VMs; nil stands for not known.
+	// entries returns the number of entry VMs. A nil function means that it isn't known.
 	entries       func() int
 	recordLatency func(d time.Duration)
 	health        *tableHealth
@@ -57,7 +60,7 @@
 	wake  chan struct{}
 }
 
-// add queues saves.
+// add queues saves to be stored.
 func (c *committer) add(saves []schedule.Command) {
 	c.mu.Lock()
 	c.queue = append(c.queue, saves...)
@@ -68,7 +71,7 @@
 	}
 }
 
-// run stores and renews until ctx ends or the right is lost.
+// run stores saves and renews the ownership until ctx ends or the ownership is lost.
 func (c *committer) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.awaitWork(ctx)
@@ -84,7 +87,8 @@
 	return nil
 }
 
-// logUnstored logs how many saves an owner that ends leaves unstored.
+// logUnstored logs how many saves are left unstored when the owner ends. inFlight are the
+// saves of the transaction that failed.
 func (c *committer) logUnstored(inFlight []schedule.Command) {
 	c.mu.Lock()
 	queued := len(c.queue)
@@ -94,13 +98,14 @@
 	}
 }
 
-// awaitWork waits for saves, but not longer than until the next renewal.
+// awaitWork waits until there are saves to store or a renewal is due.
 func (c *committer) awaitWork(ctx context.Context) {
 	c.mu.Lock()
 	n := len(c.queue)
 	c.mu.Unlock()
 	if n >= maxBatchRows || !c.tenure.mayOrderMachines(bootNow()) {
-		// A renewal that took many attempts is old when it is known.
+		// A renewal that took many attempts is already old when its answer arrives, so the
+		// next one is due at once.
 		return
 	}
 	if n == 0 {
@@ -117,9 +122,9 @@
 	supervisor.Sleep(ctx, batchDelay)
 }
 
-// nextBatchSize returns how many of the waiting saves fit into one transaction. Saves of
-// one row count once, since only the last of them is written: when the table is
-// slow, a job's saves pile up, and most of them needn't be written at all.
+// nextBatchSize returns how many of the queued saves fit into one transaction. Saves of
+// the same row count once, since only the last of them is written. When the table is slow,
+// a job's saves pile up, and most of them needn't be written at all.
 func (c *committer) nextBatchSize() int {
 	rows := map[platform.RowKey]bool{}
 	for i, s := range c.queue {
@@ -131,8 +136,8 @@
 	return len(c.queue)
 }
 
-// nextBatch takes saves off the queue. last is the sequence up to which all are
-// stored once they are, or 0 if none is whole.
+// nextBatch takes saves off the queue. last is the sequence up to which everything is
+// stored once these saves are, or 0 if no sequence is complete.
 func (c *committer) nextBatch() (saves []schedule.Command, last int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,10 +164,10 @@
 	return c.entries()
 }
 
-// transaction builds what stores the saves. It expects the owner's row and the
-// last renewal unchanged: the first keeps a deposed owner from writing, the
-// second keeps an earlier transaction whose answer was lost from being carried
-// out after this one and undoing it.
+// transaction builds the transaction that stores the saves. Its conditions require the
+// owner's row and the last renewal to be unchanged. The first condition keeps a deposed
+// owner from writing. The second keeps an earlier transaction whose answer was lost from
+// being applied after this one and undoing it.
 func (c *committer) transaction(saves []schedule.Command) (platform.Transaction, error) {
 	tx := platform.Transaction{Conditions: []platform.Condition{
 		{RowKey: ownerKey, Version: c.tenure.fence},
@@ -188,8 +193,9 @@
 	return tx, nil
 }
 
-// store carries out one transaction, however often it takes. It returns errDeposed once
-// the right is lost, and the cause of ctx's end if it isn't known to be stored by then.
+// store applies one transaction and retries it as often as necessary. It returns
+// errDeposed once the ownership is lost. If ctx ends before the transaction is known to be
+// stored, it returns the cause.
 func (c *committer) store(ctx context.Context, saves []schedule.Command) error {
 	c.batch++
 	tx, err := c.transaction(saves)
@@ -214,7 +220,8 @@
 		case refused:
 			supervisor.Sleep(ctx, refusedRetryDelay)
 		case bootNow().Sub(sent) < minOverdue:
-			// The connection was reset: the next one would be as soon.
+			// The connection was reset. An immediate retry would probably be reset as
+			// fast.
 			supervisor.Sleep(ctx, minOverdue)
 		}
 		c.log.Debug().Err(err).Int64("batch", c.batch).Msg("transaction is sent again")
@@ -234,15 +241,16 @@
 }
 
 // attemptTimeout returns how long to wait for the answer to an attempt. It doubles with
-// each: a transaction that is given up and sent again takes the part as long as the
-// first. When the table turned slow (258 ms in place of 3 ms), a wait that grew by
-// an eighth each time kept the owner from renewing its right for 1.3 s.
+// each attempt, because a transaction that is abandoned and sent again occupies its part
+// of the table as long as the first one did. When the table slowed down from 3 ms to 258
+// ms, growing the wait by an eighth per attempt kept the owner from renewing its ownership
+// for 1.3 s.
 func (c *committer) attemptTimeout(attempt int) time.Duration {
 	return min(c.latency.timeout(minCommitTimeout)<<min(attempt, maxTimeoutDoublings), maxCommitTimeout)
 }
 
-// resolveConflict looks at why a condition failed: the transaction may have been carried
-// out already without an answer.
+// resolveConflict examines a failed condition. The transaction may already have been
+// applied by an attempt whose answer was lost.
 func (c *committer) resolveConflict(firstSent, sent time.Time, conflict *platform.ConflictError) error {
 	owner, renewal := conflict.Row(ownerKey), conflict.Row(renewalKey)
 	if owner == nil || owner.Version != c.tenure.fence || renewal == nil {
@@ -259,8 +267,9 @@
 	return nil
 }
 
-// recordStored takes in that the transaction was carried out, by a call sent at renewed at the
-// earliest, and that a call sent at sent has said so.
+// recordStored records that the transaction was applied. firstSent is when the first call
+// was sent that may have applied it, and sent is when the call was sent whose answer
+// confirms it.
 func (c *committer) recordStored(firstSent, sent time.Time, version platform.Version) {
 	c.renewal = version
 	c.tenure.recordRenewal(version)
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -15,12 +15,14 @@
 	"lavenderpond/platform"
 )
 
-// rowBytes is the largest row that the table takes, on all deployments so far.
+// rowBytes is the largest row that the table accepts. It is the same on all deployments so
+// far.
 const rowBytes = 65_536
 
-// The owner of a large fleet finds its VMs and orders machines to move. One row
-// for all of them is too long: the table refuses the transaction as malformed,
-// every time, no right is renewed and nothing starts any more, whoever takes over.
+// Guards against storing the state of the whole fleet in one row. The owner of a large
+// fleet finds its VMs and orders machines to move. The table would refuse the oversized
+// transaction as malformed every time, so no ownership would be renewed and no task
+// started, whichever process takes over.
 func TestLargeFleetFitsTheTable(t *testing.T) {
 	now := bootNow()
 	s := schedule.New(schedule.Settings{Fence: 5, TookOver: now, LeaseMax: 6 * time.Second, Holder: "edge-somewhere-1"})
@@ -49,7 +51,8 @@
 	assert.Assert(t, rows >= 2000, "%d rows", rows)
 }
 
-// A VM that is gone leaves the roster in the same order as it came.
+// Checks that a VM that is saved and dropped in one transaction has its row removed, not
+// written.
 func TestDroppedVMRowIsRemoved(t *testing.T) {
 	c := newCommitter(nil)
 	tx, err := c.transaction([]schedule.Command{
@@ -60,8 +63,9 @@
 	assert.Equal(t, len(tx.Writes), 1, "the renewal only")
 }
 
-// The table is slow and 90 jobs have changed ten times each. One transaction after
-// another for all 900 saves takes seconds, while tasks wait for them to start.
+// Guards against writing every queued save. The table is slow and 90 jobs have changed ten
+// times each. Separate transactions for all 900 saves would take seconds, during which
+// tasks wait to start.
 func TestSavesOfOneRowAreWrittenOnce(t *testing.T) {
 	c := newCommitter(nil)
 	sequence := int64(0)
@@ -80,14 +84,14 @@
 	assert.Equal(t, len(tx.Writes), maxBatchRows+1)
 }
 
-// The table turns slow while the owner renews its right: 258 ms for a transaction.
-// Each attempt that is given up too early is carried out all the same and holds up
-// the next one; the right runs out and nothing starts.
+// Guards against a table that slows down to 258 ms per transaction while the owner renews
+// its ownership. Each attempt that is abandoned too early is still applied and delays the
+// next one. The ownership would expire and no task would start.
 func TestRenewalSucceedsWhenTableTurnsSlow(t *testing.T) {
 	const slow = 258 * time.Millisecond
 	c := newCommitter(nil)
 	c.latency.observe(4*time.Millisecond, true)
-	// The part carries out one attempt after the other.
+	// The part of the table applies the attempts one after the other.
 	waited, busyUntil := time.Duration(0), time.Duration(0)
 	for attempt := 0; ; attempt++ {
 		busyUntil = max(busyUntil, waited) + slow
@@ -102,9 +106,9 @@
 	assert.Assert(t, c.attemptTimeout(0) > slow, "the next one waits long enough at once")
 }
 
-// Guards against ends that are lost at a planned stop: an owner that stops while the table
-// refuses its transaction must not take it for stored. VMs would forget the ends in it, and
-// the next owner would run their tasks again.
+// Guards against task ends that are lost at a planned stop. An owner that stops while the
+// table refuses its transaction must not count it as stored. Otherwise VMs would forget
+// the ends in it, and the next owner would run their tasks again.
 func TestStoppedCommitterReportsNothingStored(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusServiceUnavailable, ""))
 	c := newCommitter(table)
@@ -116,7 +120,8 @@
 	assert.Assert(t, errors.Is(c.run(ctx), context.DeadlineExceeded))
 }
 
-// Guards against saves that count as stored while others of their sequence wait for the next transaction.
+// Guards against counting saves as stored while others of their sequence wait for the next
+// transaction.
 func TestSequenceSplitOverTwoTransactionsIsStoredWithTheSecond(t *testing.T) {
 	c := newCommitter(nil)
 	var saves []schedule.Command
@@ -130,7 +135,8 @@
 	assert.Equal(t, last, int64(7))
 }
 
-// Guards against a fence that stays as it was: the version of each renewal is known to the tenure, whether its answer came or not.
+// Guards against a fence that isn't raised. The tenure records the version of each
+// renewal, whether its answer arrived or was lost.
 func TestTenureRecordsEachRenewal(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":11}`), dropAnswer, respondWith(http.StatusPreconditionFailed, conflictAnswer(10, `{"life":"me","batch":2}`)))
 	c := newCommitter(table)
--- a/io/node/decisions.go
+++ b/io/node/decisions.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxLinesPerSecond bounds the lines of one kind of decision. At the busiest
-	// each kind comes about 250 times a second.
+	// maxLinesPerSecond bounds the log lines per kind of decision. Under peak load, each
+	// kind occurs about 250 times a second.
 	maxLinesPerSecond = 400
 )
 
-// decisionLog writes the scheduler's decisions, at most so many a second of each
-// kind; how many were left out stands in the first line after.
+// decisionLog logs the scheduler's decisions and counts them in metrics. It writes a
+// limited number of lines per second and kind. The next line that is written says how many
+// were omitted before it.
 type decisionLog struct {
 	log     zerolog.Logger
 	count   func(name string)
@@ -70,7 +71,8 @@
 	e.Send()
 }
 
-// admit tells whether a line may be written, and how many were left out before it.
+// admit reports whether a line of this kind may be written, and how many lines were
+// omitted before it.
 func (l *decisionLog) admit(kind schedule.DecisionKind) (omitted int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/io/node/dump.go
+++ b/io/node/dump.go
@@ -9,7 +9,7 @@
 	"lavenderpond/platform"
 )
 
-// processDump is what a process believes at this moment.
+// processDump is the state of a process as served at /dump.
 type processDump struct {
 	Node          string            `json:"node"`
 	Zone          string            `json:"zone"`
@@ -17,13 +17,14 @@
 	Ready         bool              `json:"ready"`
 	Configuration job.ConfigVersion `json:"configuration,omitempty"`
 	Evacuated     []job.ZoneName    `json:"evacuated"`
-	// ViewAgeMS and TableAgeMS are the ages of the operators' rows and of the table's last word.
+	// ViewAgeMS is the age of the view of the operators' rows, TableAgeMS the time since
+	// the table's last answer.
 	ViewAgeMS  int64      `json:"view_age_ms"`
 	TableAgeMS int64      `json:"table_age_ms"`
 	Owner      *ownerDump `json:"owner,omitempty"`
 }
 
-// ownerDump is what the owner believes beyond that.
+// ownerDump is the additional state of the process that is the owner.
 type ownerDump struct {
 	Fence        platform.Version      `json:"fence"`
 	TenureNumber int64                 `json:"turn"`
--- a/io/node/dump_test.go
+++ b/io/node/dump_test.go
@@ -12,8 +12,8 @@
 	"lavenderpond/platform"
 )
 
-// The dump tells what the process believes, and of the owner what it may do and by which
-// relays.
+// Checks that the dump shows the process's state and, for the owner, its permissions,
+// backlog and relays.
 func TestDumpShowsProcessAndOwnerState(t *testing.T) {
 	n, err := New(platform.Settings{Node: "entry-1", Zone: "east", TableAddress: "127.0.0.1:1", MachinesAddress: "127.0.0.1:1"}, zerolog.Nop())
 	assert.NilError(t, err)
--- a/io/node/election.go
+++ b/io/node/election.go
@@ -15,42 +15,43 @@
 )
 
 const (
-	// basePollInterval is how often a process that isn't the owner looks at the owner's rows,
-	// from one look to the next. A weak one does so more seldom, but often enough to
-	// know soon that it is cut off from the table.
+	// basePollInterval is how often a process that isn't the owner polls the owner's rows,
+	// measured from one poll to the next. A process with low capacity polls at
+	// lowCapacityPollInterval, which is still often enough to notice soon that it is cut
+	// off from the table.
 	basePollInterval        = 150 * time.Millisecond
 	lowCapacityPollInterval = 450 * time.Millisecond
-	// minPollPause is the least pause between two looks, for a table that is slow.
+	// minPollPause is the minimum pause between two polls, for a slow table.
 	minPollPause = 50 * time.Millisecond
-	// pollTimeout bounds one look.
+	// pollTimeout bounds one poll.
 	pollTimeout = time.Second
-	// takeoverTimeout bounds an attempt to take over.
+	// takeoverTimeout bounds one takeover attempt.
 	takeoverTimeout = time.Second
-	// lowCapacityCores is the processor time, in cores, below which an entry VM leaves the
-	// fleet to a stronger one. The owner of 349 VMs uses 0.28 of a core at the most.
+	// lowCapacityCores is the CPU capacity, in cores, below which an entry VM leaves the
+	// ownership to one with more capacity. The owner of 349 VMs uses at most 0.28 cores.
 	lowCapacityCores = 0.3
-	// vacateTimeout bounds giving the right back at a planned stop.
+	// vacateTimeout bounds giving up the ownership at a planned stop.
 	vacateTimeout = 1500 * time.Millisecond
 )
 
-// election makes this process the owner when there is none.
+// election watches the owner and makes this process the owner when there is none.
 type election struct {
 	table *platform.Table
 	node  string
 	life  string
 	log   zerolog.Logger
-	// lowCapacity is set on an entry VM with too little processor time for a large fleet.
+	// lowCapacity is set on an entry VM with too little CPU capacity for a large fleet.
 	lowCapacity bool
 	health      *tableHealth
-	// readsPerSecond is what the table serves; 0 if that isn't known.
+	// readsPerSecond is the table's read limit; 0 if it isn't known.
 	readsPerSecond float64
-	// entries is the number of entry VMs that the owner knew of at the last look.
+	// entries is the number of entry VMs according to the last renewal that was read.
 	entries atomic.Int64
-	// serve runs a tenure until ctx ends or the right is lost.
+	// serve runs a tenure until ctx ends or the ownership is lost.
 	serve func(ctx context.Context, t *tenure, renewal platform.Version) error
 }
 
-// run watches the owner and takes over when it must, until ctx ends.
+// run watches the owner and takes over when that is due, until ctx ends.
 func (e *election) run(ctx context.Context) error {
 	watcher := lease.Watcher{LowCapacity: e.lowCapacity}
 	for ctx.Err() == nil {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// pollInterval returns the period of the looks.
+// pollInterval returns the interval between two polls of the owner's rows.
 func (e *election) pollInterval() time.Duration {
 	interval := basePollInterval
 	if e.lowCapacity {
@@ -87,7 +88,7 @@
 	return lease.PollInterval(interval, int(e.entries.Load()), e.readsPerSecond)
 }
 
-// ownerRows are the owner's rows as read.
+// ownerRows holds the owner row and the versions of the owner and renewal rows as read.
 type ownerRows struct {
 	owner          ownerRow
 	ownerVersion   platform.Version
@@ -125,8 +126,8 @@
 	return observation, rows, nil
 }
 
-// updateEntryCount takes in how many entry VMs there are. A renewal that can't be read still
-// is one.
+// updateEntryCount updates the number of entry VMs from a renewal row. A row that can't be
+// decoded is logged and still counts as a renewal.
 func (e *election) updateEntryCount(r *platform.Row) {
 	renewal, err := decodeRow[renewalRow](r)
 	if err != nil {
@@ -136,8 +137,8 @@
 	e.entries.Store(int64(renewal.Entries))
 }
 
-// takeOver writes this process into the owner's row. It expects both rows as
-// they were read, so that a renewal in between wins.
+// takeOver writes this process into the owner row. Its conditions require both rows to be
+// as they were read, so that a renewal in between wins.
 func (e *election) takeOver(ctx context.Context, rows ownerRows) (*tenure, platform.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
@@ -169,7 +170,7 @@
 	return t, version, nil
 }
 
-// confirmTakeover looks whether a take-over without an answer was carried out.
+// confirmTakeover checks whether a takeover whose answer was lost was applied.
 func (e *election) confirmTakeover(number int64) (platform.Version, error) {
 	_, rows, err := e.readOwnerRows(context.Background())
 	if err != nil {
@@ -181,7 +182,7 @@
 	return rows.ownerVersion, nil
 }
 
-// vacate gives the right back, so that another process takes over at once.
+// vacate marks the owner row as vacant, so that another process takes over at once.
 func (e *election) vacate(t *tenure) {
 	value, err := encodeRow(ownerRow{Node: e.node, Life: e.life, TenureNumber: t.number, Vacant: true})
 	tx := platform.Transaction{
--- a/io/node/event.go
+++ b/io/node/event.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// event is something that the owner's loop takes in.
+// event is an input of the owner's event loop.
 type event interface{ event() }
 
 type (
-	// jobRowsChanged are changes of the job table. After a gap in the history they
-	// are all of it, with all progress.
+	// jobRowsChanged carries changes of the job table. After a gap in the table's history,
+	// rows holds the whole table and progress the progress of all jobs.
 	jobRowsChanged struct {
 		rows     []platform.Row
 		progress []platform.Row
 	}
-	// vmRowsChanged are changes of the directory; whole tells that they are all of it.
+	// vmRowsChanged carries changes of the VM directory. complete means that rows holds
+	// the whole directory.
 	vmRowsChanged struct {
 		rows     []platform.Row
 		complete bool
 	}
-	// directoryRead tells that the changes are known that were made before asOf.
+	// directoryRead reports that all changes of the directory made before asOf are known.
 	directoryRead struct{ asOf time.Time }
-	// savesStored tells that all saves up to sequence are in the table.
+	// savesStored reports that all saves up to sequence are in the table.
 	savesStored struct{ sequence int64 }
-	// startAnswered, stopAnswered and holdAnswered are answers of VMs.
+	// startAnswered, stopAnswered and holdAnswered carry the answers of VMs.
 	startAnswered struct {
 		order   schedule.Start
 		outcome schedule.Outcome
@@ -42,7 +43,7 @@
 		outcome schedule.Outcome
 		report  job.Report
 	}
-	// machinesListed is the machines list, as asked for at asked.
+	// machinesListed carries the list of machines that was requested at requestedAt.
 	machinesListed struct {
 		machines    []job.Machine
 		requestedAt time.Time
@@ -61,7 +62,7 @@
 		step      job.StepID
 		approvals platform.Approvals
 	}
-	// reconfigured tells that the operators' view has changed.
+	// reconfigured reports that the operators' view has changed.
 	reconfigured struct{}
 )
 
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// orderTimeout bounds an order to a VM; it is a little longer than a start
-	// may take to begin, so that an answer in time isn't missed.
+	// orderTimeout bounds an order to a VM. It is a little longer than a start may take to
+	// begin, so that an answer in time isn't missed.
 	orderTimeout = 700 * time.Millisecond
 	// holdGrace is how much longer than its wait a hold may take.
 	holdGrace = 600 * time.Millisecond
 	// machineOrderTimeout bounds an order for a machine.
 	machineOrderTimeout = 2 * time.Second
-	// approvalTimeout bounds a question about VMs; the service decides one at a time.
+	// approvalTimeout bounds a request for approvals. The service decides on one request
+	// at a time.
 	approvalTimeout = 2 * time.Second
-	// tableWriteTimeout bounds the publication of a wave's state.
+	// tableWriteTimeout bounds publishing a wave's state and deleting a job's rows.
 	tableWriteTimeout = time.Second
 )
 
-// backlogCount passes the count from the loop to the committer.
+// backlogCount passes the backlog count from the event loop to the committer.
 type backlogCount struct {
 	mu    sync.Mutex
 	count map[job.QueueName]int
@@ -49,14 +50,14 @@
 	vm      *platform.VM
 }
 
-// orderRouter carries out the scheduler's commands.
+// orderRouter selects how orders reach VMs: directly or by a relay.
 type orderRouter struct {
 	owner *owner
-	// clients is used by the owner's loop only.
+	// clients is used by the owner's event loop only.
 	clients map[job.VMID]*vmClient
 }
 
-// client returns the owner's own client of a VM.
+// client returns the owner's own client for a VM.
 func (r *orderRouter) client(id job.VMID) *platform.VM {
 	address, _ := r.owner.scheduler.Location(id)
 	c := r.clients[id]
@@ -70,9 +71,9 @@
 	return c.vm
 }
 
-// route returns the way for orders to a VM. Relays are used only by an owner that has
-// proved its right of late: one that is cut off from the table or slow would have its
-// orders, which rest on old knowledge, carried out by a process that is neither.
+// route returns the sender for orders to a VM. Relays are used only by an owner that has
+// recently confirmed its ownership. An owner that is slow or cut off from the table
+// decides on stale data, and a healthy relay would carry out the resulting orders.
 func (r *orderRouter) route(now time.Time, id job.VMID) vmOrderSender {
 	direct := directSender{r.client(id)}
 	if !r.owner.tenure.mayOrderMachines(now) {
@@ -86,8 +87,8 @@
 	return relayedSender{relays: r.owner.relays, relay: relay, vm: id, address: address, direct: direct}
 }
 
-// holdRoute returns the way for a hold. A look goes to the VM itself: it finds out about
-// an order without an answer, for which the relay may be to blame.
+// holdRoute returns the sender for a hold. A status check goes to the VM directly: it
+// follows up an order without an answer, and the relay may be the reason for that.
 func (r *orderRouter) holdRoute(now time.Time, c schedule.Hold) vmOrderSender {
 	if c.Look {
 		return directSender{r.client(c.VM)}
@@ -101,7 +102,7 @@
 	}
 }
 
-// execute starts all commands; their answers come back as events.
+// execute starts all commands. Their answers arrive as events.
 func (o *owner) execute(ctx context.Context, commands []schedule.Command) {
 	var saves []schedule.Command
 	now := bootNow()
@@ -138,7 +139,7 @@
 	}
 }
 
-// outcomeFromError sorts the error of an order to a VM.
+// outcomeFromError maps the error of an order to an outcome.
 func outcomeFromError(err error) schedule.Outcome {
 	switch {
 	case err == nil:
@@ -154,8 +155,8 @@
 }
 
 func (o *owner) start(ctx context.Context, vm vmOrderSender, c schedule.Start) {
-	// Right and zone are looked at right before the order goes out: this process may
-	// have stood still since the scheduler decided.
+	// Ownership and zone are checked again right before the order is sent, because this
+	// process may have been suspended since the scheduler decided.
 	if !o.mayStartTasks(bootNow()) || !o.node.view.zoneOpen(c.Zone) {
 		o.send(ctx, startAnswered{order: c, outcome: schedule.NotDone})
 		return
@@ -218,7 +219,7 @@
 	o.send(ctx, moveAnswered{c, outcome, refusal})
 }
 
-// orderMachine gives an order for a machine, if this process is still the owner.
+// orderMachine sends an order for a machine if this process still may order machines.
 func (o *owner) orderMachine(ctx context.Context, event string, m job.MachineID, order func(ctx context.Context) (job.MachineRefusal, error)) (schedule.Outcome, job.MachineRefusal) {
 	if !o.tenure.mayOrderMachines(bootNow()) {
 		return schedule.NotDone, job.MachineAccepted
@@ -230,7 +231,7 @@
 	return outcomeFromError(err), refusal
 }
 
-// publishWave publishes a wave's state until it is stored.
+// publishWave publishes a wave's state and retries until it is stored.
 func (o *owner) publishWave(ctx context.Context, c schedule.PublishWave) {
 	tx := platform.Transaction{Writes: []platform.Write{platform.WaveStatus(c.Number, c.State)}}
 	for ctx.Err() == nil {
@@ -244,8 +245,9 @@
 	}
 }
 
-// deleteJobRows removes a job's rows, those as handed in first: a job without progress
-// would look new to the next owner. What fails is tried again by that one.
+// deleteJobRows deletes a job's rows. The submitted job and its cancellation go first,
+// because a job without progress would look new to the next owner. If a deletion fails,
+// the next owner retries it.
 func (o *owner) deleteJobRows(ctx context.Context, c schedule.DeleteJob) {
 	callCtx, cancel := context.WithTimeout(ctx, tableWriteTimeout)
 	defer cancel()
--- a/io/node/gctuner.go
+++ b/io/node/gctuner.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	// gcTuneInterval is how often the share of the garbage collector is looked at.
+	// gcTuneInterval is how often the garbage collector's share of CPU time is checked.
 	gcTuneInterval = time.Second
-	// gcShareHigh and collectLittle are parts of the process's own processor time.
-	// Above the first the heap may grow further between collections, below the second
-	// less far.
+	// gcShareHigh and gcShareLow are fractions of the process's CPU time. Above
+	// gcShareHigh, the heap may grow further between collections; below gcShareLow, it may
+	// grow less.
 	gcShareHigh = 0.06
 	gcShareLow  = 0.01
-	// minGCSeconds is the processor time, in seconds of each period, from which collecting
-	// is worth more memory. Most processes use less than that for all that they do.
+	// minGCSeconds is the CPU time per interval, in seconds, above which garbage
+	// collection justifies more memory. Most processes use less than that in total.
 	minGCSeconds = 0.01
-	// MinGCPercent and collectMost bound the growth of the heap, in percent.
+	// MinGCPercent and maxGCPercent bound the heap's growth between collections, in
+	// percent.
 	MinGCPercent = 60
 	maxGCPercent = 480
 )
 
-// gcTuner trades memory for processor time: an owner of a thousand VMs spends a
-// fifth of its time on collecting garbage at the growth that suits a process which
-// serves callers only. The limit on memory holds whatever the growth.
+// gcTuner adapts the garbage collector's target percentage and so trades memory for CPU
+// time. With the percentage that suits a process that only serves callers, the owner of a
+// thousand VMs spends a fifth of its CPU time on garbage collection. The memory limit
+// applies independently of the percentage.
 type gcTuner struct {
 	percent int
 	log     zerolog.Logger
 }
 
-// cpuTime is what the process has used, in seconds.
+// cpuTime is the CPU time that the process has used, in seconds.
 type cpuTime struct{ gc, user float64 }
 
 func readCPUTime() cpuTime {
@@ -45,7 +47,7 @@
 	return cpuTime{gc: samples[0].Value.Float64(), user: samples[1].Value.Float64()}
 }
 
-// run sets the heap's growth until ctx ends.
+// run adjusts the garbage collector's percentage until ctx ends.
 func (t *gcTuner) run(ctx context.Context) error {
 	t.percent = MinGCPercent
 	last := readCPUTime()
@@ -62,13 +64,13 @@
 	})
 }
 
-// nextGCPercent returns the heap's growth after a period in which so much processor time
-// went into collecting and into other work.
+// nextGCPercent returns the percentage to use after an interval in which the process spent
+// gc seconds of CPU time on garbage collection and user seconds on other work.
 func nextGCPercent(percent int, gc, user float64) int {
 	share := gc / math.Max(gc+user, math.SmallestNonzeroFloat64)
 	switch {
 	case gc <= 0 && user <= 0:
-		// The figures are of the last collection: nothing has been collected since.
+		// The metrics are updated at each collection, and none has run since.
 		return percent
 	case share > gcShareHigh && gc > minGCSeconds:
 		return min(2*percent, maxGCPercent)
--- a/io/node/gctuner_test.go
+++ b/io/node/gctuner_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a heap that grows without bound, or for a process that has time enough.
+// Guards against a heap that grows without bound, or that grows for a process with CPU
+// time to spare.
 func TestGCPercentFollowsCollectionCost(t *testing.T) {
 	assert.Equal(t, nextGCPercent(60, 0.2, 0.8), 120)
 	assert.Equal(t, nextGCPercent(480, 0.2, 0.8), 480)
--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -16,50 +16,52 @@
 	// minCallTimeout is the shortest wait for one answer of the table, which answers in
 	// about 4 ms.
 	minCallTimeout = 300 * time.Millisecond
-	// freshContactAge is how old the table's last word may be for a submission to be
-	// sent at once; before others the table is asked for the job.
+	// freshContactAge is how recently the table must have answered for a submission to be
+	// sent at once. Otherwise the table is first asked for the job.
 	freshContactAge = 100 * time.Millisecond
-	// lookupTimeout bounds that question, askUnlessSlow is the usual time of an answer
-	// from which on it would cost more than it saves.
+	// lookupTimeout bounds the lookup before a submission. If the table's typical latency
+	// exceeds lookupMaxLatency, the lookup would cost more than it saves.
 	lookupTimeout    = 250 * time.Millisecond
 	lookupMaxLatency = 50 * time.Millisecond
-	// probeTimeout bounds a call that finds out whether the table is back; its caller
-	// can go to another entry VM meanwhile. It covers an answer of a slow table.
+	// probeTimeout bounds a call that probes whether the table is available again. Its
+	// caller can go to another entry VM meanwhile. The bound covers an answer of a slow
+	// table.
 	probeTimeout = 400 * time.Millisecond
-	// callRetryDelay is the pause before a call is tried again.
+	// callRetryDelay is the pause before a call is retried.
 	callRetryDelay = 40 * time.Millisecond
-	// refusalTimeout is how long a refused or unreachable table is tried again
-	// before the caller is told to come back: it may be this entry VM alone that
-	// is turned away, and another one can serve.
+	// refusalTimeout is how long calls to a refusing or unreachable table are retried
+	// before the caller is told to come back later. Possibly only this entry VM is turned
+	// away, and another one can serve the caller.
 	refusalTimeout = 400 * time.Millisecond
 )
 
-// errOutcomeUnknown says that a request may or may not have been stored.
+// errOutcomeUnknown means that a request may or may not have been stored.
 var errOutcomeUnknown = errors.New("it is not known whether the request was stored")
 
-// errNotStored says that a request was not stored and never will be.
+// errNotStored means that a request was not stored and never will be.
 var errNotStored = errors.New("the request was not stored")
 
-// jobStore hands jobs in, shows and cancels them, in the table.
+// jobStore submits, shows and cancels jobs in the table.
 type jobStore struct {
 	table         *platform.Table
 	recordLatency func(d time.Duration)
 	health        *tableHealth
-	// rowBytes is the largest row that the table takes; 0 means that it isn't known.
+	// rowBytes is the size of the largest row that the table accepts; 0 means that it
+	// isn't known.
 	rowBytes int
 
 	latency latencyEstimator
 }
 
-// withRetries calls f, which needs a part of the table, until it succeeds, fails for good,
-// or until is reached. maybe tells whether an attempt without an answer may have been
-// carried out.
+// withRetries calls call, which accesses a part of the table, until it succeeds, fails
+// permanently, or the deadline passes. maybeApplied reports whether an attempt without an
+// answer may have been applied.
 func (s *jobStore) withRetries(ctx context.Context, deadline time.Time, part string, call func(ctx context.Context) error) (maybeApplied bool, err error) {
 	refuseAt := bootNow().Add(refusalTimeout)
 	for timeout := s.latency.timeout(minCallTimeout); ; timeout *= 2 {
 		now := bootNow()
 		if !now.Before(deadline) && !maybeApplied {
-			// Nothing was sent, or all that was sent was refused.
+			// Nothing was sent, or everything that was sent was refused.
 			return false, errors.Wrap(errNotStored, "out of time")
 		}
 		if !now.Before(deadline) {
@@ -72,7 +74,8 @@
 		s.recordLatency(took)
 		s.latency.observe(took, !errors.Is(err, platform.ErrNoAnswer))
 		if err == nil || deadline.Sub(now) >= timeout {
-			// A call that ended with its caller's patience says nothing of the part.
+			// A call that was cut short by its caller's deadline says nothing about the
+			// part.
 			s.recordOutcome(part, err)
 		}
 		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
@@ -91,7 +94,8 @@
 	}
 }
 
-// recordOutcome takes in what came of a call to a part. A table that is busy is there.
+// recordOutcome updates the table's health from the outcome of a call to a part. A busy
+// table is reachable, so it doesn't count as a failure.
 func (s *jobStore) recordOutcome(part string, err error) {
 	var conflict *platform.ConflictError
 	switch {
@@ -102,17 +106,18 @@
 	}
 }
 
-// errTooLarge says that a job is larger than a row of the table.
+// errTooLarge means that a job doesn't fit into a row of the table.
 var errTooLarge = errors.New("the job is too large to be stored")
 
-// errTableSilent says that the table didn't answer a question.
+// errTableSilent means that the table didn't answer a lookup.
 var errTableSilent = errors.New("the table does not answer")
 
-// lookupBeforeSubmit finds out whether the table can be reached, if its last word isn't fresh,
-// and whether it has the job. A submission that is sent into a partition can't be
-// refused any more, since it may be carried out later, and its caller can't try
-// again elsewhere: 44 of 3,400 jobs were lost so when a zone was cut off. After a
-// question without an answer nothing has been sent, and the caller goes elsewhere.
+// lookupBeforeSubmit checks whether the table has the job already and, unless the table
+// has answered recently, whether it is reachable. A submission that is sent into a network
+// partition can't be refused any more, because it may be applied later, and its caller
+// can't retry elsewhere. Without the lookup, 44 of 3,400 jobs were lost that way when a
+// zone was cut off. After a lookup without an answer nothing has been written, and the
+// caller can go elsewhere.
 func (s *jobStore) lookupBeforeSubmit(ctx context.Context, id job.ID, decision contact.Decision) (known bool, err error) {
 	if decision == contact.Call && (s.health.sinceLastAnswer() < freshContactAge || s.latency.slowerThan(lookupMaxLatency)) {
 		return false, nil
@@ -131,21 +136,22 @@
 	case errors.Is(err, platform.ErrNoAnswer):
 		return false, errors.Wrap(errNotStored, errTableSilent.Error())
 	case err != nil:
-		// A refusal says that the table can be reached.
+		// A refusal shows that the table is reachable.
 		return false, nil //nolint:nilerr // The submission itself will be refused, and tries again.
 	}
 	return len(snapshot.Rows) > 0, nil
 }
 
-// jobRowRange is the range of a job's rows as handed in.
+// jobRowRange returns the range of the rows that hold a submitted job and its
+// cancellation.
 func jobRowRange(id job.ID) platform.Range {
 	return platform.Range{
 		Table: jobTable, Part: jobPart(id), From: cancelKey(id).Key, To: jobKey(id).Key + "\x00",
 	}
 }
 
-// submit stores a job once. A job that is there already, in any state, is not
-// stored again; that is no error.
+// submit stores a job once. A job that exists already, in any state, is not stored again;
+// that is no error.
 func (s *jobStore) submit(ctx context.Context, deadline time.Time, j job.Job, decision contact.Decision) error {
 	if known, err := s.lookupBeforeSubmit(ctx, j.ID, decision); known || err != nil {
 		return err
@@ -175,7 +181,7 @@
 	return err
 }
 
-// show returns a job's state; known is false if there is no such job.
+// show returns a job's state. known is false if there is no such job.
 func (s *jobStore) show(ctx context.Context, deadline time.Time, id job.ID) (state job.State, known bool, err error) {
 	progressRow, jobRow, cancelRow, err := s.read(ctx, deadline, id)
 	switch {
@@ -190,7 +196,8 @@
 	return job.Pending, jobRow != nil, nil
 }
 
-// read returns a job's rows, those as handed in only if there is no progress yet.
+// read returns a job's rows. The submitted job and its cancellation are read only if there
+// is no progress yet.
 func (s *jobStore) read(ctx context.Context, deadline time.Time, id job.ID) (progress, submitted, cancellation *platform.Row, err error) {
 	if progress, err = s.get(ctx, deadline, progressKey(id)); err != nil || progress != nil {
 		return progress, nil, nil, err
@@ -207,7 +214,7 @@
 	return row, err
 }
 
-// getJob reads the job as handed in and its cancellation in one call.
+// getJob reads the submitted job and its cancellation in one call.
 func (s *jobStore) getJob(ctx context.Context, deadline time.Time, id job.ID) (submitted, cancellation *platform.Row, err error) {
 	_, err = s.withRetries(ctx, deadline, jobPart(id), func(ctx context.Context) error {
 		snapshot, err := s.table.List(ctx, jobRowRange(id))
@@ -227,9 +234,9 @@
 	return submitted, cancellation, err
 }
 
-// cancel stores that a job is not wanted any more; known is false if there is
-// no such job. An unknown one is marked too, so that its submission can't be
-// stored later by a call that is still on its way.
+// cancel stores that a job is cancelled. known is false if there is no such job. An
+// unknown job is marked too, so that a submission that is still in flight can't be stored
+// later.
 func (s *jobStore) cancel(ctx context.Context, deadline time.Time, id job.ID) (known bool, err error) {
 	for range maxCancelAttempts {
 		progressRow, err := s.get(ctx, deadline, progressKey(id))
@@ -257,11 +264,12 @@
 	return false, errors.Wrap(errOutcomeUnknown, "the job changes all the time")
 }
 
-// maxCancelAttempts bounds how often a cancellation starts anew when the job's rows
-// change between reading and writing: they are written once each.
+// maxCancelAttempts bounds how often a cancellation is restarted because the job's rows
+// changed between the read and the write. Each row is written once.
 const maxCancelAttempts = 3
 
-// storeCancellation writes the cancellation if the job's row is still as read.
+// storeCancellation writes the cancellation if the job's row is unchanged since it was
+// read. It reports whether the cancellation was stored.
 func (s *jobStore) storeCancellation(ctx context.Context, deadline time.Time, id job.ID, jobRow *platform.Row) (bool, error) {
 	version := platform.Version(0)
 	if jobRow != nil {
@@ -282,8 +290,8 @@
 	return err == nil, err
 }
 
-// backlog returns the number of a queue's jobs that haven't begun, as the owner
-// last wrote it.
+// backlog returns the renewal row, which holds the number of jobs per queue that haven't
+// begun as the owner last wrote it.
 func (s *jobStore) backlog(ctx context.Context, deadline time.Time) (renewalRow, platform.Version, error) {
 	row, err := s.get(ctx, deadline, renewalKey)
 	if err != nil || row == nil {
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -15,21 +15,22 @@
 	"lavenderpond/platform"
 )
 
-// loadTimeout bounds the reading of whole tables. One that stands still ends sooner.
+// loadTimeout bounds reading whole tables. A read that makes no progress ends sooner.
 const loadTimeout = 12 * time.Second
 
-// maxConcurrentReads is how many parts of the job table are read at a time. Over a slow link more
-// of them starve one another, and the renewals of the owner's right with them.
+// maxConcurrentReads is how many parts of the job table are read concurrently. On a slow
+// link, more reads starve one another and the renewals of the ownership.
 const maxConcurrentReads = 8
 
-// storedState is what former owners left in the table.
+// storedState is what previous owners left in the table.
 type storedState struct {
 	jobs, progress, waves, vms, orders []platform.Row
-	// jobFeedVersion is the version from which the feed of jobs goes on.
+	// jobFeedVersion is the version from which the feed of jobs continues.
 	jobFeedVersion platform.Version
 }
 
-// load reads what the former owner left. It is tried until the right is lost.
+// load reads what previous owners left. It retries until it succeeds or the ownership is
+// lost.
 func (o *owner) load(ctx context.Context) error {
 	for ctx.Err() == nil {
 		state, err := o.readStoredState(ctx)
@@ -63,15 +64,15 @@
 			return state, err
 		}
 	}
-	// The progress is read after the jobs: a job that ends in between is then
-	// known to be over.
+	// The progress is read after the jobs, so that a job that ends in between is known to
+	// have ended.
 	var err error
 	state.progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPart)
 	return state, err
 }
 
-// loadJobs reads the jobs of all parts. The feed goes on from the oldest
-// of the readings.
+// loadJobs reads the jobs of all parts. The feed continues from the oldest version among
+// the reads.
 func (o *owner) loadJobs(ctx context.Context) ([]platform.Row, platform.Version, error) {
 	var parts [jobPartCount][]platform.Row
 	var versions [jobPartCount]platform.Version
@@ -94,7 +95,7 @@
 	return slices.Concat(parts[:]...), slices.Min(versions[:]), nil
 }
 
-// restore makes a scheduler that knows what former owners left.
+// restore creates a scheduler from the state that previous owners left.
 func (o *owner) restore(state storedState) {
 	now := bootNow()
 	var previousOrders []schedule.MachineOrder
@@ -147,8 +148,8 @@
 	return known
 }
 
-// decodeRows decodes rows by their keys. One that can't be read is left out and
-// logged: the others hold.
+// decodeRows returns the decoded rows by key. A row that can't be decoded is logged and
+// skipped, so that the others remain usable.
 func decodeRows[T any](rows []platform.Row, log zerolog.Logger) map[string]T {
 	out := map[string]T{}
 	for i := range rows {
--- a/io/node/load_test.go
+++ b/io/node/load_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/platform"
 )
 
-// Guards against a new owner on a slow link whose readings starve one another, so that
-// each is given up, and its renewals with them.
+// Guards against a new owner on a slow link whose reads starve one another, so that all
+// reads and the renewals of its ownership time out.
 func TestNewOwnerReadsFewPartsAtATime(t *testing.T) {
 	var mu sync.Mutex
 	read, running, maxRunning := map[string]int{}, 0, 0
--- a/io/node/membership.go
+++ b/io/node/membership.go
@@ -11,8 +11,8 @@
 	"lavenderpond/platform"
 )
 
-// memberTable lists the entry VMs that carry orders for the owner. It has a part of
-// its own: all processes write there at the same time when the system starts.
+// memberTable lists the entry VMs that can relay orders for the owner. It has its own part
+// because all processes write to it at the same time when the system starts.
 const (
 	memberTable = "lavenderpond_member"
 	memberPart  = "members"
@@ -25,15 +25,15 @@
 	memberRetryDelay = 300 * time.Millisecond
 )
 
-// memberRow is what an entry VM says of itself to the owner.
+// memberRow describes an entry VM to the owner.
 type memberRow struct {
 	Zone string `json:"zone"`
-	// Address takes orders, by net/rpc.
+	// Address is the net/rpc address that accepts orders.
 	Address string  `json:"address"`
 	Cores   float64 `json:"cores"`
-	// LinkMbps is its link in Mbit/s; 0 if that isn't known.
+	// LinkMbps is the bandwidth of the VM's network link in Mbit/s; 0 if it isn't known.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
-	// Life tells apart the processes of one entry VM.
+	// Life identifies one run of the entry VM's process.
 	Life string `json:"life"`
 }
 
@@ -41,7 +41,7 @@
 	return platform.RowKey{Table: memberTable, Part: memberPart, Key: node}
 }
 
-// membership keeps this process's row for as long as it carries orders.
+// membership keeps this process's row in the table while it can relay orders.
 type membership struct {
 	table *platform.Table
 	node  string
@@ -49,7 +49,7 @@
 	log   zerolog.Logger
 }
 
-// run writes the row and removes it once ctx has ended.
+// run writes the row and removes it once ctx ends.
 func (m *membership) run(ctx context.Context) error {
 	value, err := encodeRow(m.row)
 	if err != nil {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// leave removes the row, unless another life has written it since. One that stays is
-// found out by the owner, whose calls fail.
+// leave removes the row unless another run of the process has overwritten it. If the row
+// remains, the owner notices because its calls fail.
 func (m *membership) leave(version platform.Version) {
 	tx := platform.Transaction{
 		Conditions: []platform.Condition{{RowKey: memberKey(m.node), Version: version}},
--- a/io/node/metrics.go
+++ b/io/node/metrics.go
@@ -11,23 +11,23 @@
 	"lavenderpond/io/supervisor"
 )
 
-// gaugeInterval is how often the gauges of this process are taken.
+// gaugeInterval is how often the gauges of this process are updated.
 const gaugeInterval = 5 * time.Second
 
-// histogramSampleSize bounds what a histogram remembers.
+// histogramSampleSize bounds the number of values that a histogram keeps.
 const histogramSampleSize = 512
 
-// processMetrics are the counters and histograms of this process.
+// processMetrics holds the counters, gauges and histograms of this process.
 type processMetrics struct{ registry metrics.Registry }
 
 func newFigures() *processMetrics { return &processMetrics{registry: metrics.NewRegistry()} }
 
-// count adds one to a counter.
+// count increments a counter.
 func (f *processMetrics) count(name string) {
 	f.registry.GetOrRegister(name, metrics.NewCounter).(metrics.Counter).Inc(1)
 }
 
-// elapsed adds a period to a histogram of microseconds.
+// elapsed adds a duration to a histogram of microseconds.
 func (f *processMetrics) elapsed(name string, d time.Duration) {
 	h := f.registry.GetOrRegister(name+"_us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewUniformSample(histogramSampleSize))
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -1,6 +1,6 @@
-// Package node is the process that runs on each entry VM of a deployment: it
-// answers callers from the platform's table, and one of all is the owner that
-// runs their jobs on the VMs.
+// Package node implements the process that runs on each entry VM of a deployment. It
+// serves callers from the platform's table. One of all these processes is the owner, which
+// runs the callers' jobs on the VMs.
 package node
 
 import (
@@ -20,26 +20,27 @@
 )
 
 const (
-	// readinessSlack is how much older than its last look at the owner's rows the table's
-	// last word may be while this process still says that it is ready. The balancer asks
-	// once a second and takes two misses: each tenth of a second is one more in which
-	// callers are refused here. It covers an answer of a slow table. While the whole
-	// table is out of reach no entry VM is ready, and callers stay where they are.
+	// readinessSlack bounds, together with the poll interval of the owner's rows, the time
+	// since the table's last answer while this process still reports that it is ready. The
+	// load balancer checks once a second and reacts to two misses, so each additional
+	// tenth of a second extends the time in which callers are denied here. The bound
+	// covers an answer of a slow table. While the whole table is unreachable no entry VM
+	// is ready, and callers stay where they are.
 	readinessSlack = 450 * time.Millisecond
-	// drainDuration is how long callers are still served after the signal to stop:
-	// the balancer takes two misses of a second each to send no more.
+	// drainDuration is how long callers are still served after the stop signal. The load
+	// balancer stops sending callers after two misses of a second each.
 	drainDuration = 2800 * time.Millisecond
-	// shutdownTimeout bounds the end of the last calls after that. Both fit into the
-	// six seconds that the platform grants.
+	// shutdownTimeout bounds the completion of the last calls after that. Together with
+	// drainDuration it fits into the six seconds that the platform grants.
 	shutdownTimeout = 2 * time.Second
 	// headerTimeout and idleTimeout bound slow and idle callers.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 30 * time.Second
-	// lifeIDBytes is the length of the name of a process's life.
+	// lifeIDBytes is the length in bytes of the random ID of a process's run.
 	lifeIDBytes = 6
 )
 
-// Node is the process. Use New.
+// Node is the process on an entry VM. Use New to create it.
 type Node struct {
 	settings      platform.Settings
 	log           zerolog.Logger
@@ -56,7 +57,7 @@
 	stopRequested atomic.Bool
 }
 
-// New prepares a process.
+// New creates a process. Run starts it.
 func New(s platform.Settings, log zerolog.Logger) (*Node, error) {
 	life := make([]byte, lifeIDBytes)
 	if _, err := rand.Read(life); err != nil {
@@ -89,13 +90,14 @@
 
 func (n *Node) setOwner(o *owner) { n.owner.Store(o) }
 
-// reconfigured tells the owner, if it is this process, that something changed.
+// reconfigured notifies the owner, if it is this process, that the operators' view has
+// changed.
 func (n *Node) reconfigured() {
 	if o := n.owner.Load(); o != nil {
 		select {
 		case o.events <- reconfigured{}:
 		default:
-			// The loop is far behind; its next turn sees the change.
+			// The event queue is full. The next cycle checks the view anyway.
 			n.log.Warn().Str("event", "owner_behind").Send()
 		}
 	}
@@ -103,8 +105,7 @@
 
 func (n *Node) stopping() bool { return n.stopRequested.Load() }
 
-// Run serves until ctx ends, and then until the callers that are there have
-// their answers.
+// Run serves until ctx ends, and then until the remaining callers have their answers.
 func (n *Node) Run(ctx context.Context) error {
 	callers, err := listen(n.settings.CallerAddress)
 	if err != nil {
@@ -114,7 +115,7 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for the balancer")
 	}
-	// The parts outlast ctx: callers are still served while this process drains.
+	// The children outlive ctx: callers are still served while this process drains.
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	front := &http.Server{Handler: n.callers, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
@@ -140,8 +141,8 @@
 	return err
 }
 
-// relayChildren returns the parts that carry orders for the owner. The row goes at once when
-// this process is to stop; orders are taken until its end.
+// relayChildren returns the children that relay orders for the owner. The membership row
+// is removed as soon as this process is to stop; orders are accepted until its end.
 func (n *Node) relayChildren(ctx, life context.Context) []supervisor.Child {
 	if n.settings.PeerAddress == "" {
 		return nil
@@ -157,11 +158,12 @@
 
 func listen(address string) (net.Listener, error) { return net.Listen("tcp4", address) }
 
-// Stop makes the process say that it isn't ready and give its rights back. The
-// context of Run has to end right after.
+// Stop makes the process report that it isn't ready and give up its ownership. The context
+// of Run must end right after.
 func (n *Node) Stop() { n.stopRequested.Store(true) }
 
-// drain serves on until the balancer sends no more callers, then ends.
+// drain continues to serve until the load balancer sends no more callers, and then shuts
+// the server down.
 func (n *Node) drain(front *http.Server) {
 	front.SetKeepAlivesEnabled(false)
 	supervisor.Sleep(context.Background(), drainDuration)
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -21,7 +21,7 @@
 	"lavenderpond/platform"
 )
 
-// fakeTable answers transactions one after the other as told.
+// fakeTable answers requests with the given answers in turn, and repeats the last one.
 type fakeTable struct {
 	mu       sync.Mutex
 	answers  []func(w http.ResponseWriter)
@@ -64,7 +64,8 @@
 	}
 }
 
-// conflictAnswer is the answer to a failed condition, with the renewal as given.
+// conflictAnswer is the table's answer to a failed condition, with the given version of
+// the owner row and the given value of the renewal row.
 func conflictAnswer(fence int, renewal string) string {
 	value := func(s string) string { b, _ := json.Marshal([]byte(s)); return string(b) }
 	return `{"rows":[{"table":"lavenderpond_owner","part":"main","key":"owner","value":"e30=","ver":` + jsonNumber(fence) + `},` +
@@ -73,8 +74,9 @@
 
 func jsonNumber(n int) string { b, _ := json.Marshal(n); return string(b) }
 
-// A transaction is carried out and its answer is lost. It is sent again, fails on
-// its own effect, and must be taken for done: the row shows this very batch.
+// Guards against treating a lost answer as a failure. The transaction is applied, sent
+// again, and then fails on its own effect. It must count as applied, because the row shows
+// this batch.
 func TestLostAnswerIsResolvedByConflict(t *testing.T) {
 	_, table := newFakeTable(t, dropAnswer, respondWith(http.StatusPreconditionFailed, conflictAnswer(10, `{"life":"me","batch":1}`)))
 	c := newCommitter(table)
@@ -83,8 +85,8 @@
 	assert.Assert(t, c.tenure.mayStartTasks(bootNow()))
 }
 
-// Another process has taken over. Whatever the clock says, the former owner's
-// writes fail, and it must go.
+// Guards against a deposed owner that continues. After another process has taken over, the
+// previous owner's writes fail regardless of its clock, and it must stop.
 func TestDeposedOwnerStops(t *testing.T) {
 	for name, rows := range map[string]string{
 		"other owner":   conflictAnswer(30, `{"life":"me","batch":1}`),
@@ -97,8 +99,8 @@
 	}
 }
 
-// Each transaction expects the last renewal. One whose answer was lost and that
-// is carried out seconds later can therefore not undo a later one.
+// Guards against a delayed transaction that undoes a later one. Each transaction requires
+// the last renewal, so one whose answer was lost and that is applied seconds later fails.
 func TestEachTransactionExpectsTheLastRenewal(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":11}`), respondWith(http.StatusOK, `{"ver":12}`))
 	c := newCommitter(table)
@@ -113,7 +115,8 @@
 	})
 }
 
-// A transaction may name a row once: of two saves of a job the later one counts.
+// Checks that of two saves of a job only the later one is written, because a transaction
+// may name a row only once.
 func TestLaterSaveReplacesEarlier(t *testing.T) {
 	saves := []schedule.Command{
 		schedule.Save{Sequence: 1, Job: "j", Progress: job.Progress{State: job.Running}},
@@ -124,12 +127,12 @@
 	assert.Equal(t, kept[0].value.(job.Progress).State, job.Completed)
 }
 
-// newJobStore returns a store that has just heard of the table.
+// newJobStore returns a store whose table has just answered.
 func newJobStore(table *platform.Table) *jobStore {
 	return &jobStore{table: table, recordLatency: func(time.Duration) {}, health: healthWithLastAnswer(0)}
 }
 
-// healthWithLastAnswer knows a table whose last word is so old.
+// healthWithLastAnswer returns the health of a table that last answered d ago.
 func healthWithLastAnswer(d time.Duration) *tableHealth {
 	var r tableHealth
 	r.breaker.RecordContact(bootNow().Add(-d))
@@ -138,8 +141,8 @@
 
 func testJob() job.Job { return job.Job{ID: "0123456789abcdef"} }
 
-// The table doesn't answer a submission. It may be stored later, so the caller
-// must not be told that it never runs, even if later attempts are refused.
+// Guards against telling a caller that a submission never runs when it may be stored
+// later. The table doesn't answer the first attempt and refuses the later ones.
 func TestUnansweredSubmissionIsNeverRefused(t *testing.T) {
 	_, table := newFakeTable(t, dropAnswer, respondWith(http.StatusServiceUnavailable, ""))
 	s := newJobStore(table)
@@ -147,8 +150,8 @@
 	assert.Assert(t, errors.Is(err, errOutcomeUnknown), "%v", err)
 }
 
-// A table that refuses from the beginning has stored nothing: the caller may go
-// elsewhere, long before its patience is over.
+// Guards against denying a submission late. A table that refuses from the beginning has
+// stored nothing, so the caller may go elsewhere long before its timeout.
 func TestSubmissionToRefusingTableIsDeniedSoon(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusServiceUnavailable, ""))
 	s := newJobStore(table)
@@ -158,7 +161,8 @@
 	assert.Assert(t, bootNow().Sub(started) < time.Second)
 }
 
-// The same submission arrives again, at another entry VM: it is one job.
+// Checks that a submission that arrives again, at another entry VM, counts as the same
+// job.
 func TestSecondSubmissionIsAccepted(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusPreconditionFailed, `{"rows":[]}`))
 	s := newJobStore(table)
@@ -185,9 +189,9 @@
 	return w
 }
 
-// An entry VM has had no word of the table for a while. A submission sent there
-// could not be refused any more; refused before, it goes to another entry VM. One call
-// in a while asks whether the table is back; the others send nothing.
+// Guards against sending submissions to a table that has stopped answering. They couldn't
+// be refused any more, whereas a caller that is denied before goes to another entry VM.
+// Only occasional probes check whether the table is available again.
 func TestNothingIsSentToASilentTable(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	front := newCallerHandler(healthWithLastAnswer(time.Second))
@@ -204,8 +208,8 @@
 	assert.Equal(t, len(f.requests[0].Writes), 0)
 }
 
-// The part with the owner's rows is out of reach, the part of a caller's job is not:
-// the job is stored.
+// Checks that a job is stored while the part with the owner's rows is unreachable and the
+// part with the job isn't.
 func TestJobIsStoredWhileTheOwnersPartIsDown(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	front := newCallerHandler(healthWithLastAnswer(0))
@@ -218,8 +222,9 @@
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 }
 
-// A caller whose zone is cut off keeps its connection and would be refused at each try.
-// It is told to open a new one; callers who are refused for what they sent keep theirs.
+// Guards against a caller that keeps its connection to a process whose zone is cut off,
+// and is denied at each retry. It is told to reconnect. Callers that are denied because of
+// what they sent keep their connections.
 func TestCallerRefusedWithoutTableReconnects(t *testing.T) {
 	r := healthWithLastAnswer(time.Second)
 	assert.Equal(t, r.decide(jobPart("0123456789abcdef")), contact.Probe)
@@ -237,8 +242,8 @@
 	assert.Equal(t, sendCall(f, http.MethodGet, "/open/short").Code, http.StatusBadRequest)
 }
 
-// Decisions come faster than the bound. Lines are left out, and the next line of
-// the kind says how many.
+// Checks that lines beyond the limit are omitted and that the next line of the kind says
+// how many.
 func TestOmittedLogLinesAreCounted(t *testing.T) {
 	l := &decisionLog{log: zerolog.Nop(), count: func(string) {}, elapsed: func(string, time.Duration) {}}
 	left := 0
@@ -253,8 +258,8 @@
 	assert.Assert(t, ok && omitted == left, "%d of %d", omitted, left)
 }
 
-// A new owner renews its right before it has read the jobs. It hasn't counted
-// them yet; callers must not be told that none is waiting.
+// Guards against showing an empty backlog while a new owner, which renews its ownership
+// before it has read the jobs, hasn't counted yet.
 func TestBacklogIsNotShownBeforeItIsCounted(t *testing.T) {
 	for renewal, want := range map[string]int{
 		`{"life":"new","batch":1}`:                                     http.StatusServiceUnavailable,
@@ -274,7 +279,7 @@
 	}
 }
 
-// Before the owner has counted, its row says so.
+// Checks that the renewal row shows whether the owner has counted the backlog.
 func TestUncountedRenewal(t *testing.T) {
 	c := newCommitter(nil)
 	tx, err := c.transaction(nil)
@@ -286,9 +291,9 @@
 	assert.Assert(t, strings.Contains(string(tx.Writes[0].Value), `"counted":true`))
 }
 
-// A caller asks again shortly before its patience is over. Nothing was sent for
-// this call, so it isn't answered as unknown, after which the caller could not try
-// again: it is told that this call was not carried out.
+// Guards against reporting an unknown outcome, after which a caller can't retry, for a
+// call that arrives shortly before the caller's timeout. Nothing was sent, so the caller
+// is told that the call was not carried out.
 func TestCallWithoutTimeIsRefused(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
@@ -297,9 +302,9 @@
 	assert.Equal(t, len(f.requests), 0)
 }
 
-// The table takes 400 ms for an answer. A submission that is given up after 300 ms
-// and sent again, time after time, fills its part of the table; the callers' own
-// submissions are what makes it slower still. Once it is known to be slow, one
+// Guards against abandoning calls to a slow table too early. The table takes 400 ms for an
+// answer. A submission that is abandoned after 300 ms and sent again repeatedly fills its
+// part of the table and slows it down further. Once the table is known to be slow, one
 // call waits long enough.
 func TestSlowTableIsWaitedFor(t *testing.T) {
 	s := &latencyEstimator{}
@@ -313,9 +318,10 @@
 	assert.Equal(t, s.timeout(minCallTimeout), minCallTimeout)
 }
 
-// A zone is cut off a moment before a caller hands a job in there. The entry VM
-// hasn't noticed yet. It asks before it writes, and since there is no answer it
-// refuses: nothing of the job is on its way, and the caller may go elsewhere.
+// Guards against writing into a network partition. A zone is cut off just before a caller
+// submits a job there, and the entry VM hasn't noticed yet. It looks the job up before it
+// writes, gets no answer and denies the call. Nothing of the job is in flight, and the
+// caller may go elsewhere.
 func TestSubmissionIntoAPartitionIsRefused(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	s := newJobStore(table)
@@ -329,7 +335,7 @@
 	}
 }
 
-// The question finds the job: it is the caller's second try, and is accepted.
+// Checks that a job found by the lookup is accepted: it is the caller's second attempt.
 func TestResubmittedJobIsFoundByLookup(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"rows":[{"key":"0123456789abcdef/job","value":"e30=","ver":3}],"ver":9}`))
 	s := newJobStore(table)
@@ -338,8 +344,9 @@
 	assert.Equal(t, len(f.requests), 1)
 }
 
-// A caller hands in a job of 3,000 steps, which is within the body's limit but four
-// times as long as a row. It is stored compressed, and the owner reads it whole.
+// Guards against refusing a job of 3,000 steps, which is within the limit of the body but
+// four times as large as a row. It is stored compressed, and the owner reads it
+// completely.
 func TestLargeJobIsStoredWhole(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
@@ -356,8 +363,8 @@
 	assert.DeepEqual(t, back, j)
 }
 
-// A job that no row holds is refused at once and as such, not kept waiting for the
-// table and then answered as unknown.
+// Guards against retrying a job that doesn't fit into a row, and then reporting an unknown
+// outcome. It is denied at once with the reason.
 func TestTooLargeJobIsRefused(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -16,37 +16,38 @@
 )
 
 const (
-	// feedWait is how long a feed waits for a change. A connection that fell
-	// silent is noticed after that and feedGrace, within the two seconds in which a
-	// configuration must be in force. The looks at the owner's rows tell sooner that an
-	// entry VM is cut off from the table, so that feeds needn't: calls are priced.
+	// feedWait is how long a feed waits for a change. A connection that went silent is
+	// noticed after feedWait plus feedGrace, within the two seconds in which a
+	// configuration must be in force. The polls of the owner's rows notice sooner that an
+	// entry VM is cut off from the table, so feeds can wait longer, which matters because
+	// calls are priced.
 	feedWait  = 1200 * time.Millisecond
 	feedGrace = 600 * time.Millisecond
-	// feedRetryDelay is the pause after a failed reading.
+	// feedRetryDelay is the pause after a failed read.
 	feedRetryDelay = 100 * time.Millisecond
-	// machineListTimeout bounds the reading of the machines list.
+	// machineListTimeout bounds reading the list of machines.
 	machineListTimeout = 1500 * time.Millisecond
 )
 
-// operatorView is what operators have set, as of the newest reading.
+// operatorView holds what operators have set, according to the latest read.
 type operatorView struct {
 	table *platform.Table
 	log   zerolog.Logger
 	// onChange is called after each change.
 	onChange func()
 
-	// health is told of the table's answers.
+	// health records the table's answers.
 	health *tableHealth
 
 	mu    sync.Mutex
 	conf  *job.Configuration
 	waves map[int64]job.Wave
-	// evacuated are the availability zones in which no task may start.
+	// evacuated holds the availability zones in which no task may start.
 	evacuated map[job.ZoneName]struct{}
 	// generation counts the changes.
 	generation uint64
-	// asOf is up to when all changes are known: the view holds all that was
-	// acknowledged before.
+	// asOf is the time up to which all changes are known: the view includes everything
+	// that was acknowledged before.
 	asOf time.Time
 }
 
@@ -67,14 +68,14 @@
 	return out
 }
 
-// evacuations returns the availability zones that are evacuated, in order.
+// evacuations returns the evacuated availability zones in sorted order.
 func (v *operatorView) evacuations() []job.ZoneName {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return slices.Sorted(maps.Keys(v.evacuated))
 }
 
-// zoneOpen tells whether tasks may start in an availability zone.
+// zoneOpen reports whether tasks may start in an availability zone.
 func (v *operatorView) zoneOpen(z job.ZoneName) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -82,14 +83,14 @@
 	return !evacuated
 }
 
-// changeCount counts the changes so far.
+// changeCount returns the number of changes so far.
 func (v *operatorView) changeCount() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.generation
 }
 
-// age returns how long ago all changes were known.
+// age returns the time since asOf.
 func (v *operatorView) age(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -102,7 +103,7 @@
 	return f.run(ctx, v.applyRows, v.recordContact)
 }
 
-// heard notes that the table has answered a reading.
+// recordContact records that the table answered and that all changes up to asOf are known.
 func (v *operatorView) recordContact(asOf time.Time) {
 	v.health.recordContact()
 	v.mu.Lock()
@@ -110,7 +111,7 @@
 	v.asOf = asOf
 }
 
-// applyRows takes in rows; whole tells that they are all there are.
+// applyRows applies rows to the view. complete means that they are the whole table.
 func (v *operatorView) applyRows(rows []platform.Row, complete bool) {
 	modified := false
 	if complete {
@@ -129,8 +130,8 @@
 	}
 }
 
-// endMissingEvacuations ends the evacuations that a whole reading lacks: they ended while changes
-// were missed.
+// endMissingEvacuations ends the evacuations that a complete read doesn't contain. They
+// ended while changes were missed.
 func (v *operatorView) endMissingEvacuations(rows []platform.Row) bool {
 	present := map[job.ZoneName]bool{}
 	for _, r := range rows {
@@ -149,7 +150,7 @@
 	return modified
 }
 
-// apply takes in a change and tells whether it is news.
+// apply applies a change and reports whether it had an effect.
 func (v *operatorView) apply(c platform.OperatorChange) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -202,23 +203,25 @@
 	return false
 }
 
-// feed follows one table: all its rows first, then each change. After an outage
-// or a gap in the history it reads all rows anew.
+// feed follows one table: first all its rows, then each change. After a gap in the table's
+// history it reads all rows again.
 type feed struct {
 	table     *platform.Table
 	tableName string
 	part      string
-	// allParts follows the rows of all parts; from and whole must then be set.
+	// allParts follows the rows of all parts. It requires from and readSnapshot to be set.
 	allParts bool
-	// readSnapshot reads all rows; nil reads those of part.
+	// readSnapshot reads all rows. If it is nil, the rows of part are read.
 	readSnapshot func(ctx context.Context) ([]platform.Row, platform.Version, error)
 	log          zerolog.Logger
-	// from, if set, skips the first reading: changes after it are wanted only.
+	// from, if set, is the version after which changes are wanted. The initial read of all
+	// rows is skipped.
 	from platform.Version
 }
 
-// run calls take with rows, whole if they are the whole table, and contact after each
-// answer with the time up to which all changes are known, until ctx ends.
+// run follows the table until ctx ends. It calls onRows with rows, complete if they are
+// the whole table, and onContact after each answer with the time up to which all changes
+// are known.
 func (f *feed) run(ctx context.Context, onRows func(rows []platform.Row, complete bool), onContact func(asOf time.Time)) error {
 	after := f.from
 	lost := false
@@ -257,8 +260,9 @@
 	return nil
 }
 
-// asOf returns up to when all changes are known after an answer of the feed with so many
-// rows. One without any has waited for them to the end of feedWait.
+// asOf returns the time up to which all changes are known after an answer of the feed with
+// the given number of rows. If there are none, the table has waited for changes until the
+// end of feedWait.
 func asOf(sent, answered time.Time, rows int) time.Time {
 	waitEnd := sent.Add(feedWait)
 	if rows > 0 || answered.Before(waitEnd) {
--- a/io/node/operator_test.go
+++ b/io/node/operator_test.go
@@ -20,8 +20,8 @@
 	return r
 }
 
-// An evacuation is in force from its row's change to its removal, however often it is
-// told of, and tells the owner each time.
+// Checks that an evacuation is in force from its row's change to its removal, however
+// often the row is read, and that the owner is notified of each change.
 func TestEvacuationsFollowTheTable(t *testing.T) {
 	notified := 0
 	v := &operatorView{log: zerolog.Nop(), health: &tableHealth{}, onChange: func() { notified++ }}
@@ -36,8 +36,8 @@
 	assert.Equal(t, v.changeCount(), uint64(3))
 }
 
-// Guards against a zone that stays evacuated for good: the table forgot its history, and
-// the change that ended the evacuation with it.
+// Guards against a zone that stays evacuated permanently because the table lost its
+// history, including the change that ended the evacuation.
 func TestMissedEndOfAnEvacuation(t *testing.T) {
 	v := &operatorView{log: zerolog.Nop(), health: &tableHealth{}}
 	v.applyRows([]platform.Row{evacuationRow("east", false), evacuationRow("west", false)}, true)
@@ -45,8 +45,8 @@
 	assert.DeepEqual(t, v.evacuations(), []job.ZoneName{"west"})
 }
 
-// Guards against starts by an owner whose right is fresh while its feed of the operators'
-// rows is silent: it knows nothing of evacuations since.
+// Guards against task starts by an owner with fresh ownership whose feed of the operators'
+// rows is silent. It would miss recent evacuations.
 func TestStaleOperatorViewStartsNothing(t *testing.T) {
 	n := &Node{view: &operatorView{log: zerolog.Nop(), health: &tableHealth{}}}
 	n.settings.Bounds.Evacuate = 5 * time.Second
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// tickInterval is how often the owner looks for what is due.
+	// tickInterval is how often the owner checks what is due.
 	tickInterval = 40 * time.Millisecond
-	// eventQueueSize bounds the events that wait for the owner's loop; what brings
-	// them waits while it is full.
+	// eventQueueSize bounds the events that wait for the owner's loop. Senders block while
+	// the queue is full.
 	eventQueueSize = 1024
-	// machineListInterval is how often the machines list is read.
+	// machineListInterval is how often the list of machines is read.
 	machineListInterval = 500 * time.Millisecond
-	// attemptsPerTenure is more starts of one task than fit into one tenure.
+	// attemptsPerTenure exceeds the number of starts of one task that fit into one tenure.
 	attemptsPerTenure = 10_000
 )
 
-// owner runs the scheduler for one tenure and carries out its commands.
+// owner runs the scheduler for one tenure and executes its commands.
 type owner struct {
 	node           *Node
 	tenure         *tenure
@@ -39,14 +39,14 @@
 	workers        supervisor.Workers
 	jobFeedVersion platform.Version
 	backlog        backlogCount
-	// viewChanges counts the changes of the operators' view that the scheduler knows.
+	// viewChanges is the change count of the operators' view that the scheduler has seen.
 	viewChanges uint64
-	// maintainedByWave are the machines that former owners saw back from their upkeep,
-	// by the key of the wave.
+	// maintainedByWave holds the machines that previous owners saw return from
+	// maintenance, by the key of the wave.
 	maintainedByWave map[string][]job.MachineID
 }
 
-// serve is the owner's life from take-over to the loss of its right.
+// serve runs the owner from the takeover to the loss of its ownership.
 func (n *Node) serve(ctx context.Context, t *tenure, renewal platform.Version) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -72,8 +72,9 @@
 	run(o.committer.run)
 	run(func(ctx context.Context) error { return o.relays.follow(ctx, n.table) })
 	run(o.relays.run)
-	// The directory and the machines are read beside what former owners left: no task
-	// starts before both are known, and jobs that may run on a VM that is gone wait.
+	// The directory and the machines are read concurrently with the state that previous
+	// owners left. No task starts before both are known, and jobs that may run on a VM
+	// that is gone wait.
 	run(o.followVMs)
 	run(o.followMachines)
 	if err := o.load(ctx); err != nil {
@@ -93,7 +94,7 @@
 	return err
 }
 
-// send hands an event to the loop, or drops it once the tenure is over.
+// send passes an event to the loop, or drops it once the tenure is over.
 func (o *owner) send(ctx context.Context, e event) {
 	select {
 	case o.events <- e:
@@ -101,7 +102,7 @@
 	}
 }
 
-// applyJobRows takes in rows of the job table.
+// applyJobRows passes rows of the job table to the scheduler.
 func (o *owner) applyJobRows(now time.Time, rows []platform.Row, known map[job.ID]*job.Progress) {
 	var cancelled []job.ID
 	for i := range rows {
@@ -115,7 +116,7 @@
 			continue
 		}
 		if p := known[id]; p != nil && p.State.Final() {
-			// Most of the jobs that are still kept are over.
+			// Most of the jobs that are still stored have ended.
 			continue
 		}
 		j, err := decodeRow[job.Job](r)
@@ -137,7 +138,7 @@
 	return job.ID(key[:max(0, len(key)-len(jobSuffix))]), false
 }
 
-// loop takes in events and carries out commands until ctx ends.
+// loop handles events and runs scheduling cycles until ctx ends.
 func (o *owner) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -158,7 +159,7 @@
 	}
 }
 
-// runCycle decides on all that was taken in and carries out what was decided.
+// runCycle runs the scheduler on all events handled so far and executes its commands.
 func (o *owner) runCycle(ctx context.Context, now time.Time) {
 	if o.node.view.changeCount() != o.viewChanges {
 		o.reconfigure(now)
@@ -174,7 +175,7 @@
 	o.execute(ctx, o.scheduler.TakeCommands())
 }
 
-// drainEvents takes in the events that are there already.
+// drainEvents handles the events that are already queued.
 func (o *owner) drainEvents() {
 	for {
 		select {
@@ -212,7 +213,7 @@
 	case approvalsReceived:
 		s.AdviceAnswered(now, e.step, e.approvals.Tickets, e.approvals.Valid)
 	case reconfigured:
-		// The turn looks at the view.
+		// The next cycle checks the view.
 	}
 }
 
@@ -228,13 +229,13 @@
 	}
 }
 
-// evacuationMargin covers a start that was decided on an old view: on its way to the VM
-// it may still be carried out for so long.
+// evacuationMargin covers a start that was decided on an old view. On its way to the VM,
+// it may still be carried out within this time.
 const evacuationMargin = time.Second
 
-// mayStartTasks tells whether tasks may be started. An owner that renews its right while its
-// feed of the operators' rows is silent would start tasks in a zone that was evacuated
-// since.
+// mayStartTasks reports whether tasks may be started. The view must be fresh too: an owner
+// that renews its ownership while its feed of the operators' rows is silent would start
+// tasks in a zone that has been evacuated since.
 func (o *owner) mayStartTasks(now time.Time) bool {
 	maxAge := o.node.settings.Bounds.Evacuate
 	current := maxAge == 0 || o.node.view.age(now) < maxAge-evacuationMargin
@@ -268,8 +269,8 @@
 }
 
 func (o *owner) followJobs(ctx context.Context) error {
-	// After a gap in the history the progress is read with the jobs: without it,
-	// jobs that have ended since would look new.
+	// After a gap in the table's history the progress is read together with the jobs.
+	// Without it, jobs that have ended since would look new.
 	var progress []platform.Row
 	f := feed{
 		table: o.node.table, tableName: jobTable, allParts: true, log: o.log, from: o.jobFeedVersion,
--- a/io/node/owner_test.go
+++ b/io/node/owner_test.go
@@ -17,8 +17,8 @@
 	"lavenderpond/platform"
 )
 
-// Guards against a VM that still gets tasks by an entry that was replaced by one that
-// can't be read.
+// Guards against assigning tasks to a VM by an outdated directory row that was replaced by
+// one that can't be decoded.
 func TestUnreadableDirectoryRowDropsVM(t *testing.T) {
 	o := &owner{log: zerolog.Nop(), scheduler: schedule.New(schedule.Settings{})}
 	take := func(value string) {
@@ -34,8 +34,8 @@
 	assert.DeepEqual(t, o.scheduler.VMs(), []job.VMID{"vm-1"})
 }
 
-// Guards against a directory without changes that counts as old while the next reading
-// waits, so that nothing starts on VMs that don't refuse what doesn't fit.
+// Guards against treating a directory without changes as outdated while the next read
+// waits. Nothing would start on VMs that don't refuse tasks beyond their capacity.
 func TestUnchangedDirectoryIsCurrentUntilTheEndOfTheWait(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "feed") {
--- a/io/node/pacer.go
+++ b/io/node/pacer.go
@@ -3,26 +3,28 @@
 import "time"
 
 const (
-	// cyclePauseFactor is how many times as long as a turn took the next one waits. A turn
-	// looks at the whole fleet, whatever brought it about: with 350 VMs and 500
-	// waiting jobs it takes 1 ms, and 1,500 answers a second each wanted one. The
-	// more fell behind, the more jobs waited and the longer turns took. Paced, turns
-	// take a fifth of the processor at most, and the answers are taken in together.
+	// cyclePauseFactor is the pause before the next cycle in multiples of the last cycle's
+	// duration. A cycle examines the whole fleet whatever triggered it. With 350 VMs and
+	// 500 waiting jobs it takes 1 ms, and 1,500 answers a second would each trigger one.
+	// The further the owner fell behind, the more jobs waited and the longer the cycles
+	// took. With the pause, cycles take at most a fifth of a CPU, and answers are handled
+	// together.
 	cyclePauseFactor = 4
-	// minCyclePause lets answers gather: a turn for each of them would sort the same
+	// minCyclePause lets answers accumulate. A cycle for each of them would sort the same
 	// VMs and jobs thousands of times a second.
 	minCyclePause = 4 * time.Millisecond
-	// maxCyclePause bounds the wait after a turn in which the process stood still.
+	// maxCyclePause bounds the pause after a cycle during which the process was suspended.
 	maxCyclePause = 30 * time.Millisecond
 )
 
-// cyclePacer spaces the owner's turns. Its zero value lets the first one go.
+// cyclePacer spaces the owner's scheduling cycles. The zero value allows the first one
+// immediately.
 type cyclePacer struct{ notBefore time.Time }
 
-// recordCycle notes a turn.
+// recordCycle records when a cycle started and ended.
 func (p *cyclePacer) recordCycle(started, ended time.Time) {
 	p.notBefore = ended.Add(min(max(cyclePauseFactor*ended.Sub(started), minCyclePause), maxCyclePause))
 }
 
-// pause returns how long the next turn has to wait.
+// pause returns how long the next cycle has to wait.
 func (p *cyclePacer) pause(now time.Time) time.Duration { return max(0, p.notBefore.Sub(now)) }
--- a/io/node/pacer_test.go
+++ b/io/node/pacer_test.go
@@ -7,9 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Answers of hundreds of VMs come one by one, and a turn after each looks at the
-// whole fleet. The owner falls behind, jobs pile up and turns take longer still;
-// callers see jobs that wait for tens of seconds on an empty fleet.
+// Guards against cycles that use all of the owner's CPU time. Answers of hundreds of VMs
+// arrive one by one, and a cycle after each examines the whole fleet. The owner would fall
+// behind, jobs would accumulate and cycles would take longer still, so that jobs wait tens
+// of seconds on an empty fleet.
 func TestCyclesTakeABoundedShare(t *testing.T) {
 	const cycleTime = 2 * time.Millisecond
 	var p cyclePacer
@@ -25,7 +26,7 @@
 	assert.Assert(t, cycles > 50, "%d turns", cycles)
 }
 
-// A process that stood still in a turn goes on soon after it wakes.
+// Checks that a process that was suspended during a cycle continues soon after it resumes.
 func TestPauseAfterStalledCycleIsBounded(t *testing.T) {
 	var p cyclePacer
 	now := bootNow()
--- a/io/node/readback.go
+++ b/io/node/readback.go
@@ -11,26 +11,28 @@
 )
 
 const (
-	// minOverdue and overdueFactor, times the usual time of an answer, say when a
-	// transaction's answer is overdue; the table answers in about 4 ms.
+	// minOverdue and overdueFactor, in multiples of the typical latency, determine when a
+	// transaction's answer is overdue. The table answers in about 4 ms.
 	minOverdue    = 30 * time.Millisecond
 	overdueFactor = 3
-	// conclusiveFactor is the part of the transaction's age that a reading may take for
-	// what it shows to hold of the transaction: in a slow table both are on their way.
+	// conclusiveFactor is how many times the duration of a read the transaction must be
+	// older than the read. Otherwise the read proves nothing about the transaction: in a
+	// slow table both may still be in flight.
 	conclusiveFactor = 2
 )
 
-// applyResult is what came of a transaction.
+// applyResult is the result of applying a transaction.
 type applyResult struct {
 	version platform.Version
 	err     error
 }
 
-// applyAndVerify sends a transaction and, once its answer is overdue, reads whether it was
-// carried out. When the table loses a third of its answers, the owner would else wait
-// for each of them for a quarter of a second: all starts wait with it, and with two
-// losses in a row its right ends. A reading changes nothing, so that it may race the
-// answer; and in a slow table it takes no part of the transactions' time.
+// applyAndVerify sends a transaction and, once its answer is overdue, reads the renewal
+// row to find out whether it was applied. If the table loses a third of its answers, the
+// owner would otherwise wait a quarter of a second for each lost one. All task starts
+// would wait with it, and two losses in a row would end the ownership. A read changes
+// nothing, so it may race with the answer, and it doesn't delay transactions in a slow
+// table.
 func (c *committer) applyAndVerify(ctx context.Context, tx platform.Transaction) (platform.Version, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var g supervisor.Group
@@ -51,10 +53,10 @@
 	return a.version, a.err
 }
 
-// readBackRenewal waits until the answer of the present batch is overdue and reads the renewal until
-// that shows the batch, or that it isn't there though the table answers readings soon:
-// then the transaction is lost or late, and is best sent again. It returns 0 once ctx
-// has ended.
+// readBackRenewal waits until the answer to the current batch is overdue and then reads
+// the renewal row repeatedly. It returns the row's version once the row shows the batch.
+// It returns an error once a fast read shows that the batch isn't applied: the transaction
+// is then lost or late and is best sent again. It returns 0 once ctx has ended.
 func (c *committer) readBackRenewal(ctx context.Context) (platform.Version, error) {
 	started := bootNow()
 	for supervisor.Sleep(ctx, max(minOverdue, overdueFactor*c.latency.typical())) {
@@ -75,7 +77,7 @@
 	return 0, nil
 }
 
-// isCurrentBatch tells whether a renewal is that of the present batch.
+// isCurrentBatch reports whether a renewal row was written by the current batch.
 func (c *committer) isCurrentBatch(row *platform.Row) bool {
 	r, err := decodeRow[renewalRow](row)
 	if err != nil {
--- a/io/node/readback_test.go
+++ b/io/node/readback_test.go
@@ -11,10 +11,10 @@
 	"lavenderpond/platform"
 )
 
-// answerLate answers long after all patience.
+// answerLate answers after all timeouts have expired.
 func answerLate(http.ResponseWriter) { time.Sleep(time.Second) }
 
-// renewalAnswer is the answer to a reading of the renewal.
+// renewalAnswer is the table's answer to a read of the renewal row.
 func renewalAnswer(t *testing.T, renewal string, version int) func(w http.ResponseWriter) {
 	value, err := json.Marshal([]byte(renewal))
 	assert.NilError(t, err)
@@ -22,8 +22,8 @@
 		string(value)+`,"ver":`+jsonNumber(version)+`}],"ver":30}`)
 }
 
-// The table carries a transaction out and its answer is lost. All starts wait for it. A
-// reading shows the batch, and the owner goes on at once.
+// Guards against waiting for a lost answer while all task starts wait. The table applies
+// the transaction, a read shows the batch, and the owner continues at once.
 func TestLostAnswerIsDetectedSoon(t *testing.T) {
 	f, table := newFakeTable(t, answerLate, renewalAnswer(t, `{"life":"me","batch":1}`, 21))
 	c := newCommitter(table)
@@ -37,8 +37,9 @@
 	assert.Equal(t, len(f.requests), 2, "it is not sent again")
 }
 
-// A transaction is on its way for seconds, while the table answers readings at once. It
-// is sent again after the first of them; whichever arrives first is carried out.
+// Guards against waiting for a transaction that is in flight for seconds while the table
+// answers reads at once. It is sent again after the first read; whichever arrives first is
+// applied.
 func TestLateTransactionIsSentAgainSoon(t *testing.T) {
 	f, table := newFakeTable(t,
 		answerLate, renewalAnswer(t, `{"life":"me","batch":0}`, 10), respondWith(http.StatusOK, `{"ver":22}`))
@@ -52,8 +53,9 @@
 	assert.DeepEqual(t, f.requests[2].Conditions, f.requests[0].Conditions)
 }
 
-// The table has turned slow. What a slow reading doesn't show may be on its way like the
-// reading: sending it again would only take the part's time once more.
+// Guards against sending a transaction again to a slow table. What a slow read doesn't
+// show may be in flight like the read. Sending the transaction again would only occupy the
+// part of the table once more.
 func TestSlowTableGetsNoDuplicateTransaction(t *testing.T) {
 	slow := func(f func(w http.ResponseWriter)) func(w http.ResponseWriter) {
 		return func(w http.ResponseWriter) {
--- a/io/node/relay.go
+++ b/io/node/relay.go
@@ -12,55 +12,55 @@
 	"lavenderpond/platform"
 )
 
-// relayName is the name under which a Relay takes calls.
+// relayName is the net/rpc service name of Relay.
 const relayName = "Relay"
 
 const (
-	// relayIdleTimeout is how long a VM gets no order until its connections are closed.
+	// relayIdleTimeout is how long a VM's connections stay open without an order.
 	relayIdleTimeout = 15 * time.Second
-	// relaySweepInterval is how often that is looked at.
+	// relaySweepInterval is how often idle connections are closed.
 	relaySweepInterval = 5 * time.Second
 )
 
-// StartArgs is a start for a VM at an address.
+// StartArgs holds a start order for the VM at an address.
 type StartArgs struct {
 	VM      job.VMID
 	Address string
 	Order   job.StartOrder
 }
 
-// HoldArgs is a hold for a VM at an address.
+// HoldArgs holds a hold order for the VM at an address.
 type HoldArgs struct {
 	VM      job.VMID
 	Address string
 	Order   job.HoldOrder
 }
 
-// OrderReply is what came of an order.
+// OrderReply holds the outcome of an order and the VM's report.
 type OrderReply struct {
 	Outcome schedule.Outcome
 	Report  job.Report
 }
 
-// Relay carries out the owner's orders on the VMs of its zone, as a receiver of
-// net/rpc. It decides nothing and keeps nothing: a VM refuses the orders of a former
-// owner by their fence and starts that come too late by their deadline, whoever
-// carries them.
+// Relay carries out the owner's orders on the VMs of its zone. It is a net/rpc receiver.
+// It makes no decisions and keeps no state: a VM refuses orders of a previous owner by
+// their fence and late starts by their deadline, whichever process carries them.
 type Relay struct {
-	// lifetime ends with the process: an order that waits at a VM must not hold up its end.
+	// lifetime ends with the process, so that an order that waits at a VM doesn't delay
+	// shutdown.
 	lifetime context.Context
 
 	mu  sync.Mutex
 	vms map[job.VMID]*relayedVM
 }
 
-// relayedVM is the connections to a VM.
+// relayedVM holds the connections to a VM and when they were last used.
 type relayedVM struct {
 	vmClient
 	lastUsed time.Time
 }
 
-// Start carries out a start.
+// Start sends a start order to a VM.
 func (x *Relay) Start(args StartArgs, reply *OrderReply) error {
 	ctx, cancel := context.WithTimeout(x.lifetime, orderTimeout)
 	defer cancel()
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Hold carries out a hold.
+// Hold sends a hold order to a VM.
 func (x *Relay) Hold(args HoldArgs, reply *OrderReply) error {
 	ctx, cancel := context.WithTimeout(x.lifetime, args.Order.Wait+holdGrace)
 	defer cancel()
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// vm returns the client of a VM at an address.
+// vm returns the client for a VM at an address.
 func (x *Relay) vm(id job.VMID, address string) *platform.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -97,7 +97,7 @@
 	return v.vm
 }
 
-// closeIdle closes the connections to VMs that have had no order of late.
+// closeIdle closes the connections to VMs that haven't had an order recently.
 func (x *Relay) closeIdle(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// run takes orders at the address until ctx ends.
+// run accepts orders at the address until ctx ends.
 func (x *Relay) run(ctx context.Context, address string) error {
 	l, err := listen(address)
 	if err != nil {
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -22,7 +22,7 @@
 	"lavenderpond/platform"
 )
 
-// vmServer answers orders to a VM as told and counts them.
+// vmServer answers orders to a VM with the given handler and counts them.
 func vmServer(t *testing.T, answer http.HandlerFunc) (address string, orders *atomic.Int64) {
 	orders = &atomic.Int64{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -65,8 +65,8 @@
 	return ""
 }
 
-// relaySetWith returns relays that know the members at these addresses, the strongest
-// first, and have looked which of them answer.
+// relaySetWith returns a relay set that knows the members at these addresses, in
+// descending order of capacity, and has checked which of them answer.
 func relaySetWith(t *testing.T, addresses ...string) *relaySet {
 	x := newRelaySet("127.0.0.1:1", zerolog.Nop())
 	t.Cleanup(x.pool.Close)
@@ -88,8 +88,8 @@
 
 var testStartOrder = job.StartOrder{Task: job.TaskID{Job: "5c0e7a21d94b36f8"}, Attempt: 10001, Spec: "x", Fence: 7, Deadline: 600}
 
-// Guards against a relay that makes something else of a VM's answer than the owner
-// would: a refusal that passes for a start, or an unknown outcome for a refusal.
+// Guards against a relay that interprets a VM's answer differently from the owner, such as
+// a refusal that counts as a start or an unknown outcome that counts as a refusal.
 func TestRelayedOutcomeMatchesDirect(t *testing.T) {
 	x := relaySetWith(t, startRelay(t))
 	for name, answer := range map[string]http.HandlerFunc{
@@ -111,7 +111,8 @@
 	assert.Equal(t, len(x.ready["a"]), 1)
 }
 
-// Guards against lists that lose their rows on the way: what they lack counts as ended.
+// Guards against losing rows of a VM's task lists on the way. Tasks that the lists lack
+// count as ended.
 func TestRelayedHoldReturnsTaskLists(t *testing.T) {
 	address, _ := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41,12]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}`))
 	x := relaySetWith(t, startRelay(t))
@@ -122,8 +123,8 @@
 	assert.DeepEqual(t, r, want)
 }
 
-// Guards against orders that are lost with an entry VM that has ended: its row is still
-// there, nothing listens.
+// Guards against orders that are lost because an entry VM has stopped while its member row
+// remains.
 func TestStoppedRelayIsSkipped(t *testing.T) {
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	stopped := freeAddress(t)
@@ -137,7 +138,7 @@
 }
 
 // Guards against an owner that waits for a frozen relay until its orders' deadlines, and
-// against a start that is ordered twice: the frozen one may still carry it out.
+// against a start that is ordered twice, because the frozen relay may still carry it out.
 func TestFrozenRelayIsAbandoned(t *testing.T) {
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -157,7 +158,7 @@
 	assert.Equal(t, x.relayFor("a", "vm-1"), healthy)
 }
 
-// Guards against relays that take orders from an owner whose knowledge is old.
+// Guards against relays that carry out orders of an owner whose knowledge is outdated.
 func TestOwnerWithoutFreshOwnershipSendsDirectly(t *testing.T) {
 	x := relaySetWith(t, startRelay(t))
 	o := &owner{tenure: &tenure{}, relays: x, scheduler: schedule.New(schedule.Settings{})}
@@ -176,8 +177,8 @@
 	assert.Assert(t, direct, "a small fleet needs no relays")
 }
 
-// Guards against a relay that is still used after its row is gone, and against rows that
-// can't be read and hide the others.
+// Guards against using a relay after its row is removed, and against undecodable rows that
+// hide the others.
 func TestMembersAreFollowed(t *testing.T) {
 	first, second := startRelay(t), startRelay(t)
 	x := newRelaySet("127.0.0.1:1", zerolog.Nop())
@@ -200,8 +201,8 @@
 	assert.Equal(t, x.relayFor("a", "vm-1"), "")
 }
 
-// Guards against an owner that tries each member of a zone that is cut off, one after the
-// other and for as long as the cut lasts.
+// Guards against an owner that tries all members of an unreachable zone one after the
+// other for as long as the zone is cut off.
 func TestUnreachableZoneIsRetriedLater(t *testing.T) {
 	x := newRelaySet("127.0.0.1:1", zerolog.Nop())
 	defer x.pool.Close()
@@ -218,8 +219,8 @@
 	assert.Equal(t, len(x.candidates(later)["a"]), 12-tried)
 }
 
-// Guards against a process that is killed at the end of its grace time, since a hold that
-// it carries waits at a VM.
+// Guards against a process that is killed at the end of its grace period because a hold
+// that it relays still waits at a VM.
 func TestRelayStopsWhileAHoldWaits(t *testing.T) {
 	entered := make(chan struct{})
 	address, _ := vmServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -252,7 +253,7 @@
 	caller.Wait()
 }
 
-// Guards against orders of an owner whose tenure has ended that a relay still carries out.
+// Guards against a relay that carries out orders of an owner whose tenure has ended.
 func TestEndedOwnerSendsNothingByRelay(t *testing.T) {
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	x := relaySetWith(t, startRelay(t))
@@ -264,8 +265,8 @@
 	assert.Equal(t, orders.Load(), int64(0))
 }
 
-// Guards against looks that use up the table's reads: the owner's renewal tells all entry
-// VMs how many they are, and a take-over in between doesn't lose that.
+// Guards against polls that exhaust the table's read limit. The owner's renewal tells all
+// entry VMs how many there are, and a takeover in between doesn't lose that number.
 func TestRenewalCarriesEntryCount(t *testing.T) {
 	c := newCommitter(nil)
 	c.entries = func() int { return 300 }
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -18,45 +18,45 @@
 )
 
 const (
-	// minVMsForRelays is the number of VMs from which the owner has its orders carried by
-	// others. Each order is a call of its own: the owner of a thousand VMs would spend
-	// most of its processor time, and all of its connections, on carrying them itself.
+	// minVMsForRelays is the number of VMs from which the owner sends its orders by
+	// relays. Each order is a separate call. Without relays, the owner of a thousand VMs
+	// would spend most of its CPU time and all of its connections on sending them.
 	minVMsForRelays = 150
-	// relayCheckInterval is how often the choice of relays is looked at.
+	// relayCheckInterval is how often the choice of relays is checked.
 	relayCheckInterval = 250 * time.Millisecond
-	// relayPingTimeout bounds the first sign of life of a relay.
+	// relayPingTimeout bounds the ping that checks whether a member can become a relay.
 	relayPingTimeout = 300 * time.Millisecond
-	// relayProbeInterval is how often a relay that owes answers is asked for a sign of life;
-	// four looks without one end its calls.
+	// relayProbeInterval is how often a relay with outstanding answers is probed. Four
+	// probes without an answer end its calls.
 	relayProbeInterval = 100 * time.Millisecond
-	// relayRetryDelay is how long a relay that has failed is left alone.
+	// relayRetryDelay is how long a failed relay isn't tried again.
 	relayRetryDelay = 3 * time.Second
-	// zoneRetryDelay is the same for a zone of which no member has answered: it is cut off, and
-	// each of its members would be tried in turn.
+	// zoneRetryDelay is the same for a zone of which no member has answered. Such a zone
+	// is cut off, and each of its members would be tried in turn.
 	zoneRetryDelay = time.Second
 )
 
-// relaySet knows which entry VMs carry orders for the owner. Its zero value knows none,
-// so that the owner carries all of them.
+// relaySet selects the entry VMs that relay orders for the owner. The zero value has no
+// relays, so that the owner sends all orders itself.
 type relaySet struct {
-	// ownAddress is the address at which this process would take orders itself.
+	// ownAddress is the address at which this process accepts orders as a relay.
 	ownAddress string
 	log        zerolog.Logger
 	pool       netrpc.Pool
 	// wanted is set while the fleet is large enough for relays.
 	wanted atomic.Bool
-	// membersChanged tells that the list of members has.
+	// membersChanged signals that the list of members has changed.
 	membersChanged chan struct{}
 
 	mu sync.Mutex
-	// members are the rows of entry VMs, by their names.
+	// members holds the rows of entry VMs, by name.
 	members map[string]memberRow
-	// failedUntil is until when an address is left alone, ready the addresses of each zone that
-	// carry orders now.
+	// failedUntil holds the time until which a failed address isn't tried. ready holds the
+	// relays in use, by zone.
 	failedUntil map[string]time.Time
 	ready       map[string][]relay.Candidate
-	// unreachableUntil are the zones of which no member has answered, and until when they are
-	// left alone.
+	// unreachableUntil holds the time until which a zone of which no member has answered
+	// isn't tried.
 	unreachableUntil map[string]time.Time
 }
 
@@ -70,7 +70,7 @@
 	return f.run(ctx, s.applyRows, func(time.Time) {})
 }
 
-// applyRows takes in rows of the member table.
+// applyRows applies rows of the member table and signals the change.
 func (s *relaySet) applyRows(rows []platform.Row, complete bool) {
 	s.mergeMembers(rows, complete)
 	select {
@@ -79,7 +79,7 @@
 	}
 }
 
-// mergeMembers applies rows to the members.
+// mergeMembers applies rows to the list of members.
 func (s *relaySet) mergeMembers(rows []platform.Row, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// run chooses relays until ctx ends.
+// run selects relays until ctx ends.
 func (s *relaySet) run(ctx context.Context) error {
 	defer s.pool.Close()
 	for ctx.Err() == nil {
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// chooseRelays gives each zone its relays: the strongest members that answer.
+// chooseRelays selects the relays of each zone: the members with the highest capacity that
+// answer.
 func (s *relaySet) chooseRelays(ctx context.Context) {
 	var g supervisor.Group
 	for zone, candidates := range s.candidates(bootNow()) {
@@ -132,7 +133,7 @@
 	g.Wait()
 }
 
-// markZoneUnreachable leaves the members of a zone alone for a while.
+// markZoneUnreachable keeps the members of a zone from being tried for zoneRetryDelay.
 func (s *relaySet) markZoneUnreachable(zone string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +144,7 @@
 	s.log.Info().Str("event", "zone_without_relays").Str("zone", zone).Send()
 }
 
-// selectAnswering returns the first members that carry orders, as many as a zone needs.
+// selectAnswering returns the first candidates that answer, as many as a zone needs.
 func (s *relaySet) selectAnswering(ctx context.Context, candidates []relay.Candidate) []relay.Candidate {
 	candidates = candidates[:min(len(candidates), 2*relay.CountNeeded(candidates))]
 	alive := make([]bool, len(candidates))
@@ -161,14 +162,14 @@
 	return out[:relay.CountNeeded(out)]
 }
 
-// candidates returns the addresses of each zone's members that have not failed of
-// late, the strongest first.
+// candidates returns each zone's members that haven't failed recently, in descending order
+// of capacity.
 func (s *relaySet) candidates(now time.Time) map[string][]relay.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string][]relay.Candidate{}
 	for zone := range s.ready {
-		// A zone that has lost all of its members has no relays any more.
+		// A zone that has lost all of its members gets an empty list of relays.
 		out[zone] = nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.members)) {
@@ -188,7 +189,7 @@
 	return out
 }
 
-// isAlive tells whether a member carries orders; one that does already is not asked.
+// isAlive reports whether a member answers. A member that is already a relay isn't pinged.
 func (s *relaySet) isAlive(ctx context.Context, address string) bool {
 	s.mu.Lock()
 	for _, list := range s.ready {
@@ -208,12 +209,12 @@
 	return true
 }
 
-// setReady makes the list of ready relays of a zone what it is now.
+// setReady sets the relays of a zone.
 func (s *relaySet) setReady(zone string, ready []relay.Candidate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootNow()
-	// One may have failed meanwhile.
+	// A relay may have failed since it was checked.
 	ready = slices.DeleteFunc(ready, func(m relay.Candidate) bool { return now.Before(s.failedUntil[m.Address]) })
 	if s.ready == nil {
 		s.ready = map[string][]relay.Candidate{}
@@ -232,7 +233,7 @@
 	return out
 }
 
-// memberCount returns the number of entry VMs that are known.
+// memberCount returns the number of known entry VMs.
 func (s *relaySet) memberCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,7 +251,7 @@
 	return out
 }
 
-// markFailed gives up a relay for a while.
+// markFailed removes a relay from use for relayRetryDelay.
 func (s *relaySet) markFailed(address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,7 +260,7 @@
 	}
 	now := bootNow()
 	if now.Before(s.failedUntil[address]) {
-		// Many calls fail with one relay.
+		// Many calls fail when one relay fails. Only the first is logged.
 		return
 	}
 	if s.failedUntil == nil {
@@ -269,7 +270,7 @@
 	s.log.Warn().Err(err).Str("event", "relay_failed").Str("relay", address).Send()
 }
 
-// relayFor returns the relay for a VM, or none.
+// relayFor returns the address of the relay for a VM, or an empty string if there is none.
 func (s *relaySet) relayFor(zone string, id job.VMID) string {
 	if !s.wanted.Load() {
 		return ""
--- a/io/node/rowchange.go
+++ b/io/node/rowchange.go
@@ -7,13 +7,13 @@
 	"lavenderpond/platform"
 )
 
-// rowChange is what a save does to a row; without a value it removes it.
+// rowChange is the effect of a save on a row. A nil value removes the row.
 type rowChange struct {
 	key   platform.RowKey
 	value any
 }
 
-// rowChangeFor returns the row of a save.
+// rowChangeFor returns the row change of a save.
 func rowChangeFor(c schedule.Command) rowChange {
 	switch c := c.(type) {
 	case schedule.Save:
@@ -32,8 +32,8 @@
 	panic("not a save")
 }
 
-// latestChanges drops saves that a later one of the same row replaces: a transaction
-// may name a row once only.
+// latestChanges returns the changes of the saves without those that a later save of the
+// same row replaces, because a transaction may name a row only once.
 func latestChanges(saves []schedule.Command) []rowChange {
 	var out []rowChange
 	seen := map[platform.RowKey]bool{}
--- a/io/node/rows.go
+++ b/io/node/rows.go
@@ -14,13 +14,13 @@
 	"lavenderpond/platform"
 )
 
-// Tables and keys of lavenderpond's own rows. What the owner writes lies in one
-// part, so that one transaction can check the owner and write many jobs'
-// progress. Jobs as handed in are spread over parts by their ID: a part carries
-// out one transaction after another, and when the table is slow the submissions
-// alone would fill a single one and keep the owner from renewing its right. With
-// 140 ms for a transaction, 90 submissions a second fill 16 parts to 80%, so that
-// calls queue, are given up and are sent again; 64 parts are filled to 20%.
+// Tables and keys of the rows that lavenderpond stores. What the owner writes is in one
+// part, so that one transaction can check the owner and write the progress of many jobs.
+// Submitted jobs are spread over parts by ID. A part applies one transaction after
+// another, and when the table is slow, the submissions alone would fill a single part and
+// keep the owner from renewing its ownership. At 140 ms per transaction, 90 submissions a
+// second load 16 parts to 80%, so that calls queue, are abandoned and are sent again. 64
+// parts are loaded to 20%.
 const (
 	mainPart          = "main"
 	jobPartCount      = 64
@@ -34,7 +34,7 @@
 	ownerKeyName   = "owner"
 	renewalKeyName = "renewal"
 
-	// Suffixes of a job's keys: the job as handed in, and its cancellation.
+	// Suffixes of a job's keys: the submitted job and its cancellation.
 	jobSuffix    = "/job"
 	cancelSuffix = "/cancel"
 )
@@ -44,7 +44,7 @@
 	renewalKey = platform.RowKey{Table: ownerTable, Part: mainPart, Key: renewalKeyName}
 )
 
-// jobPart returns the part of a job's rows. It depends on nothing but the ID.
+// jobPart returns the part of a job's rows. It depends only on the ID.
 func jobPart(id job.ID) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // A hash never fails.
@@ -65,12 +65,12 @@
 	return platform.RowKey{Table: waveTable, Part: mainPart, Key: strconv.FormatInt(number, 10)}
 }
 
-// vmKey names the row that says that tasks may run on a VM.
+// vmKey returns the key of the roster row of a VM on which tasks may run.
 func vmKey(id job.VMID) platform.RowKey {
 	return platform.RowKey{Table: vmTable, Part: mainPart, Key: string(id)}
 }
 
-// machineOrderKey names the row that says that a machine has been given an order of late.
+// machineOrderKey returns the key of the row that records a machine's latest order.
 func machineOrderKey(id job.MachineID) platform.RowKey {
 	return platform.RowKey{Table: machineOrderTable, Part: mainPart, Key: string(id)}
 }
@@ -79,14 +79,14 @@
 	return platform.RowKey{Table: progressTable, Part: mainPart, Key: string(id)}
 }
 
-// ownerRow says which process owns the fleet's jobs and VMs.
+// ownerRow identifies the process that owns the fleet's jobs and VMs.
 type ownerRow struct {
 	Node string `json:"node"`
-	// Life tells apart the processes of one node.
+	// Life identifies one run of the node's process.
 	Life string `json:"life"`
-	// TenureNumber counts the take-overs; attempts are numbered from it.
+	// TenureNumber counts the takeovers. Attempts are numbered from it.
 	TenureNumber int64 `json:"turn"`
-	// Vacant is set when the owner has given its right back.
+	// Vacant is set when the owner has given up its ownership.
 	Vacant bool `json:"vacant,omitempty"`
 }
 
@@ -94,29 +94,29 @@
 type renewalRow struct {
 	Life  string `json:"life"`
 	Batch int64  `json:"batch"`
-	// Counted is set once the owner has counted: a new one renews its right before
-	// it has read the jobs.
+	// Counted is set once the owner has counted the backlog. A new owner renews its
+	// ownership before it has read the jobs.
 	Counted bool `json:"counted,omitempty"`
-	// Backlog counts the jobs of each queue that haven't begun.
+	// Backlog is the number of jobs per queue that haven't begun.
 	Backlog map[job.QueueName]int `json:"backlog,omitempty"`
-	// Entries is the number of entry VMs, as far as the owner knows.
+	// Entries is the number of entry VMs known to the owner.
 	Entries int `json:"entries,omitempty"`
 }
 
-// waveRow lists the machines of a wave that have had their upkeep.
+// waveRow lists the machines of a wave whose maintenance is done.
 type waveRow struct {
 	Done []job.MachineID `json:"done"`
 }
 
-// compressionThreshold is the size, in bytes, from which a row is compressed: half of what
-// the table takes on all deployments so far.
+// compressionThreshold is the size in bytes from which a row is compressed: half of what
+// the table accepts on all deployments so far.
 const compressionThreshold = 32 << 10
 
-// gzipMagic is how compressed rows begin; plain ones begin with a brace.
+// gzipMagic is the prefix of compressed rows. Uncompressed ones begin with a brace.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// encodeRow returns a row's value. Large ones are compressed: a job of hundreds of
-// steps, which callers may hand in, is beyond what a row holds, and the table would
+// encodeRow returns a row's value as JSON. Large values are compressed: a job of hundreds
+// of steps, which callers may submit, exceeds the limit of a row, and the table would
 // refuse it after the caller had been kept waiting.
 func encodeRow(v any) ([]byte, error) {
 	b, err := json.Marshal(v)
@@ -134,7 +134,7 @@
 	return out.Bytes(), nil
 }
 
-// decompress returns the value of a row as it was before compression.
+// decompress returns the uncompressed value of a row.
 func decompress(b []byte) ([]byte, error) {
 	if !bytes.HasPrefix(b, gzipMagic) {
 		return b, nil
--- a/io/node/tablehealth.go
+++ b/io/node/tablehealth.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/contact"
 )
 
-// tableHealth is what this process knows of the table, for all that call it. Its zero
-// value has heard nothing.
+// tableHealth tracks whether the table and its parts are reachable, shared by everything
+// in this process that calls the table. The zero value has recorded no answer.
 type tableHealth struct {
 	log zerolog.Logger
 
@@ -18,7 +18,7 @@
 	breaker contact.Breaker
 }
 
-// recordAnswer notes that a part of the table has answered.
+// recordAnswer records that a part of the table has answered.
 func (h *tableHealth) recordAnswer(part string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -27,14 +27,14 @@
 	}
 }
 
-// heardAny notes an answer that is of no part.
+// recordContact records an answer that isn't specific to a part.
 func (h *tableHealth) recordContact() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.breaker.RecordContact(bootNow())
 }
 
-// recordFailure notes that a part didn't answer.
+// recordFailure records that a part didn't answer.
 func (h *tableHealth) recordFailure(part string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,14 +43,14 @@
 	}
 }
 
-// decide says what to do with a call to a part.
+// decide returns whether to send, probe with, or refuse a call to a part.
 func (h *tableHealth) decide(part string) contact.Decision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.breaker.Decide(bootNow(), contact.Part(part))
 }
 
-// sinceLastAnswer returns how old the table's last word is.
+// sinceLastAnswer returns the time since the table's last answer.
 func (h *tableHealth) sinceLastAnswer() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/io/node/tenure.go
+++ b/io/node/tenure.go
@@ -10,10 +10,11 @@
 	"lavenderpond/platform"
 )
 
-// errDeposed says that another process owns the jobs and VMs now.
+// errDeposed means that another process owns the jobs and VMs.
 var errDeposed = errors.New("another process is the owner now")
 
-// tenure is one owner's time in office, as the table knows it.
+// tenure is one process's period as the owner: its identity in the table and its ownership
+// lease.
 type tenure struct {
 	life   string
 	fence  platform.Version
@@ -21,7 +22,7 @@
 
 	mu        sync.Mutex
 	ownership lease.Ownership
-	// latestRenewal is the last version at which the table has confirmed the right.
+	// latestRenewal is the highest version at which the table has confirmed the ownership.
 	latestRenewal platform.Version
 }
 
--- a/io/node/vmsender.go
+++ b/io/node/vmsender.go
@@ -12,16 +12,16 @@
 	"lavenderpond/platform"
 )
 
-// vmOrderSender carries the orders for one VM that come by the thousand.
+// vmOrderSender sends the frequent orders to one VM.
 type vmOrderSender interface {
 	Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome)
 	Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome)
 }
 
-// directSender calls the VM.
+// directSender calls the VM directly.
 type directSender struct{ vm *platform.VM }
 
-// Start implements vmOrders.
+// Start implements vmOrderSender.
 func (s directSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -29,7 +29,7 @@
 	return r, outcomeFromError(err)
 }
 
-// Hold implements vmOrders.
+// Hold implements vmOrderSender.
 func (s directSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
 	defer cancel()
@@ -37,10 +37,10 @@
 	return r, outcomeFromError(err)
 }
 
-// relayGrace is how much longer than the relay its caller waits for the VM's answer.
+// relayGrace is how much longer than the relay the owner waits for the VM's answer.
 const relayGrace = 100 * time.Millisecond
 
-// relayedSender has another entry VM call the VM.
+// relayedSender sends orders to a VM by a relay on another entry VM.
 type relayedSender struct {
 	relays  *relaySet
 	relay   string
@@ -49,7 +49,7 @@
 	direct  directSender
 }
 
-// Start implements vmOrders.
+// Start implements vmOrderSender.
 func (s relayedSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
 	r, outcome, sent := s.call(ctx, orderTimeout, "Start", StartArgs{VM: s.vm, Address: s.address, Order: o})
 	if !sent {
@@ -58,7 +58,7 @@
 	return r, outcome
 }
 
-// Hold implements vmOrders.
+// Hold implements vmOrderSender.
 func (s relayedSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
 	r, outcome, sent := s.call(ctx, o.Wait+holdGrace, "Hold", HoldArgs{VM: s.vm, Address: s.address, Order: o})
 	if !sent {
@@ -67,7 +67,7 @@
 	return r, outcome
 }
 
-// call makes a call to the relay. sent is false if the relay certainly has done nothing.
+// call calls the relay. sent is false if the relay certainly hasn't acted on the call.
 func (s relayedSender) call(ctx context.Context, timeout time.Duration, method string, args any) (r job.Report, outcome schedule.Outcome, sent bool) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout+relayGrace)
 	defer cancel()
