--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -64,7 +64,7 @@
 	p := tablePartFor(call.Method, job.ID(rest))
 	decision := h.health.decide(p)
 	if decision == contact.Refuse {
-		h.deny(w, call, rest, platform.DeniedUnavailable, "no word of part "+p+" of the table, none of any for "+h.health.sinceLastAnswer().String())
+		h.deny(w, call, rest, platform.DeniedUnavailable, "no answer from part "+p+" of the table, none from any part for "+h.health.sinceLastAnswer().String())
 		return
 	}
 	timeout := call.Patience
@@ -176,7 +176,7 @@
 		return
 	}
 	if !r.Counted || h.renewalAge.age(bootNow(), version) > maxBacklogAge {
-		h.deny(w, c.call, "", platform.DeniedUnavailable, "no count that is new enough")
+		h.deny(w, c.call, "", platform.DeniedUnavailable, "no backlog count that is recent enough")
 		return
 	}
 	platform.WriteBacklog(w, r.Backlog[c.queue.Name])
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -224,7 +224,7 @@
 			// fast.
 			supervisor.Sleep(ctx, minOverdue)
 		}
-		c.log.Debug().Err(err).Int64("batch", c.batch).Msg("transaction is sent again")
+		c.log.Debug().Err(err).Int64("batch", c.batch).Msg("transaction attempt failed, retrying")
 	}
 	return context.Cause(ctx)
 }
@@ -261,7 +261,7 @@
 		return err
 	}
 	if r.Life != c.tenure.life || r.Batch != c.batch {
-		return errors.Wrapf(errDeposed, "renewal %d of %s stands in place of %d", r.Batch, r.Life, c.batch)
+		return errors.Wrapf(errDeposed, "the renewal row holds batch %d of process run %s, not batch %d", r.Batch, r.Life, c.batch)
 	}
 	c.recordStored(firstSent, sent, renewal.Version)
 	return nil
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -60,7 +60,7 @@
 	})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, tx.Removals, []platform.RowKey{vmKey("v")})
-	assert.Equal(t, len(tx.Writes), 1, "the renewal only")
+	assert.Equal(t, len(tx.Writes), 1, "only the renewal is written")
 }
 
 // Guards against writing every queued save. The table is slow and 90 jobs have changed ten
@@ -103,7 +103,7 @@
 		c.latency.observe(timeout, false)
 	}
 	assert.Assert(t, busyUntil <= 600*time.Millisecond, "answered after %v", busyUntil)
-	assert.Assert(t, c.attemptTimeout(0) > slow, "the next one waits long enough at once")
+	assert.Assert(t, c.attemptTimeout(0) > slow, "the next first attempt waits long enough")
 }
 
 // Guards against task ends that are lost at a planned stop. An owner that stops while the
@@ -113,7 +113,7 @@
 	_, table := newFakeTable(t, respondWith(http.StatusServiceUnavailable, ""))
 	c := newCommitter(table)
 	c.wake = make(chan struct{}, 1)
-	c.onStored = func(sequence int64) { t.Errorf("%d is not stored", sequence) }
+	c.onStored = func(sequence int64) { t.Errorf("sequence %d reported as stored", sequence) }
 	c.add([]schedule.Command{schedule.Save{Sequence: 1, Job: "j", Progress: job.Progress{State: job.Completed}}})
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
--- a/io/node/dump.go
+++ b/io/node/dump.go
@@ -58,6 +58,6 @@
 func (n *Node) serveDump(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(n.dump(bootNow())); err != nil {
-		n.log.Debug().Err(err).Msg("dump was not written")
+		n.log.Debug().Err(err).Msg("dump could not be written")
 	}
 }
--- a/io/node/election.go
+++ b/io/node/election.go
@@ -58,7 +58,7 @@
 		nextPoll := bootNow().Add(e.pollInterval())
 		observation, rows, err := e.readOwnerRows(ctx)
 		if err != nil {
-			e.log.Debug().Err(err).Msg("the owner's rows were not read")
+			e.log.Debug().Err(err).Msg("owner rows could not be read")
 		}
 		if err != nil || !watcher.TakeoverDue(observation) {
 			supervisor.Sleep(ctx, max(minPollPause, nextPoll.Sub(bootNow())))
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -178,7 +178,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if _, err := vm.Pace(callCtx, c.Task, c.Attempt, c.Percent, c.Fence); err != nil {
-		o.log.Debug().Err(err).Str("vm", string(c.VM)).Msg("pace was not set")
+		o.log.Debug().Err(err).Str("vm", string(c.VM)).Msg("task pace could not be set")
 	}
 }
 
--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -62,10 +62,10 @@
 		now := bootNow()
 		if !now.Before(deadline) && !maybeApplied {
 			// Nothing was sent, or everything that was sent was refused.
-			return false, errors.Wrap(errNotStored, "out of time")
+			return false, errors.Wrap(errNotStored, "deadline exceeded")
 		}
 		if !now.Before(deadline) {
-			return maybeApplied, errors.Wrap(errOutcomeUnknown, "out of time")
+			return maybeApplied, errors.Wrap(errOutcomeUnknown, "deadline exceeded")
 		}
 		callCtx, cancel := context.WithTimeout(ctx, min(timeout, deadline.Sub(now)))
 		err = call(callCtx)
@@ -137,7 +137,7 @@
 		return false, errors.Wrap(errNotStored, errTableSilent.Error())
 	case err != nil:
 		// A refusal shows that the table is reachable.
-		return false, nil //nolint:nilerr // The submission itself will be refused, and tries again.
+		return false, nil //nolint:nilerr // The submission itself is refused then and retried.
 	}
 	return len(snapshot.Rows) > 0, nil
 }
@@ -161,7 +161,7 @@
 		return err
 	}
 	if s.rowBytes > 0 && len(value) > s.rowBytes {
-		return errors.Wrapf(errTooLarge, "%d bytes, compressed, of %d", len(value), s.rowBytes)
+		return errors.Wrapf(errTooLarge, "%d bytes after compression, limit %d", len(value), s.rowBytes)
 	}
 	tx := platform.Transaction{
 		Conditions: []platform.Condition{{RowKey: jobKey(j.ID)}, {RowKey: cancelKey(j.ID)}},
@@ -261,7 +261,7 @@
 			return j != nil, err
 		}
 	}
-	return false, errors.Wrap(errOutcomeUnknown, "the job changes all the time")
+	return false, errors.Wrap(errOutcomeUnknown, "the job keeps changing")
 }
 
 // maxCancelAttempts bounds how often a cancellation is restarted because the job's rows
--- a/io/node/load_test.go
+++ b/io/node/load_test.go
@@ -38,5 +38,5 @@
 	assert.Equal(t, from, platform.Version(5))
 	assert.Equal(t, len(read), jobPartCount)
 	const maxAllowed = 16
-	assert.Assert(t, maxRunning <= maxAllowed, "%d at a time", maxRunning)
+	assert.Assert(t, maxRunning <= maxAllowed, "%d reads at a time", maxRunning)
 }
--- a/io/node/membership.go
+++ b/io/node/membership.go
@@ -64,7 +64,7 @@
 			m.leave(version)
 			return nil
 		}
-		m.log.Debug().Err(err).Msg("member row was not written")
+		m.log.Debug().Err(err).Msg("member row could not be written")
 		supervisor.Sleep(ctx, memberRetryDelay)
 	}
 	return nil
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -61,7 +61,7 @@
 func New(s platform.Settings, log zerolog.Logger) (*Node, error) {
 	life := make([]byte, lifeIDBytes)
 	if _, err := rand.Read(life); err != nil {
-		return nil, errors.Wrap(err, "name of this life")
+		return nil, errors.Wrap(err, "generate process run ID")
 	}
 	n := &Node{
 		settings: s, log: log, metrics: newFigures(),
@@ -113,7 +113,7 @@
 	}
 	probes, err := listen(n.settings.ReadyAddress)
 	if err != nil {
-		return errors.Wrap(err, "listen for the balancer")
+		return errors.Wrap(err, "listen for load balancer probes")
 	}
 	// The children outlive ctx: callers are still served while this process drains.
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := front.Shutdown(ctx); err != nil {
-		n.log.Warn().Err(err).Msg("calls were cut off")
+		n.log.Warn().Err(err).Msg("open calls were aborted at shutdown")
 		_ = front.Close()
 	}
 }
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -204,7 +204,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	assert.Equal(t, len(f.requests), 1, "only the question")
+	assert.Equal(t, len(f.requests), 1, "only one lookup is sent")
 	assert.Equal(t, len(f.requests[0].Writes), 0)
 }
 
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -120,7 +120,7 @@
 	for _, r := range rows {
 		c, err := platform.DecodeOperatorRow(r)
 		if err != nil {
-			v.log.Error().Err(err).Str("row", r.Key).Msg("operator row ignored")
+			v.log.Error().Err(err).Str("row", r.Key).Msg("operator row could not be decoded, ignored")
 			continue
 		}
 		modified = v.apply(c) || modified
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -121,7 +121,7 @@
 		}
 		j, err := decodeRow[job.Job](r)
 		if err != nil {
-			o.log.Error().Err(err).Msg("job ignored")
+			o.log.Error().Err(err).Msg("job row could not be decoded, ignored")
 			continue
 		}
 		o.scheduler.AddJob(now, j, known[j.ID], r.Version < o.tenure.fence)
@@ -305,7 +305,7 @@
 		list, err := o.node.machines.List(callCtx)
 		cancel()
 		if err != nil {
-			o.log.Debug().Err(err).Msg("machines were not listed")
+			o.log.Debug().Err(err).Msg("machines could not be listed")
 		} else {
 			o.send(ctx, machinesListed{list, requestedAt})
 		}
--- a/io/node/readback.go
+++ b/io/node/readback.go
@@ -63,7 +63,7 @@
 		readSent := bootNow()
 		row, _, err := c.table.Get(ctx, renewalKey)
 		if err != nil || row == nil {
-			c.log.Debug().Err(err).Msg("the renewal was not read")
+			c.log.Debug().Err(err).Msg("renewal row could not be read")
 			continue
 		}
 		if c.isCurrentBatch(row) {
@@ -71,7 +71,7 @@
 			return row.Version, nil
 		}
 		if bootNow().Sub(readSent)*conclusiveFactor < readSent.Sub(started) {
-			return 0, errors.Wrap(platform.ErrNoAnswer, "not carried out by now")
+			return 0, errors.Wrap(platform.ErrNoAnswer, "transaction not applied yet")
 		}
 	}
 	return 0, nil
@@ -81,7 +81,7 @@
 func (c *committer) isCurrentBatch(row *platform.Row) bool {
 	r, err := decodeRow[renewalRow](row)
 	if err != nil {
-		c.log.Error().Err(err).Msg("unreadable renewal")
+		c.log.Error().Err(err).Msg("renewal row could not be decoded")
 		return false
 	}
 	return r.Life == c.tenure.life && r.Batch == c.batch
--- a/io/node/readback_test.go
+++ b/io/node/readback_test.go
@@ -31,10 +31,10 @@
 	assert.NilError(t, c.store(t.Context(), nil))
 	assert.Equal(t, c.renewal, platform.Version(21))
 	assert.Assert(t, c.tenure.mayOrderMachines(bootNow()))
-	assert.Assert(t, bootNow().Sub(started) < minCommitTimeout, "it waited for the answer")
+	assert.Assert(t, bootNow().Sub(started) < minCommitTimeout, "the committer waited for the answer")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	assert.Equal(t, len(f.requests), 2, "it is not sent again")
+	assert.Equal(t, len(f.requests), 2, "the transaction is not sent again")
 }
 
 // Guards against waiting for a transaction that is in flight for seconds while the table
@@ -47,7 +47,7 @@
 	from := bootNow()
 	assert.NilError(t, c.store(t.Context(), nil))
 	assert.Equal(t, c.renewal, platform.Version(22))
-	assert.Assert(t, bootNow().Sub(from) < minCommitTimeout, "it waited for the answer")
+	assert.Assert(t, bootNow().Sub(from) < minCommitTimeout, "the committer waited for the answer")
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	assert.DeepEqual(t, f.requests[2].Conditions, f.requests[0].Conditions)
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -61,7 +61,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the relay doesn't listen")
+	t.Fatal("relay is not listening")
 	return ""
 }
 
@@ -129,12 +129,12 @@
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	stopped := freeAddress(t)
 	x := relaySetWith(t, stopped)
-	assert.Equal(t, x.relayFor("a", "vm-1"), "", "a member that doesn't answer carries nothing")
+	assert.Equal(t, x.relayFor("a", "vm-1"), "", "a member that doesn't answer is not selected")
 	x.ready = map[string][]relay.Candidate{"a": {{Address: stopped}}}
 	_, out := x.senderFor(address).Start(t.Context(), testStartOrder)
-	assert.Equal(t, out, schedule.Answered, "the owner carries it itself")
+	assert.Equal(t, out, schedule.Answered, "the owner sends the order directly")
 	assert.Equal(t, orders.Load(), int64(1))
-	assert.Equal(t, x.relayFor("a", "vm-1"), "", "the next order doesn't try it")
+	assert.Equal(t, x.relayFor("a", "vm-1"), "", "the failed relay is not tried for the next order")
 }
 
 // Guards against an owner that waits for a frozen relay until its orders' deadlines, and
@@ -143,7 +143,7 @@
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer l.Close() //nolint:errcheck // It takes connections and says nothing.
+	defer l.Close() //nolint:errcheck // It accepts connections and never answers.
 	healthy := startRelay(t)
 	x := relaySetWith(t, healthy)
 	x.ready = map[string][]relay.Candidate{"a": {{Address: l.Addr().String()}}}
@@ -151,8 +151,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	_, out := x.senderFor(address).Hold(ctx, job.HoldOrder{Wait: time.Minute})
-	assert.Equal(t, out, schedule.Unanswered, "it may be carried out later")
-	assert.NilError(t, ctx.Err(), "it is given up long before the order's own time is over")
+	assert.Equal(t, out, schedule.Unanswered, "the relay may still carry the hold out")
+	assert.NilError(t, ctx.Err(), "the relay is abandoned long before the hold's own timeout")
 	assert.Equal(t, orders.Load(), int64(0))
 	x.chooseRelays(t.Context())
 	assert.Equal(t, x.relayFor("a", "vm-1"), healthy)
@@ -174,7 +174,7 @@
 	assert.Assert(t, direct)
 	x.wanted.Store(false)
 	_, direct = o.router.route(now, "vm-1").(directSender)
-	assert.Assert(t, direct, "a small fleet needs no relays")
+	assert.Assert(t, direct, "relays are not used for a small fleet")
 }
 
 // Guards against using a relay after its row is removed, and against undecodable rows that
@@ -278,5 +278,5 @@
 	e.updateEntryCount(&row)
 	assert.Equal(t, e.pollInterval(), 750*time.Millisecond)
 	e.updateEntryCount(&platform.Row{RowKey: renewalKey, Value: []byte("{")})
-	assert.Equal(t, e.pollInterval(), 750*time.Millisecond, "a damaged row tells nothing")
+	assert.Equal(t, e.pollInterval(), 750*time.Millisecond, "an undecodable row changes nothing")
 }
--- a/io/node/rowchange.go
+++ b/io/node/rowchange.go
@@ -29,7 +29,7 @@
 	case schedule.DropOrder:
 		return rowChange{machineOrderKey(c.Machine), nil}
 	}
-	panic("not a save")
+	panic("command is not a save")
 }
 
 // latestChanges returns the changes of the saves without those that a later save of the
--- a/io/node/rows.go
+++ b/io/node/rows.go
@@ -47,7 +47,7 @@
 // jobPart returns the part of a job's rows. It depends only on the ID.
 func jobPart(id job.ID) string {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // A hash never fails.
+	_, _ = h.Write([]byte(id)) // Writing to a hash never fails.
 	return jobPartName(int(h.Sum32() % jobPartCount))
 }
 
