--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -206,9 +206,9 @@
 	h.count("denied_" + c.Method.String())
 	h.log.Info().Str("event", "call_denied").Str("method", c.Method.String()).Str("job", id).
 		Int("status", d.Status()).Str("reason", reason).Send()
-	comeBackIn := time.Duration(0)
+	retryDelay := time.Duration(0)
 	if d == platform.DeniedUnavailable || d == platform.DeniedBusy {
-		comeBackIn = retryAfter
+		retryDelay = retryAfter
 	}
 	if d == platform.DeniedUnavailable {
 		// The load balancer doesn't move open connections. A caller that keeps its
@@ -216,7 +216,7 @@
 		// new connection goes to another entry VM.
 		w.Header().Set("Connection", "close")
 	}
-	platform.WriteDenial(w, d, comeBackIn)
+	platform.WriteDenial(w, d, retryDelay)
 }
 
 // renewalAgeTracker reports how long ago a version of the owner's renewal row was first
@@ -227,11 +227,11 @@
 	firstSeen time.Time
 }
 
-func (s *renewalAgeTracker) age(now time.Time, v platform.Version) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if v != s.version {
-		s.version, s.firstSeen = v, now
+func (t *renewalAgeTracker) age(now time.Time, v platform.Version) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if v != t.version {
+		t.version, t.firstSeen = v, now
 	}
-	return now.Sub(s.firstSeen)
+	return now.Sub(t.firstSeen)
 }
--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -249,16 +249,16 @@
 				return true, err
 			}
 		}
-		j, c, err := s.getJob(ctx, deadline, id)
+		jobRow, cancelRow, err := s.getJob(ctx, deadline, id)
 		if err != nil {
 			return false, err
 		}
-		if c != nil {
-			return j != nil, nil
+		if cancelRow != nil {
+			return jobRow != nil, nil
 		}
-		stored, err := s.storeCancellation(ctx, deadline, id, j)
+		stored, err := s.storeCancellation(ctx, deadline, id, jobRow)
 		if err != nil || stored {
-			return j != nil, err
+			return jobRow != nil, err
 		}
 	}
 	return false, errors.Wrap(errOutcomeUnknown, "the job keeps changing")
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -141,11 +141,11 @@
 }
 
 func (o *owner) decodeProgress(rows []platform.Row) map[job.ID]*job.Progress {
-	known := map[job.ID]*job.Progress{}
+	progress := map[job.ID]*job.Progress{}
 	for key, p := range decodeRows[job.Progress](rows, o.log) {
-		known[job.ID(key)] = &p
+		progress[job.ID(key)] = &p
 	}
-	return known
+	return progress
 }
 
 // decodeRows returns the decoded rows by key. A row that can't be decoded is logged and
--- a/io/node/metrics.go
+++ b/io/node/metrics.go
@@ -20,31 +20,31 @@
 // processMetrics holds the counters, gauges and histograms of this process.
 type processMetrics struct{ registry metrics.Registry }
 
-func newFigures() *processMetrics { return &processMetrics{registry: metrics.NewRegistry()} }
+func newProcessMetrics() *processMetrics { return &processMetrics{registry: metrics.NewRegistry()} }
 
 // count increments a counter.
-func (f *processMetrics) count(name string) {
-	f.registry.GetOrRegister(name, metrics.NewCounter).(metrics.Counter).Inc(1)
+func (p *processMetrics) count(name string) {
+	p.registry.GetOrRegister(name, metrics.NewCounter).(metrics.Counter).Inc(1)
 }
 
 // elapsed adds a duration to a histogram of microseconds.
-func (f *processMetrics) elapsed(name string, d time.Duration) {
-	h := f.registry.GetOrRegister(name+"_us", func() metrics.Histogram {
+func (p *processMetrics) elapsed(name string, d time.Duration) {
+	h := p.registry.GetOrRegister(name+"_us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewUniformSample(histogramSampleSize))
 	})
 	h.(metrics.Histogram).Update(d.Microseconds())
 }
 
-func (f *processMetrics) run(ctx context.Context) error {
+func (p *processMetrics) run(ctx context.Context) error {
 	return supervisor.Every(ctx, gaugeInterval, func(context.Context) {
-		metrics.GetOrRegisterGauge("goroutines", f.registry).Update(int64(runtime.NumGoroutine()))
+		metrics.GetOrRegisterGauge("goroutines", p.registry).Update(int64(runtime.NumGoroutine()))
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		metrics.GetOrRegisterGauge("heap_bytes", f.registry).Update(int64(m.HeapAlloc))
-		metrics.GetOrRegisterGauge("taken_bytes", f.registry).Update(int64(m.Sys))
+		metrics.GetOrRegisterGauge("heap_bytes", p.registry).Update(int64(m.HeapAlloc))
+		metrics.GetOrRegisterGauge("taken_bytes", p.registry).Update(int64(m.Sys))
 	})
 }
 
-func (f *processMetrics) serve(w http.ResponseWriter, _ *http.Request) {
-	metrics.WriteOnce(f.registry, w)
+func (p *processMetrics) serve(w http.ResponseWriter, _ *http.Request) {
+	metrics.WriteOnce(p.registry, w)
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -64,7 +64,7 @@
 		return nil, errors.Wrap(err, "generate process run ID")
 	}
 	n := &Node{
-		settings: s, log: log, metrics: newFigures(),
+		settings: s, log: log, metrics: newProcessMetrics(),
 		table:    platform.NewTable(s.TableAddress),
 		machines: platform.NewMachines(s.MachinesAddress),
 	}
@@ -116,34 +116,34 @@
 		return errors.Wrap(err, "listen for load balancer probes")
 	}
 	// The children outlive ctx: callers are still served while this process drains.
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	front := &http.Server{Handler: n.callers, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	ready := &http.Server{Handler: n.probeHandler(), ReadHeaderTimeout: headerTimeout}
+	serveCtx, endServing := context.WithCancel(context.WithoutCancel(ctx))
+	defer endServing()
+	callerServer := &http.Server{Handler: n.callers, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	probeServer := &http.Server{Handler: n.probeHandler(), ReadHeaderTimeout: headerTimeout}
 	tree := supervisor.Node{Name: "node", Log: n.log, Children: []supervisor.Child{
-		{Name: "operator", Run: func(context.Context) error { return n.view.follow(life) }},
+		{Name: "operator", Run: func(context.Context) error { return n.view.follow(serveCtx) }},
 		{Name: "candidacy", Run: func(context.Context) error { return n.election.run(ctx) }},
-		{Name: "callers", Run: func(context.Context) error { return ignoreServerClosed(front.Serve(callers)) }},
-		{Name: "probes", Run: func(context.Context) error { return ignoreServerClosed(ready.Serve(probes)) }},
+		{Name: "callers", Run: func(context.Context) error { return ignoreServerClosed(callerServer.Serve(callers)) }},
+		{Name: "probes", Run: func(context.Context) error { return ignoreServerClosed(probeServer.Serve(probes)) }},
 		{Name: "collector", Run: (&gcTuner{log: n.log}).run},
-		{Name: "figures", Run: func(context.Context) error { return n.metrics.run(life) }},
+		{Name: "figures", Run: func(context.Context) error { return n.metrics.run(serveCtx) }},
 	}}
-	tree.Children = append(tree.Children, n.relayChildren(ctx, life)...)
+	tree.Children = append(tree.Children, n.relayChildren(ctx, serveCtx)...)
 	var g supervisor.Group
 	g.Go(func() {
 		<-ctx.Done()
-		n.drain(front)
-		_ = ready.Close()
-		end()
+		n.drain(callerServer)
+		_ = probeServer.Close()
+		endServing()
 	})
-	err = tree.Run(life)
+	err = tree.Run(serveCtx)
 	g.Wait()
 	return err
 }
 
 // relayChildren returns the children that relay orders for the owner. The membership row
 // is removed as soon as this process is to stop; orders are accepted until its end.
-func (n *Node) relayChildren(ctx, life context.Context) []supervisor.Child {
+func (n *Node) relayChildren(ctx, serveCtx context.Context) []supervisor.Child {
 	if n.settings.PeerAddress == "" {
 		return nil
 	}
@@ -151,7 +151,7 @@
 		Zone: n.settings.Zone, Address: n.settings.PeerAddress, Cores: n.settings.Cores, LinkMbps: n.settings.LinkMbps, Life: n.election.life,
 	}}
 	return []supervisor.Child{
-		{Name: "relay", Run: func(context.Context) error { return (&Relay{}).run(life, n.settings.PeerAddress) }},
+		{Name: "relay", Run: func(context.Context) error { return (&Relay{}).run(serveCtx, n.settings.PeerAddress) }},
 		{Name: "membership", Run: func(context.Context) error { return m.run(ctx) }},
 	}
 }
@@ -164,14 +164,14 @@
 
 // drain continues to serve until the load balancer sends no more callers, and then shuts
 // the server down.
-func (n *Node) drain(front *http.Server) {
-	front.SetKeepAlivesEnabled(false)
+func (n *Node) drain(server *http.Server) {
+	server.SetKeepAlivesEnabled(false)
 	supervisor.Sleep(context.Background(), drainDuration)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := front.Shutdown(ctx); err != nil {
+	if err := server.Shutdown(ctx); err != nil {
 		n.log.Warn().Err(err).Msg("open calls were aborted at shutdown")
-		_ = front.Close()
+		_ = server.Close()
 	}
 }
 
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -134,9 +134,9 @@
 
 // healthWithLastAnswer returns the health of a table that last answered d ago.
 func healthWithLastAnswer(d time.Duration) *tableHealth {
-	var r tableHealth
-	r.breaker.RecordContact(bootNow().Add(-d))
-	return &r
+	var health tableHealth
+	health.breaker.RecordContact(bootNow().Add(-d))
+	return &health
 }
 
 func testJob() job.Job { return job.Job{ID: "0123456789abcdef"} }
@@ -169,23 +169,23 @@
 	assert.NilError(t, s.submit(t.Context(), bootNow().Add(time.Second), testJob(), contact.Call))
 }
 
-func newCallerHandler(r *tableHealth) *callerHandler {
+func newCallerHandler(health *tableHealth) *callerHandler {
 	conf := &job.Configuration{
 		Version: 1,
 		Queues:  []job.Queue{{Name: "q", Host: "h.example", Prefix: "/q/"}, {Name: "open", Host: "h.example", Prefix: "/open/", Public: true}},
 	}
 	conf.Index()
 	return &callerHandler{
-		view: &operatorView{conf: conf}, health: r, log: zerolog.Nop(),
+		view: &operatorView{conf: conf}, health: health, log: zerolog.Nop(),
 		count: func(string) {}, elapsed: func(string, time.Duration) {},
 	}
 }
 
-func sendCall(f *callerHandler, method, path string) *httptest.ResponseRecorder {
+func sendCall(h *callerHandler, method, path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(`{"spec":"x","steps":[{"count":1,"cpu":100}]}`))
 	r.Host = "h.example"
 	w := httptest.NewRecorder()
-	f.ServeHTTP(w, r)
+	h.ServeHTTP(w, r)
 	return w
 }
 
@@ -194,11 +194,11 @@
 // Only occasional probes check whether the table is available again.
 func TestNothingIsSentToASilentTable(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
-	front := newCallerHandler(healthWithLastAnswer(time.Second))
-	front.jobs = newJobStore(table)
-	front.jobs.health = front.health
+	handler := newCallerHandler(healthWithLastAnswer(time.Second))
+	handler.jobs = newJobStore(table)
+	handler.jobs.health = handler.health
 	for range 5 {
-		w := sendCall(front, http.MethodPost, "/open/0123456789abcdef")
+		w := sendCall(handler, http.MethodPost, "/open/0123456789abcdef")
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, w.Header().Get("Retry-After"), "1")
 	}
@@ -212,13 +212,13 @@
 // part with the job isn't.
 func TestJobIsStoredWhileTheOwnersPartIsDown(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
-	front := newCallerHandler(healthWithLastAnswer(0))
-	front.jobs = newJobStore(table)
-	front.jobs.health = front.health
-	front.health.recordFailure(mainPart)
-	w := sendCall(front, http.MethodPost, "/open/0123456789abcdef")
+	handler := newCallerHandler(healthWithLastAnswer(0))
+	handler.jobs = newJobStore(table)
+	handler.jobs.health = handler.health
+	handler.health.recordFailure(mainPart)
+	w := sendCall(handler, http.MethodPost, "/open/0123456789abcdef")
 	assert.Equal(t, w.Code, http.StatusOK)
-	w = sendCall(front, http.MethodGet, "/open/")
+	w = sendCall(handler, http.MethodGet, "/open/")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 }
 
@@ -226,36 +226,36 @@
 // and is denied at each retry. It is told to reconnect. Callers that are denied because of
 // what they sent keep their connections.
 func TestCallerRefusedWithoutTableReconnects(t *testing.T) {
-	r := healthWithLastAnswer(time.Second)
-	assert.Equal(t, r.decide(jobPart("0123456789abcdef")), contact.Probe)
-	f := newCallerHandler(r)
-	w := sendCall(f, http.MethodPost, "/open/0123456789abcdef")
+	health := healthWithLastAnswer(time.Second)
+	assert.Equal(t, health.decide(jobPart("0123456789abcdef")), contact.Probe)
+	handler := newCallerHandler(health)
+	w := sendCall(handler, http.MethodPost, "/open/0123456789abcdef")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Header().Get("Connection"), "close")
-	assert.Equal(t, sendCall(f, http.MethodGet, "/none/x").Header().Get("Connection"), "")
+	assert.Equal(t, sendCall(handler, http.MethodGet, "/none/x").Header().Get("Connection"), "")
 }
 
 func TestUnknownRoutesAndKeys(t *testing.T) {
-	f := newCallerHandler(healthWithLastAnswer(0))
-	assert.Equal(t, sendCall(f, http.MethodGet, "/none/x").Code, http.StatusNotFound)
-	assert.Equal(t, sendCall(f, http.MethodGet, "/q/0123456789abcdef").Code, http.StatusUnauthorized)
-	assert.Equal(t, sendCall(f, http.MethodGet, "/open/short").Code, http.StatusBadRequest)
+	handler := newCallerHandler(healthWithLastAnswer(0))
+	assert.Equal(t, sendCall(handler, http.MethodGet, "/none/x").Code, http.StatusNotFound)
+	assert.Equal(t, sendCall(handler, http.MethodGet, "/q/0123456789abcdef").Code, http.StatusUnauthorized)
+	assert.Equal(t, sendCall(handler, http.MethodGet, "/open/short").Code, http.StatusBadRequest)
 }
 
 // Checks that lines beyond the limit are omitted and that the next line of the kind says
 // how many.
 func TestOmittedLogLinesAreCounted(t *testing.T) {
 	l := &decisionLog{log: zerolog.Nop(), count: func(string) {}, elapsed: func(string, time.Duration) {}}
-	left := 0
+	dropped := 0
 	for range maxLinesPerSecond + 10 {
 		if _, ok := l.admit(schedule.TaskStarted); !ok {
-			left++
+			dropped++
 		}
 	}
-	assert.Assert(t, left > 0)
+	assert.Assert(t, dropped > 0)
 	l.second--
 	omitted, ok := l.admit(schedule.TaskStarted)
-	assert.Assert(t, ok && omitted == left, "%d of %d", omitted, left)
+	assert.Assert(t, ok && omitted == dropped, "%d of %d", omitted, dropped)
 }
 
 // Guards against showing an empty backlog while a new owner, which renews its ownership
@@ -269,9 +269,9 @@
 		assert.NilError(t, err)
 		_, table := newFakeTable(t, respondWith(http.StatusOK,
 			`{"rows":[{"table":"lavenderpond_owner","part":"main","key":"renewal","value":`+string(value)+`,"ver":9}],"ver":9}`))
-		f := newCallerHandler(healthWithLastAnswer(0))
-		f.jobs = newJobStore(table)
-		w := sendCall(f, http.MethodGet, "/open/")
+		handler := newCallerHandler(healthWithLastAnswer(0))
+		handler.jobs = newJobStore(table)
+		w := sendCall(handler, http.MethodGet, "/open/")
 		assert.Equal(t, w.Code, want, renewal)
 		if want == http.StatusOK {
 			assert.Equal(t, w.Body.String(), `{"backlog":6}`)
@@ -307,15 +307,15 @@
 // part of the table and slows it down further. Once the table is known to be slow, one
 // call waits long enough.
 func TestSlowTableIsWaitedFor(t *testing.T) {
-	s := &latencyEstimator{}
-	assert.Equal(t, s.timeout(minCallTimeout), minCallTimeout)
-	s.observe(minCallTimeout, false)
-	s.observe(400*time.Millisecond, true)
-	assert.Assert(t, s.timeout(minCallTimeout) > 500*time.Millisecond, "%v", s.timeout(minCallTimeout))
+	e := &latencyEstimator{}
+	assert.Equal(t, e.timeout(minCallTimeout), minCallTimeout)
+	e.observe(minCallTimeout, false)
+	e.observe(400*time.Millisecond, true)
+	assert.Assert(t, e.timeout(minCallTimeout) > 500*time.Millisecond, "%v", e.timeout(minCallTimeout))
 	for range 50 {
-		s.observe(4*time.Millisecond, true)
+		e.observe(4*time.Millisecond, true)
 	}
-	assert.Equal(t, s.timeout(minCallTimeout), minCallTimeout)
+	assert.Equal(t, e.timeout(minCallTimeout), minCallTimeout)
 }
 
 // Guards against writing into a network partition. A zone is cut off just before a caller
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -103,7 +103,7 @@
 }
 
 // applyJobRows passes rows of the job table to the scheduler.
-func (o *owner) applyJobRows(now time.Time, rows []platform.Row, known map[job.ID]*job.Progress) {
+func (o *owner) applyJobRows(now time.Time, rows []platform.Row, progress map[job.ID]*job.Progress) {
 	var cancelled []job.ID
 	for i := range rows {
 		r := &rows[i]
@@ -115,7 +115,7 @@
 			cancelled = append(cancelled, id)
 			continue
 		}
-		if p := known[id]; p != nil && p.State.Final() {
+		if p := progress[id]; p != nil && p.State.Final() {
 			// Most of the jobs that are still stored have ended.
 			continue
 		}
@@ -124,7 +124,7 @@
 			o.log.Error().Err(err).Msg("job row could not be decoded, ignored")
 			continue
 		}
-		o.scheduler.AddJob(now, j, known[j.ID], r.Version < o.tenure.fence)
+		o.scheduler.AddJob(now, j, progress[j.ID], r.Version < o.tenure.fence)
 	}
 	for _, id := range cancelled {
 		o.scheduler.Cancel(now, id)
--- a/io/node/owner_test.go
+++ b/io/node/owner_test.go
@@ -21,16 +21,16 @@
 // one that can't be decoded.
 func TestUnreadableDirectoryRowDropsVM(t *testing.T) {
 	o := &owner{log: zerolog.Nop(), scheduler: schedule.New(schedule.Settings{})}
-	take := func(value string) {
+	applyRow := func(value string) {
 		row := platform.Row{RowKey: platform.RowKey{Key: "vm-1"}, Value: []byte(value)}
 		o.applyVMRows(time.Now(), vmRowsChanged{rows: []platform.Row{row}})
 	}
 	good := `{"service":"p","address":"10.1.1.1:80","state":"ready","capacity":{"cpu":8000},"born":5}`
-	take(good)
+	applyRow(good)
 	assert.DeepEqual(t, o.scheduler.VMs(), []job.VMID{"vm-1"})
-	take(`{"service":"p","address":"10.1.1.1:80","state":"ready","born":5}`)
+	applyRow(`{"service":"p","address":"10.1.1.1:80","state":"ready","born":5}`)
 	assert.Equal(t, len(o.scheduler.VMs()), 0)
-	take(good)
+	applyRow(good)
 	assert.DeepEqual(t, o.scheduler.VMs(), []job.VMID{"vm-1"})
 }
 
--- a/io/node/readback.go
+++ b/io/node/readback.go
@@ -49,8 +49,8 @@
 			results <- applyResult{v, err}
 		}
 	})
-	a := <-results
-	return a.version, a.err
+	result := <-results
+	return result.version, result.err
 }
 
 // readBackRenewal waits until the answer to the current batch is overdue and then reads
--- a/io/node/readback_test.go
+++ b/io/node/readback_test.go
@@ -44,10 +44,10 @@
 	f, table := newFakeTable(t,
 		answerLate, renewalAnswer(t, `{"life":"me","batch":0}`, 10), respondWith(http.StatusOK, `{"ver":22}`))
 	c := newCommitter(table)
-	from := bootNow()
+	started := bootNow()
 	assert.NilError(t, c.store(t.Context(), nil))
 	assert.Equal(t, c.renewal, platform.Version(22))
-	assert.Assert(t, bootNow().Sub(from) < minCommitTimeout, "the committer waited for the answer")
+	assert.Assert(t, bootNow().Sub(started) < minCommitTimeout, "the committer waited for the answer")
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	assert.DeepEqual(t, f.requests[2].Conditions, f.requests[0].Conditions)
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -68,15 +68,15 @@
 // relaySetWith returns a relay set that knows the members at these addresses, in
 // descending order of capacity, and has checked which of them answer.
 func relaySetWith(t *testing.T, addresses ...string) *relaySet {
-	x := newRelaySet("127.0.0.1:1", zerolog.Nop())
-	t.Cleanup(x.pool.Close)
-	x.members = map[string]memberRow{}
+	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
+	t.Cleanup(relays.pool.Close)
+	relays.members = map[string]memberRow{}
 	for i, a := range addresses {
-		x.members[fmt.Sprintf("entry-%d", i)] = memberRow{Zone: "a", Address: a, Cores: float64(len(addresses) - i)}
+		relays.members[fmt.Sprintf("entry-%d", i)] = memberRow{Zone: "a", Address: a, Cores: float64(len(addresses) - i)}
 	}
-	x.wanted.Store(true)
-	x.chooseRelays(t.Context())
-	return x
+	relays.wanted.Store(true)
+	relays.chooseRelays(t.Context())
+	return relays
 }
 
 func (s *relaySet) senderFor(address string) relayedSender {
@@ -91,7 +91,7 @@
 // Guards against a relay that interprets a VM's answer differently from the owner, such as
 // a refusal that counts as a start or an unknown outcome that counts as a refusal.
 func TestRelayedOutcomeMatchesDirect(t *testing.T) {
-	x := relaySetWith(t, startRelay(t))
+	relays := relaySetWith(t, startRelay(t))
 	for name, answer := range map[string]http.HandlerFunc{
 		"started":        vmAnswer(200, `{"clock_ms":12,"born":7}`),
 		"late":           vmAnswer(409, `{"clock_ms":12,"reason":"late"}`),
@@ -102,21 +102,21 @@
 		"connection cut": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
 		address, orders := vmServer(t, answer)
-		r, out := x.senderFor(address).Start(t.Context(), testStartOrder)
+		r, out := relays.senderFor(address).Start(t.Context(), testStartOrder)
 		wantReport, want := directSender{platform.NewVM("vm-1", address)}.Start(t.Context(), testStartOrder)
 		assert.Equal(t, out, want, name)
 		assert.DeepEqual(t, r, wantReport)
 		assert.Equal(t, orders.Load(), int64(2), "%s: one order each", name)
 	}
-	assert.Equal(t, len(x.ready["a"]), 1)
+	assert.Equal(t, len(relays.ready["a"]), 1)
 }
 
 // Guards against losing rows of a VM's task lists on the way. Tasks that the lists lack
 // count as ended.
 func TestRelayedHoldReturnsTaskLists(t *testing.T) {
 	address, _ := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41,12]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}`))
-	x := relaySetWith(t, startRelay(t))
-	r, out := x.senderFor(address).Hold(t.Context(), job.HoldOrder{Fence: 7, Noted: 57})
+	relays := relaySetWith(t, startRelay(t))
+	r, out := relays.senderFor(address).Hold(t.Context(), job.HoldOrder{Fence: 7, Noted: 57})
 	want, _ := directSender{platform.NewVM("vm-1", address)}.Hold(t.Context(), job.HoldOrder{Fence: 7, Noted: 57})
 	assert.Equal(t, out, schedule.Answered)
 	assert.Assert(t, r.Lists)
@@ -128,13 +128,13 @@
 func TestStoppedRelayIsSkipped(t *testing.T) {
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	stopped := freeAddress(t)
-	x := relaySetWith(t, stopped)
-	assert.Equal(t, x.relayFor("a", "vm-1"), "", "a member that doesn't answer is not selected")
-	x.ready = map[string][]relay.Candidate{"a": {{Address: stopped}}}
-	_, out := x.senderFor(address).Start(t.Context(), testStartOrder)
+	relays := relaySetWith(t, stopped)
+	assert.Equal(t, relays.relayFor("a", "vm-1"), "", "a member that doesn't answer is not selected")
+	relays.ready = map[string][]relay.Candidate{"a": {{Address: stopped}}}
+	_, out := relays.senderFor(address).Start(t.Context(), testStartOrder)
 	assert.Equal(t, out, schedule.Answered, "the owner sends the order directly")
 	assert.Equal(t, orders.Load(), int64(1))
-	assert.Equal(t, x.relayFor("a", "vm-1"), "", "the failed relay is not tried for the next order")
+	assert.Equal(t, relays.relayFor("a", "vm-1"), "", "the failed relay is not tried for the next order")
 }
 
 // Guards against an owner that waits for a frozen relay until its orders' deadlines, and
@@ -145,23 +145,23 @@
 	assert.NilError(t, err)
 	defer l.Close() //nolint:errcheck // It accepts connections and never answers.
 	healthy := startRelay(t)
-	x := relaySetWith(t, healthy)
-	x.ready = map[string][]relay.Candidate{"a": {{Address: l.Addr().String()}}}
-	x.members["frozen"] = memberRow{Zone: "a", Address: l.Addr().String(), Cores: 8}
+	relays := relaySetWith(t, healthy)
+	relays.ready = map[string][]relay.Candidate{"a": {{Address: l.Addr().String()}}}
+	relays.members["frozen"] = memberRow{Zone: "a", Address: l.Addr().String(), Cores: 8}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	_, out := x.senderFor(address).Hold(ctx, job.HoldOrder{Wait: time.Minute})
+	_, out := relays.senderFor(address).Hold(ctx, job.HoldOrder{Wait: time.Minute})
 	assert.Equal(t, out, schedule.Unanswered, "the relay may still carry the hold out")
 	assert.NilError(t, ctx.Err(), "the relay is abandoned long before the hold's own timeout")
 	assert.Equal(t, orders.Load(), int64(0))
-	x.chooseRelays(t.Context())
-	assert.Equal(t, x.relayFor("a", "vm-1"), healthy)
+	relays.chooseRelays(t.Context())
+	assert.Equal(t, relays.relayFor("a", "vm-1"), healthy)
 }
 
 // Guards against relays that carry out orders of an owner whose knowledge is outdated.
 func TestOwnerWithoutFreshOwnershipSendsDirectly(t *testing.T) {
-	x := relaySetWith(t, startRelay(t))
-	o := &owner{tenure: &tenure{}, relays: x, scheduler: schedule.New(schedule.Settings{})}
+	relays := relaySetWith(t, startRelay(t))
+	o := &owner{tenure: &tenure{}, relays: relays, scheduler: schedule.New(schedule.Settings{})}
 	o.router = &orderRouter{owner: o, clients: map[job.VMID]*vmClient{}}
 	now := bootNow()
 	o.scheduler.VMSeen(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
@@ -172,7 +172,7 @@
 	assert.Assert(t, relayed)
 	_, direct = o.router.holdRoute(now, schedule.Hold{VM: "vm-1", Look: true}).(directSender)
 	assert.Assert(t, direct)
-	x.wanted.Store(false)
+	relays.wanted.Store(false)
 	_, direct = o.router.route(now, "vm-1").(directSender)
 	assert.Assert(t, direct, "relays are not used for a small fleet")
 }
@@ -181,42 +181,42 @@
 // hide the others.
 func TestMembersAreFollowed(t *testing.T) {
 	first, second := startRelay(t), startRelay(t)
-	x := newRelaySet("127.0.0.1:1", zerolog.Nop())
-	defer x.pool.Close()
-	x.wanted.Store(true)
+	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
+	defer relays.pool.Close()
+	relays.wanted.Store(true)
 	row := func(node, address string) platform.Row {
 		value, err := encodeRow(memberRow{Zone: "a", Address: address, Cores: 1})
 		assert.NilError(t, err)
 		return platform.Row{RowKey: memberKey(node), Value: value}
 	}
-	x.applyRows([]platform.Row{{RowKey: memberKey("bad"), Value: []byte("{")}, row("one", first), row("self", "127.0.0.1:1")}, true)
-	x.chooseRelays(t.Context())
-	assert.DeepEqual(t, addresses(x.ready["a"]), []string{first})
-	x.applyRows([]platform.Row{row("two", second)}, false)
-	x.chooseRelays(t.Context())
-	assert.DeepEqual(t, addresses(x.ready["a"]), []string{first, second})
-	x.applyRows([]platform.Row{{RowKey: memberKey("one"), Removed: true}, {RowKey: memberKey("two"), Removed: true}}, false)
-	x.chooseRelays(t.Context())
-	assert.Equal(t, len(x.ready["a"]), 0)
-	assert.Equal(t, x.relayFor("a", "vm-1"), "")
+	relays.applyRows([]platform.Row{{RowKey: memberKey("bad"), Value: []byte("{")}, row("one", first), row("self", "127.0.0.1:1")}, true)
+	relays.chooseRelays(t.Context())
+	assert.DeepEqual(t, addresses(relays.ready["a"]), []string{first})
+	relays.applyRows([]platform.Row{row("two", second)}, false)
+	relays.chooseRelays(t.Context())
+	assert.DeepEqual(t, addresses(relays.ready["a"]), []string{first, second})
+	relays.applyRows([]platform.Row{{RowKey: memberKey("one"), Removed: true}, {RowKey: memberKey("two"), Removed: true}}, false)
+	relays.chooseRelays(t.Context())
+	assert.Equal(t, len(relays.ready["a"]), 0)
+	assert.Equal(t, relays.relayFor("a", "vm-1"), "")
 }
 
 // Guards against an owner that tries all members of an unreachable zone one after the
 // other for as long as the zone is cut off.
 func TestUnreachableZoneIsRetriedLater(t *testing.T) {
-	x := newRelaySet("127.0.0.1:1", zerolog.Nop())
-	defer x.pool.Close()
-	x.members = map[string]memberRow{}
+	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
+	defer relays.pool.Close()
+	relays.members = map[string]memberRow{}
 	for i := range 12 {
-		x.members[fmt.Sprintf("entry-%02d", i)] = memberRow{Zone: "a", Address: freeAddress(t), Cores: 1}
+		relays.members[fmt.Sprintf("entry-%02d", i)] = memberRow{Zone: "a", Address: freeAddress(t), Cores: 1}
 	}
-	tried := 2 * relay.CountNeeded(x.candidates(bootNow())["a"])
-	x.chooseRelays(t.Context())
-	x.chooseRelays(t.Context())
-	assert.Equal(t, len(x.failedUntil), tried)
-	assert.Equal(t, len(x.candidates(bootNow())["a"]), 0)
+	tried := 2 * relay.CountNeeded(relays.candidates(bootNow())["a"])
+	relays.chooseRelays(t.Context())
+	relays.chooseRelays(t.Context())
+	assert.Equal(t, len(relays.failedUntil), tried)
+	assert.Equal(t, len(relays.candidates(bootNow())["a"]), 0)
 	later := bootNow().Add(zoneRetryDelay)
-	assert.Equal(t, len(x.candidates(later)["a"]), 12-tried)
+	assert.Equal(t, len(relays.candidates(later)["a"]), 12-tried)
 }
 
 // Guards against a process that is killed at the end of its grace period because a hold
@@ -229,13 +229,13 @@
 		<-r.Context().Done()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	carrier := &Relay{}
-	at := freeAddress(t)
+	server := &Relay{}
+	relayAddress := freeAddress(t)
 	var g supervisor.Group
-	g.Go(func() { _ = carrier.run(ctx, at) })
-	x := newRelaySet("127.0.0.1:1", zerolog.Nop())
-	defer x.pool.Close()
-	for c, err := net.Dial("tcp4", at); ; c, err = net.Dial("tcp4", at) {
+	g.Go(func() { _ = server.run(ctx, relayAddress) })
+	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
+	defer relays.pool.Close()
+	for c, err := net.Dial("tcp4", relayAddress); ; c, err = net.Dial("tcp4", relayAddress) {
 		if err == nil {
 			assert.NilError(t, c.Close())
 			break
@@ -244,8 +244,8 @@
 	}
 	var caller supervisor.Group
 	caller.Go(func() {
-		o := relayedSender{relays: x, relay: at, vm: "vm-1", address: address, direct: directSender{platform.NewVM("vm-1", address)}}
-		o.Hold(ctx, job.HoldOrder{Wait: time.Minute})
+		sender := relayedSender{relays: relays, relay: relayAddress, vm: "vm-1", address: address, direct: directSender{platform.NewVM("vm-1", address)}}
+		sender.Hold(ctx, job.HoldOrder{Wait: time.Minute})
 	})
 	<-entered
 	cancel()
@@ -256,10 +256,10 @@
 // Guards against a relay that carries out orders of an owner whose tenure has ended.
 func TestEndedOwnerSendsNothingByRelay(t *testing.T) {
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
-	x := relaySetWith(t, startRelay(t))
+	relays := relaySetWith(t, startRelay(t))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, out := x.senderFor(address).Start(ctx, testStartOrder)
+	_, out := relays.senderFor(address).Start(ctx, testStartOrder)
 	assert.Assert(t, out != schedule.Answered)
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, orders.Load(), int64(0))
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -60,8 +60,8 @@
 	unreachableUntil map[string]time.Time
 }
 
-func newRelaySet(self string, log zerolog.Logger) *relaySet {
-	return &relaySet{ownAddress: self, log: log, pool: netrpc.Pool{LookEvery: relayProbeInterval}, membersChanged: make(chan struct{}, 1)}
+func newRelaySet(ownAddress string, log zerolog.Logger) *relaySet {
+	return &relaySet{ownAddress: ownAddress, log: log, pool: netrpc.Pool{LookEvery: relayProbeInterval}, membersChanged: make(chan struct{}, 1)}
 }
 
 // follow keeps the list of members up to date until ctx ends.
