--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -24,7 +24,7 @@
 	// caller reaches another entry VM, or the table is available again.
 	retryAfter = time.Second
 	// maxBacklogAge bounds the age of the owner's backlog count that is shown to callers.
-	// Callers may be shown a count that is two seconds old.
+	// Callers may be shown a count that is at most two seconds old.
 	maxBacklogAge = 1800 * time.Millisecond
 )
 
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -38,9 +38,10 @@
 // committer stores the scheduler's saves in order and renews the ownership in the same
 // transactions.
 type committer struct {
-	table   *platform.Table
-	tenure  *tenure
-	log     zerolog.Logger
+	table  *platform.Table
+	tenure *tenure
+	log    zerolog.Logger
+	// renewal is the version of the last renewal, batch the number of the last transaction.
 	renewal platform.Version
 	batch   int64
 	latency latencyEstimator
@@ -242,9 +243,9 @@
 
 // attemptTimeout returns how long to wait for the answer to an attempt. It doubles with
 // each attempt, because a transaction that is abandoned and sent again occupies its part
-// of the table as long as the first one did. When the table slowed down from 3 ms to 258
-// ms, growing the wait by an eighth per attempt kept the owner from renewing its ownership
-// for 1.3 s.
+// of the table as long as the first one did. When transactions slowed down from 3 ms to
+// 258 ms, growing the wait by an eighth per attempt kept the owner from renewing its
+// ownership for 1.3 s.
 func (c *committer) attemptTimeout(attempt int) time.Duration {
 	return min(c.latency.timeout(minCommitTimeout)<<min(attempt, maxTimeoutDoublings), maxCommitTimeout)
 }
--- a/io/node/election.go
+++ b/io/node/election.go
@@ -28,7 +28,8 @@
 	// takeoverTimeout bounds one takeover attempt.
 	takeoverTimeout = time.Second
 	// lowCapacityCores is the CPU capacity, in cores, below which an entry VM leaves the
-	// ownership to one with more capacity. The owner of 349 VMs uses at most 0.28 cores.
+	// ownership to an entry VM with more capacity. The owner of 349 VMs uses at most 0.28
+	// cores.
 	lowCapacityCores = 0.3
 	// vacateTimeout bounds giving up the ownership at a planned stop.
 	vacateTimeout = 1500 * time.Millisecond
@@ -95,6 +96,7 @@
 	renewalVersion platform.Version
 }
 
+// readOwnerRows reads the owner and renewal rows and records whether the table answered.
 func (e *election) readOwnerRows(ctx context.Context) (lease.Observation, ownerRows, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
--- a/io/node/event.go
+++ b/io/node/event.go
@@ -48,6 +48,8 @@
 		machines    []job.Machine
 		requestedAt time.Time
 	}
+	// upkeepAnswered and moveAnswered carry the answers to orders for machine maintenance
+	// and for moving a machine to another pool.
 	upkeepAnswered struct {
 		order   schedule.Upkeep
 		outcome schedule.Outcome
@@ -58,6 +60,7 @@
 		outcome schedule.Outcome
 		refusal job.MachineRefusal
 	}
+	// approvalsReceived carries the VMs that are approved for a step, with their tickets.
 	approvalsReceived struct {
 		step      job.StepID
 		approvals platform.Approvals
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -45,6 +45,7 @@
 	return b.count
 }
 
+// vmClient is a client for a VM at an address. It is replaced when the address changes.
 type vmClient struct {
 	address string
 	vm      *platform.VM
--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -30,8 +30,8 @@
 	// callRetryDelay is the pause before a call is retried.
 	callRetryDelay = 40 * time.Millisecond
 	// refusalTimeout is how long calls to a refusing or unreachable table are retried
-	// before the caller is told to come back later. Possibly only this entry VM is turned
-	// away, and another one can serve the caller.
+	// before the caller is told to come back later. The table may turn away only this
+	// entry VM, so another one can serve the caller.
 	refusalTimeout = 400 * time.Millisecond
 )
 
@@ -290,8 +290,8 @@
 	return err == nil, err
 }
 
-// backlog returns the renewal row, which holds the number of jobs per queue that haven't
-// begun as the owner last wrote it.
+// backlog returns the renewal row and its version. The row holds the number of jobs per
+// queue that haven't begun, as the owner last counted them.
 func (s *jobStore) backlog(ctx context.Context, deadline time.Time) (renewalRow, platform.Version, error) {
 	row, err := s.get(ctx, deadline, renewalKey)
 	if err != nil || row == nil {
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -22,7 +22,7 @@
 // link, more reads starve one another and the renewals of the ownership.
 const maxConcurrentReads = 8
 
-// storedState is what previous owners left in the table.
+// storedState is the state that previous owners left in the table.
 type storedState struct {
 	jobs, progress, waves, vms, orders []platform.Row
 	// jobFeedVersion is the version from which the feed of jobs continues.
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -204,7 +204,7 @@
 }
 
 // feed follows one table: first all its rows, then each change. After a gap in the table's
-// history it reads all rows again.
+// history, such as after a long outage, it reads all rows again.
 type feed struct {
 	table     *platform.Table
 	tableName string
@@ -296,6 +296,8 @@
 	return f.table.Feed(ctx, f.tableName, after, feedWait)
 }
 
+// handleFailure logs the first of consecutive failures and pauses. It always returns true,
+// the new value of lost.
 func (f *feed) handleFailure(ctx context.Context, err error, lost bool) bool {
 	if ctx.Err() == nil && !lost {
 		f.log.Warn().Err(err).Str("event", "feed_lost").Str("table", f.tableName).Send()
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -73,8 +73,8 @@
 	run(func(ctx context.Context) error { return o.relays.follow(ctx, n.table) })
 	run(o.relays.run)
 	// The directory and the machines are read concurrently with the state that previous
-	// owners left. No task starts before both are known, and jobs that may run on a VM
-	// that is gone wait.
+	// owners left. No task starts before both are known, and jobs that may be running on a
+	// VM that is gone wait for them.
 	run(o.followVMs)
 	run(o.followMachines)
 	if err := o.load(ctx); err != nil {
--- a/io/node/readback.go
+++ b/io/node/readback.go
@@ -15,9 +15,9 @@
 	// transaction's answer is overdue. The table answers in about 4 ms.
 	minOverdue    = 30 * time.Millisecond
 	overdueFactor = 3
-	// conclusiveFactor is how many times the duration of a read the transaction must be
-	// older than the read. Otherwise the read proves nothing about the transaction: in a
-	// slow table both may still be in flight.
+	// conclusiveFactor is how many times a read's duration the transaction must have been
+	// in flight when the read was sent. Otherwise the read proves nothing about the
+	// transaction: in a slow table both may still be in flight.
 	conclusiveFactor = 2
 )
 
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -225,6 +225,7 @@
 	s.ready[zone] = ready
 }
 
+// addresses returns the addresses of the candidates in order.
 func addresses(candidates []relay.Candidate) []string {
 	var out []string
 	for _, m := range candidates {
--- a/io/node/tenure.go
+++ b/io/node/tenure.go
@@ -13,8 +13,8 @@
 // errDeposed means that another process owns the jobs and VMs.
 var errDeposed = errors.New("another process is the owner now")
 
-// tenure is one process's period as the owner: its identity in the table and its ownership
-// lease.
+// tenure is the period in which this process is the owner. fence is the version of the
+// owner row that the takeover wrote, and number counts the takeovers.
 type tenure struct {
 	life   string
 	fence  platform.Version
@@ -26,6 +26,7 @@
 	latestRenewal platform.Version
 }
 
+// confirm records a confirmed renewal; see lease.Ownership.Confirm.
 func (t *tenure) confirm(renewalSent, confirmationSent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
