--- a/io/node/pacer_test.go
+++ b/io/node/pacer_test.go
@@ -22,8 +22,8 @@
 		p.recordCycle(now, now.Add(cycleTime))
 		now = now.Add(cycleTime)
 	}
-	assert.Assert(t, time.Duration(cycles)*cycleTime <= time.Second/4, "%d turns", cycles)
-	assert.Assert(t, cycles > 50, "%d turns", cycles)
+	assert.Assert(t, time.Duration(cycles)*cycleTime <= time.Second/4, "%d cycles", cycles)
+	assert.Assert(t, cycles > 50, "%d cycles", cycles)
 }
 
 // Checks that a process that was suspended during a cycle continues soon after it resumes.
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -95,8 +95,8 @@
 	for name, answer := range map[string]http.HandlerFunc{
 		"started":        vmAnswer(200, `{"clock_ms":12,"born":7}`),
 		"late":           vmAnswer(409, `{"clock_ms":12,"reason":"late"}`),
-		"no room":        vmAnswer(409, `{"clock_ms":12,"reason":"room"}`),
-		"another life":   vmAnswer(421, ``),
+		"no resources":   vmAnswer(409, `{"clock_ms":12,"reason":"room"}`),
+		"restarted VM":   vmAnswer(421, ``),
 		"unhealthy":      vmAnswer(503, ``),
 		"unreadable":     vmAnswer(200, `{`),
 		"connection cut": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
