--- /dev/null
+++ b/io/node/callers.go
@@ -0,0 +1,237 @@
+package node
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/rs/zerolog"
+
+	"lavenderpond/core/contact"
+	"lavenderpond/core/job"
+	"lavenderpond/platform"
+)
+
+const (
+	// replyMargin is the part of a caller's timeout that is reserved for sending the reply
+	// back.
+	replyMargin = 150 * time.Millisecond
+	// defaultCallerTimeout is assumed for a caller that doesn't state its timeout.
+	defaultCallerTimeout = 3 * time.Second
+	// retryAfter is the delay after which a denied caller is told to retry. By then the
+	// caller reaches another entry VM, or the table is available again.
+	retryAfter = time.Second
+	// maxBacklogAge bounds the age of the owner's backlog count that is shown to callers.
+	// Callers may be shown a count that is at most two seconds old.
+	maxBacklogAge = 1800 * time.Millisecond
+)
+
+// callerHandler serves the HTTP calls that submit, show and cancel jobs and show backlogs.
+type callerHandler struct {
+	view    *operatorView
+	health  *tableHealth
+	jobs    *jobStore
+	log     zerolog.Logger
+	count   func(name string)
+	elapsed func(name string, d time.Duration)
+
+	// renewalAge records when each version of the owner's renewal row, which holds the
+	// backlog count, was first seen.
+	renewalAge renewalAgeTracker
+}
+
+// ServeHTTP implements http.Handler.
+func (h *callerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	started := bootNow()
+	call := platform.DecodeCall(r)
+	conf := h.view.configuration()
+	if conf == nil {
+		h.deny(w, call, "", platform.DeniedUnavailable, "no configuration yet")
+		return
+	}
+	q, rest := conf.Route(call.Host, call.Path)
+	if q == nil {
+		h.deny(w, call, "", platform.DeniedNoQueue, "no such queue")
+		return
+	}
+	account, ok := conf.AccountForKey(call.Key)
+	if !ok && !q.Public {
+		h.deny(w, call, rest, platform.DeniedUnknownKey, "unknown key")
+		return
+	}
+	p := tablePartFor(call.Method, job.ID(rest))
+	decision := h.health.decide(p)
+	if decision == contact.Refuse {
+		h.deny(w, call, rest, platform.DeniedUnavailable, "no answer from part "+p+" of the table, none from any part for "+h.health.sinceLastAnswer().String())
+		return
+	}
+	timeout := call.Patience
+	if timeout <= 0 {
+		timeout = defaultCallerTimeout
+	}
+	if q.Timeout > 0 {
+		timeout = min(timeout, q.Timeout)
+	}
+	if decision == contact.Probe && call.Method != platform.CallSubmit {
+		timeout = min(timeout, probeTimeout+replyMargin)
+	}
+	rc := routedCall{call: call, queue: q, account: account, id: job.ID(rest), deadline: started.Add(timeout - replyMargin), conf: conf, decision: decision}
+	h.serve(r.Context(), w, r, rc)
+	h.elapsed("call_"+call.Method.String(), bootNow().Sub(started))
+}
+
+// routedCall is a call whose queue and client account are known.
+type routedCall struct {
+	call     platform.Call
+	queue    *job.Queue
+	account  job.AccountName
+	id       job.ID
+	deadline time.Time
+	conf     *job.Configuration
+	decision contact.Decision
+}
+
+// tablePartFor returns the part of the table that a call accesses first.
+func tablePartFor(m platform.CallMethod, id job.ID) string {
+	if m == platform.CallSubmit {
+		return jobPart(id)
+	}
+	return mainPart
+}
+
+func (h *callerHandler) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
+	// The work continues when the caller disconnects. Otherwise a submission that is half
+	// done would end with an unknown outcome for no reason.
+	ctx = context.WithoutCancel(ctx)
+	switch {
+	case c.call.Method == platform.CallFetch && c.id == "":
+		h.backlog(ctx, w, c)
+	case !platform.ValidID(string(c.id)):
+		h.deny(w, c.call, string(c.id), platform.DeniedMalformed, "malformed id")
+	case c.call.Method == platform.CallSubmit:
+		h.submit(ctx, w, r, c)
+	case c.call.Method == platform.CallFetch:
+		h.show(ctx, w, c)
+	case c.call.Method == platform.CallCancel:
+		h.cancel(ctx, w, c)
+	default:
+		h.deny(w, c.call, string(c.id), platform.DeniedMalformed, "unknown method")
+	}
+}
+
+func (h *callerHandler) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
+	body, err := platform.DecodeJob(r.Body, c.conf.Limits.BodyBytes)
+	if errors.Is(err, platform.ErrBodyTooLarge) {
+		h.deny(w, c.call, string(c.id), platform.DeniedTooLarge, err.Error())
+		return
+	}
+	if err != nil {
+		h.deny(w, c.call, string(c.id), platform.DeniedMalformed, err.Error())
+		return
+	}
+	q := c.queue
+	j := job.Job{ID: c.id, Body: body, Terms: job.Terms{
+		Queue: q.Name, Pool: q.Pool, Account: c.account, Priority: q.Priority, MaxAttempts: q.MaxAttempts,
+		Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance,
+	}}
+	err = h.jobs.submit(ctx, c.deadline, j, c.decision)
+	if err != nil {
+		h.denyFailed(w, c, err)
+		return
+	}
+	h.accept(w, c)
+}
+
+func (h *callerHandler) show(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	state, known, err := h.jobs.show(ctx, c.deadline, c.id)
+	switch {
+	case err != nil:
+		h.denyFailed(w, c, err)
+	case !known:
+		h.deny(w, c.call, string(c.id), platform.DeniedNoJob, "no such job")
+	default:
+		h.count("shown_" + state.String())
+		platform.WriteState(w, state)
+	}
+}
+
+func (h *callerHandler) cancel(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	known, err := h.jobs.cancel(ctx, c.deadline, c.id)
+	switch {
+	case err != nil:
+		h.denyFailed(w, c, err)
+	case !known:
+		h.deny(w, c.call, string(c.id), platform.DeniedNoJob, "no such job")
+	default:
+		h.accept(w, c)
+	}
+}
+
+func (h *callerHandler) backlog(ctx context.Context, w http.ResponseWriter, c routedCall) {
+	r, version, err := h.jobs.backlog(ctx, c.deadline)
+	if err != nil {
+		h.denyFailed(w, c, err)
+		return
+	}
+	if !r.Counted || h.renewalAge.age(bootNow(), version) > maxBacklogAge {
+		h.deny(w, c.call, "", platform.DeniedUnavailable, "no backlog count that is recent enough")
+		return
+	}
+	platform.WriteBacklog(w, r.Backlog[c.queue.Name])
+}
+
+func (h *callerHandler) accept(w http.ResponseWriter, c routedCall) {
+	h.count("accepted_" + c.call.Method.String())
+	h.log.Info().Str("event", "call_accepted").Str("method", c.call.Method.String()).Str("job", string(c.id)).
+		Str("queue", string(c.queue.Name)).Str("account", string(c.account)).
+		Int64("configuration", int64(c.conf.Version)).Send()
+	platform.WriteAccepted(w)
+}
+
+// denyFailed answers a call for which the table request failed.
+func (h *callerHandler) denyFailed(w http.ResponseWriter, c routedCall, err error) {
+	d := platform.DeniedOutcomeUnknown
+	switch {
+	case errors.Is(err, errNotStored):
+		d = platform.DeniedUnavailable
+	case errors.Is(err, errTooLarge):
+		d = platform.DeniedTooLarge
+	}
+	h.deny(w, c.call, string(c.id), d, err.Error())
+}
+
+func (h *callerHandler) deny(w http.ResponseWriter, c platform.Call, id string, d platform.Denial, reason string) {
+	h.count("denied_" + c.Method.String())
+	h.log.Info().Str("event", "call_denied").Str("method", c.Method.String()).Str("job", id).
+		Int("status", d.Status()).Str("reason", reason).Send()
+	retryDelay := time.Duration(0)
+	if d == platform.DeniedUnavailable || d == platform.DeniedBusy {
+		retryDelay = retryAfter
+	}
+	if d == platform.DeniedUnavailable {
+		// The load balancer doesn't move open connections. A caller that keeps its
+		// connection would come back to this process for as long as the zone is cut off. A
+		// new connection goes to another entry VM.
+		w.Header().Set("Connection", "close")
+	}
+	platform.WriteDenial(w, d, retryDelay)
+}
+
+// renewalAgeTracker reports how long ago a version of the owner's renewal row was first
+// seen by this process. The zero value is ready to use.
+type renewalAgeTracker struct {
+	mu        sync.Mutex
+	version   platform.Version
+	firstSeen time.Time
+}
+
+func (t *renewalAgeTracker) age(now time.Time, v platform.Version) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if v != t.version {
+		t.version, t.firstSeen = v, now
+	}
+	return now.Sub(t.firstSeen)
+}
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -15,49 +15,53 @@
 )
 
 const (
-	// renewEvery is how often the owner renews its right if it has nothing to
-	// store: three times within the period for which a proof lasts.
-	renewEvery = 250 * time.Millisecond
-	// groupFor gathers saves into one transaction: transactions are priced and
-	// the table takes 300 of them a second.
-	groupFor = 12 * time.Millisecond
-	// savesEach keeps a transaction, with its conditions and the renewal, below the
-	// table's bound on rows.
-	savesEach = platform.MaxTransactionRows - 10
-	// answerLeast bounds the wait for an answer from below; the table answers in
-	// about 4 ms. answerMost does so from above, for a table that is slow.
-	answerLeast = 250 * time.Millisecond
-	answerMost  = 1500 * time.Millisecond
-	// doublings bounds how often the wait doubles; it reaches answerMost before.
-	doublings = 3
-	// refusedPause is the pause after the table refused a transaction.
-	refusedPause = 60 * time.Millisecond
+	// renewalInterval is how often the owner renews its ownership when it has nothing to
+	// store. Three renewals fit into the period for which a confirmation is valid.
+	renewalInterval = 250 * time.Millisecond
+	// batchDelay is how long saves are collected into one transaction. Transactions are
+	// priced, and the table takes 300 of them a second.
+	batchDelay = 12 * time.Millisecond
+	// maxBatchRows keeps a transaction, including its conditions and the renewal, below
+	// the table's limit on rows.
+	maxBatchRows = platform.MaxTransactionRows - 10
+	// minCommitTimeout and maxCommitTimeout bound the wait for an answer. The table
+	// answers in about 4 ms; the upper bound is for a slow table.
+	minCommitTimeout = 250 * time.Millisecond
+	maxCommitTimeout = 1500 * time.Millisecond
+	// maxTimeoutDoublings bounds how often the wait doubles. maxCommitTimeout is reached
+	// before that.
+	maxTimeoutDoublings = 3
+	// refusedRetryDelay is the pause after the table refused a transaction.
+	refusedRetryDelay = 60 * time.Millisecond
 )
 
-// committer stores what the scheduler wants stored, in order, and renews the
-// owner's right with the same transactions.
+// committer stores the scheduler's saves in order and renews the ownership in the same
+// transactions.
 type committer struct {
-	table   *platform.Table
-	tenure  *tenure
-	log     zerolog.Logger
+	table  *platform.Table
+	tenure *tenure
+	log    zerolog.Logger
+	// renewal is the version of the last renewal, batch the number of the last transaction.
 	renewal platform.Version
 	batch   int64
-	answers answerTimes
-	// stored is called after each transaction with the last sequence stored.
-	stored func(sequence int64)
-	// backlog returns the count of jobs that haven't begun, or nil before the first.
+	latency latencyEstimator
+	// onStored is called after each transaction with the last sequence that is stored
+	// completely.
+	onStored func(sequence int64)
+	// backlog returns the number of jobs per queue that haven't begun, or nil before the
+	// first count.
 	backlog func() map[job.QueueName]int
-	// entries returns the number of entry VMs; nil stands for not known.
-	entries func() int
-	took    func(d time.Duration)
-	reach   *reach
+	// entries returns the number of entry VMs. A nil function means that it isn't known.
+	entries       func() int
+	recordLatency func(d time.Duration)
+	health        *tableHealth
 
 	mu    sync.Mutex
 	queue []schedule.Command
 	wake  chan struct{}
 }
 
-// add queues saves.
+// add queues saves to be stored.
 func (c *committer) add(saves []schedule.Command) {
 	c.mu.Lock()
 	c.queue = append(c.queue, saves...)
@@ -68,43 +72,45 @@
 	}
 }
 
-// run stores and renews until ctx ends or the right is lost.
+// run stores saves and renews the ownership until ctx ends or the ownership is lost.
 func (c *committer) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.awaitWork(ctx)
-		saves, last := c.next()
+		saves, last := c.nextBatch()
 		if err := c.store(ctx, saves); err != nil {
-			c.tellUnstored(saves)
+			c.logUnstored(saves)
 			return err
 		}
 		if last > 0 {
-			c.stored(last)
+			c.onStored(last)
 		}
 	}
 	return nil
 }
 
-// tellUnstored logs how many saves an owner that ends leaves unstored.
-func (c *committer) tellUnstored(saves []schedule.Command) {
+// logUnstored logs how many saves are left unstored when the owner ends. inFlight are the
+// saves of the transaction that failed.
+func (c *committer) logUnstored(inFlight []schedule.Command) {
 	c.mu.Lock()
-	waiting := len(c.queue)
+	queued := len(c.queue)
 	c.mu.Unlock()
-	if n := len(saves) + waiting; n > 0 {
+	if n := len(inFlight) + queued; n > 0 {
 		c.log.Info().Str("event", "saves_unstored").Int("saves", n).Uint64("fence", uint64(c.tenure.fence)).Send()
 	}
 }
 
-// awaitWork waits for saves, but not longer than until the next renewal.
+// awaitWork waits until there are saves to store or a renewal is due.
 func (c *committer) awaitWork(ctx context.Context) {
 	c.mu.Lock()
 	n := len(c.queue)
 	c.mu.Unlock()
-	if n >= savesEach || !c.tenure.mayOrder(bootNow()) {
-		// A renewal that took many attempts is old when it is known.
+	if n >= maxBatchRows || !c.tenure.mayOrderMachines(bootNow()) {
+		// A renewal that took many attempts is already old when its answer arrives, so the
+		// next one is due at once.
 		return
 	}
 	if n == 0 {
-		t := time.NewTimer(renewEvery)
+		t := time.NewTimer(renewalInterval)
 		defer t.Stop()
 		select {
 		case <-ctx.Done():
@@ -114,29 +120,29 @@
 		case <-c.wake:
 		}
 	}
-	supervisor.Sleep(ctx, groupFor)
+	supervisor.Sleep(ctx, batchDelay)
 }
 
-// fitting returns how many of the waiting saves fit into one transaction. Saves of
-// one row count once, since only the last of them is written: when the table is
-// slow, a job's saves pile up, and most of them needn't be written at all.
-func (c *committer) fitting() int {
+// nextBatchSize returns how many of the queued saves fit into one transaction. Saves of
+// the same row count once, since only the last of them is written. When the table is slow,
+// a job's saves pile up, and most of them needn't be written at all.
+func (c *committer) nextBatchSize() int {
 	rows := map[platform.RowKey]bool{}
 	for i, s := range c.queue {
-		rows[changeOf(s).key] = true
-		if len(rows) > savesEach {
+		rows[rowChangeFor(s).key] = true
+		if len(rows) > maxBatchRows {
 			return i
 		}
 	}
 	return len(c.queue)
 }
 
-// next takes saves off the queue. last is the sequence up to which all are
-// stored once they are, or 0 if none is whole.
-func (c *committer) next() (saves []schedule.Command, last int64) {
+// nextBatch takes saves off the queue. last is the sequence up to which everything is
+// stored once these saves are, or 0 if no sequence is complete.
+func (c *committer) nextBatch() (saves []schedule.Command, last int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.fitting()
+	n := c.nextBatchSize()
 	saves = c.queue[:n:n]
 	c.queue = c.queue[n:]
 	if n == 0 {
@@ -146,7 +152,7 @@
 	if len(c.queue) == 0 {
 		return saves, last
 	}
-	if waits, _ := schedule.SequenceOf(c.queue[0]); waits == last {
+	if nextSequence, _ := schedule.SequenceOf(c.queue[0]); nextSequence == last {
 		last--
 	}
 	return saves, last
@@ -159,27 +165,27 @@
 	return c.entries()
 }
 
-// transaction builds what stores the saves. It expects the owner's row and the
-// last renewal unchanged: the first keeps a deposed owner from writing, the
-// second keeps an earlier transaction whose answer was lost from being carried
-// out after this one and undoing it.
+// transaction builds the transaction that stores the saves. Its conditions require the
+// owner's row and the last renewal to be unchanged. The first condition keeps a deposed
+// owner from writing. The second keeps an earlier transaction whose answer was lost from
+// being applied after this one and undoing it.
 func (c *committer) transaction(saves []schedule.Command) (platform.Transaction, error) {
 	tx := platform.Transaction{Conditions: []platform.Condition{
 		{RowKey: ownerKey, Version: c.tenure.fence},
 		{RowKey: renewalKey, Version: c.renewal},
 	}}
 	backlog := c.backlog()
-	value, err := encode(renewalRow{Life: c.tenure.life, Batch: c.batch, Counted: backlog != nil, Backlog: backlog, Entries: c.entryCount()})
+	value, err := encodeRow(renewalRow{Life: c.tenure.life, Batch: c.batch, Counted: backlog != nil, Backlog: backlog, Entries: c.entryCount()})
 	if err != nil {
 		return tx, err
 	}
 	tx.Writes = append(tx.Writes, platform.Write{RowKey: renewalKey, Value: value})
-	for _, change := range latest(saves) {
+	for _, change := range latestChanges(saves) {
 		if change.value == nil {
 			tx.Removals = append(tx.Removals, change.key)
 			continue
 		}
-		value, err := encode(change.value)
+		value, err := encodeRow(change.value)
 		if err != nil {
 			return tx, err
 		}
@@ -188,62 +194,65 @@
 	return tx, nil
 }
 
-// store carries out one transaction, however often it takes. It returns errDeposed once
-// the right is lost, and the cause of ctx's end if it isn't known to be stored by then.
+// store applies one transaction and retries it as often as necessary. It returns
+// errDeposed once the ownership is lost. If ctx ends before the transaction is known to be
+// stored, it returns the cause.
 func (c *committer) store(ctx context.Context, saves []schedule.Command) error {
 	c.batch++
 	tx, err := c.transaction(saves)
 	if err != nil {
 		return err
 	}
-	renewed := time.Time{}
+	firstSent := time.Time{}
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		sent := bootNow()
-		version, err := c.apply(ctx, tx, c.patience(attempt))
+		version, err := c.apply(ctx, tx, c.attemptTimeout(attempt))
 		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
-		if renewed.IsZero() && !refused {
-			renewed = sent
+		if firstSent.IsZero() && !refused {
+			firstSent = sent
 		}
 		var conflict *platform.ConflictError
 		switch {
 		case err == nil:
-			c.done(renewed, sent, version)
+			c.recordStored(firstSent, sent, version)
 			return nil
 		case errors.As(err, &conflict):
-			return c.settle(renewed, sent, conflict)
+			return c.resolveConflict(firstSent, sent, conflict)
 		case refused:
-			supervisor.Sleep(ctx, refusedPause)
-		case bootNow().Sub(sent) < overdueLeast:
-			// The connection was reset: the next one would be as soon.
-			supervisor.Sleep(ctx, overdueLeast)
+			supervisor.Sleep(ctx, refusedRetryDelay)
+		case bootNow().Sub(sent) < minOverdue:
+			// The connection was reset. An immediate retry would probably be reset as
+			// fast.
+			supervisor.Sleep(ctx, minOverdue)
 		}
-		c.log.Debug().Err(err).Int64("batch", c.batch).Msg("transaction is sent again")
+		c.log.Debug().Err(err).Int64("batch", c.batch).Msg("transaction attempt failed, retrying")
 	}
 	return context.Cause(ctx)
 }
 
-func (c *committer) apply(ctx context.Context, tx platform.Transaction, patience time.Duration) (platform.Version, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (c *committer) apply(ctx context.Context, tx platform.Transaction, timeout time.Duration) (platform.Version, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	from := bootNow()
-	v, err := c.applyOrSee(ctx, tx)
-	took := bootNow().Sub(from)
-	c.took(took)
-	c.answers.learn(took, !errors.Is(err, platform.ErrNoAnswer))
+	started := bootNow()
+	v, err := c.applyAndVerify(ctx, tx)
+	took := bootNow().Sub(started)
+	c.recordLatency(took)
+	c.latency.observe(took, !errors.Is(err, platform.ErrNoAnswer))
 	return v, err
 }
 
-// patience returns how long to wait for the answer to an attempt. It doubles with
-// each: a transaction that is given up and sent again takes the part as long as the
-// first. When the table turned slow (258 ms in place of 3 ms), a wait that grew by
-// an eighth each time kept the owner from renewing its right for 1.3 s.
-func (c *committer) patience(attempt int) time.Duration {
-	return min(c.answers.patience(answerLeast)<<min(attempt, doublings), answerMost)
+// attemptTimeout returns how long to wait for the answer to an attempt. It doubles with
+// each attempt, because a transaction that is abandoned and sent again occupies its part
+// of the table as long as the first one did. When transactions slowed down from 3 ms to
+// 258 ms, growing the wait by an eighth per attempt kept the owner from renewing its
+// ownership for 1.3 s.
+func (c *committer) attemptTimeout(attempt int) time.Duration {
+	return min(c.latency.timeout(minCommitTimeout)<<min(attempt, maxTimeoutDoublings), maxCommitTimeout)
 }
 
-// settle looks at why a condition failed: the transaction may have been carried
-// out already without an answer.
-func (c *committer) settle(renewed, sent time.Time, conflict *platform.ConflictError) error {
+// resolveConflict examines a failed condition. The transaction may already have been
+// applied by an attempt whose answer was lost.
+func (c *committer) resolveConflict(firstSent, sent time.Time, conflict *platform.ConflictError) error {
 	owner, renewal := conflict.Row(ownerKey), conflict.Row(renewalKey)
 	if owner == nil || owner.Version != c.tenure.fence || renewal == nil {
 		return errDeposed
@@ -253,17 +262,18 @@
 		return err
 	}
 	if r.Life != c.tenure.life || r.Batch != c.batch {
-		return errors.Wrapf(errDeposed, "renewal %d of %s stands in place of %d", r.Batch, r.Life, c.batch)
+		return errors.Wrapf(errDeposed, "the renewal row holds batch %d of process run %s, not batch %d", r.Batch, r.Life, c.batch)
 	}
-	c.done(renewed, sent, renewal.Version)
+	c.recordStored(firstSent, sent, renewal.Version)
 	return nil
 }
 
-// done takes in that the transaction was carried out, by a call sent at renewed at the
-// earliest, and that a call sent at sent has said so.
-func (c *committer) done(renewed, sent time.Time, version platform.Version) {
+// recordStored records that the transaction was applied. firstSent is when the first call
+// was sent that may have applied it, and sent is when the call was sent whose answer
+// confirms it.
+func (c *committer) recordStored(firstSent, sent time.Time, version platform.Version) {
 	c.renewal = version
-	c.tenure.renewed(version)
-	c.tenure.prove(renewed, sent)
-	c.reach.heard(part)
+	c.tenure.recordRenewal(version)
+	c.tenure.confirm(firstSent, sent)
+	c.health.recordAnswer(mainPart)
 }
--- a/io/node/decisions.go
+++ b/io/node/decisions.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// linesPerSecond bounds the lines of one kind of decision. At the busiest
-	// each kind comes about 250 times a second.
-	linesPerSecond = 400
+	// maxLinesPerSecond bounds the log lines per kind of decision. Under peak load, each
+	// kind occurs about 250 times a second.
+	maxLinesPerSecond = 400
 )
 
-// decisionLog writes the scheduler's decisions, at most so many a second of each
-// kind; how many were left out stands in the first line after.
+// decisionLog logs the scheduler's decisions and counts them in metrics. It writes a
+// limited number of lines per second and kind. The next line that is written says how many
+// were omitted before it.
 type decisionLog struct {
 	log     zerolog.Logger
 	count   func(name string)
@@ -70,8 +71,9 @@
 	e.Send()
 }
 
-// admit tells whether a line may be written, and how many were left out before it.
-func (l *decisionLog) admit(w schedule.DecisionKind) (omitted int, ok bool) {
+// admit reports whether a line of this kind may be written, and how many lines were
+// omitted before it.
+func (l *decisionLog) admit(kind schedule.DecisionKind) (omitted int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := bootNow().Unix(); now != l.second || l.written == nil {
@@ -81,12 +83,12 @@
 	if l.omitted == nil {
 		l.omitted = map[schedule.DecisionKind]int{}
 	}
-	if l.written[w] >= linesPerSecond {
-		l.omitted[w]++
+	if l.written[kind] >= maxLinesPerSecond {
+		l.omitted[kind]++
 		return 0, false
 	}
-	l.written[w]++
-	omitted = l.omitted[w]
-	delete(l.omitted, w)
+	l.written[kind]++
+	omitted = l.omitted[kind]
+	delete(l.omitted, kind)
 	return omitted, true
 }
--- a/io/node/dump.go
+++ b/io/node/dump.go
@@ -9,7 +9,7 @@
 	"lavenderpond/platform"
 )
 
-// processDump is what a process believes at this moment.
+// processDump is the state of a process as served at /dump.
 type processDump struct {
 	Node          string            `json:"node"`
 	Zone          string            `json:"zone"`
@@ -17,26 +17,27 @@
 	Ready         bool              `json:"ready"`
 	Configuration job.ConfigVersion `json:"configuration,omitempty"`
 	Evacuated     []job.ZoneName    `json:"evacuated"`
-	// ViewAgeMS and TableAgeMS are the ages of the operators' rows and of the table's last word.
+	// ViewAgeMS is the age of the view of the operators' rows, TableAgeMS the time since
+	// the table's last answer.
 	ViewAgeMS  int64      `json:"view_age_ms"`
 	TableAgeMS int64      `json:"table_age_ms"`
 	Owner      *ownerDump `json:"owner,omitempty"`
 }
 
-// ownerDump is what the owner believes beyond that.
+// ownerDump is the additional state of the process that is the owner.
 type ownerDump struct {
-	Fence    platform.Version      `json:"fence"`
-	Turn     int64                 `json:"turn"`
-	MayStart bool                  `json:"may_start"`
-	MayOrder bool                  `json:"may_order"`
-	Waiting  map[job.QueueName]int `json:"waiting"`
-	Relays   map[string][]string   `json:"relays"`
+	Fence        platform.Version      `json:"fence"`
+	TenureNumber int64                 `json:"turn"`
+	MayStart     bool                  `json:"may_start"`
+	MayOrder     bool                  `json:"may_order"`
+	Waiting      map[job.QueueName]int `json:"waiting"`
+	Relays       map[string][]string   `json:"relays"`
 }
 
 func (n *Node) dump(now time.Time) processDump {
 	d := processDump{
-		Node: n.settings.Node, Zone: n.settings.Zone, Life: n.candidacy.life, Ready: n.ready(),
-		Evacuated: n.view.evacuations(), ViewAgeMS: n.view.age(now).Milliseconds(), TableAgeMS: n.reach.age().Milliseconds(),
+		Node: n.settings.Node, Zone: n.settings.Zone, Life: n.election.life, Ready: n.ready(),
+		Evacuated: n.view.evacuations(), ViewAgeMS: n.view.age(now).Milliseconds(), TableAgeMS: n.health.sinceLastAnswer().Milliseconds(),
 	}
 	if c := n.view.configuration(); c != nil {
 		d.Configuration = c.Version
@@ -49,7 +50,7 @@
 
 func (o *owner) dump(now time.Time) *ownerDump {
 	return &ownerDump{
-		Fence: o.tenure.fence, Turn: o.tenure.turn, MayStart: o.mayStart(now), MayOrder: o.tenure.mayOrder(now),
+		Fence: o.tenure.fence, TenureNumber: o.tenure.number, MayStart: o.mayStartTasks(now), MayOrder: o.tenure.mayOrderMachines(now),
 		Waiting: o.backlog.get(), Relays: o.relays.addresses(),
 	}
 }
@@ -57,6 +58,6 @@
 func (n *Node) serveDump(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(n.dump(bootNow())); err != nil {
-		n.log.Debug().Err(err).Msg("dump was not written")
+		n.log.Debug().Err(err).Msg("dump could not be written")
 	}
 }
--- /dev/null
+++ b/io/node/election.go
@@ -0,0 +1,205 @@
+package node
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/rs/zerolog"
+
+	"lavenderpond/core/lease"
+	"lavenderpond/io/supervisor"
+	"lavenderpond/platform"
+)
+
+const (
+	// basePollInterval is how often a process that isn't the owner polls the owner's rows,
+	// measured from one poll to the next. A process with low capacity polls at
+	// lowCapacityPollInterval, which is still often enough to notice soon that it is cut
+	// off from the table.
+	basePollInterval        = 150 * time.Millisecond
+	lowCapacityPollInterval = 450 * time.Millisecond
+	// minPollPause is the minimum pause between two polls, for a slow table.
+	minPollPause = 50 * time.Millisecond
+	// pollTimeout bounds one poll.
+	pollTimeout = time.Second
+	// takeoverTimeout bounds one takeover attempt.
+	takeoverTimeout = time.Second
+	// lowCapacityCores is the CPU capacity, in cores, below which an entry VM leaves the
+	// ownership to an entry VM with more capacity. The owner of 349 VMs uses at most 0.28
+	// cores.
+	lowCapacityCores = 0.3
+	// vacateTimeout bounds giving up the ownership at a planned stop.
+	vacateTimeout = 1500 * time.Millisecond
+)
+
+// election watches the owner and makes this process the owner when there is none.
+type election struct {
+	table *platform.Table
+	node  string
+	life  string
+	log   zerolog.Logger
+	// lowCapacity is set on an entry VM with too little CPU capacity for a large fleet.
+	lowCapacity bool
+	health      *tableHealth
+	// readsPerSecond is the table's read limit; 0 if it isn't known.
+	readsPerSecond float64
+	// entries is the number of entry VMs according to the last renewal that was read.
+	entries atomic.Int64
+	// serve runs a tenure until ctx ends or the ownership is lost.
+	serve func(ctx context.Context, t *tenure, renewal platform.Version) error
+}
+
+// run watches the owner and takes over when that is due, until ctx ends.
+func (e *election) run(ctx context.Context) error {
+	watcher := lease.Watcher{LowCapacity: e.lowCapacity}
+	for ctx.Err() == nil {
+		nextPoll := bootNow().Add(e.pollInterval())
+		observation, rows, err := e.readOwnerRows(ctx)
+		if err != nil {
+			e.log.Debug().Err(err).Msg("owner rows could not be read")
+		}
+		if err != nil || !watcher.TakeoverDue(observation) {
+			supervisor.Sleep(ctx, max(minPollPause, nextPoll.Sub(bootNow())))
+			continue
+		}
+		t, renewal, err := e.takeOver(ctx, rows)
+		if err != nil {
+			e.log.Info().Err(err).Str("event", "take_over_failed").Send()
+			supervisor.Sleep(ctx, basePollInterval+rand.N(basePollInterval))
+			continue
+		}
+		e.log.Info().Str("event", "owner").Uint64("fence", uint64(t.fence)).Int64("turn", t.number).
+			Str("former", rows.owner.Node).Bool("vacant", rows.owner.Vacant).Send()
+		err = e.serve(ctx, t, renewal)
+		e.log.Info().Err(err).Str("event", "owner_no_more").Uint64("fence", uint64(t.fence)).Send()
+		watcher = lease.Watcher{LowCapacity: e.lowCapacity}
+	}
+	return nil
+}
+
+// pollInterval returns the interval between two polls of the owner's rows.
+func (e *election) pollInterval() time.Duration {
+	interval := basePollInterval
+	if e.lowCapacity {
+		interval = lowCapacityPollInterval
+	}
+	return lease.PollInterval(interval, int(e.entries.Load()), e.readsPerSecond)
+}
+
+// ownerRows holds the owner row and the versions of the owner and renewal rows as read.
+type ownerRows struct {
+	owner          ownerRow
+	ownerVersion   platform.Version
+	renewalVersion platform.Version
+}
+
+// readOwnerRows reads the owner and renewal rows and records whether the table answered.
+func (e *election) readOwnerRows(ctx context.Context) (lease.Observation, ownerRows, error) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+	defer cancel()
+	var rows ownerRows
+	observation := lease.Observation{Sent: bootNow()}
+	snapshot, err := e.table.List(ctx, platform.Range{Table: ownerTable, Part: mainPart, From: ownerKeyName, To: renewalKeyName + "\x00"})
+	if err != nil {
+		e.health.recordFailure(mainPart)
+		return observation, rows, err
+	}
+	observation.Received = bootNow()
+	e.health.recordAnswer(mainPart)
+	for i := range snapshot.Rows {
+		r := &snapshot.Rows[i]
+		switch r.Key {
+		case ownerKeyName:
+			if rows.owner, err = decodeRow[ownerRow](r); err != nil {
+				return observation, rows, err
+			}
+			rows.ownerVersion = r.Version
+		case renewalKeyName:
+			rows.renewalVersion = r.Version
+			e.updateEntryCount(r)
+		}
+	}
+	observation.Owner, observation.Renewal = uint64(rows.ownerVersion), uint64(rows.renewalVersion)
+	observation.Vacant = rows.owner.Vacant
+	observation.PreviousRun = rows.owner.Node == e.node && rows.owner.Life != e.life
+	return observation, rows, nil
+}
+
+// updateEntryCount updates the number of entry VMs from a renewal row. A row that can't be
+// decoded is logged and still counts as a renewal.
+func (e *election) updateEntryCount(r *platform.Row) {
+	renewal, err := decodeRow[renewalRow](r)
+	if err != nil {
+		e.log.Error().Err(err).Str("event", "row_ignored").Send()
+		return
+	}
+	e.entries.Store(int64(renewal.Entries))
+}
+
+// takeOver writes this process into the owner row. Its conditions require both rows to be
+// as they were read, so that a renewal in between wins.
+func (e *election) takeOver(ctx context.Context, rows ownerRows) (*tenure, platform.Version, error) {
+	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
+	defer cancel()
+	number := rows.owner.TenureNumber + 1
+	owner, err := encodeRow(ownerRow{Node: e.node, Life: e.life, TenureNumber: number})
+	if err != nil {
+		return nil, 0, err
+	}
+	renewal, err := encodeRow(renewalRow{Life: e.life, Entries: int(e.entries.Load())})
+	if err != nil {
+		return nil, 0, err
+	}
+	tx := platform.Transaction{
+		Conditions: []platform.Condition{
+			{RowKey: ownerKey, Version: rows.ownerVersion}, {RowKey: renewalKey, Version: rows.renewalVersion},
+		},
+		Writes: []platform.Write{{RowKey: ownerKey, Value: owner}, {RowKey: renewalKey, Value: renewal}},
+	}
+	sent := bootNow()
+	version, err := e.table.Apply(ctx, tx)
+	if errors.Is(err, platform.ErrNoAnswer) {
+		version, err = e.confirmTakeover(number)
+	}
+	if err != nil {
+		return nil, 0, err
+	}
+	t := &tenure{life: e.life, fence: version, number: number}
+	t.confirm(sent, sent)
+	return t, version, nil
+}
+
+// confirmTakeover checks whether a takeover whose answer was lost was applied.
+func (e *election) confirmTakeover(number int64) (platform.Version, error) {
+	_, rows, err := e.readOwnerRows(context.Background())
+	if err != nil {
+		return 0, err
+	}
+	if rows.owner.Life != e.life || rows.owner.TenureNumber != number || rows.renewalVersion != rows.ownerVersion {
+		return 0, errors.New("another process took over")
+	}
+	return rows.ownerVersion, nil
+}
+
+// vacate marks the owner row as vacant, so that another process takes over at once.
+func (e *election) vacate(t *tenure) {
+	value, err := encodeRow(ownerRow{Node: e.node, Life: e.life, TenureNumber: t.number, Vacant: true})
+	tx := platform.Transaction{
+		Conditions: []platform.Condition{{RowKey: ownerKey, Version: t.fence}},
+		Writes:     []platform.Write{{RowKey: ownerKey, Value: value}},
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), vacateTimeout)
+	defer cancel()
+	for err == nil {
+		_, err = e.table.Apply(ctx, tx)
+		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
+		if !refused || !supervisor.Sleep(ctx, refusedRetryDelay) {
+			break
+		}
+		err = nil
+	}
+	e.log.Info().Err(err).Str("event", "owner_vacates").Uint64("fence", uint64(t.fence)).Send()
+}
--- a/io/node/event.go
+++ b/io/node/event.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// event is something that the owner's loop takes in.
+// event is an input of the owner's event loop.
 type event interface{ event() }
 
 type (
-	// rowsChanged are changes of the job table. After a gap in the history they
-	// are all of it, with all progress.
-	rowsChanged struct {
+	// jobRowsChanged carries changes of the job table. After a gap in the table's history,
+	// rows holds the whole table and progress the progress of all jobs.
+	jobRowsChanged struct {
 		rows     []platform.Row
 		progress []platform.Row
 	}
-	// vmsChanged are changes of the directory; whole tells that they are all of it.
-	vmsChanged struct {
-		rows  []platform.Row
-		whole bool
+	// vmRowsChanged carries changes of the VM directory. complete means that rows holds
+	// the whole directory.
+	vmRowsChanged struct {
+		rows     []platform.Row
+		complete bool
 	}
-	// directoryRead tells that the changes are known that were made before asOf.
+	// directoryRead reports that all changes of the directory made before asOf are known.
 	directoryRead struct{ asOf time.Time }
-	// stored tells that all saves up to sequence are in the table.
-	stored struct{ sequence int64 }
-	// startAnswered, stopAnswered and holdAnswered are answers of VMs.
+	// savesStored reports that all saves up to sequence are in the table.
+	savesStored struct{ sequence int64 }
+	// startAnswered, stopAnswered and holdAnswered carry the answers of VMs.
 	startAnswered struct {
 		order   schedule.Start
 		outcome schedule.Outcome
@@ -42,11 +43,13 @@
 		outcome schedule.Outcome
 		report  job.Report
 	}
-	// machinesListed is the machines list, as asked for at asked.
+	// machinesListed carries the list of machines that was requested at requestedAt.
 	machinesListed struct {
-		machines []job.Machine
-		asked    time.Time
+		machines    []job.Machine
+		requestedAt time.Time
 	}
+	// upkeepAnswered and moveAnswered carry the answers to orders for machine maintenance
+	// and for moving a machine to another pool.
 	upkeepAnswered struct {
 		order   schedule.Upkeep
 		outcome schedule.Outcome
@@ -57,23 +60,24 @@
 		outcome schedule.Outcome
 		refusal job.MachineRefusal
 	}
-	advised struct {
+	// approvalsReceived carries the VMs that are approved for a step, with their tickets.
+	approvalsReceived struct {
 		step      job.StepID
 		approvals platform.Approvals
 	}
-	// reconfigured tells that the operators' view has changed.
+	// reconfigured reports that the operators' view has changed.
 	reconfigured struct{}
 )
 
-func (rowsChanged) event()    {}
-func (vmsChanged) event()     {}
-func (directoryRead) event()  {}
-func (stored) event()         {}
-func (startAnswered) event()  {}
-func (stopAnswered) event()   {}
-func (holdAnswered) event()   {}
-func (machinesListed) event() {}
-func (upkeepAnswered) event() {}
-func (moveAnswered) event()   {}
-func (advised) event()        {}
-func (reconfigured) event()   {}
+func (jobRowsChanged) event()    {}
+func (vmRowsChanged) event()     {}
+func (directoryRead) event()     {}
+func (savesStored) event()       {}
+func (startAnswered) event()     {}
+func (stopAnswered) event()      {}
+func (holdAnswered) event()      {}
+func (machinesListed) event()    {}
+func (upkeepAnswered) event()    {}
+func (moveAnswered) event()      {}
+func (approvalsReceived) event() {}
+func (reconfigured) event()      {}
--- /dev/null
+++ b/io/node/execute.go
@@ -0,0 +1,265 @@
+package node
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"lavenderpond/core/job"
+	"lavenderpond/core/schedule"
+	"lavenderpond/platform"
+)
+
+const (
+	// orderTimeout bounds an order to a VM. It is a little longer than a start may take to
+	// begin, so that an answer in time isn't missed.
+	orderTimeout = 700 * time.Millisecond
+	// holdGrace is how much longer than its wait a hold may take.
+	holdGrace = 600 * time.Millisecond
+	// machineOrderTimeout bounds an order for a machine.
+	machineOrderTimeout = 2 * time.Second
+	// approvalTimeout bounds a request for approvals. The service decides on one request
+	// at a time.
+	approvalTimeout = 2 * time.Second
+	// tableWriteTimeout bounds publishing a wave's state and deleting a job's rows.
+	tableWriteTimeout = time.Second
+)
+
+// backlogCount passes the backlog count from the event loop to the committer.
+type backlogCount struct {
+	mu    sync.Mutex
+	count map[job.QueueName]int
+}
+
+func (b *backlogCount) set(c map[job.QueueName]int) {
+	b.mu.Lock()
+	b.count = c
+	b.mu.Unlock()
+}
+
+func (b *backlogCount) get() map[job.QueueName]int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.count
+}
+
+// vmClient is a client for a VM at an address. It is replaced when the address changes.
+type vmClient struct {
+	address string
+	vm      *platform.VM
+}
+
+// orderRouter selects how orders reach VMs: directly or by a relay.
+type orderRouter struct {
+	owner *owner
+	// clients is used by the owner's event loop only.
+	clients map[job.VMID]*vmClient
+}
+
+// client returns the owner's own client for a VM.
+func (r *orderRouter) client(id job.VMID) *platform.VM {
+	address, _ := r.owner.scheduler.Location(id)
+	c := r.clients[id]
+	if c == nil || c.address != address {
+		if c != nil {
+			c.vm.Close()
+		}
+		c = &vmClient{address: address, vm: platform.NewVM(id, address)}
+		r.clients[id] = c
+	}
+	return c.vm
+}
+
+// route returns the sender for orders to a VM. Relays are used only by an owner that has
+// recently confirmed its ownership. An owner that is slow or cut off from the table
+// decides on stale data, and a healthy relay would carry out the resulting orders.
+func (r *orderRouter) route(now time.Time, id job.VMID) vmOrderSender {
+	direct := directSender{r.client(id)}
+	if !r.owner.tenure.mayOrderMachines(now) {
+		return direct
+	}
+	address, zone := r.owner.scheduler.Location(id)
+	relay := r.owner.relays.relayFor(string(zone), id)
+	if relay == "" {
+		return direct
+	}
+	return relayedSender{relays: r.owner.relays, relay: relay, vm: id, address: address, direct: direct}
+}
+
+// holdRoute returns the sender for a hold. A status check goes to the VM directly: it
+// follows up an order without an answer, and the relay may be the reason for that.
+func (r *orderRouter) holdRoute(now time.Time, c schedule.Hold) vmOrderSender {
+	if c.Look {
+		return directSender{r.client(c.VM)}
+	}
+	return r.route(now, c.VM)
+}
+
+func (r *orderRouter) close() {
+	for _, c := range r.clients {
+		c.vm.Close()
+	}
+}
+
+// execute starts all commands. Their answers arrive as events.
+func (o *owner) execute(ctx context.Context, commands []schedule.Command) {
+	var saves []schedule.Command
+	now := bootNow()
+	for _, c := range commands {
+		switch c := c.(type) {
+		case schedule.Save, schedule.SaveVM, schedule.DropVM, schedule.SaveWave, schedule.SaveOrder, schedule.DropOrder:
+			saves = append(saves, c)
+		case schedule.Start:
+			vm := o.router.route(now, c.VM)
+			o.workers.Go(func() { o.start(ctx, vm, c) })
+		case schedule.Stop:
+			vm := o.router.client(c.VM)
+			o.workers.Go(func() { o.stop(ctx, vm, c) })
+		case schedule.Pace:
+			vm := o.router.client(c.VM)
+			o.workers.Go(func() { o.setPace(ctx, vm, c) })
+		case schedule.Hold:
+			vm := o.router.holdRoute(now, c)
+			o.workers.Go(func() { o.hold(ctx, vm, c) })
+		case schedule.RequestTickets:
+			o.workers.Go(func() { o.requestApprovals(ctx, c) })
+		case schedule.Upkeep:
+			o.workers.Go(func() { o.startMaintenance(ctx, c) })
+		case schedule.Move:
+			o.workers.Go(func() { o.moveMachine(ctx, c) })
+		case schedule.DeleteJob:
+			o.workers.Go(func() { o.deleteJobRows(ctx, c) })
+		case schedule.PublishWave:
+			o.workers.Go(func() { o.publishWave(ctx, c) })
+		}
+	}
+	if len(saves) > 0 {
+		o.committer.add(saves)
+	}
+}
+
+// outcomeFromError maps the error of an order to an outcome.
+func outcomeFromError(err error) schedule.Outcome {
+	switch {
+	case err == nil:
+		return schedule.Answered
+	case errors.Is(err, platform.ErrNotSent):
+		return schedule.NotDone
+	case errors.Is(err, platform.ErrBusy), errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrMalformed):
+		return schedule.Unhealthy
+	case errors.Is(err, platform.ErrOtherLife):
+		return schedule.OtherLife
+	}
+	return schedule.Unanswered
+}
+
+func (o *owner) start(ctx context.Context, vm vmOrderSender, c schedule.Start) {
+	// Ownership and zone are checked again right before the order is sent, because this
+	// process may have been suspended since the scheduler decided.
+	if !o.mayStartTasks(bootNow()) || !o.node.view.zoneOpen(c.Zone) {
+		o.send(ctx, startAnswered{order: c, outcome: schedule.NotDone})
+		return
+	}
+	started := bootNow()
+	r, outcome := vm.Start(ctx, c.Order)
+	o.node.metrics.elapsed("vm_start", bootNow().Sub(started))
+	o.send(ctx, startAnswered{c, outcome, r})
+}
+
+func (o *owner) stop(ctx context.Context, vm *platform.VM, c schedule.Stop) {
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	r, err := vm.Stop(callCtx, c.Task, c.Attempt, c.Fence)
+	o.send(ctx, stopAnswered{c, outcomeFromError(err), r})
+}
+
+func (o *owner) setPace(ctx context.Context, vm *platform.VM, c schedule.Pace) {
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	if _, err := vm.Pace(callCtx, c.Task, c.Attempt, c.Percent, c.Fence); err != nil {
+		o.log.Debug().Err(err).Str("vm", string(c.VM)).Msg("task pace could not be set")
+	}
+}
+
+func (o *owner) hold(ctx context.Context, vm vmOrderSender, c schedule.Hold) {
+	if !o.tenure.mayExtendLeases(bootNow()) {
+		o.send(ctx, holdAnswered{order: c, outcome: schedule.NotDone})
+		return
+	}
+	r, outcome := vm.Hold(ctx, c.Order)
+	o.send(ctx, holdAnswered{c, outcome, r})
+}
+
+func (o *owner) requestApprovals(ctx context.Context, c schedule.RequestTickets) {
+	callCtx, cancel := context.WithTimeout(ctx, approvalTimeout)
+	defer cancel()
+	a, err := o.node.advice.Approve(callCtx, c.Step, c.VMs)
+	if err != nil {
+		o.log.Warn().Err(err).Str("event", "advice_failed").Str("job", string(c.Step.Job)).Send()
+	}
+	o.send(ctx, approvalsReceived{c.Step, a})
+}
+
+func (o *owner) orderIssuer() job.OrderIssuer {
+	return job.OrderIssuer{Node: o.node.settings.Node, Fence: job.Fence(o.tenure.fence)}
+}
+
+func (o *owner) startMaintenance(ctx context.Context, c schedule.Upkeep) {
+	outcome, refusal := o.orderMachine(ctx, "upkeep_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
+		return o.node.machines.Maintain(ctx, o.orderIssuer(), c.Machine, c.Wave)
+	})
+	o.send(ctx, upkeepAnswered{c, outcome, refusal})
+}
+
+func (o *owner) moveMachine(ctx context.Context, c schedule.Move) {
+	outcome, refusal := o.orderMachine(ctx, "move_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
+		return o.node.machines.Move(ctx, o.orderIssuer(), c.Machine, c.Pool)
+	})
+	o.send(ctx, moveAnswered{c, outcome, refusal})
+}
+
+// orderMachine sends an order for a machine if this process still may order machines.
+func (o *owner) orderMachine(ctx context.Context, event string, m job.MachineID, order func(ctx context.Context) (job.MachineRefusal, error)) (schedule.Outcome, job.MachineRefusal) {
+	if !o.tenure.mayOrderMachines(bootNow()) {
+		return schedule.NotDone, job.MachineAccepted
+	}
+	callCtx, cancel := context.WithTimeout(ctx, machineOrderTimeout)
+	defer cancel()
+	refusal, err := order(callCtx)
+	o.log.Info().Err(err).Str("event", event).Str("machine", string(m)).Str("refused", string(refusal)).Send()
+	return outcomeFromError(err), refusal
+}
+
+// publishWave publishes a wave's state and retries until it is stored.
+func (o *owner) publishWave(ctx context.Context, c schedule.PublishWave) {
+	tx := platform.Transaction{Writes: []platform.Write{platform.WaveStatus(c.Number, c.State)}}
+	for ctx.Err() == nil {
+		callCtx, cancel := context.WithTimeout(ctx, tableWriteTimeout)
+		_, err := o.node.table.Apply(callCtx, tx)
+		cancel()
+		if err == nil {
+			return
+		}
+		o.log.Warn().Err(err).Str("event", "wave_status_failed").Int64("wave", c.Number).Send()
+	}
+}
+
+// deleteJobRows deletes a job's rows. The submitted job and its cancellation go first,
+// because a job without progress would look new to the next owner. If a deletion fails,
+// the next owner retries it.
+func (o *owner) deleteJobRows(ctx context.Context, c schedule.DeleteJob) {
+	callCtx, cancel := context.WithTimeout(ctx, tableWriteTimeout)
+	defer cancel()
+	_, err := o.node.table.Apply(callCtx, platform.Transaction{Removals: []platform.RowKey{jobKey(c.Job), cancelKey(c.Job)}})
+	if err == nil {
+		_, err = o.node.table.Apply(callCtx, platform.Transaction{
+			Conditions: []platform.Condition{{RowKey: ownerKey, Version: o.tenure.fence}},
+			Removals:   []platform.RowKey{progressKey(c.Job)},
+		})
+	}
+	if err != nil {
+		o.log.Warn().Err(err).Str("event", "forget_failed").Str("job", string(c.Job)).Send()
+	}
+}
--- a/io/node/directory_test.go
+++ b/io/node/owner_test.go
@@ -17,26 +17,26 @@
 	"lavenderpond/platform"
 )
 
-// Guards against a VM that still gets tasks by an entry that was replaced by one that
-// can't be read.
-func TestDamagedEntryNamesNoVM(t *testing.T) {
+// Guards against assigning tasks to a VM by an outdated directory row that was replaced by
+// one that can't be decoded.
+func TestUnreadableDirectoryRowDropsVM(t *testing.T) {
 	o := &owner{log: zerolog.Nop(), scheduler: schedule.New(schedule.Settings{})}
-	take := func(value string) {
+	applyRow := func(value string) {
 		row := platform.Row{RowKey: platform.RowKey{Key: "vm-1"}, Value: []byte(value)}
-		o.takeVMs(time.Now(), vmsChanged{rows: []platform.Row{row}})
+		o.applyVMRows(time.Now(), vmRowsChanged{rows: []platform.Row{row}})
 	}
 	good := `{"service":"p","address":"10.1.1.1:80","state":"ready","capacity":{"cpu":8000},"born":5}`
-	take(good)
+	applyRow(good)
 	assert.DeepEqual(t, o.scheduler.VMs(), []job.VMID{"vm-1"})
-	take(`{"service":"p","address":"10.1.1.1:80","state":"ready","born":5}`)
+	applyRow(`{"service":"p","address":"10.1.1.1:80","state":"ready","born":5}`)
 	assert.Equal(t, len(o.scheduler.VMs()), 0)
-	take(good)
+	applyRow(good)
 	assert.DeepEqual(t, o.scheduler.VMs(), []job.VMID{"vm-1"})
 }
 
-// Guards against a directory without changes that counts as old while the next reading
-// waits, so that nothing starts on VMs that don't refuse what doesn't fit.
-func TestQuietDirectoryIsKnownUntilTheEndOfTheWait(t *testing.T) {
+// Guards against treating a directory without changes as outdated while the next read
+// waits. Nothing would start on VMs that don't refuse tasks beyond their capacity.
+func TestUnchangedDirectoryIsCurrentUntilTheEndOfTheWait(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "feed") {
 			time.Sleep(feedWait)
@@ -46,14 +46,14 @@
 	defer s.Close()
 	o := &owner{
 		node:   &Node{table: platform.NewTable(strings.TrimPrefix(s.URL, "http://"))},
-		events: make(chan event, eventsAhead), scheduler: schedule.New(schedule.Settings{}),
+		events: make(chan event, eventQueueSize), scheduler: schedule.New(schedule.Settings{}),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var g supervisor.Group
 	defer g.Wait()
 	g.Go(func() { _ = o.followVMs(ctx) })
-	_, whole := (<-o.events).(vmsChanged)
-	assert.Assert(t, whole)
+	_, isRows := (<-o.events).(vmRowsChanged)
+	assert.Assert(t, isRows)
 	first, _ := (<-o.events).(directoryRead)
 	second, _ := (<-o.events).(directoryRead)
 	cancel()
--- a/io/node/relay.go
+++ b/io/node/relay.go
@@ -12,73 +12,73 @@
 	"lavenderpond/platform"
 )
 
-// relayName is the name under which a Relay takes calls.
+// relayName is the net/rpc service name of Relay.
 const relayName = "Relay"
 
 const (
-	// relayIdle is how long a VM gets no order until its connections are closed.
-	relayIdle = 15 * time.Second
-	// relaySweep is how often that is looked at.
-	relaySweep = 5 * time.Second
+	// relayIdleTimeout is how long a VM's connections stay open without an order.
+	relayIdleTimeout = 15 * time.Second
+	// relaySweepInterval is how often idle connections are closed.
+	relaySweepInterval = 5 * time.Second
 )
 
-// StartArgs is a start for a VM at an address.
+// StartArgs holds a start order for the VM at an address.
 type StartArgs struct {
 	VM      job.VMID
 	Address string
 	Order   job.StartOrder
 }
 
-// HoldArgs is a hold for a VM at an address.
+// HoldArgs holds a hold order for the VM at an address.
 type HoldArgs struct {
 	VM      job.VMID
 	Address string
 	Order   job.HoldOrder
 }
 
-// OrderReply is what came of an order.
+// OrderReply holds the outcome of an order and the VM's report.
 type OrderReply struct {
 	Outcome schedule.Outcome
 	Report  job.Report
 }
 
-// Relay carries out the owner's orders on the VMs of its zone, as a receiver of
-// net/rpc. It decides nothing and keeps nothing: a VM refuses the orders of a former
-// owner by their fence and starts that come too late by their deadline, whoever
-// carries them.
+// Relay carries out the owner's orders on the VMs of its zone. It is a net/rpc receiver.
+// It makes no decisions and keeps no state: a VM refuses orders of a previous owner by
+// their fence and late starts by their deadline, whichever process carries them.
 type Relay struct {
-	// life ends with the process: an order that waits at a VM must not hold up its end.
-	life context.Context
+	// lifetime ends with the process, so that an order that waits at a VM doesn't delay
+	// shutdown.
+	lifetime context.Context
 
 	mu  sync.Mutex
 	vms map[job.VMID]*relayedVM
 }
 
-// relayedVM is the connections to a VM.
+// relayedVM holds the connections to a VM and when they were last used.
 type relayedVM struct {
 	vmClient
-	used time.Time
+	lastUsed time.Time
 }
 
-// Start carries out a start.
+// Start sends a start order to a VM.
 func (x *Relay) Start(args StartArgs, reply *OrderReply) error {
-	ctx, cancel := context.WithTimeout(x.life, orderTimeout)
+	ctx, cancel := context.WithTimeout(x.lifetime, orderTimeout)
 	defer cancel()
 	r, err := x.vm(args.VM, args.Address).Start(ctx, args.Order)
-	*reply = OrderReply{Outcome: outcomeOf(err), Report: r}
+	*reply = OrderReply{Outcome: outcomeFromError(err), Report: r}
 	return nil
 }
 
-// Hold carries out a hold.
+// Hold sends a hold order to a VM.
 func (x *Relay) Hold(args HoldArgs, reply *OrderReply) error {
-	ctx, cancel := context.WithTimeout(x.life, args.Order.Wait+holdGrace)
+	ctx, cancel := context.WithTimeout(x.lifetime, args.Order.Wait+holdGrace)
 	defer cancel()
 	r, err := x.vm(args.VM, args.Address).Hold(ctx, args.Order)
-	*reply = OrderReply{Outcome: outcomeOf(err), Report: r}
+	*reply = OrderReply{Outcome: outcomeFromError(err), Report: r}
 	return nil
 }
 
-// vm returns the client of a VM at an address.
+// vm returns the client for a VM at an address.
 func (x *Relay) vm(id job.VMID, address string) *platform.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -93,35 +93,37 @@
 		v = &relayedVM{vmClient: vmClient{address: address, vm: platform.NewVM(id, address)}}
 		x.vms[id] = v
 	}
-	v.used = bootNow()
+	v.lastUsed = bootNow()
 	return v.vm
 }
 
-// sweep closes the connections to VMs that have had no order of late.
-func (x *Relay) sweep(now time.Time) {
+// closeIdle closes the connections to VMs that haven't had an order recently.
+func (x *Relay) closeIdle(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for id, v := range x.vms {
-		if now.Sub(v.used) > relayIdle {
+		if now.Sub(v.lastUsed) > relayIdleTimeout {
 			v.vm.Close()
 			delete(x.vms, id)
 		}
 	}
 }
 
-// run takes orders at the address until ctx ends.
+// run accepts orders at the address until ctx ends.
 func (x *Relay) run(ctx context.Context, address string) error {
 	l, err := listen(address)
 	if err != nil {
 		return err
 	}
-	x.life = ctx
+	x.lifetime = ctx
 	s := netrpc.NewServer()
 	if err := s.Register(relayName, x); err != nil {
 		return err
 	}
 	var g supervisor.Group
 	defer g.Wait()
-	g.Go(func() { _ = supervisor.Every(ctx, relaySweep, func(context.Context) { x.sweep(bootNow()) }) })
+	g.Go(func() {
+		_ = supervisor.Every(ctx, relaySweepInterval, func(context.Context) { x.closeIdle(bootNow()) })
+	})
 	return s.Serve(ctx, l)
 }
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -22,7 +22,7 @@
 	"lavenderpond/platform"
 )
 
-// vmServer answers orders to a VM as told and counts them.
+// vmServer answers orders to a VM with the given handler and counts them.
 func vmServer(t *testing.T, answer http.HandlerFunc) (address string, orders *atomic.Int64) {
 	orders = &atomic.Int64{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 	return strings.TrimPrefix(s.URL, "http://"), orders
 }
 
-func answered(code int, body string) http.HandlerFunc {
+func vmAnswer(code int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(code)
 		_, _ = io.WriteString(w, body)
@@ -61,166 +61,167 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the relay doesn't listen")
+	t.Fatal("relay is not listening")
 	return ""
 }
 
-// knowing returns relays that know the members at these addresses, the strongest
-// first, and have looked which of them answer.
-func knowing(t *testing.T, addresses ...string) *relays {
-	x := newRelays("127.0.0.1:1", zerolog.Nop())
-	t.Cleanup(x.pool.Close)
-	x.members = map[string]memberRow{}
+// relaySetWith returns a relay set that knows the members at these addresses, in
+// descending order of capacity, and has checked which of them answer.
+func relaySetWith(t *testing.T, addresses ...string) *relaySet {
+	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
+	t.Cleanup(relays.pool.Close)
+	relays.members = map[string]memberRow{}
 	for i, a := range addresses {
-		x.members[fmt.Sprintf("entry-%d", i)] = memberRow{Zone: "a", Address: a, Cores: float64(len(addresses) - i)}
+		relays.members[fmt.Sprintf("entry-%d", i)] = memberRow{Zone: "a", Address: a, Cores: float64(len(addresses) - i)}
 	}
-	x.wanted.Store(true)
-	x.check(t.Context())
-	return x
+	relays.wanted.Store(true)
+	relays.chooseRelays(t.Context())
+	return relays
 }
 
-func (x *relays) ordersFor(address string) relayedOrders {
-	return relayedOrders{
-		relays: x, relay: x.of("a", "vm-1"), vm: "vm-1", address: address,
-		direct: directOrders{platform.NewVM("vm-1", address)},
+func (s *relaySet) senderFor(address string) relayedSender {
+	return relayedSender{
+		relays: s, relay: s.relayFor("a", "vm-1"), vm: "vm-1", address: address,
+		direct: directSender{platform.NewVM("vm-1", address)},
 	}
 }
 
-var someStart = job.StartOrder{Task: job.TaskID{Job: "5c0e7a21d94b36f8"}, Attempt: 10001, Spec: "x", Fence: 7, Deadline: 600}
+var testStartOrder = job.StartOrder{Task: job.TaskID{Job: "5c0e7a21d94b36f8"}, Attempt: 10001, Spec: "x", Fence: 7, Deadline: 600}
 
-// Guards against a relay that makes something else of a VM's answer than the owner
-// would: a refusal that passes for a start, or an unknown outcome for a refusal.
-func TestRelayedOutcomeIsTheVMs(t *testing.T) {
-	x := knowing(t, startRelay(t))
+// Guards against a relay that interprets a VM's answer differently from the owner, such as
+// a refusal that counts as a start or an unknown outcome that counts as a refusal.
+func TestRelayedOutcomeMatchesDirect(t *testing.T) {
+	relays := relaySetWith(t, startRelay(t))
 	for name, answer := range map[string]http.HandlerFunc{
-		"started":        answered(200, `{"clock_ms":12,"born":7}`),
-		"late":           answered(409, `{"clock_ms":12,"reason":"late"}`),
-		"no room":        answered(409, `{"clock_ms":12,"reason":"room"}`),
-		"another life":   answered(421, ``),
-		"unhealthy":      answered(503, ``),
-		"unreadable":     answered(200, `{`),
+		"started":        vmAnswer(200, `{"clock_ms":12,"born":7}`),
+		"late":           vmAnswer(409, `{"clock_ms":12,"reason":"late"}`),
+		"no resources":   vmAnswer(409, `{"clock_ms":12,"reason":"room"}`),
+		"restarted VM":   vmAnswer(421, ``),
+		"unhealthy":      vmAnswer(503, ``),
+		"unreadable":     vmAnswer(200, `{`),
 		"connection cut": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
 		address, orders := vmServer(t, answer)
-		r, out := x.ordersFor(address).Start(t.Context(), someStart)
-		wantReport, want := directOrders{platform.NewVM("vm-1", address)}.Start(t.Context(), someStart)
+		r, out := relays.senderFor(address).Start(t.Context(), testStartOrder)
+		wantReport, want := directSender{platform.NewVM("vm-1", address)}.Start(t.Context(), testStartOrder)
 		assert.Equal(t, out, want, name)
 		assert.DeepEqual(t, r, wantReport)
 		assert.Equal(t, orders.Load(), int64(2), "%s: one order each", name)
 	}
-	assert.Equal(t, len(x.ready["a"]), 1)
+	assert.Equal(t, len(relays.ready["a"]), 1)
 }
 
-// Guards against lists that lose their rows on the way: what they lack counts as ended.
-func TestRelayedHoldBringsTheLists(t *testing.T) {
-	address, _ := vmServer(t, answered(200, `{"clock_ms":12,"born":7,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41,12]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}`))
-	x := knowing(t, startRelay(t))
-	r, out := x.ordersFor(address).Hold(t.Context(), job.HoldOrder{Fence: 7, Noted: 57})
-	want, _ := directOrders{platform.NewVM("vm-1", address)}.Hold(t.Context(), job.HoldOrder{Fence: 7, Noted: 57})
+// Guards against losing rows of a VM's task lists on the way. Tasks that the lists lack
+// count as ended.
+func TestRelayedHoldReturnsTaskLists(t *testing.T) {
+	address, _ := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41,12]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}`))
+	relays := relaySetWith(t, startRelay(t))
+	r, out := relays.senderFor(address).Hold(t.Context(), job.HoldOrder{Fence: 7, Noted: 57})
+	want, _ := directSender{platform.NewVM("vm-1", address)}.Hold(t.Context(), job.HoldOrder{Fence: 7, Noted: 57})
 	assert.Equal(t, out, schedule.Answered)
 	assert.Assert(t, r.Lists)
 	assert.DeepEqual(t, r, want)
 }
 
-// Guards against orders that are lost with an entry VM that has ended: its row is still
-// there, nothing listens.
-func TestEndedRelayIsPassedOver(t *testing.T) {
-	address, orders := vmServer(t, answered(200, `{"clock_ms":12,"born":7}`))
-	gone := freeAddress(t)
-	x := knowing(t, gone)
-	assert.Equal(t, x.of("a", "vm-1"), "", "a member that doesn't answer carries nothing")
-	x.ready = map[string][]relay.Candidate{"a": {{Address: gone}}}
-	_, out := x.ordersFor(address).Start(t.Context(), someStart)
-	assert.Equal(t, out, schedule.Answered, "the owner carries it itself")
+// Guards against orders that are lost because an entry VM has stopped while its member row
+// remains.
+func TestStoppedRelayIsSkipped(t *testing.T) {
+	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
+	stopped := freeAddress(t)
+	relays := relaySetWith(t, stopped)
+	assert.Equal(t, relays.relayFor("a", "vm-1"), "", "a member that doesn't answer is not selected")
+	relays.ready = map[string][]relay.Candidate{"a": {{Address: stopped}}}
+	_, out := relays.senderFor(address).Start(t.Context(), testStartOrder)
+	assert.Equal(t, out, schedule.Answered, "the owner sends the order directly")
 	assert.Equal(t, orders.Load(), int64(1))
-	assert.Equal(t, x.of("a", "vm-1"), "", "the next order doesn't try it")
+	assert.Equal(t, relays.relayFor("a", "vm-1"), "", "the failed relay is not tried for the next order")
 }
 
 // Guards against an owner that waits for a frozen relay until its orders' deadlines, and
-// against a start that is ordered twice: the frozen one may still carry it out.
-func TestFrozenRelayIsGivenUp(t *testing.T) {
-	address, orders := vmServer(t, answered(200, `{"clock_ms":12,"born":7}`))
+// against a start that is ordered twice, because the frozen relay may still carry it out.
+func TestFrozenRelayIsAbandoned(t *testing.T) {
+	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer l.Close() //nolint:errcheck // It takes connections and says nothing.
-	sound := startRelay(t)
-	x := knowing(t, sound)
-	x.ready = map[string][]relay.Candidate{"a": {{Address: l.Addr().String()}}}
-	x.members["frozen"] = memberRow{Zone: "a", Address: l.Addr().String(), Cores: 8}
+	defer l.Close() //nolint:errcheck // It accepts connections and never answers.
+	healthy := startRelay(t)
+	relays := relaySetWith(t, healthy)
+	relays.ready = map[string][]relay.Candidate{"a": {{Address: l.Addr().String()}}}
+	relays.members["frozen"] = memberRow{Zone: "a", Address: l.Addr().String(), Cores: 8}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	_, out := x.ordersFor(address).Hold(ctx, job.HoldOrder{Wait: time.Minute})
-	assert.Equal(t, out, schedule.Unanswered, "it may be carried out later")
-	assert.NilError(t, ctx.Err(), "it is given up long before the order's own time is over")
+	_, out := relays.senderFor(address).Hold(ctx, job.HoldOrder{Wait: time.Minute})
+	assert.Equal(t, out, schedule.Unanswered, "the relay may still carry the hold out")
+	assert.NilError(t, ctx.Err(), "the relay is abandoned long before the hold's own timeout")
 	assert.Equal(t, orders.Load(), int64(0))
-	x.check(t.Context())
-	assert.Equal(t, x.of("a", "vm-1"), sound)
+	relays.chooseRelays(t.Context())
+	assert.Equal(t, relays.relayFor("a", "vm-1"), healthy)
 }
 
-// Guards against relays that take orders from an owner whose knowledge is old.
-func TestOwnerWithoutFreshRightCarriesItself(t *testing.T) {
-	x := knowing(t, startRelay(t))
-	o := &owner{tenure: &tenure{}, relays: x, scheduler: schedule.New(schedule.Settings{})}
-	o.orders = &orders{owner: o, clients: map[job.VMID]*vmClient{}}
+// Guards against relays that carry out orders of an owner whose knowledge is outdated.
+func TestOwnerWithoutFreshOwnershipSendsDirectly(t *testing.T) {
+	relays := relaySetWith(t, startRelay(t))
+	o := &owner{tenure: &tenure{}, relays: relays, scheduler: schedule.New(schedule.Settings{})}
+	o.router = &orderRouter{owner: o, clients: map[job.VMID]*vmClient{}}
 	now := bootNow()
 	o.scheduler.VMSeen(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
-	_, direct := o.orders.route(now, "vm-1").(directOrders)
+	_, direct := o.router.route(now, "vm-1").(directSender)
 	assert.Assert(t, direct)
-	o.tenure.prove(now, now)
-	_, relayed := o.orders.route(now, "vm-1").(relayedOrders)
+	o.tenure.confirm(now, now)
+	_, relayed := o.router.route(now, "vm-1").(relayedSender)
 	assert.Assert(t, relayed)
-	_, direct = o.orders.holdRoute(now, schedule.Hold{VM: "vm-1", Look: true}).(directOrders)
+	_, direct = o.router.holdRoute(now, schedule.Hold{VM: "vm-1", Look: true}).(directSender)
 	assert.Assert(t, direct)
-	x.wanted.Store(false)
-	_, direct = o.orders.route(now, "vm-1").(directOrders)
-	assert.Assert(t, direct, "a small fleet needs no relays")
+	relays.wanted.Store(false)
+	_, direct = o.router.route(now, "vm-1").(directSender)
+	assert.Assert(t, direct, "relays are not used for a small fleet")
 }
 
-// Guards against a relay that is still used after its row is gone, and against rows that
-// can't be read and hide the others.
+// Guards against using a relay after its row is removed, and against undecodable rows that
+// hide the others.
 func TestMembersAreFollowed(t *testing.T) {
 	first, second := startRelay(t), startRelay(t)
-	x := newRelays("127.0.0.1:1", zerolog.Nop())
-	defer x.pool.Close()
-	x.wanted.Store(true)
+	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
+	defer relays.pool.Close()
+	relays.wanted.Store(true)
 	row := func(node, address string) platform.Row {
-		value, err := encode(memberRow{Zone: "a", Address: address, Cores: 1})
+		value, err := encodeRow(memberRow{Zone: "a", Address: address, Cores: 1})
 		assert.NilError(t, err)
 		return platform.Row{RowKey: memberKey(node), Value: value}
 	}
-	x.take([]platform.Row{{RowKey: memberKey("bad"), Value: []byte("{")}, row("one", first), row("self", "127.0.0.1:1")}, true)
-	x.check(t.Context())
-	assert.DeepEqual(t, addresses(x.ready["a"]), []string{first})
-	x.take([]platform.Row{row("two", second)}, false)
-	x.check(t.Context())
-	assert.DeepEqual(t, addresses(x.ready["a"]), []string{first, second})
-	x.take([]platform.Row{{RowKey: memberKey("one"), Removed: true}, {RowKey: memberKey("two"), Removed: true}}, false)
-	x.check(t.Context())
-	assert.Equal(t, len(x.ready["a"]), 0)
-	assert.Equal(t, x.of("a", "vm-1"), "")
+	relays.applyRows([]platform.Row{{RowKey: memberKey("bad"), Value: []byte("{")}, row("one", first), row("self", "127.0.0.1:1")}, true)
+	relays.chooseRelays(t.Context())
+	assert.DeepEqual(t, addresses(relays.ready["a"]), []string{first})
+	relays.applyRows([]platform.Row{row("two", second)}, false)
+	relays.chooseRelays(t.Context())
+	assert.DeepEqual(t, addresses(relays.ready["a"]), []string{first, second})
+	relays.applyRows([]platform.Row{{RowKey: memberKey("one"), Removed: true}, {RowKey: memberKey("two"), Removed: true}}, false)
+	relays.chooseRelays(t.Context())
+	assert.Equal(t, len(relays.ready["a"]), 0)
+	assert.Equal(t, relays.relayFor("a", "vm-1"), "")
 }
 
-// Guards against an owner that tries each member of a zone that is cut off, one after the
-// other and for as long as the cut lasts.
-func TestUnreachableZoneIsLeftAlone(t *testing.T) {
-	x := newRelays("127.0.0.1:1", zerolog.Nop())
-	defer x.pool.Close()
-	x.members = map[string]memberRow{}
+// Guards against an owner that tries all members of an unreachable zone one after the
+// other for as long as the zone is cut off.
+func TestUnreachableZoneIsRetriedLater(t *testing.T) {
+	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
+	defer relays.pool.Close()
+	relays.members = map[string]memberRow{}
 	for i := range 12 {
-		x.members[fmt.Sprintf("entry-%02d", i)] = memberRow{Zone: "a", Address: freeAddress(t), Cores: 1}
+		relays.members[fmt.Sprintf("entry-%02d", i)] = memberRow{Zone: "a", Address: freeAddress(t), Cores: 1}
 	}
-	tried := 2 * relay.CountNeeded(x.candidates(bootNow())["a"])
-	x.check(t.Context())
-	x.check(t.Context())
-	assert.Equal(t, len(x.failed), tried)
-	assert.Equal(t, len(x.candidates(bootNow())["a"]), 0)
-	later := bootNow().Add(zonePause)
-	assert.Equal(t, len(x.candidates(later)["a"]), 12-tried)
+	tried := 2 * relay.CountNeeded(relays.candidates(bootNow())["a"])
+	relays.chooseRelays(t.Context())
+	relays.chooseRelays(t.Context())
+	assert.Equal(t, len(relays.failedUntil), tried)
+	assert.Equal(t, len(relays.candidates(bootNow())["a"]), 0)
+	later := bootNow().Add(zoneRetryDelay)
+	assert.Equal(t, len(relays.candidates(later)["a"]), 12-tried)
 }
 
-// Guards against a process that is killed at the end of its grace time, since a hold that
-// it carries waits at a VM.
-func TestRelayEndsWhileAHoldWaits(t *testing.T) {
+// Guards against a process that is killed at the end of its grace period because a hold
+// that it relays still waits at a VM.
+func TestRelayStopsWhileAHoldWaits(t *testing.T) {
 	entered := make(chan struct{})
 	address, _ := vmServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -228,13 +229,13 @@
 		<-r.Context().Done()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	carrier := &Relay{}
-	at := freeAddress(t)
+	server := &Relay{}
+	relayAddress := freeAddress(t)
 	var g supervisor.Group
-	g.Go(func() { _ = carrier.run(ctx, at) })
-	x := newRelays("127.0.0.1:1", zerolog.Nop())
-	defer x.pool.Close()
-	for c, err := net.Dial("tcp4", at); ; c, err = net.Dial("tcp4", at) {
+	g.Go(func() { _ = server.run(ctx, relayAddress) })
+	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
+	defer relays.pool.Close()
+	for c, err := net.Dial("tcp4", relayAddress); ; c, err = net.Dial("tcp4", relayAddress) {
 		if err == nil {
 			assert.NilError(t, c.Close())
 			break
@@ -243,8 +244,8 @@
 	}
 	var caller supervisor.Group
 	caller.Go(func() {
-		o := relayedOrders{relays: x, relay: at, vm: "vm-1", address: address, direct: directOrders{platform.NewVM("vm-1", address)}}
-		o.Hold(ctx, job.HoldOrder{Wait: time.Minute})
+		sender := relayedSender{relays: relays, relay: relayAddress, vm: "vm-1", address: address, direct: directSender{platform.NewVM("vm-1", address)}}
+		sender.Hold(ctx, job.HoldOrder{Wait: time.Minute})
 	})
 	<-entered
 	cancel()
@@ -252,30 +253,30 @@
 	caller.Wait()
 }
 
-// Guards against orders of an owner whose tenure has ended that a relay still carries out.
+// Guards against a relay that carries out orders of an owner whose tenure has ended.
 func TestEndedOwnerSendsNothingByRelay(t *testing.T) {
-	address, orders := vmServer(t, answered(200, `{"clock_ms":12,"born":7}`))
-	x := knowing(t, startRelay(t))
+	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
+	relays := relaySetWith(t, startRelay(t))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, out := x.ordersFor(address).Start(ctx, someStart)
+	_, out := relays.senderFor(address).Start(ctx, testStartOrder)
 	assert.Assert(t, out != schedule.Answered)
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, orders.Load(), int64(0))
 }
 
-// Guards against looks that use up the table's reads: the owner's renewal tells all entry
-// VMs how many they are, and a take-over in between doesn't lose that.
-func TestRenewalTellsHowManyLook(t *testing.T) {
+// Guards against polls that exhaust the table's read limit. The owner's renewal tells all
+// entry VMs how many there are, and a takeover in between doesn't lose that number.
+func TestRenewalCarriesEntryCount(t *testing.T) {
 	c := newCommitter(nil)
 	c.entries = func() int { return 300 }
 	tx, err := c.transaction(nil)
 	assert.NilError(t, err)
 	row := platform.Row{RowKey: renewalKey, Value: tx.Writes[0].Value}
-	w := &candidacy{log: zerolog.Nop(), readsPerSecond: 2000}
-	assert.Equal(t, w.every(), watchEvery)
-	w.learnEntries(&row)
-	assert.Equal(t, w.every(), 750*time.Millisecond)
-	w.learnEntries(&platform.Row{RowKey: renewalKey, Value: []byte("{")})
-	assert.Equal(t, w.every(), 750*time.Millisecond, "a damaged row tells nothing")
+	e := &election{log: zerolog.Nop(), readsPerSecond: 2000}
+	assert.Equal(t, e.pollInterval(), basePollInterval)
+	e.updateEntryCount(&row)
+	assert.Equal(t, e.pollInterval(), 750*time.Millisecond)
+	e.updateEntryCount(&platform.Row{RowKey: renewalKey, Value: []byte("{")})
+	assert.Equal(t, e.pollInterval(), 750*time.Millisecond, "an undecodable row changes nothing")
 }
--- /dev/null
+++ b/io/node/tablehealth.go
@@ -0,0 +1,58 @@
+package node
+
+import (
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"lavenderpond/core/contact"
+)
+
+// tableHealth tracks whether the table and its parts are reachable, shared by everything
+// in this process that calls the table. The zero value has recorded no answer.
+type tableHealth struct {
+	log zerolog.Logger
+
+	mu      sync.Mutex
+	breaker contact.Breaker
+}
+
+// recordAnswer records that a part of the table has answered.
+func (h *tableHealth) recordAnswer(part string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.breaker.RecordAnswer(bootNow(), contact.Part(part)) {
+		h.log.Info().Str("event", "table_part_regained").Str("part", part).Send()
+	}
+}
+
+// recordContact records an answer that isn't specific to a part.
+func (h *tableHealth) recordContact() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.breaker.RecordContact(bootNow())
+}
+
+// recordFailure records that a part didn't answer.
+func (h *tableHealth) recordFailure(part string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.breaker.RecordFailure(bootNow(), contact.Part(part)) {
+		h.log.Info().Str("event", "table_part_lost").Str("part", part).Send()
+	}
+}
+
+// decide returns whether to send, probe with, or refuse a call to a part.
+func (h *tableHealth) decide(part string) contact.Decision {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.breaker.Decide(bootNow(), contact.Part(part))
+}
+
+// sinceLastAnswer returns the time since the table's last answer.
+func (h *tableHealth) sinceLastAnswer() time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.breaker.SinceLastAnswer(bootNow())
+}
--- /dev/null
+++ b/io/node/vmsender.go
@@ -0,0 +1,86 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"lavenderpond/core/job"
+	"lavenderpond/core/schedule"
+	"lavenderpond/io/netrpc"
+	"lavenderpond/platform"
+)
+
+// vmOrderSender sends the frequent orders to one VM.
+type vmOrderSender interface {
+	Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome)
+	Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome)
+}
+
+// directSender calls the VM directly.
+type directSender struct{ vm *platform.VM }
+
+// Start implements vmOrderSender.
+func (s directSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	r, err := s.vm.Start(ctx, o)
+	return r, outcomeFromError(err)
+}
+
+// Hold implements vmOrderSender.
+func (s directSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
+	ctx, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
+	defer cancel()
+	r, err := s.vm.Hold(ctx, o)
+	return r, outcomeFromError(err)
+}
+
+// relayGrace is how much longer than the relay the owner waits for the VM's answer.
+const relayGrace = 100 * time.Millisecond
+
+// relayedSender sends orders to a VM by a relay on another entry VM.
+type relayedSender struct {
+	relays  *relaySet
+	relay   string
+	vm      job.VMID
+	address string
+	direct  directSender
+}
+
+// Start implements vmOrderSender.
+func (s relayedSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
+	r, outcome, sent := s.call(ctx, orderTimeout, "Start", StartArgs{VM: s.vm, Address: s.address, Order: o})
+	if !sent {
+		return s.direct.Start(ctx, o)
+	}
+	return r, outcome
+}
+
+// Hold implements vmOrderSender.
+func (s relayedSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
+	r, outcome, sent := s.call(ctx, o.Wait+holdGrace, "Hold", HoldArgs{VM: s.vm, Address: s.address, Order: o})
+	if !sent {
+		return s.direct.Hold(ctx, o)
+	}
+	return r, outcome
+}
+
+// call calls the relay. sent is false if the relay certainly hasn't acted on the call.
+func (s relayedSender) call(ctx context.Context, timeout time.Duration, method string, args any) (r job.Report, outcome schedule.Outcome, sent bool) {
+	callCtx, cancel := context.WithTimeout(ctx, timeout+relayGrace)
+	defer cancel()
+	var reply OrderReply
+	err := s.relays.pool.Call(callCtx, s.relay, relayName+"."+method, args, &reply)
+	if err == nil {
+		return reply.Report, reply.Outcome, true
+	}
+	if ctx.Err() == nil {
+		s.relays.markFailed(s.relay, err)
+	}
+	if errors.Is(err, netrpc.ErrNotSent) {
+		return job.Report{}, schedule.NotDone, false
+	}
+	return job.Report{}, schedule.Unanswered, true
+}
