--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -47,7 +47,7 @@
 func (o *owner) restore(t *table) {
 	now := o.n.w.now
 	o.scheduler = schedule.New(schedule.Settings{
-		Holder: o.n.name, FormerOrders: valuesByKey(t.orders),
+		OrderIssuer: o.n.name, FormerOrders: valuesByKey(t.orders),
 		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.turn * 10_000), TookOver: now,
 		LeaseMax: leaseMax, TaskStopMax: taskStop,
 		MachineLease: 3 * time.Second,
@@ -100,7 +100,7 @@
 	if o.vmsSeen == 0 {
 		for _, v := range o.n.w.order {
 			if e, ok := t.vms[v.id]; ok && o.n.w.vms[v.id] == v {
-				o.scheduler.VMSeen(now, e)
+				o.scheduler.VMListed(now, e)
 			}
 		}
 		o.vmsSeen = len(t.vmChanges)
@@ -110,7 +110,7 @@
 		if c.removed {
 			o.scheduler.VMUnlisted(now, c.entry.ID)
 		} else {
-			o.scheduler.VMSeen(now, c.entry)
+			o.scheduler.VMListed(now, c.entry)
 		}
 	}
 	o.vmsSeen = len(t.vmChanges)
@@ -138,7 +138,7 @@
 	if o.over {
 		return
 	}
-	o.scheduler.SetRights(schedule.Rights{Order: o.right.MayOrderMachines(now), Start: o.right.MayStartTasks(now), Hold: o.right.MayExtendLeases(now)})
+	o.scheduler.SetRights(schedule.Rights{OrderMachines: o.right.MayOrderMachines(now), StartTasks: o.right.MayStartTasks(now), ExtendLeases: o.right.MayExtendLeases(now)})
 	o.scheduler.Tick(now)
 	o.scheduler.Assign(now, now)
 	for _, c := range o.scheduler.TakeCommands() {
@@ -174,9 +174,9 @@
 		}, func(now time.Time, out schedule.Outcome, r job.Report) {
 			o.scheduler.HoldAnswered(now, c, out, r)
 		})
-	case schedule.Upkeep:
+	case schedule.Maintain:
 		o.machineOrder(c.Machine, func(m *machine) { w.upkeep(m) }, func(out schedule.Outcome, why job.MachineRefusal) {
-			o.scheduler.UpkeepAnswered(w.now, c, out, why)
+			o.scheduler.MaintainAnswered(w.now, c, out, why)
 		})
 	case schedule.Move:
 		o.machineOrder(c.Machine, func(m *machine) { w.move(m, c.Pool) }, func(out schedule.Outcome, why job.MachineRefusal) {
@@ -259,7 +259,7 @@
 		o.n.w.after(4*time.Millisecond, func() {
 			o.n.here(o.life, func() {
 				if !o.over {
-					o.scheduler.Machines(asked, list)
+					o.scheduler.MachinesListed(asked, list)
 				}
 			})
 		})
--- a/core/schedule/noted_test.go
+++ b/core/schedule/acknowledge_test.go
@@ -14,15 +14,15 @@
 	return job.End{Number: number, Task: c.Order.Task, Attempt: c.Order.Attempt, How: how}
 }
 
-// notedAt returns the highest number that a hold among the commands notes at the VM.
-func notedAt(commands []Command, vm job.VMID) int64 {
-	noted := int64(0)
+// acknowledgedAt returns the highest number that a hold among the commands notes at the VM.
+func acknowledgedAt(commands []Command, vm job.VMID) int64 {
+	acknowledged := int64(0)
 	for _, c := range only[Hold](commands) {
 		if c.VM == vm {
-			noted = max(noted, c.Order.Noted)
+			acknowledged = max(acknowledged, c.Order.Noted)
 		}
 	}
-	return noted
+	return acknowledged
 }
 
 // confirmedStarts returns the n starts of the next turn, all of them confirmed.
@@ -36,21 +36,21 @@
 	return starts
 }
 
-// checkNotedOnceStored checks that the VM's first end is noted once the save is stored,
+// checkAcknowledgedOnceStored checks that the VM's first end is noted once the save is stored,
 // and not before.
-func (h *harness) checkNotedOnceStored(vm job.VMID, save Save) {
+func (h *harness) checkAcknowledgedOnceStored(vm job.VMID, save Save) {
 	h.t.Helper()
 	for range 20 {
-		assert.Equal(h.t, notedAt(h.turnWithoutStoring(100*time.Millisecond), vm), int64(0))
+		assert.Equal(h.t, acknowledgedAt(h.roundWithoutStoring(100*time.Millisecond), vm), int64(0))
 	}
 	h.store(save)
 	h.lists(string(vm), nil)
-	assert.Equal(h.t, notedAt(h.turnWithoutStoring(100*time.Millisecond), vm), int64(1))
+	assert.Equal(h.t, acknowledgedAt(h.roundWithoutStoring(100*time.Millisecond), vm), int64(1))
 }
 
 // Guards against a VM that deletes a task's end while the stored job still counts as
 // running. The job fails, and its save is in flight when the end of a sibling is listed.
-func TestEndOfAFailedJobIsNotedOnceTheFailureIsStored(t *testing.T) {
+func TestEndOfFailedJobIsAcknowledgedOnceFailureIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second})
@@ -60,29 +60,29 @@
 	bad = one[Start](h, h.step(100*time.Millisecond))
 	h.confirm(bad)
 	h.lists(string(bad.VM), nil, end(2, bad, job.EndedFailed))
-	failure := one[Save](h, h.turnWithoutStoring(100*time.Millisecond))
+	failure := one[Save](h, h.roundWithoutStoring(100*time.Millisecond))
 	assert.Equal(t, failure.Progress.State, job.Failed)
 	h.lists(string(good.VM), nil, end(1, good, job.EndedDone))
-	h.checkNotedOnceStored(good.VM, failure)
+	h.checkAcknowledgedOnceStored(good.VM, failure)
 }
 
 // Guards against VMs that delete the ends of a gang before the one end that counts for
 // all members is stored.
-func TestEndsOfAGangAreNotedOnceOneIsStored(t *testing.T) {
+func TestEndsOfGangAreAcknowledgedOnceOneIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second, Gang: true})
 	starts := h.confirmedStarts(2)
 	first, second := starts[0], starts[1]
 	h.lists(string(first.VM), nil, end(1, first, job.EndedDone))
-	done := one[Save](h, h.turnWithoutStoring(time.Second))
+	done := one[Save](h, h.roundWithoutStoring(time.Second))
 	h.lists(string(second.VM), nil, end(1, second, job.EndedDone))
-	h.checkNotedOnceStored(second.VM, done)
+	h.checkAcknowledgedOnceStored(second.VM, done)
 }
 
 // Guards against a new life of a VM that deletes its first ends. A hold that was sent
 // before the owner knew of that life carries a number of the previous one.
-func TestHoldToASilentVMNotesNothing(t *testing.T) {
+func TestHoldToSilentVMAcknowledgesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -90,7 +90,7 @@
 	h.confirm(start)
 	h.lists("one", nil, end(1, start, job.EndedDone))
 	h.lists("one", nil)
-	assert.Equal(t, notedAt(h.step(100*time.Millisecond), "one"), int64(1))
+	assert.Equal(t, acknowledgedAt(h.step(100*time.Millisecond), "one"), int64(1))
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Unanswered, job.Report{})
 	sent := 0
 	for range 20 {
--- a/core/schedule/notedorder_test.go
+++ b/core/schedule/acknowledgeorder_test.go
@@ -11,7 +11,7 @@
 
 // Guards against an end that is noted, along with all before it, while one before it is
 // not stored.
-func TestEndBehindAnUnstoredOneIsNotNoted(t *testing.T) {
+func TestEndAfterUnstoredOneIsNotAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -19,16 +19,16 @@
 	h.confirm(start)
 	unknown := job.End{Number: 2, Task: job.TaskID{Job: "unknown"}, How: job.EndedDone}
 	h.lists("one", nil, end(1, start, job.EndedDone), unknown)
-	save := one[Save](h, h.turnWithoutStoring(time.Second))
+	save := one[Save](h, h.roundWithoutStoring(time.Second))
 	h.lists("one", nil, end(1, start, job.EndedDone), unknown)
-	assert.Equal(t, notedAt(h.turnWithoutStoring(time.Second), "one"), int64(0))
+	assert.Equal(t, acknowledgedAt(h.roundWithoutStoring(time.Second), "one"), int64(0))
 	h.store(save)
 	h.lists("one", nil)
-	assert.Equal(t, notedAt(h.turnWithoutStoring(time.Second), "one"), int64(2))
+	assert.Equal(t, acknowledgedAt(h.roundWithoutStoring(time.Second), "one"), int64(2))
 }
 
 // Guards against an end that is noted because the save of another one is stored.
-func TestStoredSaveNotesNoLaterEnd(t *testing.T) {
+func TestStoredSaveAcknowledgesNoLaterEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -39,18 +39,18 @@
 	for i, c := range starts {
 		h.confirm(c)
 		h.lists("one", nil, end(int64(i+1), c, job.EndedDone))
-		saves = append(saves, one[Save](h, h.turnWithoutStoring(time.Millisecond)))
+		saves = append(saves, one[Save](h, h.roundWithoutStoring(time.Millisecond)))
 	}
 	for i, c := range saves {
 		h.store(c)
 		h.lists("one", nil)
-		assert.Equal(t, notedAt(h.turnWithoutStoring(time.Second), "one"), int64(i+1))
+		assert.Equal(t, acknowledgedAt(h.roundWithoutStoring(time.Second), "one"), int64(i+1))
 	}
 }
 
 // Guards against end numbers of a previous life that count for the new one. Its ends
 // would be skipped, or deleted before anyone has seen them.
-func TestNumbersOfAFormerLifeAreForgotten(t *testing.T) {
+func TestEndNumbersOfPreviousLifeAreForgotten(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -59,18 +59,18 @@
 	h.lists("one", nil, end(1, starts[0], job.EndedDone))
 	h.step(0)
 	h.lists("one", nil, end(2, starts[1], job.EndedDone))
-	unstored := one[Save](h, h.turnWithoutStoring(time.Second))
-	born := func(clock job.VMClock, ended ...job.End) {
+	unstored := one[Save](h, h.roundWithoutStoring(time.Second))
+	restartedReport := func(clock job.VMClock, ended ...job.End) {
 		h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: clock, Born: 2, Lists: true, Finished: ended})
 	}
-	born(10)
-	h.s.VMSeen(h.now, entryOf("one", 8000, 2))
+	restartedReport(10)
+	h.s.VMListed(h.now, entryOf("one", 8000, 2))
 	h.store(unstored)
 	hold := one[Hold](h, h.step(100*time.Millisecond))
 	assert.Equal(t, hold.Order.Noted, int64(0))
 	h.job("l", "free", small)
 	next := one[Start](h, h.step(time.Millisecond))
 	h.s.StartAnswered(h.now, next, Answered, job.Report{Clock: 30, Born: 2})
-	born(1000, end(1, next, job.EndedDone))
-	assert.Equal(t, one[Save](h, h.turnWithoutStoring(time.Second)).Progress.State, job.Completed)
+	restartedReport(1000, end(1, next, job.EndedDone))
+	assert.Equal(t, one[Save](h, h.roundWithoutStoring(time.Second)).Progress.State, job.Completed)
 }
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -11,7 +11,7 @@
 // Assign starts every task that can start. wall is the time of day, to which the due times of
 // occurrences are compared.
 func (s *Scheduler) Assign(now, wall time.Time) {
-	if !s.rights.Start || s.config == nil {
+	if !s.rights.StartTasks || s.config == nil {
 		return
 	}
 	s.countPossibleUsage(now)
@@ -34,7 +34,7 @@
 		if len(q.vms) == 0 {
 			continue
 		}
-		a := assignment{s: s, now: now, wall: wall, poolQueue: q, index: newVMIndex(q.vms, q.minClaim)}
+		a := assignment{s: s, now: now, wall: wall, poolQueue: q, index: newVMIndex(q.vms, q.minReservation)}
 		for _, c := range s.candidates(now, q.jobs) {
 			a.startJob(c.job)
 		}
@@ -44,9 +44,9 @@
 // poolQueue holds the jobs that wait for VMs of a pool, and the usable VMs of that pool.
 type poolQueue struct {
 	jobs []*jobState
-	// minClaim is a lower bound of the claims of all waiting tasks.
-	minClaim job.Resources
-	vms      []*vmState
+	// minReservation is a lower bound of the claims of all waiting tasks.
+	minReservation job.Resources
+	vms            []*vmState
 }
 
 // enqueue adds the job to the queue of its pool if one of its tasks waits only for room.
@@ -57,16 +57,16 @@
 			if o.steps[i].open == 0 || !o.ready(i) {
 				continue
 			}
-			claim := o.steps[i].def.Reservation()
+			reservation := o.steps[i].def.Reservation()
 			if q == nil {
 				p := s.pool(j)
 				if q = waiting[p]; q == nil {
-					q = &poolQueue{minClaim: claim}
+					q = &poolQueue{minReservation: reservation}
 					waiting[p] = q
 				}
 				q.jobs = append(q.jobs, j)
 			}
-			q.minClaim = q.minClaim.Min(claim)
+			q.minReservation = q.minReservation.Min(reservation)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 
 // startJob starts the tasks of a job that can start, as far as there is room.
 func (a *assignment) startJob(j *jobState) {
-	if j.inherited && a.s.mayRunUnheard(j) {
+	if j.inherited && a.s.mayRunOnUnreportedVM(j) {
 		return
 	}
 	for _, o := range j.occurrences {
@@ -126,7 +126,7 @@
 		if !task.open() || a.now.Before(task.notBefore) || a.s.mayHaveEnded(task) {
 			continue
 		}
-		if !a.withinCap(j, st.def.Resources) {
+		if !a.withinQuota(j, st.def.Resources) {
 			return
 		}
 		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
@@ -156,7 +156,7 @@
 		return
 	}
 	for _, j := range s.jobs.All() {
-		if !j.inherited || !s.mayRunUnheard(j) {
+		if !j.inherited || !s.mayRunOnUnreportedVM(j) {
 			continue
 		}
 		if s.possibleUsage == nil {
@@ -189,9 +189,9 @@
 	return sum
 }
 
-// withinCap reports whether the job's account stays within its cap if it runs this much more.
+// withinQuota reports whether the job's account stays within its cap if it runs this much more.
 // Tasks that may still be running count.
-func (a *assignment) withinCap(j *jobState, more job.Resources) bool {
+func (a *assignment) withinQuota(j *jobState, more job.Resources) bool {
 	account := a.s.config.Account(j.Terms.Account)
 	if account == nil {
 		return true
@@ -208,12 +208,12 @@
 func (a *assignment) start(j *jobState, st *stepState, id job.TaskID, t *taskState, v *vmState, n job.Attempt) {
 	s := a.s
 	s.reportPlaced(a.now, j)
-	if !j.places.Has(v.id) {
-		a.recordPlaces(j, v)
+	if !j.possibleVMs.Has(v.id) {
+		a.recordPossibleVMs(j, v)
 	}
 	r := &run{
-		task: id, attempt: n, vm: v, claim: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account,
-		orderedAt: a.now, pace: 100, requiredSave: j.places.Get(v.id),
+		task: id, attempt: n, vm: v, reservation: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account,
+		orderedAt: a.now, pace: 100, requiredSave: j.possibleVMs.Get(v.id),
 	}
 	r.setKind(st.def)
 	r.crashSuspect, r.isolated = t.crashes.any(), t.crashes.needsIsolation()
@@ -234,7 +234,7 @@
 
 // reportPlaced reports the rank that the job had when its first task was given a VM.
 func (s *Scheduler) reportPlaced(now time.Time, j *jobState) {
-	if j.placed || j.lasting {
+	if j.placed || j.longRunning {
 		return
 	}
 	j.placed = true
@@ -244,17 +244,17 @@
 	})
 }
 
-// recordPlaces marks the VM and all others of its rack as places where the job's tasks may run,
+// recordPossibleVMs marks the VM and all others of its rack as places where the job's tasks may run,
 // to be stored before the start. Without this record a new owner could not restart any of the
 // tasks while any VM is out of reach. Storing each VM separately would cost a transaction
 // before each start, which takes 0.3 s when the table is slow. The job's next tasks are likely
 // to go to the same rack, and the VMs of a rack fail together anyway.
-func (a *assignment) recordPlaces(j *jobState, v *vmState) {
+func (a *assignment) recordPossibleVMs(j *jobState, v *vmState) {
 	save := a.s.nextSaveSequence()
-	j.places.Set(v.id, save)
+	j.possibleVMs.Set(v.id, save)
 	for _, n := range a.rackVMs(v.rack) {
-		if !j.places.Has(n.id) {
-			j.places.Set(n.id, save)
+		if !j.possibleVMs.Has(n.id) {
+			j.possibleVMs.Set(n.id, save)
 		}
 	}
 	a.s.markDirty(j)
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -18,14 +18,14 @@
 }
 
 // resize updates the directory entry of a VM whose capacity has changed.
-func (h *harness) resize(id string, cpu int64) { h.s.VMSeen(h.now, entryOf(id, cpu, 1)) }
+func (h *harness) resize(id string, cpu int64) { h.s.VMListed(h.now, entryOf(id, cpu, 1)) }
 
 // Guards against sending a planned start after the VM has shrunk while the save was pending.
 func TestPlannedStartIsSentOnlyIfItFits(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
-	saves := h.turnWithoutStoring(0)
+	saves := h.roundWithoutStoring(0)
 	h.resize("one", 500)
 	for _, c := range saves {
 		h.store(c)
@@ -37,31 +37,31 @@
 }
 
 // Guards against starting tasks beside a run whose size is unknown before it has ended.
-func TestRunOfAnUnknownJobBlocksStarts(t *testing.T) {
+func TestRunOfUnknownJobBlocksStarts(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	stray := job.RunningTask{Task: job.TaskID{Job: "stray"}, Attempt: 7}
-	h.lists("one", []job.RunningTask{stray})
+	unknown := job.RunningTask{Task: job.TaskID{Job: "stray"}, Attempt: 7}
+	h.lists("one", []job.RunningTask{unknown})
 	one[Stop](h, h.step(0))
 	h.job("j", "free", small)
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.now = h.now.Add(100 * time.Millisecond)
-	h.lists("one", nil, job.End{Number: 1, Task: stray.Task, Attempt: 7, How: job.EndedStopped})
+	h.lists("one", nil, job.End{Number: 1, Task: unknown.Task, Attempt: 7, How: job.EndedStopped})
 	one[Start](h, h.step(0))
 }
 
 // Guards against starts that rely on the capacity and labels of a VM's former life.
-func TestNewLifeTakesTasksOnceListed(t *testing.T) {
+func TestRestartedVMAcceptsTasksOnceListed(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.now = h.now.Add(time.Second)
-	reborn := job.Report{Clock: 10, Born: 2, Lists: true}
-	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, reborn)
+	restarted := job.Report{Clock: 10, Born: 2, Lists: true}
+	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, restarted)
 	h.job("j", "free", small)
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.resize("one", 8000)
 	assert.Equal(t, len(only[Start](h.step(0))), 0, "task started while the entry is of the former life")
-	h.s.VMSeen(h.now, entryOf("one", 8000, 2))
+	h.s.VMListed(h.now, entryOf("one", 8000, 2))
 	one[Start](h, h.step(0))
 }
 
@@ -85,7 +85,7 @@
 
 // listOneAndOff lists the machine of the VM "one" and a machine that is off.
 func (h *harness) listOneAndOff() {
-	h.s.Machines(h.now, []job.Machine{
+	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
 		{ID: "m-off", Pool: off, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
 	})
@@ -93,24 +93,24 @@
 
 // Guards against a pool that gets no machine although one of its lasting tasks, which may share
 // a VM, finds no room.
-func TestPoolGetsAVMForALastingTaskThatMayShare(t *testing.T) {
+func TestPoolGetsVMForLongRunningTaskThatMayShare(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.listOneAndOff()
 	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}, LongRunning: true})
 	h.confirm(one[Start](h, h.step(0)))
-	assert.Equal(t, one[Move](h, h.step(lastingWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
+	assert.Equal(t, one[Move](h, h.step(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
 // Guards against a pool that gets no machine although a lasting task fits on none of its VMs
 // since they have shrunk.
-func TestPoolGetsAVMWhenItsOwnVMsHaveShrunk(t *testing.T) {
+func TestPoolGetsVMWhenItsOwnVMsHaveShrunk(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.listOneAndOff()
 	h.resize("one", 1000)
 	h.job("j", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 2000}, LongRunning: true})
-	assert.Equal(t, one[Move](h, h.step(lastingWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
+	assert.Equal(t, one[Move](h, h.step(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
 // Guards against moving machines by the capacity in the machine list, which lags behind that of
@@ -118,7 +118,7 @@
 func TestIdleMachineHasTheCapacityOfItsVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.s.Machines(h.now, []job.Machine{
+	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 1000}},
 	})
 	idle := h.s.idleMachines(h.now)
@@ -129,11 +129,11 @@
 }
 
 // Guards against starts on VMs that may have shrunk since the directory was last read.
-func TestOutdatedDirectoryAllowsOnlyGuardedStarts(t *testing.T) {
-	for _, guarded := range []bool{false, true} {
+func TestOutdatedDirectoryAllowsStartsOnlyIfCapacityIsEnforced(t *testing.T) {
+	for _, enforced := range []bool{false, true} {
 		h := newHarness(t)
 		h.s.settings.ShrinkNotice = 3 * time.Second
-		h.s.config.Pool(poolA).EnforcesCapacity = guarded
+		h.s.config.Pool(poolA).EnforcesCapacity = enforced
 		h.ready("one")
 		h.s.DirectoryRead(h.now)
 		h.job("j", "free", small)
@@ -141,7 +141,7 @@
 		h.now = h.now.Add(2500 * time.Millisecond)
 		h.lists("one", nil)
 		h.job("k", "free", small)
-		assert.Equal(t, len(only[Start](h.step(0))) > 0, guarded)
+		assert.Equal(t, len(only[Start](h.step(0))) > 0, enforced)
 		h.job("l", "free", small)
 		h.s.DirectoryRead(h.now)
 		assert.Assert(t, len(only[Start](h.step(0))) > 0)
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -42,7 +42,7 @@
 type Hold struct {
 	VM    job.VMID
 	Order job.HoldOrder
-	Look  bool
+	Probe bool
 }
 
 // Save stores a job's progress. Saves must be stored in the order of Sequence.
@@ -77,8 +77,8 @@
 	Pool    job.PoolName
 }
 
-// Upkeep orders the maintenance of a machine in a wave.
-type Upkeep struct {
+// Maintain orders the maintenance of a machine in a wave.
+type Maintain struct {
 	Machine job.MachineID
 	Wave    int64
 }
@@ -107,7 +107,7 @@
 // MachineOrder names the holder that recently gave a machine an order.
 type MachineOrder struct {
 	Machine job.MachineID `json:"machine"`
-	Holder  string        `json:"holder"`
+	Issuer  string        `json:"holder"`
 }
 
 // DeleteJob deletes the stored rows of a job that ended long ago.
@@ -132,7 +132,7 @@
 func (DeleteJob) command()      {}
 func (RequestTickets) command() {}
 func (Move) command()           {}
-func (Upkeep) command()         {}
+func (Maintain) command()       {}
 func (PublishWave) command()    {}
 
 // SequenceOf returns the sequence number of a save. ok is false for other commands.
@@ -214,34 +214,34 @@
 
 // Kinds of decisions.
 const (
-	JobAdopted     DecisionKind = "job_adopted"
-	JobBeyondShare DecisionKind = "job_beyond_share"
-	JobPlaced      DecisionKind = "job_placed"
-	JobEnded       DecisionKind = "job_ended"
-	JobCancelled   DecisionKind = "job_cancelled"
-	TaskOrdered    DecisionKind = "task_ordered"
-	TaskNotBegun   DecisionKind = "task_not_begun"
-	TaskStarted    DecisionKind = "task_started"
-	TaskEnded      DecisionKind = "task_ended"
-	EndRedundant   DecisionKind = "end_redundant"
-	TaskFreed      DecisionKind = "task_freed"
-	TaskLostVM     DecisionKind = "task_lost_vm"
-	TaskGivenUp    DecisionKind = "task_given_up"
-	TaskStopping   DecisionKind = "task_stopping"
-	TaskFound      DecisionKind = "task_found"
-	VMFound        DecisionKind = "vm_found"
-	VMSilent       DecisionKind = "vm_silent"
-	VMBack         DecisionKind = "vm_back"
-	VMReborn       DecisionKind = "vm_reborn"
-	VMGone         DecisionKind = "vm_gone"
-	VMDraining     DecisionKind = "vm_draining"
-	VMSuspected    DecisionKind = "vm_suspected"
-	VMSlow         DecisionKind = "vm_slow"
-	VMVacated      DecisionKind = "vm_vacated"
-	ZoneEvacuated  DecisionKind = "zone_evacuated"
-	ZoneReopened   DecisionKind = "zone_reopened"
-	WaveChanged    DecisionKind = "wave_changed"
-	MachineSeen    DecisionKind = "machine_seen"
-	MachineMoved   DecisionKind = "machine_moved"
-	MachineUpkept  DecisionKind = "machine_upkept"
+	JobAdopted        DecisionKind = "job_adopted"
+	JobBeyondShare    DecisionKind = "job_beyond_share"
+	JobPlaced         DecisionKind = "job_placed"
+	JobEnded          DecisionKind = "job_ended"
+	JobCancelled      DecisionKind = "job_cancelled"
+	TaskOrdered       DecisionKind = "task_ordered"
+	TaskNotBegun      DecisionKind = "task_not_begun"
+	TaskStarted       DecisionKind = "task_started"
+	TaskEnded         DecisionKind = "task_ended"
+	EndRedundant      DecisionKind = "end_redundant"
+	TaskFreed         DecisionKind = "task_freed"
+	TaskLostVM        DecisionKind = "task_lost_vm"
+	TaskGivenUp       DecisionKind = "task_given_up"
+	TaskStopping      DecisionKind = "task_stopping"
+	TaskAdopted       DecisionKind = "task_found"
+	VMFound           DecisionKind = "vm_found"
+	VMSilent          DecisionKind = "vm_silent"
+	VMBack            DecisionKind = "vm_back"
+	VMRestarted       DecisionKind = "vm_reborn"
+	VMGone            DecisionKind = "vm_gone"
+	VMDraining        DecisionKind = "vm_draining"
+	VMSuspected       DecisionKind = "vm_suspected"
+	VMSlow            DecisionKind = "vm_slow"
+	VMVacated         DecisionKind = "vm_vacated"
+	ZoneEvacuated     DecisionKind = "zone_evacuated"
+	ZoneReopened      DecisionKind = "zone_reopened"
+	WaveChanged       DecisionKind = "wave_changed"
+	MachineSeen       DecisionKind = "machine_seen"
+	MachineMoved      DecisionKind = "machine_moved"
+	MachineMaintained DecisionKind = "machine_upkept"
 )
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -32,22 +32,22 @@
 // crashes counts the VMs that crashed under a task. Its zero value means none.
 type crashes struct {
 	attempts []job.Attempt
-	// certain counts the crashes under runs that the VM had confirmed to this owner. Of
+	// confirmed counts the crashes under runs that the VM had confirmed to this owner. Of
 	// these, atStart counts those within startCrashWindow of the start, and alone those
 	// for which nothing else on the VM could be the cause.
-	certain, atStart, alone int
+	confirmed, atStart, soleSuspect int
 }
 
 func (c crashes) any() bool { return len(c.attempts) > 0 }
 
 // String returns the counts as text.
 func (c crashes) String() string {
-	return fmt.Sprintf("%d VM crashes, %d under confirmed runs, %d at task start, %d alone", len(c.attempts), c.certain, c.atStart, c.alone)
+	return fmt.Sprintf("%d VM crashes, %d under confirmed runs, %d at task start, %d alone", len(c.attempts), c.confirmed, c.atStart, c.soleSuspect)
 }
 
 // limitReached reports whether the task must not start any more.
 func (c crashes) limitReached() bool {
-	isCause := c.certain >= maxCrashesWithCause && c.alone > 0
+	isCause := c.confirmed >= maxCrashesWithCause && c.soleSuspect > 0
 	return isCause || c.atStart >= maxCrashesAtStart || len(c.attempts) >= maxCrashes
 }
 
@@ -65,7 +65,7 @@
 	}
 	t.crashes.attempts = append(t.crashes.attempts, r.attempt)
 	if r.phase == runConfirmed {
-		t.crashes.addCertain(r)
+		t.crashes.addConfirmed(r)
 	}
 	t.separateUntil = now.Add(separateFor)
 	if t.crashes.needsIsolation() {
@@ -81,14 +81,14 @@
 	}
 }
 
-// addCertain counts a crash under a run that the VM had confirmed.
-func (c *crashes) addCertain(r *run) {
-	c.certain++
+// addConfirmed counts a crash under a run that the VM had confirmed.
+func (c *crashes) addConfirmed(r *run) {
+	c.confirmed++
 	if r.crashedAtStart() {
 		c.atStart++
 	}
-	if r.crashedAlone() {
-		c.alone++
+	if r.isSoleSuspect() {
+		c.soleSuspect++
 	}
 }
 
@@ -96,7 +96,7 @@
 // on with its remaining tasks.
 func (s *Scheduler) giveUp(now time.Time, j *jobState, r *run) {
 	s.decided(Decision{Kind: TaskGivenUp, Job: j.ID, Task: r.task, Reason: "VMs crashed under it"})
-	if !j.lasting || j.noTaskCanRun() {
+	if !j.longRunning || j.noTaskCanRun() {
 		s.finish(now, j, job.Failed)
 	}
 }
@@ -121,14 +121,14 @@
 	return !r.adopted && r.vm.silent && r.vm.silentSince.Sub(r.orderedAt) <= startCrashWindow
 }
 
-// crashedAlone reports whether nothing else on the VM can have caused the crash.
-func (r *run) crashedAlone() bool {
+// isSoleSuspect reports whether nothing else on the VM can have caused the crash.
+func (r *run) isSoleSuspect() bool {
 	for _, other := range r.vm.runs.All() {
 		if other != r && other.phase != runPlanned && !other.stable() {
 			return false
 		}
 	}
-	return !slices.ContainsFunc(r.vm.lapsed, func(other *run) bool { return other != r && !other.stable() })
+	return !slices.ContainsFunc(r.vm.expiredRuns, func(other *run) bool { return other != r && !other.stable() })
 }
 
 // stable reports whether the run had already lasted for stableAfter at its VM's last
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -89,7 +89,7 @@
 	l := c.lives[vm]
 	l.born++
 	l.since = c.now.Add(-10 * time.Millisecond)
-	c.s.VMSeen(c.now, entryOf(string(vm), 8000, l.born))
+	c.s.VMListed(c.now, entryOf(string(vm), 8000, l.born))
 	c.list(vm, nil)
 }
 
@@ -164,7 +164,7 @@
 }
 
 // Guards against a task that crashes its VM before the start is answered.
-func TestTaskThatCrashesItsVMUnansweredIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesItsVMBeforeStartIsAnsweredIsGivenUp(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
@@ -174,7 +174,7 @@
 }
 
 // Guards against a crash that isn't counted because the VM returns under a new ID.
-func TestCrashCountsWhenTheMachineHasANewLife(t *testing.T) {
+func TestCrashCountsWhenMachineRunsNewVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("vm-0")
 	h.job("j", "free", small)
@@ -189,19 +189,19 @@
 		h.s.HoldAnswered(h.now, Hold{VM: o.VM}, Unanswered, job.Report{})
 		h.step(3 * time.Second)
 		next := job.VMID(fmt.Sprintf("vm-%d", n+1))
-		h.s.VMSeen(h.now, job.VMRecord{
+		h.s.VMListed(h.now, job.VMRecord{
 			ID: next, Pool: poolA, Address: "vm", Capacity: job.Resources{CPU: 8000, MemMB: 8000}, Machine: "m-vm-0", Born: job.Born(n + 2),
 		})
 		h.step(100 * time.Millisecond)
 		h.s.HoldAnswered(h.now, Hold{VM: next}, Answered, job.Report{Clock: h.clock(), Born: job.Born(n + 2), Lists: true})
 		h.now = h.now.Add(time.Millisecond)
-		h.s.Machines(h.now, []job.Machine{{ID: "m-vm-0", Pool: poolA, State: job.MachineUp, VM: next}})
+		h.s.MachinesListed(h.now, []job.Machine{{ID: "m-vm-0", Pool: poolA, State: job.MachineUp, VM: next}})
 	}
 	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 }
 
 // Guards against a crash that isn't counted because the VM returns only after its lease.
-func TestCrashCountsWhenTheVMIsBackAfterItsLease(t *testing.T) {
+func TestCrashCountsWhenVMReturnsAfterItsLease(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three", "four")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.confirm(o)
@@ -215,7 +215,7 @@
 
 // Guards against crash counts that are lost with the owner. Each of many owners sees one
 // crash.
-func TestCrashesOutlastTheirOwner(t *testing.T) {
+func TestCrashCountsSurviveTakeover(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
 		c.confirm(o)
@@ -233,7 +233,7 @@
 	former := c.s
 	c.s = New(Settings{
 		Fence: former.settings.Fence + 1, AttemptBase: former.settings.AttemptBase + 100, TookOver: c.now,
-		LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond, MachineLease: 3 * time.Second, Holder: "here",
+		LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond, MachineLease: 3 * time.Second, OrderIssuer: "here",
 	})
 	c.s.Configure(former.config)
 	c.s.SetRights(former.rights)
@@ -245,12 +245,12 @@
 		c.s.AddJob(c.now, job.Job{ID: id, Terms: j.Terms, Body: job.Body{Spec: "x", Steps: steps}}, &p, true)
 	}
 	for vm, l := range c.lives {
-		c.s.VMSeen(c.now, entryOf(string(vm), 8000, l.born))
+		c.s.VMListed(c.now, entryOf(string(vm), 8000, l.born))
 	}
 }
 
 // Guards against a job that is given up because its VM was drained.
-func TestDrainedVMIsNoCrash(t *testing.T) {
+func TestDrainedVMIsNotCountedAsCrash(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", small)
 	for range 6 {
@@ -265,7 +265,7 @@
 
 // Guards against harmless tasks that are lost repeatedly beside the one that crashes
 // their VM. Tasks that lost a VM must not share one.
-func TestTasksThatLostAVMAreKeptApart(t *testing.T) {
+func TestTasksThatLostTheirVMAreKeptApart(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("bad", "free", small)
 	c.job("good", "free", small)
@@ -282,7 +282,7 @@
 }
 
 // Guards against lasting tasks that are given up because of three crashes over years.
-func TestStableLastingTaskIsCleared(t *testing.T) {
+func TestStableLongRunningTaskResetsCrashCounts(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 1, Resources: small.Resources, LongRunning: true})
 	for range 8 {
@@ -300,7 +300,7 @@
 
 // Guards against a lasting job that loses all of its tasks because one of them crashes
 // VMs.
-func TestSiblingsOfAGivenUpLastingTaskGoOn(t *testing.T) {
+func TestSiblingsOfGivenUpLongRunningTaskContinue(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 2, Resources: small.Resources, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true})
 	starts := only[Start](c.step(0))
@@ -354,7 +354,7 @@
 
 // Guards against harmless tasks that are blamed as if they had been alone on their VM
 // because the other tasks there were freed first.
-func TestTasksThatLostAVMTogetherWereNotAlone(t *testing.T) {
+func TestTasksThatLostVMTogetherAreNotSoleSuspects(t *testing.T) {
 	for name, after := range map[string]time.Duration{"within the lease": 3 * time.Second, "after it": 8 * time.Second} {
 		c := newCrashHarness(t, "one", "two", "three")
 		c.job("j", "free", job.Step{Count: 3, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second})
@@ -369,8 +369,8 @@
 		c.silence(starts[0].VM, after)
 		c.revive(starts[0].VM)
 		for i, x := range c.s.jobs.Get("j").occurrences[0].steps[0].tasks {
-			assert.Equal(t, x.crashes.certain, 1, "%s, task %d", name, i)
-			assert.Equal(t, x.crashes.alone, 0, "%s, task %d", name, i)
+			assert.Equal(t, x.crashes.confirmed, 1, "%s, task %d", name, i)
+			assert.Equal(t, x.crashes.soleSuspect, 0, "%s, task %d", name, i)
 		}
 	}
 }
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -46,7 +46,7 @@
 	}
 	var free map[job.PoolName][]*vmState
 	for _, v := range s.vms.All() {
-		if !v.evacuated || v.lasting == 0 || v.silent {
+		if !v.evacuated || v.longRunningRuns == 0 || v.silent {
 			continue
 		}
 		if free == nil {
@@ -79,6 +79,6 @@
 		return -1
 	}
 	return slices.IndexFunc(vms, func(v *vmState) bool {
-		return r.claim.FitsIn(v.freeRoom()) && st.mayRunOn(r.task.StepID(), v)
+		return r.reservation.FitsIn(v.freeCapacity()) && st.mayRunOn(r.task.StepID(), v)
 	})
 }
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -11,7 +11,7 @@
 
 // readyIn brings up a VM in an availability zone and returns the commands that follow.
 func (h *harness) readyIn(zone job.ZoneName, id string) []Command {
-	h.seenInZone(id, zone)
+	h.listVMInZone(id, zone)
 	h.step(0)
 	h.lists(id, nil)
 	return h.step(30 * time.Millisecond)
@@ -51,7 +51,7 @@
 
 // Guards against lasting tasks that stay in an evacuated zone, that leave before there is room
 // elsewhere, or that leave in greater number than their step may miss.
-func TestLastingTasksLeaveAnEvacuatedZone(t *testing.T) {
+func TestLongRunningTasksLeaveEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
 	h.readyIn("east", "two")
@@ -102,7 +102,7 @@
 	h := newHarness(t)
 	h.readyIn("east", "one")
 	h.readyIn("west", "two")
-	h.s.Machines(h.now, []job.Machine{
+	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, Zone: "east", VM: "one", Capacity: job.Resources{CPU: 8000}},
 		{ID: "m-two", Pool: poolA, State: job.MachineUp, Zone: "west", VM: "two", Capacity: job.Resources{CPU: 8000}},
 		{ID: "m-off-east", Pool: off, State: job.MachineUp, Zone: "east", Capacity: job.Resources{CPU: 8000}},
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -12,7 +12,7 @@
 // Guards against a task that never runs again after its VM lost power. Each hold sent to
 // the VM may still be carried out, as far as the owner knows. If those holds extended the
 // lease, it would never expire.
-func TestLeaseOfSilentVMRunsOut(t *testing.T) {
+func TestLeaseOfSilentVMExpires(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", small)
@@ -59,7 +59,7 @@
 // Guards against a start that a restarted VM carries out late. The unanswered start was
 // freed, and the VM then restarted under the same ID. The new clock is behind the start's
 // deadline, so the run must be stopped explicitly.
-func TestLostStartIsStoppedAtANewLife(t *testing.T) {
+func TestLostStartIsStoppedOnRestartedVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -92,7 +92,7 @@
 
 // Guards against an end that nobody knows of after its owner died. A VM deletes noted ends,
 // so an end is noted only once it is stored.
-func TestEndIsStoredBeforeItIsNoted(t *testing.T) {
+func TestEndIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -124,66 +124,66 @@
 
 // Guards against maintenance of a machine whose VM a new owner hasn't reached. What runs
 // there isn't known, so the machine must stay however empty the VM looks.
-func TestMachineOfUnheardVMIsNotMaintained(t *testing.T) {
+func TestMachineOfUnreportedVMIsNotMaintained(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
-	h.seen("one")
-	h.s.Machines(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
+	h.listVM("one")
+	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
 	for range 80 {
 		commands := h.step(100 * time.Millisecond)
-		assert.Equal(t, len(only[Upkeep](commands)), 0)
+		assert.Equal(t, len(only[Maintain](commands)), 0)
 		for range only[Hold](commands) {
 			h.s.HoldAnswered(h.now, Hold{VM: "one"}, Unanswered, job.Report{})
 		}
 	}
 	h.lists("one", nil)
-	assert.Equal(t, len(only[Upkeep](h.step(100*time.Millisecond))), 1)
+	assert.Equal(t, len(only[Maintain](h.step(100*time.Millisecond))), 1)
 }
 
 // Guards against a stale machines list that ends a maintenance. The list was requested
 // before the order was answered and still shows the machine as up. The next machine may
 // go only when a later list shows that.
-func TestOlderListDoesNotEndAnUpkeep(t *testing.T) {
+func TestOlderMachineListDoesNotEndMaintenance(t *testing.T) {
 	h := newHarness(t)
-	list := func(asked time.Time, state job.MachineState) {
-		h.s.Machines(asked, []job.Machine{
+	list := func(requestedAt time.Time, state job.MachineState) {
+		h.s.MachinesListed(requestedAt, []job.Machine{
 			{ID: "m-1", Pool: off, State: state}, {ID: "m-2", Pool: off, State: job.MachineUp},
 		})
 	}
 	list(h.now, job.MachineUp)
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 1}, nil)
-	first := one[Upkeep](h, h.step(100*time.Millisecond))
-	asked := h.now
+	first := one[Maintain](h, h.step(100*time.Millisecond))
+	requestedAt := h.now
 	h.now = h.now.Add(10 * time.Millisecond)
-	h.s.UpkeepAnswered(h.now, first, Answered, job.MachineAccepted)
+	h.s.MaintainAnswered(h.now, first, Answered, job.MachineAccepted)
 	h.now = h.now.Add(3 * time.Second)
-	list(asked, job.MachineUp)
-	assert.Equal(t, len(only[Upkeep](h.step(10*time.Millisecond))), 0)
+	list(requestedAt, job.MachineUp)
+	assert.Equal(t, len(only[Maintain](h.step(10*time.Millisecond))), 0)
 	list(h.now, job.MachineUp)
-	second := one[Upkeep](h, h.step(10*time.Millisecond))
+	second := one[Maintain](h, h.step(10*time.Millisecond))
 	assert.Assert(t, second.Machine != first.Machine)
 }
 
 // Guards against exceeding a wave's limit. A machine refuses an order as busy because an
 // earlier order, whose answer was lost, is being carried out. It counts as away.
-func TestBusyMachineCountsAsAway(t *testing.T) {
+func TestBusyMachineCountsAsInMaintenance(t *testing.T) {
 	h := newHarness(t)
-	h.s.Machines(h.now, []job.Machine{
+	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-1", Pool: off, State: job.MachineUp}, {ID: "m-2", Pool: off, State: job.MachineUp},
 	})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 1}, nil)
-	first := one[Upkeep](h, h.step(100*time.Millisecond))
-	h.s.UpkeepAnswered(h.now, first, Unanswered, job.MachineAccepted)
-	again := one[Upkeep](h, h.step(time.Second))
+	first := one[Maintain](h, h.step(100*time.Millisecond))
+	h.s.MaintainAnswered(h.now, first, Unanswered, job.MachineAccepted)
+	again := one[Maintain](h, h.step(time.Second))
 	assert.Equal(t, again.Machine, first.Machine)
-	h.s.UpkeepAnswered(h.now, again, Answered, job.MachineBusy)
-	assert.Equal(t, len(only[Upkeep](h.step(time.Second))), 0)
+	h.s.MaintainAnswered(h.now, again, Answered, job.MachineBusy)
+	assert.Equal(t, len(only[Maintain](h.step(time.Second))), 0)
 }
 
 // Guards against more missing tasks than a lasting step allows. One task's VM is silent,
 // so the maintenance of the other's VM has to wait.
-func TestUpkeepWaitsWhileATaskIsAway(t *testing.T) {
+func TestMaintenanceWaitsWhileTaskIsUnavailable(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", job.Step{
@@ -195,7 +195,7 @@
 		h.confirm(c)
 		h.lists(string(c.VM), []job.RunningTask{running(c, 100)})
 	}
-	h.s.Machines(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
+	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
 	for _, c := range only[Hold](h.step(time.Second)) {
 		if c.VM == "two" {
 			h.s.HoldAnswered(h.now, Hold{VM: "two"}, Unanswered, job.Report{})
@@ -213,7 +213,7 @@
 
 // Guards against a start that is sent before it is stored that the job may run on the VM.
 // A new owner that can't reach the VM must know that it has to wait.
-func TestPlaceIsStoredBeforeTheStart(t *testing.T) {
+func TestPossibleVMIsStoredBeforeStart(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -228,7 +228,7 @@
 
 // Guards against jobs that wait without need. A new owner can't reach a VM; only jobs
 // that may run there wait for its lease.
-func TestOnlyJobsThatMayRunUnheardWait(t *testing.T) {
+func TestOnlyJobsThatMayRunOnUnreportedVMsWait(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
@@ -248,7 +248,7 @@
 
 // Guards against exceeding an account's cap. Its tasks on VMs that a new owner hasn't
 // heard from count until they have certainly ended.
-func TestUnheardTasksCountAgainstTheCap(t *testing.T) {
+func TestTasksOnUnreportedVMsCountAgainstQuota(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
@@ -263,56 +263,56 @@
 // but not from its VMs. It has seen the end of a step that the new owner hasn't, and
 // starts the next, wider step. So all later steps count as well, not only those that the
 // new owner knows to be next.
-func TestLaterUnheardStepsCountAgainstTheCap(t *testing.T) {
+func TestLaterStepsOnUnreportedVMsCountAgainstQuota(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
-	room := job.Resources{CPU: 1000}
+	resources := job.Resources{CPU: 1000}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{
-		{Count: 1, Resources: room, Estimate: time.Second},
-		{Count: 4, Resources: room, Estimate: time.Second, After: []int{0}},
+		{Count: 1, Resources: resources, Estimate: time.Second},
+		{Count: 4, Resources: resources, Estimate: time.Second, After: []int{0}},
 	}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
-	h.job("new", "capped", job.Step{Count: 4, Resources: room, Estimate: time.Second})
+	h.job("new", "capped", job.Step{Count: 4, Resources: resources, Estimate: time.Second})
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
 }
 
 // Guards against two owners that both move lasting tasks for the same maintenance, which
 // would take more tasks of a step away than it may miss. An owner that hasn't reached the
 // table for a second moves none. New tasks still start.
-func TestOldProofMovesNoLastingTask(t *testing.T) {
+func TestNoLongRunningTaskMovesWithoutRightToOrderMachines(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	lasting := job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, DisruptionBudget: 1, HasDisruptionBudget: true}
-	h.job("j", "free", lasting)
+	longRunning := job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, DisruptionBudget: 1, HasDisruptionBudget: true}
+	h.job("j", "free", longRunning)
 	start := one[Start](h, h.step(0))
 	h.confirm(start)
 	h.lists(string(start.VM), []job.RunningTask{running(start, 100)})
 	h.listMachinesOf("one", "two")
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{job.MachineID("m-" + start.VM)}, MaxConcurrent: 1}, nil)
-	h.s.SetRights(Rights{Start: true, Hold: true})
+	h.s.SetRights(Rights{StartTasks: true, ExtendLeases: true})
 	assert.Equal(t, len(only[Stop](h.step(time.Second))), 0)
 	h.job("new", "free", small)
 	assert.Equal(t, len(only[Start](h.step(0))), 1)
-	h.s.SetRights(Rights{Order: true, Start: true, Hold: true})
+	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	assert.Equal(t, len(only[Stop](h.step(0))), 1)
 }
 
 // Guards against orders from two owners to the same machine in quick succession. The
 // second owner waits until the first one's orders are old enough, but not for other
 // machines.
-func TestMachineOfAFormerHolderWaits(t *testing.T) {
+func TestMachineOrderedByFormerOwnerWaits(t *testing.T) {
 	h := newHarness(t)
 	h.s = New(Settings{
-		Fence: 5, TookOver: begin, MachineLease: 3 * time.Second, Holder: "here",
-		FormerOrders: []MachineOrder{{Machine: "m-1", Holder: "there"}},
+		Fence: 5, TookOver: begin, MachineLease: 3 * time.Second, OrderIssuer: "here",
+		FormerOrders: []MachineOrder{{Machine: "m-1", Issuer: "there"}},
 	})
-	h.s.SetRights(Rights{Order: true, Start: true, Hold: true})
-	h.s.Machines(h.now, []job.Machine{{ID: "m-1", State: job.MachineUp}, {ID: "m-2", State: job.MachineUp}})
+	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
+	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-1", State: job.MachineUp}, {ID: "m-2", State: job.MachineUp}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 2}, nil)
-	assert.Equal(t, one[Upkeep](h, h.step(time.Second)).Machine, job.MachineID("m-2"))
-	assert.Equal(t, len(only[Upkeep](h.step(3*time.Second))), 0)
-	assert.Equal(t, one[Upkeep](h, h.step(time.Second)).Machine, job.MachineID("m-1"))
+	assert.Equal(t, one[Maintain](h, h.step(time.Second)).Machine, job.MachineID("m-2"))
+	assert.Equal(t, len(only[Maintain](h.step(3*time.Second))), 0)
+	assert.Equal(t, one[Maintain](h, h.step(time.Second)).Machine, job.MachineID("m-1"))
 }
 
 // Guards against a failed run that counts twice because its end is listed again after a
@@ -354,13 +354,13 @@
 // Guards against stopping two tasks of a step that may miss only one. A previous owner
 // has ordered a lasting task's end. Until it has stopped, the VM lists the task as
 // available, and the new owner doesn't know of the order.
-func TestUpkeepWaitsForStopsOfAFormerOwner(t *testing.T) {
+func TestMaintenanceWaitsForStopsOfFormerOwner(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	lasting := job.Step{Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true}
-	j := job.Job{ID: "j", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{lasting}}}
+	longRunning := job.Step{Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true}
+	j := job.Job{ID: "j", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{longRunning}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one", "two"}}, true)
-	h.s.Machines(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
+	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
 	list := func(ended ...job.End) {
 		h.lists("one", []job.RunningTask{{Task: job.TaskID{Job: "j"}, Attempt: 7, Percent: 100}})
@@ -389,10 +389,10 @@
 // Guards against a lasting task that never runs because its pool has too few VMs. Two
 // tasks must not share a VM, and their pool has only one while another pool has idle
 // machines. A machine must be moved.
-func TestPoolGetsVMsForLastingTasks(t *testing.T) {
+func TestPoolGetsVMsForLongRunningTasks(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.s.Machines(h.now, []job.Machine{
+	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
 		{ID: "m-off", Pool: off, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
 	})
@@ -405,12 +405,12 @@
 // Guards against users who wait too long for seconds on end. A serving task finds room
 // only beside a filling one. As its tail latency nears the target, the filling task is
 // slowed and then halted. It is sped up again once there is room.
-func TestFillingTaskIsSlowedForServingTask(t *testing.T) {
+func TestSpareCPUTaskIsSlowedForServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("fill", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true, Estimate: time.Minute})
-	fill := one[Start](h, h.step(0))
-	h.confirm(fill)
+	spareCPU := one[Start](h, h.step(0))
+	h.confirm(spareCPU)
 	h.job("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
 	serve := one[Start](h, h.step(0))
 	h.confirm(serve)
@@ -421,13 +421,13 @@
 		busy := running(serve, 100)
 		busy.Load = x.tail
 		h.now = h.now.Add(600 * time.Millisecond)
-		h.lists("one", []job.RunningTask{busy, running(fill, 10)})
+		h.lists("one", []job.RunningTask{busy, running(spareCPU, 10)})
 		assert.Equal(t, one[Pace](h, h.step(0)).Percent, x.percent)
 	}
 }
 
 // Guards against filling tasks that are placed beside a serving one.
-func TestFillingTaskIsNotPlacedBesideServingTask(t *testing.T) {
+func TestSpareCPUTaskIsNotPlacedBesideServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
@@ -438,7 +438,7 @@
 
 // Guards against a run that is freed by a list of the same millisecond in which its VM
 // accepted the stop. The run may have begun in between.
-func TestListOfTheStopsMillisecondFreesNothing(t *testing.T) {
+func TestListFromSameMillisecondAsStopFreesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -11,11 +11,11 @@
 
 // loseOrderRight removes the right that only an owner has that has recently proved its
 // tenure.
-func (h *harness) loseOrderRight() { h.s.SetRights(Rights{Start: true, Hold: true}) }
+func (h *harness) loseOrderRight() { h.s.SetRights(Rights{StartTasks: true, ExtendLeases: true}) }
 
 // Guards against a former owner that starts a task again elsewhere because it can't reach
 // the task's VM. The present owner may have noted the end there.
-func TestFormerOwnerRestartsNothingThatLapsed(t *testing.T) {
+func TestFormerOwnerRestartsNoTaskAfterLeaseExpiry(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
@@ -30,14 +30,14 @@
 		c.listAll(o.VM)
 		assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
 	}
-	c.s.SetRights(Rights{Order: true, Start: true, Hold: true})
+	c.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	c.listAll(o.VM)
 	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
 }
 
 // Guards against a former owner that starts a task again because its VM has restarted.
 // The end may have been noted before.
-func TestFormerOwnerRestartsNothingThatItsVMLost(t *testing.T) {
+func TestFormerOwnerRestartsNoTaskOfRestartedVM(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
@@ -48,13 +48,13 @@
 	for range 20 {
 		assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
 	}
-	c.s.SetRights(Rights{Order: true, Start: true, Hold: true})
+	c.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
 }
 
 // Guards against a former owner that assumes an unreachable VM to be free. The present
 // owner may have found tasks there.
-func TestFormerOwnerStartsNothingThatMayRunUnheard(t *testing.T) {
+func TestFormerOwnerStartsNoTaskThatMayRunOnUnreportedVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
 	h.ready("one")
@@ -65,7 +65,7 @@
 		h.lists("one", nil)
 		assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
 	}
-	h.s.SetRights(Rights{Order: true, Start: true, Hold: true})
+	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	h.lists("one", nil)
 	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 1)
 }
--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -20,14 +20,14 @@
 			checkpoint = task.checkpoint
 		}
 	}
-	if !a.withinCap(j, st.def.Resources.Mul(len(st.tasks))) {
+	if !a.withinQuota(j, st.def.Resources.Mul(len(st.tasks))) {
 		return
 	}
 	chosen := a.chooseGang(st)
 	if chosen == nil {
 		return
 	}
-	defer func() { a.index = newVMIndex(a.vms, a.minClaim) }()
+	defer func() { a.index = newVMIndex(a.vms, a.minReservation) }()
 	st.gangAttempt = max(st.gangAttempt, a.s.settings.AttemptBase) + 1
 	for t := range st.tasks {
 		task := &st.tasks[t]
@@ -72,14 +72,14 @@
 		if (st.def.Requires != "" && !v.labels[st.def.Requires]) || (st.tickets != nil && st.tickets[v.id] == "") {
 			continue
 		}
-		free := v.freeRoom()
-		claim := st.def.Reservation()
-		for n := 0; len(chosen) < len(st.tasks) && claim.FitsIn(free); n++ {
+		free := v.freeCapacity()
+		reservation := st.def.Reservation()
+		for n := 0; len(chosen) < len(st.tasks) && reservation.FitsIn(free); n++ {
 			if st.def.MaxPerVM > 0 && n >= st.def.MaxPerVM {
 				break
 			}
 			chosen = append(chosen, v)
-			free = free.Sub(claim)
+			free = free.Sub(reservation)
 		}
 	}
 	if len(chosen) < len(st.tasks) {
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -31,7 +31,7 @@
 	h := &harness{t: t, now: begin}
 	h.s = New(Settings{
 		Fence: 5, AttemptBase: 100, TookOver: begin, LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond,
-		MachineLease: 3 * time.Second, Holder: "here",
+		MachineLease: 3 * time.Second, OrderIssuer: "here",
 	})
 	c := &job.Configuration{
 		Version:  1,
@@ -41,7 +41,7 @@
 	}
 	c.Index()
 	h.s.Configure(c)
-	h.s.SetRights(Rights{Order: true, Start: true, Hold: true})
+	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	return h
 }
 
@@ -69,12 +69,12 @@
 	}
 }
 
-// seen feeds a VM's directory entry to the scheduler.
-func (h *harness) seen(id string) { h.seenInZone(id, "") }
+// listVM feeds a VM's directory entry to the scheduler.
+func (h *harness) listVM(id string) { h.listVMInZone(id, "") }
 
-// seenInZone is seen for a VM in an availability zone.
-func (h *harness) seenInZone(id string, zone job.ZoneName) {
-	h.s.VMSeen(h.now, job.VMRecord{
+// listVMInZone is seen for a VM in an availability zone.
+func (h *harness) listVMInZone(id string, zone job.ZoneName) {
+	h.s.VMListed(h.now, job.VMRecord{
 		ID: job.VMID(id), Pool: poolA, Address: id, Zone: zone, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 		Machine: job.MachineID("m-" + id), Born: 1,
 	})
@@ -93,7 +93,7 @@
 // ready lets VMs appear and answer a hold, after which they accept tasks.
 func (h *harness) ready(ids ...string) {
 	for _, id := range ids {
-		h.seen(id)
+		h.listVM(id)
 	}
 	h.step(0)
 	for _, id := range ids {
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -24,10 +24,10 @@
 // hold sends the next hold to a VM if it is due. A hold renews the VM's lease and asks
 // for its lists.
 func (s *Scheduler) hold(now time.Time, v *vmState) {
-	if v.holding || now.Before(v.nextHold) || !s.rights.Hold || v.address == "" {
+	if v.holdInFlight || now.Before(v.nextHold) || !s.rights.ExtendLeases || v.address == "" {
 		return
 	}
-	o := job.HoldOrder{Fence: v.fence, Noted: v.notedForHold()}
+	o := job.HoldOrder{Fence: v.fence, Noted: v.acknowledgedForHold()}
 	// An unanswered hold may be carried out later, so a hold to a silent VM doesn't
 	// extend the lease. Otherwise the lease of a VM that is gone would never expire for
 	// this owner.
@@ -35,24 +35,24 @@
 		o.Deadline = v.clock.Estimate(now) + job.VMClock(s.settings.LeaseMax.Milliseconds())
 		v.leaseEnd = max(v.leaseEnd, o.Deadline)
 	}
-	if v.heldOnce && !v.silent && len(v.unsavedEnds) == 0 {
+	if v.reported && !v.silent && len(v.unsavedEnds) == 0 {
 		o.Wait = busyHoldWait
 		if v.runs.Len() == 0 {
 			o.Wait = idleHoldWait
 		}
 	}
-	v.holding = true
+	v.holdInFlight = true
 	v.nextHold = now.Add(minHoldInterval)
 	s.emit(Hold{VM: v.id, Order: o})
 }
 
-// notedForHold returns the number of the last end that the VM may delete. It is 0 for a
+// acknowledgedForHold returns the number of the last end that the VM may delete. It is 0 for a
 // silent VM, which may have crashed: its next life numbers its ends from 1 again.
-func (v *vmState) notedForHold() int64 {
+func (v *vmState) acknowledgedForHold() int64 {
 	if v.silent {
 		return 0
 	}
-	return v.noted
+	return v.acknowledgedEnd
 }
 
 // HoldAnswered handles the outcome of a hold.
@@ -61,11 +61,11 @@
 	if v == nil {
 		return
 	}
-	if c.Look {
-		s.lookAnswered(now, v, out, r)
+	if c.Probe {
+		s.probeAnswered(now, v, out, r)
 		return
 	}
-	v.holding = false
+	v.holdInFlight = false
 	if out != Answered || !r.Lists {
 		s.holdFailed(now, v, out, r)
 		return
@@ -74,10 +74,10 @@
 		return
 	}
 	v.lifeEnded = false
-	s.forgetLapsed(v)
+	s.forgetExpiredRuns(v)
 	s.applyLists(now, v, r)
-	if !v.heldOnce && len(r.Finished) < maxListedEnds {
-		v.heldOnce, v.firstHeldAt = true, now
+	if !v.reported && len(r.Finished) < maxListedEnds {
+		v.reported, v.firstReportedAt = true, now
 		v.inheritedUntil = time.Time{}
 	}
 	v.nextHold = now.Add(minHoldInterval)
@@ -132,11 +132,11 @@
 	v.nextHold = now.Add(holdRetry * time.Duration(min(v.holdFailures, 4)))
 }
 
-// advanceNoted advances the last noted end according to what is stored.
-func (v *vmState) advanceNoted(stored int64) {
+// advanceAcknowledged advances the last noted end according to what is stored.
+func (v *vmState) advanceAcknowledged(stored int64) {
 	n := 0
 	for n < len(v.unsavedEnds) && v.unsavedEnds[n].save <= stored {
-		v.noted = v.unsavedEnds[n].number
+		v.acknowledgedEnd = v.unsavedEnds[n].number
 		n++
 	}
 	if n > 0 {
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -26,8 +26,8 @@
 	movingTo job.PoolName
 }
 
-// Machines takes in a list of machines that was requested at asked.
-func (s *Scheduler) Machines(asked time.Time, list []job.Machine) {
+// MachinesListed takes in a list of machines that was requested at asked.
+func (s *Scheduler) MachinesListed(requestedAt time.Time, list []job.Machine) {
 	present := map[job.MachineID]bool{}
 	for _, m := range list {
 		present[m.ID] = true
@@ -39,7 +39,7 @@
 		if x.State != m.State || x.VM != m.VM {
 			s.decided(Decision{Kind: MachineSeen, VM: m.VM, Reason: string(m.ID) + " " + string(m.State)})
 		}
-		x.Machine, x.listedAt = m, asked
+		x.Machine, x.listedAt = m, requestedAt
 		if v := s.vms.Get(m.VM); v != nil {
 			v.machine = m.ID
 		}
@@ -51,16 +51,16 @@
 	}
 	for _, v := range s.vms.All() {
 		s.setMachine(v, v.machine)
-		s.endReplacedLife(asked, v)
+		s.endReplacedLife(requestedAt, v)
 	}
 }
 
 // endReplacedLife frees the runs of a VM whose machine is listed with a newer life. A machine
 // has one life at a time, so the older one has ended. After a crash this frees the tasks
 // seconds before the VM's lease runs out.
-func (s *Scheduler) endReplacedLife(asked time.Time, v *vmState) {
+func (s *Scheduler) endReplacedLife(requestedAt time.Time, v *vmState) {
 	m := v.host
-	if m == nil || m.VM == "" || m.VM == v.id || !v.firstSeen.Before(asked) {
+	if m == nil || m.VM == "" || m.VM == v.id || !v.firstSeen.Before(requestedAt) {
 		return
 	}
 	// The list lags and may show the life before this one. The directory tells which of the two
@@ -68,14 +68,14 @@
 	if other := s.vms.Get(m.VM); other == nil || !other.listed || other.born <= v.born {
 		return
 	}
-	s.endLife(asked, v, "machine runs a newer VM life")
+	s.endLife(requestedAt, v, "machine runs a newer VM life")
 }
 
 // endLife handles a proof that a VM's life has ended.
 func (s *Scheduler) endLife(now time.Time, v *vmState, why string) {
 	v.inheritedUntil = time.Time{}
 	v.lifeEnded = true
-	s.countLapsedCrashes(now, v)
+	s.countExpiredRunCrashes(now, v)
 	var ended []*run
 	for _, r := range v.runs.All() {
 		if r.phase == runPlanned {
@@ -95,11 +95,11 @@
 // mayOrderMachine reports whether the owner may order the machine: a former owner's order for
 // it must be long enough ago.
 func (s *Scheduler) mayOrderMachine(now time.Time, id job.MachineID) bool {
-	if !s.rights.Order {
+	if !s.rights.OrderMachines {
 		return false
 	}
 	o := s.recentOrders.Get(id)
-	return o.holder == "" || o.holder == s.settings.Holder || now.After(o.at.Add(s.settings.MachineLease+formerOrderSlack))
+	return o.issuer == "" || o.issuer == s.settings.OrderIssuer || now.After(o.at.Add(s.settings.MachineLease+formerOrderSlack))
 }
 
 // pendingOrder is an order for a machine. It is held back until it is stored that the machine
@@ -112,7 +112,7 @@
 
 // recentOrder is an order that was given to a machine recently.
 type recentOrder struct {
-	holder string
+	issuer string
 	// at is when the order was given, or the time of the take-over if a former owner gave it.
 	at time.Time
 }
@@ -132,7 +132,7 @@
 // orderMachine sends an order as soon as it is stored that the machine has one.
 func (s *Scheduler) orderMachine(now time.Time, id job.MachineID, c Command) {
 	s.pruneOrders(now)
-	s.recentOrders.Set(id, recentOrder{holder: s.settings.Holder, at: now})
+	s.recentOrders.Set(id, recentOrder{issuer: s.settings.OrderIssuer, at: now})
 	s.dirtyOrders = append(s.dirtyOrders, id)
 	s.pendingOrders = append(s.pendingOrders, pendingOrder{saveSequence: s.nextSaveSequence(), machine: id, command: c})
 }
@@ -166,18 +166,18 @@
 			return true
 		}
 		v := s.vms.Get(m.VM)
-		if s.rights.Order && (v == nil || v.runs.Len() == 0) {
+		if s.rights.OrderMachines && (v == nil || v.runs.Len() == 0) {
 			// The order's age counts from its sending and not from the decision: when the table
 			// is slow, seconds lie between them.
-			s.recentOrders.Set(o.machine, recentOrder{holder: s.settings.Holder, at: now})
+			s.recentOrders.Set(o.machine, recentOrder{issuer: s.settings.OrderIssuer, at: now})
 			s.emit(o.command)
 			return true
 		}
 		switch c := o.command.(type) {
 		case Move:
 			s.MoveAnswered(now, c, NotDone, job.MachineAccepted)
-		case Upkeep:
-			s.UpkeepAnswered(now, c, NotDone, job.MachineAccepted)
+		case Maintain:
+			s.MaintainAnswered(now, c, NotDone, job.MachineAccepted)
 		}
 		return true
 	})
--- a/core/schedule/upkeep.go
+++ b/core/schedule/maintenance.go
@@ -15,7 +15,7 @@
 	job.Wave
 	arrived        time.Time
 	done           map[job.MachineID]bool
-	inUpkeep       map[job.MachineID]bool
+	inMaintenance  map[job.MachineID]bool
 	publishedState job.WaveState
 	published      bool
 }
@@ -34,7 +34,7 @@
 	if s.waves.Get(w.Number) != nil {
 		return
 	}
-	x := &waveState{Wave: w, arrived: now, done: map[job.MachineID]bool{}, inUpkeep: map[job.MachineID]bool{}}
+	x := &waveState{Wave: w, arrived: now, done: map[job.MachineID]bool{}, inMaintenance: map[job.MachineID]bool{}}
 	for _, id := range done {
 		x.done[id] = true
 	}
@@ -70,24 +70,24 @@
 		if w.done[id] || m == nil || m.movingTo != "" {
 			continue
 		}
-		if m.State == job.MachineMaintenance && !w.inUpkeep[id] {
+		if m.State == job.MachineMaintenance && !w.inMaintenance[id] {
 			// A former owner ordered the upkeep.
-			w.inUpkeep[id] = true
+			w.inMaintenance[id] = true
 		}
-		if w.inUpkeep[id] {
+		if w.inMaintenance[id] {
 			cordoned[id] = true
 			continue
 		}
 		remaining = append(remaining, m)
 	}
-	if len(remaining) == 0 && len(w.inUpkeep) == 0 && s.machines.Len() > 0 && s.waveDone(w) {
+	if len(remaining) == 0 && len(w.inMaintenance) == 0 && s.machines.Len() > 0 && s.waveDone(w) {
 		s.completeWave(now, w)
 		return
 	}
 	slices.SortFunc(remaining, func(a, b *machineState) int {
 		return cmp.Or(cmp.Compare(s.evictionCost(a), s.evictionCost(b)), cmp.Compare(a.ID, b.ID))
 	})
-	s.upkeepNext(now, w, remaining, cordoned)
+	s.maintainNext(now, w, remaining, cordoned)
 }
 
 // waveDone reports whether all machines of the wave that still exist are done.
@@ -107,42 +107,42 @@
 	s.emit(PublishWave{Number: w.Number, State: job.WaveCompleted})
 }
 
-// upkeepNext cordons the next machines and orders upkeep for those that are empty. The number
+// maintainNext cordons the next machines and orders upkeep for those that are empty. The number
 // of machines in upkeep never exceeds the wave's bound.
-func (s *Scheduler) upkeepNext(now time.Time, w *waveState, remaining []*machineState, cordoned map[job.MachineID]bool) {
+func (s *Scheduler) maintainNext(now time.Time, w *waveState, remaining []*machineState, cordoned map[job.MachineID]bool) {
 	slots := max(1, w.MaxConcurrent)
 	emptying := 0
 	for _, m := range remaining {
-		if len(w.inUpkeep)+emptying >= slots+cordonAhead {
+		if len(w.inMaintenance)+emptying >= slots+cordonAhead {
 			return
 		}
 		v := s.vms.Get(m.VM)
-		if m.VM != "" && (v == nil || !v.heldOnce || v.silent) {
+		if m.VM != "" && (v == nil || !v.reported || v.silent) {
 			// What runs on the VM is unknown until it has reported.
 			continue
 		}
 		emptying++
 		cordoned[m.ID] = true
 		if v != nil && v.runs.Len() > 0 {
-			s.relocateLasting(now, v, "upkeep")
+			s.relocateLongRunning(now, v, "upkeep")
 			continue
 		}
-		if len(w.inUpkeep) < slots && m.State == job.MachineUp && s.mayOrderMachine(now, m.ID) && !now.Before(m.retryAt) {
-			s.orderUpkeep(now, w, m)
+		if len(w.inMaintenance) < slots && m.State == job.MachineUp && s.mayOrderMachine(now, m.ID) && !now.Before(m.retryAt) {
+			s.orderMaintenance(now, w, m)
 		}
 	}
 }
 
-// orderUpkeep orders the upkeep of a machine.
-func (s *Scheduler) orderUpkeep(now time.Time, w *waveState, m *machineState) {
-	w.inUpkeep[m.ID] = true
+// orderMaintenance orders the upkeep of a machine.
+func (s *Scheduler) orderMaintenance(now time.Time, w *waveState, m *machineState) {
+	w.inMaintenance[m.ID] = true
 	m.awaitingAnswer, m.orderedVM = true, m.VM
 	m.retryAt, m.refused = time.Time{}, false
-	s.orderMachine(now, m.ID, Upkeep{Machine: m.ID, Wave: w.Number})
+	s.orderMachine(now, m.ID, Maintain{Machine: m.ID, Wave: w.Number})
 }
 
-// UpkeepAnswered handles the outcome of an order for upkeep.
-func (s *Scheduler) UpkeepAnswered(now time.Time, c Upkeep, out Outcome, why job.MachineRefusal) {
+// MaintainAnswered handles the outcome of an order for upkeep.
+func (s *Scheduler) MaintainAnswered(now time.Time, c Maintain, out Outcome, why job.MachineRefusal) {
 	m, w := s.machines.Get(c.Machine), s.waves.Get(c.Wave)
 	if m == nil || w == nil {
 		return
@@ -151,7 +151,7 @@
 	m.answeredAt = now
 	switch {
 	case out == Answered && why == job.MachineAccepted:
-		s.decided(Decision{Kind: MachineUpkept, VM: m.orderedVM, Reason: string(m.ID)})
+		s.decided(Decision{Kind: MachineMaintained, VM: m.orderedVM, Reason: string(m.ID)})
 		if v := s.vms.Get(m.orderedVM); v != nil {
 			s.endLife(now, v, "machine is in upkeep")
 		}
@@ -159,10 +159,10 @@
 		// The order may be carried out later, so it is repeated until its outcome is known.
 		m.retryAt = now.Add(machineRetryDelay)
 	case out == NotDone:
-		delete(w.inUpkeep, m.ID)
+		delete(w.inMaintenance, m.ID)
 		m.retryAt = now.Add(machineRetryDelay)
 	case why == job.MachineOtherWave:
-		delete(w.inUpkeep, m.ID)
+		delete(w.inMaintenance, m.ID)
 		w.done[m.ID] = true
 	default:
 		// The machine may be in upkeep on an earlier order whose answer was lost. It counts as
@@ -175,12 +175,12 @@
 // requested after the order was accepted shows as up.
 func (s *Scheduler) collectReturned(now time.Time, w *waveState) {
 	for _, id := range w.Machines {
-		if !w.inUpkeep[id] {
+		if !w.inMaintenance[id] {
 			continue
 		}
 		m := s.machines.Get(id)
 		if m == nil {
-			delete(w.inUpkeep, id)
+			delete(w.inMaintenance, id)
 			continue
 		}
 		if m.awaitingAnswer {
@@ -188,7 +188,7 @@
 		}
 		if !m.retryAt.IsZero() && now.After(m.retryAt) {
 			m.retryAt, m.awaitingAnswer = time.Time{}, true
-			s.orderMachine(now, id, Upkeep{Machine: id, Wave: w.Number})
+			s.orderMachine(now, id, Maintain{Machine: id, Wave: w.Number})
 			continue
 		}
 		// A list that was requested before the order was answered may show the state before the
@@ -196,7 +196,7 @@
 		if m.State != job.MachineUp || !m.retryAt.IsZero() || !m.listedAt.After(m.answeredAt) {
 			continue
 		}
-		delete(w.inUpkeep, id)
+		delete(w.inMaintenance, id)
 		if m.refused {
 			m.retryAt = now.Add(machineRetryDelay)
 			continue
@@ -215,15 +215,15 @@
 	cost := 0.0
 	for _, r := range v.runs.All() {
 		cost++
-		if r.lasting {
+		if r.longRunning {
 			cost += 2
 		}
 	}
 	return cost
 }
 
-// relocateLasting moves lasting tasks off a VM, as far as their steps may miss tasks.
-func (s *Scheduler) relocateLasting(now time.Time, v *vmState, why string) {
+// relocateLongRunning moves lasting tasks off a VM, as far as their steps may miss tasks.
+func (s *Scheduler) relocateLongRunning(now time.Time, v *vmState, why string) {
 	for _, r := range v.runs.All() {
 		if s.mayRelocate(now, r) {
 			s.stopRun(now, r, why)
@@ -235,25 +235,25 @@
 // owner may do the same at the same time while each owner counts only its own stops, so this
 // requires the right that ends before another owner can take over.
 func (s *Scheduler) mayRelocate(now time.Time, r *run) bool {
-	if !s.rights.Order || r.stopping || r.phase != runConfirmed {
+	if !s.rights.OrderMachines || r.stopping || r.phase != runConfirmed {
 		return false
 	}
 	j, _, st, _ := s.task(r.task)
-	return j != nil && !j.over() && st.def.LongRunning && s.mayMiss(now, st, r)
+	return j != nil && !j.over() && st.def.LongRunning && s.withinDisruptionBudget(now, st, r)
 }
 
 // mayBeStopping reports whether a former owner may have ordered the run to stop. The VM lists
 // such a run as running until it has stopped; once this returns false, the VM's list would show
 // its end.
 func (s *Scheduler) mayBeStopping(now time.Time, r *run) bool {
-	return r.adopted && now.Before(r.vm.firstHeldAt.Add(s.settings.TaskStopMax+busyHoldWait))
+	return r.adopted && now.Before(r.vm.firstReportedAt.Add(s.settings.TaskStopMax+busyHoldWait))
 }
 
-// mayMiss reports whether a lasting step can spare the run now, which requires that fewer other
+// withinDisruptionBudget reports whether a lasting step can spare the run now, which requires that fewer other
 // tasks are missing than the step allows. A task counts as missing from its stop until it is
 // listed as fully running again.
-func (s *Scheduler) mayMiss(now time.Time, st *stepState, r *run) bool {
-	missing := 0
+func (s *Scheduler) withinDisruptionBudget(now time.Time, st *stepState, r *run) bool {
+	unavailable := 0
 	for i := range st.tasks {
 		t := &st.tasks[i]
 		if i == r.task.Index {
@@ -261,11 +261,11 @@
 		}
 		x := t.live()
 		if x == nil || x.percent < 100 || x.phase != runConfirmed || x.vm.silent || s.mayBeStopping(now, x) {
-			missing++
+			unavailable++
 		}
 	}
 	if !st.def.HasDisruptionBudget {
-		return missing == 0
+		return unavailable == 0
 	}
-	return missing < st.def.DisruptionBudget
+	return unavailable < st.def.DisruptionBudget
 }
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -20,12 +20,12 @@
 		x := sizing.Machine{ID: id, Pool: m.Pool, Zone: m.Zone, CPU: m.Capacity.CPU}
 		if p := s.config.Pool(m.Pool); p == nil || !p.Standby {
 			v := s.vms.Get(m.VM)
-			if v == nil || v.runs.Len() > 0 || !s.usable(now, v) || v.machine != id || v.room.CPU == 0 {
+			if v == nil || v.runs.Len() > 0 || !s.usable(now, v) || v.machine != id || v.capacity.CPU == 0 {
 				continue
 			}
 			// The machine list lags behind what the VM reports itself, from which the capacity
 			// of its pool is counted.
-			x.CPU, x.IdleSince, x.Vacated = v.room.CPU, v.idleSince, v.vacating
+			x.CPU, x.IdleSince, x.Vacated = v.capacity.CPU, v.idleSince, v.vacating
 		}
 		out = append(out, x)
 	}
@@ -35,14 +35,14 @@
 // mayMoveMachine reports whether the machine can be ordered into another pool and would add
 // capacity there.
 func (s *Scheduler) mayMoveMachine(now time.Time, m *machineState) bool {
-	stays := m.State == job.MachineUp && m.movingTo == "" && !s.inUpkeep(m.ID)
+	stays := m.State == job.MachineUp && m.movingTo == "" && !s.inMaintenance(m.ID)
 	return stays && !now.Before(m.retryAt) && !s.evacuatedZones.has(m.Zone) && s.mayOrderMachine(now, m.ID)
 }
 
-// inUpkeep reports whether a maintenance wave has the machine's upkeep in progress.
-func (s *Scheduler) inUpkeep(id job.MachineID) bool {
+// inMaintenance reports whether a maintenance wave has the machine's upkeep in progress.
+func (s *Scheduler) inMaintenance(id job.MachineID) bool {
 	for _, w := range s.waves.All() {
-		if w.inUpkeep[id] {
+		if w.inMaintenance[id] {
 			return true
 		}
 	}
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -35,9 +35,9 @@
 	minRunSeconds = 0.01
 	// defaultEstimate is used for tasks without an estimate.
 	defaultEstimate = time.Second
-	// uselessFactor is how many times its allowed time a job may take and still be of some use
+	// lateLimitFactor is how many times its allowed time a job may take and still be of some use
 	// to its caller.
-	uselessFactor = 3
+	lateLimitFactor = 3
 	// defaultStretch is used for queues that set none.
 	defaultStretch = 1.5
 )
@@ -156,13 +156,13 @@
 }
 
 // objective predicts when the job is due, and from when on its result is useless.
-func (s *Scheduler) objective(j *jobState) (due, useless time.Time) {
+func (s *Scheduler) objective(j *jobState) (due, lateLimit time.Time) {
 	stretch := j.Terms.Stretch
 	if stretch <= 0 {
 		stretch = defaultStretch
 	}
 	allowed := time.Duration(stretch*float64(s.totalTime(j))) + j.Terms.LatencyAllowance
-	return j.arrived.Add(allowed), j.arrived.Add(uselessFactor * allowed)
+	return j.arrived.Add(allowed), j.arrived.Add(lateLimitFactor * allowed)
 }
 
 // work predicts the core-seconds that the job still needs, and those that it needs in total.
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -73,7 +73,7 @@
 var wide = job.Step{Count: 4, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
 
 // A step with a run that this owner hasn't seen in full must not change the statistics.
-func TestPartlySeenStepsDontChangeStatistics(t *testing.T) {
+func TestPartlyObservedStepsDontChangeStatistics(t *testing.T) {
 	h := newHarness(t)
 	j := h.newJob("j", pair)
 	h.completeStep(j, 0, time.Second)
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -12,15 +12,15 @@
 const (
 	// rankLasting: a lasting task serves users or runs for long, and must be running again
 	// within seconds of any end.
-	rankLasting rank = iota
+	rankLongRunning rank = iota
 	// rankInTime: the job can complete by its objective.
 	rankInTime
 	// rankLate: the job can only complete late, when it is worth a small part of its value.
 	rankLate
 	// rankExcess: the job's account has submitted more than its share.
-	rankExcess
+	rankBeyondShare
 	// rankUseless: nobody waits for the job any more, but it was accepted and still has to run.
-	rankUseless
+	rankTooLate
 )
 
 // String returns the rank in snake case.
@@ -84,8 +84,8 @@
 
 // newCandidate computes the rank and density of a job.
 func (s *Scheduler) newCandidate(now time.Time, j *jobState) candidate {
-	c := candidate{job: j, rank: rankLasting}
-	if j.lasting {
+	c := candidate{job: j, rank: rankLongRunning}
+	if j.longRunning {
 		return c
 	}
 	left, all := s.work(j)
@@ -102,10 +102,10 @@
 	case !ready.After(j.lateLimit):
 		c.rank = rankLate
 	default:
-		c.rank = rankUseless
+		c.rank = rankTooLate
 	}
 	if j.beyondShare {
-		c.rank = max(c.rank, rankExcess)
+		c.rank = max(c.rank, rankBeyondShare)
 	}
 	return c
 }
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -26,23 +26,23 @@
 		return
 	}
 	tailRatio, serving := 0.0, false
-	var fills []*run
+	var spareCPU []*run
 	for _, r := range v.runs.All() {
 		_, _, st, _ := s.task(r.task)
 		switch {
 		case st == nil || r.phase != runConfirmed || r.stopping:
 		case st.def.SpareCPU:
-			fills = append(fills, r)
+			spareCPU = append(spareCPU, r)
 		case st.def.TailLatencyTarget > 0:
 			serving = true
 			tailRatio = max(tailRatio, float64(r.load)/float64(st.def.TailLatencyTarget.Milliseconds()))
 		}
 	}
-	if len(fills) == 0 {
+	if len(spareCPU) == 0 {
 		return
 	}
 	v.paceAt = now.Add(paceInterval)
-	for _, r := range fills {
+	for _, r := range spareCPU {
 		percent := 100
 		if serving {
 			percent = nextPace(r.pace, tailRatio)
--- a/core/schedule/place.go
+++ b/core/schedule/placement.go
@@ -25,9 +25,9 @@
 	costSameStep = 10.0
 	// costCrashRisk keeps tasks under which VMs have crashed apart from other tasks.
 	costCrashRisk = 5.0
-	// costFirstLasting keeps lasting tasks together: a VM that runs one can't be emptied
+	// costFirstLongRunning keeps lasting tasks together: a VM that runs one can't be emptied
 	// without stopping it.
-	costFirstLasting = 3.0
+	costFirstLongRunning = 3.0
 	// costOtherZone keeps the tasks of a job in one availability zone. A job is late as soon as
 	// one of its tasks is, so that a zone that is cut off then delays only the jobs that run in
 	// it, and not all that have a task there.
@@ -43,7 +43,7 @@
 	// takes the task. The others stay empty for wide tasks, upkeep and other pools.
 	cost := v.freeFraction()
 	if p.step.def.LongRunning {
-		cost += a.lastingCost(p, v)
+		cost += a.longRunningCost(p, v)
 	} else {
 		cost += localityCost(p.job, v)
 	}
@@ -65,7 +65,7 @@
 
 // freeFraction returns the fraction of the VM's CPU that is free.
 func (v *vmState) freeFraction() float64 {
-	return float64(v.room.CPU-v.used.CPU) / float64(max(1, v.room.CPU))
+	return float64(v.capacity.CPU-v.used.CPU) / float64(max(1, v.capacity.CPU))
 }
 
 // localityCost keeps a job in one availability zone and on VMs where it has already run tasks.
@@ -74,17 +74,17 @@
 	if j.zone != "" && j.zone != v.zone {
 		cost += costOtherZone
 	}
-	if j.places.Len() > 0 && !j.places.Has(v.id) {
+	if j.possibleVMs.Len() > 0 && !j.possibleVMs.Has(v.id) {
 		cost += costNewVM
 	}
 	return cost
 }
 
-// lastingCost spreads the tasks of a lasting step over VMs.
-func (a *assignment) lastingCost(p placement, v *vmState) float64 {
+// longRunningCost spreads the tasks of a lasting step over VMs.
+func (a *assignment) longRunningCost(p placement, v *vmState) float64 {
 	cost := costSameStep * float64(v.runsOfStep(p.id.StepID()))
-	if v.lasting == 0 {
-		cost += costFirstLasting
+	if v.longRunningRuns == 0 {
+		cost += costFirstLongRunning
 	}
 	return cost
 }
@@ -94,10 +94,10 @@
 func (v *vmState) interferingRuns(def *job.Step) int {
 	n := 0
 	if def.SpareCPU {
-		n += v.serving
+		n += v.servingRuns
 	}
 	if def.TailLatencyTarget > 0 {
-		n += v.fills
+		n += v.spareCPURuns
 	}
 	return n
 }
--- a/core/schedule/place_test.go
+++ b/core/schedule/placement_test.go
@@ -9,15 +9,15 @@
 	"lavenderpond/core/job"
 )
 
-// turnWithoutStoring runs one turn and stores none of its saves, as if the table were slow.
-func (h *harness) turnWithoutStoring(d time.Duration) []Command {
+// roundWithoutStoring runs one turn and stores none of its saves, as if the table were slow.
+func (h *harness) roundWithoutStoring(d time.Duration) []Command {
 	h.now = h.now.Add(d)
 	h.s.Tick(h.now)
 	h.s.Assign(h.now, h.now)
 	return h.s.TakeCommands()
 }
 
-func endedWell(c Start) job.End {
+func endOf(c Start) job.End {
 	return job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone}
 }
 
@@ -27,7 +27,7 @@
 func TestAllVMsOfARackAreStoredTogether(t *testing.T) {
 	h := newHarness(t)
 	for _, id := range []string{"one", "two"} {
-		h.s.VMSeen(h.now, job.VMRecord{
+		h.s.VMListed(h.now, job.VMRecord{
 			ID: job.VMID(id), Pool: poolA, Address: id, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 			Machine: job.MachineID("m-" + id), Born: 1, Labels: []job.Label{"r1-1"},
 		})
@@ -53,10 +53,10 @@
 		mine, other = other, mine
 	}
 	// Both tasks end, and the VM of the first step takes no more tasks.
-	h.lists(string(mine.VM), nil, endedWell(mine))
-	h.lists(string(other.VM), nil, endedWell(other))
+	h.lists(string(mine.VM), nil, endOf(mine))
+	h.lists(string(other.VM), nil, endOf(other))
 	h.s.vms.Get(mine.VM).draining = true
-	next := one[Start](h, h.turnWithoutStoring(10*time.Millisecond))
+	next := one[Start](h, h.roundWithoutStoring(10*time.Millisecond))
 	assert.Equal(t, next.VM, other.VM)
 	assert.Equal(t, next.Order.Task, job.TaskID{Job: "j", Step: 1})
 }
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -24,12 +24,12 @@
 	// peakDecay is the time constant with which a pool's peak need decays. It is longer than it
 	// takes all queues to burst in turn.
 	peakDecay = 30 * time.Second
-	// lastingSpareVMs is how many VMs a pool has beyond the number that its lasting tasks need
+	// longRunningSpareVMs is how many VMs a pool has beyond the number that its lasting tasks need
 	// if they may not share VMs, so that a task that ends can start elsewhere.
-	lastingSpareVMs = 1
-	// lastingWaitThreshold is how long a lasting task waits for room before its pool gets a VM
+	longRunningSpareVMs = 1
+	// longRunningWaitThreshold is how long a lasting task waits for room before its pool gets a VM
 	// for it.
-	lastingWaitThreshold = 200 * time.Millisecond
+	longRunningWaitThreshold = 200 * time.Millisecond
 )
 
 // poolStats tracks the demand for a pool.
@@ -92,7 +92,7 @@
 
 // poolNeeds returns what each pool needs and what it has.
 func (s *Scheduler) poolNeeds(now time.Time) []sizing.Pool {
-	waiting, lasting := s.demand(now)
+	waiting, longRunning := s.demand(now)
 	capacity := s.poolCapacity(now)
 	var out []sizing.Pool
 	for i := range s.config.Pools {
@@ -105,7 +105,7 @@
 			need := (r.arrival + waiting[p.Name]/targetWait.Seconds()) * 1000 / packingFraction
 			r.updatePeak(now, min(need, float64(capacity.total())))
 			x.SpareWeight = r.peak
-			l := lasting[p.Name]
+			l := longRunning[p.Name]
 			x.Need = max(l.cpu+int64(need), l.requiredVMs()*capacity.largestVMCPU) + l.waiting*capacity.largestVMCPU
 		}
 		out = append(out, x)
@@ -113,8 +113,8 @@
 	return out
 }
 
-// lastingDemand is what the lasting tasks of a pool need.
-type lastingDemand struct {
+// longRunningDemand is what the lasting tasks of a pool need.
+type longRunningDemand struct {
 	cpu int64
 	// minVMs is the number of VMs that the widest step with a bound on tasks per VM needs.
 	minVMs int
@@ -123,42 +123,42 @@
 }
 
 // requiredVMs returns the number of VMs that the pool needs for tasks that may not share a VM.
-func (l *lastingDemand) requiredVMs() int64 {
+func (l *longRunningDemand) requiredVMs() int64 {
 	if l.minVMs == 0 {
 		return 0
 	}
-	return int64(l.minVMs + lastingSpareVMs)
+	return int64(l.minVMs + longRunningSpareVMs)
 }
 
 // demand returns the waiting work of each pool, in core-seconds, as far as it is still of use,
 // and what the pool's lasting tasks need. Waiting tasks of a job that may still run on a VM that
 // has not reported yet are left out: they can't start, so capacity for them would stand empty
 // while other queues wait.
-func (s *Scheduler) demand(now time.Time) (waiting map[job.PoolName]float64, lasting map[job.PoolName]lastingDemand) {
-	waiting, lasting = map[job.PoolName]float64{}, map[job.PoolName]lastingDemand{}
+func (s *Scheduler) demand(now time.Time) (waiting map[job.PoolName]float64, longRunning map[job.PoolName]longRunningDemand) {
+	waiting, longRunning = map[job.PoolName]float64{}, map[job.PoolName]longRunningDemand{}
 	for _, j := range s.jobs.All() {
 		if j.over() {
 			continue
 		}
 		p := s.pool(j)
-		blocked := j.inherited && s.mayRunUnheard(j)
+		blocked := j.inherited && s.mayRunOnUnreportedVM(j)
 		switch {
-		case j.lasting:
-			l := lasting[p]
+		case j.longRunning:
+			l := longRunning[p]
 			l.add(j)
 			if !blocked {
 				l.waiting += j.longWaitingTasks(now)
 			}
-			lasting[p] = l
+			longRunning[p] = l
 		case now.Before(j.lateLimit) && !blocked:
 			waiting[p] += s.waitingWork(j)
 		}
 	}
-	return waiting, lasting
+	return waiting, longRunning
 }
 
 // add adds the tasks of a lasting job.
-func (l *lastingDemand) add(j *jobState) {
+func (l *longRunningDemand) add(j *jobState) {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
 			def := o.steps[i].def
@@ -173,7 +173,7 @@
 // longWaitingTasks counts the tasks of a lasting job that have waited for room for longer than
 // lastingWaitThreshold.
 func (j *jobState) longWaitingTasks(now time.Time) int64 {
-	if now.Sub(j.arrived) <= lastingWaitThreshold {
+	if now.Sub(j.arrived) <= longRunningWaitThreshold {
 		return 0
 	}
 	n := int64(0)
@@ -181,7 +181,7 @@
 		for i := range o.steps {
 			for t := range o.steps[i].tasks {
 				task := &o.steps[i].tasks[t]
-				if task.open() && (task.unavailableSince.IsZero() || now.Sub(task.unavailableSince) > lastingWaitThreshold) {
+				if task.open() && (task.unavailableSince.IsZero() || now.Sub(task.unavailableSince) > longRunningWaitThreshold) {
 					n++
 				}
 			}
@@ -219,12 +219,12 @@
 func (s *Scheduler) poolCapacity(now time.Time) poolCapacity {
 	r := poolCapacity{available: map[job.PoolName]int64{}, used: map[job.PoolName]int64{}}
 	for _, v := range s.vms.All() {
-		r.largestVMCPU = max(r.largestVMCPU, v.room.CPU)
+		r.largestVMCPU = max(r.largestVMCPU, v.capacity.CPU)
 		if v.host != nil {
 			r.largestVMCPU = max(r.largestVMCPU, v.host.Capacity.CPU)
 		}
 		if v.countsAsCapacity(now) {
-			r.available[v.pool] += v.room.CPU
+			r.available[v.pool] += v.capacity.CPU
 			r.used[v.pool] += v.used.CPU
 		}
 	}
@@ -256,8 +256,8 @@
 // while a zone is cut off, all VMs of that zone are listed and none has reported. If they
 // counted, their pools would seem to have room and would get no machines.
 func (v *vmState) countsAsCapacity(now time.Time) bool {
-	heard := v.heldOnce || now.Sub(v.firstSeen) < firstReportGrace
-	return v.listed && !v.draining && !v.evacuated && !v.silent && !v.cordoned && heard
+	reported := v.reported || now.Sub(v.firstSeen) < firstReportGrace
+	return v.listed && !v.draining && !v.evacuated && !v.silent && !v.cordoned && reported
 }
 
 // chooseVacating selects the VMs that should become idle so that their machines can move.
@@ -269,8 +269,8 @@
 			wasVacating[v.id] = true
 		}
 		v.vacating = false
-		if v.acceptsTasks() && !v.cordoned && v.lasting == 0 {
-			vms = append(vms, sizing.VM{ID: v.id, Pool: v.pool, CPU: v.room.CPU, Used: v.used.CPU})
+		if v.acceptsTasks() && !v.cordoned && v.longRunningRuns == 0 {
+			vms = append(vms, sizing.VM{ID: v.id, Pool: v.pool, CPU: v.capacity.CPU, Used: v.used.CPU})
 		}
 	}
 	for _, id := range sizing.Vacate(pools, vms) {
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -33,7 +33,7 @@
 // listVMs lists VMs of a pool in the directory.
 func (h *harness) listVMs(pool job.PoolName, ids ...string) {
 	for _, id := range ids {
-		h.s.VMSeen(h.now, job.VMRecord{
+		h.s.VMListed(h.now, job.VMRecord{
 			ID: job.VMID(id), Pool: pool, Address: id, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 			Machine: job.MachineID("m-" + id), Born: 1, Zone: "z",
 		})
@@ -56,10 +56,10 @@
 		id := job.VMID(n)
 		v := h.s.vms.Get(id)
 		list = append(list, job.Machine{
-			ID: job.MachineID("m-" + n), Pool: v.pool, State: job.MachineUp, Zone: "z", Capacity: v.room, VM: id,
+			ID: job.MachineID("m-" + n), Pool: v.pool, State: job.MachineUp, Zone: "z", Capacity: v.capacity, VM: id,
 		})
 	}
-	h.s.Machines(h.now, list)
+	h.s.MachinesListed(h.now, list)
 }
 
 // jobIn submits a job to a queue.
@@ -108,7 +108,7 @@
 // Guards against a pool with spare capacity whose machines never become idle because a little
 // runs on each of its VMs. When another pool is short, the next steps of its jobs must share a
 // VM, so that the other VM becomes idle and its machine moves at once.
-func TestVMIsVacatedForAPoolThatIsShort(t *testing.T) {
+func TestVMIsVacatedForPoolWithShortfall(t *testing.T) {
 	h := newPoolsHarness(t)
 	h.listVMs(poolA, "a1")
 	h.listVMs(poolB, "b1", "b2")
--- a/core/schedule/look.go
+++ b/core/schedule/probe.go
@@ -10,8 +10,8 @@
 	// answerDue is how long after it is sent a start should be answered. VMs answer
 	// within a few milliseconds.
 	answerDue = 150 * time.Millisecond
-	// lookInterval is the minimum time between two looks at a VM.
-	lookInterval = 50 * time.Millisecond
+	// probeInterval is the minimum time between two looks at a VM.
+	probeInterval = 50 * time.Millisecond
 )
 
 // checkUnanswered resolves starts without an answer. Waiting for the start's deadline and
@@ -22,7 +22,7 @@
 // keeps it from beginning later, and its task then starts elsewhere.
 func (s *Scheduler) checkUnanswered(now time.Time, v *vmState) {
 	v.unresponsive = false
-	if v.ordered == 0 && v.stopping == 0 {
+	if v.orderedRuns == 0 && v.stoppingRuns == 0 {
 		return
 	}
 	needed := false
@@ -35,11 +35,11 @@
 			needed = true
 		}
 	}
-	if !needed || v.looking || now.Before(v.lookedAt.Add(lookInterval)) || !s.rights.Hold {
+	if !needed || v.probeInFlight || now.Before(v.probedAt.Add(probeInterval)) || !s.rights.ExtendLeases {
 		return
 	}
-	v.looking, v.lookedAt = true, now
-	s.emit(Hold{VM: v.id, Look: true, Order: job.HoldOrder{Fence: v.fence}})
+	v.probeInFlight, v.probedAt = true, now
+	s.emit(Hold{VM: v.id, Probe: true, Order: job.HoldOrder{Fence: v.fence}})
 }
 
 // stopAccepted reports whether the VM has accepted the stop of an unanswered start. The
@@ -48,15 +48,15 @@
 	return r.phase == runUnanswered && r.stopping && r.stopClock > 0
 }
 
-// lookAnswered handles the outcome of a look.
-func (s *Scheduler) lookAnswered(now time.Time, v *vmState, out Outcome, r job.Report) {
-	v.looking = false
+// probeAnswered handles the outcome of a look.
+func (s *Scheduler) probeAnswered(now time.Time, v *vmState, out Outcome, r job.Report) {
+	v.probeInFlight = false
 	if out != Answered || !r.Lists || !s.recordAnswer(now, v, r) {
 		return
 	}
 	s.applyLists(now, v, r)
 	for _, x := range v.runs.All() {
-		if x.phase == runOrdered && v.lookedAt.Sub(x.orderedAt) > answerDue {
+		if x.phase == runOrdered && v.probedAt.Sub(x.orderedAt) > answerDue {
 			s.stopRun(now, x, "start not answered")
 			s.stopGang(now, x)
 		}
--- a/core/schedule/look_test.go
+++ b/core/schedule/probe_test.go
@@ -9,19 +9,19 @@
 	"lavenderpond/core/job"
 )
 
-// looks returns the looks among the commands.
-func looks(commands []Command) []Hold {
+// probes returns the looks among the commands.
+func probes(commands []Command) []Hold {
 	var out []Hold
 	for _, h := range only[Hold](commands) {
-		if h.Look {
+		if h.Probe {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// answerLook answers a look with the given running tasks.
-func (h *harness) answerLook(c Hold, running ...job.RunningTask) {
+// answerProbe answers a look with the given running tasks.
+func (h *harness) answerProbe(c Hold, running ...job.RunningTask) {
 	h.s.HoldAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Lists: true, Running: running})
 }
 
@@ -29,23 +29,23 @@
 // the start's timeout, its deadline and the next list would take about a second, too long
 // for a job that is due in two. Instead the VM is asked, the start is stopped, and the
 // task starts elsewhere within a few turns.
-func TestUnansweredStartGoesElsewhereSoon(t *testing.T) {
+func TestTaskOfUnansweredStartStartsElsewhereSoon(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", small)
 	lost := one[Start](h, h.step(10*time.Millisecond))
 	commands := h.step(answerDue + 10*time.Millisecond)
-	look := looks(commands)
-	assert.Equal(t, len(look), 1)
-	assert.Equal(t, look[0].Order.Deadline, job.VMClock(0), "a look does not extend the lease")
-	h.answerLook(look[0])
+	probe := probes(commands)
+	assert.Equal(t, len(probe), 1)
+	assert.Equal(t, probe[0].Order.Deadline, job.VMClock(0), "a look does not extend the lease")
+	h.answerProbe(probe[0])
 	stop := one[Stop](h, h.step(time.Millisecond))
 	assert.Equal(t, stop.Attempt, lost.Order.Attempt)
 	assert.Equal(t, len(only[Start](h.step(time.Millisecond))), 0, "the first start may still be carried out")
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock(), Born: 1})
-	look = looks(h.step(lookInterval))
-	assert.Equal(t, len(look), 1)
-	h.answerLook(look[0])
+	probe = probes(h.step(probeInterval))
+	assert.Equal(t, len(probe), 1)
+	h.answerProbe(probe[0])
 	again := one[Start](h, h.step(time.Millisecond))
 	assert.Assert(t, again.Order.Attempt > lost.Order.Attempt)
 }
@@ -57,9 +57,9 @@
 	h.ready("one")
 	h.job("j", "free", small)
 	start := one[Start](h, h.step(10*time.Millisecond))
-	look := looks(h.step(answerDue + 10*time.Millisecond))
-	assert.Equal(t, len(look), 1)
-	h.answerLook(look[0], running(start, 10))
+	probe := probes(h.step(answerDue + 10*time.Millisecond))
+	assert.Equal(t, len(probe), 1)
+	h.answerProbe(probe[0], running(start, 10))
 	commands := h.step(time.Millisecond)
 	assert.Equal(t, len(only[Stop](commands)), 0)
 	assert.Equal(t, h.s.jobs.Get("j").state, job.Running)
@@ -82,7 +82,7 @@
 
 // Guards against a run that reappears after its end. The answer to a look arrives before
 // that to an earlier hold, whose list is older.
-func TestOlderListIsNotTaken(t *testing.T) {
+func TestOlderListIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -7,56 +7,56 @@
 	"lavenderpond/core/job"
 )
 
-// lapsedRetention is how long runs that were freed because their VM's lease expired are
+// expiredRunRetention is how long runs that were freed because their VM's lease expired are
 // remembered. The VM may turn out to have crashed.
-const lapsedRetention = 30 * time.Second
+const expiredRunRetention = 30 * time.Second
 
-// countLapsedCrashes counts a crash for the runs that were freed when the VM's lease
+// countExpiredRunCrashes counts a crash for the runs that were freed when the VM's lease
 // expired, once its life is known to have ended.
-func (s *Scheduler) countLapsedCrashes(now time.Time, v *vmState) {
-	for _, r := range v.lapsed {
+func (s *Scheduler) countExpiredRunCrashes(now time.Time, v *vmState) {
+	for _, r := range v.expiredRuns {
 		s.countCrash(now, r)
 	}
-	s.forgetLapsed(v)
+	s.forgetExpiredRuns(v)
 }
 
-// lapse remembers a run that is freed because its VM's lease has expired.
-func (s *Scheduler) lapse(now time.Time, r *run) {
+// addExpiredRun remembers a run that is freed because its VM's lease has expired.
+func (s *Scheduler) addExpiredRun(now time.Time, r *run) {
 	j, _, _, t := s.task(r.task)
 	if t == nil || j.over() {
 		return
 	}
-	r.vm.lapsed = append(r.vm.lapsed, r)
-	r.vm.lapsedUntil = now.Add(lapsedRetention)
-	t.lapsed = append(t.lapsed, r)
+	r.vm.expiredRuns = append(r.vm.expiredRuns, r)
+	r.vm.expiredRunsUntil = now.Add(expiredRunRetention)
+	t.expiredRuns = append(t.expiredRuns, r)
 	s.markDirty(j)
 }
 
-// forgetLapsed deletes the lapsed runs of a VM, because their fate is known or never will
+// forgetExpiredRuns deletes the lapsed runs of a VM, because their fate is known or never will
 // be.
-func (s *Scheduler) forgetLapsed(v *vmState) {
-	for _, r := range v.lapsed {
+func (s *Scheduler) forgetExpiredRuns(v *vmState) {
+	for _, r := range v.expiredRuns {
 		j, _, st, t := s.task(r.task)
 		if t == nil || j.over() {
 			continue
 		}
-		t.lapsed = slices.DeleteFunc(t.lapsed, func(o *run) bool { return o == r })
+		t.expiredRuns = slices.DeleteFunc(t.expiredRuns, func(o *run) bool { return o == r })
 		st.recount()
 		s.markDirty(j)
 	}
-	v.lapsed = nil
+	v.expiredRuns = nil
 }
 
 // mayReachCrashLimit reports whether the task would reach the crash limit if all VMs on
 // which it lapsed have crashed. It must not start until their fate is known.
 func (t *taskState) mayReachCrashLimit() bool {
-	return len(t.lapsed) > 0 && len(t.crashes.attempts)+len(t.lapsed) >= maxCrashes
+	return len(t.expiredRuns) > 0 && len(t.crashes.attempts)+len(t.expiredRuns) >= maxCrashes
 }
 
 // recordStart stores a start before it is sent if a new owner would not know of it
 // otherwise. A new owner must count a crash that this owner doesn't live to see.
 func (s *Scheduler) recordStart(j *jobState, t *taskState, r *run) {
-	if !j.takenOver && !t.crashes.any() && len(t.lapsed) == 0 {
+	if !j.takenOver && !t.crashes.any() && len(t.expiredRuns) == 0 {
 		return
 	}
 	r.recorded = true
@@ -68,7 +68,7 @@
 func (j *jobState) restoreCrashes(p *job.Progress) {
 	for _, c := range p.Crashed {
 		if t := j.taskAt(c.Occurrence, c.Step, c.Task); t != nil {
-			t.crashes = crashes{attempts: c.Attempts, certain: c.Confirmed, atStart: c.AtStart, alone: c.SoleSuspect}
+			t.crashes = crashes{attempts: c.Attempts, confirmed: c.Confirmed, atStart: c.AtStart, soleSuspect: c.SoleSuspect}
 			j.occurrences[c.Occurrence].steps[c.Step].recount()
 		}
 	}
@@ -85,7 +85,7 @@
 		r := &run{
 			task: job.TaskID{Job: j.ID, Occurrence: x.Occurrence, Step: x.Step, Index: x.Task}, attempt: x.Attempt, vm: v,
 			phase: runUnanswered, adopted: true, recorded: true, crashSuspect: t.crashes.any(),
-			claim: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account, pace: 100,
+			reservation: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account, pace: 100,
 		}
 		r.setKind(st.def)
 		t.attempt = max(t.attempt, x.Attempt)
@@ -93,7 +93,7 @@
 		case x.Born != 0 && v.born > x.Born:
 			s.countCrash(now, r)
 		case x.LeaseExpired:
-			s.lapse(now, r)
+			s.addExpiredRun(now, r)
 		default:
 			s.addRun(r, st, t)
 		}
@@ -119,7 +119,7 @@
 	if t.crashes.any() {
 		p.Crashed = append(p.Crashed, job.TaskCrashes{
 			Occurrence: id.Occurrence, Step: id.Step, Task: id.Index,
-			Attempts: slices.Clone(t.crashes.attempts), Confirmed: t.crashes.certain, AtStart: t.crashes.atStart, SoleSuspect: t.crashes.alone,
+			Attempts: slices.Clone(t.crashes.attempts), Confirmed: t.crashes.confirmed, AtStart: t.crashes.atStart, SoleSuspect: t.crashes.soleSuspect,
 		})
 	}
 	for _, r := range t.runs {
@@ -127,15 +127,15 @@
 			p.Started = append(p.Started, r.startRecord(false))
 		}
 	}
-	for _, r := range t.lapsed {
+	for _, r := range t.expiredRuns {
 		p.Started = append(p.Started, r.startRecord(true))
 	}
 }
 
 // startRecord returns the stored form of the run's start.
-func (r *run) startRecord(lapsed bool) job.TaskStart {
+func (r *run) startRecord(leaseExpired bool) job.TaskStart {
 	return job.TaskStart{
 		Occurrence: r.task.Occurrence, Step: r.task.Step, Task: r.task.Index, Attempt: r.attempt,
-		VM: r.vm.id, Born: r.vm.born, LeaseExpired: lapsed,
+		VM: r.vm.id, Born: r.vm.born, LeaseExpired: leaseExpired,
 	}
 }
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -49,7 +49,7 @@
 	}
 	save := s.saveSequenceOf(e.Task.Job)
 	if save <= s.storedSequence && len(v.unsavedEnds) == 0 {
-		v.noted = e.Number
+		v.acknowledgedEnd = e.Number
 		return
 	}
 	v.unsavedEnds = append(v.unsavedEnds, unsavedEnd{number: e.Number, save: save})
@@ -239,12 +239,12 @@
 		pace: 100, adopted: true, unknownJob: j == nil, lastList: v.listCount,
 	}
 	if j != nil {
-		r.claim, r.cost, r.account = st.def.Reservation(), st.def.Resources, j.Terms.Account
+		r.reservation, r.cost, r.account = st.def.Reservation(), st.def.Resources, j.Terms.Account
 		r.setKind(st.def)
 	}
 	wanted := j != nil && !j.over() && !t.done && (t.live() == nil || st.def.Speculative)
 	s.addRun(r, st, t)
-	s.decided(Decision{Kind: TaskFound, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
+	s.decided(Decision{Kind: TaskAdopted, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
 	if !wanted {
 		s.stopRun(now, r, "no longer wanted")
 		return
--- a/core/schedule/otherlife_test.go
+++ b/core/schedule/restart_test.go
@@ -12,7 +12,7 @@
 // Guards against a second run of a task that a new life of its VM has begun. Answers to
 // starts don't say which life gave them, and the directory may report a new life before a
 // list does.
-func TestStartThatANewLifeHasAnsweredIsNotFreed(t *testing.T) {
+func TestStartAnsweredByRestartedVMIsNotFreed(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
 	h.ready("one", "two")
@@ -20,7 +20,7 @@
 	start := one[Start](h, h.step(0))
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: 50})
 	h.now = h.now.Add(300 * time.Millisecond)
-	h.s.VMSeen(h.now, job.VMRecord{
+	h.s.VMListed(h.now, job.VMRecord{
 		ID: start.VM, Pool: poolA, Address: string(start.VM), Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 		Machine: job.MachineID("m-" + string(start.VM)), Born: 2,
 	})
@@ -35,7 +35,7 @@
 // Guards against a lease that lasts longer than the owner assumes. A new life that
 // carries out a start grants a full lease from then on, although the deadlines of the
 // previous life pass earlier.
-func TestLeaseOfANewLifeCountsFromItsStart(t *testing.T) {
+func TestLeaseOfRestartedVMCountsFromStartOfTask(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
 	h.ready("one", "two")
@@ -60,7 +60,7 @@
 
 // Guards against a new life that deletes its first ends. Looks go to a VM that leaves a
 // start unanswered, long before its hold fails and it counts as silent.
-func TestLookNotesNothing(t *testing.T) {
+func TestProbeAcknowledgesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
@@ -69,22 +69,22 @@
 	h.lists("one", nil, end(1, first, job.EndedDone))
 	h.step(0)
 	h.lists("one", nil)
-	assert.Equal(t, notedAt(h.step(30*time.Millisecond), "one"), int64(1))
+	assert.Equal(t, acknowledgedAt(h.step(30*time.Millisecond), "one"), int64(1))
 	h.job("k", "free", small)
 	one[Start](h, h.step(0))
-	look := looks(h.step(answerDue + 10*time.Millisecond))
-	assert.Equal(t, len(look), 1)
-	assert.Equal(t, look[0].Order.Noted, int64(0))
+	probe := probes(h.step(answerDue + 10*time.Millisecond))
+	assert.Equal(t, len(probe), 1)
+	assert.Equal(t, probe[0].Order.Noted, int64(0))
 }
 
 // Guards against a start that a new life carries out late while its task runs elsewhere.
 // The VM's state is deleted seconds before that becomes impossible.
-func TestLostStartIsStoppedAtANewLifeOfAForgottenVM(t *testing.T) {
+func TestLostStartIsStoppedOnRestartedVMAfterItWasUnlisted(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.job("j", "free", small)
 	start := one[Start](h, h.step(0))
-	h.s.SetRights(Rights{Hold: true})
+	h.s.SetRights(Rights{ExtendLeases: true})
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.step(700 * time.Millisecond)
 	h.lists("one", nil)
@@ -95,7 +95,7 @@
 		}
 	}
 	assert.Assert(t, h.now.Sub(begin) < maxOrderDelay)
-	h.s.VMSeen(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
+	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 3, Born: 2, Lists: true})
 	stops := only[Stop](h.step(0))
 	assert.Assert(t, len(stops) > 0)
@@ -104,7 +104,7 @@
 
 // Guards against a second run of a task whose end is beyond the number of ends that a VM
 // lists at a time.
-func TestListWithoutAllEndsFreesNothing(t *testing.T) {
+func TestIncompleteListOfEndsFreesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
 	h.job("j", "free", small)
@@ -124,13 +124,13 @@
 
 // Guards against a clock reading of the previous life that is taken for one of the new
 // life. The answer to a start arrives after the directory reported the new life.
-func TestLateAnswerOfAFormerLifeIsNotTaken(t *testing.T) {
+func TestLateAnswerOfPreviousLifeIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
 	h.ready("one")
 	h.job("j", "free", small)
 	start := one[Start](h, h.step(0))
-	h.s.VMSeen(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
+	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: h.clock()})
 	born := h.now
 	clock := func() job.VMClock { return job.VMClock(h.now.Sub(born).Milliseconds()) + 5 }
@@ -152,13 +152,13 @@
 
 // Guards against a second run of a task that a previous owner began on a new life without
 // knowing of that life. The roster names the life before it.
-func TestNewLifeOfAnInheritedVMIsHeardFirst(t *testing.T) {
+func TestRestartedInheritedVMMustReportFirst(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
-	h.s.VMSeen(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
+	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	assert.Equal(t, len(only[Start](h.step(30*time.Millisecond))), 0, "the task may be running there")
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 900, Born: 2, Lists: true})
 	assert.Equal(t, len(only[Start](h.step(0))), 1)
@@ -166,11 +166,11 @@
 
 // Guards against a second run of a task whose end doesn't fit into the first list that a
 // new owner gets from its VM.
-func TestVMIsHeardOnceItListsAllEnds(t *testing.T) {
+func TestVMHasReportedOnceItListsAllEnds(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
-	h.seen("one")
+	h.listVM("one")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 	var ends []job.End
@@ -185,7 +185,7 @@
 
 // Guards against a run that is never freed. A stop that the previous life accepted
 // doesn't affect the new one.
-func TestStopTakenByAFormerLifeIsSentAgain(t *testing.T) {
+func TestStopAcceptedByPreviousLifeIsSentAgain(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
 	h.ready("one")
@@ -193,8 +193,8 @@
 	start := one[Start](h, h.step(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.s.Cancel(h.now, "j")
-	stop := one[Stop](h, h.turnWithoutStoring(0))
-	h.s.VMSeen(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
+	stop := one[Stop](h, h.roundWithoutStoring(0))
+	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock()})
 	again := only[Stop](h.step(stopRetry))
 	assert.Assert(t, len(again) > 0)
@@ -205,18 +205,18 @@
 
 // Guards against orders to a previous life that a new one carries out late: a start, or a
 // hold that notes ends.
-func TestOrdersToANewLifeInvalidateThoseToTheFormer(t *testing.T) {
+func TestOrdersToRestartedVMInvalidateEarlierOrders(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.s.RaiseFence(9)
 	h.lists("one", nil)
 	assert.Equal(t, one[Hold](h, h.step(100*time.Millisecond)).Order.Fence, job.Fence(5))
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 10, Born: 2, Lists: true})
-	h.s.VMSeen(h.now, entryOf("one", 8000, 2))
+	h.s.VMListed(h.now, entryOf("one", 8000, 2))
 	assert.Equal(t, one[Hold](h, h.step(100*time.Millisecond)).Order.Fence, job.Fence(9))
 	h.job("j", "free", small)
 	start := one[Start](h, h.step(0))
 	assert.Equal(t, start.Order.Fence, job.Fence(9))
 	h.s.Cancel(h.now, "j")
-	assert.Equal(t, one[Stop](h, h.turnWithoutStoring(answerDue)).Fence, job.Fence(9))
+	assert.Equal(t, one[Stop](h, h.roundWithoutStoring(answerDue)).Fence, job.Fence(9))
 }
--- a/core/schedule/turn_bench_test.go
+++ b/core/schedule/round_bench_test.go
@@ -8,8 +8,8 @@
 	"lavenderpond/core/job"
 )
 
-// newFullFleet returns a harness with pools of VMs that are full, and jobs that wait for room.
-func newFullFleet(t testing.TB, vms, waiting int) *harness {
+// newFullFleetHarness returns a harness with pools of VMs that are full, and jobs that wait for room.
+func newFullFleetHarness(t testing.TB, vms, waiting int) *harness {
 	h := newHarness(t)
 	pools := []job.PoolName{"a", "b", "c", "d", "e"}
 	c := &job.Configuration{Version: 2}
@@ -22,7 +22,7 @@
 	h.s.Configure(c)
 	for i := range vms {
 		id := fmt.Sprintf("vm-%03d", i)
-		h.s.VMSeen(h.now, job.VMRecord{
+		h.s.VMListed(h.now, job.VMRecord{
 			ID: job.VMID(id), Pool: pools[i%len(pools)], Address: id, Capacity: job.Resources{CPU: 32000, MemMB: 64000},
 			Machine: job.MachineID("m-" + id), Born: 1,
 		})
@@ -49,13 +49,13 @@
 	return h
 }
 
-// BenchmarkTurn measures one turn of the owner's loop on a full fleet with waiting jobs.
-func BenchmarkTurn(b *testing.B) {
+// BenchmarkSchedulingRound measures one turn of the owner's loop on a full fleet with waiting jobs.
+func BenchmarkSchedulingRound(b *testing.B) {
 	for _, n := range []struct{ vms, waiting int }{
 		{50, 0}, {50, 100}, {350, 0}, {350, 500}, {1100, 0}, {1100, 1000}, {3000, 0}, {3000, 3000},
 	} {
 		b.Run(fmt.Sprintf("%d VMs, %d waiting", n.vms, n.waiting), func(b *testing.B) {
-			h := newFullFleet(b, n.vms, n.waiting)
+			h := newFullFleetHarness(b, n.vms, n.waiting)
 			for b.Loop() {
 				h.s.Tick(h.now)
 				h.s.Assign(h.now, h.now)
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -25,7 +25,7 @@
 		return
 	}
 	j, _, st, t := s.task(r.task)
-	if t == nil || j.over() || !s.rights.Start || s.mayHaveEnded(t) || !v.acceptsTasks() || v.overbooked() || !s.roomKnown(now, v) {
+	if t == nil || j.over() || !s.rights.StartTasks || s.mayHaveEnded(t) || !v.acceptsTasks() || v.overbooked() || !s.capacityKnown(now, v) {
 		s.release(now, r)
 		s.stopGang(now, r)
 		return
@@ -45,15 +45,15 @@
 	}})
 }
 
-// mayRunUnheard reports whether a task of the job may run on a VM that this owner hasn't
+// mayRunOnUnreportedVM reports whether a task of the job may run on a VM that this owner hasn't
 // heard from yet.
-func (s *Scheduler) mayRunUnheard(j *jobState) bool {
+func (s *Scheduler) mayRunOnUnreportedVM(j *jobState) bool {
 	if !j.inherited || !s.anyUnreported {
 		return false
 	}
-	for id := range j.places.All() {
+	for id := range j.possibleVMs.All() {
 		v := s.vms.Get(id)
-		if v != nil && v.unheard() {
+		if v != nil && v.unreported() {
 			return true
 		}
 	}
@@ -66,7 +66,7 @@
 // unknown.
 func (s *Scheduler) addRun(r *run, st *stepState, t *taskState) {
 	r.vm.runs.Set(runKey{r.task, r.attempt}, r)
-	r.vm.used = r.vm.used.Add(r.claim)
+	r.vm.used = r.vm.used.Add(r.reservation)
 	r.vm.countKind(r, 1)
 	s.usage[r.account] = s.usage[r.account].Add(r.cost)
 	if t != nil {
@@ -77,14 +77,14 @@
 
 // countKind adds n to the VM's counters of runs of r's kinds.
 func (v *vmState) countKind(r *run, n int) {
-	if r.lasting {
-		v.lasting += n
+	if r.longRunning {
+		v.longRunningRuns += n
 	}
 	if r.serving {
-		v.serving += n
+		v.servingRuns += n
 	}
-	if r.fills {
-		v.fills += n
+	if r.spareCPU {
+		v.spareCPURuns += n
 	}
 	if r.crashSuspect {
 		v.crashSuspects += n
@@ -105,13 +105,13 @@
 		return
 	}
 	r.vm.runs.Delete(k)
-	r.vm.used = r.vm.used.Sub(r.claim)
+	r.vm.used = r.vm.used.Sub(r.reservation)
 	r.vm.countKind(r, -1)
 	if r.phase == runOrdered {
-		r.vm.ordered--
+		r.vm.orderedRuns--
 	}
 	if r.stopping {
-		r.vm.stopping--
+		r.vm.stoppingRuns--
 	}
 	r.vm.idleSince = now
 	s.usage[r.account] = s.usage[r.account].Sub(r.cost)
@@ -140,7 +140,7 @@
 
 // mayHaveEnded reports whether a task may have completed without this owner's knowledge.
 // Only an owner that has just proved its right is sure to know of all ends.
-func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.Order }
+func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.OrderMachines }
 
 // freeRun releases a run that ended without being listed as ended.
 func (s *Scheduler) freeRun(now time.Time, r *run, reason string) {
@@ -163,7 +163,7 @@
 		return
 	}
 	r.stopping = true
-	r.vm.stopping++
+	r.vm.stoppingRuns++
 	r.resendStop = now.Add(stopRetry)
 	s.decided(Decision{
 		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -61,7 +61,7 @@
 	s.sendPlanned(now)
 	s.sendPendingOrders(now)
 	for _, v := range s.vms.All() {
-		v.advanceNoted(s.storedSequence)
+		v.advanceAcknowledged(s.storedSequence)
 	}
 	s.forgetClosed()
 }
@@ -73,7 +73,7 @@
 			return false
 		}
 		s.jobs.Delete(j.ID)
-		s.ended[j.ID] = j.closedAt
+		s.ended[j.ID] = j.endedAt
 		return true
 	})
 }
@@ -120,7 +120,7 @@
 	if j.over() {
 		return p
 	}
-	p.VMs = j.places.Keys()
+	p.VMs = j.possibleVMs.Keys()
 	for _, o := range j.occurrences {
 		for i := range o.steps {
 			d := job.StepDone{Occurrence: o.number, Step: i}
@@ -159,8 +159,8 @@
 // flushOrders saves which machines were given an order recently.
 func (s *Scheduler) flushOrders() {
 	for _, id := range s.dirtyOrders {
-		if o := s.recentOrders.Get(id); o.holder != "" {
-			s.emit(SaveOrder{Sequence: s.saveSequence, Order: MachineOrder{Machine: id, Holder: o.holder}})
+		if o := s.recentOrders.Get(id); o.issuer != "" {
+			s.emit(SaveOrder{Sequence: s.saveSequence, Order: MachineOrder{Machine: id, Issuer: o.issuer}})
 		} else {
 			s.emit(DropOrder{Sequence: s.saveSequence, Machine: id})
 		}
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -30,8 +30,8 @@
 	// MachineLease is how long this owner leaves a machine alone after an order of a former
 	// holder.
 	MachineLease time.Duration
-	// Holder identifies this owner in its orders for machines.
-	Holder string
+	// OrderIssuer identifies this owner in its orders for machines.
+	OrderIssuer string
 	// FormerOrders lists the machines that may have been given an order shortly before the
 	// take-over.
 	FormerOrders []MachineOrder
@@ -107,7 +107,7 @@
 	}
 	// These orders are stored with this owner's own, so that the next owner knows of them too.
 	for _, o := range s.FormerOrders {
-		out.recentOrders.Set(o.Machine, recentOrder{holder: o.Holder, at: s.TookOver})
+		out.recentOrders.Set(o.Machine, recentOrder{issuer: o.Issuer, at: s.TookOver})
 	}
 	return out
 }
@@ -123,10 +123,10 @@
 // Rights are the kinds of orders that the owner may give. They depend on the age of the last
 // proof that it is still the owner.
 type Rights struct {
-	// Order permits orders for machines, and moving lasting tasks.
-	Order bool
-	// Start permits starting tasks, Hold extending leases on VMs.
-	Start, Hold bool
+	// OrderMachines permits orders for machines, and moving lasting tasks.
+	OrderMachines bool
+	// StartTasks permits starting tasks, Hold extending leases on VMs.
+	StartTasks, ExtendLeases bool
 }
 
 // SetRights sets what the owner may do at this moment.
@@ -181,7 +181,7 @@
 	if _, over := s.ended[j.ID]; over {
 		return
 	}
-	st := &jobState{Job: j, arrived: now, inherited: inherited, lasting: j.Body.LongRunning()}
+	st := &jobState{Job: j, arrived: now, inherited: inherited, longRunning: j.Body.LongRunning()}
 	for k := range j.Body.OccurrenceCount() {
 		o := &occurrence{number: k, due: j.Body.Due(k), steps: make([]stepState, len(j.Body.Steps))}
 		for i := range o.steps {
@@ -196,7 +196,7 @@
 		st.takenOver = inherited && len(p.VMs) > 0
 	}
 	st.objective, st.lateLimit = s.objective(st)
-	if !st.lasting && !inherited {
+	if !st.longRunning && !inherited {
 		st.beyondShare = s.config != nil && s.shares.exceeds(now, s.config.Account(j.Terms.Account))
 		left, all := s.work(st)
 		s.poolStats(s.pool(st)).addArrival(now, left)
@@ -217,7 +217,7 @@
 	j.state = p.State
 	j.begun = p.State != job.Pending
 	for _, v := range p.VMs {
-		j.places.Set(v, 0)
+		j.possibleVMs.Set(v, 0)
 	}
 	for _, d := range p.Done {
 		if d.Occurrence >= len(j.occurrences) || d.Step >= len(j.Body.Steps) {
@@ -261,7 +261,7 @@
 
 // finish sets the final state of a job and stops its remaining runs.
 func (s *Scheduler) finish(now time.Time, j *jobState, state job.State) {
-	j.state, j.closedAt = state, now
+	j.state, j.endedAt = state, now
 	s.markDirty(j)
 	s.decided(Decision{
 		Kind: JobEnded, Job: j.ID, Reason: state.String(), After: now.Sub(j.arrived), Slack: j.objective.Sub(now),
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -59,7 +59,7 @@
 }
 
 // Guards against jobs beyond an account's share that are held back while there is room.
-func TestExcessRunsWhileThereIsRoom(t *testing.T) {
+func TestJobsBeyondShareRunWhileCapacityIsFree(t *testing.T) {
 	h := newSharesHarness(t)
 	h.ready("one", "two", "three", "four", "five")
 	for i := range 40 {
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -16,11 +16,11 @@
 // stop answering at times.
 type shrinkingFleet struct {
 	*harness
-	rng     *rand.Rand
-	guarded bool
-	vms     []*shrinkingVM
-	steps   map[job.ID]job.Step
-	events  []shrinkingEvent
+	rng              *rand.Rand
+	enforcesCapacity bool
+	vms              []*shrinkingVM
+	steps            map[job.ID]job.Step
+	events           []shrinkingEvent
 }
 
 // shrinkingEvent is an event that is due later.
@@ -102,8 +102,8 @@
 	v.barredAttempt[r.task] = max(v.barredAttempt[r.task], r.attempt)
 }
 
-// lapse ends all runs once the VM's lease is over.
-func (f *shrinkingFleet) lapse(v *shrinkingVM) {
+// expireLease ends all runs once the VM's lease is over.
+func (f *shrinkingFleet) expireLease(v *shrinkingVM) {
 	if f.clock() <= v.lease {
 		return
 	}
@@ -131,7 +131,7 @@
 			v.unansweredStarts = slices.DeleteFunc(v.unansweredStarts, func(o *shrinkingRun) bool { return o == r })
 		})
 		f.after(f.between(300, 1000), func() { answer(Unanswered, job.Report{}) })
-	case f.guarded && used+r.cpu > v.cpu:
+	case f.enforcesCapacity && used+r.cpu > v.cpu:
 		rep := f.report()
 		rep.Refused = job.RefusedCapacity
 		answer(Answered, rep)
@@ -172,8 +172,8 @@
 	f.s.HoldAnswered(f.now, c, Answered, rep)
 }
 
-// turn runs one turn and carries out the resulting commands.
-func (f *shrinkingFleet) turn() {
+// round runs one turn and carries out the resulting commands.
+func (f *shrinkingFleet) round() {
 	f.now = f.now.Add(10 * time.Millisecond)
 	due := f.events
 	f.events = nil
@@ -186,7 +186,7 @@
 		f.carryOut()
 	}
 	for _, v := range f.vms {
-		f.lapse(v)
+		f.expireLease(v)
 	}
 	f.s.Tick(f.now)
 	f.s.Assign(f.now, f.now)
@@ -215,7 +215,7 @@
 		v.reportedCPU = v.cpu
 		f.harness.resize(v.id, v.cpu)
 	}
-	if !f.guarded {
+	if !f.enforcesCapacity {
 		tell()
 		return
 	}
@@ -246,8 +246,8 @@
 	}
 }
 
-func newShrinking(t *testing.T, seed uint64, guarded bool) *shrinkingFleet {
-	f := &shrinkingFleet{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), guarded: guarded, steps: map[job.ID]job.Step{}}
+func newShrinking(t *testing.T, seed uint64, enforcesCapacity bool) *shrinkingFleet {
+	f := &shrinkingFleet{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), enforcesCapacity: enforcesCapacity, steps: map[job.ID]job.Step{}}
 	for _, id := range []string{"one", "two", "three"} {
 		v := &shrinkingVM{id: id, barredAttempt: map[job.TaskID]job.Attempt{}, lease: 6000}
 		v.runs = []*shrinkingRun{{task: job.TaskID{Job: job.ID("former-" + id)}, attempt: 7, cpu: f.rng.Int64N(8000), deadline: 6000}}
@@ -268,19 +268,19 @@
 		f := newShrinking(t, seed, seed%2 == 0)
 		for turn := range 800 {
 			f.disturb(turn)
-			f.turn()
+			f.round()
 		}
 		for _, v := range f.vms {
 			v.silent = false
 			f.resize(v, 16000)
 		}
 		for id, j := range f.s.jobs.All() {
-			if j.lasting {
+			if j.longRunning {
 				f.s.Cancel(f.now, id)
 			}
 		}
 		for end := f.now.Add(30 * time.Second); f.s.jobs.Len() > 0 && f.now.Before(end); {
-			f.turn()
+			f.round()
 		}
 		assert.Equal(t, f.s.jobs.Len(), 0, "seed %d: jobs not ended: %v", seed, f.s.jobs.Keys())
 	}
--- a/core/schedule/sizing/sizing.go
+++ b/core/schedule/sizing/sizing.go
@@ -61,7 +61,7 @@
 	p := newPlan(pools, machines)
 	short := p.underprovisioned()
 	for _, x := range short {
-		p.fill(now, x)
+		p.coverShortfall(now, x)
 	}
 	if len(short) == 0 {
 		p.spread(now)
@@ -121,8 +121,8 @@
 	return out
 }
 
-// fill moves machines to a pool until its shortfall is covered.
-func (p *plan) fill(now time.Time, to *Pool) {
+// coverShortfall moves machines to a pool until its shortfall is covered.
+func (p *plan) coverShortfall(now time.Time, to *Pool) {
 	for _, m := range p.machines {
 		// A move isn't worthwhile if less than half of the machine is needed.
 		if to.Need-to.Have < m.CPU/2 {
--- a/core/schedule/slow_test.go
+++ b/core/schedule/slow_test.go
@@ -27,7 +27,7 @@
 // Guards against a job that ends many seconds late because of one slow VM. One of four tasks
 // has done a tenth of what the others have, which are half done. It must be stopped and start
 // on another VM, and the slow VM must get no more tasks for a while.
-func TestSlowRunGoesElsewhere(t *testing.T) {
+func TestTaskOfSlowRunMovesElsewhere(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
 	for _, c := range starts[1:] {
@@ -49,7 +49,7 @@
 }
 
 // Guards against a task that makes no progress between two lists while its VM answers.
-func TestStalledRunGoesElsewhere(t *testing.T) {
+func TestTaskOfStalledRunMovesElsewhere(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
 	for _, c := range starts {
@@ -66,7 +66,7 @@
 // Guards against stopping a run that is only longer than its siblings. The run times of a
 // step differ: a task that takes 2.7 times as long as the others may be on a healthy VM,
 // and a stop would lose its work.
-func TestLongerRunGoesOn(t *testing.T) {
+func TestLongerRunContinues(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
 	for _, c := range starts[1:] {
@@ -77,7 +77,7 @@
 }
 
 // Guards against stopping a slow run that ends sooner where it is.
-func TestSlowRunNearItsEndGoesOn(t *testing.T) {
+func TestSlowRunNearItsEndContinues(t *testing.T) {
 	h, starts := fourTasks(t)
 	h.step(500 * time.Millisecond)
 	for _, c := range starts {
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -30,7 +30,7 @@
 	phase   runPhase
 	// requiredSave is the save that must be stored before the start is sent.
 	requiredSave int64
-	claim        job.Resources
+	reservation  job.Resources
 	// account is charged cost, which includes CPU that the task uses as filler.
 	account job.AccountName
 	cost    job.Resources
@@ -60,7 +60,7 @@
 	// either.
 	unknownJob bool
 	// lasting, serving and fills describe the kind of task.
-	lasting, serving, fills bool
+	longRunning, serving, spareCPU bool
 	// resumed is set if the run continued from a checkpoint.
 	resumed bool
 	// lastList is the number of the VM's last list that contained the run.
@@ -74,16 +74,16 @@
 
 // setKind sets the kind of task that runs.
 func (r *run) setKind(def *job.Step) {
-	r.lasting, r.serving, r.fills = def.LongRunning, def.TailLatencyTarget > 0, def.SpareCPU
+	r.longRunning, r.serving, r.spareCPU = def.LongRunning, def.TailLatencyTarget > 0, def.SpareCPU
 }
 
 // setPhase moves the run to another phase.
 func (r *run) setPhase(p runPhase) {
 	if r.phase == runOrdered {
-		r.vm.ordered--
+		r.vm.orderedRuns--
 	}
 	if p == runOrdered {
-		r.vm.ordered++
+		r.vm.orderedRuns++
 	}
 	r.phase = p
 }
@@ -110,8 +110,8 @@
 	// shares no VM with another such task.
 	crashes       crashes
 	separateUntil time.Time
-	// lapsed are the runs that were freed because their VM's lease expired.
-	lapsed []*run
+	// expiredRuns are the runs that were freed because their VM's lease expired.
+	expiredRuns []*run
 }
 
 // open reports whether the task waits for a start.
@@ -138,10 +138,10 @@
 	open int
 	// tickets holds a ticket for each VM that may run the step, if its queue requires
 	// advice. They are used until ticketsUntil.
-	tickets      map[job.VMID]string
-	ticketsUntil time.Time
-	asked        bool
-	askAt        time.Time
+	tickets           map[job.VMID]string
+	ticketsUntil      time.Time
+	approvalRequested bool
+	approvalRetryAt   time.Time
 	// rack is where the step's first task was placed, if its tasks should share a rack.
 	rack job.Label
 	// runTimes are the durations of the successful runs.
@@ -184,8 +184,8 @@
 	placed    bool
 	inherited bool
 	// takenOver jobs were begun by a previous owner.
-	takenOver bool
-	lasting   bool
+	takenOver   bool
+	longRunning bool
 	// beyondShare is set if the job's account had exceeded its share when the job
 	// arrived.
 	beyondShare bool
@@ -197,11 +197,11 @@
 	// last save.
 	dirty    bool
 	lastSave int64
-	// closedAt is when the job ended.
-	closedAt time.Time
-	// places maps each VM on which a task may have been started to the save that records
+	// endedAt is when the job ended.
+	endedAt time.Time
+	// possibleVMs maps each VM on which a task may have been started to the save that records
 	// it.
-	places orderedMap[job.VMID, int64]
+	possibleVMs orderedMap[job.VMID, int64]
 	// typicalRun is the typical run time of the last complete step, or 0 if there is
 	// none.
 	typicalRun time.Duration
@@ -217,15 +217,15 @@
 // vmState is the state of a VM as this owner knows it. A VM's life lasts until it crashes
 // or is replaced. The next life may have the same ID, and a greater born.
 type vmState struct {
-	id      job.VMID
-	address string
-	pool    job.PoolName
-	rack    job.Label
-	zone    job.ZoneName
-	labels  map[job.Label]bool
-	room    job.Resources
-	used    job.Resources
-	machine job.MachineID
+	id       job.VMID
+	address  string
+	pool     job.PoolName
+	rack     job.Label
+	zone     job.ZoneName
+	labels   map[job.Label]bool
+	capacity job.Resources
+	used     job.Resources
+	machine  job.MachineID
 	// host is that machine's state, or nil if it isn't listed.
 	host *machineState
 	born job.Born
@@ -247,8 +247,8 @@
 	runs     orderedMap[runKey, *run]
 	// lasting, serving and fills count the runs of each kind, and stopping the runs that
 	// were ordered to stop. The counters avoid a scan of all runs in each turn.
-	lasting, serving, fills int
-	stopping                int
+	longRunningRuns, servingRuns, spareCPURuns int
+	stoppingRuns                               int
 	// crashSuspects counts the runs of tasks under which a VM has crashed.
 	crashSuspects int
 	// isolatedRuns counts the runs beside which nothing else may start.
@@ -256,13 +256,13 @@
 	// unknownRuns counts the runs whose claim is unknown. While there are any, the free
 	// room is unknown too.
 	unknownRuns int
-	// ordered counts the starts that wait for an answer.
-	ordered int
+	// orderedRuns counts the starts that wait for an answer.
+	orderedRuns int
 	// unresponsive VMs have left a start unanswered and haven't answered anything since.
 	unresponsive bool
-	// looking is set while a look is in flight. lookedAt is when the last one was sent.
-	looking  bool
-	lookedAt time.Time
+	// probeInFlight is set while a look is in flight. lookedAt is when the last one was sent.
+	probeInFlight bool
+	probedAt      time.Time
 	// listClock is the VM's clock reading of the newest list applied. listCount is the
 	// number of lists applied.
 	listClock job.VMClock
@@ -270,19 +270,19 @@
 
 	// lastEnd is the number of the last end handled, and noted that of the last one that
 	// is stored. The VM may delete noted ends. unsavedEnds are those in between.
-	lastEnd     int64
-	noted       int64
-	unsavedEnds []unsavedEnd
+	lastEnd         int64
+	acknowledgedEnd int64
+	unsavedEnds     []unsavedEnd
 
 	firstSeen time.Time
 	// idleSince is when the VM last ran something.
-	idleSince time.Time
-	holding   bool
-	heldOnce  bool
-	// firstHeldAt is when the first hold succeeded. From then on the VM refuses a
+	idleSince    time.Time
+	holdInFlight bool
+	reported     bool
+	// firstReportedAt is when the first hold succeeded. From then on the VM refuses a
 	// previous owner's orders.
-	firstHeldAt time.Time
-	nextHold    time.Time
+	firstReportedAt time.Time
+	nextHold        time.Time
 	// paceAt is when to adjust the pace of filling tasks next.
 	paceAt     time.Time
 	lastAnswer time.Time
@@ -312,10 +312,10 @@
 	lostStarts []*run
 	// lifeEnded is set once the VM's life is proved to have ended.
 	lifeEnded bool
-	// lapsed are the runs that were freed because the lease expired. They are kept until
+	// expiredRuns are the runs that were freed because the lease expired. They are kept until
 	// it is known whether the VM crashed, or until lapsedUntil.
-	lapsed      []*run
-	lapsedUntil time.Time
+	expiredRuns      []*run
+	expiredRunsUntil time.Time
 	// inheritedUntil is when no run of a previous owner can remain here if the VM stays
 	// silent. It is zero once the VM's runs are known.
 	inheritedUntil time.Time
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -15,7 +15,7 @@
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "gone", Address: "gone", Pool: poolA, Machine: "m-gone"})
 	h.s.AddInheritedVM(RosterVM{ID: "there", Address: "there", Pool: poolA, Machine: "m-there"})
-	h.seen("there")
+	h.listVM("there")
 	assert.Equal(t, string(one[Hold](h, h.step(0)).VM), "there")
 	h.lists("there", nil)
 	held := map[string]bool{}
@@ -30,7 +30,7 @@
 // longer than necessary.
 func TestOrderIsRecentFromItsSending(t *testing.T) {
 	h := newHarness(t)
-	h.s.Machines(h.now, []job.Machine{{ID: "m-1", Pool: off, State: job.MachineUp}})
+	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-1", Pool: off, State: job.MachineUp}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1"}, MaxConcurrent: 1}, nil)
 	h.s.Tick(h.now)
 	saves := h.s.TakeCommands()
@@ -38,7 +38,7 @@
 	for _, c := range saves {
 		h.store(c)
 	}
-	one[Upkeep](h, h.s.TakeCommands())
+	one[Maintain](h, h.s.TakeCommands())
 	h.now = h.now.Add(h.s.recentOrderPeriod() - time.Second)
 	h.s.pruneOrders(h.now)
 	assert.Assert(t, h.s.recentOrders.Has("m-1"))
@@ -49,7 +49,7 @@
 
 // Guards against a second run of a task. A machines list that lags behind shows the life
 // before the one on which a previous owner started the task.
-func TestLaggingListFreesNoVM(t *testing.T) {
+func TestOutdatedMachineListFreesNoVM(t *testing.T) {
 	old := job.Machine{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "former"}
 	for name, order := range map[string][]string{
 		"before the directory": {"machines", "directory"},
@@ -63,9 +63,9 @@
 		for _, what := range order {
 			h.now = h.now.Add(100 * time.Millisecond)
 			if what == "machines" {
-				h.s.Machines(h.now, []job.Machine{old})
+				h.s.MachinesListed(h.now, []job.Machine{old})
 			} else {
-				h.seen("one")
+				h.listVM("one")
 			}
 			h.now = h.now.Add(100 * time.Millisecond)
 		}
@@ -75,16 +75,16 @@
 
 // Guards against a job that waits for the end of a VM's lease although the machine has a
 // newer life.
-func TestNewerLifeFreesAVM(t *testing.T) {
+func TestNewVMOnSameMachineFreesPreviousVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
-	h.seen("one")
-	h.s.VMSeen(h.now, job.VMRecord{ID: "next", Pool: poolA, Address: "next", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
+	h.listVM("one")
+	h.s.VMListed(h.now, job.VMRecord{ID: "next", Pool: poolA, Address: "next", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.now = h.now.Add(100 * time.Millisecond)
-	h.s.Machines(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "next"}})
+	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "next"}})
 	assert.Equal(t, len(only[Start](h.step(0))), 1)
 }
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -7,16 +7,16 @@
 func (s *Scheduler) Tick(now time.Time) {
 	s.anyUnreported = false
 	for _, v := range s.vms.All() {
-		s.anyUnreported = s.anyUnreported || v.unheard()
+		s.anyUnreported = s.anyUnreported || v.unreported()
 		if v.nothingDue() {
 			continue
 		}
 		s.expire(now, v)
 		s.checkUnanswered(now, v)
-		if v.stopping > 0 {
+		if v.stoppingRuns > 0 {
 			s.repeatStops(now, v)
 		}
-		if v.fills > 0 {
+		if v.spareCPURuns > 0 {
 			s.pace(now, v)
 		}
 		s.hold(now, v)
@@ -29,14 +29,14 @@
 	s.sizePools(now)
 }
 
-// unheard reports whether a previous owner's tasks may run on the VM and this owner
+// unreported reports whether a previous owner's tasks may run on the VM and this owner
 // hasn't heard from it yet.
-func (v *vmState) unheard() bool { return !v.heldOnce && !v.inheritedUntil.IsZero() }
+func (v *vmState) unreported() bool { return !v.reported && !v.inheritedUntil.IsZero() }
 
 // nothingDue reports whether the VM needs no work in this turn: its hold is in flight,
 // and no start or stop waits for an answer.
 func (v *vmState) nothingDue() bool {
-	return v.holding && v.listed && !v.silent && !v.unresponsive && v.ordered == 0 && v.stopping == 0 && v.fills == 0 && len(v.lostStarts) == 0
+	return v.holdInFlight && v.listed && !v.silent && !v.unresponsive && v.orderedRuns == 0 && v.stoppingRuns == 0 && v.spareCPURuns == 0 && len(v.lostStarts) == 0
 }
 
 // stopOnDraining stops lasting tasks on draining VMs, so that they move elsewhere. Other
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -42,8 +42,8 @@
 	return v
 }
 
-// VMSeen applies a VM's entry in the directory.
-func (s *Scheduler) VMSeen(now time.Time, e job.VMRecord) {
+// VMListed applies a VM's entry in the directory.
+func (s *Scheduler) VMListed(now time.Time, e job.VMRecord) {
 	v := s.vm(e.ID)
 	if v.firstSeen.IsZero() {
 		s.decided(Decision{Kind: VMFound, VM: e.ID, Reason: string(e.Pool)})
@@ -53,10 +53,10 @@
 		s.vmRestarted(now, v, e.Born)
 	}
 	v.listed, v.address, v.pool, v.zone = true, e.Address, e.Pool, e.Zone
-	if e.Capacity != v.room || e.Born != v.entryBorn {
+	if e.Capacity != v.capacity || e.Born != v.entryBorn {
 		v.fullUntil, v.refusals = time.Time{}, 0
 	}
-	v.room, v.entryBorn = e.Capacity, e.Born
+	v.capacity, v.entryBorn = e.Capacity, e.Born
 	v.evacuated = s.evacuatedZones.has(v.zone)
 	if e.Machine != "" {
 		s.setMachine(v, e.Machine)
@@ -79,9 +79,9 @@
 // be carried out for startWindow, and for longer on a slow clock.
 const shrinkMargin = time.Second
 
-// roomKnown reports whether the VM's capacity is known well enough for a start. VMs in a
+// capacityKnown reports whether the VM's capacity is known well enough for a start. VMs in a
 // guarded pool refuse what doesn't fit by themselves.
-func (s *Scheduler) roomKnown(now time.Time, v *vmState) bool {
+func (s *Scheduler) capacityKnown(now time.Time, v *vmState) bool {
 	within := s.settings.ShrinkNotice
 	if within == 0 || now.Sub(s.directoryAsOf) < within-shrinkMargin {
 		return true
@@ -156,11 +156,11 @@
 // still arrive and be carried out, because the new clock is behind their deadlines. They
 // are stopped explicitly before their tasks start elsewhere.
 func (s *Scheduler) vmRestarted(now time.Time, v *vmState, born job.Born) {
-	s.decided(Decision{Kind: VMReborn, VM: v.id, Reason: fmt.Sprintf("%d ends of the previous life were noted", v.noted)})
+	s.decided(Decision{Kind: VMRestarted, VM: v.id, Reason: fmt.Sprintf("%d ends of the previous life were noted", v.acknowledgedEnd)})
 	v.born, v.fence = born, s.fence
 	v.clock, v.leaseEnd = lease.Clock{}, 0
-	v.lastEnd, v.noted, v.unsavedEnds, v.listClock = 0, 0, nil, 0
-	v.heldOnce, v.nextHold = false, now
+	v.lastEnd, v.acknowledgedEnd, v.unsavedEnds, v.listClock = 0, 0, nil, 0
+	v.reported, v.nextHold = false, now
 	s.updateRoster(v)
 	for _, r := range v.lostStarts {
 		if now.Sub(r.orderedAt) < maxOrderDelay {
@@ -168,7 +168,7 @@
 		}
 	}
 	v.lostStarts = nil
-	s.countLapsedCrashes(now, v)
+	s.countExpiredRunCrashes(now, v)
 	for _, r := range v.runs.All() {
 		if r.phase != runPlanned && !r.confirmedByNewLife() {
 			s.countCrash(now, r)
@@ -192,22 +192,22 @@
 // usable reports whether new tasks may start on the VM.
 func (s *Scheduler) usable(now time.Time, v *vmState) bool {
 	paused := v.unresponsive || v.slow(now) || now.Before(v.suspectUntil) || now.Before(v.fullUntil)
-	return v.acceptsTasks() && !v.cordoned && !paused && v.rosterSave <= s.storedSequence && v.unknownRuns == 0 && v.isolatedRuns == 0 && s.roomKnown(now, v)
+	return v.acceptsTasks() && !v.cordoned && !paused && v.rosterSave <= s.storedSequence && v.unknownRuns == 0 && v.isolatedRuns == 0 && s.capacityKnown(now, v)
 }
 
-// freeRoom returns the VM's unused capacity. It is negative if the capacity has shrunk
+// freeCapacity returns the VM's unused capacity. It is negative if the capacity has shrunk
 // below what runs there.
-func (v *vmState) freeRoom() job.Resources { return v.room.Sub(v.used) }
+func (v *vmState) freeCapacity() job.Resources { return v.capacity.Sub(v.used) }
 
 // overbooked reports whether the runs booked on the VM exceed its capacity, or may exceed
 // it.
 func (v *vmState) overbooked() bool {
-	return v.unknownRuns > 0 || !(job.Resources{}).FitsIn(v.freeRoom())
+	return v.unknownRuns > 0 || !(job.Resources{}).FitsIn(v.freeCapacity())
 }
 
 // acceptsTasks reports whether the VM accepts tasks, as far as this owner knows.
 func (v *vmState) acceptsTasks() bool {
-	return v.entryCurrent() && !v.draining && !v.evacuated && v.heldOnce && !v.silent && v.clock.Known()
+	return v.entryCurrent() && !v.draining && !v.evacuated && v.reported && !v.silent && v.clock.Known()
 }
 
 // entryCurrent reports whether the VM's directory entry belongs to its current life.
@@ -232,7 +232,7 @@
 		if v.lifeEnded {
 			s.countCrash(now, r)
 		} else {
-			s.lapse(now, r)
+			s.addExpiredRun(now, r)
 		}
 		s.freeWithUnknownEnd(now, r, "lease expired")
 	}
@@ -252,17 +252,17 @@
 	if v.silent && v.runs.Len() > 0 && v.leaseExpired(now) {
 		s.freeExpiredRuns(now, v)
 	}
-	if s.rights.Order && !now.Before(v.inheritedUntil) {
+	if s.rights.OrderMachines && !now.Before(v.inheritedUntil) {
 		v.inheritedUntil = time.Time{}
 	}
-	if now.After(v.lapsedUntil) {
-		s.forgetLapsed(v)
+	if now.After(v.expiredRunsUntil) {
+		s.forgetExpiredRuns(v)
 	}
 	for len(v.lostStarts) > 0 && now.Sub(v.lostStarts[0].orderedAt) > maxOrderDelay {
 		v.lostStarts = v.lostStarts[1:]
 	}
 	gone := !v.listed && v.runs.Len() == 0 && !now.Before(v.inheritedUntil) && now.Sub(v.lastAnswer) > forgetAfter && now.Sub(v.unlistedAt) > forgetAfter
-	if gone && !v.holding && len(v.lapsed) == 0 && len(v.lostStarts) == 0 {
+	if gone && !v.holdInFlight && len(v.expiredRuns) == 0 && len(v.lostStarts) == 0 {
 		s.vms.Delete(v.id)
 		s.dirtyVMs = append(s.dirtyVMs, v.id)
 	}
--- a/core/schedule/vmindex.go
+++ b/core/schedule/vmindex.go
@@ -38,9 +38,9 @@
 func newVMIndex(vms []*vmState, least job.Resources) vmIndex {
 	r := vmIndex{vms: make([]indexedVM, 0, len(vms))}
 	for _, v := range vms {
-		if least.FitsIn(v.freeRoom()) {
+		if least.FitsIn(v.freeCapacity()) {
 			r.vms = append(r.vms, indexedVM{v.freeFraction(), v})
-			r.largestCPU = max(r.largestCPU, v.room.CPU)
+			r.largestCPU = max(r.largestCPU, v.capacity.CPU)
 		}
 	}
 	slices.SortFunc(r.vms, compareByFreeCPU)
@@ -48,8 +48,8 @@
 }
 
 // firstCandidate returns the index of the first VM that may have room for the claim.
-func (r *vmIndex) firstCandidate(claim job.Resources) int {
-	least := float64(claim.CPU) / float64(max(1, r.largestCPU))
+func (r *vmIndex) firstCandidate(reservation job.Resources) int {
+	least := float64(reservation.CPU) / float64(max(1, r.largestCPU))
 	return sort.Search(len(r.vms), func(i int) bool { return r.vms[i].freeFraction >= least })
 }
 
@@ -61,36 +61,36 @@
 	r.vms = slices.Insert(r.vms, at, s)
 }
 
-// hasNoRoom reports whether no VM is known to have room for the claim.
-func (r *vmIndex) hasNoRoom(claim job.Resources) bool {
-	return slices.ContainsFunc(r.unplaceable, func(x job.Resources) bool { return x.FitsIn(claim) })
+// isUnplaceable reports whether no VM is known to have room for the claim.
+func (r *vmIndex) isUnplaceable(reservation job.Resources) bool {
+	return slices.ContainsFunc(r.unplaceable, func(x job.Resources) bool { return x.FitsIn(reservation) })
 }
 
-// noteNoRoom records that no VM has room for the claim.
-func (r *vmIndex) noteNoRoom(claim job.Resources) {
-	r.unplaceable = slices.DeleteFunc(r.unplaceable, func(x job.Resources) bool { return claim.FitsIn(x) })
-	r.unplaceable = append(r.unplaceable, claim)
+// addUnplaceable records that no VM has room for the claim.
+func (r *vmIndex) addUnplaceable(reservation job.Resources) {
+	r.unplaceable = slices.DeleteFunc(r.unplaceable, func(x job.Resources) bool { return reservation.FitsIn(x) })
+	r.unplaceable = append(r.unplaceable, reservation)
 }
 
 // chooseVM returns the index of the VM with the lowest cost for a task, or -1 if no VM can take
 // it.
 func (a *assignment) chooseVM(p placement) int {
-	claim := p.step.def.Reservation()
-	if a.index.hasNoRoom(claim) {
+	reservation := p.step.def.Reservation()
+	if a.index.isUnplaceable(reservation) {
 		return -1
 	}
 	best, bestCost := -1, 0.0
-	noRoom := true
-	for i := a.index.firstCandidate(claim); i < len(a.index.vms); i++ {
+	noneFits := true
+	for i := a.index.firstCandidate(reservation); i < len(a.index.vms); i++ {
 		x := a.index.vms[i]
 		// The cost of a VM is never below its free fraction.
 		if best >= 0 && x.freeFraction >= bestCost {
 			break
 		}
-		if !claim.FitsIn(x.vm.freeRoom()) {
+		if !reservation.FitsIn(x.vm.freeCapacity()) {
 			continue
 		}
-		noRoom = false
+		noneFits = false
 		if !p.step.mayRunOn(p.id.StepID(), x.vm) || p.task.mustBeSeparate(a.now, x.vm) || !a.s.usable(a.now, x.vm) {
 			continue
 		}
@@ -98,8 +98,8 @@
 			best, bestCost = i, c
 		}
 	}
-	if noRoom {
-		a.index.noteNoRoom(claim)
+	if noneFits {
+		a.index.addUnplaceable(reservation)
 	}
 	return best
 }
--- a/core/schedule/vmindex_test.go
+++ b/core/schedule/vmindex_test.go
@@ -14,7 +14,7 @@
 func chooseExhaustively(a *assignment, p placement) *vmState {
 	var best *vmState
 	for _, v := range a.vms {
-		fits := p.step.def.Reservation().FitsIn(v.freeRoom())
+		fits := p.step.def.Reservation().FitsIn(v.freeCapacity())
 		if !fits || !p.step.mayRunOn(p.id.StepID(), v) || !a.s.usable(a.now, v) {
 			continue
 		}
@@ -29,13 +29,13 @@
 	sizes := []int64{8000, 16000, 32000}
 	v := &vmState{
 		id: job.VMID(fmt.Sprintf("vm-%02d", i)), zone: job.ZoneName(rune('a' + i%3)), rack: job.Label(fmt.Sprintf("r%d", i/4)),
-		room: job.Resources{CPU: sizes[rng.IntN(3)], MemMB: 16000}, labels: map[job.Label]bool{}, listed: true, heldOnce: true,
-		vacating: rng.IntN(6) == 0, lasting: rng.IntN(2), serving: rng.IntN(2), fills: rng.IntN(2),
+		capacity: job.Resources{CPU: sizes[rng.IntN(3)], MemMB: 16000}, labels: map[job.Label]bool{}, listed: true, reported: true,
+		vacating: rng.IntN(6) == 0, longRunningRuns: rng.IntN(2), servingRuns: rng.IntN(2), spareCPURuns: rng.IntN(2),
 	}
 	v.clock.Observe(1, begin)
-	v.used = job.Resources{CPU: rng.Int64N(v.room.CPU + 1), MemMB: rng.Int64N(v.room.MemMB)}
+	v.used = job.Resources{CPU: rng.Int64N(v.capacity.CPU + 1), MemMB: rng.Int64N(v.capacity.MemMB)}
 	if rng.IntN(4) == 0 {
-		v.room = v.room.Sub(job.Resources{CPU: rng.Int64N(v.room.CPU + 1), MemMB: rng.Int64N(v.room.MemMB)})
+		v.capacity = v.capacity.Sub(job.Resources{CPU: rng.Int64N(v.capacity.CPU + 1), MemMB: rng.Int64N(v.capacity.MemMB)})
 	}
 	if rng.IntN(3) == 0 {
 		v.labels["fast"] = true
@@ -75,7 +75,7 @@
 		for range 40 {
 			def := randomStep(rng)
 			p := placement{job: &jobState{zone: "b"}, step: &stepState{def: &def}, task: &taskState{}}
-			p.job.places.Set(vms[0].id, 1)
+			p.job.possibleVMs.Set(vms[0].id, 1)
 			want := chooseExhaustively(a, p)
 			n := a.chooseVM(p)
 			if want == nil {
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -23,9 +23,9 @@
 // every time, no right is renewed and nothing starts any more, whoever takes over.
 func TestLargeFleetFitsTheTable(t *testing.T) {
 	now := bootNow()
-	s := schedule.New(schedule.Settings{Fence: 5, TookOver: now, LeaseMax: 6 * time.Second, Holder: "edge-somewhere-1"})
+	s := schedule.New(schedule.Settings{Fence: 5, TookOver: now, LeaseMax: 6 * time.Second, OrderIssuer: "edge-somewhere-1"})
 	for i := range 2000 {
-		s.VMSeen(now, job.VMRecord{
+		s.VMListed(now, job.VMRecord{
 			ID: job.VMID(fmt.Sprintf("%016x", i)), Pool: "some-service", Address: "10.100.200.30:8080",
 			Machine: job.MachineID(fmt.Sprintf("machine-%08d", i)), Born: job.Born(now.UnixMilli()),
 		})
--- a/io/node/event.go
+++ b/io/node/event.go
@@ -48,7 +48,7 @@
 		asked    time.Time
 	}
 	upkeepAnswered struct {
-		order   schedule.Upkeep
+		order   schedule.Maintain
 		outcome schedule.Outcome
 		refusal job.MachineRefusal
 	}
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -126,7 +126,7 @@
 func (o *owner) newScheduler(before []schedule.MachineOrder) *schedule.Scheduler {
 	b := o.node.settings.Bounds
 	return schedule.New(schedule.Settings{
-		Holder:       o.node.settings.Node,
+		OrderIssuer:  o.node.settings.Node,
 		FormerOrders: before,
 		Fence:        job.Fence(o.tenure.fence),
 		AttemptBase:  job.Attempt(o.tenure.turn * attemptsPerTurn),
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -89,7 +89,7 @@
 // holdRoute returns the way for a hold. A look goes to the VM itself: it finds out about
 // an order without an answer, for which the relay may be to blame.
 func (x *orders) holdRoute(now time.Time, c schedule.Hold) vmOrders {
-	if c.Look {
+	if c.Probe {
 		return directOrders{x.client(c.VM)}
 	}
 	return x.route(now, c.VM)
@@ -123,7 +123,7 @@
 			o.workers.Go(func() { o.hold(ctx, vm, c) })
 		case schedule.RequestTickets:
 			o.workers.Go(func() { o.ask(ctx, c) })
-		case schedule.Upkeep:
+		case schedule.Maintain:
 			o.workers.Go(func() { o.upkeep(ctx, c) })
 		case schedule.Move:
 			o.workers.Go(func() { o.move(ctx, c) })
@@ -204,7 +204,7 @@
 	return job.OrderIssuer{Node: o.node.settings.Node, Fence: job.Fence(o.tenure.fence)}
 }
 
-func (o *owner) upkeep(ctx context.Context, c schedule.Upkeep) {
+func (o *owner) upkeep(ctx context.Context, c schedule.Maintain) {
 	out, why := o.orderMachine(ctx, "upkeep_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
 		return o.node.machines.Upkeep(ctx, o.holder(), c.Machine, c.Wave)
 	})
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -165,7 +165,7 @@
 	}
 	o.scheduler.RaiseFence(job.Fence(o.tenure.lastRenewal()))
 	o.scheduler.SetRights(schedule.Rights{
-		Order: o.tenure.mayOrder(now), Start: o.mayStart(now), Hold: o.tenure.mayHold(now),
+		OrderMachines: o.tenure.mayOrder(now), StartTasks: o.mayStart(now), ExtendLeases: o.tenure.mayHold(now),
 	})
 	o.relays.wanted.Store(o.scheduler.VMCount() >= relayFrom)
 	o.scheduler.Tick(now)
@@ -204,13 +204,13 @@
 	case holdAnswered:
 		s.HoldAnswered(now, e.order, e.outcome, e.report)
 	case machinesListed:
-		s.Machines(e.asked, e.machines)
+		s.MachinesListed(e.asked, e.machines)
 	case upkeepAnswered:
-		s.UpkeepAnswered(now, e.order, e.outcome, e.refusal)
+		s.MaintainAnswered(now, e.order, e.outcome, e.refusal)
 	case moveAnswered:
 		s.MoveAnswered(now, e.order, e.outcome, e.refusal)
 	case advised:
-		s.AdviceAnswered(now, e.step, e.approvals.Tickets, e.approvals.Valid)
+		s.ApprovalAnswered(now, e.step, e.approvals.Tickets, e.approvals.Valid)
 	case reconfigured:
 		// The turn looks at the view.
 	}
@@ -255,7 +255,7 @@
 			continue
 		}
 		present[v.ID] = true
-		o.scheduler.VMSeen(now, v)
+		o.scheduler.VMListed(now, v)
 	}
 	if !e.whole {
 		return
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -163,13 +163,13 @@
 	o := &owner{tenure: &tenure{}, relays: x, scheduler: schedule.New(schedule.Settings{})}
 	o.orders = &orders{owner: o, clients: map[job.VMID]*vmClient{}}
 	now := bootNow()
-	o.scheduler.VMSeen(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
+	o.scheduler.VMListed(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
 	_, direct := o.orders.route(now, "vm-1").(directOrders)
 	assert.Assert(t, direct)
 	o.tenure.prove(now, now)
 	_, relayed := o.orders.route(now, "vm-1").(relayedOrders)
 	assert.Assert(t, relayed)
-	_, direct = o.orders.holdRoute(now, schedule.Hold{VM: "vm-1", Look: true}).(directOrders)
+	_, direct = o.orders.holdRoute(now, schedule.Hold{VM: "vm-1", Probe: true}).(directOrders)
 	assert.Assert(t, direct)
 	x.wanted.Store(false)
 	_, direct = o.orders.route(now, "vm-1").(directOrders)
