--- a/core/job/vm.go
+++ b/core/job/vm.go
@@ -87,14 +87,17 @@
 // Ending is the way in which a run ended.
 type Ending int
 
-// The ways in which a run can end. EndedLeaseExpired means that the VM ended the run
-// because its lease expired.
+// The ways in which a run can end. Only EndedFailed can count as a failed attempt of
+// the task.
 const (
 	EndedDone Ending = iota + 1
 	EndedFailed
 	EndedStopped
+	// EndedLeaseExpired means that the VM ended the run because its lease expired.
 	EndedLeaseExpired
+	// EndedBroken is the platform's ending "broken". The task starts again.
 	EndedBroken
+	// EndedAlone means that a gang member gave up waiting for the other members.
 	EndedAlone
 )
 
--- a/core/schedule/acknowledge_test.go
+++ b/core/schedule/acknowledge_test.go
@@ -14,7 +14,8 @@
 	return job.End{Number: number, Task: c.Order.Task, Attempt: c.Order.Attempt, How: how}
 }
 
-// acknowledgedAt returns the highest number that a hold among the commands notes at the VM.
+// acknowledgedAt returns the highest end number that a hold among the commands acknowledges to
+// the VM.
 func acknowledgedAt(commands []Command, vm job.VMID) int64 {
 	acknowledged := int64(0)
 	for _, c := range only[Hold](commands) {
@@ -25,7 +26,7 @@
 	return acknowledged
 }
 
-// confirmedStarts returns the n starts of the next turn, all of them confirmed.
+// confirmedStarts returns the n starts of the next round, all of them confirmed.
 func (h *harness) confirmedStarts(n int) []Start {
 	h.t.Helper()
 	starts := only[Start](h.step(0))
@@ -36,8 +37,8 @@
 	return starts
 }
 
-// checkAcknowledgedOnceStored checks that the VM's first end is noted once the save is stored,
-// and not before.
+// checkAcknowledgedOnceStored checks that the VM's first end is acknowledged once the save is
+// stored, and not before.
 func (h *harness) checkAcknowledgedOnceStored(vm job.VMID, save Save) {
 	h.t.Helper()
 	for range 20 {
@@ -80,8 +81,8 @@
 	h.checkAcknowledgedOnceStored(second.VM, done)
 }
 
-// Guards against a new life of a VM that deletes its first ends. A hold that was sent
-// before the owner knew of that life carries a number of the previous one.
+// Guards against a new life of a VM that deletes its first ends. A hold that was sent before
+// the owner knew of that life carries an end number of the previous one.
 func TestHoldToSilentVMAcknowledgesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/acknowledgeorder_test.go
+++ b/core/schedule/acknowledgeorder_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against an end that is noted, along with all before it, while one before it is
-// not stored.
+// Guards against an end that is acknowledged, along with all before it, while one before
+// it is not stored.
 func TestEndAfterUnstoredOneIsNotAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -27,7 +27,7 @@
 	assert.Equal(t, acknowledgedAt(h.roundWithoutStoring(time.Second), "one"), int64(2))
 }
 
-// Guards against an end that is noted because the save of another one is stored.
+// Guards against an end that is acknowledged because the save of another one is stored.
 func TestStoredSaveAcknowledgesNoLaterEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/approval.go
+++ b/core/schedule/approval.go
@@ -6,8 +6,8 @@
 	"lavenderpond/core/job"
 )
 
-// approved reports whether the step may start. If its queue requires advice and there is none
-// yet, it asks for it.
+// approved reports whether the step may start. If its queue requires an approval and there is
+// none yet, it requests one.
 func (a *assignment) approved(j *jobState, o *occurrence, i int) bool {
 	q := a.s.config.Queue(j.Terms.Queue)
 	if q == nil || q.Approval == nil {
@@ -36,9 +36,9 @@
 
 const (
 	// approvalMaxVMs bounds the number of VMs in one request. Each VM adds to the time that the
-	// advice service needs.
+	// approval service needs.
 	approvalMaxVMs = 30
-	// approvalRetryDelay is the pause before a request without an answer is repeated.
+	// approvalRetryDelay is the pause before an approval request without an answer is repeated.
 	approvalRetryDelay = time.Second
 	// ticketExpiryMargin is how long before their expiry tickets are no longer used.
 	ticketExpiryMargin = 200 * time.Millisecond
@@ -56,7 +56,7 @@
 	st.ticketsUntil = now.Add(valid - ticketExpiryMargin)
 }
 
-// dropTickets discards the tickets of a task's step, so that advice is requested again.
+// dropTickets discards the tickets of a task's step, so that an approval is requested again.
 func (s *Scheduler) dropTickets(t job.TaskID) {
 	if _, _, st, _ := s.task(t); st != nil {
 		st.tickets, st.approvalRequested = nil, false
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -44,12 +44,12 @@
 // poolQueue holds the jobs that wait for VMs of a pool, and the usable VMs of that pool.
 type poolQueue struct {
 	jobs []*jobState
-	// minReservation is a lower bound of the claims of all waiting tasks.
+	// minReservation is a lower bound of the reservations of all waiting tasks.
 	minReservation job.Resources
 	vms            []*vmState
 }
 
-// enqueue adds the job to the queue of its pool if one of its tasks waits only for room.
+// enqueue adds the job to the queue of its pool if one of its tasks waits only for capacity.
 func (s *Scheduler) enqueue(waiting map[job.PoolName]*poolQueue, j *jobState) {
 	var q *poolQueue
 	for _, o := range j.occurrences {
@@ -81,7 +81,7 @@
 	vmsByRack map[job.Label][]*vmState
 }
 
-// startJob starts the tasks of a job that can start, as far as there is room.
+// startJob starts the tasks of a job that can start, as far as capacity is free.
 func (a *assignment) startJob(j *jobState) {
 	if j.inherited && a.s.mayRunOnUnreportedVM(j) {
 		return
@@ -111,7 +111,7 @@
 	return true
 }
 
-// startStep starts the open tasks of a step, as far as there is room.
+// startStep starts the open tasks of a step, as far as capacity is free.
 func (a *assignment) startStep(j *jobState, o *occurrence, i int) {
 	st := &o.steps[i]
 	if !a.approved(j, o, i) {
@@ -132,7 +132,7 @@
 		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
 		n := a.chooseVM(placement{job: j, step: st, task: task, id: id})
 		if n < 0 {
-			// The step's other tasks need the same room.
+			// The step's other tasks need the same resources.
 			return
 		}
 		a.start(j, st, id, task, a.index.vms[n].vm, a.s.nextAttempt(task))
@@ -148,7 +148,7 @@
 
 // countPossibleUsage sums up what each account may be running on VMs that have not reported to
 // this owner: the tasks without a known run of jobs that were started there. The former owner
-// knows of ends that this owner hasn't seen, so it may already have started later steps of
+// may know of ends that this owner hasn't seen, so it may already have started later steps of
 // these jobs.
 func (s *Scheduler) countPossibleUsage(now time.Time) {
 	s.possibleUsage = nil
@@ -168,7 +168,7 @@
 	}
 }
 
-// maxUnknownUsage returns the most room that tasks without a known run can take at any one
+// maxUnknownUsage returns the most resources that tasks without a known run can take at any one
 // time. If each step depends on the one before it, only one step runs at a time.
 func (o *occurrence) maxUnknownUsage() job.Resources {
 	var sum, largest job.Resources
@@ -189,8 +189,8 @@
 	return sum
 }
 
-// withinQuota reports whether the job's account stays within its cap if it runs this much more.
-// Tasks that may still be running count.
+// withinQuota reports whether the job's account stays within its quota if it uses this much
+// more. Tasks that may still be running count.
 func (a *assignment) withinQuota(j *jobState, more job.Resources) bool {
 	account := a.s.config.Account(j.Terms.Account)
 	if account == nil {
@@ -203,8 +203,8 @@
 		(limit.GPU == 0 || after.GPU <= limit.GPU)
 }
 
-// start books a run of the task on the VM and sends the start as soon as the save that
-// records the VM as one of the job's places is stored.
+// start books a run of the task on the VM, and sends the start as soon as it is stored that the
+// job may run on the VM.
 func (a *assignment) start(j *jobState, st *stepState, id job.TaskID, t *taskState, v *vmState, n job.Attempt) {
 	s := a.s
 	s.reportPlaced(a.now, j)
@@ -244,11 +244,11 @@
 	})
 }
 
-// recordPossibleVMs marks the VM and all others of its rack as places where the job's tasks may run,
-// to be stored before the start. Without this record a new owner could not restart any of the
-// tasks while any VM is out of reach. Storing each VM separately would cost a transaction
-// before each start, which takes 0.3 s when the table is slow. The job's next tasks are likely
-// to go to the same rack, and the VMs of a rack fail together anyway.
+// recordPossibleVMs records that the job's tasks may run on the VM and on all others of its
+// rack. The record is stored before the start. Without this record a new owner could not
+// restart any of the tasks while any VM is out of reach. Storing each VM separately would cost
+// a transaction before each start, which takes 0.3 s when the table is slow. The job's next
+// tasks are likely to go to the same rack, and the VMs of a rack fail together anyway.
 func (a *assignment) recordPossibleVMs(j *jobState, v *vmState) {
 	save := a.s.nextSaveSequence()
 	j.possibleVMs.Set(v.id, save)
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -50,7 +50,7 @@
 	one[Start](h, h.step(0))
 }
 
-// Guards against starts that rely on the capacity and labels of a VM's former life.
+// Guards against starts that rely on the capacity and labels of a VM's previous life.
 func TestRestartedVMAcceptsTasksOnceListed(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -91,8 +91,8 @@
 	})
 }
 
-// Guards against a pool that gets no machine although one of its lasting tasks, which may share
-// a VM, finds no room.
+// Guards against a pool that gets no machine although one of its long-running tasks, which may
+// share a VM, finds no capacity.
 func TestPoolGetsVMForLongRunningTaskThatMayShare(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -102,8 +102,8 @@
 	assert.Equal(t, one[Move](h, h.step(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
-// Guards against a pool that gets no machine although a lasting task fits on none of its VMs
-// since they have shrunk.
+// Guards against a pool that gets no machine although a long-running task fits on none of its
+// VMs since they have shrunk.
 func TestPoolGetsVMWhenItsOwnVMsHaveShrunk(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -28,7 +28,7 @@
 	Attempt job.Attempt
 }
 
-// Pace sets how fast a filling task may work, in percent of its full speed.
+// Pace sets how fast a spare-CPU task may work, in percent of its full speed.
 type Pace struct {
 	VM      job.VMID
 	Fence   job.Fence
@@ -37,8 +37,8 @@
 	Percent int
 }
 
-// Hold renews a VM's lease and asks for its lists. A look only asks for the lists, while
-// another hold may be in flight.
+// Hold renews a VM's lease and asks for its lists. A probe only asks for the lists, and
+// may be sent while another hold is in flight.
 type Hold struct {
 	VM    job.VMID
 	Order job.HoldOrder
@@ -65,7 +65,8 @@
 	VM       job.VMID
 }
 
-// RequestTickets asks the queue's advice service which VMs may run a step.
+// RequestTickets asks the queue's approval service which VMs may run a step. The service
+// issues a ticket for each approved VM.
 type RequestTickets struct {
 	Step job.StepID
 	VMs  []job.VMID
@@ -104,7 +105,7 @@
 	Machine  job.MachineID
 }
 
-// MachineOrder names the holder that recently gave a machine an order.
+// MachineOrder names the issuer of a recent order for a machine.
 type MachineOrder struct {
 	Machine job.MachineID `json:"machine"`
 	Issuer  string        `json:"holder"`
@@ -176,7 +177,7 @@
 	Unanswered
 	// Unhealthy: the VM refuses all orders.
 	Unhealthy
-	// OtherLife: another VM answers at the address.
+	// OtherLife: the VM has restarted since, or another VM answers at its address.
 	OtherLife
 )
 
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -52,7 +52,7 @@
 }
 
 // needsIsolation reports whether the next crash is the last one allowed. The task then
-// runs alone, so that nothing else can be the cause.
+// runs without others on its VM, so that nothing else can be the cause.
 func (c crashes) needsIsolation() bool { return len(c.attempts) >= maxCrashes-1 }
 
 // countCrash counts the end of a VM's life against the task of a run that is not released
@@ -92,8 +92,8 @@
 	}
 }
 
-// giveUp ends a job because one of its tasks must not start any more. A lasting job goes
-// on with its remaining tasks.
+// giveUp ends a job because one of its tasks must not start any more. A long-running job
+// continues with its remaining tasks.
 func (s *Scheduler) giveUp(now time.Time, j *jobState, r *run) {
 	s.decided(Decision{Kind: TaskGivenUp, Job: j.ID, Task: r.task, Reason: "VMs crashed under it"})
 	if !j.longRunning || j.noTaskCanRun() {
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -14,7 +14,7 @@
 type crashHarness struct {
 	*harness
 	lives map[job.VMID]*life
-	// full makes the VMs temporarily refuse tasks for lack of room.
+	// full makes the VMs temporarily refuse tasks for lack of capacity.
 	full bool
 	// pendingStarts are starts that answerStops collected for startOf.
 	pendingStarts []Start
@@ -200,7 +200,8 @@
 	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 }
 
-// Guards against a crash that isn't counted because the VM returns only after its lease.
+// Guards against a crash that isn't counted because the VM returns only after its lease
+// has expired.
 func TestCrashCountsWhenVMReturnsAfterItsLease(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three", "four")
 	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
@@ -281,7 +282,8 @@
 	assert.Assert(t, again[0].VM != again[1].VM)
 }
 
-// Guards against lasting tasks that are given up because of three crashes over years.
+// Guards against long-running tasks that are given up because of three unrelated crashes,
+// years apart.
 func TestStableLongRunningTaskResetsCrashCounts(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 1, Resources: small.Resources, LongRunning: true})
@@ -298,8 +300,8 @@
 	}
 }
 
-// Guards against a lasting job that loses all of its tasks because one of them crashes
-// VMs.
+// Guards against a long-running job that loses all of its tasks because one of them
+// crashes VMs.
 func TestSiblingsOfGivenUpLongRunningTaskContinue(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.job("j", "free", job.Step{Count: 2, Resources: small.Resources, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true})
@@ -352,8 +354,8 @@
 	}
 }
 
-// Guards against harmless tasks that are blamed as if they had been alone on their VM
-// because the other tasks there were freed first.
+// Guards against harmless tasks that count as the sole suspect of a crash because the
+// other tasks on their VM were freed first.
 func TestTasksThatLostVMTogetherAreNotSoleSuspects(t *testing.T) {
 	for name, after := range map[string]time.Duration{"within the lease": 3 * time.Second, "after it": 8 * time.Second} {
 		c := newCrashHarness(t, "one", "two", "three")
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -17,7 +17,7 @@
 }
 
 // SetEvacuatedZones sets which availability zones are evacuated. No task starts in an evacuated
-// zone. Tasks that run there continue to their end, except for lasting tasks, which move
+// zone. Tasks that run there continue to their end, except for long-running tasks, which move
 // elsewhere.
 func (s *Scheduler) SetEvacuatedZones(zones []job.ZoneName) {
 	next := zoneSet{}
@@ -38,7 +38,7 @@
 	}
 }
 
-// relocateEvacuated moves lasting tasks out of evacuated zones, each one as soon as a VM
+// relocateEvacuated moves long-running tasks out of evacuated zones, each one as soon as a VM
 // elsewhere has room for it.
 func (s *Scheduler) relocateEvacuated(now time.Time) {
 	if len(s.evacuatedZones) == 0 || s.config == nil {
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -49,8 +49,8 @@
 	assert.Equal(t, one[Start](h, h.readyIn("west", "two")).VM, job.VMID("two"))
 }
 
-// Guards against lasting tasks that stay in an evacuated zone, that leave before there is room
-// elsewhere, or that leave in greater number than their step may miss.
+// Guards against long-running tasks that stay in an evacuated zone, that are stopped before
+// there is capacity elsewhere, or that are stopped beyond the disruption budget of their step.
 func TestLongRunningTasksLeaveEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -90,8 +90,8 @@
 	assert.Equal(t, len(only[Start](h.step(time.Second))), 0)
 }
 
-// Guards against an end that nobody knows of after its owner died. A VM deletes noted ends,
-// so an end is noted only once it is stored.
+// Guards against an end that nobody knows of after its owner died. A VM deletes
+// acknowledged ends, so an end is acknowledged only once it is stored.
 func TestEndIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -123,7 +123,7 @@
 }
 
 // Guards against maintenance of a machine whose VM a new owner hasn't reached. What runs
-// there isn't known, so the machine must stay however empty the VM looks.
+// there isn't known, so the machine must not be maintained, however empty the VM seems.
 func TestMachineOfUnreportedVMIsNotMaintained(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
@@ -141,9 +141,9 @@
 	assert.Equal(t, len(only[Maintain](h.step(100*time.Millisecond))), 1)
 }
 
-// Guards against a stale machines list that ends a maintenance. The list was requested
-// before the order was answered and still shows the machine as up. The next machine may
-// go only when a later list shows that.
+// Guards against an outdated machine list that ends a maintenance. The list was requested
+// before the order was answered and still shows the machine as up. The next machine may be
+// maintained only once a later list shows that.
 func TestOlderMachineListDoesNotEndMaintenance(t *testing.T) {
 	h := newHarness(t)
 	list := func(requestedAt time.Time, state job.MachineState) {
@@ -166,7 +166,7 @@
 }
 
 // Guards against exceeding a wave's limit. A machine refuses an order as busy because an
-// earlier order, whose answer was lost, is being carried out. It counts as away.
+// earlier order, whose answer was lost, is being carried out. It counts as in maintenance.
 func TestBusyMachineCountsAsInMaintenance(t *testing.T) {
 	h := newHarness(t)
 	h.s.MachinesListed(h.now, []job.Machine{
@@ -181,8 +181,8 @@
 	assert.Equal(t, len(only[Maintain](h.step(time.Second))), 0)
 }
 
-// Guards against more missing tasks than a lasting step allows. One task's VM is silent,
-// so the maintenance of the other's VM has to wait.
+// Guards against more unavailable tasks than the disruption budget of a long-running step
+// allows. One task's VM is silent, so the maintenance of the other's VM has to wait.
 func TestMaintenanceWaitsWhileTaskIsUnavailable(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -226,8 +226,8 @@
 	one[Start](h, h.s.TakeCommands())
 }
 
-// Guards against jobs that wait without need. A new owner can't reach a VM; only jobs
-// that may run there wait for its lease.
+// Guards against jobs that wait without need. A new owner can't reach a VM. Only jobs that
+// may run there wait until its lease has expired.
 func TestOnlyJobsThatMayRunOnUnreportedVMsWait(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
@@ -246,8 +246,8 @@
 	assert.Equal(t, start.Order.Task.Job, job.ID("there"))
 }
 
-// Guards against exceeding an account's cap. Its tasks on VMs that a new owner hasn't
-// heard from count until they have certainly ended.
+// Guards against exceeding an account's quota. Its tasks on VMs that have not reported to a
+// new owner count until they have certainly ended.
 func TestTasksOnUnreportedVMsCountAgainstQuota(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
@@ -259,10 +259,10 @@
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
 }
 
-// Guards against exceeding an account's cap. A previous owner is cut off from the table
-// but not from its VMs. It has seen the end of a step that the new owner hasn't, and
-// starts the next, wider step. So all later steps count as well, not only those that the
-// new owner knows to be next.
+// Guards against exceeding an account's quota. A former owner is cut off from the table but
+// not from its VMs. It has seen the end of a step that the new owner hasn't, and starts the
+// next, wider step. So all later steps count as well, not only those that the new owner
+// knows to be next.
 func TestLaterStepsOnUnreportedVMsCountAgainstQuota(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
@@ -277,8 +277,8 @@
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
 }
 
-// Guards against two owners that both move lasting tasks for the same maintenance, which
-// would take more tasks of a step away than it may miss. An owner that hasn't reached the
+// Guards against two owners that both move long-running tasks for the same maintenance,
+// which would exceed the disruption budget of a step. An owner that hasn't reached the
 // table for a second moves none. New tasks still start.
 func TestNoLongRunningTaskMovesWithoutRightToOrderMachines(t *testing.T) {
 	h := newHarness(t)
@@ -316,7 +316,7 @@
 }
 
 // Guards against a failed run that counts twice because its end is listed again after a
-// take-over. A job whose attempts are used up must end as failed.
+// takeover. A job whose attempts are used up must end as failed.
 func TestFailedRunsAreCountedOnce(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -351,9 +351,9 @@
 	assert.Equal(t, len(only[Stop](commands))+len(only[Start](commands)), 0)
 }
 
-// Guards against stopping two tasks of a step that may miss only one. A previous owner
-// has ordered a lasting task's end. Until it has stopped, the VM lists the task as
-// available, and the new owner doesn't know of the order.
+// Guards against stopping two tasks of a step whose disruption budget is one. A former
+// owner has ordered a long-running task's end. Until it has stopped, the VM lists the task
+// as available, and the new owner doesn't know of the order.
 func TestMaintenanceWaitsForStopsOfFormerOwner(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -386,7 +386,7 @@
 	assert.Equal(t, len(only[DeleteJob](h.step(7*time.Minute))), 0)
 }
 
-// Guards against a lasting task that never runs because its pool has too few VMs. Two
+// Guards against a long-running task that never runs because its pool has too few VMs. Two
 // tasks must not share a VM, and their pool has only one while another pool has idle
 // machines. A machine must be moved.
 func TestPoolGetsVMsForLongRunningTasks(t *testing.T) {
@@ -402,9 +402,9 @@
 	assert.Equal(t, one[Move](h, commands), Move{Machine: "m-off", Pool: poolA})
 }
 
-// Guards against users who wait too long for seconds on end. A serving task finds room
-// only beside a filling one. As its tail latency nears the target, the filling task is
-// slowed and then halted. It is sped up again once there is room.
+// Guards against users who get slow responses for seconds on end. A serving task fits only
+// on the VM of a spare-CPU task. As its tail latency nears the target, the spare-CPU task
+// is slowed down and then halted. It is sped up again once the latency has fallen.
 func TestSpareCPUTaskIsSlowedForServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -426,7 +426,7 @@
 	}
 }
 
-// Guards against filling tasks that are placed beside a serving one.
+// Guards against spare-CPU tasks that are placed beside a serving one.
 func TestSpareCPUTaskIsNotPlacedBesideServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -9,12 +9,12 @@
 	"lavenderpond/core/job"
 )
 
-// loseOrderRight removes the right that only an owner has that has recently proved its
-// tenure.
+// loseOrderRight removes the right to order machines, which only an owner has that has
+// recently confirmed its ownership.
 func (h *harness) loseOrderRight() { h.s.SetRights(Rights{StartTasks: true, ExtendLeases: true}) }
 
 // Guards against a former owner that starts a task again elsewhere because it can't reach
-// the task's VM. The present owner may have noted the end there.
+// the task's VM. The present owner may have acknowledged the end there.
 func TestFormerOwnerRestartsNoTaskAfterLeaseExpiry(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
@@ -36,7 +36,7 @@
 }
 
 // Guards against a former owner that starts a task again because its VM has restarted.
-// The end may have been noted before.
+// The end may have been acknowledged before.
 func TestFormerOwnerRestartsNoTaskOfRestartedVM(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
 	c.job("j", "free", small)
--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// chooseGang returns a VM for each member of a gang, or nil if there is no room for all.
-// Members that ask for a common rack get one if any rack has room for all of them.
+// chooseGang returns a VM for each member of a gang, or nil if they don't all fit. Members
+// that ask for a common rack get one if any rack has room for all of them.
 func (a *assignment) chooseGang(st *stepState) []*vmState {
 	if st.def.SameRack {
 		for _, rack := range a.racks() {
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -45,7 +45,7 @@
 	return h
 }
 
-// step advances the time by d and returns the commands of three turns. Saves are stored
+// step advances the time by d and returns the commands of three rounds. Saves are stored
 // immediately.
 func (h *harness) step(d time.Duration) []Command {
 	h.now = h.now.Add(d)
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -46,8 +46,9 @@
 	s.emit(Hold{VM: v.id, Order: o})
 }
 
-// acknowledgedForHold returns the number of the last end that the VM may delete. It is 0 for a
-// silent VM, which may have crashed: its next life numbers its ends from 1 again.
+// acknowledgedForHold returns the number of the last end that a hold acknowledges, and that
+// the VM may then delete. It is 0 for a silent VM, which may have crashed: its next life
+// numbers its ends from 1 again.
 func (v *vmState) acknowledgedForHold() int64 {
 	if v.silent {
 		return 0
@@ -132,7 +133,7 @@
 	v.nextHold = now.Add(holdRetry * time.Duration(min(v.holdFailures, 4)))
 }
 
-// advanceAcknowledged advances the last noted end according to what is stored.
+// advanceAcknowledged acknowledges the ends whose saves are stored.
 func (v *vmState) advanceAcknowledged(stored int64) {
 	n := 0
 	for n < len(v.unsavedEnds) && v.unsavedEnds[n].save <= stored {
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -26,7 +26,7 @@
 	movingTo job.PoolName
 }
 
-// MachinesListed takes in a list of machines that was requested at asked.
+// MachinesListed applies a list of machines that was requested at requestedAt.
 func (s *Scheduler) MachinesListed(requestedAt time.Time, list []job.Machine) {
 	present := map[job.MachineID]bool{}
 	for _, m := range list {
@@ -57,7 +57,7 @@
 
 // endReplacedLife frees the runs of a VM whose machine is listed with a newer life. A machine
 // has one life at a time, so the older one has ended. After a crash this frees the tasks
-// seconds before the VM's lease runs out.
+// seconds before the VM's lease expires.
 func (s *Scheduler) endReplacedLife(requestedAt time.Time, v *vmState) {
 	m := v.host
 	if m == nil || m.VM == "" || m.VM == v.id || !v.firstSeen.Before(requestedAt) {
@@ -103,7 +103,7 @@
 }
 
 // pendingOrder is an order for a machine. It is held back until it is stored that the machine
-// has an order, since the next owner must know which machines to leave alone.
+// has an order, since the next owner must know which machines it must not order.
 type pendingOrder struct {
 	saveSequence int64
 	machine      job.MachineID
@@ -113,14 +113,14 @@
 // recentOrder is an order that was given to a machine recently.
 type recentOrder struct {
 	issuer string
-	// at is when the order was given, or the time of the take-over if a former owner gave it.
+	// at is when the order was given, or the time of the takeover if a former owner gave it.
 	at time.Time
 }
 
 // recentOrderPeriod is how long an order counts as recent. The next owner may order the machine
 // at once after that, so the period covers everything that it would otherwise wait for. It is
 // no longer than that: a new owner can't move machines with a recent order, and on a fleet
-// whose queues burst in turn most machines are given one within eight seconds.
+// whose queues burst one after the other, most machines are given one within eight seconds.
 func (s *Scheduler) recentOrderPeriod() time.Duration {
 	return s.settings.MachineLease + formerOrderSlack + sendDelayMax
 }
--- a/core/schedule/maintenance.go
+++ b/core/schedule/maintenance.go
@@ -8,9 +8,9 @@
 	"lavenderpond/core/job"
 )
 
-// waveState is a maintenance wave that isn't over. done and inUpkeep are the machines that had
-// their upkeep and those that have it now; published is set once the wave was published as
-// running.
+// waveState is a maintenance wave that isn't over. done holds the machines whose maintenance is
+// complete, and inMaintenance those in maintenance. published is set once the wave was
+// published as running, and publishedState is WaveCompleted once that was published.
 type waveState struct {
 	job.Wave
 	arrived        time.Time
@@ -21,7 +21,7 @@
 }
 
 const (
-	// cordonAhead is how many machines are emptied in advance beyond the wave's bound, so that
+	// cordonAhead is how many machines beyond the wave's limit are emptied in advance, so that
 	// the next one is empty when one comes back.
 	cordonAhead = 1
 	// machineRetryDelay is the pause before an order that wasn't carried out is repeated.
@@ -42,8 +42,8 @@
 	s.decided(Decision{Kind: WaveChanged, Reason: "begun"})
 }
 
-// advanceWaves advances each wave: it empties machines, orders their upkeep and waits for them
-// to come back.
+// advanceWaves advances each wave: it empties machines, orders their maintenance and waits for
+// them to come back.
 func (s *Scheduler) advanceWaves(now time.Time) {
 	cordoned := map[job.MachineID]bool{}
 	for _, w := range s.waves.All() {
@@ -71,7 +71,7 @@
 			continue
 		}
 		if m.State == job.MachineMaintenance && !w.inMaintenance[id] {
-			// A former owner ordered the upkeep.
+			// A former owner ordered the maintenance.
 			w.inMaintenance[id] = true
 		}
 		if w.inMaintenance[id] {
@@ -107,8 +107,8 @@
 	s.emit(PublishWave{Number: w.Number, State: job.WaveCompleted})
 }
 
-// maintainNext cordons the next machines and orders upkeep for those that are empty. The number
-// of machines in upkeep never exceeds the wave's bound.
+// maintainNext cordons the next machines and orders maintenance for those that are empty. The
+// number of machines in maintenance never exceeds the wave's limit.
 func (s *Scheduler) maintainNext(now time.Time, w *waveState, remaining []*machineState, cordoned map[job.MachineID]bool) {
 	slots := max(1, w.MaxConcurrent)
 	emptying := 0
@@ -133,7 +133,7 @@
 	}
 }
 
-// orderMaintenance orders the upkeep of a machine.
+// orderMaintenance orders the maintenance of a machine.
 func (s *Scheduler) orderMaintenance(now time.Time, w *waveState, m *machineState) {
 	w.inMaintenance[m.ID] = true
 	m.awaitingAnswer, m.orderedVM = true, m.VM
@@ -141,7 +141,7 @@
 	s.orderMachine(now, m.ID, Maintain{Machine: m.ID, Wave: w.Number})
 }
 
-// MaintainAnswered handles the outcome of an order for upkeep.
+// MaintainAnswered handles the outcome of an order for maintenance.
 func (s *Scheduler) MaintainAnswered(now time.Time, c Maintain, out Outcome, why job.MachineRefusal) {
 	m, w := s.machines.Get(c.Machine), s.waves.Get(c.Wave)
 	if m == nil || w == nil {
@@ -165,14 +165,14 @@
 		delete(w.inMaintenance, m.ID)
 		w.done[m.ID] = true
 	default:
-		// The machine may be in upkeep on an earlier order whose answer was lost. It counts as
-		// in upkeep until the machine list shows it as up.
+		// The machine may be in maintenance on an earlier order whose answer was lost. It
+		// counts as in maintenance until the machine list shows it as up.
 		m.refused = true
 	}
 }
 
-// collectReturned marks the machines that are back from their upkeep as done: those that a list
-// requested after the order was accepted shows as up.
+// collectReturned marks the machines that are back from their maintenance as done: those that a
+// list requested after the order was accepted shows as up.
 func (s *Scheduler) collectReturned(now time.Time, w *waveState) {
 	for _, id := range w.Machines {
 		if !w.inMaintenance[id] {
@@ -222,7 +222,8 @@
 	return cost
 }
 
-// relocateLongRunning moves lasting tasks off a VM, as far as their steps may miss tasks.
+// relocateLongRunning moves long-running tasks off a VM, as far as the disruption budgets of
+// their steps allow.
 func (s *Scheduler) relocateLongRunning(now time.Time, v *vmState, why string) {
 	for _, r := range v.runs.All() {
 		if s.mayRelocate(now, r) {
@@ -231,9 +232,9 @@
 	}
 }
 
-// mayRelocate reports whether a lasting task may be stopped in order to start elsewhere. A new
-// owner may do the same at the same time while each owner counts only its own stops, so this
-// requires the right that ends before another owner can take over.
+// mayRelocate reports whether a long-running task may be stopped in order to start elsewhere. A
+// new owner may do the same at the same time while each owner counts only its own stops. So
+// this requires the right to order machines, which ends before another owner can take over.
 func (s *Scheduler) mayRelocate(now time.Time, r *run) bool {
 	if !s.rights.OrderMachines || r.stopping || r.phase != runConfirmed {
 		return false
@@ -249,9 +250,10 @@
 	return r.adopted && now.Before(r.vm.firstReportedAt.Add(s.settings.TaskStopMax+busyHoldWait))
 }
 
-// withinDisruptionBudget reports whether a lasting step can spare the run now, which requires that fewer other
-// tasks are missing than the step allows. A task counts as missing from its stop until it is
-// listed as fully running again.
+// withinDisruptionBudget reports whether stopping the run keeps its long-running step within
+// the disruption budget: fewer other tasks must be unavailable than the budget allows. A task
+// counts as unavailable from its stop until it is listed as fully running again. Without a
+// budget, no other task may be unavailable.
 func (s *Scheduler) withinDisruptionBudget(now time.Time, st *stepState, r *run) bool {
 	unavailable := 0
 	for i := range st.tasks {
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -39,7 +39,7 @@
 	return stays && !now.Before(m.retryAt) && !s.evacuatedZones.has(m.Zone) && s.mayOrderMachine(now, m.ID)
 }
 
-// inMaintenance reports whether a maintenance wave has the machine's upkeep in progress.
+// inMaintenance reports whether the machine is in maintenance for a wave.
 func (s *Scheduler) inMaintenance(id job.MachineID) bool {
 	for _, w := range s.waves.All() {
 		if w.inMaintenance[id] {
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -155,7 +155,8 @@
 	return longest
 }
 
-// objective predicts when the job is due, and from when on its result is useless.
+// objective predicts when the job is due, and the limit after which its result is of no use to
+// its caller.
 func (s *Scheduler) objective(j *jobState) (due, lateLimit time.Time) {
 	stretch := j.Terms.Stretch
 	if stretch <= 0 {
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -10,16 +10,18 @@
 type rank int
 
 const (
-	// rankLasting: a lasting task serves users or runs for long, and must be running again
-	// within seconds of any end.
+	// rankLongRunning: a long-running task serves users or runs for long, and must be running
+	// again within seconds of any end.
 	rankLongRunning rank = iota
 	// rankInTime: the job can complete by its objective.
 	rankInTime
-	// rankLate: the job can only complete late, when it is worth a small part of its value.
+	// rankLate: the job can only complete after its objective but before its late limit, when
+	// it is worth a small part of its value.
 	rankLate
-	// rankExcess: the job's account has submitted more than its share.
+	// rankBeyondShare: the job's account has submitted more than its share.
 	rankBeyondShare
-	// rankUseless: nobody waits for the job any more, but it was accepted and still has to run.
+	// rankTooLate: the job can only complete after its late limit. Nobody waits for it any
+	// more, but it was accepted and still has to run.
 	rankTooLate
 )
 
@@ -45,9 +47,9 @@
 	minRemainingWork = 0.05
 )
 
-// candidates returns the jobs of a pool in the order in which they get room. If not all can be
-// in time, those with the highest value per core-second that they still need come first. Late
-// jobs come after all that can be in time.
+// candidates returns the jobs of a pool in the order in which they get capacity. If not all can
+// be in time, those with the highest value per core-second that they still need come first.
+// Late jobs come after all that can be in time.
 func (s *Scheduler) candidates(now time.Time, jobs []*jobState) []candidate {
 	out := make([]candidate, 0, len(jobs))
 	for _, j := range jobs {
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// paceInterval is how often the pace of a VM's filler tasks is adjusted. A change shows in
-	// the loads of the last half second.
+	// paceInterval is how often the pace of a VM's spare-CPU tasks is adjusted. A change shows
+	// in the loads of the last half second.
 	paceInterval = 500 * time.Millisecond
-	// The pace of filler tasks depends on the ratio of a serving task's tail latency to its
+	// The pace of spare-CPU tasks depends on the ratio of a serving task's tail latency to its
 	// target. From paceHaltRatio on they are halted, from paceHalveRatio on halved, and below
 	// paceRaiseRatio sped up. The ratios are well below 1 since a change takes a while to show.
 	paceHaltRatio  = 0.9
 	paceHalveRatio = 0.7
 	paceRaiseRatio = 0.5
-	// paceStepPercent is by how much filler tasks are sped up at a time. A task whose pace
+	// paceStepPercent is by how much spare-CPU tasks are sped up at a time. A task whose pace
 	// would fall below paceMinPercent is halted instead of halved.
 	paceStepPercent = 20
 	paceMinPercent  = 10
 )
 
-// pace slows down the filler tasks on a VM when a serving task there comes near its latency
+// pace slows down the spare-CPU tasks on a VM when a serving task there comes near its latency
 // target. Placement keeps the two apart; they share a VM only when the serving task had no
 // other place.
 func (s *Scheduler) pace(now time.Time, v *vmState) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// nextPace returns the pace, in percent, of a filler task beside a serving task whose tail
+// nextPace returns the pace, in percent, of a spare-CPU task beside a serving task whose tail
 // latency is tailRatio times its target.
 func nextPace(percent int, tailRatio float64) int {
 	switch {
--- a/core/schedule/placement.go
+++ b/core/schedule/placement.go
@@ -21,26 +21,26 @@
 	// slowed down by.
 	costInterference = 30.0
 	costVacating     = 20.0
-	// costSameStep applies to each run of the same lasting step on the VM.
+	// costSameStep applies to each run of the same long-running step on the VM.
 	costSameStep = 10.0
 	// costCrashRisk keeps tasks under which VMs have crashed apart from other tasks.
 	costCrashRisk = 5.0
-	// costFirstLongRunning keeps lasting tasks together: a VM that runs one can't be emptied
-	// without stopping it.
+	// costFirstLongRunning keeps long-running tasks together: a VM that runs one can't be
+	// emptied without stopping it.
 	costFirstLongRunning = 3.0
 	// costOtherZone keeps the tasks of a job in one availability zone. A job is late as soon as
 	// one of its tasks is, so that a zone that is cut off then delays only the jobs that run in
 	// it, and not all that have a task there.
 	costOtherZone = 0.3
-	// costNewVM prefers VMs that are stored as places of the job: there the task starts one
-	// transaction earlier.
+	// costNewVM prefers VMs on which it is already stored that the job may run: there the task
+	// starts one transaction earlier.
 	costNewVM = 0.2
 )
 
 // cost returns the cost of placing a task on the VM.
 func (a *assignment) cost(p placement, v *vmState) float64 {
 	// Tasks are packed: among VMs that are otherwise equal, the one with the least free CPU
-	// takes the task. The others stay empty for wide tasks, upkeep and other pools.
+	// takes the task. The others stay empty for wide tasks, maintenance and other pools.
 	cost := v.freeFraction()
 	if p.step.def.LongRunning {
 		cost += a.longRunningCost(p, v)
@@ -80,7 +80,7 @@
 	return cost
 }
 
-// longRunningCost spreads the tasks of a lasting step over VMs.
+// longRunningCost spreads the tasks of a long-running step over VMs.
 func (a *assignment) longRunningCost(p placement, v *vmState) float64 {
 	cost := costSameStep * float64(v.runsOfStep(p.id.StepID()))
 	if v.longRunningRuns == 0 {
@@ -114,7 +114,7 @@
 	if st.tickets != nil && st.tickets[v.id] == "" {
 		return false
 	}
-	// A filler task can go elsewhere or wait; a serving task beside it would be slowed down.
+	// A spare-CPU task can go elsewhere or wait; a serving task beside it would be slowed down.
 	return !st.def.SpareCPU || v.interferingRuns(st.def) == 0
 }
 
--- a/core/schedule/placement_test.go
+++ b/core/schedule/placement_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// roundWithoutStoring runs one turn and stores none of its saves, as if the table were slow.
+// roundWithoutStoring runs one round and stores none of its saves, as if the table were slow.
 func (h *harness) roundWithoutStoring(d time.Duration) []Command {
 	h.now = h.now.Add(d)
 	h.s.Tick(h.now)
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -19,16 +19,16 @@
 	// after its order, when a burst of four seconds is already waiting. With a shorter target,
 	// pools take machines from each other.
 	targetWait = 400 * time.Millisecond
-	// packingFraction is the fraction of a VM's room that tasks of mixed sizes fill.
+	// packingFraction is the fraction of a VM's capacity that tasks of mixed sizes fill.
 	packingFraction = 0.85
 	// peakDecay is the time constant with which a pool's peak need decays. It is longer than it
-	// takes all queues to burst in turn.
+	// takes all queues to burst one after the other.
 	peakDecay = 30 * time.Second
-	// longRunningSpareVMs is how many VMs a pool has beyond the number that its lasting tasks need
-	// if they may not share VMs, so that a task that ends can start elsewhere.
+	// longRunningSpareVMs is how many VMs a pool has beyond the number that its long-running tasks
+	// need if they may not share VMs, so that a task that ends can start elsewhere.
 	longRunningSpareVMs = 1
-	// longRunningWaitThreshold is how long a lasting task waits for room before its pool gets a VM
-	// for it.
+	// longRunningWaitThreshold is how long a long-running task waits for capacity before its pool
+	// gets a VM for it.
 	longRunningWaitThreshold = 200 * time.Millisecond
 )
 
@@ -113,12 +113,12 @@
 	return out
 }
 
-// longRunningDemand is what the lasting tasks of a pool need.
+// longRunningDemand is what the long-running tasks of a pool need.
 type longRunningDemand struct {
 	cpu int64
 	// minVMs is the number of VMs that the widest step with a bound on tasks per VM needs.
 	minVMs int
-	// waiting counts the tasks that have found no room.
+	// waiting counts the tasks that have found no capacity.
 	waiting int64
 }
 
@@ -130,8 +130,8 @@
 	return int64(l.minVMs + longRunningSpareVMs)
 }
 
-// demand returns the waiting work of each pool, in core-seconds, as far as it is still of use,
-// and what the pool's lasting tasks need. Waiting tasks of a job that may still run on a VM that
+// demand returns the waiting work of each pool, in core-seconds, as far as it is still of use, and
+// what the pool's long-running tasks need. Waiting tasks of a job that may still run on a VM that
 // has not reported yet are left out: they can't start, so capacity for them would stand empty
 // while other queues wait.
 func (s *Scheduler) demand(now time.Time) (waiting map[job.PoolName]float64, longRunning map[job.PoolName]longRunningDemand) {
@@ -157,7 +157,7 @@
 	return waiting, longRunning
 }
 
-// add adds the tasks of a lasting job.
+// add adds the tasks of a long-running job.
 func (l *longRunningDemand) add(j *jobState) {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
@@ -170,8 +170,8 @@
 	}
 }
 
-// longWaitingTasks counts the tasks of a lasting job that have waited for room for longer than
-// lastingWaitThreshold.
+// longWaitingTasks counts the tasks of a long-running job that have waited for capacity for longer
+// than longRunningWaitThreshold.
 func (j *jobState) longWaitingTasks(now time.Time) int64 {
 	if now.Sub(j.arrived) <= longRunningWaitThreshold {
 		return 0
@@ -252,9 +252,9 @@
 // firstReportGrace is how long a VM counts as capacity before its first report.
 const firstReportGrace = 300 * time.Millisecond
 
-// countsAsCapacity reports whether the VM counts as capacity of its pool. After a take-over
-// while a zone is cut off, all VMs of that zone are listed and none has reported. If they
-// counted, their pools would seem to have room and would get no machines.
+// countsAsCapacity reports whether the VM counts as capacity of its pool. After a takeover while a
+// zone is cut off, all VMs of that zone are listed and none has reported. If they counted, their
+// pools would seem to have free capacity and would get no machines.
 func (v *vmState) countsAsCapacity(now time.Time) bool {
 	reported := v.reported || now.Sub(v.firstSeen) < firstReportGrace
 	return v.listed && !v.draining && !v.evacuated && !v.silent && !v.cordoned && reported
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -83,7 +83,7 @@
 	return out
 }
 
-// Guards against moving machines to a pool for a job that can't start. After a take-over while
+// Guards against moving machines to a pool for a job that can't start. After a takeover while
 // a zone is cut off, a wide job may still run there and must not start again until that is
 // known. If its demand counted, the idle machines would stand unused in its pool while the
 // callers of the queue that bursts wait for them.
--- a/core/schedule/probe.go
+++ b/core/schedule/probe.go
@@ -10,16 +10,16 @@
 	// answerDue is how long after it is sent a start should be answered. VMs answer
 	// within a few milliseconds.
 	answerDue = 150 * time.Millisecond
-	// probeInterval is the minimum time between two looks at a VM.
+	// probeInterval is the minimum time between two probes of a VM.
 	probeInterval = 50 * time.Millisecond
 )
 
 // checkUnanswered resolves starts without an answer. Waiting for the start's deadline and
-// the next list takes about a second, more than most jobs can spare. Meanwhile a VM that
-// is unreachable would be given more tasks, which can't be freed for the whole of its
-// lease. So a VM that leaves a start unanswered gets no more tasks until it answers, and
-// a look asks what it runs. A run that isn't on the list is stopped explicitly, which
-// keeps it from beginning later, and its task then starts elsewhere.
+// the next list takes about a second, longer than most jobs can wait without being late.
+// Meanwhile a VM that is unreachable would be given more tasks, which can't be freed for
+// the whole of its lease. So a VM that leaves a start unanswered gets no more tasks until
+// it answers, and a probe asks what it runs. A run that isn't on the list is stopped
+// explicitly, which keeps it from beginning later, and its task then starts elsewhere.
 func (s *Scheduler) checkUnanswered(now time.Time, v *vmState) {
 	v.unresponsive = false
 	if v.orderedRuns == 0 && v.stoppingRuns == 0 {
@@ -48,7 +48,7 @@
 	return r.phase == runUnanswered && r.stopping && r.stopClock > 0
 }
 
-// probeAnswered handles the outcome of a look.
+// probeAnswered handles the outcome of a probe.
 func (s *Scheduler) probeAnswered(now time.Time, v *vmState, out Outcome, r job.Report) {
 	v.probeInFlight = false
 	if out != Answered || !r.Lists || !s.recordAnswer(now, v, r) {
--- a/core/schedule/probe_test.go
+++ b/core/schedule/probe_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// probes returns the looks among the commands.
+// probes returns the probes among the commands.
 func probes(commands []Command) []Hold {
 	var out []Hold
 	for _, h := range only[Hold](commands) {
@@ -20,15 +20,15 @@
 	return out
 }
 
-// answerProbe answers a look with the given running tasks.
+// answerProbe answers a probe with the given running tasks.
 func (h *harness) answerProbe(c Hold, running ...job.RunningTask) {
 	h.s.HoldAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Lists: true, Running: running})
 }
 
 // Guards against a job that is late because a VM delays a start by seconds. Waiting for
 // the start's timeout, its deadline and the next list would take about a second, too long
-// for a job that is due in two. Instead the VM is asked, the start is stopped, and the
-// task starts elsewhere within a few turns.
+// for a job that is due in two seconds. Instead the VM is asked, the start is stopped,
+// and the task starts elsewhere within a few rounds.
 func TestTaskOfUnansweredStartStartsElsewhereSoon(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -80,7 +80,7 @@
 	assert.Equal(t, len(only[Start](h.step(time.Millisecond))), 1)
 }
 
-// Guards against a run that reappears after its end. The answer to a look arrives before
+// Guards against a run that reappears after its end. The answer to a probe arrives before
 // that to an earlier hold, whose list is older.
 func TestOlderListIsIgnored(t *testing.T) {
 	h := newHarness(t)
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -32,8 +32,8 @@
 	s.markDirty(j)
 }
 
-// forgetExpiredRuns deletes the lapsed runs of a VM, because their fate is known or never will
-// be.
+// forgetExpiredRuns forgets the runs of a VM that were freed because its lease expired. Either
+// it is known whether the VM crashed, or it never will be.
 func (s *Scheduler) forgetExpiredRuns(v *vmState) {
 	for _, r := range v.expiredRuns {
 		j, _, st, t := s.task(r.task)
@@ -47,14 +47,14 @@
 	v.expiredRuns = nil
 }
 
-// mayReachCrashLimit reports whether the task would reach the crash limit if all VMs on
-// which it lapsed have crashed. It must not start until their fate is known.
+// mayReachCrashLimit reports whether the task would reach the crash limit if all VMs on which
+// its leases expired have crashed. It must not start until that is known.
 func (t *taskState) mayReachCrashLimit() bool {
 	return len(t.expiredRuns) > 0 && len(t.crashes.attempts)+len(t.expiredRuns) >= maxCrashes
 }
 
-// recordStart stores a start before it is sent if a new owner would not know of it
-// otherwise. A new owner must count a crash that this owner doesn't live to see.
+// recordStart stores a start before it is sent if a new owner would not know of it otherwise.
+// A new owner must count a crash that happens after this owner's end.
 func (s *Scheduler) recordStart(j *jobState, t *taskState, r *run) {
 	if !j.takenOver && !t.crashes.any() && len(t.expiredRuns) == 0 {
 		return
@@ -74,7 +74,7 @@
 	}
 }
 
-// restoreStarts restores the recorded starts of a previous owner on their VMs.
+// restoreStarts restores the recorded starts of a former owner on their VMs.
 func (s *Scheduler) restoreStarts(now time.Time, j *jobState, p *job.Progress) {
 	for _, x := range p.Started {
 		t, v := j.taskAt(x.Occurrence, x.Step, x.Task), s.vms.Get(x.VM)
@@ -100,7 +100,7 @@
 	}
 }
 
-// onlyRecorded reports whether the run is known only from a previous owner's record.
+// onlyRecorded reports whether the run is known only from a former owner's record.
 func (r *run) onlyRecorded() bool { return r.adopted && r.phase == runUnanswered }
 
 // taskAt returns a task of the job, or nil.
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -17,7 +17,7 @@
 			s.handleEnd(now, v, e)
 		}
 	}
-	// The answer to a look may overtake that to a hold, so only the newest list of
+	// The answer to a probe may overtake that to a hold, so only the newest list of
 	// running tasks is applied.
 	if r.Clock < v.listClock {
 		return
@@ -39,9 +39,9 @@
 	}
 }
 
-// handleEnd handles the end of a run. The end is noted at the VM, which then deletes it,
-// only once everything known of the job is stored. This includes redundant ends, since
-// what makes them redundant may not be stored yet.
+// handleEnd handles the end of a run. The end is acknowledged to the VM, which then
+// deletes it, only once everything known of the job is stored. This includes redundant
+// ends, since what makes them redundant may not be stored yet.
 func (s *Scheduler) handleEnd(now time.Time, v *vmState, e job.End) {
 	v.lastEnd = e.Number
 	if !s.applyEnd(now, v, e) {
@@ -107,7 +107,7 @@
 }
 
 // fullyObserved reports whether this owner has observed the whole run. A run that resumed
-// from a checkpoint or started under a previous owner has done part of its work before.
+// from a checkpoint or started under a former owner has done part of its work before.
 func (r *run) fullyObserved() bool { return !r.resumed && !r.adopted }
 
 // ranFor returns how long the run took, or 0 if part of its work was done earlier.
@@ -218,7 +218,7 @@
 	s.checkProgress(now, r)
 }
 
-// updateAvailability records that a lasting task is available.
+// updateAvailability records that a long-running task is available.
 func (s *Scheduler) updateAvailability(r *run) {
 	_, _, st, t := s.task(r.task)
 	if t == nil || !st.def.LongRunning {
@@ -229,7 +229,7 @@
 	}
 }
 
-// adoptRun adds a run that this owner hasn't ordered. Either a previous owner ordered it,
+// adoptRun adds a run that this owner hasn't ordered. Either a former owner ordered it,
 // or it is no longer wanted.
 func (s *Scheduler) adoptRun(now time.Time, v *vmState, clock job.VMClock, e *job.RunningTask) {
 	j, _, st, t := s.task(e.Task)
--- a/core/schedule/restart_test.go
+++ b/core/schedule/restart_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Guards against a new life that deletes its first ends. Looks go to a VM that leaves a
+// Guards against a new life that deletes its first ends. Probes go to a VM that leaves a
 // start unanswered, long before its hold fails and it counts as silent.
 func TestProbeAcknowledgesNothing(t *testing.T) {
 	h := newHarness(t)
@@ -102,8 +102,8 @@
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
 
-// Guards against a second run of a task whose end is beyond the number of ends that a VM
-// lists at a time.
+// Guards against a second run of a task whose end isn't listed because a VM lists a
+// limited number of ends at a time.
 func TestIncompleteListOfEndsFreesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -150,7 +150,7 @@
 	assert.Assert(t, again[0].Order.Deadline < 5000, "deadline %d", again[0].Order.Deadline)
 }
 
-// Guards against a second run of a task that a previous owner began on a new life without
+// Guards against a second run of a task that a former owner began on a new life without
 // knowing of that life. The roster names the life before it.
 func TestRestartedInheritedVMMustReportFirst(t *testing.T) {
 	h := newHarness(t)
@@ -204,7 +204,7 @@
 }
 
 // Guards against orders to a previous life that a new one carries out late: a start, or a
-// hold that notes ends.
+// hold that acknowledges ends.
 func TestOrdersToRestartedVMInvalidateEarlierOrders(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/round_bench_test.go
+++ b/core/schedule/round_bench_test.go
@@ -8,7 +8,8 @@
 	"lavenderpond/core/job"
 )
 
-// newFullFleetHarness returns a harness with pools of VMs that are full, and jobs that wait for room.
+// newFullFleetHarness returns a harness with pools of VMs that are full, and jobs that wait for
+// capacity.
 func newFullFleetHarness(t testing.TB, vms, waiting int) *harness {
 	h := newHarness(t)
 	pools := []job.PoolName{"a", "b", "c", "d", "e"}
@@ -49,7 +50,8 @@
 	return h
 }
 
-// BenchmarkSchedulingRound measures one turn of the owner's loop on a full fleet with waiting jobs.
+// BenchmarkSchedulingRound measures one round of the owner's loop on a full fleet with waiting
+// jobs.
 func BenchmarkSchedulingRound(b *testing.B) {
 	for _, n := range []struct{ vms, waiting int }{
 		{50, 0}, {50, 100}, {350, 0}, {350, 500}, {1100, 0}, {1100, 1000}, {3000, 0}, {3000, 3000},
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -45,8 +45,8 @@
 	}})
 }
 
-// mayRunOnUnreportedVM reports whether a task of the job may run on a VM that this owner hasn't
-// heard from yet.
+// mayRunOnUnreportedVM reports whether a task of the job may run on a VM that has not reported
+// to this owner yet.
 func (s *Scheduler) mayRunOnUnreportedVM(j *jobState) bool {
 	if !j.inherited || !s.anyUnreported {
 		return false
@@ -57,7 +57,8 @@
 			return true
 		}
 	}
-	// None of the job's VMs is unheard, and a VM doesn't become unheard again.
+	// All of the job's VMs have reported, or can't run tasks of a former owner any more.
+	// Neither changes later.
 	j.inherited = false
 	return false
 }
@@ -138,8 +139,8 @@
 	s.freeRun(now, r, reason)
 }
 
-// mayHaveEnded reports whether a task may have completed without this owner's knowledge.
-// Only an owner that has just proved its right is sure to know of all ends.
+// mayHaveEnded reports whether a task may have completed without this owner's knowledge. Only
+// an owner that has recently confirmed its ownership is sure to know of all ends.
 func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.OrderMachines }
 
 // freeRun releases a run that ended without being listed as ended.
@@ -269,16 +270,16 @@
 }
 
 const (
-	// fullPause is how long a VM that refused a task for lack of room gets no new ones,
-	// unless a list comes first. Word of its reduced capacity may take longer, so the
-	// pause doubles with each further refusal, at most fullDoublings times.
+	// fullPause is how long a VM that refused a task for lack of capacity gets no new ones,
+	// unless a list comes first. Word of its reduced capacity may take longer, so the pause
+	// doubles with each further refusal, at most fullDoublings times.
 	fullPause     = 200 * time.Millisecond
 	fullDoublings = 4
 	// refusalWindow is how long after a pause another refusal counts as a further one.
 	refusalWindow = 2 * time.Second
 )
 
-// markFull records that the VM refused a task for lack of room. Refusals of starts that
+// markFull records that the VM refused a task for lack of capacity. Refusals of starts that
 // were in flight at the same time count as one.
 func (v *vmState) markFull(now time.Time) {
 	if now.Before(v.fullUntil) {
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -27,13 +27,13 @@
 	// ShrinkNotice is how long a VM's former capacity may still be relied on after it has
 	// shrunk; 0 means without limit.
 	ShrinkNotice time.Duration
-	// MachineLease is how long this owner leaves a machine alone after an order of a former
-	// holder.
+	// MachineLease is how long this owner doesn't order a machine after an order of another
+	// issuer.
 	MachineLease time.Duration
 	// OrderIssuer identifies this owner in its orders for machines.
 	OrderIssuer string
 	// FormerOrders lists the machines that may have been given an order shortly before the
-	// take-over.
+	// takeover.
 	FormerOrders []MachineOrder
 	// Observer receives the scheduler's decisions; it may be nil.
 	Observer Observer
@@ -47,8 +47,8 @@
 	vms      orderedMap[job.VMID, *vmState]
 	// ended holds the jobs whose final state is stored, with the time at which they ended.
 	ended map[job.ID]time.Time
-	// usage is the room that each client account's running tasks take, including tasks that may
-	// be running.
+	// usage is the resources that each client account's running tasks use, including tasks that
+	// may be running.
 	usage map[job.AccountName]job.Resources
 	// possibleUsage is what each account may be using in addition, on VMs that have not
 	// reported to this owner yet.
@@ -70,7 +70,7 @@
 	dirtyOrders  []job.MachineID
 	dirtyVMs     []job.VMID
 	dirtyWaves   []*waveState
-	// nextForgetEnded is the next time to look for ended jobs to forget.
+	// nextForgetEnded is the next time to forget jobs that ended long ago.
 	nextForgetEnded time.Time
 	rights          Rights
 	// fence is the fencing token for VM lives that begin from this point on.
@@ -120,20 +120,20 @@
 	s.config = c
 }
 
-// Rights are the kinds of orders that the owner may give. They depend on the age of the last
-// proof that it is still the owner.
+// Rights are the kinds of orders that the owner may give. They depend on how long ago its
+// ownership was last confirmed.
 type Rights struct {
-	// OrderMachines permits orders for machines, and moving lasting tasks.
+	// OrderMachines permits orders for machines, and moving long-running tasks.
 	OrderMachines bool
-	// StartTasks permits starting tasks, Hold extending leases on VMs.
+	// StartTasks permits starting tasks, ExtendLeases extending leases on VMs.
 	StartTasks, ExtendLeases bool
 }
 
 // SetRights sets what the owner may do at this moment.
 func (s *Scheduler) SetRights(r Rights) { s.rights = r }
 
-// RaiseFence raises the fencing token to a table version at which this owner's right was
-// confirmed. That version is below the fencing token of any later owner.
+// RaiseFence raises the fencing token to a table version at which its ownership was confirmed.
+// That version is below the fencing token of any later owner.
 func (s *Scheduler) RaiseFence(version job.Fence) { s.fence = max(s.fence, version) }
 
 // TakeCommands returns the commands that were issued since the last call.
@@ -167,7 +167,7 @@
 	s.anyUnreported = true
 }
 
-// unlistedHoldDelay is how long after a take-over the first hold is sent to VMs that the
+// unlistedHoldDelay is how long after a takeover the first hold is sent to VMs that the
 // directory doesn't list, so that the listed VMs are held first.
 const unlistedHoldDelay = 700 * time.Millisecond
 
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -58,7 +58,8 @@
 	assert.Assert(t, place >= 0, "%v", next)
 }
 
-// Guards against jobs beyond an account's share that are held back while there is room.
+// Guards against jobs beyond an account's share that are held back while capacity is
+// free.
 func TestJobsBeyondShareRunWhileCapacityIsFree(t *testing.T) {
 	h := newSharesHarness(t)
 	h.ready("one", "two", "three", "four", "five")
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -82,7 +82,7 @@
 	return clock <= r.deadline && v.barredAttempt[r.task] < r.attempt
 }
 
-// begin starts a task, which ends after a while unless it is a lasting task.
+// begin starts a task, which ends after a while unless it is a long-running task.
 func (f *shrinkingFleet) begin(v *shrinkingVM, r *shrinkingRun) {
 	v.runs = append(v.runs, r)
 	v.lease = max(v.lease, r.deadline)
@@ -102,7 +102,7 @@
 	v.barredAttempt[r.task] = max(v.barredAttempt[r.task], r.attempt)
 }
 
-// expireLease ends all runs once the VM's lease is over.
+// expireLease ends all runs once the VM's lease has expired.
 func (f *shrinkingFleet) expireLease(v *shrinkingVM) {
 	if f.clock() <= v.lease {
 		return
@@ -114,7 +114,7 @@
 
 func (f *shrinkingFleet) report() job.Report { return job.Report{Clock: f.clock(), Born: 1} }
 
-// start carries out a start, and asserts that there is room for it.
+// start carries out a start, and asserts that it fits.
 func (f *shrinkingFleet) start(c Start) {
 	v := f.vm(c.VM)
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Resources.CPU, c.Order.Deadline}
@@ -172,7 +172,7 @@
 	f.s.HoldAnswered(f.now, c, Answered, rep)
 }
 
-// round runs one turn and carries out the resulting commands.
+// round runs one round and carries out the resulting commands.
 func (f *shrinkingFleet) round() {
 	f.now = f.now.Add(10 * time.Millisecond)
 	due := f.events
@@ -208,7 +208,8 @@
 	}
 }
 
-// resize changes a VM's capacity. If VMs are guarded, the scheduler may learn of it late.
+// resize changes a VM's capacity. If VMs enforce their capacity, the scheduler may learn of
+// it late.
 func (f *shrinkingFleet) resize(v *shrinkingVM, cpu int64) {
 	v.cpu = cpu
 	tell := func() {
@@ -231,7 +232,7 @@
 	f.job(string(id), "free", def)
 }
 
-// disturb makes a random change every few turns.
+// disturb makes a random change every few rounds.
 func (f *shrinkingFleet) disturb(turn int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
@@ -255,14 +256,14 @@
 		f.resize(v, 8000)
 	}
 	for n := range 4 {
-		// Negative numbers don't collide with those of turns.
+		// Negative numbers don't collide with those of rounds.
 		f.submit(-1 - n)
 	}
 	return f
 }
 
 // Guards against starts beyond the capacity of a VM that shrinks and grows, and against jobs
-// that don't complete once there is room.
+// that don't complete once capacity is free.
 func TestShrinkingVMs(t *testing.T) {
 	for seed := range uint64(80) {
 		f := newShrinking(t, seed, seed%2 == 0)
--- a/core/schedule/sizing/sizing.go
+++ b/core/schedule/sizing/sizing.go
@@ -1,5 +1,5 @@
-// Package sizing decides which machines move to another pool. Queues take turns in bursting to
-// more work than their own pool can hold, while the fleet as a whole has room.
+// Package sizing decides which machines move to another pool. Queues burst one after the other
+// to more work than their own pool can hold, while the fleet as a whole has enough capacity.
 package sizing
 
 import (
--- a/core/schedule/sizing/vacate.go
+++ b/core/schedule/sizing/vacate.go
@@ -7,7 +7,7 @@
 	"lavenderpond/core/job"
 )
 
-// VM is a VM that runs no lasting task, with the CPU that its tasks use.
+// VM is a VM that runs no long-running task, with the CPU that its tasks use.
 type VM struct {
 	ID   job.VMID
 	Pool job.PoolName
--- a/core/schedule/slow_test.go
+++ b/core/schedule/slow_test.go
@@ -90,9 +90,9 @@
 	assert.Equal(t, len(only[Stop](h.step(time.Millisecond))), 0)
 }
 
-// Guards against runs that are stopped as slow after a take-over. A new owner finds runs
-// that are half done. Measured from the take-over, their siblings would seem to take no
-// time at all.
+// Guards against runs that are stopped as slow after a takeover. A new owner finds runs that
+// are half done. Measured from the takeover, their siblings would seem to take no time at
+// all.
 func TestAdoptedRunsAreNotCompared(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two", "three", "four")
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -11,7 +11,7 @@
 type runPhase int
 
 const (
-	// runPlanned: the room is reserved, but the start is not sent yet.
+	// runPlanned: the resources are reserved, but the start is not sent yet.
 	runPlanned runPhase = iota
 	// runOrdered: the start is sent and not answered yet.
 	runOrdered
@@ -31,7 +31,8 @@
 	// requiredSave is the save that must be stored before the start is sent.
 	requiredSave int64
 	reservation  job.Resources
-	// account is charged cost, which includes CPU that the task uses as filler.
+	// account is the client account that the run's cost counts against. cost includes spare
+	// CPU, which isn't reserved.
 	account job.AccountName
 	cost    job.Resources
 	// startBy is the start's deadline on the VM's clock.
@@ -48,7 +49,7 @@
 	resendStop time.Time
 	// stopClock is the VM's clock reading when it answered the stop, or 0 if it hasn't.
 	stopClock job.VMClock
-	// adopted runs were started by a previous owner.
+	// adopted runs were started by a former owner.
 	adopted bool
 	// recorded runs are stored with their job. crashSuspect runs belong to a task under
 	// which a VM has crashed.
@@ -56,10 +57,10 @@
 	// isolated runs belong to a task that is given up if its VM crashes once more.
 	// Nothing else starts on their VM.
 	isolated bool
-	// unknownJob runs belong to a job that isn't known, so their claim isn't known
+	// unknownJob runs belong to a job that isn't known, so their reservation isn't known
 	// either.
 	unknownJob bool
-	// lasting, serving and fills describe the kind of task.
+	// longRunning, serving and spareCPU describe the kind of task.
 	longRunning, serving, spareCPU bool
 	// resumed is set if the run continued from a checkpoint.
 	resumed bool
@@ -99,8 +100,8 @@
 	notBefore time.Time
 	// avoidVM is the VM on which the last run failed.
 	avoidVM job.VMID
-	// unavailableSince is when a lasting task's run ended. It is zero before the first run
-	// has ended, and again once the task is available.
+	// unavailableSince is when a long-running task's run ended. It is zero before the first
+	// run has ended, and again once the task is available.
 	unavailableSince time.Time
 	// slowStops counts the runs that were stopped as slow.
 	slowStops int
@@ -136,8 +137,8 @@
 	done  int
 	// open counts the tasks that wait for a start.
 	open int
-	// tickets holds a ticket for each VM that may run the step, if its queue requires
-	// advice. They are used until ticketsUntil.
+	// tickets holds a ticket for each VM that may run the step, if its queue requires an
+	// approval. They are used until ticketsUntil.
 	tickets           map[job.VMID]string
 	ticketsUntil      time.Time
 	approvalRequested bool
@@ -181,9 +182,12 @@
 	doneCount   int
 	begun       bool
 	// placed is set once the job's first task has been given a VM.
-	placed    bool
+	placed bool
+	// inherited is set while tasks that a former owner started may still run on VMs that have
+	// not reported to this owner.
 	inherited bool
-	// takenOver jobs were begun by a previous owner.
+	// takenOver jobs were inherited, and their stored progress names VMs on which a former
+	// owner may have started tasks.
 	takenOver   bool
 	longRunning bool
 	// beyondShare is set if the job's account had exceeded its share when the job
@@ -245,22 +249,24 @@
 	// leaseEnd is the latest deadline of any order sent.
 	leaseEnd job.VMClock
 	runs     orderedMap[runKey, *run]
-	// lasting, serving and fills count the runs of each kind, and stopping the runs that
-	// were ordered to stop. The counters avoid a scan of all runs in each turn.
+	// longRunningRuns, servingRuns and spareCPURuns count the runs of each kind, and
+	// stoppingRuns the runs that were ordered to stop. The counters avoid a scan of all runs
+	// in each round.
 	longRunningRuns, servingRuns, spareCPURuns int
 	stoppingRuns                               int
 	// crashSuspects counts the runs of tasks under which a VM has crashed.
 	crashSuspects int
 	// isolatedRuns counts the runs beside which nothing else may start.
 	isolatedRuns int
-	// unknownRuns counts the runs whose claim is unknown. While there are any, the free
-	// room is unknown too.
+	// unknownRuns counts the runs whose reservation is unknown. While there are any, the free
+	// capacity is unknown too.
 	unknownRuns int
 	// orderedRuns counts the starts that wait for an answer.
 	orderedRuns int
 	// unresponsive VMs have left a start unanswered and haven't answered anything since.
 	unresponsive bool
-	// probeInFlight is set while a look is in flight. lookedAt is when the last one was sent.
+	// probeInFlight is set while a probe is in flight. probedAt is when the last one was
+	// sent.
 	probeInFlight bool
 	probedAt      time.Time
 	// listClock is the VM's clock reading of the newest list applied. listCount is the
@@ -268,8 +274,9 @@
 	listClock job.VMClock
 	listCount int64
 
-	// lastEnd is the number of the last end handled, and noted that of the last one that
-	// is stored. The VM may delete noted ends. unsavedEnds are those in between.
+	// lastEnd is the number of the last end handled, and acknowledgedEnd that of the last one
+	// that is stored. Holds acknowledge it, and the VM may then delete all ends up to it.
+	// unsavedEnds are those in between.
 	lastEnd         int64
 	acknowledgedEnd int64
 	unsavedEnds     []unsavedEnd
@@ -278,12 +285,14 @@
 	// idleSince is when the VM last ran something.
 	idleSince    time.Time
 	holdInFlight bool
-	reported     bool
-	// firstReportedAt is when the first hold succeeded. From then on the VM refuses a
-	// previous owner's orders.
+	// reported is set once the current life of the VM has listed all of its runs and ends in
+	// answer to a hold.
+	reported bool
+	// firstReportedAt is when the VM first reported to this owner. From then on the VM
+	// refuses a former owner's orders.
 	firstReportedAt time.Time
 	nextHold        time.Time
-	// paceAt is when to adjust the pace of filling tasks next.
+	// paceAt is when to adjust the pace of spare-CPU tasks next.
 	paceAt     time.Time
 	lastAnswer time.Time
 	silent     bool
@@ -295,7 +304,7 @@
 	suspectUntil time.Time
 	// slowUntil is when the VM may get tasks again after a slow run.
 	slowUntil time.Time
-	// fullUntil is when the VM may get tasks again after it refused one for lack of room.
+	// fullUntil is when the VM may get tasks again after it refused one for lack of capacity.
 	// refusals counts such refusals in a row.
 	fullUntil time.Time
 	refusals  int
@@ -313,11 +322,11 @@
 	// lifeEnded is set once the VM's life is proved to have ended.
 	lifeEnded bool
 	// expiredRuns are the runs that were freed because the lease expired. They are kept until
-	// it is known whether the VM crashed, or until lapsedUntil.
+	// it is known whether the VM crashed, or until expiredRunsUntil.
 	expiredRuns      []*run
 	expiredRunsUntil time.Time
-	// inheritedUntil is when no run of a previous owner can remain here if the VM stays
-	// silent. It is zero once the VM's runs are known.
+	// inheritedUntil is when no run of a former owner can remain here if the VM stays silent.
+	// It is zero once the VM's runs are known.
 	inheritedUntil time.Time
 }
 
@@ -327,7 +336,7 @@
 	attempt job.Attempt
 }
 
-// unsavedEnd is an end that may be noted once the save is stored.
+// unsavedEnd is an end that may be acknowledged once the save is stored.
 type unsavedEnd struct {
 	number int64
 	save   int64
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -47,8 +47,8 @@
 	assert.Assert(t, !h.s.recentOrders.Has("m-1"))
 }
 
-// Guards against a second run of a task. A machines list that lags behind shows the life
-// before the one on which a previous owner started the task.
+// Guards against a second run of a task. A machine list that lags behind shows the life
+// before the one on which a former owner started the task.
 func TestOutdatedMachineListFreesNoVM(t *testing.T) {
 	old := job.Machine{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "former"}
 	for name, order := range map[string][]string{
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Tick carries out the periodic work: holds, looks, repeated stops, expired leases,
+// Tick carries out the periodic work: holds, probes, repeated stops, expired leases,
 // evacuations, maintenance and pool sizes.
 func (s *Scheduler) Tick(now time.Time) {
 	s.anyUnreported = false
@@ -29,18 +29,18 @@
 	s.sizePools(now)
 }
 
-// unreported reports whether a previous owner's tasks may run on the VM and this owner
-// hasn't heard from it yet.
+// unreported reports whether a former owner's tasks may run on the VM and it has not
+// reported to this owner yet.
 func (v *vmState) unreported() bool { return !v.reported && !v.inheritedUntil.IsZero() }
 
-// nothingDue reports whether the VM needs no work in this turn: its hold is in flight,
+// nothingDue reports whether the VM needs no work in this round: its hold is in flight,
 // and no start or stop waits for an answer.
 func (v *vmState) nothingDue() bool {
 	return v.holdInFlight && v.listed && !v.silent && !v.unresponsive && v.orderedRuns == 0 && v.stoppingRuns == 0 && v.spareCPURuns == 0 && len(v.lostStarts) == 0
 }
 
-// stopOnDraining stops lasting tasks on draining VMs, so that they move elsewhere. Other
-// tasks may end in time; those that don't are lost with the VM.
+// stopOnDraining stops long-running tasks on draining VMs, so that they move elsewhere.
+// Other tasks may end in time; those that don't are lost with the VM.
 func (s *Scheduler) stopOnDraining(now time.Time) {
 	for _, v := range s.vms.All() {
 		if !v.draining {
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -79,8 +79,8 @@
 // be carried out for startWindow, and for longer on a slow clock.
 const shrinkMargin = time.Second
 
-// capacityKnown reports whether the VM's capacity is known well enough for a start. VMs in a
-// guarded pool refuse what doesn't fit by themselves.
+// capacityKnown reports whether the VM's capacity is known well enough for a start. VMs of a
+// pool that enforces its capacity refuse what doesn't fit.
 func (s *Scheduler) capacityKnown(now time.Time, v *vmState) bool {
 	within := s.settings.ShrinkNotice
 	if within == 0 || now.Sub(s.directoryAsOf) < within-shrinkMargin {
--- a/core/schedule/vmindex.go
+++ b/core/schedule/vmindex.go
@@ -15,8 +15,8 @@
 	vms []indexedVM
 	// largestCPU is the CPU of the largest VM.
 	largestCPU int64
-	// unplaceable holds claims for which no VM had room. Free room only shrinks while tasks are
-	// placed, so a larger claim finds no room either.
+	// unplaceable holds reservations that fit on no VM. Free capacity only shrinks while tasks
+	// are placed, so a larger reservation doesn't fit either.
 	unplaceable []job.Resources
 }
 
@@ -34,7 +34,7 @@
 	return cmp.Compare(a.vm.id, b.vm.id)
 }
 
-// newVMIndex returns an index of those vms that have room for a claim of size least.
+// newVMIndex returns an index of those vms that have room for a reservation of size least.
 func newVMIndex(vms []*vmState, least job.Resources) vmIndex {
 	r := vmIndex{vms: make([]indexedVM, 0, len(vms))}
 	for _, v := range vms {
@@ -47,7 +47,7 @@
 	return r
 }
 
-// firstCandidate returns the index of the first VM that may have room for the claim.
+// firstCandidate returns the index of the first VM that may have room for the reservation.
 func (r *vmIndex) firstCandidate(reservation job.Resources) int {
 	least := float64(reservation.CPU) / float64(max(1, r.largestCPU))
 	return sort.Search(len(r.vms), func(i int) bool { return r.vms[i].freeFraction >= least })
@@ -61,12 +61,12 @@
 	r.vms = slices.Insert(r.vms, at, s)
 }
 
-// isUnplaceable reports whether no VM is known to have room for the claim.
+// isUnplaceable reports whether it is known that the reservation fits on no VM.
 func (r *vmIndex) isUnplaceable(reservation job.Resources) bool {
 	return slices.ContainsFunc(r.unplaceable, func(x job.Resources) bool { return x.FitsIn(reservation) })
 }
 
-// addUnplaceable records that no VM has room for the claim.
+// addUnplaceable records that the reservation fits on no VM.
 func (r *vmIndex) addUnplaceable(reservation job.Resources) {
 	r.unplaceable = slices.DeleteFunc(r.unplaceable, func(x job.Resources) bool { return reservation.FitsIn(x) })
 	r.unplaceable = append(r.unplaceable, reservation)
