--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -40,7 +40,7 @@
 func TestRunOfUnknownJobBlocksStarts(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	unknown := job.RunningTask{Task: job.TaskID{Job: "stray"}, Attempt: 7}
+	unknown := job.RunningTask{Task: job.TaskID{Job: "unknown"}, Attempt: 7}
 	h.lists("one", []job.RunningTask{unknown})
 	one[Stop](h, h.step(0))
 	h.job("j", "free", small)
@@ -60,7 +60,7 @@
 	h.job("j", "free", small)
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 	h.resize("one", 8000)
-	assert.Equal(t, len(only[Start](h.step(0))), 0, "task started while the entry is of the former life")
+	assert.Equal(t, len(only[Start](h.step(0))), 0, "task started while the entry is of the previous life")
 	h.s.VMListed(h.now, entryOf("one", 8000, 2))
 	one[Start](h, h.step(0))
 }
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -147,7 +147,7 @@
 func TestTaskThatCrashesItsVMsIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{0, 100 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
 		for _, step := range []job.Step{small, {Count: 1, Resources: small.Resources, LongRunning: true}} {
-			t.Run(fmt.Sprintf("%s lasting %t", after, step.LongRunning), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s long-running %t", after, step.LongRunning), func(t *testing.T) {
 				c := newCrashHarness(t, "one", "two", "three")
 				c.checkStarts(c.startsUntilGivenUp(step, func(o Start) {
 					c.confirm(o)
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -230,13 +230,13 @@
 // may run there wait until its lease has expired.
 func TestOnlyJobsThatMayRunOnUnreportedVMsWait(t *testing.T) {
 	h := newHarness(t)
-	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
+	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
 	h.ready("one")
 	add := func(id string, vms ...job.VMID) {
 		j := job.Job{ID: job.ID(id), Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
 		h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: vms}, true)
 	}
-	add("there", "dark")
+	add("there", "unreported")
 	add("elsewhere", "one")
 	start := one[Start](h, h.step(0))
 	assert.Equal(t, start.Order.Task.Job, job.ID("elsewhere"))
@@ -250,11 +250,11 @@
 // new owner count until they have certainly ended.
 func TestTasksOnUnreportedVMsCountAgainstQuota(t *testing.T) {
 	h := newHarness(t)
-	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
+	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
 	h.ready("one")
 	wide := job.Step{Count: 4, Resources: job.Resources{CPU: 1000}, Estimate: time.Second}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{wide}}}
-	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
+	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
 	h.job("new", "capped", wide)
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
 }
@@ -265,14 +265,14 @@
 // knows to be next.
 func TestLaterStepsOnUnreportedVMsCountAgainstQuota(t *testing.T) {
 	h := newHarness(t)
-	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
+	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
 	h.ready("one")
 	resources := job.Resources{CPU: 1000}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{
 		{Count: 1, Resources: resources, Estimate: time.Second},
 		{Count: 4, Resources: resources, Estimate: time.Second, After: []int{0}},
 	}}}
-	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
+	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
 	h.job("new", "capped", job.Step{Count: 4, Resources: resources, Estimate: time.Second})
 	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
 }
@@ -408,7 +408,7 @@
 func TestSpareCPUTaskIsSlowedForServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("fill", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true, Estimate: time.Minute})
+	h.job("spare", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true, Estimate: time.Minute})
 	spareCPU := one[Start](h, h.step(0))
 	h.confirm(spareCPU)
 	h.job("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
@@ -432,7 +432,7 @@
 	h.ready("one")
 	h.job("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
 	h.confirm(one[Start](h, h.step(0)))
-	h.job("fill", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true})
+	h.job("spare", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true})
 	assert.Equal(t, len(only[Start](h.step(0))), 0)
 }
 
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -56,10 +56,10 @@
 // owner may have found tasks there.
 func TestFormerOwnerStartsNoTaskThatMayRunOnUnreportedVM(t *testing.T) {
 	h := newHarness(t)
-	h.s.AddInheritedVM(RosterVM{ID: "dark", Address: "dark", Pool: poolA})
+	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
 	h.ready("one")
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
-	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"dark"}}, true)
+	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
 	h.loseOrderRight()
 	for range 110 {
 		h.lists("one", nil)
--- a/core/schedule/probe_test.go
+++ b/core/schedule/probe_test.go
@@ -37,7 +37,7 @@
 	commands := h.step(answerDue + 10*time.Millisecond)
 	probe := probes(commands)
 	assert.Equal(t, len(probe), 1)
-	assert.Equal(t, probe[0].Order.Deadline, job.VMClock(0), "a look does not extend the lease")
+	assert.Equal(t, probe[0].Order.Deadline, job.VMClock(0), "a probe does not extend the lease")
 	h.answerProbe(probe[0])
 	stop := one[Stop](h, h.step(time.Millisecond))
 	assert.Equal(t, stop.Attempt, lost.Order.Attempt)
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -48,7 +48,7 @@
 	}
 	h.lists("one", nil, ends...)
 	next := only[Start](h.step(0))
-	assert.Equal(t, len(next), 8, "all room is used")
+	assert.Equal(t, len(next), 8, "all capacity is used")
 	place := -1
 	for i, c := range next {
 		if c.Order.Task.Job == "single" {
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -119,7 +119,7 @@
 	v := f.vm(c.VM)
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Resources.CPU, c.Order.Deadline}
 	used := v.used(f.clock())
-	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: used CPU %d plus claim %d exceeds capacity %d", r.task, v.id, used, r.cpu, v.reportedCPU)
+	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: used CPU %d plus reservation %d exceeds capacity %d", r.task, v.id, used, r.cpu, v.reportedCPU)
 	answer := func(out Outcome, rep job.Report) { f.s.StartAnswered(f.now, c, out, rep) }
 	switch {
 	case v.silent || f.rng.IntN(20) == 0:
