--- a/core/lease/watcher.go
+++ b/core/lease/watcher.go
@@ -48,9 +48,9 @@
 }
 
 // waitPeriod returns how long the owner's rows must remain unchanged before a takeover.
-func (w *Watcher) waitPeriod(nobody bool) time.Duration {
+func (w *Watcher) waitPeriod(unowned bool) time.Duration {
 	d := time.Duration(0)
-	if !nobody {
+	if !unowned {
 		d += takeoverSilence
 	}
 	if w.LowCapacity {
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -213,7 +213,7 @@
 	}
 	r := &run{
 		task: id, attempt: n, vm: v, reservation: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account,
-		orderedAt: a.now, pace: 100, requiredSave: j.possibleVMs.Get(v.id),
+		orderedAt: a.now, pacePercent: 100, requiredSave: j.possibleVMs.Get(v.id),
 	}
 	r.setKind(st.def)
 	r.crashSuspect, r.isolated = t.crashes.any(), t.crashes.needsIsolation()
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -19,9 +19,9 @@
 	// ran beside the one at fault.
 	maxCrashesAtStart = 2
 	startCrashWindow  = 100 * time.Millisecond
-	// separateFor is how long after its VM's crash a task waits for a VM without another
+	// separationPeriod is how long after its VM's crash a task waits for a VM without another
 	// such task.
-	separateFor = 2 * time.Second
+	separationPeriod = 2 * time.Second
 	// isolationWait is how long a task whose next crash is the last waits for a VM
 	// without any run that may crash it.
 	isolationWait = 4 * time.Second
@@ -67,7 +67,7 @@
 	if r.phase == runConfirmed {
 		t.crashes.addConfirmed(r)
 	}
-	t.separateUntil = now.Add(separateFor)
+	t.separateUntil = now.Add(separationPeriod)
 	if t.crashes.needsIsolation() {
 		t.separateUntil = now.Add(isolationWait)
 	}
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -17,14 +17,14 @@
 	// minHoldInterval is the minimum time between two holds. It keeps a VM that answers
 	// immediately from being called in a tight loop.
 	minHoldInterval = 20 * time.Millisecond
-	// holdRetry is the pause after an unanswered hold.
-	holdRetry = 250 * time.Millisecond
+	// holdRetryDelay is the pause after an unanswered hold.
+	holdRetryDelay = 250 * time.Millisecond
 )
 
 // hold sends the next hold to a VM if it is due. A hold renews the VM's lease and asks
 // for its lists.
 func (s *Scheduler) hold(now time.Time, v *vmState) {
-	if v.holdInFlight || now.Before(v.nextHold) || !s.rights.ExtendLeases || v.address == "" {
+	if v.holdInFlight || now.Before(v.nextHoldAt) || !s.rights.ExtendLeases || v.address == "" {
 		return
 	}
 	o := job.HoldOrder{Fence: v.fence, Noted: v.acknowledgedForHold()}
@@ -42,7 +42,7 @@
 		}
 	}
 	v.holdInFlight = true
-	v.nextHold = now.Add(minHoldInterval)
+	v.nextHoldAt = now.Add(minHoldInterval)
 	s.emit(Hold{VM: v.id, Order: o})
 }
 
@@ -81,11 +81,11 @@
 		v.reported, v.firstReportedAt = true, now
 		v.inheritedUntil = time.Time{}
 	}
-	v.nextHold = now.Add(minHoldInterval)
+	v.nextHoldAt = now.Add(minHoldInterval)
 	if len(v.unsavedEnds) > 0 {
 		// The VM would answer immediately with the same ends, so wait until they are
 		// stored.
-		v.nextHold = now.Add(busyHoldWait)
+		v.nextHoldAt = now.Add(busyHoldWait)
 	}
 }
 
@@ -130,7 +130,7 @@
 		s.decided(Decision{Kind: VMSilent, VM: v.id, Reason: out.String(), Age: now.Sub(v.lastAnswer)})
 	}
 	v.holdFailures++
-	v.nextHold = now.Add(holdRetry * time.Duration(min(v.holdFailures, 4)))
+	v.nextHoldAt = now.Add(holdRetryDelay * time.Duration(min(v.holdFailures, 4)))
 }
 
 // advanceAcknowledged acknowledges the ends whose saves are stored.
@@ -143,7 +143,7 @@
 	if n > 0 {
 		v.unsavedEnds = v.unsavedEnds[n:]
 		if len(v.unsavedEnds) == 0 {
-			v.nextHold = time.Time{}
+			v.nextHoldAt = time.Time{}
 		}
 	}
 }
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -60,7 +60,7 @@
 // seconds before the VM's lease expires.
 func (s *Scheduler) endReplacedLife(requestedAt time.Time, v *vmState) {
 	m := v.host
-	if m == nil || m.VM == "" || m.VM == v.id || !v.firstSeen.Before(requestedAt) {
+	if m == nil || m.VM == "" || m.VM == v.id || !v.firstListedAt.Before(requestedAt) {
 		return
 	}
 	// The list lags and may show the life before this one. The directory tells which of the two
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -22,7 +22,7 @@
 // target. Placement keeps the two apart; they share a VM only when the serving task had no
 // other place.
 func (s *Scheduler) pace(now time.Time, v *vmState) {
-	if now.Before(v.paceAt) || v.silent {
+	if now.Before(v.nextPaceAt) || v.silent {
 		return
 	}
 	tailRatio, serving := 0.0, false
@@ -41,14 +41,14 @@
 	if len(spareCPU) == 0 {
 		return
 	}
-	v.paceAt = now.Add(paceInterval)
+	v.nextPaceAt = now.Add(paceInterval)
 	for _, r := range spareCPU {
 		percent := 100
 		if serving {
-			percent = nextPace(r.pace, tailRatio)
+			percent = nextPace(r.pacePercent, tailRatio)
 		}
-		if percent != r.pace {
-			r.pace = percent
+		if percent != r.pacePercent {
+			r.pacePercent = percent
 			s.emit(Pace{VM: v.id, Fence: v.fence, Task: r.task, Attempt: r.attempt, Percent: percent})
 		}
 	}
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -256,7 +256,7 @@
 // zone is cut off, all VMs of that zone are listed and none has reported. If they counted, their
 // pools would seem to have free capacity and would get no machines.
 func (v *vmState) countsAsCapacity(now time.Time) bool {
-	reported := v.reported || now.Sub(v.firstSeen) < firstReportGrace
+	reported := v.reported || now.Sub(v.firstListedAt) < firstReportGrace
 	return v.listed && !v.draining && !v.evacuated && !v.silent && !v.cordoned && reported
 }
 
--- a/core/schedule/probe.go
+++ b/core/schedule/probe.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// answerDue is how long after it is sent a start should be answered. VMs answer
+	// startAnswerTimeout is how long after it is sent a start should be answered. VMs answer
 	// within a few milliseconds.
-	answerDue = 150 * time.Millisecond
+	startAnswerTimeout = 150 * time.Millisecond
 	// probeInterval is the minimum time between two probes of a VM.
 	probeInterval = 50 * time.Millisecond
 )
@@ -28,7 +28,7 @@
 	needed := false
 	for _, r := range v.runs.All() {
 		switch {
-		case r.phase == runOrdered && now.Sub(r.orderedAt) > answerDue:
+		case r.phase == runOrdered && now.Sub(r.orderedAt) > startAnswerTimeout:
 			needed = true
 			v.unresponsive = v.unresponsive || v.lastAnswer.Before(r.orderedAt)
 		case r.stopAccepted():
@@ -56,7 +56,7 @@
 	}
 	s.applyLists(now, v, r)
 	for _, x := range v.runs.All() {
-		if x.phase == runOrdered && v.probedAt.Sub(x.orderedAt) > answerDue {
+		if x.phase == runOrdered && v.probedAt.Sub(x.orderedAt) > startAnswerTimeout {
 			s.stopRun(now, x, "start not answered")
 			s.stopGang(now, x)
 		}
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -236,7 +236,7 @@
 	r := &run{
 		task: e.Task, attempt: e.Attempt, vm: v, phase: runConfirmed, confirmedClock: clock,
 		orderedAt: now, confirmedAt: now, percent: e.Percent, load: e.Load,
-		pace: 100, adopted: true, unknownJob: j == nil, lastList: v.listCount,
+		pacePercent: 100, adopted: true, unknownJob: j == nil, lastList: v.listCount,
 	}
 	if j != nil {
 		r.reservation, r.cost, r.account = st.def.Reservation(), st.def.Resources, j.Terms.Account
--- a/core/schedule/restart_test.go
+++ b/core/schedule/restart_test.go
@@ -72,7 +72,7 @@
 	assert.Equal(t, acknowledgedAt(h.step(30*time.Millisecond), "one"), int64(1))
 	h.job("k", "free", small)
 	one[Start](h, h.step(0))
-	probe := probes(h.step(answerDue + 10*time.Millisecond))
+	probe := probes(h.step(startAnswerTimeout + 10*time.Millisecond))
 	assert.Equal(t, len(probe), 1)
 	assert.Equal(t, probe[0].Order.Noted, int64(0))
 }
@@ -196,7 +196,7 @@
 	stop := one[Stop](h, h.roundWithoutStoring(0))
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock()})
-	again := only[Stop](h.step(stopRetry))
+	again := only[Stop](h.step(stopRetryDelay))
 	assert.Assert(t, len(again) > 0)
 	h.s.StopAnswered(h.now, again[0], Answered, job.Report{Clock: 700})
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 800, Born: 2, Lists: true})
@@ -218,5 +218,5 @@
 	start := one[Start](h, h.step(0))
 	assert.Equal(t, start.Order.Fence, job.Fence(9))
 	h.s.Cancel(h.now, "j")
-	assert.Equal(t, one[Stop](h, h.roundWithoutStoring(answerDue)).Fence, job.Fence(9))
+	assert.Equal(t, one[Stop](h, h.roundWithoutStoring(startAnswerTimeout)).Fence, job.Fence(9))
 }
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -165,7 +165,7 @@
 	}
 	r.stopping = true
 	r.vm.stoppingRuns++
-	r.resendStop = now.Add(stopRetry)
+	r.resendStopAt = now.Add(stopRetryDelay)
 	s.decided(Decision{
 		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 	})
@@ -180,10 +180,10 @@
 // repeatStops sends the stop again for runs that are still on the VM.
 func (s *Scheduler) repeatStops(now time.Time, v *vmState) {
 	for _, r := range v.runs.All() {
-		if !r.stopping || now.Before(r.resendStop) {
+		if !r.stopping || now.Before(r.resendStopAt) {
 			continue
 		}
-		r.resendStop = now.Add(stopRetry)
+		r.resendStopAt = now.Add(stopRetryDelay)
 		if r.stopClock == 0 || r.phase == runConfirmed {
 			s.emit(v.stopOrder(r))
 		}
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -163,7 +163,7 @@
 	}
 	v.rosterEntry = r
 	v.inheritedUntil = lease.InheritedLeaseEnd(s.settings.TookOver, s.settings.LeaseMax)
-	v.nextHold = s.settings.TookOver.Add(unlistedHoldDelay)
+	v.nextHoldAt = s.settings.TookOver.Add(unlistedHoldDelay)
 	s.anyUnreported = true
 }
 
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -43,10 +43,10 @@
 	confirmedAt    time.Time
 	percent        int
 	load           int64
-	pace           int
+	pacePercent    int
 	// stopping is set once a stop was ordered. resendStop is when to repeat it.
-	stopping   bool
-	resendStop time.Time
+	stopping     bool
+	resendStopAt time.Time
 	// stopClock is the VM's clock reading when it answered the stop, or 0 if it hasn't.
 	stopClock job.VMClock
 	// adopted runs were started by a former owner.
@@ -281,7 +281,7 @@
 	acknowledgedEnd int64
 	unsavedEnds     []unsavedEnd
 
-	firstSeen time.Time
+	firstListedAt time.Time
 	// idleSince is when the VM last ran something.
 	idleSince    time.Time
 	holdInFlight bool
@@ -291,9 +291,9 @@
 	// firstReportedAt is when the VM first reported to this owner. From then on the VM
 	// refuses a former owner's orders.
 	firstReportedAt time.Time
-	nextHold        time.Time
-	// paceAt is when to adjust the pace of spare-CPU tasks next.
-	paceAt     time.Time
+	nextHoldAt      time.Time
+	// nextPaceAt is when to adjust the pace of spare-CPU tasks next.
+	nextPaceAt time.Time
 	lastAnswer time.Time
 	silent     bool
 	// silentSince is when the VM was found silent.
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -14,8 +14,8 @@
 	// VM refuses an order that arrives late, and long against the round trip to a slow
 	// VM.
 	startWindow = 600 * time.Millisecond
-	// stopRetry is the pause before an ineffective stop is sent again.
-	stopRetry = 600 * time.Millisecond
+	// stopRetryDelay is the pause before an ineffective stop is sent again.
+	stopRetryDelay = 600 * time.Millisecond
 	// clockSlack allows for VM clocks that are read in whole milliseconds.
 	clockSlack job.VMClock = 5
 	// noAnswerPause is how long a VM gets no new tasks after it left a start unanswered.
@@ -45,9 +45,9 @@
 // VMListed applies a VM's entry in the directory.
 func (s *Scheduler) VMListed(now time.Time, e job.VMRecord) {
 	v := s.vm(e.ID)
-	if v.firstSeen.IsZero() {
+	if v.firstListedAt.IsZero() {
 		s.decided(Decision{Kind: VMFound, VM: e.ID, Reason: string(e.Pool)})
-		v.nextHold, v.firstSeen, v.idleSince = now, now, now
+		v.nextHoldAt, v.firstListedAt, v.idleSince = now, now, now
 	}
 	if e.Born != 0 && v.born != 0 && e.Born > v.born {
 		s.vmRestarted(now, v, e.Born)
@@ -160,7 +160,7 @@
 	v.born, v.fence = born, s.fence
 	v.clock, v.leaseEnd = lease.Clock{}, 0
 	v.lastEnd, v.acknowledgedEnd, v.unsavedEnds, v.listClock = 0, 0, nil, 0
-	v.reported, v.nextHold = false, now
+	v.reported, v.nextHoldAt = false, now
 	s.updateRoster(v)
 	for _, r := range v.lostStarts {
 		if now.Sub(r.orderedAt) < maxOrderDelay {
