--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -37,7 +37,7 @@
 	Percent int
 }
 
-// Hold renews a VM's lease and asks for its lists. A probe only asks for the lists, and
+// Hold extends a VM's lease and asks for its lists. A probe only asks for the lists, and
 // may be sent while another hold is in flight.
 type Hold struct {
 	VM    job.VMID
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -8,7 +8,7 @@
 
 const (
 	// busyHoldWait is how long a VM with runs may wait for an end before it answers a
-	// hold. The lease is renewed at least that often, so a VM that is cut off keeps its
+	// hold. The lease is extended at least that often, so a VM that is cut off keeps its
 	// tasks for at least the longest lease less busyHoldWait.
 	busyHoldWait = 700 * time.Millisecond
 	// idleHoldWait is the same for a VM without runs. It is the longest wait that VMs
@@ -21,7 +21,7 @@
 	holdRetryDelay = 250 * time.Millisecond
 )
 
-// hold sends the next hold to a VM if it is due. A hold renews the VM's lease and asks
+// hold sends the next hold to a VM if it is due. A hold extends the VM's lease and asks
 // for its lists.
 func (s *Scheduler) hold(now time.Time, v *vmState) {
 	if v.holdInFlight || now.Before(v.nextHoldAt) || !s.rights.ExtendLeases || v.address == "" {
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -71,7 +71,7 @@
 	s.endLife(requestedAt, v, "machine runs a newer VM life")
 }
 
-// endLife handles a proof that a VM's life has ended.
+// endLife handles the end of a VM's life once that is certain.
 func (s *Scheduler) endLife(now time.Time, v *vmState, why string) {
 	v.inheritedUntil = time.Time{}
 	v.lifeEnded = true
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -47,8 +47,8 @@
 	v.expiredRuns = nil
 }
 
-// mayReachCrashLimit reports whether the task would reach the crash limit if all VMs on which
-// its leases expired have crashed. It must not start until that is known.
+// mayReachCrashLimit reports whether the task would reach the crash limit if each VM whose lease
+// expired under it has crashed. It must not start until that is known.
 func (t *taskState) mayReachCrashLimit() bool {
 	return len(t.expiredRuns) > 0 && len(t.crashes.attempts)+len(t.expiredRuns) >= maxCrashes
 }
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -271,8 +271,9 @@
 
 const (
 	// fullPause is how long a VM that refused a task for lack of capacity gets no new ones,
-	// unless a list comes first. Word of its reduced capacity may take longer, so the pause
-	// doubles with each further refusal, at most fullDoublings times.
+	// unless its directory entry changes its capacity or names a new life before. News of
+	// the reduced capacity may take longer, so the pause doubles with each further refusal,
+	// at most fullDoublings times.
 	fullPause     = 200 * time.Millisecond
 	fullDoublings = 4
 	// refusalWindow is how long after a pause another refusal counts as a further one.
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -183,8 +183,8 @@
 	begun       bool
 	// placed is set once the job's first task has been given a VM.
 	placed bool
-	// inherited is set while tasks that a former owner started may still run on VMs that have
-	// not reported to this owner.
+	// inherited is set if a former owner may have started tasks of the job. It is cleared once
+	// none of them can run on a VM that has not reported to this owner.
 	inherited bool
 	// takenOver jobs were inherited, and their stored progress names VMs on which a former
 	// owner may have started tasks.
@@ -300,7 +300,8 @@
 	silentSince  time.Time
 	holdFailures int
 	// failedRuns counts the failed runs since the last successful one.
-	failedRuns   int
+	failedRuns int
+	// suspectUntil is when the VM may get tasks again after failed runs or an unanswered start.
 	suspectUntil time.Time
 	// slowUntil is when the VM may get tasks again after a slow run.
 	slowUntil time.Time
@@ -312,14 +313,15 @@
 	// it. Tasks may start on the VM once that is stored.
 	rosterEntry RosterVM
 	rosterSave  int64
-	// cordoned VMs get no new tasks because their machine is due for maintenance.
+	// cordoned VMs get no new tasks because their machine is due for maintenance or moves to
+	// another pool.
 	cordoned bool
 	// vacating VMs get tasks only if no other VM has room.
 	vacating bool
 	// lostStarts are unanswered starts that this life of the VM can no longer carry out.
 	// A new life under the same ID still could.
 	lostStarts []*run
-	// lifeEnded is set once the VM's life is proved to have ended.
+	// lifeEnded is set once the VM's life has certainly ended.
 	lifeEnded bool
 	// expiredRuns are the runs that were freed because the lease expired. They are kept until
 	// it is known whether the VM crashed, or until expiredRunsUntil.
