--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -44,7 +44,7 @@
 	percent        int
 	load           int64
 	pacePercent    int
-	// stopping is set once a stop was ordered. resendStop is when to repeat it.
+	// stopping is set once a stop was ordered. resendStopAt is when to repeat it.
 	stopping     bool
 	resendStopAt time.Time
 	// stopClock is the VM's clock reading when it answered the stop, or 0 if it hasn't.
