--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -28,7 +28,7 @@
 	Attempt job.Attempt
 }
 
-// Pace sets how fast a filling task may work, in percent of its full speed.
+// Pace sets how fast a spare-CPU task may work, in percent of its full speed.
 type Pace struct {
 	VM      job.VMID
 	Fence   job.Fence
@@ -37,12 +37,12 @@
 	Percent int
 }
 
-// Hold renews a VM's lease and asks for its lists. A look only asks for the lists, while
-// another hold may be in flight.
+// Hold extends a VM's lease and asks for its lists. A probe only asks for the lists, and
+// may be sent while another hold is in flight.
 type Hold struct {
 	VM    job.VMID
 	Order job.HoldOrder
-	Look  bool
+	Probe bool
 }
 
 // Save stores a job's progress. Saves must be stored in the order of Sequence.
@@ -65,7 +65,8 @@
 	VM       job.VMID
 }
 
-// RequestTickets asks the queue's advice service which VMs may run a step.
+// RequestTickets asks the queue's approval service which VMs may run a step. The service
+// issues a ticket for each approved VM.
 type RequestTickets struct {
 	Step job.StepID
 	VMs  []job.VMID
@@ -77,8 +78,8 @@
 	Pool    job.PoolName
 }
 
-// Upkeep orders the maintenance of a machine in a wave.
-type Upkeep struct {
+// Maintain orders the maintenance of a machine in a wave.
+type Maintain struct {
 	Machine job.MachineID
 	Wave    int64
 }
@@ -104,10 +105,10 @@
 	Machine  job.MachineID
 }
 
-// MachineOrder names the holder that recently gave a machine an order.
+// MachineOrder names the issuer of a recent order for a machine.
 type MachineOrder struct {
 	Machine job.MachineID `json:"machine"`
-	Holder  string        `json:"holder"`
+	Issuer  string        `json:"holder"`
 }
 
 // DeleteJob deletes the stored rows of a job that ended long ago.
@@ -132,7 +133,7 @@
 func (DeleteJob) command()      {}
 func (RequestTickets) command() {}
 func (Move) command()           {}
-func (Upkeep) command()         {}
+func (Maintain) command()       {}
 func (PublishWave) command()    {}
 
 // SequenceOf returns the sequence number of a save. ok is false for other commands.
@@ -176,7 +177,7 @@
 	Unanswered
 	// Unhealthy: the VM refuses all orders.
 	Unhealthy
-	// OtherLife: another VM answers at the address.
+	// OtherLife: the VM has restarted since, or another VM answers at its address.
 	OtherLife
 )
 
@@ -214,34 +215,34 @@
 
 // Kinds of decisions.
 const (
-	JobAdopted     DecisionKind = "job_adopted"
-	JobBeyondShare DecisionKind = "job_beyond_share"
-	JobPlaced      DecisionKind = "job_placed"
-	JobEnded       DecisionKind = "job_ended"
-	JobCancelled   DecisionKind = "job_cancelled"
-	TaskOrdered    DecisionKind = "task_ordered"
-	TaskNotBegun   DecisionKind = "task_not_begun"
-	TaskStarted    DecisionKind = "task_started"
-	TaskEnded      DecisionKind = "task_ended"
-	EndRedundant   DecisionKind = "end_redundant"
-	TaskFreed      DecisionKind = "task_freed"
-	TaskLostVM     DecisionKind = "task_lost_vm"
-	TaskGivenUp    DecisionKind = "task_given_up"
-	TaskStopping   DecisionKind = "task_stopping"
-	TaskFound      DecisionKind = "task_found"
-	VMFound        DecisionKind = "vm_found"
-	VMSilent       DecisionKind = "vm_silent"
-	VMBack         DecisionKind = "vm_back"
-	VMReborn       DecisionKind = "vm_reborn"
-	VMGone         DecisionKind = "vm_gone"
-	VMDraining     DecisionKind = "vm_draining"
-	VMSuspected    DecisionKind = "vm_suspected"
-	VMSlow         DecisionKind = "vm_slow"
-	VMVacated      DecisionKind = "vm_vacated"
-	ZoneEvacuated  DecisionKind = "zone_evacuated"
-	ZoneReopened   DecisionKind = "zone_reopened"
-	WaveChanged    DecisionKind = "wave_changed"
-	MachineSeen    DecisionKind = "machine_seen"
-	MachineMoved   DecisionKind = "machine_moved"
-	MachineUpkept  DecisionKind = "machine_upkept"
+	JobAdopted        DecisionKind = "job_adopted"
+	JobBeyondShare    DecisionKind = "job_beyond_share"
+	JobPlaced         DecisionKind = "job_placed"
+	JobEnded          DecisionKind = "job_ended"
+	JobCancelled      DecisionKind = "job_cancelled"
+	TaskOrdered       DecisionKind = "task_ordered"
+	TaskNotBegun      DecisionKind = "task_not_begun"
+	TaskStarted       DecisionKind = "task_started"
+	TaskEnded         DecisionKind = "task_ended"
+	EndRedundant      DecisionKind = "end_redundant"
+	TaskFreed         DecisionKind = "task_freed"
+	TaskLostVM        DecisionKind = "task_lost_vm"
+	TaskGivenUp       DecisionKind = "task_given_up"
+	TaskStopping      DecisionKind = "task_stopping"
+	TaskAdopted       DecisionKind = "task_found"
+	VMFound           DecisionKind = "vm_found"
+	VMSilent          DecisionKind = "vm_silent"
+	VMBack            DecisionKind = "vm_back"
+	VMRestarted       DecisionKind = "vm_reborn"
+	VMGone            DecisionKind = "vm_gone"
+	VMDraining        DecisionKind = "vm_draining"
+	VMSuspected       DecisionKind = "vm_suspected"
+	VMSlow            DecisionKind = "vm_slow"
+	VMVacated         DecisionKind = "vm_vacated"
+	ZoneEvacuated     DecisionKind = "zone_evacuated"
+	ZoneReopened      DecisionKind = "zone_reopened"
+	WaveChanged       DecisionKind = "wave_changed"
+	MachineSeen       DecisionKind = "machine_seen"
+	MachineMoved      DecisionKind = "machine_moved"
+	MachineMaintained DecisionKind = "machine_upkept"
 )
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -17,7 +17,7 @@
 }
 
 // SetEvacuatedZones sets which availability zones are evacuated. No task starts in an evacuated
-// zone. Tasks that run there continue to their end, except for lasting tasks, which move
+// zone. Tasks that run there continue to their end, except for long-running tasks, which move
 // elsewhere.
 func (s *Scheduler) SetEvacuatedZones(zones []job.ZoneName) {
 	next := zoneSet{}
@@ -38,7 +38,7 @@
 	}
 }
 
-// relocateEvacuated moves lasting tasks out of evacuated zones, each one as soon as a VM
+// relocateEvacuated moves long-running tasks out of evacuated zones, each one as soon as a VM
 // elsewhere has room for it.
 func (s *Scheduler) relocateEvacuated(now time.Time) {
 	if len(s.evacuatedZones) == 0 || s.config == nil {
@@ -46,7 +46,7 @@
 	}
 	var free map[job.PoolName][]*vmState
 	for _, v := range s.vms.All() {
-		if !v.evacuated || v.lasting == 0 || v.silent {
+		if !v.evacuated || v.longRunningRuns == 0 || v.silent {
 			continue
 		}
 		if free == nil {
@@ -79,6 +79,6 @@
 		return -1
 	}
 	return slices.IndexFunc(vms, func(v *vmState) bool {
-		return r.claim.FitsIn(v.freeRoom()) && st.mayRunOn(r.task.StepID(), v)
+		return r.reservation.FitsIn(v.freeCapacity()) && st.mayRunOn(r.task.StepID(), v)
 	})
 }
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -8,7 +8,7 @@
 
 const (
 	// busyHoldWait is how long a VM with runs may wait for an end before it answers a
-	// hold. The lease is renewed at least that often, so a VM that is cut off keeps its
+	// hold. The lease is extended at least that often, so a VM that is cut off keeps its
 	// tasks for at least the longest lease less busyHoldWait.
 	busyHoldWait = 700 * time.Millisecond
 	// idleHoldWait is the same for a VM without runs. It is the longest wait that VMs
@@ -17,17 +17,17 @@
 	// minHoldInterval is the minimum time between two holds. It keeps a VM that answers
 	// immediately from being called in a tight loop.
 	minHoldInterval = 20 * time.Millisecond
-	// holdRetry is the pause after an unanswered hold.
-	holdRetry = 250 * time.Millisecond
+	// holdRetryDelay is the pause after an unanswered hold.
+	holdRetryDelay = 250 * time.Millisecond
 )
 
-// hold sends the next hold to a VM if it is due. A hold renews the VM's lease and asks
+// hold sends the next hold to a VM if it is due. A hold extends the VM's lease and asks
 // for its lists.
 func (s *Scheduler) hold(now time.Time, v *vmState) {
-	if v.holding || now.Before(v.nextHold) || !s.rights.Hold || v.address == "" {
+	if v.holdInFlight || now.Before(v.nextHoldAt) || !s.rights.ExtendLeases || v.address == "" {
 		return
 	}
-	o := job.HoldOrder{Fence: v.fence, Noted: v.notedForHold()}
+	o := job.HoldOrder{Fence: v.fence, Noted: v.acknowledgedForHold()}
 	// An unanswered hold may be carried out later, so a hold to a silent VM doesn't
 	// extend the lease. Otherwise the lease of a VM that is gone would never expire for
 	// this owner.
@@ -35,24 +35,25 @@
 		o.Deadline = v.clock.Estimate(now) + job.VMClock(s.settings.LeaseMax.Milliseconds())
 		v.leaseEnd = max(v.leaseEnd, o.Deadline)
 	}
-	if v.heldOnce && !v.silent && len(v.unsavedEnds) == 0 {
+	if v.reported && !v.silent && len(v.unsavedEnds) == 0 {
 		o.Wait = busyHoldWait
 		if v.runs.Len() == 0 {
 			o.Wait = idleHoldWait
 		}
 	}
-	v.holding = true
-	v.nextHold = now.Add(minHoldInterval)
+	v.holdInFlight = true
+	v.nextHoldAt = now.Add(minHoldInterval)
 	s.emit(Hold{VM: v.id, Order: o})
 }
 
-// notedForHold returns the number of the last end that the VM may delete. It is 0 for a
-// silent VM, which may have crashed: its next life numbers its ends from 1 again.
-func (v *vmState) notedForHold() int64 {
+// acknowledgedForHold returns the number of the last end that a hold acknowledges, and that
+// the VM may then delete. It is 0 for a silent VM, which may have crashed: its next life
+// numbers its ends from 1 again.
+func (v *vmState) acknowledgedForHold() int64 {
 	if v.silent {
 		return 0
 	}
-	return v.noted
+	return v.acknowledgedEnd
 }
 
 // HoldAnswered handles the outcome of a hold.
@@ -61,11 +62,11 @@
 	if v == nil {
 		return
 	}
-	if c.Look {
-		s.lookAnswered(now, v, out, r)
+	if c.Probe {
+		s.probeAnswered(now, v, out, r)
 		return
 	}
-	v.holding = false
+	v.holdInFlight = false
 	if out != Answered || !r.Lists {
 		s.holdFailed(now, v, out, r)
 		return
@@ -74,17 +75,17 @@
 		return
 	}
 	v.lifeEnded = false
-	s.forgetLapsed(v)
+	s.forgetExpiredRuns(v)
 	s.applyLists(now, v, r)
-	if !v.heldOnce && len(r.Finished) < maxListedEnds {
-		v.heldOnce, v.firstHeldAt = true, now
+	if !v.reported && len(r.Finished) < maxListedEnds {
+		v.reported, v.firstReportedAt = true, now
 		v.inheritedUntil = time.Time{}
 	}
-	v.nextHold = now.Add(minHoldInterval)
+	v.nextHoldAt = now.Add(minHoldInterval)
 	if len(v.unsavedEnds) > 0 {
 		// The VM would answer immediately with the same ends, so wait until they are
 		// stored.
-		v.nextHold = now.Add(busyHoldWait)
+		v.nextHoldAt = now.Add(busyHoldWait)
 	}
 }
 
@@ -129,20 +130,20 @@
 		s.decided(Decision{Kind: VMSilent, VM: v.id, Reason: out.String(), Age: now.Sub(v.lastAnswer)})
 	}
 	v.holdFailures++
-	v.nextHold = now.Add(holdRetry * time.Duration(min(v.holdFailures, 4)))
+	v.nextHoldAt = now.Add(holdRetryDelay * time.Duration(min(v.holdFailures, 4)))
 }
 
-// advanceNoted advances the last noted end according to what is stored.
-func (v *vmState) advanceNoted(stored int64) {
+// advanceAcknowledged acknowledges the ends whose saves are stored.
+func (v *vmState) advanceAcknowledged(stored int64) {
 	n := 0
 	for n < len(v.unsavedEnds) && v.unsavedEnds[n].save <= stored {
-		v.noted = v.unsavedEnds[n].number
+		v.acknowledgedEnd = v.unsavedEnds[n].number
 		n++
 	}
 	if n > 0 {
 		v.unsavedEnds = v.unsavedEnds[n:]
 		if len(v.unsavedEnds) == 0 {
-			v.nextHold = time.Time{}
+			v.nextHoldAt = time.Time{}
 		}
 	}
 }
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -10,17 +10,19 @@
 type rank int
 
 const (
-	// rankLasting: a lasting task serves users or runs for long, and must be running again
-	// within seconds of any end.
-	rankLasting rank = iota
+	// rankLongRunning: a long-running task serves users or runs for long, and must be running
+	// again within seconds of any end.
+	rankLongRunning rank = iota
 	// rankInTime: the job can complete by its objective.
 	rankInTime
-	// rankLate: the job can only complete late, when it is worth a small part of its value.
+	// rankLate: the job can only complete after its objective but before its late limit, when
+	// it is worth a small part of its value.
 	rankLate
-	// rankExcess: the job's account has submitted more than its share.
-	rankExcess
-	// rankUseless: nobody waits for the job any more, but it was accepted and still has to run.
-	rankUseless
+	// rankBeyondShare: the job's account has submitted more than its share.
+	rankBeyondShare
+	// rankTooLate: the job can only complete after its late limit. Nobody waits for it any
+	// more, but it was accepted and still has to run.
+	rankTooLate
 )
 
 // String returns the rank in snake case.
@@ -45,9 +47,9 @@
 	minRemainingWork = 0.05
 )
 
-// candidates returns the jobs of a pool in the order in which they get room. If not all can be
-// in time, those with the highest value per core-second that they still need come first. Late
-// jobs come after all that can be in time.
+// candidates returns the jobs of a pool in the order in which they get capacity. If not all can
+// be in time, those with the highest value per core-second that they still need come first.
+// Late jobs come after all that can be in time.
 func (s *Scheduler) candidates(now time.Time, jobs []*jobState) []candidate {
 	out := make([]candidate, 0, len(jobs))
 	for _, j := range jobs {
@@ -84,8 +86,8 @@
 
 // newCandidate computes the rank and density of a job.
 func (s *Scheduler) newCandidate(now time.Time, j *jobState) candidate {
-	c := candidate{job: j, rank: rankLasting}
-	if j.lasting {
+	c := candidate{job: j, rank: rankLongRunning}
+	if j.longRunning {
 		return c
 	}
 	left, all := s.work(j)
@@ -102,10 +104,10 @@
 	case !ready.After(j.lateLimit):
 		c.rank = rankLate
 	default:
-		c.rank = rankUseless
+		c.rank = rankTooLate
 	}
 	if j.beyondShare {
-		c.rank = max(c.rank, rankExcess)
+		c.rank = max(c.rank, rankBeyondShare)
 	}
 	return c
 }
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -3,58 +3,58 @@
 import "time"
 
 const (
-	// paceInterval is how often the pace of a VM's filler tasks is adjusted. A change shows in
-	// the loads of the last half second.
+	// paceInterval is how often the pace of a VM's spare-CPU tasks is adjusted. A change shows
+	// in the loads of the last half second.
 	paceInterval = 500 * time.Millisecond
-	// The pace of filler tasks depends on the ratio of a serving task's tail latency to its
+	// The pace of spare-CPU tasks depends on the ratio of a serving task's tail latency to its
 	// target. From paceHaltRatio on they are halted, from paceHalveRatio on halved, and below
 	// paceRaiseRatio sped up. The ratios are well below 1 since a change takes a while to show.
 	paceHaltRatio  = 0.9
 	paceHalveRatio = 0.7
 	paceRaiseRatio = 0.5
-	// paceStepPercent is by how much filler tasks are sped up at a time. A task whose pace
+	// paceStepPercent is by how much spare-CPU tasks are sped up at a time. A task whose pace
 	// would fall below paceMinPercent is halted instead of halved.
 	paceStepPercent = 20
 	paceMinPercent  = 10
 )
 
-// pace slows down the filler tasks on a VM when a serving task there comes near its latency
+// pace slows down the spare-CPU tasks on a VM when a serving task there comes near its latency
 // target. Placement keeps the two apart; they share a VM only when the serving task had no
 // other place.
 func (s *Scheduler) pace(now time.Time, v *vmState) {
-	if now.Before(v.paceAt) || v.silent {
+	if now.Before(v.nextPaceAt) || v.silent {
 		return
 	}
 	tailRatio, serving := 0.0, false
-	var fills []*run
+	var spareCPU []*run
 	for _, r := range v.runs.All() {
 		_, _, st, _ := s.task(r.task)
 		switch {
 		case st == nil || r.phase != runConfirmed || r.stopping:
 		case st.def.SpareCPU:
-			fills = append(fills, r)
+			spareCPU = append(spareCPU, r)
 		case st.def.TailLatencyTarget > 0:
 			serving = true
 			tailRatio = max(tailRatio, float64(r.load)/float64(st.def.TailLatencyTarget.Milliseconds()))
 		}
 	}
-	if len(fills) == 0 {
+	if len(spareCPU) == 0 {
 		return
 	}
-	v.paceAt = now.Add(paceInterval)
-	for _, r := range fills {
+	v.nextPaceAt = now.Add(paceInterval)
+	for _, r := range spareCPU {
 		percent := 100
 		if serving {
-			percent = nextPace(r.pace, tailRatio)
+			percent = nextPace(r.pacePercent, tailRatio)
 		}
-		if percent != r.pace {
-			r.pace = percent
+		if percent != r.pacePercent {
+			r.pacePercent = percent
 			s.emit(Pace{VM: v.id, Fence: v.fence, Task: r.task, Attempt: r.attempt, Percent: percent})
 		}
 	}
 }
 
-// nextPace returns the pace, in percent, of a filler task beside a serving task whose tail
+// nextPace returns the pace, in percent, of a spare-CPU task beside a serving task whose tail
 // latency is tailRatio times its target.
 func nextPace(percent int, tailRatio float64) int {
 	switch {
--- /dev/null
+++ b/core/schedule/probe.go
@@ -0,0 +1,64 @@
+package schedule
+
+import (
+	"time"
+
+	"lavenderpond/core/job"
+)
+
+const (
+	// startAnswerTimeout is how long after it is sent a start should be answered. VMs answer
+	// within a few milliseconds.
+	startAnswerTimeout = 150 * time.Millisecond
+	// probeInterval is the minimum time between two probes of a VM.
+	probeInterval = 50 * time.Millisecond
+)
+
+// checkUnanswered resolves starts without an answer. Waiting for the start's deadline and
+// the next list takes about a second, longer than most jobs can wait without being late.
+// Meanwhile a VM that is unreachable would be given more tasks, which can't be freed for
+// the whole of its lease. So a VM that leaves a start unanswered gets no more tasks until
+// it answers, and a probe asks what it runs. A run that isn't on the list is stopped
+// explicitly, which keeps it from beginning later, and its task then starts elsewhere.
+func (s *Scheduler) checkUnanswered(now time.Time, v *vmState) {
+	v.unresponsive = false
+	if v.orderedRuns == 0 && v.stoppingRuns == 0 {
+		return
+	}
+	needed := false
+	for _, r := range v.runs.All() {
+		switch {
+		case r.phase == runOrdered && now.Sub(r.orderedAt) > startAnswerTimeout:
+			needed = true
+			v.unresponsive = v.unresponsive || v.lastAnswer.Before(r.orderedAt)
+		case r.stopAccepted():
+			needed = true
+		}
+	}
+	if !needed || v.probeInFlight || now.Before(v.probedAt.Add(probeInterval)) || !s.rights.ExtendLeases {
+		return
+	}
+	v.probeInFlight, v.probedAt = true, now
+	s.emit(Hold{VM: v.id, Probe: true, Order: job.HoldOrder{Fence: v.fence}})
+}
+
+// stopAccepted reports whether the VM has accepted the stop of an unanswered start. The
+// run exists only if a list shows it, and can't begin any more.
+func (r *run) stopAccepted() bool {
+	return r.phase == runUnanswered && r.stopping && r.stopClock > 0
+}
+
+// probeAnswered handles the outcome of a probe.
+func (s *Scheduler) probeAnswered(now time.Time, v *vmState, out Outcome, r job.Report) {
+	v.probeInFlight = false
+	if out != Answered || !r.Lists || !s.recordAnswer(now, v, r) {
+		return
+	}
+	s.applyLists(now, v, r)
+	for _, x := range v.runs.All() {
+		if x.phase == runOrdered && v.probedAt.Sub(x.orderedAt) > startAnswerTimeout {
+			s.stopRun(now, x, "start not answered")
+			s.stopGang(now, x)
+		}
+	}
+}
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -25,7 +25,7 @@
 		return
 	}
 	j, _, st, t := s.task(r.task)
-	if t == nil || j.over() || !s.rights.Start || s.mayHaveEnded(t) || !v.acceptsTasks() || v.overbooked() || !s.roomKnown(now, v) {
+	if t == nil || j.over() || !s.rights.StartTasks || s.mayHaveEnded(t) || !v.acceptsTasks() || v.overbooked() || !s.capacityKnown(now, v) {
 		s.release(now, r)
 		s.stopGang(now, r)
 		return
@@ -45,19 +45,20 @@
 	}})
 }
 
-// mayRunUnheard reports whether a task of the job may run on a VM that this owner hasn't
-// heard from yet.
-func (s *Scheduler) mayRunUnheard(j *jobState) bool {
+// mayRunOnUnreportedVM reports whether a task of the job may run on a VM that has not reported
+// to this owner yet.
+func (s *Scheduler) mayRunOnUnreportedVM(j *jobState) bool {
 	if !j.inherited || !s.anyUnreported {
 		return false
 	}
-	for id := range j.places.All() {
+	for id := range j.possibleVMs.All() {
 		v := s.vms.Get(id)
-		if v != nil && v.unheard() {
+		if v != nil && v.unreported() {
 			return true
 		}
 	}
-	// None of the job's VMs is unheard, and a VM doesn't become unheard again.
+	// All of the job's VMs have reported, or can't run tasks of a former owner any more.
+	// Neither changes later.
 	j.inherited = false
 	return false
 }
@@ -66,7 +67,7 @@
 // unknown.
 func (s *Scheduler) addRun(r *run, st *stepState, t *taskState) {
 	r.vm.runs.Set(runKey{r.task, r.attempt}, r)
-	r.vm.used = r.vm.used.Add(r.claim)
+	r.vm.used = r.vm.used.Add(r.reservation)
 	r.vm.countKind(r, 1)
 	s.usage[r.account] = s.usage[r.account].Add(r.cost)
 	if t != nil {
@@ -77,14 +78,14 @@
 
 // countKind adds n to the VM's counters of runs of r's kinds.
 func (v *vmState) countKind(r *run, n int) {
-	if r.lasting {
-		v.lasting += n
+	if r.longRunning {
+		v.longRunningRuns += n
 	}
 	if r.serving {
-		v.serving += n
+		v.servingRuns += n
 	}
-	if r.fills {
-		v.fills += n
+	if r.spareCPU {
+		v.spareCPURuns += n
 	}
 	if r.crashSuspect {
 		v.crashSuspects += n
@@ -105,13 +106,13 @@
 		return
 	}
 	r.vm.runs.Delete(k)
-	r.vm.used = r.vm.used.Sub(r.claim)
+	r.vm.used = r.vm.used.Sub(r.reservation)
 	r.vm.countKind(r, -1)
 	if r.phase == runOrdered {
-		r.vm.ordered--
+		r.vm.orderedRuns--
 	}
 	if r.stopping {
-		r.vm.stopping--
+		r.vm.stoppingRuns--
 	}
 	r.vm.idleSince = now
 	s.usage[r.account] = s.usage[r.account].Sub(r.cost)
@@ -138,9 +139,9 @@
 	s.freeRun(now, r, reason)
 }
 
-// mayHaveEnded reports whether a task may have completed without this owner's knowledge.
-// Only an owner that has just proved its right is sure to know of all ends.
-func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.Order }
+// mayHaveEnded reports whether a task may have completed without this owner's knowledge. Only
+// an owner that has recently confirmed its ownership is sure to know of all ends.
+func (s *Scheduler) mayHaveEnded(t *taskState) bool { return t.endUnknown && !s.rights.OrderMachines }
 
 // freeRun releases a run that ended without being listed as ended.
 func (s *Scheduler) freeRun(now time.Time, r *run, reason string) {
@@ -163,8 +164,8 @@
 		return
 	}
 	r.stopping = true
-	r.vm.stopping++
-	r.resendStop = now.Add(stopRetry)
+	r.vm.stoppingRuns++
+	r.resendStopAt = now.Add(stopRetryDelay)
 	s.decided(Decision{
 		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 	})
@@ -179,10 +180,10 @@
 // repeatStops sends the stop again for runs that are still on the VM.
 func (s *Scheduler) repeatStops(now time.Time, v *vmState) {
 	for _, r := range v.runs.All() {
-		if !r.stopping || now.Before(r.resendStop) {
+		if !r.stopping || now.Before(r.resendStopAt) {
 			continue
 		}
-		r.resendStop = now.Add(stopRetry)
+		r.resendStopAt = now.Add(stopRetryDelay)
 		if r.stopClock == 0 || r.phase == runConfirmed {
 			s.emit(v.stopOrder(r))
 		}
@@ -269,16 +270,17 @@
 }
 
 const (
-	// fullPause is how long a VM that refused a task for lack of room gets no new ones,
-	// unless a list comes first. Word of its reduced capacity may take longer, so the
-	// pause doubles with each further refusal, at most fullDoublings times.
+	// fullPause is how long a VM that refused a task for lack of capacity gets no new ones,
+	// unless its directory entry changes its capacity or names a new life before. News of
+	// the reduced capacity may take longer, so the pause doubles with each further refusal,
+	// at most fullDoublings times.
 	fullPause     = 200 * time.Millisecond
 	fullDoublings = 4
 	// refusalWindow is how long after a pause another refusal counts as a further one.
 	refusalWindow = 2 * time.Second
 )
 
-// markFull records that the VM refused a task for lack of room. Refusals of starts that
+// markFull records that the VM refused a task for lack of capacity. Refusals of starts that
 // were in flight at the same time count as one.
 func (v *vmState) markFull(now time.Time) {
 	if now.Before(v.fullUntil) {
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -27,13 +27,13 @@
 	// ShrinkNotice is how long a VM's former capacity may still be relied on after it has
 	// shrunk; 0 means without limit.
 	ShrinkNotice time.Duration
-	// MachineLease is how long this owner leaves a machine alone after an order of a former
-	// holder.
+	// MachineLease is how long this owner doesn't order a machine after an order of another
+	// issuer.
 	MachineLease time.Duration
-	// Holder identifies this owner in its orders for machines.
-	Holder string
+	// OrderIssuer identifies this owner in its orders for machines.
+	OrderIssuer string
 	// FormerOrders lists the machines that may have been given an order shortly before the
-	// take-over.
+	// takeover.
 	FormerOrders []MachineOrder
 	// Observer receives the scheduler's decisions; it may be nil.
 	Observer Observer
@@ -47,8 +47,8 @@
 	vms      orderedMap[job.VMID, *vmState]
 	// ended holds the jobs whose final state is stored, with the time at which they ended.
 	ended map[job.ID]time.Time
-	// usage is the room that each client account's running tasks take, including tasks that may
-	// be running.
+	// usage is the resources that each client account's running tasks use, including tasks that
+	// may be running.
 	usage map[job.AccountName]job.Resources
 	// possibleUsage is what each account may be using in addition, on VMs that have not
 	// reported to this owner yet.
@@ -70,7 +70,7 @@
 	dirtyOrders  []job.MachineID
 	dirtyVMs     []job.VMID
 	dirtyWaves   []*waveState
-	// nextForgetEnded is the next time to look for ended jobs to forget.
+	// nextForgetEnded is the next time to forget jobs that ended long ago.
 	nextForgetEnded time.Time
 	rights          Rights
 	// fence is the fencing token for VM lives that begin from this point on.
@@ -107,7 +107,7 @@
 	}
 	// These orders are stored with this owner's own, so that the next owner knows of them too.
 	for _, o := range s.FormerOrders {
-		out.recentOrders.Set(o.Machine, recentOrder{holder: o.Holder, at: s.TookOver})
+		out.recentOrders.Set(o.Machine, recentOrder{issuer: o.Issuer, at: s.TookOver})
 	}
 	return out
 }
@@ -120,20 +120,20 @@
 	s.config = c
 }
 
-// Rights are the kinds of orders that the owner may give. They depend on the age of the last
-// proof that it is still the owner.
+// Rights are the kinds of orders that the owner may give. They depend on how long ago its
+// ownership was last confirmed.
 type Rights struct {
-	// Order permits orders for machines, and moving lasting tasks.
-	Order bool
-	// Start permits starting tasks, Hold extending leases on VMs.
-	Start, Hold bool
+	// OrderMachines permits orders for machines, and moving long-running tasks.
+	OrderMachines bool
+	// StartTasks permits starting tasks, ExtendLeases extending leases on VMs.
+	StartTasks, ExtendLeases bool
 }
 
 // SetRights sets what the owner may do at this moment.
 func (s *Scheduler) SetRights(r Rights) { s.rights = r }
 
-// RaiseFence raises the fencing token to a table version at which this owner's right was
-// confirmed. That version is below the fencing token of any later owner.
+// RaiseFence raises the fencing token to a table version at which its ownership was confirmed.
+// That version is below the fencing token of any later owner.
 func (s *Scheduler) RaiseFence(version job.Fence) { s.fence = max(s.fence, version) }
 
 // TakeCommands returns the commands that were issued since the last call.
@@ -163,11 +163,11 @@
 	}
 	v.rosterEntry = r
 	v.inheritedUntil = lease.InheritedLeaseEnd(s.settings.TookOver, s.settings.LeaseMax)
-	v.nextHold = s.settings.TookOver.Add(unlistedHoldDelay)
+	v.nextHoldAt = s.settings.TookOver.Add(unlistedHoldDelay)
 	s.anyUnreported = true
 }
 
-// unlistedHoldDelay is how long after a take-over the first hold is sent to VMs that the
+// unlistedHoldDelay is how long after a takeover the first hold is sent to VMs that the
 // directory doesn't list, so that the listed VMs are held first.
 const unlistedHoldDelay = 700 * time.Millisecond
 
@@ -181,7 +181,7 @@
 	if _, over := s.ended[j.ID]; over {
 		return
 	}
-	st := &jobState{Job: j, arrived: now, inherited: inherited, lasting: j.Body.LongRunning()}
+	st := &jobState{Job: j, arrived: now, inherited: inherited, longRunning: j.Body.LongRunning()}
 	for k := range j.Body.OccurrenceCount() {
 		o := &occurrence{number: k, due: j.Body.Due(k), steps: make([]stepState, len(j.Body.Steps))}
 		for i := range o.steps {
@@ -196,7 +196,7 @@
 		st.takenOver = inherited && len(p.VMs) > 0
 	}
 	st.objective, st.lateLimit = s.objective(st)
-	if !st.lasting && !inherited {
+	if !st.longRunning && !inherited {
 		st.beyondShare = s.config != nil && s.shares.exceeds(now, s.config.Account(j.Terms.Account))
 		left, all := s.work(st)
 		s.poolStats(s.pool(st)).addArrival(now, left)
@@ -217,7 +217,7 @@
 	j.state = p.State
 	j.begun = p.State != job.Pending
 	for _, v := range p.VMs {
-		j.places.Set(v, 0)
+		j.possibleVMs.Set(v, 0)
 	}
 	for _, d := range p.Done {
 		if d.Occurrence >= len(j.occurrences) || d.Step >= len(j.Body.Steps) {
@@ -261,7 +261,7 @@
 
 // finish sets the final state of a job and stops its remaining runs.
 func (s *Scheduler) finish(now time.Time, j *jobState, state job.State) {
-	j.state, j.closedAt = state, now
+	j.state, j.endedAt = state, now
 	s.markDirty(j)
 	s.decided(Decision{
 		Kind: JobEnded, Job: j.ID, Reason: state.String(), After: now.Sub(j.arrived), Slack: j.objective.Sub(now),
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -48,7 +48,7 @@
 	}
 	h.lists("one", nil, ends...)
 	next := only[Start](h.step(0))
-	assert.Equal(t, len(next), 8, "all room is used")
+	assert.Equal(t, len(next), 8, "all capacity is used")
 	place := -1
 	for i, c := range next {
 		if c.Order.Task.Job == "single" {
@@ -58,8 +58,9 @@
 	assert.Assert(t, place >= 0, "%v", next)
 }
 
-// Guards against jobs beyond an account's share that are held back while there is room.
-func TestExcessRunsWhileThereIsRoom(t *testing.T) {
+// Guards against jobs beyond an account's share that are held back while capacity is
+// free.
+func TestJobsBeyondShareRunWhileCapacityIsFree(t *testing.T) {
 	h := newSharesHarness(t)
 	h.ready("one", "two", "three", "four", "five")
 	for i := range 40 {
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -16,11 +16,11 @@
 // stop answering at times.
 type shrinkingFleet struct {
 	*harness
-	rng     *rand.Rand
-	guarded bool
-	vms     []*shrinkingVM
-	steps   map[job.ID]job.Step
-	events  []shrinkingEvent
+	rng              *rand.Rand
+	enforcesCapacity bool
+	vms              []*shrinkingVM
+	steps            map[job.ID]job.Step
+	events           []shrinkingEvent
 }
 
 // shrinkingEvent is an event that is due later.
@@ -82,7 +82,7 @@
 	return clock <= r.deadline && v.barredAttempt[r.task] < r.attempt
 }
 
-// begin starts a task, which ends after a while unless it is a lasting task.
+// begin starts a task, which ends after a while unless it is a long-running task.
 func (f *shrinkingFleet) begin(v *shrinkingVM, r *shrinkingRun) {
 	v.runs = append(v.runs, r)
 	v.lease = max(v.lease, r.deadline)
@@ -102,8 +102,8 @@
 	v.barredAttempt[r.task] = max(v.barredAttempt[r.task], r.attempt)
 }
 
-// lapse ends all runs once the VM's lease is over.
-func (f *shrinkingFleet) lapse(v *shrinkingVM) {
+// expireLease ends all runs once the VM's lease has expired.
+func (f *shrinkingFleet) expireLease(v *shrinkingVM) {
 	if f.clock() <= v.lease {
 		return
 	}
@@ -114,12 +114,12 @@
 
 func (f *shrinkingFleet) report() job.Report { return job.Report{Clock: f.clock(), Born: 1} }
 
-// start carries out a start, and asserts that there is room for it.
+// start carries out a start, and asserts that it fits.
 func (f *shrinkingFleet) start(c Start) {
 	v := f.vm(c.VM)
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Resources.CPU, c.Order.Deadline}
 	used := v.used(f.clock())
-	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: used CPU %d plus claim %d exceeds capacity %d", r.task, v.id, used, r.cpu, v.reportedCPU)
+	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: used CPU %d plus reservation %d exceeds capacity %d", r.task, v.id, used, r.cpu, v.reportedCPU)
 	answer := func(out Outcome, rep job.Report) { f.s.StartAnswered(f.now, c, out, rep) }
 	switch {
 	case v.silent || f.rng.IntN(20) == 0:
@@ -131,7 +131,7 @@
 			v.unansweredStarts = slices.DeleteFunc(v.unansweredStarts, func(o *shrinkingRun) bool { return o == r })
 		})
 		f.after(f.between(300, 1000), func() { answer(Unanswered, job.Report{}) })
-	case f.guarded && used+r.cpu > v.cpu:
+	case f.enforcesCapacity && used+r.cpu > v.cpu:
 		rep := f.report()
 		rep.Refused = job.RefusedCapacity
 		answer(Answered, rep)
@@ -172,8 +172,8 @@
 	f.s.HoldAnswered(f.now, c, Answered, rep)
 }
 
-// turn runs one turn and carries out the resulting commands.
-func (f *shrinkingFleet) turn() {
+// round runs one round and carries out the resulting commands.
+func (f *shrinkingFleet) round() {
 	f.now = f.now.Add(10 * time.Millisecond)
 	due := f.events
 	f.events = nil
@@ -186,7 +186,7 @@
 		f.carryOut()
 	}
 	for _, v := range f.vms {
-		f.lapse(v)
+		f.expireLease(v)
 	}
 	f.s.Tick(f.now)
 	f.s.Assign(f.now, f.now)
@@ -208,14 +208,15 @@
 	}
 }
 
-// resize changes a VM's capacity. If VMs are guarded, the scheduler may learn of it late.
+// resize changes a VM's capacity. If VMs enforce their capacity, the scheduler may learn of
+// it late.
 func (f *shrinkingFleet) resize(v *shrinkingVM, cpu int64) {
 	v.cpu = cpu
 	tell := func() {
 		v.reportedCPU = v.cpu
 		f.harness.resize(v.id, v.cpu)
 	}
-	if !f.guarded {
+	if !f.enforcesCapacity {
 		tell()
 		return
 	}
@@ -231,7 +232,7 @@
 	f.job(string(id), "free", def)
 }
 
-// disturb makes a random change every few turns.
+// disturb makes a random change every few rounds.
 func (f *shrinkingFleet) disturb(turn int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
@@ -246,8 +247,8 @@
 	}
 }
 
-func newShrinking(t *testing.T, seed uint64, guarded bool) *shrinkingFleet {
-	f := &shrinkingFleet{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), guarded: guarded, steps: map[job.ID]job.Step{}}
+func newShrinking(t *testing.T, seed uint64, enforcesCapacity bool) *shrinkingFleet {
+	f := &shrinkingFleet{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), enforcesCapacity: enforcesCapacity, steps: map[job.ID]job.Step{}}
 	for _, id := range []string{"one", "two", "three"} {
 		v := &shrinkingVM{id: id, barredAttempt: map[job.TaskID]job.Attempt{}, lease: 6000}
 		v.runs = []*shrinkingRun{{task: job.TaskID{Job: job.ID("former-" + id)}, attempt: 7, cpu: f.rng.Int64N(8000), deadline: 6000}}
@@ -255,32 +256,32 @@
 		f.resize(v, 8000)
 	}
 	for n := range 4 {
-		// Negative numbers don't collide with those of turns.
+		// Negative numbers don't collide with those of rounds.
 		f.submit(-1 - n)
 	}
 	return f
 }
 
 // Guards against starts beyond the capacity of a VM that shrinks and grows, and against jobs
-// that don't complete once there is room.
+// that don't complete once capacity is free.
 func TestShrinkingVMs(t *testing.T) {
 	for seed := range uint64(80) {
 		f := newShrinking(t, seed, seed%2 == 0)
 		for turn := range 800 {
 			f.disturb(turn)
-			f.turn()
+			f.round()
 		}
 		for _, v := range f.vms {
 			v.silent = false
 			f.resize(v, 16000)
 		}
 		for id, j := range f.s.jobs.All() {
-			if j.lasting {
+			if j.longRunning {
 				f.s.Cancel(f.now, id)
 			}
 		}
 		for end := f.now.Add(30 * time.Second); f.s.jobs.Len() > 0 && f.now.Before(end); {
-			f.turn()
+			f.round()
 		}
 		assert.Equal(t, f.s.jobs.Len(), 0, "seed %d: jobs not ended: %v", seed, f.s.jobs.Keys())
 	}
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -11,7 +11,7 @@
 type runPhase int
 
 const (
-	// runPlanned: the room is reserved, but the start is not sent yet.
+	// runPlanned: the resources are reserved, but the start is not sent yet.
 	runPlanned runPhase = iota
 	// runOrdered: the start is sent and not answered yet.
 	runOrdered
@@ -30,8 +30,9 @@
 	phase   runPhase
 	// requiredSave is the save that must be stored before the start is sent.
 	requiredSave int64
-	claim        job.Resources
-	// account is charged cost, which includes CPU that the task uses as filler.
+	reservation  job.Resources
+	// account is the client account that the run's cost counts against. cost includes spare
+	// CPU, which isn't reserved.
 	account job.AccountName
 	cost    job.Resources
 	// startBy is the start's deadline on the VM's clock.
@@ -42,13 +43,13 @@
 	confirmedAt    time.Time
 	percent        int
 	load           int64
-	pace           int
-	// stopping is set once a stop was ordered. resendStop is when to repeat it.
-	stopping   bool
-	resendStop time.Time
+	pacePercent    int
+	// stopping is set once a stop was ordered. resendStopAt is when to repeat it.
+	stopping     bool
+	resendStopAt time.Time
 	// stopClock is the VM's clock reading when it answered the stop, or 0 if it hasn't.
 	stopClock job.VMClock
-	// adopted runs were started by a previous owner.
+	// adopted runs were started by a former owner.
 	adopted bool
 	// recorded runs are stored with their job. crashSuspect runs belong to a task under
 	// which a VM has crashed.
@@ -56,11 +57,11 @@
 	// isolated runs belong to a task that is given up if its VM crashes once more.
 	// Nothing else starts on their VM.
 	isolated bool
-	// unknownJob runs belong to a job that isn't known, so their claim isn't known
+	// unknownJob runs belong to a job that isn't known, so their reservation isn't known
 	// either.
 	unknownJob bool
-	// lasting, serving and fills describe the kind of task.
-	lasting, serving, fills bool
+	// longRunning, serving and spareCPU describe the kind of task.
+	longRunning, serving, spareCPU bool
 	// resumed is set if the run continued from a checkpoint.
 	resumed bool
 	// lastList is the number of the VM's last list that contained the run.
@@ -74,16 +75,16 @@
 
 // setKind sets the kind of task that runs.
 func (r *run) setKind(def *job.Step) {
-	r.lasting, r.serving, r.fills = def.LongRunning, def.TailLatencyTarget > 0, def.SpareCPU
+	r.longRunning, r.serving, r.spareCPU = def.LongRunning, def.TailLatencyTarget > 0, def.SpareCPU
 }
 
 // setPhase moves the run to another phase.
 func (r *run) setPhase(p runPhase) {
 	if r.phase == runOrdered {
-		r.vm.ordered--
+		r.vm.orderedRuns--
 	}
 	if p == runOrdered {
-		r.vm.ordered++
+		r.vm.orderedRuns++
 	}
 	r.phase = p
 }
@@ -99,8 +100,8 @@
 	notBefore time.Time
 	// avoidVM is the VM on which the last run failed.
 	avoidVM job.VMID
-	// unavailableSince is when a lasting task's run ended. It is zero before the first run
-	// has ended, and again once the task is available.
+	// unavailableSince is when a long-running task's run ended. It is zero before the first
+	// run has ended, and again once the task is available.
 	unavailableSince time.Time
 	// slowStops counts the runs that were stopped as slow.
 	slowStops int
@@ -110,8 +111,8 @@
 	// shares no VM with another such task.
 	crashes       crashes
 	separateUntil time.Time
-	// lapsed are the runs that were freed because their VM's lease expired.
-	lapsed []*run
+	// expiredRuns are the runs that were freed because their VM's lease expired.
+	expiredRuns []*run
 }
 
 // open reports whether the task waits for a start.
@@ -136,12 +137,12 @@
 	done  int
 	// open counts the tasks that wait for a start.
 	open int
-	// tickets holds a ticket for each VM that may run the step, if its queue requires
-	// advice. They are used until ticketsUntil.
-	tickets      map[job.VMID]string
-	ticketsUntil time.Time
-	asked        bool
-	askAt        time.Time
+	// tickets holds a ticket for each VM that may run the step, if its queue requires an
+	// approval. They are used until ticketsUntil.
+	tickets           map[job.VMID]string
+	ticketsUntil      time.Time
+	approvalRequested bool
+	approvalRetryAt   time.Time
 	// rack is where the step's first task was placed, if its tasks should share a rack.
 	rack job.Label
 	// runTimes are the durations of the successful runs.
@@ -181,11 +182,14 @@
 	doneCount   int
 	begun       bool
 	// placed is set once the job's first task has been given a VM.
-	placed    bool
+	placed bool
+	// inherited is set if a former owner may have started tasks of the job. It is cleared once
+	// none of them can run on a VM that has not reported to this owner.
 	inherited bool
-	// takenOver jobs were begun by a previous owner.
-	takenOver bool
-	lasting   bool
+	// takenOver jobs were inherited, and their stored progress names VMs on which a former
+	// owner may have started tasks.
+	takenOver   bool
+	longRunning bool
 	// beyondShare is set if the job's account had exceeded its share when the job
 	// arrived.
 	beyondShare bool
@@ -197,11 +201,11 @@
 	// last save.
 	dirty    bool
 	lastSave int64
-	// closedAt is when the job ended.
-	closedAt time.Time
-	// places maps each VM on which a task may have been started to the save that records
+	// endedAt is when the job ended.
+	endedAt time.Time
+	// possibleVMs maps each VM on which a task may have been started to the save that records
 	// it.
-	places orderedMap[job.VMID, int64]
+	possibleVMs orderedMap[job.VMID, int64]
 	// typicalRun is the typical run time of the last complete step, or 0 if there is
 	// none.
 	typicalRun time.Duration
@@ -217,15 +221,15 @@
 // vmState is the state of a VM as this owner knows it. A VM's life lasts until it crashes
 // or is replaced. The next life may have the same ID, and a greater born.
 type vmState struct {
-	id      job.VMID
-	address string
-	pool    job.PoolName
-	rack    job.Label
-	zone    job.ZoneName
-	labels  map[job.Label]bool
-	room    job.Resources
-	used    job.Resources
-	machine job.MachineID
+	id       job.VMID
+	address  string
+	pool     job.PoolName
+	rack     job.Label
+	zone     job.ZoneName
+	labels   map[job.Label]bool
+	capacity job.Resources
+	used     job.Resources
+	machine  job.MachineID
 	// host is that machine's state, or nil if it isn't listed.
 	host *machineState
 	born job.Born
@@ -245,57 +249,63 @@
 	// leaseEnd is the latest deadline of any order sent.
 	leaseEnd job.VMClock
 	runs     orderedMap[runKey, *run]
-	// lasting, serving and fills count the runs of each kind, and stopping the runs that
-	// were ordered to stop. The counters avoid a scan of all runs in each turn.
-	lasting, serving, fills int
-	stopping                int
+	// longRunningRuns, servingRuns and spareCPURuns count the runs of each kind, and
+	// stoppingRuns the runs that were ordered to stop. The counters avoid a scan of all runs
+	// in each round.
+	longRunningRuns, servingRuns, spareCPURuns int
+	stoppingRuns                               int
 	// crashSuspects counts the runs of tasks under which a VM has crashed.
 	crashSuspects int
 	// isolatedRuns counts the runs beside which nothing else may start.
 	isolatedRuns int
-	// unknownRuns counts the runs whose claim is unknown. While there are any, the free
-	// room is unknown too.
+	// unknownRuns counts the runs whose reservation is unknown. While there are any, the free
+	// capacity is unknown too.
 	unknownRuns int
-	// ordered counts the starts that wait for an answer.
-	ordered int
+	// orderedRuns counts the starts that wait for an answer.
+	orderedRuns int
 	// unresponsive VMs have left a start unanswered and haven't answered anything since.
 	unresponsive bool
-	// looking is set while a look is in flight. lookedAt is when the last one was sent.
-	looking  bool
-	lookedAt time.Time
+	// probeInFlight is set while a probe is in flight. probedAt is when the last one was
+	// sent.
+	probeInFlight bool
+	probedAt      time.Time
 	// listClock is the VM's clock reading of the newest list applied. listCount is the
 	// number of lists applied.
 	listClock job.VMClock
 	listCount int64
 
-	// lastEnd is the number of the last end handled, and noted that of the last one that
-	// is stored. The VM may delete noted ends. unsavedEnds are those in between.
-	lastEnd     int64
-	noted       int64
-	unsavedEnds []unsavedEnd
+	// lastEnd is the number of the last end handled, and acknowledgedEnd that of the last one
+	// that is stored. Holds acknowledge it, and the VM may then delete all ends up to it.
+	// unsavedEnds are those in between.
+	lastEnd         int64
+	acknowledgedEnd int64
+	unsavedEnds     []unsavedEnd
 
-	firstSeen time.Time
+	firstListedAt time.Time
 	// idleSince is when the VM last ran something.
-	idleSince time.Time
-	holding   bool
-	heldOnce  bool
-	// firstHeldAt is when the first hold succeeded. From then on the VM refuses a
-	// previous owner's orders.
-	firstHeldAt time.Time
-	nextHold    time.Time
-	// paceAt is when to adjust the pace of filling tasks next.
-	paceAt     time.Time
+	idleSince    time.Time
+	holdInFlight bool
+	// reported is set once the current life of the VM has listed all of its runs and ends in
+	// answer to a hold.
+	reported bool
+	// firstReportedAt is when the VM first reported to this owner. From then on the VM
+	// refuses a former owner's orders.
+	firstReportedAt time.Time
+	nextHoldAt      time.Time
+	// nextPaceAt is when to adjust the pace of spare-CPU tasks next.
+	nextPaceAt time.Time
 	lastAnswer time.Time
 	silent     bool
 	// silentSince is when the VM was found silent.
 	silentSince  time.Time
 	holdFailures int
 	// failedRuns counts the failed runs since the last successful one.
-	failedRuns   int
+	failedRuns int
+	// suspectUntil is when the VM may get tasks again after failed runs or an unanswered start.
 	suspectUntil time.Time
 	// slowUntil is when the VM may get tasks again after a slow run.
 	slowUntil time.Time
-	// fullUntil is when the VM may get tasks again after it refused one for lack of room.
+	// fullUntil is when the VM may get tasks again after it refused one for lack of capacity.
 	// refusals counts such refusals in a row.
 	fullUntil time.Time
 	refusals  int
@@ -303,21 +313,22 @@
 	// it. Tasks may start on the VM once that is stored.
 	rosterEntry RosterVM
 	rosterSave  int64
-	// cordoned VMs get no new tasks because their machine is due for maintenance.
+	// cordoned VMs get no new tasks because their machine is due for maintenance or moves to
+	// another pool.
 	cordoned bool
 	// vacating VMs get tasks only if no other VM has room.
 	vacating bool
 	// lostStarts are unanswered starts that this life of the VM can no longer carry out.
 	// A new life under the same ID still could.
 	lostStarts []*run
-	// lifeEnded is set once the VM's life is proved to have ended.
+	// lifeEnded is set once the VM's life has certainly ended.
 	lifeEnded bool
-	// lapsed are the runs that were freed because the lease expired. They are kept until
-	// it is known whether the VM crashed, or until lapsedUntil.
-	lapsed      []*run
-	lapsedUntil time.Time
-	// inheritedUntil is when no run of a previous owner can remain here if the VM stays
-	// silent. It is zero once the VM's runs are known.
+	// expiredRuns are the runs that were freed because the lease expired. They are kept until
+	// it is known whether the VM crashed, or until expiredRunsUntil.
+	expiredRuns      []*run
+	expiredRunsUntil time.Time
+	// inheritedUntil is when no run of a former owner can remain here if the VM stays silent.
+	// It is zero once the VM's runs are known.
 	inheritedUntil time.Time
 }
 
@@ -327,7 +338,7 @@
 	attempt job.Attempt
 }
 
-// unsavedEnd is an end that may be noted once the save is stored.
+// unsavedEnd is an end that may be acknowledged once the save is stored.
 type unsavedEnd struct {
 	number int64
 	save   int64
--- a/io/node/event.go
+++ b/io/node/event.go
@@ -51,7 +51,7 @@
 	// upkeepAnswered and moveAnswered carry the answers to orders for machine maintenance
 	// and for moving a machine to another pool.
 	upkeepAnswered struct {
-		order   schedule.Upkeep
+		order   schedule.Maintain
 		outcome schedule.Outcome
 		refusal job.MachineRefusal
 	}
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -91,7 +91,7 @@
 // holdRoute returns the sender for a hold. A status check goes to the VM directly: it
 // follows up an order without an answer, and the relay may be the reason for that.
 func (r *orderRouter) holdRoute(now time.Time, c schedule.Hold) vmOrderSender {
-	if c.Look {
+	if c.Probe {
 		return directSender{r.client(c.VM)}
 	}
 	return r.route(now, c.VM)
@@ -125,7 +125,7 @@
 			o.workers.Go(func() { o.hold(ctx, vm, c) })
 		case schedule.RequestTickets:
 			o.workers.Go(func() { o.requestApprovals(ctx, c) })
-		case schedule.Upkeep:
+		case schedule.Maintain:
 			o.workers.Go(func() { o.startMaintenance(ctx, c) })
 		case schedule.Move:
 			o.workers.Go(func() { o.moveMachine(ctx, c) })
@@ -206,7 +206,7 @@
 	return job.OrderIssuer{Node: o.node.settings.Node, Fence: job.Fence(o.tenure.fence)}
 }
 
-func (o *owner) startMaintenance(ctx context.Context, c schedule.Upkeep) {
+func (o *owner) startMaintenance(ctx context.Context, c schedule.Maintain) {
 	outcome, refusal := o.orderMachine(ctx, "upkeep_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
 		return o.node.machines.Maintain(ctx, o.orderIssuer(), c.Machine, c.Wave)
 	})
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -127,7 +127,7 @@
 func (o *owner) newScheduler(previousOrders []schedule.MachineOrder) *schedule.Scheduler {
 	b := o.node.settings.Bounds
 	return schedule.New(schedule.Settings{
-		Holder:       o.node.settings.Node,
+		OrderIssuer:  o.node.settings.Node,
 		FormerOrders: previousOrders,
 		Fence:        job.Fence(o.tenure.fence),
 		AttemptBase:  job.Attempt(o.tenure.number * attemptsPerTenure),
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -166,7 +166,7 @@
 	}
 	o.scheduler.RaiseFence(job.Fence(o.tenure.lastRenewal()))
 	o.scheduler.SetRights(schedule.Rights{
-		Order: o.tenure.mayOrderMachines(now), Start: o.mayStartTasks(now), Hold: o.tenure.mayExtendLeases(now),
+		OrderMachines: o.tenure.mayOrderMachines(now), StartTasks: o.mayStartTasks(now), ExtendLeases: o.tenure.mayExtendLeases(now),
 	})
 	o.relays.wanted.Store(o.scheduler.VMCount() >= minVMsForRelays)
 	o.scheduler.Tick(now)
@@ -205,13 +205,13 @@
 	case holdAnswered:
 		s.HoldAnswered(now, e.order, e.outcome, e.report)
 	case machinesListed:
-		s.Machines(e.requestedAt, e.machines)
+		s.MachinesListed(e.requestedAt, e.machines)
 	case upkeepAnswered:
-		s.UpkeepAnswered(now, e.order, e.outcome, e.refusal)
+		s.MaintainAnswered(now, e.order, e.outcome, e.refusal)
 	case moveAnswered:
 		s.MoveAnswered(now, e.order, e.outcome, e.refusal)
 	case approvalsReceived:
-		s.AdviceAnswered(now, e.step, e.approvals.Tickets, e.approvals.ValidPeriod)
+		s.ApprovalAnswered(now, e.step, e.approvals.Tickets, e.approvals.ValidPeriod)
 	case reconfigured:
 		// The next cycle checks the view.
 	}
@@ -256,7 +256,7 @@
 			continue
 		}
 		present[v.ID] = true
-		o.scheduler.VMSeen(now, v)
+		o.scheduler.VMListed(now, v)
 	}
 	if !e.complete {
 		return
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -164,13 +164,13 @@
 	o := &owner{tenure: &tenure{}, relays: relays, scheduler: schedule.New(schedule.Settings{})}
 	o.router = &orderRouter{owner: o, clients: map[job.VMID]*vmClient{}}
 	now := bootNow()
-	o.scheduler.VMSeen(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
+	o.scheduler.VMListed(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
 	_, direct := o.router.route(now, "vm-1").(directSender)
 	assert.Assert(t, direct)
 	o.tenure.confirm(now, now)
 	_, relayed := o.router.route(now, "vm-1").(relayedSender)
 	assert.Assert(t, relayed)
-	_, direct = o.router.holdRoute(now, schedule.Hold{VM: "vm-1", Look: true}).(directSender)
+	_, direct = o.router.holdRoute(now, schedule.Hold{VM: "vm-1", Probe: true}).(directSender)
 	assert.Assert(t, direct)
 	relays.wanted.Store(false)
 	_, direct = o.router.route(now, "vm-1").(directSender)
