--- a/cmd/lavenderpond-standin/link_test.go
+++ b/cmd/lavenderpond-standin/link_test.go
@@ -90,7 +90,7 @@
 // awaitTaken waits until the link has taken n bytes more than before.
 func (l *testLink) awaitTaken(before, n int64) {
 	l.t.Helper()
-	for until := time.Now().Add(linkPatience); l.links["a.b"].Taken() < before+n; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(linkPatience); l.links["a.b"].BytesReceived() < before+n; time.Sleep(time.Millisecond) {
 		assert.Assert(l.t, time.Now().Before(until), "the link takes no bytes")
 	}
 }
@@ -130,7 +130,7 @@
 	here, there := l.connect()
 	assert.Equal(t, pass(t, here, there, "before"), "before")
 	l.tell(link.Silent)
-	taken := l.links["a.b"].Taken()
+	taken := l.links["a.b"].BytesReceived()
 	_, err := io.WriteString(here, "during\n")
 	assert.NilError(t, err)
 	l.awaitTaken(taken, int64(len("during\n")))
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -60,7 +60,7 @@
 	peers     *netrpc.Pool
 	directory Directory
 	config    *configuration
-	shards    *peer.ShardKeeper
+	shards    *peer.ShardManager
 	limits    *platform.Allotments
 	fleet     *platform.FleetWatcher
 	control   *platform.Controller
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -31,7 +31,7 @@
 		}
 		gauge("requests_running", running)
 		gauge("requests_queued", queued)
-		gauge("shards_held", int64(d.shards.Holding()))
+		gauge("shards_held", int64(d.shards.HeldCount()))
 		gauge("config_version", int64(d.config.Version()))
 		gauge("targets", int64(len(d.fleet.Targets())))
 		gauge("goroutines", int64(runtime.NumGoroutine()))
--- a/io/entry/rights.go
+++ b/io/entry/rights.go
@@ -12,14 +12,14 @@
 )
 
 var (
-	_ home.ShardLeases = (*peer.ShardKeeper)(nil)
-	_ Holders          = (*peer.ShardKeeper)(nil)
+	_ home.ShardLeases = (*peer.ShardManager)(nil)
+	_ Holders          = (*peer.ShardManager)(nil)
 )
 
 // buildRights connects the rights to decide and to run with home.
 func (d *Daemon) buildRights(h *home.Home) {
 	s := d.settings.Entry
-	d.shards = peer.NewShardKeeper(peer.ShardConfig{
+	d.shards = peer.NewShardManager(peer.ShardConfig{
 		Params: shard.Params{
 			Zone: s.Zone, Self: d.id, Shards: s.Shards, Skew: s.SkewBound, MaxLifetime: s.MaxLifetime,
 		},
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -39,7 +39,7 @@
 		Version: d.config.Version(),
 		// The trust counts from the evidence.
 		KeysFreshAt: d.config.KeysTrustedUntil().Add(-d.settings.Keys.CutOffBound),
-		Shards:      d.shards.Holding(),
+		Shards:      d.shards.HeldCount(),
 	}
 	d.requests.Locked(func(h *home.Home) { s.Teams = teamLoads(h.Loads()) })
 	return s
--- a/io/link/link.go
+++ b/io/link/link.go
@@ -36,9 +36,9 @@
 
 // Sizes and times of a link.
 const (
-	bufferBytes = 32 << 10
-	chunksAhead = 64
-	dialTimeout = time.Second
+	bufferBytes     = 32 << 10
+	maxQueuedChunks = 64
+	dialTimeout     = time.Second
 )
 
 // Forward is one address of a link and the one behind it.
@@ -46,68 +46,68 @@
 
 // Link forwards TCP connections from several addresses, until it is told otherwise.
 type Link struct {
-	name     string
-	Forwards []Forward
-	taken    atomic.Int64
+	name          string
+	Forwards      []Forward
+	bytesReceived atomic.Int64
 
 	mu    sync.Mutex
 	state State
 	delay time.Duration
 	// changed is closed at the next change of state.
 	changed chan struct{}
-	// open are the listeners and connections to close when the link breaks off.
-	open map[interface{ Close() error }]bool
+	// closers are the listeners and connections to close when the link breaks off.
+	closers map[interface{ Close() error }]bool
 }
 
-// swallows tells whether connections have gaps after the state.
-func (s State) swallows() bool { return s == Silent || s == Deaf }
+// discards tells whether connections have gaps after the state.
+func (s State) discards() bool { return s == Silent || s == Deaf }
 
 // New returns an open link.
 func New(name string) *Link {
-	return &Link{name: name, state: Open, changed: make(chan struct{}), open: make(map[interface{ Close() error }]bool)}
+	return &Link{name: name, state: Open, changed: make(chan struct{}), closers: make(map[interface{ Close() error }]bool)}
 }
 
 // Set changes what the link does from now on.
 func (l *Link) Set(state State, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	breaksOff := state == Refused || l.state.swallows() && state != l.state
+	closeAll := state == Refused || l.state.discards() && state != l.state
 	l.state, l.delay = state, delay
 	close(l.changed)
 	l.changed = make(chan struct{})
-	if !breaksOff {
+	if !closeAll {
 		return
 	}
-	for c := range l.open {
+	for c := range l.closers {
 		_, listens := c.(net.Listener)
 		if !listens || state == Refused {
 			_ = c.Close()
-			delete(l.open, c)
+			delete(l.closers, c)
 		}
 	}
 }
 
 // State returns what the link does now.
 func (l *Link) State() State {
-	s, _, _ := l.now()
+	s, _, _ := l.current()
 	return s
 }
 
-// Taken counts the bytes that came from either end, swallowed ones too.
-func (l *Link) Taken() int64 { return l.taken.Load() }
+// BytesReceived counts the bytes that came from either end, swallowed ones too.
+func (l *Link) BytesReceived() int64 { return l.bytesReceived.Load() }
 
-func (l *Link) now() (state State, delay time.Duration, changed <-chan struct{}) {
+func (l *Link) current() (state State, delay time.Duration, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.delay, l.changed
 }
 
-// await returns the state once it is none of those given. It returns false if ctx
+// waitWhile returns the state once it is none of those given. It returns false if ctx
 // has ended.
-func (l *Link) await(ctx context.Context, not ...State) (State, bool) {
+func (l *Link) waitWhile(ctx context.Context, excluded ...State) (State, bool) {
 	for {
-		state, _, changed := l.now()
-		if !contains(not, state) {
+		state, _, changed := l.current()
+		if !contains(excluded, state) {
 			return state, ctx.Err() == nil
 		}
 		select {
@@ -119,30 +119,30 @@
 }
 
 func contains(states []State, s State) bool {
-	for _, one := range states {
-		if one == s {
+	for _, state := range states {
+		if state == s {
 			return true
 		}
 	}
 	return false
 }
 
-// keep has c closed when the link breaks off. It returns false if it has already.
-func (l *Link) keep(c interface{ Close() error }) bool {
+// track has c closed when the link breaks off. It returns false if it has already.
+func (l *Link) track(c interface{ Close() error }) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state == Refused {
 		_ = c.Close()
 		return false
 	}
-	l.open[c] = true
+	l.closers[c] = true
 	return true
 }
 
-func (l *Link) forget(c interface{ Close() error }) {
+func (l *Link) release(c interface{ Close() error }) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.open, c)
+	delete(l.closers, c)
 	_ = c.Close()
 }
 
@@ -151,14 +151,14 @@
 	var g supervisor.Group
 	defer g.Wait()
 	for {
-		if _, ok := l.await(ctx, Refused); !ok {
+		if _, ok := l.waitWhile(ctx, Refused); !ok {
 			return nil
 		}
 		listener, err := net.Listen("tcp", f.Listen.String())
 		if err != nil {
 			return errors.Wrapf(err, "link %s", l.name)
 		}
-		if l.keep(listener) {
+		if l.track(listener) {
 			l.accept(ctx, listener, f, &g)
 		}
 	}
@@ -166,7 +166,7 @@
 
 // accept returns when the listener is closed.
 func (l *Link) accept(ctx context.Context, listener net.Listener, f Forward, g *supervisor.Group) {
-	defer l.forget(listener)
+	defer l.release(listener)
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
@@ -174,40 +174,40 @@
 		if err != nil {
 			return
 		}
-		g.Go(func() { l.carry(ctx, conn, f.Target) })
+		g.Go(func() { l.forward(ctx, conn, f.Target) })
 	}
 }
 
-// carry forwards one connection until either end closes it or the link breaks off.
-func (l *Link) carry(ctx context.Context, caller net.Conn, target netip.AddrPort) {
-	defer l.forget(caller)
-	if !l.keep(caller) {
+// forward forwards one connection until either end closes it or the link breaks off.
+func (l *Link) forward(ctx context.Context, client net.Conn, target netip.AddrPort) {
+	defer l.release(client)
+	if !l.track(client) {
 		return
 	}
 	d := net.Dialer{Timeout: dialTimeout}
-	called, err := d.DialContext(ctx, "tcp", target.String())
+	server, err := d.DialContext(ctx, "tcp", target.String())
 	if err != nil {
 		return
 	}
-	defer l.forget(called)
-	if !l.keep(called) {
+	defer l.release(server)
+	if !l.track(server) {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
-		_ = caller.Close()
-		_ = called.Close()
+		_ = client.Close()
+		_ = server.Close()
 	})
 	defer stop()
 	var g supervisor.Group
 	g.Go(func() {
 		defer cancel()
-		l.pump(ctx, caller, called, Silent)
+		l.copyOneWay(ctx, client, server, Silent)
 	})
 	g.Go(func() {
 		defer cancel()
-		l.pump(ctx, called, caller, Silent, Deaf)
+		l.copyOneWay(ctx, server, client, Silent, Deaf)
 	})
 	g.Wait()
 }
@@ -218,20 +218,20 @@
 	data []byte
 }
 
-// pump passes bytes on in one direction, but for those of swallowed states. A reader and a writer let a delay hold
+// copyOneWay passes bytes on in one direction, but for those of swallowed states. A reader and a writer let a delay hold
 // up each chunk and not the next ones.
-func (l *Link) pump(ctx context.Context, from, to net.Conn, swallowed ...State) {
-	chunks := make(chan chunk, chunksAhead)
+func (l *Link) copyOneWay(ctx context.Context, from, to net.Conn, discarding ...State) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	var g supervisor.Group
 	defer g.Wait()
-	g.Go(func() { l.write(ctx, to, chunks, swallowed) })
+	g.Go(func() { l.write(ctx, to, chunks, discarding) })
 	defer close(chunks)
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		state, delay, _ := l.now()
-		l.taken.Add(int64(n))
-		if n > 0 && !contains(swallowed, state) {
+		state, delay, _ := l.current()
+		l.bytesReceived.Add(int64(n))
+		if n > 0 && !contains(discarding, state) {
 			c := chunk{at: time.Now().Add(delay), data: append([]byte(nil), buffer[:n]...)}
 			select {
 			case chunks <- c:
@@ -241,7 +241,7 @@
 		}
 		if err != nil {
 			// A cut hides an end's closing from the other one as well.
-			_, _ = l.await(ctx, append(swallowed, Held)...)
+			_, _ = l.waitWhile(ctx, append(discarding, Held)...)
 			return
 		}
 	}
@@ -249,13 +249,13 @@
 
 // write passes chunks on when they are due. What is on its way when the link falls
 // silent is swallowed too.
-func (l *Link) write(ctx context.Context, to net.Conn, chunks <-chan chunk, swallowed []State) {
+func (l *Link) write(ctx context.Context, to net.Conn, chunks <-chan chunk, discarding []State) {
 	for c := range chunks {
 		if !supervisor.Sleep(ctx, time.Until(c.at)) {
 			continue
 		}
-		state, _ := l.await(ctx, Held)
-		if state == Refused || contains(swallowed, state) {
+		state, _ := l.waitWhile(ctx, Held)
+		if state == Refused || contains(discarding, state) {
 			continue
 		}
 		if _, err := to.Write(c.data); err != nil {
--- a/io/netrpc/codec.go
+++ b/io/netrpc/codec.go
@@ -15,10 +15,10 @@
 // others wait leaves the flush to the last of them, so that under load one system call
 // carries many messages and nobody waits for another.
 type writer struct {
-	// queued counts the goroutines that write or wait to; the last one flushes.
-	queued atomic.Int64
-	buf    *bufio.Writer
-	enc    *gob.Encoder
+	// pending counts the goroutines that write or wait to; the last one flushes.
+	pending atomic.Int64
+	buf     *bufio.Writer
+	enc     *gob.Encoder
 }
 
 func newWriter(w io.Writer) *writer {
@@ -33,7 +33,7 @@
 	if err == nil {
 		err = w.enc.Encode(body)
 	}
-	if w.queued.Add(-1) > 0 && err == nil {
+	if w.pending.Add(-1) > 0 && err == nil {
 		return nil
 	}
 	if flushErr := w.buf.Flush(); err == nil {
@@ -48,13 +48,13 @@
 type serverCodec struct {
 	conn    io.ReadWriteCloser
 	dec     *gob.Decoder
-	reading sync.Mutex
-	writing sync.Mutex
+	readMu  sync.Mutex
+	writeMu sync.Mutex
 	w       *writer
 	// onRead is called when a request is read, before it is carried out.
 	onRead func()
-	// ended says that nothing can be read any more.
-	ended atomic.Bool
+	// readEnded says that nothing can be read any more.
+	readEnded atomic.Bool
 }
 
 func newServerCodec(conn io.ReadWriteCloser) *serverCodec {
@@ -63,11 +63,11 @@
 
 // ReadRequestHeader implements rpc.ServerCodec. It takes the right to read.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
-	c.reading.Lock()
+	c.readMu.Lock()
 	err := c.dec.Decode(r)
 	if err != nil {
-		c.ended.Store(true)
-		c.reading.Unlock()
+		c.readEnded.Store(true)
+		c.readMu.Unlock()
 	}
 	return err
 }
@@ -76,15 +76,15 @@
 func (c *serverCodec) ReadRequestBody(body any) error {
 	err := c.dec.Decode(body)
 	c.onRead()
-	c.reading.Unlock()
+	c.readMu.Unlock()
 	return err
 }
 
 // WriteResponse implements rpc.ServerCodec.
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
-	c.w.queued.Add(1)
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.w.pending.Add(1)
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	err := c.w.write(r, body)
 	if err != nil {
 		// A peer that got half a message can't read the next one.
--- a/io/netrpc/netrpc.go
+++ b/io/netrpc/netrpc.go
@@ -77,9 +77,9 @@
 // Pool keeps one connection per peer address. Its zero value works. It is safe
 // for concurrent use.
 type Pool struct {
-	// LookEvery is the time between two looks at a peer that owes replies; 0 means one
+	// ProbeInterval is the time between two looks at a peer that owes replies; 0 means one
 	// second. After four looks at which nothing was heard its connection is closed.
-	LookEvery time.Duration
+	ProbeInterval time.Duration
 
 	mu      sync.Mutex
 	clients map[string]*client
@@ -88,17 +88,17 @@
 // client is a connection to a peer.
 type client struct {
 	*rpc.Client
-	w         *writer
-	pulse     pulse
-	lookEvery time.Duration
+	w             *writer
+	silence       silenceDetector
+	probeInterval time.Duration
 }
 
 func newClient(conn net.Conn, lookEvery time.Duration) *client {
-	c := &client{lookEvery: lookEvery}
+	c := &client{probeInterval: lookEvery}
 	if lookEvery == 0 {
-		c.lookEvery = pulseInterval
+		c.probeInterval = defaultProbeInterval
 	}
-	codec := newClientCodec(conn, c.pulse.hear)
+	codec := newClientCodec(conn, c.silence.replyReceived)
 	c.Client, c.w = rpc.NewClientWithCodec(codec), codec.w
 	return c
 }
@@ -109,10 +109,10 @@
 	if ctx.Err() != nil {
 		return errors.Wrap(ErrNotSent, ctx.Err().Error())
 	}
-	if c.pulse.begin() {
-		time.AfterFunc(c.lookEvery, c.look)
+	if c.silence.callStarted() {
+		time.AfterFunc(c.probeInterval, c.probe)
 	}
-	defer c.pulse.end()
+	defer c.silence.callEnded()
 	call := c.start(method, args, reply)
 	select {
 	case <-ctx.Done():
@@ -122,25 +122,25 @@
 	}
 }
 
-// look closes the connection of a peer that has fallen silent, so that all calls that
+// probe closes the connection of a peer that has fallen silent, so that all calls that
 // wait for it end. The next look is arranged before a ping is sent: writing to a peer
 // that takes no bytes blocks, until the connection is closed.
-func (c *client) look() {
-	switch c.pulse.look() {
-	case beatStop:
-	case beatSilent:
+func (c *client) probe() {
+	switch c.silence.probe() {
+	case probeStop:
+	case probeClose:
 		_ = c.Close()
-	case beatPing:
-		time.AfterFunc(c.lookEvery, c.look)
+	case probePing:
+		time.AfterFunc(c.probeInterval, c.probe)
 		c.start(AliveName+".Ping", 1, new(int))
-	case beatWait:
-		time.AfterFunc(c.lookEvery, c.look)
+	case probeWait:
+		time.AfterFunc(c.probeInterval, c.probe)
 	}
 }
 
 // start sends a call. Nothing waits for a reply here.
 func (c *client) start(method string, args, reply any) *rpc.Call {
-	c.w.queued.Add(1)
+	c.w.pending.Add(1)
 	return c.Go(method, args, reply, make(chan *rpc.Call, 1))
 }
 
@@ -154,7 +154,7 @@
 	err = c.call(ctx, method, args, reply)
 	var remote rpc.ServerError
 	if err != nil && ctx.Err() == nil && !errors.As(err, &remote) {
-		p.drop(address, c)
+		p.remove(address, c)
 	}
 	return errors.Wrapf(err, "call %s", method)
 }
@@ -184,11 +184,11 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	return p.keep(address, newClient(conn, p.LookEvery)), nil
+	return p.store(address, newClient(conn, p.ProbeInterval)), nil
 }
 
-// keep stores c, unless another goroutine was faster.
-func (p *Pool) keep(address string, c *client) *client {
+// store stores c, unless another goroutine was faster.
+func (p *Pool) store(address string, c *client) *client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old := p.clients[address]; old != nil {
@@ -202,7 +202,7 @@
 	return c
 }
 
-func (p *Pool) drop(address string, c *client) {
+func (p *Pool) remove(address string, c *client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.clients[address] == c {
--- a/io/netrpc/serve.go
+++ b/io/netrpc/serve.go
@@ -8,8 +8,8 @@
 	"lavenderpond/io/supervisor"
 )
 
-// idleReaders bounds the goroutines that wait to read a connection's next request.
-const idleReaders = 8
+// maxIdleReaders bounds the goroutines that wait to read a connection's next request.
+const maxIdleReaders = 8
 
 // connection serves one peer. net/rpc's own loop reads on one goroutine and begins
 // another one for each call: two switches and a new stack each. Here the goroutine
@@ -21,59 +21,59 @@
 	group supervisor.Group
 
 	mu sync.Mutex
-	// waiting counts the goroutines that read or wait to, working all of them.
-	waiting, working int
+	// readers counts the goroutines that read or wait to, working all of them.
+	readers, goroutines int
 }
 
 func newConnection(server *rpc.Server, conn net.Conn) *connection {
 	c := &connection{rpc: server, codec: newServerCodec(conn)}
-	c.codec.onRead = c.read
+	c.codec.onRead = c.requestRead
 	return c
 }
 
 // serve returns when the connection is closed and all its calls are done.
 func (c *connection) serve() {
-	c.begin()
+	c.startReader()
 	c.group.Wait()
 	_ = c.codec.Close()
 }
 
-// begin starts a goroutine that reads.
-func (c *connection) begin() {
-	c.waiting++
-	c.working++
-	c.group.Go(c.work)
+// startReader starts a goroutine that reads.
+func (c *connection) startReader() {
+	c.readers++
+	c.goroutines++
+	c.group.Go(c.serveRequests)
 }
 
-// work reads and carries out requests until the connection ends or enough others wait.
+// serveRequests reads and carries out requests until the connection ends or enough others wait.
 // An error of one request was told to the peer and ends nothing.
-func (c *connection) work() {
+func (c *connection) serveRequests() {
 	for {
 		_ = c.rpc.ServeRequest(c.codec)
-		if c.codec.ended.Load() || !c.stay() {
+		if c.codec.readEnded.Load() || !c.keepReading() {
 			return
 		}
 	}
 }
 
-// read sees that somebody reads the next request while this one is carried out.
-func (c *connection) read() {
+// requestRead sees that somebody reads the next request while this one is carried out.
+func (c *connection) requestRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting--
-	if c.waiting == 0 {
-		c.begin()
+	c.readers--
+	if c.readers == 0 {
+		c.startReader()
 	}
 }
 
-// stay says whether the goroutine that has carried out a request reads on.
-func (c *connection) stay() bool {
+// keepReading says whether the goroutine that has carried out a request reads on.
+func (c *connection) keepReading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting >= idleReaders {
-		c.working--
+	if c.readers >= maxIdleReaders {
+		c.goroutines--
 		return false
 	}
-	c.waiting++
+	c.readers++
 	return true
 }
--- a/io/netrpc/serve_test.go
+++ b/io/netrpc/serve_test.go
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// newEcho returns a server at an address, and a Pool to call it with.
-func newEcho(t *testing.T) (*slowEcho, *Pool, string) {
+// newEchoServer returns a server at an address, and a Pool to call it with.
+func newEchoServer(t *testing.T) (*slowEcho, *Pool, string) {
 	t.Helper()
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s := NewServer()
@@ -57,9 +57,9 @@
 // TestSlowCallsHoldUpNoOther: calls that wait for their targets come over the one
 // connection of a peer, more of them than goroutines are kept. A quick call behind
 // them is answered meanwhile, and then each of them.
-func TestSlowCallsHoldUpNoOther(t *testing.T) {
-	e, p, address := newEcho(t)
-	const n = 3 * idleReaders
+func TestSlowCallsDoNotBlockOthers(t *testing.T) {
+	e, p, address := newEchoServer(t)
+	const n = 3 * maxIdleReaders
 	var g supervisor.Group
 	for range n {
 		g.Go(func() {
@@ -78,8 +78,8 @@
 
 // TestRepliesAreNotCrossed: many goroutines call over one connection at once, and
 // their messages share system calls. Each gets the reply to its own.
-func TestRepliesAreNotCrossed(t *testing.T) {
-	_, p, address := newEcho(t)
+func TestConcurrentCallsGetOwnReplies(t *testing.T) {
+	_, p, address := newEchoServer(t)
 	var g supervisor.Group
 	for n := range 32 {
 		g.Go(func() {
@@ -96,8 +96,8 @@
 
 // TestUnknownMethodEndsNothing: an entry of another build calls what this one lacks. It
 // is told so, and the next call over the same connection is answered.
-func TestUnknownMethodEndsNothing(t *testing.T) {
-	_, p, address := newEcho(t)
+func TestUnknownMethodKeepsConnection(t *testing.T) {
+	_, p, address := newEchoServer(t)
 	var reply string
 	err := p.Call(t.Context(), address, "Echo.None", "a", &reply)
 	var told rpc.ServerError
@@ -109,7 +109,7 @@
 
 // TestFewReadersStay: a burst of slow calls needs a goroutine each. When it is over,
 // few of them stay to read.
-func TestFewReadersStay(t *testing.T) {
+func TestIdleReadersAreBounded(t *testing.T) {
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s := rpc.NewServer()
 	assert.NilError(t, s.RegisterName("Echo", e))
@@ -118,7 +118,7 @@
 	var g supervisor.Group
 	g.Go(c.serve)
 	client := newClient(near, 0)
-	const n = 3 * idleReaders
+	const n = 3 * maxIdleReaders
 	var calls []*rpc.Call
 	for range n {
 		calls = append(calls, client.start("Echo.Call", "slow", new(string)))
@@ -128,17 +128,17 @@
 	for _, call := range calls {
 		assert.NilError(t, (<-call.Done).Error)
 	}
-	for working(c) != idleReaders {
+	for goroutineCount(c) != maxIdleReaders {
 		runtime.Gosched()
 	}
 	assert.NilError(t, client.Close())
 	g.Wait()
 }
 
-func working(c *connection) int {
+func goroutineCount(c *connection) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.working
+	return c.goroutines
 }
 
 // TestLastWriterFlushes: two goroutines write at once. Nothing is sent by the first,
@@ -148,7 +148,7 @@
 	for _, second := range []any{"second", make(chan int)} {
 		var sent bytes.Buffer
 		w := newWriter(&sent)
-		w.queued.Add(2)
+		w.pending.Add(2)
 		assert.NilError(t, w.write(1, "first"))
 		assert.Equal(t, sent.Len(), 0)
 		_ = w.write(2, second)
@@ -163,7 +163,7 @@
 
 // TestCallOfAClosedConnection: the peer ends while a call waits for its reply. The
 // caller is told, and not that nothing was sent: the peer may have acted.
-func TestCallOfAClosedConnection(t *testing.T) {
+func TestConnectionClosedDuringCall(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	var g supervisor.Group
--- a/io/netrpc/pulse_test.go
+++ b/io/netrpc/silence_test.go
@@ -15,25 +15,25 @@
 // TestPulse: a peer that owes a reply is asked for a sign of life at each look, and is
 // silent at the fourth without one. A sign between two looks begins the count anew, and
 // without calls nothing is asked.
-func TestPulse(t *testing.T) {
-	var p pulse
-	assert.Assert(t, p.begin())
-	assert.Assert(t, !p.begin(), "looks have begun")
+func TestSilenceDetector(t *testing.T) {
+	var p silenceDetector
+	assert.Assert(t, p.callStarted())
+	assert.Assert(t, !p.callStarted(), "looks have begun")
 	for _, heard := range []bool{true, false} {
-		for range maxQuiet {
-			assert.Equal(t, p.look(), beatPing)
+		for range maxSilentProbes {
+			assert.Equal(t, p.probe(), probePing)
 		}
 		if heard {
-			p.hear()
-			assert.Equal(t, p.look(), beatWait)
+			p.replyReceived()
+			assert.Equal(t, p.probe(), probeWait)
 		}
 	}
-	assert.Equal(t, p.look(), beatSilent)
-	p.end()
-	p.end()
-	assert.Equal(t, p.look(), beatStop)
-	assert.Assert(t, p.begin(), "looks begin again")
-	assert.Equal(t, p.look(), beatPing)
+	assert.Equal(t, p.probe(), probeClose)
+	p.callEnded()
+	p.callEnded()
+	assert.Equal(t, p.probe(), probeStop)
+	assert.Assert(t, p.callStarted(), "looks begin again")
+	assert.Equal(t, p.probe(), probePing)
 }
 
 // TestSilentPeer: a zone is cut off without a word while a call waits for its answer.
@@ -42,7 +42,7 @@
 func TestSilentPeer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	p := &Pool{LookEvery: 10 * time.Millisecond}
+	p := &Pool{ProbeInterval: 10 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	var g supervisor.Group
@@ -62,18 +62,18 @@
 
 // TestLongCallIsNoSilence: a call takes longer than many looks, as a survey step does.
 // The peer answers each ping meanwhile, and the call gets its reply.
-func TestLongCallIsNoSilence(t *testing.T) {
-	e, p, address := newEcho(t)
+func TestSlowCallIsNotSilence(t *testing.T) {
+	e, p, address := newEchoServer(t)
 	c, err := p.client(t.Context(), address)
 	assert.NilError(t, err)
-	assert.Assert(t, c.pulse.begin())
+	assert.Assert(t, c.silence.callStarted())
 	call := c.start("Echo.Call", "slow", new(string))
 	<-e.entered
-	for range 3 * maxQuiet {
-		assert.Equal(t, c.pulse.look(), beatPing)
+	for range 3 * maxSilentProbes {
+		assert.Equal(t, c.silence.probe(), probePing)
 		ping := <-c.start(AliveName+".Ping", 1, new(int)).Done
 		assert.NilError(t, ping.Error)
-		assert.Equal(t, c.pulse.look(), beatWait)
+		assert.Equal(t, c.silence.probe(), probeWait)
 	}
 	close(e.release)
 	assert.NilError(t, (<-call.Done).Error)
--- a/io/node/relays.go
+++ b/io/node/relays.go
@@ -61,7 +61,7 @@
 }
 
 func newRelays(self string, log zerolog.Logger) *relays {
-	return &relays{self: self, log: log, pool: netrpc.Pool{LookEvery: relayLook}, changed: make(chan struct{}, 1)}
+	return &relays{self: self, log: log, pool: netrpc.Pool{ProbeInterval: relayLook}, changed: make(chan struct{}, 1)}
 }
 
 // follow keeps the list of members up to date until ctx ends.
--- a/io/peer/forward.go
+++ b/io/peer/forward.go
@@ -68,7 +68,7 @@
 
 // The results of a forwarded call.
 const (
-	ForwardTaken ForwardResult = iota
+	ForwardAccepted ForwardResult = iota
 	ForwardNotHolder
 	ForwardHandingOver
 )
@@ -102,7 +102,7 @@
 func resultOf(err error) ForwardResult {
 	switch {
 	case err == nil:
-		return ForwardTaken
+		return ForwardAccepted
 	case errors.Is(err, ErrHandingOver):
 		return ForwardHandingOver
 	default:
--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -16,12 +16,12 @@
 
 // Intervals of a ShardKeeper.
 const (
-	shardTick = 100 * time.Millisecond
-	shardList = time.Second
+	tickInterval = 100 * time.Millisecond
+	listInterval = time.Second
 	// exchangeTimeout bounds one exchange with a peer. Evidence that comes later is
 	// of little use, since it is dated at the send.
-	exchangeTimeout = time.Second
-	releasePoll     = 10 * time.Millisecond
+	exchangeTimeout     = time.Second
+	releasePollInterval = 10 * time.Millisecond
 )
 
 // Caller calls peers; a Pool is one.
@@ -50,146 +50,146 @@
 	OnLost      func(shard.Lost)
 }
 
-// ShardKeeper runs a shard.LeaseManager in a daemon: it reads and swaps the zone's shard
+// ShardManager runs a shard.LeaseManager in a daemon: it reads and swaps the zone's shard
 // rows, speaks to the zone's other entries, and tells home what it may do. It is
 // safe for concurrent use.
-type ShardKeeper struct {
+type ShardManager struct {
 	cfg ShardConfig
 
-	mu       sync.Mutex
-	keeper   *shard.LeaseManager
-	outboxes map[core.EntryID]*outbox
-	swaps    []shard.SwapRow
-	reading  bool
-	stopped  bool
-	notices  []shard.Command
+	mu            sync.Mutex
+	leases        *shard.LeaseManager
+	outboxes      map[core.EntryID]*outbox
+	pendingSwaps  []shard.SwapRow
+	readPending   bool
+	stopped       bool
+	notifications []shard.Command
 
-	tableWork  chan struct{}
-	noticeWork chan struct{}
-	group      supervisor.Workers
-	reader     rowReader
-	lister     entryLister
+	tableWake  chan struct{}
+	notifyWake chan struct{}
+	exchanges  supervisor.Workers
+	rows       rowReader
+	entries    entryTracker
 }
 
-// NewShardKeeper returns a ShardKeeper that holds nothing. Run its Children and
+// NewShardManager returns a ShardKeeper that holds nothing. Run its Children and
 // register its Receiver.
-func NewShardKeeper(cfg ShardConfig) *ShardKeeper {
-	k := &ShardKeeper{
-		cfg: cfg, keeper: shard.New(cfg.Params), outboxes: make(map[core.EntryID]*outbox),
-		tableWork: make(chan struct{}, 1), noticeWork: make(chan struct{}, 1),
+func NewShardManager(cfg ShardConfig) *ShardManager {
+	sm := &ShardManager{
+		cfg: cfg, leases: shard.New(cfg.Params), outboxes: make(map[core.EntryID]*outbox),
+		tableWake: make(chan struct{}, 1), notifyWake: make(chan struct{}, 1),
 	}
-	k.cfg.Params = k.keeper.Params()
-	k.reader = rowReader{table: cfg.Table, zone: cfg.Params.Zone}
-	k.lister = entryLister{self: cfg.Params.Self}
-	return k
+	sm.cfg.Params = sm.leases.Params()
+	sm.rows = rowReader{table: cfg.Table, zone: cfg.Params.Zone}
+	sm.entries = entryTracker{self: cfg.Params.Self}
+	return sm
 }
 
 // Receiver returns the net/rpc receiver to register under ShardName.
-func (k *ShardKeeper) Receiver() *ShardReceiver { return &ShardReceiver{keeper: k} }
+func (sm *ShardManager) Receiver() *ShardReceiver { return &ShardReceiver{manager: sm} }
 
 // Child returns the node that runs the keeper until its context ends.
-func (k *ShardKeeper) Child() supervisor.Child {
-	n := &supervisor.Node{Name: "shards", Log: k.cfg.Log, Children: []supervisor.Child{
-		{Name: "ticks", Run: k.runTicks},
-		{Name: "table", Run: k.runTable},
-		{Name: "notices", Run: k.runNotices},
-		{Name: "list", Run: k.runList},
+func (sm *ShardManager) Child() supervisor.Child {
+	n := &supervisor.Node{Name: "shards", Log: sm.cfg.Log, Children: []supervisor.Child{
+		{Name: "ticks", Run: sm.runTicks},
+		{Name: "table", Run: sm.runTable},
+		{Name: "notices", Run: sm.runNotifications},
+		{Name: "list", Run: sm.runLister},
 	}}
 	return supervisor.Child{Name: n.Name, Run: func(ctx context.Context) error {
 		err := n.Run(ctx)
-		k.stop()
+		sm.stop()
 		return err
 	}}
 }
 
 // Decide says whether this entry may start the request now.
-func (k *ShardKeeper) Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.keeper.Decide(now, k.keeper.Shard(key), key, firstSent, deadline)
+func (sm *ShardManager) Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict {
+	sm.mu.Lock()
+	defer sm.mu.Unlock()
+	return sm.leases.Decide(now, sm.leases.Shard(key), key, firstSent, deadline)
 }
 
 // LeaseExpiry returns when the right to start key ends; zero if there is none.
-func (k *ShardKeeper) LeaseExpiry(now time.Time, key core.RequestKey) time.Time {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.keeper.LeaseExpiry(now, k.keeper.Shard(key))
+func (sm *ShardManager) LeaseExpiry(now time.Time, key core.RequestKey) time.Time {
+	sm.mu.Lock()
+	defer sm.mu.Unlock()
+	return sm.leases.LeaseExpiry(now, sm.leases.Shard(key))
 }
 
 // Start asks for the right to dispatch. If it returns false, OnAllowed or OnDenied
 // follows. It never blocks on a peer.
-func (k *ShardKeeper) Start(now time.Time, start shard.Start) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	allowed, commands := k.keeper.Start(now, k.keeper.Shard(start.Key), start)
-	k.carryOut(commands)
+func (sm *ShardManager) Start(now time.Time, start shard.Start) bool {
+	sm.mu.Lock()
+	defer sm.mu.Unlock()
+	allowed, commands := sm.leases.Start(now, sm.leases.Shard(start.Key), start)
+	sm.execute(commands)
 	return allowed
 }
 
-// Holding returns how many shards this entry holds by its last word.
-func (k *ShardKeeper) Holding() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.keeper.HeldCount()
+// HeldCount returns how many shards this entry holds by its last word.
+func (sm *ShardManager) HeldCount() int {
+	sm.mu.Lock()
+	defer sm.mu.Unlock()
+	return sm.leases.HeldCount()
 }
 
 // Dump returns the state of all shards.
-func (k *ShardKeeper) Dump() shard.Dump {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.keeper.Dump(k.now())
+func (sm *ShardManager) Dump() shard.Dump {
+	sm.mu.Lock()
+	defer sm.mu.Unlock()
+	return sm.leases.Dump(sm.now())
 }
 
 // Release hands every shard over, for a graceful stop. It returns when none is
 // held any more, or with an error that tells how many are left when ctx ends. Half
 // of ctx's time goes to bringing successors in sync.
-func (k *ShardKeeper) Release(ctx context.Context) error {
-	by := k.now()
+func (sm *ShardManager) Release(ctx context.Context) error {
+	by := sm.now()
 	if deadline, ok := ctx.Deadline(); ok {
 		by = by.Add(deadline.Sub(by) / 2)
 	}
-	k.handle(shard.ShuttingDown{HandOverBy: by})
-	for k.Holding() > 0 {
-		if !supervisor.Sleep(ctx, releasePoll) {
-			return errors.Errorf("%d shards were not handed over; they wait for their successors", k.Holding())
+	sm.handle(shard.ShuttingDown{HandOverBy: by})
+	for sm.HeldCount() > 0 {
+		if !supervisor.Sleep(ctx, releasePollInterval) {
+			return errors.Errorf("%d shards were not handed over; they wait for their successors", sm.HeldCount())
 		}
-		k.handle(shard.Tick{})
+		sm.handle(shard.Tick{})
 	}
 	return nil
 }
 
-func (k *ShardKeeper) now() time.Time { return k.cfg.Now().Round(0) }
+func (sm *ShardManager) now() time.Time { return sm.cfg.Now().Round(0) }
 
-func (k *ShardKeeper) handle(e shard.Event) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.carryOut(k.keeper.Handle(k.now(), e))
+func (sm *ShardManager) handle(e shard.Event) {
+	sm.mu.Lock()
+	defer sm.mu.Unlock()
+	sm.execute(sm.leases.Handle(sm.now(), e))
 }
 
 // stop waits for the exchanges under way; none begins after it.
-func (k *ShardKeeper) stop() {
-	k.mu.Lock()
-	k.stopped = true
-	k.mu.Unlock()
-	k.group.Wait()
+func (sm *ShardManager) stop() {
+	sm.mu.Lock()
+	sm.stopped = true
+	sm.mu.Unlock()
+	sm.exchanges.Wait()
 }
 
-// carryOut queues commands for the goroutines that carry them out. The lock is
+// execute queues commands for the goroutines that carry them out. The lock is
 // held, so that they keep their order.
-func (k *ShardKeeper) carryOut(commands []shard.Command) {
+func (sm *ShardManager) execute(commands []shard.Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case shard.Send:
-			k.post(c.To, func(b *ShardBatch) { b.add(c.Message) })
+			sm.enqueue(c.To, func(b *ShardBatch) { b.add(c.Message) })
 		case shard.SwapRow:
-			k.swaps = append(k.swaps, c)
-			wake(k.tableWork)
+			sm.pendingSwaps = append(sm.pendingSwaps, c)
+			wake(sm.tableWake)
 		case shard.ReadRows:
-			k.reading = true
-			wake(k.tableWork)
+			sm.readPending = true
+			wake(sm.tableWake)
 		default:
-			k.notices = append(k.notices, c)
-			wake(k.noticeWork)
+			sm.notifications = append(sm.notifications, c)
+			wake(sm.notifyWake)
 		}
 	}
 }
@@ -202,47 +202,47 @@
 	}
 }
 
-func (k *ShardKeeper) runTicks(ctx context.Context) error {
-	return supervisor.Every(ctx, shardTick, func(context.Context) { k.handle(shard.Tick{}) })
+func (sm *ShardManager) runTicks(ctx context.Context) error {
+	return supervisor.Every(ctx, tickInterval, func(context.Context) { sm.handle(shard.Tick{}) })
 }
 
-func (k *ShardKeeper) runNotices(ctx context.Context) error {
+func (sm *ShardManager) runNotifications(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.noticeWork:
+		case <-sm.notifyWake:
 		}
-		k.notifyAll()
+		sm.notifyAll()
 	}
 }
 
-func (k *ShardKeeper) notifyAll() {
-	k.mu.Lock()
-	notices := k.notices
-	k.notices = nil
-	k.mu.Unlock()
+func (sm *ShardManager) notifyAll() {
+	sm.mu.Lock()
+	notices := sm.notifications
+	sm.notifications = nil
+	sm.mu.Unlock()
 	for _, n := range notices {
-		k.notify(n)
+		sm.notify(n)
 	}
 }
 
-func (k *ShardKeeper) notify(c shard.Command) {
+func (sm *ShardManager) notify(c shard.Command) {
 	switch c := c.(type) {
 	case shard.StartAllowed:
-		call(k.cfg.OnAllowed, c)
+		callIfSet(sm.cfg.OnAllowed, c)
 	case shard.StartDenied:
-		call(k.cfg.OnDenied, c)
+		callIfSet(sm.cfg.OnDenied, c)
 	case shard.Inherited:
-		k.cfg.Log.Info().Uint32("shard", uint32(c.Shard)).Str("former", string(c.Former)).Int("starts", len(c.Starts)).Msg("shard inherited")
-		call(k.cfg.OnInherited, c)
+		sm.cfg.Log.Info().Uint32("shard", uint32(c.Shard)).Str("former", string(c.Former)).Int("starts", len(c.Starts)).Msg("shard inherited")
+		callIfSet(sm.cfg.OnInherited, c)
 	case shard.Lost:
-		k.cfg.Log.Info().Uint32("shard", uint32(c.Shard)).Str("holder", string(c.Holder)).Msg("shard lost")
-		call(k.cfg.OnLost, c)
+		sm.cfg.Log.Info().Uint32("shard", uint32(c.Shard)).Str("holder", string(c.Holder)).Msg("shard lost")
+		callIfSet(sm.cfg.OnLost, c)
 	}
 }
 
-func call[C shard.Command](f func(C), c C) {
+func callIfSet[C shard.Command](f func(C), c C) {
 	if f != nil {
 		f(c)
 	}
--- a/io/peer/shard_batch.go
+++ b/io/peer/shard_batch.go
@@ -61,10 +61,10 @@
 }
 
 // ShardReceiver is the net/rpc receiver of a ShardKeeper.
-type ShardReceiver struct{ keeper *ShardKeeper }
+type ShardReceiver struct{ manager *ShardManager }
 
 // Exchange takes a batch in and replies with the acks it calls for.
 func (r *ShardReceiver) Exchange(args ShardBatch, reply *ShardBatch) error {
-	*reply = r.keeper.exchange(args)
+	*reply = r.manager.exchange(args)
 	return nil
 }
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -11,41 +11,41 @@
 	"lavenderpond/io/supervisor"
 )
 
-// unseenGone is how long an entry that a row names, and that this one never saw
+// unseenEntryTimeout is how long an entry that a row names, and that this one never saw
 // listed, must be missing from the list to count as ended. Entries are named only
 // after they were listed, so what is missing is the lag between two readers.
-const unseenGone = 30 * time.Second
+const unseenEntryTimeout = 30 * time.Second
 
-// entryLister finds out from successive lists which entries have ended.
-type entryLister struct {
-	self    core.EntryID
-	seen    map[core.EntryID]bool
-	gone    map[core.EntryID]bool
-	missing map[core.EntryID]time.Time
+// entryTracker finds out from successive lists which entries have ended.
+type entryTracker struct {
+	self         core.EntryID
+	seen         map[core.EntryID]bool
+	ended        map[core.EntryID]bool
+	missingSince map[core.EntryID]time.Time
 }
 
-func (k *ShardKeeper) runList(ctx context.Context) error {
-	return supervisor.Every(ctx, shardList, k.list)
+func (sm *ShardManager) runLister(ctx context.Context) error {
+	return supervisor.Every(ctx, listInterval, sm.refreshEntries)
 }
 
-func (k *ShardKeeper) list(ctx context.Context) {
-	live, err := k.cfg.Live.Live(ctx, k.cfg.Params.Zone)
+func (sm *ShardManager) refreshEntries(ctx context.Context) {
+	live, err := sm.cfg.Live.Live(ctx, sm.cfg.Params.Zone)
 	if err != nil {
-		k.cfg.Log.Debug().Err(err).Msg("live list not read")
+		sm.cfg.Log.Debug().Err(err).Msg("live list not read")
 		return
 	}
-	k.mu.Lock()
-	named := k.keeper.NamedEntries()
-	k.mu.Unlock()
-	k.handle(k.lister.update(k.now(), live, named))
+	sm.mu.Lock()
+	named := sm.leases.NamedEntries()
+	sm.mu.Unlock()
+	sm.handle(sm.entries.update(sm.now(), live, named))
 }
 
 // update takes in a list. A list without this entry proves nothing about others:
 // it is older than this run, or wrong.
-func (l *entryLister) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.EntriesListed {
+func (l *entryTracker) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.EntriesListed {
 	if l.seen == nil {
-		l.seen, l.gone = map[core.EntryID]bool{}, map[core.EntryID]bool{}
-		l.missing = map[core.EntryID]time.Time{}
+		l.seen, l.ended = map[core.EntryID]bool{}, map[core.EntryID]bool{}
+		l.missingSince = map[core.EntryID]time.Time{}
 	}
 	var e shard.EntriesListed
 	listed, newest := map[core.EntryID]bool{}, map[string]time.Time{}
@@ -65,37 +65,37 @@
 	// All entries must see the same order: it says whose turn it is.
 	slices.Sort(e.Live)
 	if listed[l.self] {
-		l.findGone(now, listed, newest, named)
+		l.findEnded(now, listed, newest, named)
 	}
 	for id := range listed {
 		l.seen[id] = true
 	}
 	for _, id := range named {
-		if l.gone[id] {
+		if l.ended[id] {
 			e.Gone = append(e.Gone, id)
 		}
 	}
 	return e
 }
 
-func (l *entryLister) findGone(now time.Time, listed map[core.EntryID]bool, newest map[string]time.Time, named []core.EntryID) {
+func (l *entryTracker) findEnded(now time.Time, listed map[core.EntryID]bool, newest map[string]time.Time, named []core.EntryID) {
 	for id := range l.seen {
 		if !listed[id] {
-			l.gone[id] = true
+			l.ended[id] = true
 			delete(l.seen, id)
 		}
 	}
 	for _, id := range named {
 		switch {
 		case id == l.self || listed[id]:
-			delete(l.missing, id)
+			delete(l.missingSince, id)
 		case newest[id.Name()].After(id.Started()):
 			// One name has one run at a time, so the older has ended.
-			l.gone[id] = true
-		case l.missing[id].IsZero():
-			l.missing[id] = now
-		case now.Sub(l.missing[id]) >= unseenGone:
-			l.gone[id] = true
+			l.ended[id] = true
+		case l.missingSince[id].IsZero():
+			l.missingSince[id] = now
+		case now.Sub(l.missingSince[id]) >= unseenEntryTimeout:
+			l.ended[id] = true
 		}
 	}
 }
--- a/io/peer/shard_table.go
+++ b/io/peer/shard_table.go
@@ -15,55 +15,55 @@
 
 // runTable does the table's work one step at a time: a read must not overtake
 // another, since rows left out of a reply stand for "as at the read before".
-func (k *ShardKeeper) runTable(ctx context.Context) error {
+func (sm *ShardManager) runTable(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.tableWork:
+		case <-sm.tableWake:
 		}
-		for k.tableStep(ctx) {
+		for sm.processTableWork(ctx) {
 		}
 	}
 }
 
-func (k *ShardKeeper) tableStep(ctx context.Context) bool {
-	k.mu.Lock()
-	swaps, reading := k.swaps, k.reading
-	k.swaps, k.reading = nil, false
-	k.mu.Unlock()
-	down := false
+func (sm *ShardManager) processTableWork(ctx context.Context) bool {
+	sm.mu.Lock()
+	swaps, readPending := sm.pendingSwaps, sm.readPending
+	sm.pendingSwaps, sm.readPending = nil, false
+	sm.mu.Unlock()
+	tableDown := false
 	for _, s := range swaps {
-		down = !k.swap(ctx, s, down)
+		tableDown = !sm.executeSwap(ctx, s, tableDown)
 	}
-	if reading {
-		k.read(ctx)
+	if readPending {
+		sm.readRows(ctx)
 	}
-	return len(swaps) > 0 || reading
+	return len(swaps) > 0 || readPending
 }
 
-// swap sends one swap, or settles it unsent once the table has failed: a queue of
+// executeSwap sends one swap, or settles it unsent once the table has failed: a queue of
 // swaps that each wait for a timeout would hold up the reads.
-func (k *ShardKeeper) swap(ctx context.Context, c shard.SwapRow, down bool) (ok bool) {
-	settled := shard.SwapSettled{Shard: c.Shard, Version: c.Version, SentAt: k.now(), Outcome: shard.SwapUnreachable}
-	if !down {
-		settled.Outcome = k.transact(ctx, c)
+func (sm *ShardManager) executeSwap(ctx context.Context, c shard.SwapRow, tableDown bool) (ok bool) {
+	settled := shard.SwapSettled{Shard: c.Shard, Version: c.Version, SentAt: sm.now(), Outcome: shard.SwapUnreachable}
+	if !tableDown {
+		settled.Outcome = sm.transact(ctx, c)
 	}
-	k.handle(settled)
-	if settled.Outcome == shard.SwapApplied && c.Row.Holder != k.cfg.Params.Self {
-		k.mu.Lock()
-		k.post(c.Row.Holder, func(b *ShardBatch) { b.Look = true })
-		k.mu.Unlock()
+	sm.handle(settled)
+	if settled.Outcome == shard.SwapApplied && c.Row.Holder != sm.cfg.Params.Self {
+		sm.mu.Lock()
+		sm.enqueue(c.Row.Holder, func(b *ShardBatch) { b.Look = true })
+		sm.mu.Unlock()
 	}
 	return settled.Outcome == shard.SwapApplied || settled.Outcome == shard.SwapConflict
 }
 
-func (k *ShardKeeper) transact(ctx context.Context, c shard.SwapRow) shard.Outcome {
-	t, err := c.Transaction(k.cfg.Params.Zone)
+func (sm *ShardManager) transact(ctx context.Context, c shard.SwapRow) shard.Outcome {
+	t, err := c.Transaction(sm.cfg.Params.Zone)
 	if err != nil {
 		return shard.SwapUnreachable
 	}
-	err = k.cfg.Table.Transact(ctx, t)
+	err = sm.cfg.Table.Transact(ctx, t)
 	switch {
 	case err == nil:
 		return shard.SwapApplied
@@ -76,14 +76,14 @@
 	}
 }
 
-func (k *ShardKeeper) read(ctx context.Context) {
-	sentAt := k.now()
-	rows, err := k.reader.read(ctx)
+func (sm *ShardManager) readRows(ctx context.Context) {
+	sentAt := sm.now()
+	rows, err := sm.rows.read(ctx)
 	if err != nil {
-		k.cfg.Log.Debug().Err(err).Msg("shard rows not read")
+		sm.cfg.Log.Debug().Err(err).Msg("shard rows not read")
 		return
 	}
-	k.handle(shard.RowsRead{SentAt: sentAt, Rows: rows})
+	sm.handle(shard.RowsRead{SentAt: sentAt, Rows: rows})
 }
 
 // rowReader reads all shard rows of a zone at once, then only what changed.
@@ -91,7 +91,7 @@
 	table    platform.Table
 	zone     core.ZoneID
 	revision table.Revision
-	started  bool
+	scanned  bool
 }
 
 func (r *rowReader) read(ctx context.Context) ([]shard.VersionedRow, error) {
@@ -99,7 +99,7 @@
 	var rows []table.Row
 	var revision table.Revision
 	var err error
-	if r.started {
+	if r.scanned {
 		rows, revision, err = r.table.Changes(ctx, prefix, r.revision)
 	} else {
 		rows, revision, err = r.table.Scan(ctx, prefix)
@@ -112,7 +112,7 @@
 		// Asked for again: a row left out would stand for one that didn't change.
 		return nil, err
 	}
-	r.started, r.revision = true, revision
+	r.scanned, r.revision = true, revision
 	return decoded, nil
 }
 
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -20,12 +20,12 @@
 
 // TestShardsSpread: three entries start on an empty table and share the shards
 // evenly, each with a successor in sync. A fourth gets its part by hand-overs.
-func TestShardsSpread(t *testing.T) {
+func TestShardsAreBalanced(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
-	z.run(10 * time.Second)
+	z.advance(10 * time.Second)
 	z.assertHeld(map[string]int{"a1": 4, "a2": 4, "a3": 4})
-	z.boot("a4")
-	z.run(20 * time.Second)
+	z.startEntry("a4")
+	z.advance(20 * time.Second)
 	z.assertHeld(map[string]int{"a1": 3, "a2": 3, "a3": 3, "a4": 3})
 }
 
@@ -33,29 +33,29 @@
 // holder answers a retry of that id as unknown, and runs other ids at once, though
 // callers give no first_sent. A successor that forgets starts would run it again.
 func TestReleaseHandsOverStarts(t *testing.T) {
-	for _, forgets := range []bool{false, true} {
+	for _, forgetStarts := range []bool{false, true} {
 		z := newShardZone(t, "a1", "a2", "a3")
-		z.forgets = forgets
-		z.run(10 * time.Second)
-		k := z.keepers["a1"]
-		key := z.idAt(k)
-		assert.Assert(t, !k.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute), VM: "vm"}), "not mirrored")
+		z.forgetStarts = forgetStarts
+		z.advance(10 * time.Second)
+		e := z.entries["a1"]
+		key := z.requestHeldBy(e)
+		assert.Assert(t, !e.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute), VM: "vm"}), "not mirrored")
 		z.settle()
-		assert.DeepEqual(t, k.allowed, []core.RequestKey{key})
-		k.handle(shard.ShuttingDown{HandOverBy: z.now.Add(5 * time.Second)})
-		z.run(2 * time.Second)
-		assert.Equal(t, k.Holding(), 0)
-		counts, _ := z.held()
+		assert.DeepEqual(t, e.allowed, []core.RequestKey{key})
+		e.handle(shard.ShuttingDown{HandOverBy: z.now.Add(5 * time.Second)})
+		z.advance(2 * time.Second)
+		assert.Equal(t, e.HeldCount(), 0)
+		counts, _ := z.heldCounts()
 		assert.Equal(t, counts["a2"]+counts["a3"], testShards)
-		if forgets {
-			assert.Equal(t, z.runners(key), 1, "the test can't fail")
+		if forgetStarts {
+			assert.Equal(t, z.countRunners(key), 1, "the test can't fail")
 			continue
 		}
-		assert.Equal(t, z.runners(key), 0)
-		inherited := append(z.keepers["a2"].inherited, z.keepers["a3"].inherited...)
+		assert.Equal(t, z.countRunners(key), 0)
+		inherited := append(z.entries["a2"].inherited, z.entries["a3"].inherited...)
 		assert.DeepEqual(t, inherited, []core.RequestKey{key})
 		key.ID += "-other"
-		assert.Equal(t, z.runners(key), 1)
+		assert.Equal(t, z.countRunners(key), 1)
 	}
 }
 
@@ -63,33 +63,33 @@
 // that runs long. It has the fewest shards now, and is the other one's successor in
 // sync. Handed some back to even the numbers, it would end with them: their callers
 // wait for a take-over, and are told "unknown" of ids that never ran.
-func TestStoppingGetsNothingBack(t *testing.T) {
+func TestStoppingEntryGetsNoShardsBack(t *testing.T) {
 	z := newShardZone(t, "a1", "a2")
-	z.run(20 * time.Second)
+	z.advance(20 * time.Second)
 	z.assertHeld(map[string]int{"a1": testShards / 2, "a2": testShards / 2})
-	z.keepers["a1"].handle(shard.ShuttingDown{HandOverBy: z.now.Add(5 * time.Second)})
-	for z.keepers["a1"].Holding() > 0 {
-		z.run(shardTick)
+	z.entries["a1"].handle(shard.ShuttingDown{HandOverBy: z.now.Add(5 * time.Second)})
+	for z.entries["a1"].HeldCount() > 0 {
+		z.advance(tickInterval)
 	}
-	back := 0
+	handedBack := 0
 	for range 200 {
-		z.run(shardTick)
-		back = max(back, z.keepers["a1"].Holding())
+		z.advance(tickInterval)
+		handedBack = max(handedBack, z.entries["a1"].HeldCount())
 	}
-	assert.Equal(t, back, 0, "shards handed to an entry that stops")
-	assert.Equal(t, z.keepers["a2"].Holding(), testShards)
+	assert.Equal(t, handedBack, 0, "shards handed to an entry that stops")
+	assert.Equal(t, z.entries["a2"].HeldCount(), testShards)
 }
 
 // TestTwoStopTogether: a zone's only entries stop at the same time. A shard goes to
 // the other entry once at most, and not back and forth until both are gone.
-func TestTwoStopTogether(t *testing.T) {
+func TestAllEntriesStopTogether(t *testing.T) {
 	z := newShardZone(t, "a1", "a2")
-	z.run(10 * time.Second)
-	for _, k := range z.keepers {
-		k.handle(shard.ShuttingDown{HandOverBy: z.now.Add(time.Second)})
+	z.advance(10 * time.Second)
+	for _, e := range z.entries {
+		e.handle(shard.ShuttingDown{HandOverBy: z.now.Add(time.Second)})
 	}
-	z.run(10 * time.Second)
-	for _, s := range z.keepers["a1"].Dump().Shards {
+	z.advance(10 * time.Second)
+	for _, s := range z.entries["a1"].Dump().Shards {
 		assert.Assert(t, s.Row.Epoch <= 2, "shard %d is in epoch %d", s.Shard, s.Row.Epoch)
 	}
 }
@@ -97,27 +97,27 @@
 // TestTableDown: the table is down for minutes. All shards are served on the
 // successors' word. Then one entry is cut off as well: what waits is exactly its
 // own shards and those whose successor it is, until either comes back.
-func TestTableDown(t *testing.T) {
+func TestTableOutage(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
-	z.run(10 * time.Second)
-	z.down = true
-	z.run(2 * time.Minute)
+	z.advance(10 * time.Second)
+	z.tableDown = true
+	z.advance(2 * time.Minute)
 	z.assertHeld(map[string]int{"a1": 4, "a2": 4, "a3": 4})
-	before := z.keepers["a2"].Dump()
-	z.keepers["a1"].cut, z.keepers["a2"].cut, z.keepers["a3"].cut = true, false, false
-	z.addresses[z.keepers["a1"].id] = "127.0.0.1:1"
-	z.run(5 * time.Second)
+	before := z.entries["a2"].Dump()
+	z.entries["a1"].isolated, z.entries["a2"].isolated, z.entries["a3"].isolated = true, false, false
+	z.addresses[z.entries["a1"].id] = "127.0.0.1:1"
+	z.advance(5 * time.Second)
 	want := map[string]int{}
 	for _, s := range before.Shards {
 		if holder := s.Row.Holder.Name(); holder != "a1" && s.Row.Successor.Name() != "a1" {
 			want[holder]++
 		}
 	}
-	counts, _ := z.held()
+	counts, _ := z.heldCounts()
 	assert.DeepEqual(t, counts, want)
-	z.down = false
-	z.run(20 * time.Second)
-	counts, _ = z.held()
+	z.tableDown = false
+	z.advance(20 * time.Second)
+	counts, _ = z.heldCounts()
 	assert.Equal(t, counts["a1"]+counts["a2"]+counts["a3"], testShards)
 }
 
@@ -126,30 +126,30 @@
 // proves, before the lease lapses, that nobody is left to take over.
 func TestDeadSuccessor(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
-	z.run(10 * time.Second)
-	z.down = true
-	id := z.keepers["a1"].id
+	z.advance(10 * time.Second)
+	z.tableDown = true
+	id := z.entries["a1"].id
 	z.kill("a1")
-	z.run(time.Second)
+	z.advance(time.Second)
 	z.unlist(id)
-	z.run(time.Minute)
-	counts, _ := z.held()
+	z.advance(time.Minute)
+	counts, _ := z.heldCounts()
 	assert.DeepEqual(t, counts, map[string]int{"a2": 4, "a3": 4})
-	k, started := z.keepers["a2"], 0
+	e, started := z.entries["a2"], 0
 	for i := range 100 {
 		key := core.RequestKey{Team: "t", ID: core.RequestID(fmt.Sprint(i))}
-		if !k.LeaseExpiry(z.now, key).After(z.now) {
+		if !e.LeaseExpiry(z.now, key).After(z.now) {
 			continue
 		}
 		started++
-		if k.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute)}) {
-			k.allowed = append(k.allowed, key)
+		if e.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute)}) {
+			e.allowed = append(e.allowed, key)
 		}
 	}
 	z.settle()
-	assert.Equal(t, len(k.allowed), started)
-	z.down = false
-	z.run(20 * time.Second)
+	assert.Equal(t, len(e.allowed), started)
+	z.tableDown = false
+	z.advance(20 * time.Second)
 	z.assertHeld(map[string]int{"a2": 6, "a3": 6})
 }
 
@@ -158,40 +158,40 @@
 // its shards are taken over at once, and the started id never runs again.
 func TestCrashAndRestart(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
-	z.run(10 * time.Second)
-	k := z.keepers["a1"]
-	key := z.idAt(k)
-	k.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute)})
+	z.advance(10 * time.Second)
+	e := z.entries["a1"]
+	key := z.requestHeldBy(e)
+	e.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute)})
 	z.settle()
 	z.kill("a1")
-	z.run(time.Second)
-	z.unlist(k.id)
-	z.boot("a1")
-	z.run(2 * time.Second)
-	counts, _ := z.held()
+	z.advance(time.Second)
+	z.unlist(e.id)
+	z.startEntry("a1")
+	z.advance(2 * time.Second)
+	counts, _ := z.heldCounts()
 	assert.Equal(t, counts["a1"]+counts["a2"]+counts["a3"], testShards)
-	assert.Equal(t, z.runners(key), 0)
-	z.run(20 * time.Second)
+	assert.Equal(t, z.countRunners(key), 0)
+	z.advance(20 * time.Second)
 	z.assertHeld(map[string]int{"a1": 4, "a2": 4, "a3": 4})
 }
 
 // TestListProves: a list that lacks this entry itself proves nobody's end. One that
 // has it proves the end of an older run of a listed name, of an entry that was
 // listed before, and in time of one that was never seen.
-func TestListProves(t *testing.T) {
+func TestEndedEntriesDetected(t *testing.T) {
 	at := time.UnixMilli(1000)
 	self, other := platform.Liveness{Name: "a", Started: at}, platform.Liveness{Name: "b", Started: at}
 	named := []core.EntryID{"a#1000", "b#1000", "c#500", "b#500"}
-	l := entryLister{self: "a#1000"}
+	l := entryTracker{self: "a#1000"}
 	update := func(now time.Time, live ...platform.Liveness) []core.EntryID {
 		return l.update(now, live, named).Gone
 	}
 	assert.Equal(t, len(update(at)), 0, "an empty list")
 	assert.Equal(t, len(update(at, other)), 0)
 	assert.DeepEqual(t, update(at, self, other), []core.EntryID{"b#500"})
-	assert.DeepEqual(t, update(at.Add(unseenGone-1), self, other), []core.EntryID{"b#500"})
-	assert.DeepEqual(t, update(at.Add(unseenGone), self, other), []core.EntryID{"c#500", "b#500"})
-	assert.DeepEqual(t, update(at.Add(unseenGone), self), []core.EntryID{"b#1000", "c#500", "b#500"})
+	assert.DeepEqual(t, update(at.Add(unseenEntryTimeout-1), self, other), []core.EntryID{"b#500"})
+	assert.DeepEqual(t, update(at.Add(unseenEntryTimeout), self, other), []core.EntryID{"c#500", "b#500"})
+	assert.DeepEqual(t, update(at.Add(unseenEntryTimeout), self), []core.EntryID{"b#1000", "c#500", "b#500"})
 }
 
 // fixedReply answers every exchange with the same batch.
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -24,12 +24,12 @@
 	DefaultSpreadInterval = time.Second
 	// spreadTimeout bounds one exchange.
 	spreadTimeout = 2 * time.Second
-	// avoidFor is how long a peer that didn't answer is passed over, if another of its
+	// avoidDuration is how long a peer that didn't answer is passed over, if another of its
 	// zone is left.
-	avoidFor = 5 * time.Second
-	// quietRounds is how many rounds a relay without news lets pass between two
+	avoidDuration = 5 * time.Second
+	// maxIdleRounds is how many rounds a relay without news lets pass between two
 	// exchanges with other zones. Key lists are trusted for longer than that.
-	quietRounds = 3
+	maxIdleRounds = 3
 )
 
 // Member is an entry's place.
@@ -88,15 +88,15 @@
 
 	mu      sync.Mutex
 	avoided map[core.EntryID]time.Time
-	// quiet counts the rounds since the last exchange with other zones; the others
+	// idleRounds counts the rounds since the last exchange with other zones; the others
 	// are what was told then.
-	quiet          int
-	crossedVersion core.Version
-	crossedTold    setDigest
+	idleRounds           int
+	crossZoneVersion     core.Version
+	crossZoneWithdrawals setDigest
 
 	// Switched on in tests only: no relay to other zones; zones one after the other;
 	// evidence is taken without the withdrawals that it vouches for.
-	noRelay, inOrder, anyEvidence bool
+	noCrossZone, sequential, skipWithdrawalCheck bool
 }
 
 // Receiver returns what is registered under SpreadName.
@@ -116,54 +116,54 @@
 // Round exchanges once with this zone's relay, or, as the relay, with one entry of
 // each other zone.
 func (s *Spread) Round(ctx context.Context) {
-	if s.withRelay(ctx) || !s.crossingDue() {
+	if s.exchangeWithRelay(ctx) || !s.crossZoneDue() {
 		return
 	}
 	var g supervisor.Group
 	for _, z := range s.Zones {
-		if z == s.Self.Zone || s.noRelay {
+		if z == s.Self.Zone || s.noCrossZone {
 			continue
 		}
-		g.Go(func() { s.withFirst(ctx, s.ranked(z)) })
-		if s.inOrder {
+		g.Go(func() { s.exchangeWithFirst(ctx, s.peersByRank(z)) })
+		if s.sequential {
 			g.Wait()
 		}
 	}
 	g.Wait()
 }
 
-// crossingDue says whether the relay should exchange with other zones in this
+// crossZoneDue says whether the relay should exchange with other zones in this
 // round: at once if it has news, else every few rounds. An exchange each second with
 // each of seven zones took a relay over the 10 KB/s that its control may cost
 // (docs/CAPACITY.md); one that only brings news takes no longer to bring it.
-func (s *Spread) crossingDue() bool {
+func (s *Spread) crossZoneDue() bool {
 	version, told := s.Replica.Version(), digestOf(s.Replica.Summary().Withdrawals)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quiet++
-	if version == s.crossedVersion && told == s.crossedTold && s.quiet < quietRounds {
+	s.idleRounds++
+	if version == s.crossZoneVersion && told == s.crossZoneWithdrawals && s.idleRounds < maxIdleRounds {
 		return false
 	}
-	s.quiet, s.crossedVersion, s.crossedTold = 0, version, told
+	s.idleRounds, s.crossZoneVersion, s.crossZoneWithdrawals = 0, version, told
 	return true
 }
 
-// withRelay exchanges with the relay of the own zone. It returns false if this
+// exchangeWithRelay exchanges with the relay of the own zone. It returns false if this
 // entry is the relay: none before it in rank answers.
-func (s *Spread) withRelay(ctx context.Context) bool {
-	var before []Member
-	for _, m := range s.ranked(s.Self.Zone) {
+func (s *Spread) exchangeWithRelay(ctx context.Context) bool {
+	var preceding []Member
+	for _, m := range s.peersByRank(s.Self.Zone) {
 		if m.Entry < s.Self.Entry {
-			before = append(before, m)
+			preceding = append(preceding, m)
 		}
 	}
-	return s.withFirst(ctx, before)
+	return s.exchangeWithFirst(ctx, preceding)
 }
 
-// ranked returns the members of a zone by id, without self. The relay is the first
+// peersByRank returns the members of a zone by id, without self. The relay is the first
 // that answers; two at a time, while entries disagree about who answers, only cost
 // messages.
-func (s *Spread) ranked(zone core.ZoneID) []Member {
+func (s *Spread) peersByRank(zone core.ZoneID) []Member {
 	var list []Member
 	for _, m := range s.Members(zone) {
 		if m.Entry != s.Self.Entry {
@@ -174,9 +174,9 @@
 	return list
 }
 
-// withFirst exchanges with the first of members that answers. One that didn't
+// exchangeWithFirst exchanges with the first of members that answers. One that didn't
 // lately is tried last.
-func (s *Spread) withFirst(ctx context.Context, members []Member) bool {
+func (s *Spread) exchangeWithFirst(ctx context.Context, members []Member) bool {
 	sort.SliceStable(members, func(i, j int) bool { return !s.isAvoided(members[i].Entry) && s.isAvoided(members[j].Entry) })
 	for _, m := range members {
 		if ctx.Err() != nil {
@@ -197,36 +197,36 @@
 	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
 	sent := s.Now()
-	first, _ := s.tell(s.Replica.Version())
+	local, _ := s.stateSince(s.Replica.Version())
 	var reply SpreadReply
-	if err := s.Call(ctx, m.Address, SpreadName+".Exchange", SpreadArgs{Zone: s.Self.Zone, Told: first}, &reply); err != nil {
+	if err := s.Call(ctx, m.Address, SpreadName+".Exchange", SpreadArgs{Zone: s.Self.Zone, Told: local}, &reply); err != nil {
 		return err
 	}
-	if err := s.take(reply.Told, first.Unrecorded, m.Zone, sent); err != nil {
+	if err := s.merge(reply.Told, local.Unrecorded, m.Zone, sent); err != nil {
 		return err
 	}
-	more, withdrawals := s.tell(reply.Told.Version)
-	if more.Unrecorded != reply.Told.Unrecorded {
-		more.Withdrawals = withdrawals
+	update, withdrawals := s.stateSince(reply.Told.Version)
+	if update.Unrecorded != reply.Told.Unrecorded {
+		update.Withdrawals = withdrawals
 	}
-	if len(more.Rows) == 0 && len(more.Withdrawals) == 0 && reply.Told.Version >= more.Version {
+	if len(update.Rows) == 0 && len(update.Withdrawals) == 0 && reply.Told.Version >= update.Version {
 		return nil
 	}
-	return s.Call(ctx, m.Address, SpreadName+".Exchange", SpreadArgs{Zone: s.Self.Zone, Told: more}, &SpreadReply{})
+	return s.Call(ctx, m.Address, SpreadName+".Exchange", SpreadArgs{Zone: s.Self.Zone, Told: update}, &SpreadReply{})
 }
 
-// tell returns this entry's state, with the rows that a peer at version since lacks,
+// stateSince returns this entry's state, with the rows that a peer at version since lacks,
 // and the withdrawals that its digest stands for.
-func (s *Spread) tell(since core.Version) (Told, []key.Withdrawal) {
+func (s *Spread) stateSince(since core.Version) (Told, []key.Withdrawal) {
 	// The summary is taken before the rows: its evidence must not be newer than they.
 	keys := s.Replica.Summary()
 	return newTold(s.Replica.DeltaSince(since), keys), keys.Withdrawals
 }
 
-// take takes in what an entry of zone told. Held are the withdrawals that this entry
+// merge takes in what an entry of zone told. Held are the withdrawals that this entry
 // held when the teller left them out.
-func (s *Spread) take(t Told, held setDigest, zone core.ZoneID, sent time.Time) error {
-	if s.anyEvidence {
+func (s *Spread) merge(t Told, held setDigest, zone core.ZoneID, sent time.Time) error {
+	if s.skipWithdrawalCheck {
 		held = t.Unrecorded
 	}
 	return s.Replica.FromPeer(t.delta(), t.summary(held), zone, sent)
@@ -255,7 +255,7 @@
 	if s.avoided == nil {
 		s.avoided = make(map[core.EntryID]time.Time)
 	}
-	s.avoided[e] = s.Now().Add(avoidFor)
+	s.avoided[e] = s.Now().Add(avoidDuration)
 }
 
 // SpreadReceiver answers peers' Spread calls.
@@ -265,11 +265,11 @@
 func (r *SpreadReceiver) Exchange(args SpreadArgs, reply *SpreadReply) error {
 	s := r.spread
 	held := digestOf(s.Replica.Summary().Withdrawals)
-	if err := s.take(args.Told, held, args.Zone, time.Time{}); err != nil {
+	if err := s.merge(args.Told, held, args.Zone, time.Time{}); err != nil {
 		return err
 	}
 	var withdrawals []key.Withdrawal
-	reply.Told, withdrawals = s.tell(args.Told.Version)
+	reply.Told, withdrawals = s.stateSince(args.Told.Version)
 	if reply.Told.Unrecorded != args.Told.Unrecorded {
 		reply.Told.Withdrawals = withdrawals
 	}
--- a/io/peer/spread_bench_test.go
+++ b/io/peer/spread_bench_test.go
@@ -14,42 +14,42 @@
 	"lavenderpond/io/supervisor"
 )
 
-// wire is a net/rpc connection within the process that counts the bytes written to it.
-type wire struct {
+// countingClient is a net/rpc connection within the process that counts the bytes written to it.
+type countingClient struct {
 	*rpc.Client
 	bytes atomic.Int64
 }
 
-// wired is one end of a wire.
-type wired struct {
+// writeCountingConn is one end of a wire.
+type writeCountingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (w wired) Write(p []byte) (int, error) {
+func (w writeCountingConn) Write(p []byte) (int, error) {
 	n, err := w.Conn.Write(p)
 	w.bytes.Add(int64(n))
 	return n, err
 }
 
-// connect lets all further calls go over net/rpc.
-func (f *spreadFleet) connect(b *testing.B, g *supervisor.Group) {
-	f.wires = make(map[string]*wire)
+// useNetRPC lets all further calls go over net/rpc.
+func (f *spreadFleet) useNetRPC(b *testing.B, g *supervisor.Group) {
+	f.clients = make(map[string]*countingClient)
 	for _, e := range f.entries {
 		server := rpc.NewServer()
 		assert.NilError(b, server.RegisterName(SpreadName, e.spread.Receiver()))
 		here, there := net.Pipe()
-		w := &wire{}
-		g.Go(func() { server.ServeConn(wired{there, &w.bytes}) })
-		w.Client = rpc.NewClient(wired{here, &w.bytes})
-		f.wires[e.spread.Self.Address] = w
+		w := &countingClient{}
+		g.Go(func() { server.ServeConn(writeCountingConn{there, &w.bytes}) })
+		w.Client = rpc.NewClient(writeCountingConn{here, &w.bytes})
+		f.clients[e.spread.Self.Address] = w
 	}
 }
 
-// sent returns the bytes of all calls and replies so far.
-func (f *spreadFleet) sent() int64 {
+// bytesSent returns the bytes of all calls and replies so far.
+func (f *spreadFleet) bytesSent() int64 {
 	var sum int64
-	for _, w := range f.wires {
+	for _, w := range f.clients {
 		sum += w.bytes.Load()
 	}
 	return sum
@@ -75,25 +75,25 @@
 		zones = append(zones, core.ZoneID(fmt.Sprint("zone_", i)))
 	}
 	f := newSpreadFleet(rand.New(rand.NewPCG(1, 7)), zones, perZone, false)
-	f.connect(b, &g)
+	f.useNetRPC(b, &g)
 	for range 10 {
-		f.second()
+		f.advanceSecond()
 	}
 	if tableDown {
-		f.reachTable(nil)
+		f.restrictTable(nil)
 	}
 	for range 10 {
-		f.second()
+		f.advanceSecond()
 	}
 	f.calls = 0
-	before := f.sent()
+	before := f.bytesSent()
 	for b.Loop() {
-		f.second()
+		f.advanceSecond()
 	}
 	b.ReportMetric(float64(f.calls)/float64(b.N), "messages/s")
 	b.ReportMetric(float64(f.calls)/float64(b.N*len(f.entries)), "messages/s/entry")
-	b.ReportMetric(float64(f.sent()-before)/float64(f.calls), "B/message")
-	for _, w := range f.wires {
+	b.ReportMetric(float64(f.bytesSent()-before)/float64(f.calls), "B/message")
+	for _, w := range f.clients {
 		assert.NilError(b, w.Close())
 	}
 }
--- a/io/peer/spread_told.go
+++ b/io/peer/spread_told.go
@@ -76,13 +76,13 @@
 	}
 	for z, at := range s.Contacts {
 		if m := toUnixMilli(at); m > t.Complete {
-			t.contact(z, m)
+			t.addContact(z, m)
 		}
 	}
 	return t
 }
 
-func (t *Told) contact(z core.ZoneID, at unixMilli) {
+func (t *Told) addContact(z core.ZoneID, at unixMilli) {
 	if t.Contacts == nil {
 		t.Contacts = make(map[core.ZoneID]unixMilli)
 	}
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	toldRings = 6
-	toldSteps = 400
+	ringCount = 6
+	stepCount = 400
 )
 
-// toldWorld is the same entries twice: whole ones tell each other all of their
+// ringComparison is the same entries twice: whole ones tell each other all of their
 // summaries, brief ones what Told leaves of them.
-type toldWorld struct {
-	r            *rand.Rand
-	now          time.Time
-	whole, brief []*key.Ring
-	cut          func(Told) Told
+type ringComparison struct {
+	r             *rand.Rand
+	now           time.Time
+	full, compact []*key.Ring
+	transform     func(Told) Told
 }
 
-func newToldWorld(seed uint64, cut func(Told) Told) *toldWorld {
-	w := &toldWorld{r: rand.New(rand.NewPCG(seed, 8)), now: spreadStart, cut: cut}
-	for i := range toldRings {
+func newRingComparison(seed uint64, transform func(Told) Told) *ringComparison {
+	w := &ringComparison{r: rand.New(rand.NewPCG(seed, 8)), now: spreadStart, transform: transform}
+	for i := range ringCount {
 		ring := func() *key.Ring {
 			return &key.Ring{Zone: spreadZones[i%len(spreadZones)], Zones: spreadZones, Started: spreadStart}
 		}
-		w.whole, w.brief = append(w.whole, ring()), append(w.brief, ring())
+		w.full, w.compact = append(w.full, ring()), append(w.compact, ring())
 	}
 	return w
 }
 
-func (w *toldWorld) step() {
+func (w *ringComparison) step() {
 	w.now = w.now.Add(time.Duration(w.r.IntN(500)) * time.Millisecond)
-	i, teller := w.r.IntN(toldRings), w.r.IntN(toldRings)
+	i, sender := w.r.IntN(ringCount), w.r.IntN(ringCount)
 	switch w.r.IntN(8) {
 	case 0:
-		w.whole[i].Complete(w.now)
-		w.brief[i].Complete(w.now)
+		w.full[i].Complete(w.now)
+		w.compact[i].Complete(w.now)
 	case 1, 2:
-		zone := w.whole[teller].Zone
-		w.whole[i].RecordZoneContact(zone, w.now)
-		w.brief[i].RecordZoneContact(zone, w.now)
+		zone := w.full[sender].Zone
+		w.full[i].RecordZoneContact(zone, w.now)
+		w.compact[i].RecordZoneContact(zone, w.now)
 	default:
-		told := w.cut(newTold(config.Delta{}, w.brief[teller].Summary()))
-		w.whole[i].Merge(w.whole[teller].Summary(), true, time.Second/4)
-		w.brief[i].Merge(told.summary(0), true, time.Second/4)
+		told := w.transform(newTold(config.Delta{}, w.compact[sender].Summary()))
+		w.full[i].Merge(w.full[sender].Summary(), true, time.Second/4)
+		w.compact[i].Merge(told.summary(0), true, time.Second/4)
 	}
 }
 
-// differ returns the first step after which an entry's evidence differs, or -1.
-func (w *toldWorld) differ() int {
-	for step := range toldSteps {
+// firstDifference returns the first step after which an entry's evidence differs, or -1.
+func (w *ringComparison) firstDifference() int {
+	for step := range stepCount {
 		w.step()
-		for i := range w.whole {
-			same := w.whole[i].CompleteAsOf().Equal(w.brief[i].CompleteAsOf()) && w.whole[i].Summary().Joined == w.brief[i].Summary().Joined
+		for i := range w.full {
+			same := w.full[i].CompleteAsOf().Equal(w.compact[i].CompleteAsOf()) && w.full[i].Summary().Joined == w.compact[i].Summary().Joined
 			if !same {
 				return step
 			}
@@ -74,48 +74,48 @@
 // without the table would lose evidence that they have today and refuse their callers
 // with keys_stale. Held against rings that tell each other all: never another evidence,
 // nor another say for the own zone. With a contact left out that isn't covered it differs.
-func TestToldLosesNoEvidence(t *testing.T) {
+func TestToldKeepsRequiredContacts(t *testing.T) {
 	const worlds = 200
-	red := 0
+	detected := 0
 	for seed := range uint64(worlds) {
-		step := newToldWorld(seed, func(t Told) Told { return t }).differ()
+		step := newRingComparison(seed, func(t Told) Told { return t }).firstDifference()
 		assert.Equal(t, step, -1, "seed %d: evidence differs after this step", seed)
-		uncovered := func(t Told) Told {
+		withoutContact := func(t Told) Told {
 			delete(t.Contacts, spreadZones[0])
 			return t
 		}
-		if newToldWorld(seed, uncovered).differ() >= 0 {
-			red++
+		if newRingComparison(seed, withoutContact).firstDifference() >= 0 {
+			detected++
 		}
 	}
-	t.Logf("zone %s never told: %d of %d seeds red", spreadZones[0], red, worlds)
-	assert.Assert(t, red > 0, "the contacts are not needed")
+	t.Logf("zone %s never told: %d of %d seeds red", spreadZones[0], detected, worlds)
+	assert.Assert(t, detected > 0, "the contacts are not needed")
 }
 
 // A withdrawn key would go on working at an entry that is told of fresh evidence but
 // not of the withdrawal: the table is down, one entry of za was told, and its list gets
 // lost each time on the way to zb, while the quiet messages arrive. Within the trust
 // that zb had, its entries must refuse the key as stale.
-func TestSpreadEvidenceNeedsWithdrawals(t *testing.T) {
-	accepted := func(anyEvidence bool) bool {
+func TestEvidenceRequiresWithdrawals(t *testing.T) {
+	accepted := func(skipWithdrawalCheck bool) bool {
 		f := newSpreadFleet(rand.New(rand.NewPCG(1, 9)), spreadZones[:2], 1, false)
 		f.apply(t, "team", config.SetTeam{Author: "ana", Team: spreadTeam, Value: config.Team{Share: 1, Limit: 4}})
 		f.apply(t, "leaked", config.GrantKey{Author: "ana", Team: spreadTeam, Digest: leakedKey})
-		teller, other := f.entries[0], f.entries[1]
-		other.spread.anyEvidence = anyEvidence
-		f.second()
-		f.second()
-		other.reaches = false
-		teller.config.Withdraw(key.Withdrawal{Digest: leakedKey, Team: spreadTeam, Author: "ana"})
-		f.lost = func(to *spreadEntry, t Told) bool { return to != other || len(t.Withdrawals) > 0 }
+		sender, receiver := f.entries[0], f.entries[1]
+		receiver.spread.skipWithdrawalCheck = skipWithdrawalCheck
+		f.advanceSecond()
+		f.advanceSecond()
+		receiver.reachesTable = false
+		sender.config.Withdraw(key.Withdrawal{Digest: leakedKey, Team: spreadTeam, Author: "ana"})
+		f.drop = func(to *spreadEntry, t Told) bool { return to != receiver || len(t.Withdrawals) > 0 }
 		for range 30 {
 			f.now = f.now.Add(time.Second)
 			// The teller's contact with the table, while the record of the withdrawal
 			// doesn't take effect there.
-			assert.NilError(t, teller.config.FromTable(config.Delta{Version: teller.config.Version()}, f.now))
-			teller.spread.Round(context.Background())
+			assert.NilError(t, sender.config.FromTable(config.Delta{Version: sender.config.Version()}, f.now))
+			sender.spread.Round(context.Background())
 		}
-		code, ok := other.config.CheckKey(f.now, spreadTeam, leakedKey)
+		code, ok := receiver.config.CheckKey(f.now, spreadTeam, leakedKey)
 		return ok || code != core.CodeKeysStale
 	}
 	assert.Assert(t, !accepted(false))
@@ -126,21 +126,21 @@
 // messages: once all entries hold the withdrawals, no message lists them again, and a
 // key that is withdrawn later is listed again.
 func TestSpreadListsWithdrawalsOnce(t *testing.T) {
-	f := spreadRun(t, rand.New(rand.NewPCG(1, 10)), false)
-	f.reachTable(nil)
+	f := newFleetWithKeys(t, rand.New(rand.NewPCG(1, 10)), false)
+	f.restrictTable(nil)
 	for _, digest := range []core.KeyDigest{leakedKey, core.Digest("later")} {
-		f.anyAlive(f.r).config.Withdraw(key.Withdrawal{Digest: digest, Team: spreadTeam, Author: "ana"})
-		f.lists = 0
-		assert.Assert(t, f.until(func(e *spreadEntry) bool {
+		f.randomLiveEntry(f.r).config.Withdraw(key.Withdrawal{Digest: digest, Team: spreadTeam, Author: "ana"})
+		f.withdrawalLists = 0
+		assert.Assert(t, f.secondsUntil(func(e *spreadEntry) bool {
 			code, _ := e.config.CheckKey(f.now, spreadTeam, digest)
 			return code == core.CodeKeyWithdrawn
 		}) <= 6)
-		assert.Assert(t, f.lists > 0)
-		f.second()
-		f.lists = 0
+		assert.Assert(t, f.withdrawalLists > 0)
+		f.advanceSecond()
+		f.withdrawalLists = 0
 		for range 10 {
-			f.second()
+			f.advanceSecond()
 		}
-		assert.Equal(t, f.lists, 0)
+		assert.Equal(t, f.withdrawalLists, 0)
 	}
 }
