--- a/io/netrpc/silence.go
+++ b/io/netrpc/silence.go
@@ -55,44 +55,44 @@
 )
 
 // callStarted notes a call that waits for its reply. It returns true if looks have to begin.
-func (p *silenceDetector) callStarted() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pending++
-	begins := !p.probing
-	p.probing = true
-	return begins
+func (d *silenceDetector) callStarted() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.pending++
+	startProbing := !d.probing
+	d.probing = true
+	return startProbing
 }
 
 // callEnded notes that a call waits no more.
-func (p *silenceDetector) callEnded() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pending--
+func (d *silenceDetector) callEnded() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.pending--
 }
 
 // replyReceived notes a sign of life.
-func (p *silenceDetector) replyReceived() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.received = true
+func (d *silenceDetector) replyReceived() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.received = true
 }
 
 // probe says what to do now.
-func (p *silenceDetector) probe() probeAction {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (d *silenceDetector) probe() probeAction {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	switch {
-	case p.pending == 0:
-		p.probing, p.received, p.silentProbes = false, false, 0
+	case d.pending == 0:
+		d.probing, d.received, d.silentProbes = false, false, 0
 		return probeStop
-	case p.received:
-		p.received, p.silentProbes = false, 0
+	case d.received:
+		d.received, d.silentProbes = false, 0
 		return probeWait
-	case p.silentProbes == maxSilentProbes:
+	case d.silentProbes == maxSilentProbes:
 		return probeClose
 	default:
-		p.silentProbes++
+		d.silentProbes++
 		return probePing
 	}
 }
--- a/io/netrpc/silence_test.go
+++ b/io/netrpc/silence_test.go
@@ -16,24 +16,24 @@
 // silent at the fourth without one. A sign between two looks begins the count anew, and
 // without calls nothing is asked.
 func TestSilenceDetector(t *testing.T) {
-	var p silenceDetector
-	assert.Assert(t, p.callStarted())
-	assert.Assert(t, !p.callStarted(), "looks have begun")
-	for _, heard := range []bool{true, false} {
+	var d silenceDetector
+	assert.Assert(t, d.callStarted())
+	assert.Assert(t, !d.callStarted(), "looks have begun")
+	for _, replied := range []bool{true, false} {
 		for range maxSilentProbes {
-			assert.Equal(t, p.probe(), probePing)
+			assert.Equal(t, d.probe(), probePing)
 		}
-		if heard {
-			p.replyReceived()
-			assert.Equal(t, p.probe(), probeWait)
+		if replied {
+			d.replyReceived()
+			assert.Equal(t, d.probe(), probeWait)
 		}
 	}
-	assert.Equal(t, p.probe(), probeClose)
-	p.callEnded()
-	p.callEnded()
-	assert.Equal(t, p.probe(), probeStop)
-	assert.Assert(t, p.callStarted(), "looks begin again")
-	assert.Equal(t, p.probe(), probePing)
+	assert.Equal(t, d.probe(), probeClose)
+	d.callEnded()
+	d.callEnded()
+	assert.Equal(t, d.probe(), probeStop)
+	assert.Assert(t, d.callStarted(), "looks begin again")
+	assert.Equal(t, d.probe(), probePing)
 }
 
 // TestSilentPeer: a zone is cut off without a word while a call waits for its answer.
--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -219,10 +219,10 @@
 
 func (sm *ShardManager) notifyAll() {
 	sm.mu.Lock()
-	notices := sm.notifications
+	notifications := sm.notifications
 	sm.notifications = nil
 	sm.mu.Unlock()
-	for _, n := range notices {
+	for _, n := range notifications {
 		sm.notify(n)
 	}
 }
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -86,8 +86,8 @@
 	// Interval between rounds; 0 means DefaultSpreadInterval.
 	Interval time.Duration
 
-	mu      sync.Mutex
-	avoided map[core.EntryID]time.Time
+	mu           sync.Mutex
+	avoidedUntil map[core.EntryID]time.Time
 	// idleRounds counts the rounds since the last exchange with other zones; the others
 	// are what was told then.
 	idleRounds           int
@@ -137,14 +137,14 @@
 // each of seven zones took a relay over the 10 KB/s that its control may cost
 // (docs/CAPACITY.md); one that only brings news takes no longer to bring it.
 func (s *Spread) crossZoneDue() bool {
-	version, told := s.Replica.Version(), digestOf(s.Replica.Summary().Withdrawals)
+	version, withdrawals := s.Replica.Version(), digestOf(s.Replica.Summary().Withdrawals)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idleRounds++
-	if version == s.crossZoneVersion && told == s.crossZoneWithdrawals && s.idleRounds < maxIdleRounds {
+	if version == s.crossZoneVersion && withdrawals == s.crossZoneWithdrawals && s.idleRounds < maxIdleRounds {
 		return false
 	}
-	s.idleRounds, s.crossZoneVersion, s.crossZoneWithdrawals = 0, version, told
+	s.idleRounds, s.crossZoneVersion, s.crossZoneWithdrawals = 0, version, withdrawals
 	return true
 }
 
@@ -164,14 +164,14 @@
 // that answers; two at a time, while entries disagree about who answers, only cost
 // messages.
 func (s *Spread) peersByRank(zone core.ZoneID) []Member {
-	var list []Member
+	var peers []Member
 	for _, m := range s.Members(zone) {
 		if m.Entry != s.Self.Entry {
-			list = append(list, m)
+			peers = append(peers, m)
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].Entry < list[j].Entry })
-	return list
+	sort.Slice(peers, func(i, j int) bool { return peers[i].Entry < peers[j].Entry })
+	return peers
 }
 
 // exchangeWithFirst exchanges with the first of members that answers. One that didn't
@@ -242,20 +242,20 @@
 func (s *Spread) isAvoided(e core.EntryID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Now().Before(s.avoided[e])
+	return s.Now().Before(s.avoidedUntil[e])
 }
 
 func (s *Spread) setAvoided(e core.EntryID, failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !failed {
-		delete(s.avoided, e)
+		delete(s.avoidedUntil, e)
 		return
 	}
-	if s.avoided == nil {
-		s.avoided = make(map[core.EntryID]time.Time)
+	if s.avoidedUntil == nil {
+		s.avoidedUntil = make(map[core.EntryID]time.Time)
 	}
-	s.avoided[e] = s.Now().Add(avoidDuration)
+	s.avoidedUntil[e] = s.Now().Add(avoidDuration)
 }
 
 // SpreadReceiver answers peers' Spread calls.
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -75,9 +75,9 @@
 // with keys_stale. Held against rings that tell each other all: never another evidence,
 // nor another say for the own zone. With a contact left out that isn't covered it differs.
 func TestToldKeepsRequiredContacts(t *testing.T) {
-	const worlds = 200
+	const seeds = 200
 	detected := 0
-	for seed := range uint64(worlds) {
+	for seed := range uint64(seeds) {
 		step := newRingComparison(seed, func(t Told) Told { return t }).firstDifference()
 		assert.Equal(t, step, -1, "seed %d: evidence differs after this step", seed)
 		withoutContact := func(t Told) Told {
@@ -88,7 +88,7 @@
 			detected++
 		}
 	}
-	t.Logf("zone %s never told: %d of %d seeds red", spreadZones[0], detected, worlds)
+	t.Logf("zone %s never told: %d of %d seeds red", spreadZones[0], detected, seeds)
 	assert.Assert(t, detected > 0, "the contacts are not needed")
 }
 
