--- a/io/link/link.go
+++ b/io/link/link.go
@@ -1,5 +1,6 @@
-// Package link forwards TCP connections over loopback and harms them when told to:
-// it delays, breaks off, holds back or swallows what they carry.
+// Package link implements TCP proxies that simulate network faults in tests. A link
+// forwards connections over loopback and, on command, delays, discards or withholds
+// their data or resets them.
 package link
 
 import (
@@ -15,36 +16,39 @@
 	"lavenderpond/io/supervisor"
 )
 
-// State says what a link does with the bytes of its connections.
+// State determines what a link does with its connections and their data.
 type State string
 
 // The states of a link.
 const (
-	// Open passes bytes on, after the link's delay.
+	// Open forwards data after the link's delay.
 	Open State = "open"
-	// Refused breaks connections off and refuses new ones, as a firewall that
-	// rejects.
+	// Refused closes connections and refuses new ones, like a firewall that rejects
+	// packets.
 	Refused State = "refused"
-	// Silent swallows bytes and tells neither end; connections of that time are
-	// broken off when it is left, since their streams have a gap.
+	// Silent discards data in both directions without notifying either end. When the
+	// link leaves this state, it closes the connections, because their streams have a
+	// gap.
 	Silent State = "silent"
-	// Deaf passes requests on and swallows their answers, as a cut in one direction.
+	// Deaf forwards data from the client and discards data from the server, like a
+	// network partition in one direction. Leaving it closes the connections as well.
 	Deaf State = "deaf"
-	// Held keeps bytes back and passes them on late, as TCP does after a cut.
+	// Held withholds data until the link leaves the state, as TCP does when packets are
+	// retransmitted after an interruption.
 	Held State = "held"
 )
 
-// Sizes and times of a link.
+// Limits of a link.
 const (
 	bufferBytes     = 32 << 10
 	maxQueuedChunks = 64
 	dialTimeout     = time.Second
 )
 
-// Forward is one address of a link and the one behind it.
+// Forward is an address at which a link listens and the address to which it forwards.
 type Forward struct{ Listen, Target netip.AddrPort }
 
-// Link forwards TCP connections from several addresses, until it is told otherwise.
+// Link forwards TCP connections for several pairs of addresses, which share one state.
 type Link struct {
 	name          string
 	Forwards      []Forward
@@ -53,13 +57,13 @@
 	mu    sync.Mutex
 	state State
 	delay time.Duration
-	// changed is closed at the next change of state.
+	// changed is closed and replaced when the state changes.
 	changed chan struct{}
-	// closers are the listeners and connections to close when the link breaks off.
+	// closers contains all open listeners and connections.
 	closers map[interface{ Close() error }]bool
 }
 
-// discards tells whether connections have gaps after the state.
+// discards reports whether the state discards data, which leaves gaps in the streams.
 func (s State) discards() bool { return s == Silent || s == Deaf }
 
 // New returns an open link.
@@ -67,7 +71,7 @@
 	return &Link{name: name, state: Open, changed: make(chan struct{}), closers: make(map[interface{ Close() error }]bool)}
 }
 
-// Set changes what the link does from now on.
+// Set changes the state and the delay of the link.
 func (l *Link) Set(state State, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,13 +91,14 @@
 	}
 }
 
-// State returns what the link does now.
+// State returns the current state of the link.
 func (l *Link) State() State {
 	s, _, _ := l.current()
 	return s
 }
 
-// BytesReceived counts the bytes that came from either end, swallowed ones too.
+// BytesReceived returns the number of bytes received from either end, including
+// discarded ones.
 func (l *Link) BytesReceived() int64 { return l.bytesReceived.Load() }
 
 func (l *Link) current() (state State, delay time.Duration, changed <-chan struct{}) {
@@ -102,8 +107,8 @@
 	return l.state, l.delay, l.changed
 }
 
-// waitWhile returns the state once it is none of those given. It returns false if ctx
-// has ended.
+// waitWhile waits until the state is none of the excluded ones and returns the new
+// state. It returns false if ctx has ended.
 func (l *Link) waitWhile(ctx context.Context, excluded ...State) (State, bool) {
 	for {
 		state, _, changed := l.current()
@@ -127,7 +132,8 @@
 	return false
 }
 
-// track has c closed when the link breaks off. It returns false if it has already.
+// track registers c, so that Set closes it when necessary. If the link refuses
+// connections, it closes c immediately and returns false.
 func (l *Link) track(c interface{ Close() error }) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,6 +145,7 @@
 	return true
 }
 
+// release closes c and removes it from the tracked listeners and connections.
 func (l *Link) release(c interface{ Close() error }) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +153,7 @@
 	_ = c.Close()
 }
 
-// Serve takes connections at one address until ctx ends.
+// Serve accepts connections at one address until ctx ends.
 func (l *Link) Serve(ctx context.Context, f Forward) error {
 	var g supervisor.Group
 	defer g.Wait()
@@ -164,7 +171,7 @@
 	}
 }
 
-// accept returns when the listener is closed.
+// accept accepts connections until the listener is closed.
 func (l *Link) accept(ctx context.Context, listener net.Listener, f Forward, g *supervisor.Group) {
 	defer l.release(listener)
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
@@ -178,7 +185,7 @@
 	}
 }
 
-// forward forwards one connection until either end closes it or the link breaks off.
+// forward forwards one connection until either end or the link closes it.
 func (l *Link) forward(ctx context.Context, client net.Conn, target netip.AddrPort) {
 	defer l.release(client)
 	if !l.track(client) {
@@ -212,14 +219,15 @@
 	g.Wait()
 }
 
-// chunk is bytes on their way, and when they may arrive.
+// chunk is a piece of data in transit, and the time at which it is due at the other end.
 type chunk struct {
 	at   time.Time
 	data []byte
 }
 
-// copyOneWay passes bytes on in one direction, but for those of swallowed states. A reader and a writer let a delay hold
-// up each chunk and not the next ones.
+// copyOneWay forwards data in one direction, except in the states that discard it.
+// Reading and writing are separate goroutines, so that the delay applies to each chunk
+// by itself instead of adding up.
 func (l *Link) copyOneWay(ctx context.Context, from, to net.Conn, discarding ...State) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	var g supervisor.Group
@@ -240,15 +248,15 @@
 			}
 		}
 		if err != nil {
-			// A cut hides an end's closing from the other one as well.
+			// Also hide from the other end that this end has closed the connection.
 			_, _ = l.waitWhile(ctx, append(discarding, Held)...)
 			return
 		}
 	}
 }
 
-// write passes chunks on when they are due. What is on its way when the link falls
-// silent is swallowed too.
+// write forwards chunks when they are due. Chunks that are in transit when the link
+// starts to discard data are discarded as well.
 func (l *Link) write(ctx context.Context, to net.Conn, chunks <-chan chunk, discarding []State) {
 	for c := range chunks {
 		if !supervisor.Sleep(ctx, time.Until(c.at)) {
--- a/io/netrpc/codec.go
+++ b/io/netrpc/codec.go
@@ -11,11 +11,11 @@
 	"github.com/pkg/errors"
 )
 
-// writer encodes messages of many goroutines to one connection. Whoever writes while
-// others wait leaves the flush to the last of them, so that under load one system call
-// carries many messages and nobody waits for another.
+// writer encodes the messages of many goroutines to one connection. A goroutine that
+// writes while others wait to write leaves the flush to the last of them. So under load
+// one system call sends many messages, and no goroutine waits for more messages to come.
 type writer struct {
-	// pending counts the goroutines that write or wait to; the last one flushes.
+	// pending counts the goroutines that write or wait to write. The last one flushes.
 	pending atomic.Int64
 	buf     *bufio.Writer
 	enc     *gob.Encoder
@@ -26,8 +26,8 @@
 	return &writer{buf: buf, enc: gob.NewEncoder(buf)}
 }
 
-// write encodes a header and a body. The caller has counted itself in queued before
-// it took the lock under which it calls.
+// write encodes a header and a body. The caller must increment pending, then acquire the
+// lock that serializes the writes, and then call write.
 func (w *writer) write(header, body any) error {
 	err := w.enc.Encode(header)
 	if err == nil {
@@ -42,18 +42,18 @@
 	return err
 }
 
-// serverCodec is a rpc.ServerCodec for many goroutines that each read a request and
-// answer it: from a request's header to the end of its body one of them reads, then
-// the next one may. See serve.
+// serverCodec is an rpc.ServerCodec for many goroutines, each of which reads a request
+// and then answers it. readMu is held from the start of a request's header to the end of
+// its body. See connection.
 type serverCodec struct {
 	conn    io.ReadWriteCloser
 	dec     *gob.Decoder
 	readMu  sync.Mutex
 	writeMu sync.Mutex
 	w       *writer
-	// onRead is called when a request is read, before it is carried out.
+	// onRead is called when a request has been read, before it is processed.
 	onRead func()
-	// readEnded says that nothing can be read any more.
+	// readEnded is set when no further request can be read.
 	readEnded atomic.Bool
 }
 
@@ -61,7 +61,8 @@
 	return &serverCodec{conn: conn, dec: gob.NewDecoder(bufio.NewReader(conn)), w: newWriter(conn)}
 }
 
-// ReadRequestHeader implements rpc.ServerCodec. It takes the right to read.
+// ReadRequestHeader implements rpc.ServerCodec. Unless it fails, it returns with readMu
+// locked.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
 	c.readMu.Lock()
 	err := c.dec.Decode(r)
@@ -72,7 +73,7 @@
 	return err
 }
 
-// ReadRequestBody implements rpc.ServerCodec. It gives the right to read back.
+// ReadRequestBody implements rpc.ServerCodec. It unlocks readMu.
 func (c *serverCodec) ReadRequestBody(body any) error {
 	err := c.dec.Decode(body)
 	c.onRead()
@@ -87,7 +88,7 @@
 	defer c.writeMu.Unlock()
 	err := c.w.write(r, body)
 	if err != nil {
-		// A peer that got half a message can't read the next one.
+		// After an incomplete message, the peer can't decode the next one.
 		_ = c.conn.Close()
 	}
 	return err
@@ -96,13 +97,13 @@
 // Close implements rpc.ServerCodec.
 func (c *serverCodec) Close() error { return c.conn.Close() }
 
-// clientCodec is a rpc.ClientCodec. The rpc.Client locks around WriteRequest; calls
-// count themselves in w.queued before.
+// clientCodec is an rpc.ClientCodec. rpc.Client serializes the calls of WriteRequest.
+// client.start increments w.pending before.
 type clientCodec struct {
 	conn io.ReadWriteCloser
 	dec  *gob.Decoder
 	w    *writer
-	// onReply is called when a reply comes.
+	// onReply is called for each reply that is received.
 	onReply func()
 }
 
@@ -114,7 +115,7 @@
 func (c *clientCodec) WriteRequest(r *rpc.Request, body any) error {
 	err := c.w.write(r, body)
 	if err != nil {
-		// A peer that got half a message can't read the next one.
+		// After an incomplete message, the peer can't decode the next one.
 		_ = c.conn.Close()
 	}
 	return errors.WithStack(err)
--- a/io/netrpc/netrpc.go
+++ b/io/netrpc/netrpc.go
@@ -1,6 +1,6 @@
-// Package netrpc keeps connections between lavenderpond's own daemons and makes
-// net/rpc calls over them. Many calls share one connection, and a peer that owes
-// replies and falls silent is given up.
+// Package netrpc implements net/rpc clients and servers for the communication between
+// lavenderpond's daemons. All concurrent calls to a peer share one connection. The
+// connection is closed if replies are pending and the peer falls silent.
 package netrpc
 
 import (
@@ -15,18 +15,19 @@
 	"lavenderpond/io/supervisor"
 )
 
-// DialTimeout bounds the making of a connection to a peer.
+// DialTimeout bounds the time to connect to a peer.
 const DialTimeout = 500 * time.Millisecond
 
-// ErrNotSent says that the peer certainly did nothing with the message: it did not
-// leave this process, or the peer said that it did not take it.
+// ErrNotSent means that the peer certainly did not act on the message: either it was
+// not sent, or the peer answered that it rejected the message.
 var ErrNotSent = errors.New("peer: not sent")
 
-// ErrRefused says that nothing listens at the peer's address: its process has
-// ended. It is also ErrNotSent.
+// ErrRefused means that no process listens at the peer's address, usually because the
+// peer's process has ended. It wraps ErrNotSent.
 var ErrRefused = errors.Wrap(ErrNotSent, "connection refused")
 
-// Server accepts connections of peers. Register receivers before Serve.
+// Server accepts connections from peers. Receivers must be registered before Serve is
+// called.
 type Server struct {
 	rpc *rpc.Server
 }
@@ -35,12 +36,12 @@
 func NewServer() *Server {
 	s := &Server{rpc: rpc.NewServer()}
 	if err := s.Register(AliveName, Alive{}); err != nil {
-		panic(err) // Its method has the form that net/rpc asks for.
+		panic(err) // Unreachable: Alive.Ping has the signature that net/rpc requires.
 	}
 	return s
 }
 
-// Register adds a receiver under name.
+// Register registers a net/rpc receiver under name.
 func (s *Server) Register(name string, receiver any) error {
 	return errors.Wrapf(s.rpc.RegisterName(name, receiver), "register %s", name)
 }
@@ -67,18 +68,19 @@
 	}
 }
 
-// ServeConn serves one connection and closes it when ctx ends.
+// ServeConn serves one connection until the peer closes it or ctx ends.
 func (s *Server) ServeConn(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	newConnection(s.rpc, conn).serve()
 }
 
-// Pool keeps one connection per peer address. Its zero value works. It is safe
-// for concurrent use.
+// Pool keeps one connection per peer address and makes calls over it. The zero value
+// is ready to use. A Pool is safe for concurrent use.
 type Pool struct {
-	// ProbeInterval is the time between two looks at a peer that owes replies; 0 means one
-	// second. After four looks at which nothing was heard its connection is closed.
+	// ProbeInterval is the time between two probes of a peer while calls wait for its
+	// replies. Zero means one second. The connection is closed at the fourth probe in a
+	// row that finds that nothing was received.
 	ProbeInterval time.Duration
 
 	mu      sync.Mutex
@@ -103,8 +105,8 @@
 	return c
 }
 
-// call sends a call and returns when its reply has come, the connection has ended or
-// ctx has.
+// call makes a call and returns when its reply is received, the connection is closed or
+// ctx ends.
 func (c *client) call(ctx context.Context, method string, args, reply any) error {
 	if ctx.Err() != nil {
 		return errors.Wrap(ErrNotSent, ctx.Err().Error())
@@ -122,9 +124,10 @@
 	}
 }
 
-// probe closes the connection of a peer that has fallen silent, so that all calls that
-// wait for it end. The next look is arranged before a ping is sent: writing to a peer
-// that takes no bytes blocks, until the connection is closed.
+// probe sends a ping if nothing was received since the last probe, and closes the
+// connection if the peer has fallen silent, so that all pending calls fail. The next
+// probe is scheduled before the ping is sent: if the peer doesn't read, the write blocks
+// until a later probe closes the connection.
 func (c *client) probe() {
 	switch c.silence.probe() {
 	case probeStop:
@@ -138,14 +141,15 @@
 	}
 }
 
-// start sends a call. Nothing waits for a reply here.
+// start sends a call without waiting for its reply.
 func (c *client) start(method string, args, reply any) *rpc.Call {
 	c.w.pending.Add(1)
 	return c.Go(method, args, reply, make(chan *rpc.Call, 1))
 }
 
-// Call sends args to the peer at address and waits for its reply until ctx ends.
-// An error that is ErrNotSent proves that the peer did nothing with the message.
+// Call calls a method of the peer at address and waits for its reply until ctx ends.
+// If the error is ErrNotSent, the peer certainly did not act on the call. After any
+// other error it may have acted.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	c, err := p.client(ctx, address)
 	if err != nil {
@@ -159,7 +163,7 @@
 	return errors.Wrapf(err, "call %s", method)
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +191,8 @@
 	return p.store(address, newClient(conn, p.ProbeInterval)), nil
 }
 
-// store stores c, unless another goroutine was faster.
+// store adds c to the pool. If another goroutine has connected to the same address in
+// the meantime, it closes c and returns the other connection.
 func (p *Pool) store(address string, c *client) *client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/netrpc/refused.go
+++ b/io/netrpc/refused.go
@@ -6,5 +6,5 @@
 	"github.com/pkg/errors"
 )
 
-// isRefused reports whether err proves that nothing listens at the address.
+// isRefused reports whether err proves that no process listens at the address.
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/io/netrpc/serve.go
+++ b/io/netrpc/serve.go
@@ -8,20 +8,23 @@
 	"lavenderpond/io/supervisor"
 )
 
-// maxIdleReaders bounds the goroutines that wait to read a connection's next request.
+// maxIdleReaders bounds the number of goroutines that wait to read a connection's next
+// request.
 const maxIdleReaders = 8
 
-// connection serves one peer. net/rpc's own loop reads on one goroutine and begins
-// another one for each call: two switches and a new stack each. Here the goroutine
-// that has read a request carries it out, and the next one reads meanwhile; a new one
-// begins only when none waits, so that a call that takes long holds up no other.
+// connection serves the requests of one peer. The loop of net/rpc reads on one goroutine
+// and starts another one for each call, which costs two goroutine switches and a new
+// stack per call. Here the goroutine that has read a request also processes it, while
+// the next one reads. A new goroutine is started only if none is waiting to read, so a
+// slow call doesn't block others.
 type connection struct {
 	rpc   *rpc.Server
 	codec *serverCodec
 	group supervisor.Group
 
 	mu sync.Mutex
-	// readers counts the goroutines that read or wait to, working all of them.
+	// readers counts the goroutines that read or wait to read. goroutines counts all
+	// goroutines of the connection.
 	readers, goroutines int
 }
 
@@ -31,22 +34,24 @@
 	return c
 }
 
-// serve returns when the connection is closed and all its calls are done.
+// serve processes requests until the connection is closed and all calls have returned.
 func (c *connection) serve() {
 	c.startReader()
 	c.group.Wait()
 	_ = c.codec.Close()
 }
 
-// startReader starts a goroutine that reads.
+// startReader starts a goroutine that reads requests. The caller must hold mu, unless no
+// goroutine of the connection is running yet.
 func (c *connection) startReader() {
 	c.readers++
 	c.goroutines++
 	c.group.Go(c.serveRequests)
 }
 
-// serveRequests reads and carries out requests until the connection ends or enough others wait.
-// An error of one request was told to the peer and ends nothing.
+// serveRequests reads and processes requests until the connection ends or enough other
+// goroutines wait to read. The error of a single request is ignored, because it has been
+// sent to the peer.
 func (c *connection) serveRequests() {
 	for {
 		_ = c.rpc.ServeRequest(c.codec)
@@ -56,7 +61,8 @@
 	}
 }
 
-// requestRead sees that somebody reads the next request while this one is carried out.
+// requestRead is called when a goroutine has read a request. It ensures that another
+// goroutine reads the next request while this one is processed.
 func (c *connection) requestRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +72,8 @@
 	}
 }
 
-// keepReading says whether the goroutine that has carried out a request reads on.
+// keepReading reports whether a goroutine that has processed a request should read the
+// next one. If not, the goroutine has to end.
 func (c *connection) keepReading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/netrpc/serve_test.go
+++ b/io/netrpc/serve_test.go
@@ -16,7 +16,8 @@
 	"lavenderpond/io/supervisor"
 )
 
-// slowEcho answers with what it was sent; a call for "slow" waits for the release.
+// slowEcho replies with its argument. A call with the argument "slow" signals entered
+// and then waits for release.
 type slowEcho struct{ entered, release chan struct{} }
 
 func (e *slowEcho) Call(args string, reply *string) error {
@@ -28,7 +29,8 @@
 	return nil
 }
 
-// newEchoServer returns a server at an address, and a Pool to call it with.
+// newEchoServer starts a server and returns its receiver, a Pool to call it with, and
+// its address.
 func newEchoServer(t *testing.T) (*slowEcho, *Pool, string) {
 	t.Helper()
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
@@ -54,9 +56,9 @@
 	return reply, err
 }
 
-// TestSlowCallsHoldUpNoOther: calls that wait for their targets come over the one
-// connection of a peer, more of them than goroutines are kept. A quick call behind
-// them is answered meanwhile, and then each of them.
+// TestSlowCallsDoNotBlockOthers checks that a quick call is answered while slow calls on
+// the same connection are pending, more of them than idle goroutines are kept. The slow
+// calls get their replies afterwards.
 func TestSlowCallsDoNotBlockOthers(t *testing.T) {
 	e, p, address := newEchoServer(t)
 	const n = 3 * maxIdleReaders
@@ -76,8 +78,8 @@
 	g.Wait()
 }
 
-// TestRepliesAreNotCrossed: many goroutines call over one connection at once, and
-// their messages share system calls. Each gets the reply to its own.
+// TestConcurrentCallsGetOwnReplies checks that each of many goroutines that call over one
+// connection, and whose messages share system calls, gets the reply to its own call.
 func TestConcurrentCallsGetOwnReplies(t *testing.T) {
 	_, p, address := newEchoServer(t)
 	var g supervisor.Group
@@ -94,8 +96,9 @@
 	g.Wait()
 }
 
-// TestUnknownMethodEndsNothing: an entry of another build calls what this one lacks. It
-// is told so, and the next call over the same connection is answered.
+// TestUnknownMethodKeepsConnection checks that a call of a method that this build lacks
+// returns a server error, and that the next call over the same connection succeeds.
+// Entries of different builds run together during an upgrade.
 func TestUnknownMethodKeepsConnection(t *testing.T) {
 	_, p, address := newEchoServer(t)
 	var reply string
@@ -107,8 +110,8 @@
 	assert.Equal(t, reply, "b")
 }
 
-// TestFewReadersStay: a burst of slow calls needs a goroutine each. When it is over,
-// few of them stay to read.
+// TestIdleReadersAreBounded checks that after a burst of slow calls, which needs one
+// goroutine per call, only maxIdleReaders goroutines remain.
 func TestIdleReadersAreBounded(t *testing.T) {
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s := rpc.NewServer()
@@ -141,9 +144,9 @@
 	return c.goroutines
 }
 
-// TestLastWriterFlushes: two goroutines write at once. Nothing is sent by the first,
-// everything by the second, also when its own message can't be encoded: the first
-// one's must not stay behind.
+// TestLastWriterFlushes checks that when two goroutines write at once, only the second
+// one flushes. It must also flush if its own message can't be encoded, or the first
+// message would remain in the buffer.
 func TestLastWriterFlushes(t *testing.T) {
 	for _, second := range []any{"second", make(chan int)} {
 		var sent bytes.Buffer
@@ -161,8 +164,8 @@
 	}
 }
 
-// TestCallOfAClosedConnection: the peer ends while a call waits for its reply. The
-// caller is told, and not that nothing was sent: the peer may have acted.
+// TestConnectionClosedDuringCall checks that a pending call fails when the peer closes
+// the connection. The error must not be ErrNotSent, because the peer may have acted.
 func TestConnectionClosedDuringCall(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/io/netrpc/silence.go
+++ b/io/netrpc/silence.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// Pace of a pulse.
+// Timing of a silenceDetector.
 const (
-	// defaultProbeInterval is the time between two looks at a peer that owes replies.
+	// defaultProbeInterval is the time between two probes of a peer while calls wait
+	// for its replies.
 	defaultProbeInterval = time.Second
-	// maxSilentProbes is how many looks in a row may find nothing heard. Looks are counted and
-	// not the time: a process that was paused itself must not take its peers for silent.
+	// maxSilentProbes is the number of successive probes that may find that nothing was
+	// received. Probes are counted instead of time, because a process that was itself
+	// paused must not treat its peers as silent.
 	maxSilentProbes = 3
 )
 
-// AliveName is the name under which every Server answers pings.
+// AliveName is the net/rpc service name under which every Server answers pings.
 const AliveName = "Alive"
 
 // Alive is the net/rpc receiver for pings.
 type Alive struct{}
 
-// Ping answers with what it was sent.
+// Ping replies with its argument.
 func (Alive) Ping(args int, reply *int) error {
 	*reply = args
 	return nil
 }
 
-// silenceDetector finds out that a peer which owes replies has fallen silent: cut off without a
-// word, or frozen. Calls to it would else wait until their requests' deadlines, though
-// another entry of the zone could answer, or the caller be told "unknown" and try
-// elsewhere. A call that takes long is no silence, since the peer answers pings
-// meanwhile; while no call waits nothing is sent. The zero value is a peer that owes
-// nothing.
+// silenceDetector detects that a peer with pending calls has fallen silent, because it
+// is frozen or because the network drops its packets. Without it, calls would wait until
+// their requests' deadlines, although another entry of the zone could answer, or the
+// caller could be told "unknown" and retry elsewhere. A peer that takes long to process
+// a call isn't silent, because it answers pings meanwhile. No pings are sent while no
+// call is pending. The zero value is ready to use.
 type silenceDetector struct {
 	mu           sync.Mutex
 	pending      int
@@ -40,21 +42,22 @@
 	probing      bool
 }
 
-// probeAction is what to do after a look.
+// probeAction is the action to take after a probe.
 type probeAction int
 
 const (
-	// beatStop: no call waits; looks begin again with the next call.
+	// probeStop means that no call is pending. Probing resumes with the next call.
 	probeStop probeAction = iota
-	// beatWait: something was heard since the last look.
+	// probeWait means that a reply was received since the last probe.
 	probeWait
-	// beatPing: ask for a sign of life.
+	// probePing means that a ping has to be sent.
 	probePing
-	// beatSilent: the peer is silent.
+	// probeClose means that the peer is silent and the connection has to be closed.
 	probeClose
 )
 
-// callStarted notes a call that waits for its reply. It returns true if looks have to begin.
+// callStarted records that a call is pending. It returns true if the caller has to start
+// probing.
 func (d *silenceDetector) callStarted() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,21 +67,22 @@
 	return startProbing
 }
 
-// callEnded notes that a call waits no more.
+// callEnded records that a call is no longer pending.
 func (d *silenceDetector) callEnded() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.pending--
 }
 
-// replyReceived notes a sign of life.
+// replyReceived records that a reply to a call or a ping was received.
 func (d *silenceDetector) replyReceived() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.received = true
 }
 
-// probe says what to do now.
+// probe returns the action to take. It has to be called once per probe interval, until
+// it returns probeStop or probeClose.
 func (d *silenceDetector) probe() probeAction {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/io/netrpc/silence_test.go
+++ b/io/netrpc/silence_test.go
@@ -12,9 +12,9 @@
 	"lavenderpond/io/supervisor"
 )
 
-// TestPulse: a peer that owes a reply is asked for a sign of life at each look, and is
-// silent at the fourth without one. A sign between two looks begins the count anew, and
-// without calls nothing is asked.
+// TestSilenceDetector checks that a peer with a pending call is pinged at each probe and
+// counts as silent at the fourth probe in a row without a reply. A reply between two
+// probes resets the count. Without pending calls, probing stops.
 func TestSilenceDetector(t *testing.T) {
 	var d silenceDetector
 	assert.Assert(t, d.callStarted())
@@ -36,9 +36,9 @@
 	assert.Equal(t, d.probe(), probePing)
 }
 
-// TestSilentPeer: a zone is cut off without a word while a call waits for its answer.
-// The caller is told, long before the call's own end, and not that nothing was sent.
-// Without looks it would wait until its request's deadline.
+// TestSilentPeer checks that a call fails long before its deadline if the network starts
+// to drop all packets while the call is pending. The error must not be ErrNotSent.
+// Without probes, the call would wait until its request's deadline.
 func TestSilentPeer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -60,8 +60,9 @@
 	assert.NilError(t, l.Close())
 }
 
-// TestLongCallIsNoSilence: a call takes longer than many looks, as a survey step does.
-// The peer answers each ping meanwhile, and the call gets its reply.
+// TestSlowCallIsNotSilence checks that a call gets its reply although it takes longer
+// than many probe intervals, as a survey step does, because the peer answers each ping
+// meanwhile.
 func TestSlowCallIsNotSilence(t *testing.T) {
 	e, p, address := newEchoServer(t)
 	c, err := p.client(t.Context(), address)
--- a/io/peer/forward.go
+++ b/io/peer/forward.go
@@ -1,6 +1,7 @@
-// Package peer is what lavenderpond's own daemons tell each other. Each concern has a
-// receiver of its own: Forward (requests to their home), Shard (acks, mirrored starts),
-// Spread (configuration and keys).
+// Package peer implements the protocols between the entries of a fleet, over net/rpc.
+// Each protocol has its own receiver: Forward passes callers' requests on to their
+// home, Shard carries lease heartbeats and mirrored starts between the entries of a
+// zone, and Spread replicates the configuration and the withdrawals of keys.
 package peer
 
 import (
@@ -15,10 +16,10 @@
 	"lavenderpond/io/netrpc"
 )
 
-// ForwardName is the name under which a Forward is registered.
+// ForwardName is the net/rpc service name of Forward.
 const ForwardName = "Forward"
 
-// ForwardKind says what is forwarded.
+// ForwardKind is the kind of a forwarded call.
 type ForwardKind int
 
 // The kinds of forwarded calls.
@@ -28,23 +29,24 @@
 	ForwardCancel
 )
 
-// ForwardStage says how far a call has come on its way. A call passes each stage
-// once at most, so that entries with unlike views can't pass it back and forth.
+// ForwardStage is the position of a call on its way to its home. A call passes each
+// stage at most once, so entries with different views can't forward it in a loop.
 type ForwardStage int
 
 // The stages of a forwarded call.
 const (
-	// FromCaller is a call that was taken from a caller.
+	// FromCaller means that the call came directly from a caller.
 	FromCaller ForwardStage = iota
-	// ToHomeZone is a call sent to an entry of its home zone, which looks for the
-	// holder.
+	// ToHomeZone means that the call was forwarded to an entry of its home zone, which
+	// looks for the holder.
 	ToHomeZone
-	// ToHolder is a call sent to the entry that the sender takes for the holder. If
-	// it isn't, it says so at once, and the sender looks again.
+	// ToHolder means that the call was forwarded to the presumed holder of its shard.
+	// A receiver that isn't the holder rejects the call at once, and the sender looks
+	// for the holder again.
 	ToHolder
 )
 
-// ForwardArgs is a caller's call on its way to the home of its id.
+// ForwardArgs is a caller's call that is forwarded to the home of its id.
 type ForwardArgs struct {
 	Kind    ForwardKind
 	Request core.Request
@@ -54,16 +56,16 @@
 	GiveUpAt time.Time
 }
 
-// Reasons why a peer did not take a call at stage ToHolder. It did nothing with the
-// call, so they are also ErrNotSent.
+// Errors for a call at stage ToHolder that the peer rejected without acting on it.
+// Both wrap netrpc.ErrNotSent.
 var (
-	// ErrNotHolder says that the peer may not decide about the id now.
+	// ErrNotHolder means that the peer holds no lease on the shard of the id.
 	ErrNotHolder = errors.Wrap(netrpc.ErrNotSent, "not the holder")
-	// ErrHandingOver says that the peer stops and hands its rights over just now.
+	// ErrHandingOver means that the peer is stopping and is handing over its shards.
 	ErrHandingOver = errors.Wrap(netrpc.ErrNotSent, "handing over")
 )
 
-// ForwardResult says whether a peer took a call.
+// ForwardResult reports whether a peer accepted a call.
 type ForwardResult int
 
 // The results of a forwarded call.
@@ -73,24 +75,25 @@
 	ForwardHandingOver
 )
 
-// ForwardReply is the home's answer, or the reason why there is none.
+// ForwardReply contains the home's answer, or the reason why there is none.
 type ForwardReply struct {
 	Result ForwardResult
 	Answer core.Answer
 }
 
-// ForwardHandler takes a call that a peer forwarded. Its errors are ErrNotHolder and
-// ErrHandingOver.
+// ForwardHandler handles a call that a peer forwarded. It returns no errors other than
+// ErrNotHolder and ErrHandingOver.
 type ForwardHandler func(ctx context.Context, args ForwardArgs) (core.Answer, error)
 
 // Forward is the net/rpc receiver for forwarded calls.
 type Forward struct {
-	// Context ends when the daemon stops.
+	// Context is canceled when the daemon stops.
 	Context context.Context
 	Handler ForwardHandler
 }
 
-// Call is the method that peers call.
+// Call handles a forwarded call. A rejection is returned as the reply's Result,
+// because net/rpc transmits only the text of an error.
 func (f *Forward) Call(args ForwardArgs, reply *ForwardReply) error {
 	ctx, cancel := context.WithDeadline(f.Context, args.GiveUpAt)
 	defer cancel()
@@ -110,8 +113,8 @@
 	}
 }
 
-// ForwardTo sends a call to the peer at address. Besides the errors of Call, it
-// returns ErrNotHolder or ErrHandingOver if the peer did not take the call.
+// ForwardTo forwards a call to the peer at address. In addition to the errors of
+// Pool.Call, it returns ErrNotHolder or ErrHandingOver if the peer rejected the call.
 func ForwardTo(ctx context.Context, p *netrpc.Pool, address string, args ForwardArgs) (core.Answer, error) {
 	var reply ForwardReply
 	if err := p.Call(ctx, address, ForwardName+".Call", args, &reply); err != nil {
--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -14,45 +14,45 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Intervals of a ShardKeeper.
+// Timing of a ShardManager.
 const (
 	tickInterval = 100 * time.Millisecond
 	listInterval = time.Second
-	// exchangeTimeout bounds one exchange with a peer. Evidence that comes later is
-	// of little use, since it is dated at the send.
+	// exchangeTimeout bounds one exchange with a peer. An acknowledgment that arrives
+	// later is of little use, because the lease counts from when the ping was sent.
 	exchangeTimeout     = time.Second
 	releasePollInterval = 10 * time.Millisecond
 )
 
-// Caller calls peers; a Pool is one.
+// Caller makes calls to peers. It is implemented by netrpc.Pool.
 type Caller interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// ShardConfig is what a ShardKeeper works with. All fields but Log and the
-// callbacks are needed.
+// ShardConfig contains the settings and dependencies of a ShardManager. All fields
+// except Log and the callbacks are required.
 type ShardConfig struct {
 	Params shard.Params
 	Table  platform.Table
 	Live   platform.LiveList
 	Peers  Caller
-	// Address returns where the peers' port of one run of an entry is.
+	// Address returns the peer address of a run of an entry, if it is known.
 	Address func(core.EntryID) (string, bool)
-	// Now returns the wall clock's time: a monotonic clock stands still while a VM
-	// is suspended, and the lease would seem to last.
+	// Now returns the wall-clock time. A monotonic clock stops while the VM is
+	// suspended, so an expired lease would seem to be valid.
 	Now func() time.Time
 	Log zerolog.Logger
 
-	// The callbacks come one after the other, on a goroutine that holds no lock.
+	// The callbacks are called one at a time, from a goroutine that holds no lock.
 	OnAllowed   func(shard.StartAllowed)
 	OnDenied    func(shard.StartDenied)
 	OnInherited func(shard.Inherited)
 	OnLost      func(shard.Lost)
 }
 
-// ShardManager runs a shard.LeaseManager in a daemon: it reads and swaps the zone's shard
-// rows, speaks to the zone's other entries, and tells home what it may do. It is
-// safe for concurrent use.
+// ShardManager runs a shard.LeaseManager: it reads and swaps the zone's shard rows,
+// exchanges messages with the zone's other entries, and reports the decisions through
+// the callbacks of its ShardConfig. It is safe for concurrent use.
 type ShardManager struct {
 	cfg ShardConfig
 
@@ -71,8 +71,8 @@
 	entries    entryTracker
 }
 
-// NewShardManager returns a ShardKeeper that holds nothing. Run its Children and
-// register its Receiver.
+// NewShardManager returns a ShardManager that holds no shards. The caller must run its
+// Child and register its Receiver.
 func NewShardManager(cfg ShardConfig) *ShardManager {
 	sm := &ShardManager{
 		cfg: cfg, leases: shard.New(cfg.Params), outboxes: make(map[core.EntryID]*outbox),
@@ -87,7 +87,7 @@
 // Receiver returns the net/rpc receiver to register under ShardName.
 func (sm *ShardManager) Receiver() *ShardReceiver { return &ShardReceiver{manager: sm} }
 
-// Child returns the node that runs the keeper until its context ends.
+// Child returns the supervised child that runs the ShardManager until its context ends.
 func (sm *ShardManager) Child() supervisor.Child {
 	n := &supervisor.Node{Name: "shards", Log: sm.cfg.Log, Children: []supervisor.Child{
 		{Name: "ticks", Run: sm.runTicks},
@@ -102,22 +102,23 @@
 	}}
 }
 
-// Decide says whether this entry may start the request now.
+// Decide returns whether this entry may start the request now.
 func (sm *ShardManager) Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict {
 	sm.mu.Lock()
 	defer sm.mu.Unlock()
 	return sm.leases.Decide(now, sm.leases.Shard(key), key, firstSent, deadline)
 }
 
-// LeaseExpiry returns when the right to start key ends; zero if there is none.
+// LeaseExpiry returns when this entry's lease on the shard of key ends, or zero if it
+// holds none.
 func (sm *ShardManager) LeaseExpiry(now time.Time, key core.RequestKey) time.Time {
 	sm.mu.Lock()
 	defer sm.mu.Unlock()
 	return sm.leases.LeaseExpiry(now, sm.leases.Shard(key))
 }
 
-// Start asks for the right to dispatch. If it returns false, OnAllowed or OnDenied
-// follows. It never blocks on a peer.
+// Start asks for permission to dispatch a non-idempotent request. If it returns false,
+// a call of OnAllowed or OnDenied follows. It never waits for a peer.
 func (sm *ShardManager) Start(now time.Time, start shard.Start) bool {
 	sm.mu.Lock()
 	defer sm.mu.Unlock()
@@ -126,7 +127,7 @@
 	return allowed
 }
 
-// HeldCount returns how many shards this entry holds by its last word.
+// HeldCount returns how many shards this entry holds according to the rows it knows.
 func (sm *ShardManager) HeldCount() int {
 	sm.mu.Lock()
 	defer sm.mu.Unlock()
@@ -140,9 +141,9 @@
 	return sm.leases.Dump(sm.now())
 }
 
-// Release hands every shard over, for a graceful stop. It returns when none is
-// held any more, or with an error that tells how many are left when ctx ends. Half
-// of ctx's time goes to bringing successors in sync.
+// Release hands over all shards before a graceful stop. It returns when this entry
+// holds none, or with an error when ctx ends first. Up to half of the time until ctx's
+// deadline is spent on bringing the successors in sync.
 func (sm *ShardManager) Release(ctx context.Context) error {
 	by := sm.now()
 	if deadline, ok := ctx.Deadline(); ok {
@@ -166,7 +167,7 @@
 	sm.execute(sm.leases.Handle(sm.now(), e))
 }
 
-// stop waits for the exchanges under way; none begins after it.
+// stop prevents new exchanges and waits for those in progress.
 func (sm *ShardManager) stop() {
 	sm.mu.Lock()
 	sm.stopped = true
@@ -174,8 +175,9 @@
 	sm.exchanges.Wait()
 }
 
-// execute queues commands for the goroutines that carry them out. The lock is
-// held, so that they keep their order.
+// execute queues commands for the goroutines that execute them. The caller must still
+// hold the lock under which the LeaseManager returned the commands, so that they keep
+// their order.
 func (sm *ShardManager) execute(commands []shard.Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
@@ -194,7 +196,7 @@
 	}
 }
 
-// wake signals a worker; one signal is enough for all work that waits.
+// wake signals a worker. One signal is enough for all queued work.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/io/peer/shard_batch.go
+++ b/io/peer/shard_batch.go
@@ -5,14 +5,15 @@
 	"lavenderpond/core/shard"
 )
 
-// ShardName is the name under which a ShardReceiver is registered.
+// ShardName is the net/rpc service name of ShardReceiver.
 const ShardName = "Shard"
 
-// ShardBatch carries all shard messages that wait between two entries of a zone.
+// ShardBatch carries all shard messages that are pending from one entry to another
+// entry of its zone.
 type ShardBatch struct {
 	From core.EntryID
-	// To is the run of the daemon that the messages are for. Another run at the
-	// same address must not answer them.
+	// To identifies the run of the receiving entry. Another run at the same address
+	// must not answer the messages.
 	To        core.EntryID
 	Pings     []shard.Ping
 	PingAcks  []shard.PingAck
@@ -20,8 +21,8 @@
 	StartAcks []shard.StartAck
 	Copies    []shard.MirrorCopy
 	CopyAcks  []shard.CopyAck
-	// Look says that a row was handed over to To, which would otherwise learn of it
-	// only at its next read, while requests wait.
+	// Look tells To to read the rows, because a shard was handed over to it. Otherwise
+	// requests would have to wait until its next regular read.
 	Look bool
 }
 
@@ -42,7 +43,8 @@
 	}
 }
 
-// messages returns the batch's messages, copies before the starts on top of them.
+// messages returns the batch's messages in the order in which they must be processed:
+// copies come before the starts that are added to them.
 func (b *ShardBatch) messages() []shard.Message {
 	var list []shard.Message
 	list = appendMessages(list, b.Copies)
@@ -60,10 +62,10 @@
 	return list
 }
 
-// ShardReceiver is the net/rpc receiver of a ShardKeeper.
+// ShardReceiver is the net/rpc receiver of a ShardManager.
 type ShardReceiver struct{ manager *ShardManager }
 
-// Exchange takes a batch in and replies with the acks it calls for.
+// Exchange processes a batch and replies with the acknowledgments.
 func (r *ShardReceiver) Exchange(args ShardBatch, reply *ShardBatch) error {
 	*reply = r.manager.exchange(args)
 	return nil
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -11,12 +11,14 @@
 	"lavenderpond/io/supervisor"
 )
 
-// unseenEntryTimeout is how long an entry that a row names, and that this one never saw
-// listed, must be missing from the list to count as ended. Entries are named only
-// after they were listed, so what is missing is the lag between two readers.
+// unseenEntryTimeout is how long an entry that is named in a row, and that this entry
+// has never seen in the list, must be missing from the list to count as ended. Entries
+// are named in rows only after they were listed, so the timeout only has to cover the
+// delay between two readers of the list.
 const unseenEntryTimeout = 30 * time.Second
 
-// entryTracker finds out from successive lists which entries have ended.
+// entryTracker determines from successive lists of live entries which runs of entries
+// have ended.
 type entryTracker struct {
 	self         core.EntryID
 	seen         map[core.EntryID]bool
@@ -40,8 +42,9 @@
 	sm.handle(sm.entries.update(sm.now(), live, named))
 }
 
-// update takes in a list. A list without this entry proves nothing about others:
-// it is older than this run, or wrong.
+// update processes a list of live entries and returns the event for the LeaseManager.
+// A list that doesn't contain this entry proves nothing about others: it is older than
+// this run, or wrong.
 func (l *entryTracker) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.EntriesListed {
 	if l.seen == nil {
 		l.seen, l.ended = map[core.EntryID]bool{}, map[core.EntryID]bool{}
@@ -62,7 +65,7 @@
 			e.Live = append(e.Live, id)
 		}
 	}
-	// All entries must see the same order: it says whose turn it is.
+	// All entries must see the same order, because it determines which of them acts.
 	slices.Sort(e.Live)
 	if listed[l.self] {
 		l.findEnded(now, listed, newest, named)
@@ -78,6 +81,8 @@
 	return e
 }
 
+// findEnded records which entries have ended, given a list that contains this entry.
+// newest is the start time of the latest listed run by name.
 func (l *entryTracker) findEnded(now time.Time, listed map[core.EntryID]bool, newest map[string]time.Time, named []core.EntryID) {
 	for id := range l.seen {
 		if !listed[id] {
@@ -90,7 +95,7 @@
 		case id == l.self || listed[id]:
 			delete(l.missingSince, id)
 		case newest[id.Name()].After(id.Started()):
-			// One name has one run at a time, so the older has ended.
+			// A name has only one run at a time, so the older run has ended.
 			l.ended[id] = true
 		case l.missingSince[id].IsZero():
 			l.missingSince[id] = now
--- a/io/peer/shard_send.go
+++ b/io/peer/shard_send.go
@@ -11,15 +11,16 @@
 	"lavenderpond/io/netrpc"
 )
 
-// outbox gathers what waits for one peer. While one exchange is under way all
-// further messages gather, so that under load one batch carries many starts.
+// outbox collects the messages for one peer. All messages that are added during an
+// exchange go into the next batch, so that under load one batch carries many starts.
 type outbox struct {
 	batch   ShardBatch
 	pending bool
 	sending bool
 }
 
-// enqueue adds to the batch for a peer and sees that it is sent. The lock is held.
+// enqueue adds to the batch for a peer and starts a goroutine that sends it if none is
+// running. The caller must hold mu.
 func (sm *ShardManager) enqueue(to core.EntryID, add func(*ShardBatch)) {
 	if sm.stopped {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// drain sends batches until none waits. Its goroutine lives only so long.
+// drain sends batches until none is pending. Then its goroutine ends.
 func (sm *ShardManager) drain(to core.EntryID, o *outbox) {
 	for {
 		sm.mu.Lock()
@@ -78,8 +79,8 @@
 	}
 }
 
-// exchange takes in a batch. What the keeper sends back at once rides in the
-// reply; the rest goes the usual way.
+// exchange processes a batch. Messages that the LeaseManager sends back to the peer
+// immediately are included in the reply. All other commands are queued.
 func (sm *ShardManager) exchange(args ShardBatch) ShardBatch {
 	reply := ShardBatch{From: sm.cfg.Params.Self, To: args.From}
 	if args.To != sm.cfg.Params.Self {
--- a/io/peer/shard_table.go
+++ b/io/peer/shard_table.go
@@ -13,8 +13,9 @@
 	"lavenderpond/io/platform"
 )
 
-// runTable does the table's work one step at a time: a read must not overtake
-// another, since rows left out of a reply stand for "as at the read before".
+// runTable makes all calls to the table, one at a time. Reads must not overtake each
+// other, because a row that is missing from a reply means "unchanged since the previous
+// read".
 func (sm *ShardManager) runTable(ctx context.Context) error {
 	for {
 		select {
@@ -27,6 +28,8 @@
 	}
 }
 
+// processTableWork executes the queued table commands. It returns false if there were
+// none.
 func (sm *ShardManager) processTableWork(ctx context.Context) bool {
 	sm.mu.Lock()
 	swaps, readPending := sm.pendingSwaps, sm.readPending
@@ -42,8 +45,9 @@
 	return len(swaps) > 0 || readPending
 }
 
-// executeSwap sends one swap, or settles it unsent once the table has failed: a queue of
-// swaps that each wait for a timeout would hold up the reads.
+// executeSwap executes a swap and reports its outcome to the LeaseManager. If an earlier
+// swap of the same batch has failed, the swap isn't sent: a queue of swaps that each
+// wait for a timeout would delay the reads. It returns whether the table answered.
 func (sm *ShardManager) executeSwap(ctx context.Context, c shard.SwapRow, tableDown bool) (ok bool) {
 	settled := shard.SwapSettled{Shard: c.Shard, Version: c.Version, SentAt: sm.now(), Outcome: shard.SwapUnreachable}
 	if !tableDown {
@@ -86,7 +90,7 @@
 	sm.handle(shard.RowsRead{SentAt: sentAt, Rows: rows})
 }
 
-// rowReader reads all shard rows of a zone at once, then only what changed.
+// rowReader reads all shard rows of a zone at first, and then only the changes.
 type rowReader struct {
 	table    platform.Table
 	zone     core.ZoneID
@@ -109,7 +113,8 @@
 	}
 	decoded, err := decodeRows(prefix, rows)
 	if err != nil {
-		// Asked for again: a row left out would stand for one that didn't change.
+		// The revision is kept, so that the next read returns these rows again. If they
+		// were skipped, they would count as unchanged.
 		return nil, err
 	}
 	r.scanned, r.revision = true, revision
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -18,8 +18,9 @@
 	"lavenderpond/io/supervisor"
 )
 
-// TestShardsSpread: three entries start on an empty table and share the shards
-// evenly, each with a successor in sync. A fourth gets its part by hand-overs.
+// TestShardsAreBalanced checks that three entries that start with an empty table get the
+// same number of shards, each with a successor in sync, and that a fourth entry gets its
+// share by hand-overs.
 func TestShardsAreBalanced(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
 	z.advance(10 * time.Second)
@@ -29,9 +30,10 @@
 	z.assertHeld(map[string]int{"a1": 3, "a2": 3, "a3": 3, "a4": 3})
 }
 
-// TestReleaseHandsOverStarts: an entry stops gracefully after a start. The next
-// holder answers a retry of that id as unknown, and runs other ids at once, though
-// callers give no first_sent. A successor that forgets starts would run it again.
+// TestReleaseHandsOverStarts checks that the next holder knows the starts of an entry
+// that has stopped gracefully: it answers a retry of a started id as unknown, and runs
+// other ids immediately, although their callers provide no first_sent. A successor that
+// forgets the starts would run the started id a second time.
 func TestReleaseHandsOverStarts(t *testing.T) {
 	for _, forgetStarts := range []bool{false, true} {
 		z := newShardZone(t, "a1", "a2", "a3")
@@ -59,10 +61,11 @@
 	}
 }
 
-// TestStoppingGetsNothingBack: one of a zone's two entries stops, and waits for work
-// that runs long. It has the fewest shards now, and is the other one's successor in
-// sync. Handed some back to even the numbers, it would end with them: their callers
-// wait for a take-over, and are told "unknown" of ids that never ran.
+// TestStoppingEntryGetsNoShardsBack checks that the balancing hands no shards to an entry
+// that is stopping. In a zone of two entries, the stopping one holds the fewest shards
+// and is the other one's successor in sync while it waits for long requests to finish.
+// If it ended with shards, their callers would have to wait for a takeover and would be
+// told "unknown" for ids that never ran.
 func TestStoppingEntryGetsNoShardsBack(t *testing.T) {
 	z := newShardZone(t, "a1", "a2")
 	z.advance(20 * time.Second)
@@ -80,8 +83,9 @@
 	assert.Equal(t, z.entries["a2"].HeldCount(), testShards)
 }
 
-// TestTwoStopTogether: a zone's only entries stop at the same time. A shard goes to
-// the other entry once at most, and not back and forth until both are gone.
+// TestAllEntriesStopTogether checks that when both entries of a zone stop at the same
+// time, each shard is handed over at most once, and not back and forth until both have
+// ended.
 func TestAllEntriesStopTogether(t *testing.T) {
 	z := newShardZone(t, "a1", "a2")
 	z.advance(10 * time.Second)
@@ -94,9 +98,10 @@
 	}
 }
 
-// TestTableDown: the table is down for minutes. All shards are served on the
-// successors' word. Then one entry is cut off as well: what waits is exactly its
-// own shards and those whose successor it is, until either comes back.
+// TestTableOutage checks that all shards are served during a table outage of minutes,
+// because the successors keep extending the leases. If one entry is isolated as well,
+// only its own shards and those whose successor it is become unavailable, until the
+// table or the entry is reachable again.
 func TestTableOutage(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
 	z.advance(10 * time.Second)
@@ -121,9 +126,10 @@
 	assert.Equal(t, counts["a1"]+counts["a2"]+counts["a3"], testShards)
 }
 
-// TestDeadSuccessor: the table is down and an entry ends. Its shards wait, for only
-// the table can move them. Those whose successor it was are served on: the list
-// proves, before the lease lapses, that nobody is left to take over.
+// TestDeadSuccessor checks what happens if an entry ends during a table outage. Its own
+// shards are unavailable, because only the table can move them. The shards whose
+// successor it was are still served: the list of live entries proves, before the lease
+// expires, that no entry can take over.
 func TestDeadSuccessor(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
 	z.advance(10 * time.Second)
@@ -153,9 +159,9 @@
 	z.assertHeld(map[string]int{"a2": 6, "a3": 6})
 }
 
-// TestCrashAndRestart: an entry dies right after a start and comes back under its
-// name before the list drops the old run. The newer run proves the old one's end:
-// its shards are taken over at once, and the started id never runs again.
+// TestCrashAndRestart checks that an entry that crashes right after a start and restarts
+// under the same name never runs the started id again. The new run proves that the old
+// one has ended, so its shards are taken over immediately.
 func TestCrashAndRestart(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
 	z.advance(10 * time.Second)
@@ -175,9 +181,10 @@
 	z.assertHeld(map[string]int{"a1": 4, "a2": 4, "a3": 4})
 }
 
-// TestListProves: a list that lacks this entry itself proves nobody's end. One that
-// has it proves the end of an older run of a listed name, of an entry that was
-// listed before, and in time of one that was never seen.
+// TestEndedEntriesDetected checks which lists prove that an entry has ended. A list that
+// doesn't contain this entry proves nothing. A list that contains it proves the end of
+// an older run of a listed name, of an entry that was listed before, and, after
+// unseenEntryTimeout, of an entry that was never listed.
 func TestEndedEntriesDetected(t *testing.T) {
 	at := time.UnixMilli(1000)
 	self, other := platform.Liveness{Name: "a", Started: at}, platform.Liveness{Name: "b", Started: at}
@@ -194,16 +201,16 @@
 	assert.DeepEqual(t, update(at.Add(unseenEntryTimeout), self), []core.EntryID{"b#1000", "c#500", "b#500"})
 }
 
-// fixedReply answers every exchange with the same batch.
+// fixedReply replies to every exchange with the same batch.
 type fixedReply struct{ batch ShardBatch }
 
-// Exchange is a ShardReceiver's method.
+// Exchange has the signature of ShardReceiver.Exchange.
 func (r *fixedReply) Exchange(_ ShardBatch, reply *ShardBatch) error {
 	*reply = r.batch
 	return nil
 }
 
-// countingConn counts the bytes of both directions.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	n atomic.Int64
@@ -223,8 +230,8 @@
 	return n, err
 }
 
-// BenchmarkShardBytes gives the bytes of one exchange between two entries, by
-// net/rpc, without what TCP and IP add.
+// BenchmarkShardBytes reports the size of one exchange between two entries over net/rpc,
+// without the overhead of TCP and IP.
 func BenchmarkShardBytes(b *testing.B) {
 	now := time.Unix(1_000_000_000, 0)
 	start := shard.Start{
@@ -259,7 +266,7 @@
 	g.Go(func() { server.ServeConn(context.Background(), there) })
 	client := rpc.NewClient(conn)
 	exchange := func() { assert.NilError(b, client.Call(ShardName+".Exchange", batch, &ShardBatch{})) }
-	exchange() // The first one carries the types.
+	exchange() // The first exchange also transmits the gob type definitions.
 	before, n := conn.n.Load(), 0
 	for b.Loop() {
 		exchange()
--- a/io/peer/shard_zone_test.go
+++ b/io/peer/shard_zone_test.go
@@ -22,8 +22,8 @@
 
 const testShards = 12
 
-// shardZone runs the keepers of one zone in steps of an injected clock, over real
-// net/rpc on loopback and a table in memory.
+// shardZone runs the ShardManagers of one zone in steps of a simulated clock, with real
+// net/rpc connections over loopback and an in-memory table.
 type shardZone struct {
 	t         *testing.T
 	mu        sync.Mutex
@@ -33,10 +33,10 @@
 	listed    []platform.Liveness
 	entries   map[string]*testEntry
 	names     []string
-	// addresses are those of all runs, ended ones too.
+	// addresses contains the addresses of all runs, including ended ones.
 	addresses map[core.EntryID]string
 	group     supervisor.Group
-	// forgetStarts makes successors ack starts that they don't remember.
+	// forgetStarts makes successors acknowledge starts without recording them.
 	forgetStarts bool
 }
 
@@ -98,7 +98,8 @@
 	return e
 }
 
-// kill ends an entry at once. The list still shows it.
+// kill stops an entry immediately, without a hand-over. It remains in the list of live
+// entries.
 func (z *shardZone) kill(name string) {
 	e := z.entries[name]
 	e.stopServer()
@@ -106,6 +107,8 @@
 	delete(z.entries, name)
 }
 
+// unlist removes a run from the list of live entries.
+// unlist removes a run from the list of live entries.
 func (z *shardZone) unlist(id core.EntryID) {
 	for i, l := range z.listed {
 		if core.NewEntryID(l.Name, l.Started) == id {
@@ -126,7 +129,7 @@
 	return a, ok
 }
 
-// advance lets time pass in steps of a tenth of a second.
+// advance advances the clock by d in steps of tickInterval.
 func (z *shardZone) advance(d time.Duration) {
 	for end := z.now.Add(d); z.now.Before(end); {
 		z.mu.Lock()
@@ -142,7 +145,7 @@
 	}
 }
 
-// settle carries out all commands until none is left.
+// settle executes all queued commands until none is left.
 func (z *shardZone) settle() {
 	for busy := true; busy; {
 		busy = false
@@ -156,7 +159,7 @@
 	}
 }
 
-// Call implements Caller: a cut entry reaches nobody.
+// Call implements Caller. All calls of an isolated entry fail.
 func (e *testEntry) Call(ctx context.Context, address, method string, args, reply any) error {
 	if e.isolated {
 		return netrpc.ErrNotSent
@@ -173,10 +176,12 @@
 	return err
 }
 
-// forgottenSuffix marks the id that a forgetful successor remembers in place of a start's.
+// forgottenSuffix is added to the ids of the starts that a forgetful successor records,
+// so that it doesn't recognize the real ones.
 const forgottenSuffix = "-forgotten"
 
-// withoutStarts returns the batch as a successor takes it that remembers no start.
+// withoutStarts returns the batch with altered starts and empty copies, so that the
+// successor records none of the real starts.
 func withoutStarts(b ShardBatch) ShardBatch {
 	b.Starts, b.Copies = slices.Clone(b.Starts), slices.Clone(b.Copies)
 	for i := range b.Starts {
@@ -219,8 +224,8 @@
 	return z.table.Transact(t)
 }
 
-// heldCounts returns how many shards each entry holds, by name, and how many shards
-// have a holder with a right and a successor in sync.
+// heldCounts returns the number of shards on which each entry has a valid lease, by
+// name, and how many of all these shards have a successor in sync.
 func (z *shardZone) heldCounts() (counts map[string]int, inSync int) {
 	counts = map[string]int{}
 	for name, e := range z.entries {
@@ -243,7 +248,7 @@
 	assert.Equal(z.t, inSync, testShards)
 }
 
-// requestHeldBy returns a request id of a shard that the entry holds.
+// requestHeldBy returns the key of a request whose shard the entry holds.
 func (z *shardZone) requestHeldBy(e *testEntry) core.RequestKey {
 	for i := range 10_000 {
 		key := core.RequestKey{Team: "t", ID: core.RequestID(fmt.Sprint(i))}
@@ -259,7 +264,7 @@
 	return e.Decide(z.now, key, time.Time{}, z.now.Add(time.Minute))
 }
 
-// countRunners counts the entries that would run key.
+// countRunners returns the number of entries that would run key.
 func (z *shardZone) countRunners(key core.RequestKey) (n int) {
 	for _, e := range z.entries {
 		if _, ok := z.decide(e, key).(shard.Run); ok {
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -14,95 +14,99 @@
 	"lavenderpond/io/supervisor"
 )
 
-// SpreadName is the name under which a Spread's receiver is registered.
+// SpreadName is the net/rpc service name of SpreadReceiver.
 const SpreadName = "Spread"
 
 // Timing of Spread.
 const (
-	// DefaultSpreadInterval is the time between two exchanges with the relay, or of
-	// the relay with other zones.
+	// DefaultSpreadInterval is the default time between two rounds.
 	DefaultSpreadInterval = time.Second
 	// spreadTimeout bounds one exchange.
 	spreadTimeout = 2 * time.Second
-	// avoidDuration is how long a peer that didn't answer is passed over, if another of its
-	// zone is left.
+	// avoidDuration is how long a peer that didn't answer is tried only after the other
+	// entries of its zone.
 	avoidDuration = 5 * time.Second
-	// maxIdleRounds is how many rounds a relay without news lets pass between two
-	// exchanges with other zones. Key lists are trusted for longer than that.
+	// maxIdleRounds is the number of rounds between two exchanges of a relay with other
+	// zones if there is nothing new. It must be shorter than the maximum staleness of
+	// key lists.
 	maxIdleRounds = 3
 )
 
-// Member is an entry's place.
+// Member is an entry with its zone and its peer address.
 type Member struct {
 	Entry   core.EntryID
 	Zone    core.ZoneID
 	Address string
 }
 
-// Replica is the configuration and key ring that are spread.
+// Replica is an entry's copy of the configuration and the key ring. Spread keeps it in
+// agreement with the replicas of the other entries.
 type Replica interface {
 	Version() core.Version
 	DeltaSince(since core.Version) config.Delta
 	Summary() key.Summary
-	// FromPeer takes in what an entry of zone told. Sent is when the message that it
-	// answered left here, or zero for what came unasked.
+	// FromPeer applies data received from an entry of zone. If the data came in a reply,
+	// sent is when this entry sent the request; otherwise sent is zero.
 	FromPeer(d config.Delta, s key.Summary, zone core.ZoneID, sent time.Time) error
 	Withdraw(withdrawals ...key.Withdrawal)
 }
 
-// SpreadArgs tells a peer what the sender, an entry of Zone, holds. A first message
-// has no rows and no list of withdrawals.
+// SpreadArgs carries the state of the sender, an entry of Zone. The first message of an
+// exchange contains no rows and no list of withdrawals.
 type SpreadArgs struct {
 	Zone core.ZoneID
 	Told Told
 }
 
-// SpreadReply tells the sender what it lacks.
+// SpreadReply carries the receiver's state with the rows and withdrawals that the
+// sender lacks.
 type SpreadReply struct{ Told Told }
 
-// WithdrawArgs puts withdrawals in force at the receiver at once.
+// WithdrawArgs asks the receiver to apply withdrawals immediately.
 type WithdrawArgs struct{ Withdrawals []key.Withdrawal }
 
-// WithdrawReply confirms that the withdrawals are in force at Entry.
+// WithdrawReply confirms that Entry has applied the withdrawals.
 type WithdrawReply struct {
 	Entry core.EntryID
 	Zone  core.ZoneID
 }
 
-// Spread tells configuration and withdrawals among entries. Each entry exchanges
-// with its zone's relay, the first of its zone that answers; the relay alone
-// exchanges with the other zones' relays. So the messages of a round number the
-// entries plus the square of the zones, and a change crosses in three rounds.
+// Spread replicates the configuration and the withdrawals of keys among the entries.
+// Each entry exchanges state with its zone's relay, which is the first entry of the zone
+// that answers. Only the relay exchanges state with the relays of other zones. So the
+// number of messages per round is the number of entries plus the square of the number
+// of zones, and a change reaches every entry within three rounds.
 type Spread struct {
 	Self    Member
 	Replica Replica
-	// Members returns the known entries of a zone, self included or not.
+	// Members returns the known entries of a zone. It may or may not include Self.
 	Members func(zone core.ZoneID) []Member
 	Zones   []core.ZoneID
-	// Call sends to a peer; Pool.Call in the daemon.
+	// Call calls a peer, as netrpc.Pool.Call does.
 	Call func(ctx context.Context, address, method string, args, reply any) error
 	Now  func() time.Time
 	Log  zerolog.Logger
-	// Interval between rounds; 0 means DefaultSpreadInterval.
+	// Interval is the time between two rounds. Zero means DefaultSpreadInterval.
 	Interval time.Duration
 
 	mu           sync.Mutex
 	avoidedUntil map[core.EntryID]time.Time
-	// idleRounds counts the rounds since the last exchange with other zones; the others
-	// are what was told then.
+	// idleRounds counts the rounds since the last exchange with other zones. The other
+	// two are the version and the withdrawals that were sent in it.
 	idleRounds           int
 	crossZoneVersion     core.Version
 	crossZoneWithdrawals setDigest
 
-	// Switched on in tests only: no relay to other zones; zones one after the other;
-	// evidence is taken without the withdrawals that it vouches for.
+	// For tests only. noCrossZone disables the exchange with other zones, sequential
+	// exchanges with one zone after the other, and skipWithdrawalCheck accepts evidence
+	// of freshness without the withdrawals that it depends on.
 	noCrossZone, sequential, skipWithdrawalCheck bool
 }
 
-// Receiver returns what is registered under SpreadName.
+// Receiver returns the net/rpc receiver to register under SpreadName.
 func (s *Spread) Receiver() *SpreadReceiver { return &SpreadReceiver{spread: s} }
 
-// Child returns the rounds as a part of the daemon's tree.
+// Child returns the supervised child that runs the rounds.
 func (s *Spread) Child() supervisor.Child {
 	return supervisor.Child{Name: "spread", Run: func(ctx context.Context) error {
 		interval := s.Interval
@@ -113,8 +117,8 @@
 	}}
 }
 
-// Round exchanges once with this zone's relay, or, as the relay, with one entry of
-// each other zone.
+// Round exchanges state once with this zone's relay. If this entry is the relay, it
+// exchanges state with one entry of each other zone instead.
 func (s *Spread) Round(ctx context.Context) {
 	if s.exchangeWithRelay(ctx) || !s.crossZoneDue() {
 		return
@@ -132,10 +136,10 @@
 	g.Wait()
 }
 
-// crossZoneDue says whether the relay should exchange with other zones in this
-// round: at once if it has news, else every few rounds. An exchange each second with
-// each of seven zones took a relay over the 10 KB/s that its control may cost
-// (docs/CAPACITY.md); one that only brings news takes no longer to bring it.
+// crossZoneDue reports whether the relay should exchange state with other zones in this
+// round: immediately if there is a change, otherwise every maxIdleRounds. Exchanging
+// every second in a fleet of seven zones would exceed the relay's limit of 10 KB/s for
+// control traffic (docs/CAPACITY.md). Skipping idle rounds doesn't delay changes.
 func (s *Spread) crossZoneDue() bool {
 	version, withdrawals := s.Replica.Version(), digestOf(s.Replica.Summary().Withdrawals)
 	s.mu.Lock()
@@ -148,8 +152,8 @@
 	return true
 }
 
-// exchangeWithRelay exchanges with the relay of the own zone. It returns false if this
-// entry is the relay: none before it in rank answers.
+// exchangeWithRelay exchanges state with the relay of the own zone. It returns false if
+// this entry is the relay, because no entry with a smaller id answers.
 func (s *Spread) exchangeWithRelay(ctx context.Context) bool {
 	var preceding []Member
 	for _, m := range s.peersByRank(s.Self.Zone) {
@@ -160,9 +164,9 @@
 	return s.exchangeWithFirst(ctx, preceding)
 }
 
-// peersByRank returns the members of a zone by id, without self. The relay is the first
-// that answers; two at a time, while entries disagree about who answers, only cost
-// messages.
+// peersByRank returns the entries of a zone sorted by id, without Self. The first one
+// that answers is the relay. If entries disagree about which one answers, a zone has two
+// relays for a while, which only costs additional messages.
 func (s *Spread) peersByRank(zone core.ZoneID) []Member {
 	var peers []Member
 	for _, m := range s.Members(zone) {
@@ -174,8 +178,8 @@
 	return peers
 }
 
-// exchangeWithFirst exchanges with the first of members that answers. One that didn't
-// lately is tried last.
+// exchangeWithFirst exchanges state with the first of members that answers, and returns
+// false if none does. Members that failed to answer recently are tried last.
 func (s *Spread) exchangeWithFirst(ctx context.Context, members []Member) bool {
 	sort.SliceStable(members, func(i, j int) bool { return !s.isAvoided(members[i].Entry) && s.isAvoided(members[j].Entry) })
 	for _, m := range members {
@@ -192,7 +196,7 @@
 	return false
 }
 
-// exchange asks m for what this entry lacks, and sends m what m lacks.
+// exchange requests from m what this entry lacks, and then sends m what m lacks.
 func (s *Spread) exchange(ctx context.Context, m Member) error {
 	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
@@ -215,16 +219,17 @@
 	return s.Call(ctx, m.Address, SpreadName+".Exchange", SpreadArgs{Zone: s.Self.Zone, Told: update}, &SpreadReply{})
 }
 
-// stateSince returns this entry's state, with the rows that a peer at version since lacks,
-// and the withdrawals that its digest stands for.
+// stateSince returns this entry's state, including the rows that a peer at version since
+// lacks, and separately the list of withdrawals that the state contains only as a digest.
 func (s *Spread) stateSince(since core.Version) (Told, []key.Withdrawal) {
-	// The summary is taken before the rows: its evidence must not be newer than they.
+	// The summary is taken before the rows: its evidence must not be newer than the rows.
 	keys := s.Replica.Summary()
 	return newTold(s.Replica.DeltaSince(since), keys), keys.Withdrawals
 }
 
-// merge takes in what an entry of zone told. Held are the withdrawals that this entry
-// held when the teller left them out.
+// merge applies the state received from an entry of zone. held is the digest of the
+// withdrawals that this entry held before: a sender whose own digest is the same omits
+// the list.
 func (s *Spread) merge(t Told, held setDigest, zone core.ZoneID, sent time.Time) error {
 	if s.skipWithdrawalCheck {
 		held = t.Unrecorded
@@ -232,7 +237,7 @@
 	return s.Replica.FromPeer(t.delta(), t.summary(held), zone, sent)
 }
 
-// Withdraw puts a withdrawal in force at m, for the operator's command.
+// Withdraw applies a withdrawal at m immediately, on behalf of an operator.
 func (s *Spread) Withdraw(ctx context.Context, m Member, w key.Withdrawal) error {
 	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
@@ -258,10 +263,10 @@
 	s.avoidedUntil[e] = s.Now().Add(avoidDuration)
 }
 
-// SpreadReceiver answers peers' Spread calls.
+// SpreadReceiver is the net/rpc receiver of a Spread.
 type SpreadReceiver struct{ spread *Spread }
 
-// Exchange takes in what the sender told and answers with what it lacks.
+// Exchange applies the sender's state and replies with what the sender lacks.
 func (r *SpreadReceiver) Exchange(args SpreadArgs, reply *SpreadReply) error {
 	s := r.spread
 	held := digestOf(s.Replica.Summary().Withdrawals)
@@ -276,7 +281,7 @@
 	return nil
 }
 
-// Withdraw puts withdrawals in force here.
+// Withdraw applies withdrawals at this entry.
 func (r *SpreadReceiver) Withdraw(args WithdrawArgs, reply *WithdrawReply) error {
 	r.spread.Replica.Withdraw(args.Withdrawals...)
 	reply.Entry, reply.Zone = r.spread.Self.Entry, r.spread.Self.Zone
--- a/io/peer/spread_bench_test.go
+++ b/io/peer/spread_bench_test.go
@@ -14,13 +14,14 @@
 	"lavenderpond/io/supervisor"
 )
 
-// countingClient is a net/rpc connection within the process that counts the bytes written to it.
+// countingClient is a net/rpc client over an in-process connection. It counts the bytes
+// written by both ends.
 type countingClient struct {
 	*rpc.Client
 	bytes atomic.Int64
 }
 
-// writeCountingConn is one end of a wire.
+// writeCountingConn adds the bytes written to it to a counter.
 type writeCountingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -32,7 +33,7 @@
 	return n, err
 }
 
-// useNetRPC lets all further calls go over net/rpc.
+// useNetRPC makes all further calls go over net/rpc.
 func (f *spreadFleet) useNetRPC(b *testing.B, g *supervisor.Group) {
 	f.clients = make(map[string]*countingClient)
 	for _, e := range f.entries {
@@ -46,7 +47,7 @@
 	}
 }
 
-// bytesSent returns the bytes of all calls and replies so far.
+// bytesSent returns the total size of all calls and replies so far.
 func (f *spreadFleet) bytesSent() int64 {
 	var sum int64
 	for _, w := range f.clients {
@@ -55,8 +56,8 @@
 	return sum
 }
 
-// BenchmarkSpread counts the messages and bytes of a quiet second, by size of the
-// fleet, with the table up and down.
+// BenchmarkSpread reports the number and size of the messages per second without
+// changes, for fleets of several sizes, with the table up and down.
 func BenchmarkSpread(b *testing.B) {
 	for _, size := range []struct{ zones, perZone int }{{3, 2}, {3, 6}, {7, 6}, {7, 24}} {
 		for _, tableDown := range []bool{false, true} {
--- a/io/peer/spread_test.go
+++ b/io/peer/spread_test.go
@@ -27,8 +27,8 @@
 	leakedKey   = core.Digest("leaked")
 )
 
-// spreadFleet is three zones of three entries with real watchers, spreads and
-// configurations, over a table in memory and calls that don't leave the process.
+// spreadFleet runs real watchers, Spreads and configurations for the entries of several
+// zones, with an in-memory table and in-process calls.
 type spreadFleet struct {
 	now     time.Time
 	rows    table.Memory
@@ -36,13 +36,13 @@
 	zones   []core.ZoneID
 	r       *rand.Rand
 	calls   int
-	// dateOnReceipt dates a peer's evidence when its message comes.
+	// dateOnReceipt replaces the time of a peer's table evidence by the time of receipt.
 	dateOnReceipt bool
-	// withdrawalLists counts the messages and replies with a list of withdrawals, lost is true
-	// for those that are lost.
+	// withdrawalLists counts the messages and replies that contain a list of
+	// withdrawals. drop returns true for the messages to lose.
 	withdrawalLists int
 	drop            func(to *spreadEntry, t Told) bool
-	// wires, if made, carry the calls to each address as net/rpc would, and count.
+	// clients, if set, carries the calls to each address over net/rpc and counts bytes.
 	clients map[string]*countingClient
 }
 
@@ -55,7 +55,7 @@
 	dead         bool
 }
 
-// Read and the other methods of platform.Table are the entry's way to the table.
+// Read and the following methods implement platform.Table for the entry.
 func (e *spreadEntry) Read(_ context.Context, key table.Key) (table.Row, error) {
 	if !e.reachesTable {
 		return table.Row{}, table.ErrUnreachable
@@ -138,14 +138,15 @@
 	return err
 }
 
-// redate dates evidence on receipt, if the test says so.
+// redate sets the time of table evidence to now if dateOnReceipt is set.
 func (f *spreadFleet) redate(t *Told) {
 	if f.dateOnReceipt && t.Complete != 0 {
 		t.Complete = toUnixMilli(f.now)
 	}
 }
 
-// advanceSecond lets one second pass: a round of each entry, and a poll every other second.
+// advanceSecond advances the clock by one second and runs a round of each live entry, in
+// random order. Each entry polls the table every other second.
 func (f *spreadFleet) advanceSecond() {
 	f.now = f.now.Add(time.Second)
 	for _, i := range f.r.Perm(len(f.entries)) {
@@ -160,7 +161,8 @@
 	}
 }
 
-// secondsUntil counts the seconds until every live entry is as wanted, up to a minute.
+// secondsUntil returns the number of seconds until wanted is true for every live entry,
+// at most 60.
 func (f *spreadFleet) secondsUntil(wanted func(e *spreadEntry) bool) int {
 	for seconds := range 60 {
 		all := true
@@ -183,7 +185,8 @@
 	return applied.Version
 }
 
-// newFleetWithKeys makes a fleet with keys in force, in which one entry is dead.
+// newFleetWithKeys returns a fleet in which all entries know two keys and a random entry
+// is dead.
 func newFleetWithKeys(t *testing.T, r *rand.Rand, noCrossZone bool) *spreadFleet {
 	f := newSpreadFleet(r, spreadZones, 3, noCrossZone)
 	f.apply(t, "team", config.SetTeam{Author: "ana", Team: spreadTeam, Value: config.Team{Share: 1, Limit: 4}})
@@ -194,6 +197,8 @@
 	return f
 }
 
+// restrictTable makes the table reachable for one entry only, or for none if only is nil.
+// restrictTable makes the table reachable for one entry only, or for none if only is nil.
 func (f *spreadFleet) restrictTable(only *spreadEntry) {
 	for _, e := range f.entries {
 		e.reachesTable = e == only
@@ -208,10 +213,12 @@
 	}
 }
 
-// Callers of most entries would see an old limit, or a withdrawn key that still works:
-// the table goes down for all entries but one when the change was accepted, then for
-// that one too, and one entry, perhaps a relay, is dead. The change crosses from entry
-// to relay, relay to relay, and relay to entry. Without the relay it stays in a zone.
+// TestChangesReachAllEntriesWithinSeconds checks that a change reaches all entries
+// although the table is down for all entries but one when the change is accepted, and
+// soon for that one too, and although one entry, possibly a relay, is dead. Otherwise
+// the callers of most entries would see an old limit, or a withdrawn key that is still
+// accepted. The change goes from entry to relay, from relay to relay, and from relay to
+// entry. Without the exchange between zones it stays in one zone.
 func TestChangesReachAllEntriesWithinSeconds(t *testing.T) {
 	const seeds = 100
 	for _, noCrossZone := range []bool{false, true} {
@@ -243,9 +250,10 @@
 	}
 }
 
-// With the table down, the keys stay trusted among three zones, also while a whole zone
-// is dead, and a lone zone stops trusting its list after 10 s. When the table is back,
-// a withdrawal that one entry was told is recorded there once.
+// TestKeysStayFreshDuringTableOutage checks that the key lists of three zones stay fresh
+// while the table is down, even if a whole zone is dead, and that the list of an
+// isolated zone becomes stale after 10 s. When the table is back, a withdrawal that was
+// sent to one entry is recorded in the table exactly once.
 func TestKeysStayFreshDuringTableOutage(t *testing.T) {
 	f := newFleetWithKeys(t, rand.New(rand.NewPCG(1, 6)), false)
 	good := func(e *spreadEntry) bool {
@@ -280,8 +288,8 @@
 	assert.Equal(t, recorded, 1)
 }
 
-// secondsUntilStale leaves the first zone alone, and returns after how many seconds its last
-// entry stops trusting its keys: at most 60.
+// secondsUntilStale isolates the first zone by ending all other entries. It returns the
+// number of seconds until the key lists of all its entries are stale, at most 60.
 func (f *spreadFleet) secondsUntilStale() int {
 	for i, e := range f.entries {
 		e.dead = e.dead || i >= 3
@@ -292,10 +300,11 @@
 	})
 }
 
-// A zone is cut off from the table and from the other zones, where a key is withdrawn.
-// Its callers' keys stop being trusted within seconds, although its entries go on
-// hearing from one another: what they tell is dated when it was learnt. Dated on
-// receipt, they keep each other's lists trusted for ever, and the withdrawn key works.
+// TestIsolatedZoneGoesStale checks that the key lists of a zone that is isolated from the
+// table and from the other zones become stale within seconds, although its entries still
+// exchange state with each other. A key that is withdrawn in the other zones must not be
+// accepted for longer. Evidence therefore carries the time at which it was obtained. If
+// it were dated on receipt, the entries would keep each other's lists fresh forever.
 func TestIsolatedZoneGoesStale(t *testing.T) {
 	const seeds = 100
 	for _, dateOnReceipt := range []bool{false, true} {
--- a/io/peer/spread_told.go
+++ b/io/peer/spread_told.go
@@ -11,8 +11,9 @@
 	"lavenderpond/core/table"
 )
 
-// unixMilli is an instant in milliseconds since 1970, rounded down; 0 is none. A
-// time.Time costs twice the bytes. Rounded down, evidence is never made younger.
+// unixMilli is a time in milliseconds since the Unix epoch, or 0 for the zero time. It
+// takes half the bytes of a time.Time on the wire. Times are rounded down, so that
+// rounding never makes evidence look fresher than it is.
 type unixMilli int64
 
 func toUnixMilli(t time.Time) unixMilli {
@@ -29,7 +30,7 @@
 	return time.UnixMilli(int64(m))
 }
 
-// setDigest stands for a set of withdrawals; 0 is the empty one.
+// setDigest is a digest of a set of withdrawals. 0 represents the empty set.
 type setDigest uint64
 
 func digestOf(withdrawals []key.Withdrawal) setDigest {
@@ -43,32 +44,34 @@
 	return setDigest(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// Told is what an entry tells a peer in one message. Told in full, with the time of
-// every zone's contact and every withdrawal, it took a relay of seven zones over the
-// 10 KB/s that its control may cost (docs/CAPACITY.md), so a quiet one says little
-// more than that there is nothing new.
+// Told is the state that an entry sends to a peer in one message. With all contact times
+// and all withdrawals in every message, a relay in a fleet of seven zones would exceed
+// its limit of 10 KB/s for control traffic (docs/CAPACITY.md). So a message without
+// changes contains little more than the version and a digest.
 type Told struct {
-	// Version is the configuration version that the teller holds.
+	// Version is the sender's configuration version.
 	Version core.Version
-	// Behind is how many versions below Version the Rows start.
+	// Behind is the number of versions that the Rows cover: they contain the changes
+	// since Version - Behind.
 	Behind core.Version
 	Rows   []table.Row
-	// Complete, Contacts and Joined are those of key.Summary; Contacts only those later
-	// than Complete.
+	// Complete, Contacts and Joined have the same meaning as in key.Summary. Contacts
+	// contains only times later than Complete.
 	Complete unixMilli
 	Contacts map[core.ZoneID]unixMilli
 	Joined   bool
-	// Unrecorded stands for the withdrawals that aren't in the table yet. Withdrawals
-	// lists them, unless the receiver is thought to hold them or to ask for them.
+	// Unrecorded is the digest of the withdrawals that aren't in the table yet.
+	// Withdrawals lists them. The list is omitted in the first message of an exchange,
+	// and if the receiver's own digest was the same.
 	Unrecorded  setDigest
 	Withdrawals []key.Withdrawal
 }
 
-// newTold says d and s, without the list of withdrawals.
+// newTold returns the message for d and s, without the list of withdrawals.
 //
-// A contact that isn't later than the evidence by the table adds nothing to it, and
-// neither does it at the receiver, who dates both back alike: whatever rests on the
-// contact, the table's word proves too.
+// Contacts that aren't later than the latest table read are omitted: the table read
+// proves everything that such a contact proves. That holds at the receiver as well,
+// because it reduces both times by the same clock skew.
 func newTold(d config.Delta, s key.Summary) Told {
 	t := Told{
 		Version: d.Version, Behind: d.Version - d.Base, Rows: d.Rows,
@@ -89,18 +92,20 @@
 	t.Contacts[z] = at
 }
 
-// delta returns the rows that were told.
+// delta returns the configuration changes in the message.
 func (t *Told) delta() config.Delta {
 	return config.Delta{Base: t.Version - t.Behind, Version: t.Version, Rows: t.Rows}
 }
 
-// summary returns what was told of the key ring, to a receiver that holds held.
+// summary returns the key ring's part of the message, for a receiver that holds the
+// withdrawals with digest held.
 //
-// Evidence counts only together with the withdrawals that it vouches for. Taken from
-// a message that left them out, it would keep this entry's list trusted although it
-// lacks one, and the withdrawn key would go on working here. Withdrawals only grow,
-// so an equal digest proves that none is lacking, and the list that settles another
-// one comes with the reply or the next message.
+// Evidence of freshness is valid only together with the sender's withdrawals. If it
+// were used from a message that omits them, the receiver's list would stay fresh
+// although a withdrawal is missing, and the withdrawn key would still be accepted. So
+// if the withdrawals are omitted and the digests differ, the result is empty; the list
+// follows in the reply or the next message. Withdrawals are only ever added, so equal
+// digests prove that none is missing.
 func (t *Told) summary(held setDigest) key.Summary {
 	if t.Unrecorded != 0 && t.Unrecorded != held && len(t.Withdrawals) == 0 {
 		return key.Summary{}
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -18,8 +18,9 @@
 	stepCount = 400
 )
 
-// ringComparison is the same entries twice: whole ones tell each other all of their
-// summaries, brief ones what Told leaves of them.
+// ringComparison runs the same events on two sets of key rings: the full rings exchange
+// complete summaries, the compact rings exchange Told messages, which omit redundant
+// contacts.
 type ringComparison struct {
 	r             *rand.Rand
 	now           time.Time
@@ -56,7 +57,8 @@
 	}
 }
 
-// firstDifference returns the first step after which an entry's evidence differs, or -1.
+// firstDifference returns the first step after which the evidence of a full ring and of
+// its compact counterpart differ, or -1.
 func (w *ringComparison) firstDifference() int {
 	for step := range stepCount {
 		w.step()
@@ -70,10 +72,11 @@
 	return -1
 }
 
-// Told leaves out the contacts that its table evidence covers. Were one needed, entries
-// without the table would lose evidence that they have today and refuse their callers
-// with keys_stale. Held against rings that tell each other all: never another evidence,
-// nor another say for the own zone. With a contact left out that isn't covered it differs.
+// TestToldKeepsRequiredContacts checks that rings that exchange Told messages always have
+// the same evidence, and the same Joined, as rings that exchange complete summaries.
+// Told omits the contacts that its table evidence covers. If it omitted a contact that is
+// needed, entries that can't reach the table would refuse their callers with keys_stale.
+// To prove that the test can fail, contacts that aren't covered are omitted as well.
 func TestToldKeepsRequiredContacts(t *testing.T) {
 	const seeds = 200
 	detected := 0
@@ -92,10 +95,11 @@
 	assert.Assert(t, detected > 0, "the contacts are not needed")
 }
 
-// A withdrawn key would go on working at an entry that is told of fresh evidence but
-// not of the withdrawal: the table is down, one entry of za was told, and its list gets
-// lost each time on the way to zb, while the quiet messages arrive. Within the trust
-// that zb had, its entries must refuse the key as stale.
+// TestEvidenceRequiresWithdrawals checks that evidence isn't used without the withdrawals
+// that it depends on. zb can't reach the table, and an entry of za has received a
+// withdrawal. The messages that list it are lost on the way to zb, while those without
+// lists arrive. If zb used their evidence, it would accept the withdrawn key. Instead,
+// its list must become stale, so that it refuses the key.
 func TestEvidenceRequiresWithdrawals(t *testing.T) {
 	accepted := func(skipWithdrawalCheck bool) bool {
 		f := newSpreadFleet(rand.New(rand.NewPCG(1, 9)), spreadZones[:2], 1, false)
@@ -110,8 +114,7 @@
 		f.drop = func(to *spreadEntry, t Told) bool { return to != receiver || len(t.Withdrawals) > 0 }
 		for range 30 {
 			f.now = f.now.Add(time.Second)
-			// The teller's contact with the table, while the record of the withdrawal
-			// doesn't take effect there.
+			// The sender reads the table, in which the withdrawal isn't recorded yet.
 			assert.NilError(t, sender.config.FromTable(config.Delta{Version: sender.config.Version()}, f.now))
 			sender.spread.Round(context.Background())
 		}
@@ -122,9 +125,9 @@
 	assert.Assert(t, accepted(true), "red: the safeguard is not needed")
 }
 
-// An outage of the table in which many keys are withdrawn must not fill the relays'
-// messages: once all entries hold the withdrawals, no message lists them again, and a
-// key that is withdrawn later is listed again.
+// TestSpreadListsWithdrawalsOnce checks that no message lists the withdrawals once all
+// entries hold them, and that a key that is withdrawn later is listed again. Otherwise
+// the relays' messages would grow during a table outage in which many keys are withdrawn.
 func TestSpreadListsWithdrawalsOnce(t *testing.T) {
 	f := newFleetWithKeys(t, rand.New(rand.NewPCG(1, 10)), false)
 	f.restrictTable(nil)
