--- a/io/link/link.go
+++ b/io/link/link.go
@@ -163,7 +163,7 @@
 		}
 		listener, err := net.Listen("tcp", f.Listen.String())
 		if err != nil {
-			return errors.Wrapf(err, "link %s", l.name)
+			return errors.Wrapf(err, "listen for link %s", l.name)
 		}
 		if l.track(listener) {
 			l.accept(ctx, listener, f, &g)
--- a/io/netrpc/netrpc.go
+++ b/io/netrpc/netrpc.go
@@ -62,7 +62,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "accept peer")
+			return errors.Wrap(err, "accept connection")
 		}
 		g.Go(func() { s.ServeConn(ctx, conn) })
 	}
--- a/io/netrpc/silence_test.go
+++ b/io/netrpc/silence_test.go
@@ -18,7 +18,7 @@
 func TestSilenceDetector(t *testing.T) {
 	var d silenceDetector
 	assert.Assert(t, d.callStarted())
-	assert.Assert(t, !d.callStarted(), "looks have begun")
+	assert.Assert(t, !d.callStarted(), "probing has already started")
 	for _, replied := range []bool{true, false} {
 		for range maxSilentProbes {
 			assert.Equal(t, d.probe(), probePing)
@@ -32,7 +32,7 @@
 	d.callEnded()
 	d.callEnded()
 	assert.Equal(t, d.probe(), probeStop)
-	assert.Assert(t, d.callStarted(), "looks begin again")
+	assert.Assert(t, d.callStarted(), "probing must start again")
 	assert.Equal(t, d.probe(), probePing)
 }
 
--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -152,7 +152,7 @@
 	sm.handle(shard.ShuttingDown{HandOverBy: by})
 	for sm.HeldCount() > 0 {
 		if !supervisor.Sleep(ctx, releasePollInterval) {
-			return errors.Errorf("%d shards were not handed over; they wait for their successors", sm.HeldCount())
+			return errors.Errorf("%d shards were not handed over; they are unavailable until their successors take over", sm.HeldCount())
 		}
 		sm.handle(shard.Tick{})
 	}
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -33,7 +33,7 @@
 func (sm *ShardManager) refreshEntries(ctx context.Context) {
 	live, err := sm.cfg.Live.Live(ctx, sm.cfg.Params.Zone)
 	if err != nil {
-		sm.cfg.Log.Debug().Err(err).Msg("live list not read")
+		sm.cfg.Log.Debug().Err(err).Msg("failed to read the live list")
 		return
 	}
 	sm.mu.Lock()
--- a/io/peer/shard_table.go
+++ b/io/peer/shard_table.go
@@ -84,7 +84,7 @@
 	sentAt := sm.now()
 	rows, err := sm.rows.read(ctx)
 	if err != nil {
-		sm.cfg.Log.Debug().Err(err).Msg("shard rows not read")
+		sm.cfg.Log.Debug().Err(err).Msg("failed to read the shard rows")
 		return
 	}
 	sm.handle(shard.RowsRead{SentAt: sentAt, Rows: rows})
@@ -126,7 +126,7 @@
 	for _, row := range rows {
 		i, err := strconv.ParseUint(strings.TrimPrefix(string(row.Key), prefix), 10, 32)
 		if err != nil {
-			return nil, errors.Wrapf(err, "shard row %s", row.Key)
+			return nil, errors.Wrapf(err, "parse the key of shard row %s", row.Key)
 		}
 		v := shard.VersionedRow{Shard: core.ShardIndex(i), Version: row.Version}
 		if err := row.Decode(&v.Row); err != nil {
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -41,7 +41,7 @@
 		z.advance(10 * time.Second)
 		e := z.entries["a1"]
 		key := z.requestHeldBy(e)
-		assert.Assert(t, !e.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute), VM: "vm"}), "not mirrored")
+		assert.Assert(t, !e.Start(z.now, shard.Start{Key: key, Deadline: z.now.Add(time.Minute), VM: "vm"}), "the start was allowed before it was mirrored")
 		z.settle()
 		assert.DeepEqual(t, e.allowed, []core.RequestKey{key})
 		e.handle(shard.ShuttingDown{HandOverBy: z.now.Add(5 * time.Second)})
@@ -50,7 +50,7 @@
 		counts, _ := z.heldCounts()
 		assert.Equal(t, counts["a2"]+counts["a3"], testShards)
 		if forgetStarts {
-			assert.Equal(t, z.countRunners(key), 1, "the test can't fail")
+			assert.Equal(t, z.countRunners(key), 1, "forgetful successors must run the request again")
 			continue
 		}
 		assert.Equal(t, z.countRunners(key), 0)
@@ -79,7 +79,7 @@
 		z.advance(tickInterval)
 		handedBack = max(handedBack, z.entries["a1"].HeldCount())
 	}
-	assert.Equal(t, handedBack, 0, "shards handed to an entry that stops")
+	assert.Equal(t, handedBack, 0, "shards handed to a stopping entry")
 	assert.Equal(t, z.entries["a2"].HeldCount(), testShards)
 }
 
@@ -193,7 +193,7 @@
 	update := func(now time.Time, live ...platform.Liveness) []core.EntryID {
 		return l.update(now, live, named).Gone
 	}
-	assert.Equal(t, len(update(at)), 0, "an empty list")
+	assert.Equal(t, len(update(at)), 0, "empty list")
 	assert.Equal(t, len(update(at, other)), 0)
 	assert.DeepEqual(t, update(at, self, other), []core.EntryID{"b#500"})
 	assert.DeepEqual(t, update(at.Add(unseenEntryTimeout-1), self, other), []core.EntryID{"b#500"})
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -191,7 +191,7 @@
 		if err == nil {
 			return true
 		}
-		s.Log.Debug().Err(err).Str("peer", string(m.Entry)).Msg("exchange failed")
+		s.Log.Debug().Err(err).Str("peer", string(m.Entry)).Msg("failed to exchange configuration and withdrawals")
 	}
 	return false
 }
--- a/io/peer/spread_test.go
+++ b/io/peer/spread_test.go
@@ -243,7 +243,7 @@
 		}
 		sort.Ints(changes)
 		sort.Ints(withdrawals)
-		t.Logf("relay off %t: %d seeds; change in force everywhere after %d s (median) to %d s; withdrawal told to one entry, table down: %d s to %d s",
+		t.Logf("cross-zone exchange disabled %t: %d seeds; change applied everywhere after %d s (median) to %d s; withdrawal sent to one entry, table down: %d s to %d s",
 			noCrossZone, seeds, changes[seeds/2], changes[seeds-1], withdrawals[seeds/2], withdrawals[seeds-1])
 		assert.Check(t, noCrossZone || changes[seeds-1] <= 8 && withdrawals[seeds-1] <= 6)
 		assert.Check(t, !noCrossZone || changes[0] > 60 && withdrawals[0] == 60)
@@ -317,7 +317,7 @@
 			stale = append(stale, f.secondsUntilStale())
 		}
 		sort.Ints(stale)
-		t.Logf("dated on receipt %t: %d seeds; a lone zone's last entry refuses after %d s to %d s", dateOnReceipt, seeds, stale[0], stale[seeds-1])
+		t.Logf("dated on receipt %t: %d seeds; the last entry of an isolated zone refuses keys after %d s to %d s", dateOnReceipt, seeds, stale[0], stale[seeds-1])
 		assert.Check(t, dateOnReceipt || stale[0] > 0 && stale[seeds-1] <= 12)
 		assert.Check(t, !dateOnReceipt || stale[0] == 60)
 	}
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -82,7 +82,7 @@
 	detected := 0
 	for seed := range uint64(seeds) {
 		step := newRingComparison(seed, func(t Told) Told { return t }).firstDifference()
-		assert.Equal(t, step, -1, "seed %d: evidence differs after this step", seed)
+		assert.Equal(t, step, -1, "seed %d: evidence differs after the step", seed)
 		withoutContact := func(t Told) Told {
 			delete(t.Contacts, spreadZones[0])
 			return t
@@ -91,8 +91,8 @@
 			detected++
 		}
 	}
-	t.Logf("zone %s never told: %d of %d seeds red", spreadZones[0], detected, seeds)
-	assert.Assert(t, detected > 0, "the contacts are not needed")
+	t.Logf("contact with zone %s omitted: evidence differs for %d of %d seeds", spreadZones[0], detected, seeds)
+	assert.Assert(t, detected > 0, "omitting a required contact was not detected")
 }
 
 // TestEvidenceRequiresWithdrawals checks that evidence isn't used without the withdrawals
@@ -122,7 +122,7 @@
 		return ok || code != core.CodeKeysStale
 	}
 	assert.Assert(t, !accepted(false))
-	assert.Assert(t, accepted(true), "red: the safeguard is not needed")
+	assert.Assert(t, accepted(true), "without the check, the withdrawn key must still be accepted")
 }
 
 // TestSpreadListsWithdrawalsOnce checks that no message lists the withdrawals once all
