--- a/io/link/link.go
+++ b/io/link/link.go
@@ -75,16 +75,16 @@
 func (l *Link) Set(state State, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	closeAll := state == Refused || l.state.discards() && state != l.state
+	closeConns := state == Refused || l.state.discards() && state != l.state
 	l.state, l.delay = state, delay
 	close(l.changed)
 	l.changed = make(chan struct{})
-	if !closeAll {
+	if !closeConns {
 		return
 	}
 	for c := range l.closers {
-		_, listens := c.(net.Listener)
-		if !listens || state == Refused {
+		_, isListener := c.(net.Listener)
+		if !isListener || state == Refused {
 			_ = c.Close()
 			delete(l.closers, c)
 		}
--- a/io/netrpc/netrpc.go
+++ b/io/netrpc/netrpc.go
@@ -95,9 +95,9 @@
 	probeInterval time.Duration
 }
 
-func newClient(conn net.Conn, lookEvery time.Duration) *client {
-	c := &client{probeInterval: lookEvery}
-	if lookEvery == 0 {
+func newClient(conn net.Conn, probeInterval time.Duration) *client {
+	c := &client{probeInterval: probeInterval}
+	if probeInterval == 0 {
 		c.probeInterval = defaultProbeInterval
 	}
 	codec := newClientCodec(conn, c.silence.replyReceived)
--- a/io/peer/spread_test.go
+++ b/io/peer/spread_test.go
@@ -100,13 +100,13 @@
 }
 
 func (f *spreadFleet) members(zone core.ZoneID) []Member {
-	var list []Member
+	var members []Member
 	for _, e := range f.entries {
 		if e.spread.Self.Zone == zone {
-			list = append(list, e.spread.Self)
+			members = append(members, e.spread.Self)
 		}
 	}
-	return list
+	return members
 }
 
 func (f *spreadFleet) call(_ context.Context, address, method string, args, reply any) error {
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -29,41 +29,41 @@
 }
 
 func newRingComparison(seed uint64, transform func(Told) Told) *ringComparison {
-	w := &ringComparison{r: rand.New(rand.NewPCG(seed, 8)), now: spreadStart, transform: transform}
+	c := &ringComparison{r: rand.New(rand.NewPCG(seed, 8)), now: spreadStart, transform: transform}
 	for i := range ringCount {
 		ring := func() *key.Ring {
 			return &key.Ring{Zone: spreadZones[i%len(spreadZones)], Zones: spreadZones, Started: spreadStart}
 		}
-		w.full, w.compact = append(w.full, ring()), append(w.compact, ring())
+		c.full, c.compact = append(c.full, ring()), append(c.compact, ring())
 	}
-	return w
+	return c
 }
 
-func (w *ringComparison) step() {
-	w.now = w.now.Add(time.Duration(w.r.IntN(500)) * time.Millisecond)
-	i, sender := w.r.IntN(ringCount), w.r.IntN(ringCount)
-	switch w.r.IntN(8) {
+func (c *ringComparison) step() {
+	c.now = c.now.Add(time.Duration(c.r.IntN(500)) * time.Millisecond)
+	i, sender := c.r.IntN(ringCount), c.r.IntN(ringCount)
+	switch c.r.IntN(8) {
 	case 0:
-		w.full[i].Complete(w.now)
-		w.compact[i].Complete(w.now)
+		c.full[i].Complete(c.now)
+		c.compact[i].Complete(c.now)
 	case 1, 2:
-		zone := w.full[sender].Zone
-		w.full[i].RecordZoneContact(zone, w.now)
-		w.compact[i].RecordZoneContact(zone, w.now)
+		zone := c.full[sender].Zone
+		c.full[i].RecordZoneContact(zone, c.now)
+		c.compact[i].RecordZoneContact(zone, c.now)
 	default:
-		told := w.transform(newTold(config.Delta{}, w.compact[sender].Summary()))
-		w.full[i].Merge(w.full[sender].Summary(), true, time.Second/4)
-		w.compact[i].Merge(told.summary(0), true, time.Second/4)
+		told := c.transform(newTold(config.Delta{}, c.compact[sender].Summary()))
+		c.full[i].Merge(c.full[sender].Summary(), true, time.Second/4)
+		c.compact[i].Merge(told.summary(0), true, time.Second/4)
 	}
 }
 
 // firstDifference returns the first step after which the evidence of a full ring and of
 // its compact counterpart differ, or -1.
-func (w *ringComparison) firstDifference() int {
+func (c *ringComparison) firstDifference() int {
 	for step := range stepCount {
-		w.step()
-		for i := range w.full {
-			same := w.full[i].CompleteAsOf().Equal(w.compact[i].CompleteAsOf()) && w.full[i].Summary().Joined == w.compact[i].Summary().Joined
+		c.step()
+		for i := range c.full {
+			same := c.full[i].CompleteAsOf().Equal(c.compact[i].CompleteAsOf()) && c.full[i].Summary().Joined == c.compact[i].Summary().Joined
 			if !same {
 				return step
 			}
