--- a/io/link/link.go
+++ b/io/link/link.go
@@ -71,7 +71,8 @@
 	return &Link{name: name, state: Open, changed: make(chan struct{}), closers: make(map[interface{ Close() error }]bool)}
 }
 
-// Set changes the state and the delay of the link.
+// Set changes the state and the delay of the link. It closes all connections if the link
+// enters Refused or leaves a state that discards data. Refused closes the listeners too.
 func (l *Link) Set(state State, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,7 +249,8 @@
 			}
 		}
 		if err != nil {
-			// Also hide from the other end that this end has closed the connection.
+			// A simulated network fault hides the end of the connection from the other
+			// side as well.
 			_, _ = l.waitWhile(ctx, append(discarding, Held)...)
 			return
 		}
--- a/io/peer/forward.go
+++ b/io/peer/forward.go
@@ -59,7 +59,7 @@
 // Errors for a call at stage ToHolder that the peer rejected without acting on it.
 // Both wrap netrpc.ErrNotSent.
 var (
-	// ErrNotHolder means that the peer holds no lease on the shard of the id.
+	// ErrNotHolder means that the peer has no valid lease on the shard of the id.
 	ErrNotHolder = errors.Wrap(netrpc.ErrNotSent, "not the holder")
 	// ErrHandingOver means that the peer is stopping and is handing over its shards.
 	ErrHandingOver = errors.Wrap(netrpc.ErrNotSent, "handing over")
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -17,8 +17,8 @@
 // delay between two readers of the list.
 const unseenEntryTimeout = 30 * time.Second
 
-// entryTracker determines from successive lists of live entries which runs of entries
-// have ended.
+// entryTracker determines from successive lists of live entries which runs have ended. A
+// run is one process of an entry, identified by the entry's name and its start time.
 type entryTracker struct {
 	self         core.EntryID
 	seen         map[core.EntryID]bool
--- a/io/peer/shard_send.go
+++ b/io/peer/shard_send.go
@@ -56,6 +56,8 @@
 	}
 }
 
+// send makes one exchange. A batch that can't be delivered is dropped: the LeaseManager
+// tolerates lost messages. A reply from another run at the address is ignored.
 func (sm *ShardManager) send(batch ShardBatch) {
 	address, ok := sm.cfg.Address(batch.To)
 	if !ok {
--- a/io/peer/shard_table.go
+++ b/io/peer/shard_table.go
@@ -62,6 +62,8 @@
 	return settled.Outcome == shard.SwapApplied || settled.Outcome == shard.SwapConflict
 }
 
+// transact sends a swap to the table and returns its outcome. Any error other than a
+// conflict or an unreachable table means that the swap may have been applied.
 func (sm *ShardManager) transact(ctx context.Context, c shard.SwapRow) shard.Outcome {
 	t, err := c.Transaction(sm.cfg.Params.Zone)
 	if err != nil {
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -127,9 +127,9 @@
 }
 
 // TestDeadSuccessor checks what happens if an entry ends during a table outage. Its own
-// shards are unavailable, because only the table can move them. The shards whose
-// successor it was are still served: the list of live entries proves, before the lease
-// expires, that no entry can take over.
+// shards are unavailable until the table is back, because moving them requires the
+// table. The shards whose successor it was are still served: the list of live entries
+// proves, before the lease expires, that no entry can take over.
 func TestDeadSuccessor(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
 	z.advance(10 * time.Second)
--- a/io/peer/shard_zone_test.go
+++ b/io/peer/shard_zone_test.go
@@ -40,6 +40,7 @@
 	forgetStarts bool
 }
 
+// testEntry is one run of an entry with its server and its connections to peers.
 type testEntry struct {
 	*ShardManager
 	id         core.EntryID
@@ -69,6 +70,7 @@
 	z.group.Wait()
 }
 
+// startEntry starts a new run of the named entry and adds it to the list of live entries.
 func (z *shardZone) startEntry(name string) *testEntry {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(z.t, err)
@@ -107,7 +109,6 @@
 	delete(z.entries, name)
 }
 
-// unlist removes a run from the list of live entries.
 // unlist removes a run from the list of live entries.
 func (z *shardZone) unlist(id core.EntryID) {
 	for i, l := range z.listed {
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -26,9 +26,9 @@
 	// avoidDuration is how long a peer that didn't answer is tried only after the other
 	// entries of its zone.
 	avoidDuration = 5 * time.Second
-	// maxIdleRounds is the number of rounds between two exchanges of a relay with other
-	// zones if there is nothing new. It must be shorter than the maximum staleness of
-	// key lists.
+	// maxIdleRounds is the number of rounds from one exchange of a relay with other zones
+	// to the next if there is nothing new. They must take less time than the maximum
+	// staleness of key lists.
 	maxIdleRounds = 3
 )
 
@@ -91,8 +91,9 @@
 
 	mu           sync.Mutex
 	avoidedUntil map[core.EntryID]time.Time
-	// idleRounds counts the rounds since the last exchange with other zones. The other
-	// two are the version and the withdrawals that were sent in it.
+	// idleRounds counts the rounds since the last exchange with other zones.
+	// crossZoneVersion and crossZoneWithdrawals are the version and the digest of the
+	// withdrawals that this entry had then.
 	idleRounds           int
 	crossZoneVersion     core.Version
 	crossZoneWithdrawals setDigest
--- a/io/peer/spread_test.go
+++ b/io/peer/spread_test.go
@@ -197,7 +197,6 @@
 	return f
 }
 
-// restrictTable makes the table reachable for one entry only, or for none if only is nil.
 // restrictTable makes the table reachable for one entry only, or for none if only is nil.
 func (f *spreadFleet) restrictTable(only *spreadEntry) {
 	for _, e := range f.entries {
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -76,7 +76,8 @@
 // the same evidence, and the same Joined, as rings that exchange complete summaries.
 // Told omits the contacts that its table evidence covers. If it omitted a contact that is
 // needed, entries that can't reach the table would refuse their callers with keys_stale.
-// To prove that the test can fail, contacts that aren't covered are omitted as well.
+// As a control, the test also omits a contact that isn't covered, and checks that this
+// is detected for some seeds.
 func TestToldKeepsRequiredContacts(t *testing.T) {
 	const seeds = 200
 	detected := 0
