--- a/io/netrpc/serve_test.go
+++ b/io/netrpc/serve_test.go
@@ -103,8 +103,8 @@
 	_, p, address := newEchoServer(t)
 	var reply string
 	err := p.Call(t.Context(), address, "Echo.None", "a", &reply)
-	var told rpc.ServerError
-	assert.Assert(t, errors.As(err, &told), "%v", err)
+	var remote rpc.ServerError
+	assert.Assert(t, errors.As(err, &remote), "%v", err)
 	reply, err = echo(t.Context(), p, address, "b")
 	assert.NilError(t, err)
 	assert.Equal(t, reply, "b")
@@ -116,11 +116,11 @@
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s := rpc.NewServer()
 	assert.NilError(t, s.RegisterName("Echo", e))
-	near, far := net.Pipe()
-	c := newConnection(s, far)
+	clientConn, serverConn := net.Pipe()
+	c := newConnection(s, serverConn)
 	var g supervisor.Group
 	g.Go(c.serve)
-	client := newClient(near, 0)
+	client := newClient(clientConn, 0)
 	const n = 3 * maxIdleReaders
 	var calls []*rpc.Call
 	for range n {
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -45,10 +45,10 @@
 // update processes a list of live entries and returns the event for the LeaseManager.
 // A list that doesn't contain this entry proves nothing about others: it is older than
 // this run, or wrong.
-func (l *entryTracker) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.EntriesListed {
-	if l.seen == nil {
-		l.seen, l.ended = map[core.EntryID]bool{}, map[core.EntryID]bool{}
-		l.missingSince = map[core.EntryID]time.Time{}
+func (t *entryTracker) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.EntriesListed {
+	if t.seen == nil {
+		t.seen, t.ended = map[core.EntryID]bool{}, map[core.EntryID]bool{}
+		t.missingSince = map[core.EntryID]time.Time{}
 	}
 	var e shard.EntriesListed
 	listed, newest := map[core.EntryID]bool{}, map[string]time.Time{}
@@ -67,14 +67,14 @@
 	}
 	// All entries must see the same order, because it determines which of them acts.
 	slices.Sort(e.Live)
-	if listed[l.self] {
-		l.findEnded(now, listed, newest, named)
+	if listed[t.self] {
+		t.findEnded(now, listed, newest, named)
 	}
 	for id := range listed {
-		l.seen[id] = true
+		t.seen[id] = true
 	}
 	for _, id := range named {
-		if l.ended[id] {
+		if t.ended[id] {
 			e.Gone = append(e.Gone, id)
 		}
 	}
@@ -83,24 +83,24 @@
 
 // findEnded records which entries have ended, given a list that contains this entry.
 // newest is the start time of the latest listed run by name.
-func (l *entryTracker) findEnded(now time.Time, listed map[core.EntryID]bool, newest map[string]time.Time, named []core.EntryID) {
-	for id := range l.seen {
+func (t *entryTracker) findEnded(now time.Time, listed map[core.EntryID]bool, newest map[string]time.Time, named []core.EntryID) {
+	for id := range t.seen {
 		if !listed[id] {
-			l.ended[id] = true
-			delete(l.seen, id)
+			t.ended[id] = true
+			delete(t.seen, id)
 		}
 	}
 	for _, id := range named {
 		switch {
-		case id == l.self || listed[id]:
-			delete(l.missingSince, id)
+		case id == t.self || listed[id]:
+			delete(t.missingSince, id)
 		case newest[id.Name()].After(id.Started()):
 			// A name has only one run at a time, so the older run has ended.
-			l.ended[id] = true
-		case l.missingSince[id].IsZero():
-			l.missingSince[id] = now
-		case now.Sub(l.missingSince[id]) >= unseenEntryTimeout:
-			l.ended[id] = true
+			t.ended[id] = true
+		case t.missingSince[id].IsZero():
+			t.missingSince[id] = now
+		case now.Sub(t.missingSince[id]) >= unseenEntryTimeout:
+			t.ended[id] = true
 		}
 	}
 }
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -189,9 +189,9 @@
 	at := time.UnixMilli(1000)
 	self, other := platform.Liveness{Name: "a", Started: at}, platform.Liveness{Name: "b", Started: at}
 	named := []core.EntryID{"a#1000", "b#1000", "c#500", "b#500"}
-	l := entryTracker{self: "a#1000"}
+	tracker := entryTracker{self: "a#1000"}
 	update := func(now time.Time, live ...platform.Liveness) []core.EntryID {
-		return l.update(now, live, named).Gone
+		return tracker.update(now, live, named).Gone
 	}
 	assert.Equal(t, len(update(at)), 0, "empty list")
 	assert.Equal(t, len(update(at, other)), 0)
@@ -260,10 +260,10 @@
 	reply.From, reply.To = batch.To, batch.From
 	server := netrpc.NewServer()
 	assert.NilError(b, server.Register(ShardName, &fixedReply{reply}))
-	here, there := net.Pipe()
-	conn := &countingConn{Conn: here}
+	clientConn, serverConn := net.Pipe()
+	conn := &countingConn{Conn: clientConn}
 	var g supervisor.Group
-	g.Go(func() { server.ServeConn(context.Background(), there) })
+	g.Go(func() { server.ServeConn(context.Background(), serverConn) })
 	client := rpc.NewClient(conn)
 	exchange := func() { assert.NilError(b, client.Call(ShardName+".Exchange", batch, &ShardBatch{})) }
 	exchange() // The first exchange also transmits the gob type definitions.
--- a/io/peer/spread_bench_test.go
+++ b/io/peer/spread_bench_test.go
@@ -39,19 +39,19 @@
 	for _, e := range f.entries {
 		server := rpc.NewServer()
 		assert.NilError(b, server.RegisterName(SpreadName, e.spread.Receiver()))
-		here, there := net.Pipe()
-		w := &countingClient{}
-		g.Go(func() { server.ServeConn(writeCountingConn{there, &w.bytes}) })
-		w.Client = rpc.NewClient(writeCountingConn{here, &w.bytes})
-		f.clients[e.spread.Self.Address] = w
+		clientConn, serverConn := net.Pipe()
+		client := &countingClient{}
+		g.Go(func() { server.ServeConn(writeCountingConn{serverConn, &client.bytes}) })
+		client.Client = rpc.NewClient(writeCountingConn{clientConn, &client.bytes})
+		f.clients[e.spread.Self.Address] = client
 	}
 }
 
 // bytesSent returns the total size of all calls and replies so far.
 func (f *spreadFleet) bytesSent() int64 {
 	var sum int64
-	for _, w := range f.clients {
-		sum += w.bytes.Load()
+	for _, client := range f.clients {
+		sum += client.bytes.Load()
 	}
 	return sum
 }
@@ -94,7 +94,7 @@
 	b.ReportMetric(float64(f.calls)/float64(b.N), "messages/s")
 	b.ReportMetric(float64(f.calls)/float64(b.N*len(f.entries)), "messages/s/entry")
 	b.ReportMetric(float64(f.bytesSent()-before)/float64(f.calls), "B/message")
-	for _, w := range f.clients {
-		assert.NilError(b, w.Close())
+	for _, client := range f.clients {
+		assert.NilError(b, client.Close())
 	}
 }
