--- a/io/netrpc/silence.go
+++ b/io/netrpc/silence.go
@@ -35,11 +35,15 @@
 // a call isn't silent, because it answers pings meanwhile. No pings are sent while no
 // call is pending. The zero value is ready to use.
 type silenceDetector struct {
-	mu           sync.Mutex
-	pending      int
-	received     bool
+	mu sync.Mutex
+	// pending counts the calls that wait for a reply.
+	pending int
+	// received is set if a reply was received since the last probe.
+	received bool
+	// silentProbes counts the successive probes that found that nothing was received.
 	silentProbes int
-	probing      bool
+	// probing is set while probes are scheduled.
+	probing bool
 }
 
 // probeAction is the action to take after a probe.
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -20,9 +20,13 @@
 // entryTracker determines from successive lists of live entries which runs have ended. A
 // run is one process of an entry, identified by the entry's name and its start time.
 type entryTracker struct {
-	self         core.EntryID
-	seen         map[core.EntryID]bool
-	ended        map[core.EntryID]bool
+	self core.EntryID
+	// seen contains the runs that were listed and haven't been found missing since.
+	seen map[core.EntryID]bool
+	// ended contains the runs that are known to have ended.
+	ended map[core.EntryID]bool
+	// missingSince maps runs that are named in rows but aren't listed to the time when
+	// that was noticed.
 	missingSince map[core.EntryID]time.Time
 }
 
