--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -75,7 +75,7 @@
 // Each entry exchanges state with its zone's relay, which is the first entry of the zone
 // that answers. Only the relay exchanges state with the relays of other zones. So the
 // number of messages per round is the number of entries plus the square of the number
-// of zones, and a change reaches every entry within three rounds.
+// of zones, and a change crosses the fleet in three rounds.
 type Spread struct {
 	Self    Member
 	Replica Replica
