--- a/io/netrpc/serve_test.go
+++ b/io/netrpc/serve_test.go
@@ -16,7 +16,8 @@
 	"lavenderpond/io/supervisor"
 )
 
-// slowEcho answers with what it was sent; a call for "slow" waits for the release.
+// slowEcho replies with its argument. A call with the argument "slow" signals entered
+// and then waits for release.
 type slowEcho struct{ entered, release chan struct{} }
 
 func (e *slowEcho) Call(args string, reply *string) error {
@@ -28,8 +29,9 @@
 	return nil
 }
 
-// newEcho returns a server at an address, and a Pool to call it with.
-func newEcho(t *testing.T) (*slowEcho, *Pool, string) {
+// newEchoServer starts a server and returns its receiver, a Pool to call it with, and
+// its address.
+func newEchoServer(t *testing.T) (*slowEcho, *Pool, string) {
 	t.Helper()
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s := NewServer()
@@ -54,12 +56,12 @@
 	return reply, err
 }
 
-// TestSlowCallsHoldUpNoOther: calls that wait for their targets come over the one
-// connection of a peer, more of them than goroutines are kept. A quick call behind
-// them is answered meanwhile, and then each of them.
-func TestSlowCallsHoldUpNoOther(t *testing.T) {
-	e, p, address := newEcho(t)
-	const n = 3 * idleReaders
+// TestSlowCallsDoNotBlockOthers checks that a quick call is answered while slow calls on
+// the same connection are pending, more of them than idle goroutines are kept. The slow
+// calls get their replies afterwards.
+func TestSlowCallsDoNotBlockOthers(t *testing.T) {
+	e, p, address := newEchoServer(t)
+	const n = 3 * maxIdleReaders
 	var g supervisor.Group
 	for range n {
 		g.Go(func() {
@@ -76,10 +78,10 @@
 	g.Wait()
 }
 
-// TestRepliesAreNotCrossed: many goroutines call over one connection at once, and
-// their messages share system calls. Each gets the reply to its own.
-func TestRepliesAreNotCrossed(t *testing.T) {
-	_, p, address := newEcho(t)
+// TestConcurrentCallsGetOwnReplies checks that each of many goroutines that call over one
+// connection, and whose messages share system calls, gets the reply to its own call.
+func TestConcurrentCallsGetOwnReplies(t *testing.T) {
+	_, p, address := newEchoServer(t)
 	var g supervisor.Group
 	for n := range 32 {
 		g.Go(func() {
@@ -94,31 +96,32 @@
 	g.Wait()
 }
 
-// TestUnknownMethodEndsNothing: an entry of another build calls what this one lacks. It
-// is told so, and the next call over the same connection is answered.
-func TestUnknownMethodEndsNothing(t *testing.T) {
-	_, p, address := newEcho(t)
+// TestUnknownMethodKeepsConnection checks that a call of a method that this build lacks
+// returns a server error, and that the next call over the same connection succeeds.
+// Entries of different builds run together during an upgrade.
+func TestUnknownMethodKeepsConnection(t *testing.T) {
+	_, p, address := newEchoServer(t)
 	var reply string
 	err := p.Call(t.Context(), address, "Echo.None", "a", &reply)
-	var told rpc.ServerError
-	assert.Assert(t, errors.As(err, &told), "%v", err)
+	var remote rpc.ServerError
+	assert.Assert(t, errors.As(err, &remote), "%v", err)
 	reply, err = echo(t.Context(), p, address, "b")
 	assert.NilError(t, err)
 	assert.Equal(t, reply, "b")
 }
 
-// TestFewReadersStay: a burst of slow calls needs a goroutine each. When it is over,
-// few of them stay to read.
-func TestFewReadersStay(t *testing.T) {
+// TestIdleReadersAreBounded checks that after a burst of slow calls, which needs one
+// goroutine per call, only maxIdleReaders goroutines remain.
+func TestIdleReadersAreBounded(t *testing.T) {
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s := rpc.NewServer()
 	assert.NilError(t, s.RegisterName("Echo", e))
-	near, far := net.Pipe()
-	c := newConnection(s, far)
+	clientConn, serverConn := net.Pipe()
+	c := newConnection(s, serverConn)
 	var g supervisor.Group
 	g.Go(c.serve)
-	client := newClient(near, 0)
-	const n = 3 * idleReaders
+	client := newClient(clientConn, 0)
+	const n = 3 * maxIdleReaders
 	var calls []*rpc.Call
 	for range n {
 		calls = append(calls, client.start("Echo.Call", "slow", new(string)))
@@ -128,27 +131,27 @@
 	for _, call := range calls {
 		assert.NilError(t, (<-call.Done).Error)
 	}
-	for working(c) != idleReaders {
+	for goroutineCount(c) != maxIdleReaders {
 		runtime.Gosched()
 	}
 	assert.NilError(t, client.Close())
 	g.Wait()
 }
 
-func working(c *connection) int {
+func goroutineCount(c *connection) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.working
+	return c.goroutines
 }
 
-// TestLastWriterFlushes: two goroutines write at once. Nothing is sent by the first,
-// everything by the second, also when its own message can't be encoded: the first
-// one's must not stay behind.
+// TestLastWriterFlushes checks that when two goroutines write at once, only the second
+// one flushes. It must also flush if its own message can't be encoded, or the first
+// message would remain in the buffer.
 func TestLastWriterFlushes(t *testing.T) {
 	for _, second := range []any{"second", make(chan int)} {
 		var sent bytes.Buffer
 		w := newWriter(&sent)
-		w.queued.Add(2)
+		w.pending.Add(2)
 		assert.NilError(t, w.write(1, "first"))
 		assert.Equal(t, sent.Len(), 0)
 		_ = w.write(2, second)
@@ -161,9 +164,9 @@
 	}
 }
 
-// TestCallOfAClosedConnection: the peer ends while a call waits for its reply. The
-// caller is told, and not that nothing was sent: the peer may have acted.
-func TestCallOfAClosedConnection(t *testing.T) {
+// TestConnectionClosedDuringCall checks that a pending call fails when the peer closes
+// the connection. The error must not be ErrNotSent, because the peer may have acted.
+func TestConnectionClosedDuringCall(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	var g supervisor.Group
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -61,7 +61,7 @@
 }
 
 func newRelaySet(ownAddress string, log zerolog.Logger) *relaySet {
-	return &relaySet{ownAddress: ownAddress, log: log, pool: netrpc.Pool{LookEvery: relayProbeInterval}, membersChanged: make(chan struct{}, 1)}
+	return &relaySet{ownAddress: ownAddress, log: log, pool: netrpc.Pool{ProbeInterval: relayProbeInterval}, membersChanged: make(chan struct{}, 1)}
 }
 
 // follow keeps the list of members up to date until ctx ends.
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -11,41 +11,48 @@
 	"lavenderpond/io/supervisor"
 )
 
-// unseenGone is how long an entry that a row names, and that this one never saw
-// listed, must be missing from the list to count as ended. Entries are named only
-// after they were listed, so what is missing is the lag between two readers.
-const unseenGone = 30 * time.Second
+// unseenEntryTimeout is how long an entry that is named in a row, and that this entry
+// has never seen in the list, must be missing from the list to count as ended. Entries
+// are named in rows only after they were listed, so the timeout only has to cover the
+// delay between two readers of the list.
+const unseenEntryTimeout = 30 * time.Second
 
-// entryLister finds out from successive lists which entries have ended.
-type entryLister struct {
-	self    core.EntryID
-	seen    map[core.EntryID]bool
-	gone    map[core.EntryID]bool
-	missing map[core.EntryID]time.Time
+// entryTracker determines from successive lists of live entries which runs have ended. A
+// run is one process of an entry, identified by the entry's name and its start time.
+type entryTracker struct {
+	self core.EntryID
+	// seen contains the runs that were listed and haven't been found missing since.
+	seen map[core.EntryID]bool
+	// ended contains the runs that are known to have ended.
+	ended map[core.EntryID]bool
+	// missingSince maps runs that are named in rows but aren't listed to the time when
+	// that was noticed.
+	missingSince map[core.EntryID]time.Time
 }
 
-func (k *ShardKeeper) runList(ctx context.Context) error {
-	return supervisor.Every(ctx, shardList, k.list)
+func (sm *ShardManager) runLister(ctx context.Context) error {
+	return supervisor.Every(ctx, listInterval, sm.refreshEntries)
 }
 
-func (k *ShardKeeper) list(ctx context.Context) {
-	live, err := k.cfg.Live.Live(ctx, k.cfg.Params.Zone)
+func (sm *ShardManager) refreshEntries(ctx context.Context) {
+	live, err := sm.cfg.Live.Live(ctx, sm.cfg.Params.Zone)
 	if err != nil {
-		k.cfg.Log.Debug().Err(err).Msg("live list not read")
+		sm.cfg.Log.Debug().Err(err).Msg("failed to read the live list")
 		return
 	}
-	k.mu.Lock()
-	named := k.keeper.NamedEntries()
-	k.mu.Unlock()
-	k.handle(k.lister.update(k.now(), live, named))
+	sm.mu.Lock()
+	named := sm.leases.NamedEntries()
+	sm.mu.Unlock()
+	sm.handle(sm.entries.update(sm.now(), live, named))
 }
 
-// update takes in a list. A list without this entry proves nothing about others:
-// it is older than this run, or wrong.
-func (l *entryLister) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.EntriesListed {
-	if l.seen == nil {
-		l.seen, l.gone = map[core.EntryID]bool{}, map[core.EntryID]bool{}
-		l.missing = map[core.EntryID]time.Time{}
+// update processes a list of live entries and returns the event for the LeaseManager.
+// A list that doesn't contain this entry proves nothing about others: it is older than
+// this run, or wrong.
+func (t *entryTracker) update(now time.Time, live []platform.Liveness, named []core.EntryID) shard.EntriesListed {
+	if t.seen == nil {
+		t.seen, t.ended = map[core.EntryID]bool{}, map[core.EntryID]bool{}
+		t.missingSince = map[core.EntryID]time.Time{}
 	}
 	var e shard.EntriesListed
 	listed, newest := map[core.EntryID]bool{}, map[string]time.Time{}
@@ -62,40 +69,42 @@
 			e.Live = append(e.Live, id)
 		}
 	}
-	// All entries must see the same order: it says whose turn it is.
+	// All entries must see the same order, because it determines which of them acts.
 	slices.Sort(e.Live)
-	if listed[l.self] {
-		l.findGone(now, listed, newest, named)
+	if listed[t.self] {
+		t.findEnded(now, listed, newest, named)
 	}
 	for id := range listed {
-		l.seen[id] = true
+		t.seen[id] = true
 	}
 	for _, id := range named {
-		if l.gone[id] {
+		if t.ended[id] {
 			e.Gone = append(e.Gone, id)
 		}
 	}
 	return e
 }
 
-func (l *entryLister) findGone(now time.Time, listed map[core.EntryID]bool, newest map[string]time.Time, named []core.EntryID) {
-	for id := range l.seen {
+// findEnded records which entries have ended, given a list that contains this entry.
+// newest is the start time of the latest listed run by name.
+func (t *entryTracker) findEnded(now time.Time, listed map[core.EntryID]bool, newest map[string]time.Time, named []core.EntryID) {
+	for id := range t.seen {
 		if !listed[id] {
-			l.gone[id] = true
-			delete(l.seen, id)
+			t.ended[id] = true
+			delete(t.seen, id)
 		}
 	}
 	for _, id := range named {
 		switch {
-		case id == l.self || listed[id]:
-			delete(l.missing, id)
+		case id == t.self || listed[id]:
+			delete(t.missingSince, id)
 		case newest[id.Name()].After(id.Started()):
-			// One name has one run at a time, so the older has ended.
-			l.gone[id] = true
-		case l.missing[id].IsZero():
-			l.missing[id] = now
-		case now.Sub(l.missing[id]) >= unseenGone:
-			l.gone[id] = true
+			// A name has only one run at a time, so the older run has ended.
+			t.ended[id] = true
+		case t.missingSince[id].IsZero():
+			t.missingSince[id] = now
+		case now.Sub(t.missingSince[id]) >= unseenEntryTimeout:
+			t.ended[id] = true
 		}
 	}
 }
