--- a/cmd/lavenderpond-soak/main.go
+++ b/cmd/lavenderpond-soak/main.go
@@ -19,9 +19,9 @@
 
 // Exit statuses.
 const (
-	exitOK     = 0
-	exitBroken = 1
-	exitFailed = 2
+	exitOK         = 0
+	exitViolations = 1
+	exitFailed     = 2
 )
 
 type options struct {
@@ -57,17 +57,17 @@
 		}
 		if !o.Quiet {
 			began := time.Now()
-			s.Tell = func(line string) { fmt.Printf("%8.3f s  %s\n", time.Since(began).Seconds(), line) }
+			s.OnFault = func(line string) { fmt.Printf("%8.3f s  %s\n", time.Since(began).Seconds(), line) }
 		}
-		broken, figures, err := s.Run(ctx)
+		violations, summary, err := s.Run(ctx)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return exitFailed
 		}
-		fmt.Printf("seed %d: %d broken; %s\n", seed, len(broken), figures)
-		for _, b := range broken {
-			fmt.Println("  " + b)
-			status = exitBroken
+		fmt.Printf("seed %d: %d broken; %s\n", seed, len(violations), summary)
+		for _, v := range violations {
+			fmt.Println("  " + v)
+			status = exitViolations
 		}
 	}
 	return status
--- /dev/null
+++ b/core/emulator/checker.go
@@ -0,0 +1,246 @@
+package emulator
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"lavenderpond/core/job"
+)
+
+// checker checks what must always hold, from what the VMs see alone.
+type checker struct {
+	w          *World
+	violations []string
+	// lateOrderShare of the orders get no answer and are carried out later.
+	lateOrderShare float64
+	// evacuationLimit bounds the starts in an availability zone after its evacuation.
+	evacuationLimit time.Duration
+	running         map[job.TaskID][]*vmRun
+	doneAt          map[job.TaskID]time.Time
+	notedDone       map[job.TaskID]bool
+	// failedRuns and notedFailed count the runs of each task that ended failed.
+	failedRuns, notedFailed map[job.TaskID]int
+	// crashes counts the VMs that crashed under each task, startsAfterCrashes the starts
+	// after too many of them.
+	crashes, startsAfterCrashLimit map[job.TaskID]int
+	// lastCrash is when a VM last crashed under each task.
+	lastCrash map[job.TaskID]time.Time
+	// gaveUp are the tasks that an owner says it has given up.
+	gaveUp map[job.TaskID]bool
+	// mayGiveUp are the jobs that crashes allow to be shown as failed.
+	mayGiveUp map[job.ID]bool
+	// lastStart is when each task was last started.
+	lastStart map[job.TaskID]time.Time
+	states    map[job.ID]job.State
+	// inMaintenance are the machines in upkeep.
+	inMaintenance map[job.MachineID]bool
+	waveState     job.WaveState
+	stoppedAt     map[job.TaskID]time.Time
+}
+
+func newChecker(w *World) *checker {
+	return &checker{
+		w: w, running: map[job.TaskID][]*vmRun{}, doneAt: map[job.TaskID]time.Time{},
+		notedDone: map[job.TaskID]bool{}, failedRuns: map[job.TaskID]int{}, notedFailed: map[job.TaskID]int{},
+		crashes: map[job.TaskID]int{}, lastCrash: map[job.TaskID]time.Time{}, startsAfterCrashLimit: map[job.TaskID]int{}, mayGiveUp: map[job.ID]bool{}, gaveUp: map[job.TaskID]bool{},
+		states:    map[job.ID]job.State{},
+		lastStart: map[job.TaskID]time.Time{}, inMaintenance: map[job.MachineID]bool{}, stoppedAt: map[job.TaskID]time.Time{},
+	}
+}
+
+// broken notes a violation.
+func (g *checker) violationf(format string, args ...any) {
+	g.violations = append(g.violations, fmt.Sprintf("%7.3f s: ", g.w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
+}
+
+// taskStarted checks a start: no second run, no run after a noted end, the steps
+// before it done, the account within its cap.
+func (g *checker) taskStarted(v *vm, r *vmRun) {
+	t := g.w.jobs[r.task.Job]
+	step := &t.Body.Steps[r.task.Step]
+	g.lastStart[r.task] = g.w.now
+	if len(g.running[r.task]) > 0 && !step.Speculative {
+		other := g.running[r.task][0]
+		g.violationf("%v attempt %d on %s beside attempt %d since %.3f s", r.task, r.attempt, v.id, other.attempt, other.startedAt.Sub(epoch).Seconds())
+	}
+	if g.notedDone[r.task] && !step.Speculative {
+		g.violationf("%v attempt %d on %s after its end was noted", r.task, r.attempt, v.id)
+	}
+	g.checkMaxAttempts(t, r)
+	g.checkCrashingTask(t, v, r)
+	g.checkCapacity(v, r)
+	if asked, ok := g.w.evacuated[v.machine.zone]; ok && g.w.now.Sub(asked) > g.evacuationLimit {
+		g.violationf("%v starts on %s in zone %s, which is evacuated since %.3f s", r.task, v.id, v.machine.zone, asked.Sub(epoch).Seconds())
+	}
+	if step.LongRunning {
+		g.w.after(longRunningStartup, func() { g.startupDone(r) })
+	}
+	for _, a := range step.After {
+		for i := range t.Body.Steps[a].Count {
+			before := job.TaskID{Job: r.task.Job, Occurrence: r.task.Occurrence, Step: a, Index: i}
+			if g.doneAt[before].IsZero() {
+				g.violationf("%v starts before %v is done", r.task, before)
+			}
+		}
+	}
+	if g.states[r.task.Job] == job.Completed {
+		g.violationf("%v starts after its job was shown as completed", r.task)
+	}
+	if t.cancelledAt.IsZero() || g.w.now.Sub(t.cancelledAt) < 3*time.Second || g.lateOrderShare > 0 {
+		g.running[r.task] = append(g.running[r.task], r)
+		g.checkQuota(t)
+		return
+	}
+	g.violationf("%v starts %s after its job was cancelled", r.task, g.w.now.Sub(t.cancelledAt))
+	g.running[r.task] = append(g.running[r.task], r)
+}
+
+func (g *checker) checkQuota(t *trackedJob) {
+	account := g.w.config.Account(t.Terms.Account)
+	if account == nil || account.Quota.CPU == 0 {
+		return
+	}
+	sum, most := int64(0), int64(0)
+	for id, runs := range g.running {
+		o := g.w.jobs[id.Job]
+		if o.Terms.Account != t.Terms.Account {
+			continue
+		}
+		cpu := o.Body.Steps[id.Step].Resources.CPU
+		sum += cpu * int64(len(runs))
+		most = max(most, cpu)
+	}
+	if sum > account.Quota.CPU*11/10+most {
+		g.violationf("account %s runs %d of %d", t.Terms.Account, sum, account.Quota.CPU)
+	}
+}
+
+func (g *checker) removeRun(r *vmRun) {
+	runs := g.running[r.task]
+	for i, x := range runs {
+		if x == r {
+			g.running[r.task] = append(runs[:i:i], runs[i+1:]...)
+		}
+	}
+	if len(g.running[r.task]) == 0 {
+		delete(g.running, r.task)
+	}
+}
+
+func (g *checker) taskEnded(_ *vm, r *vmRun, how job.Ending) {
+	g.removeRun(r)
+	switch {
+	case how == job.EndedDone && g.doneAt[r.task].IsZero():
+		g.doneAt[r.task] = g.w.now
+	case how == job.EndedFailed:
+		g.failedRuns[r.task]++
+	}
+}
+
+// runLost takes in a run that ended with its VM. An end that nobody took note of
+// may be repeated.
+func (g *checker) runLost(_ *vm, r *vmRun) { g.removeRun(r) }
+
+// endNoted takes in that a VM forgets an end, which came at ended and before which its lease
+// last ran out at lapsed.
+func (g *checker) endNoted(v *vm, e job.End, ended time.Time) {
+	if e.How == job.EndedFailed {
+		g.notedFailed[e.Task]++
+	}
+	if e.How != job.EndedDone {
+		return
+	}
+	again := g.lastStart[e.Task]
+	if v.leaseExpiredAt.Before(ended) && again.After(ended) && !g.w.jobs[e.Task.Job].Body.Steps[e.Task.Step].Speculative {
+		g.violationf("%v was started again at %.3f s after its end on %s at %.3f s, which is noted now", e.Task, again.Sub(epoch).Seconds(), v.id, ended.Sub(epoch).Seconds())
+	}
+	g.notedDone[e.Task] = true
+}
+
+// taskStopping checks that a lasting step doesn't miss more than it may on our account.
+func (g *checker) taskStopping(v *vm, r *vmRun) {
+	t := g.w.jobs[r.task.Job]
+	step := &t.Body.Steps[r.task.Step]
+	if !step.HasDisruptionBudget || !t.cancelledAt.IsZero() || v.draining || g.w.now.Sub(r.startedAt) < longRunningStartup {
+		return
+	}
+	g.stoppedAt[r.task] = g.w.now
+	others := 0
+	for i := range step.Count {
+		id := r.task
+		id.Index = i
+		_, ours := g.stoppedAt[id]
+		if i != r.task.Index && ours {
+			others++
+		}
+	}
+	if others >= step.DisruptionBudget {
+		g.violationf("%v is stopped while %d others of its step are away, %d may be", r.task, others, step.DisruptionBudget)
+	}
+}
+
+// startupDone notes that a lasting task is at work again: from now on it isn't away
+// because of our order.
+func (g *checker) startupDone(r *vmRun) {
+	if slices.Contains(g.running[r.task], r) && !r.stopping {
+		delete(g.stoppedAt, r.task)
+	}
+}
+
+// vmRemoved checks that a move or upkeep ends no task.
+func (g *checker) vmRemoved(v *vm) {
+	for _, r := range v.runs {
+		if !r.stopping {
+			g.violationf("%v ends with the machine of %s, which is taken away", r.task, v.id)
+		}
+	}
+}
+
+func (g *checker) maintenanceStarted(m *machine) {
+	g.inMaintenance[m.id] = true
+	if n := len(g.inMaintenance); n > g.w.maxConcurrentMaintenance() {
+		g.violationf("%d machines are away for their upkeep, %d may be", n, g.w.maxConcurrentMaintenance())
+	}
+}
+
+func (g *checker) machineReturned(m *machine) { delete(g.inMaintenance, m.id) }
+
+func (g *checker) wavePublished(s job.WaveState) { g.waveState = s }
+
+// jobStatePublished takes in a state that callers are shown from now on.
+func (g *checker) jobStatePublished(id job.ID, s job.State) {
+	t := g.w.jobs[id]
+	if g.states[id] == s {
+		return
+	}
+	g.states[id] = s
+	switch s {
+	case job.Completed:
+		g.w.Stats.Completed++
+		if g.w.now.Sub(t.submittedAt) <= t.latencyTarget() {
+			g.w.Stats.InTime++
+		}
+		for step := range t.Body.Steps {
+			for i := range t.Body.Steps[step].Count {
+				if g.doneAt[job.TaskID{Job: id, Step: step, Index: i}].IsZero() {
+					g.violationf("%s is shown as completed before task %d.%d is done", id, step, i)
+				}
+			}
+		}
+	case job.Failed:
+		g.w.Stats.Failed++
+		if !t.allTasksFail && t.failingTask == noTask && t.crashingTask == noTask {
+			g.w.Stats.GivenUp++
+		}
+		if !g.anyTaskExhausted(t) && !g.mayGiveUp[id] {
+			g.violationf("%s is shown as failed without cause", id)
+		}
+	case job.Cancelled:
+		g.w.Stats.Cancelled++
+		if t.cancelledAt.IsZero() {
+			g.violationf("%s is shown as cancelled without cause", id)
+		}
+	case job.Pending, job.Running:
+	}
+}
--- /dev/null
+++ b/core/emulator/entry_vm.go
@@ -0,0 +1,170 @@
+package emulator
+
+import (
+	"time"
+
+	"lavenderpond/core/job"
+	"lavenderpond/core/lease"
+)
+
+// Periods of the emulated entry VMs; they match those of the real driver.
+const (
+	pollInterval        = 150 * time.Millisecond
+	tickInterval        = 40 * time.Millisecond
+	renewInterval       = 250 * time.Millisecond
+	commitWindow        = 12 * time.Millisecond
+	orderTimeout        = 700 * time.Millisecond
+	minCommitTimeout    = 250 * time.Millisecond
+	holdTimeoutMargin   = 600 * time.Millisecond
+	machineListInterval = 500 * time.Millisecond
+)
+
+// node is an entry VM with its process.
+type entryVM struct {
+	w    *World
+	name string
+	zone job.ZoneName
+	// run tells apart the processes; 0 stands for none.
+	run     int
+	lastRun int
+	frozen  bool
+	// deferred is what arrived while the node was frozen.
+	deferred []func()
+	watcher  lease.Watcher
+	owner    *owner
+	// unreachable are the VMs out of reach, by zone.
+	unreachable map[job.ZoneName]bool
+}
+
+// inRun runs f on the node's process, if the one that asked still lives; a frozen
+// one runs it when it wakes.
+func (e *entryVM) inRun(run int, f func()) {
+	if e.run != run {
+		return
+	}
+	if e.frozen {
+		e.deferred = append(e.deferred, func() { e.inRun(run, f) })
+		return
+	}
+	f()
+}
+
+// startProcess starts a process.
+func (e *entryVM) startProcess() {
+	e.lastRun++
+	e.run = e.lastRun
+	e.watcher = lease.Watcher{}
+	e.owner = nil
+	e.pollOwner(e.run)
+}
+
+// kill ends the process.
+func (e *entryVM) kill() {
+	e.run = 0
+	e.owner = nil
+	e.frozen = false
+	e.deferred = nil
+}
+
+func (e *entryVM) freeze() { e.frozen = true }
+
+func (e *entryVM) thaw() {
+	e.frozen = false
+	deferred := e.deferred
+	e.deferred = nil
+	for _, f := range deferred {
+		f()
+	}
+}
+
+// callTable carries out a call to the table. answer gets false if there is none in
+// time; the call may have been carried out all the same.
+func (e *entryVM) callTable(timeout time.Duration, write bool, apply func(), answer func(ok bool)) {
+	t := e.w.table
+	run := e.run
+	answered := false
+	finish := func(ok bool) {
+		e.inRun(run, func() {
+			if !answered {
+				answered = true
+				answer(ok)
+			}
+		})
+	}
+	e.w.after(timeout, func() { finish(false) })
+	if t.down || t.refused[e] || e.unreachable["table"] {
+		return
+	}
+	requestDelay := 2*time.Millisecond + t.extraDelay/2
+	e.w.after(requestDelay, func() {
+		if write && e.w.chance(t.lostAnswerShare) {
+			if t.lateWrites {
+				e.w.after(e.w.randomBetween(time.Second, 6*time.Second), apply)
+			} else {
+				apply()
+			}
+			return
+		}
+		apply()
+		e.w.after(2*time.Millisecond+t.extraDelay/2, func() { finish(true) })
+	})
+}
+
+// pollOwner reads the owner's rows and takes over when it must.
+func (e *entryVM) pollOwner(run int) {
+	e.inRun(run, func() {
+		if e.owner != nil {
+			return
+		}
+		t := e.w.table
+		seen := lease.Observation{Sent: e.w.now}
+		var row ownerRow
+		e.callTable(time.Second, false, func() {
+			seen.Owner, seen.Renewal = uint64(t.ownerVersion), uint64(t.renewalVersion)
+			seen.Vacant = t.owner.vacant
+			row = t.owner
+		}, func(ok bool) {
+			seen.Received = e.w.now
+			seen.PreviousRun = row.entryVM == e.name && row.run != run
+			if ok && e.watcher.TakeoverDue(seen) {
+				e.takeOver(run, seen, row)
+				return
+			}
+			e.w.after(pollInterval, func() { e.pollOwner(run) })
+		})
+	})
+}
+
+func (e *entryVM) takeOver(run int, seen lease.Observation, row ownerRow) {
+	t := e.w.table
+	sent := e.w.now
+	turn := row.turn + 1
+	version, won := int64(0), false
+	e.callTable(time.Second, true, func() {
+		version, won = t.swapOwner(int64(seen.Owner), int64(seen.Renewal), ownerRow{entryVM: e.name, run: run, turn: turn})
+	}, func(ok bool) {
+		if !ok || !won {
+			e.w.after(pollInterval+e.w.randomBetween(0, pollInterval), func() { e.pollOwner(run) })
+			return
+		}
+		o := &owner{entryVM: e, run: run, fence: version, renewal: version, turn: turn, renewAt: e.w.now}
+		o.ownership.Confirm(sent, sent)
+		e.owner = o
+		o.loadState()
+	})
+}
+
+// shutDown is a planned stop: the right is given back before the process ends.
+func (e *entryVM) shutDown() {
+	t := e.w.table
+	if o := e.owner; o != nil && !e.frozen {
+		fence := o.fence
+		e.callTable(time.Second, true, func() {
+			if t.ownerVersion == fence {
+				t.owner.vacant = true
+				t.ownerVersion = t.nextVersion()
+			}
+		}, func(bool) {})
+	}
+	e.w.after(10*time.Millisecond, e.kill)
+}
--- a/core/emulator/evacuation.go
+++ b/core/emulator/evacuation.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// evacuateWithin bounds the starts in an evacuated availability zone on days with
+	// evacuationLimit bounds the starts in an evacuated availability zone on days with
 	// faults, evacuateCalmly on others.
-	evacuateWithin = 5 * time.Second
-	evacuateCalmly = time.Second
-	// operatorRetry is the pause before an operator repeats a refused request.
-	operatorRetry = 100 * time.Millisecond
+	evacuationLimit              = 5 * time.Second
+	evacuationLimitWithoutFaults = time.Second
+	// operatorRetryDelay is the pause before an operator repeats a refused request.
+	operatorRetryDelay = 100 * time.Millisecond
 )
 
 // Evacuation is an operator's request that nothing start in an availability zone.
@@ -39,27 +39,27 @@
 	return out
 }
 
-// begin stores the request, once the table takes it. A zone that is evacuated already
+// request stores the request, once the table takes it. A zone that is evacuated already
 // stays so until the first request for it is taken back.
-func (e Evacuation) begin(w *World) {
+func (e Evacuation) request(w *World) {
 	if w.table.down {
-		w.after(operatorRetry, func() { e.begin(w) })
+		w.after(operatorRetryDelay, func() { e.request(w) })
 		return
 	}
-	w.tell("zone %s is evacuated for %s", e.Zone, e.For)
+	w.tracef("zone %s is evacuated for %s", e.Zone, e.For)
 	if _, known := w.evacuated[e.Zone]; !known {
 		w.evacuated[e.Zone] = w.now
 	}
-	w.after(e.For, func() { e.end(w) })
+	w.after(e.For, func() { e.withdraw(w) })
 }
 
-func (e Evacuation) end(w *World) {
+func (e Evacuation) withdraw(w *World) {
 	if w.table.down {
-		w.after(operatorRetry, func() { e.end(w) })
+		w.after(operatorRetryDelay, func() { e.withdraw(w) })
 		return
 	}
-	w.tell("zone %s is open again", e.Zone)
+	w.tracef("zone %s is open again", e.Zone)
 	delete(w.evacuated, e.Zone)
 }
 
-func (w *World) evacuations() []job.ZoneName { return slices.Sorted(maps.Keys(w.evacuated)) }
+func (w *World) evacuatedZones() []job.ZoneName { return slices.Sorted(maps.Keys(w.evacuated)) }
--- a/core/emulator/fault.go
+++ b/core/emulator/fault.go
@@ -67,19 +67,19 @@
 	return out
 }
 
-// lossShare is the part of the VMs that crash when the owner is cut off.
-const lossShare = 0.4
+// cutCrashShare is the part of the VMs that crash when the owner is cut off.
+const cutCrashShare = 0.4
 
-// RandomLosses draws cuts of the owner from the table, each followed by crashes of VMs
+// RandomCutsWithCrashes draws cuts of the owner from the table, each followed by crashes of VMs
 // before another process owns the fleet: what the former owner knows of these alone is
 // lost.
-func RandomLosses(seed uint64, length time.Duration, n int) []Fault {
+func RandomCutsWithCrashes(seed uint64, length time.Duration, n int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var out []Fault
 	for range n {
 		cut := randomFault(rng, CutOwnerFromTable, length)
 		crash := randomFault(rng, VMsCrash, time.Second)
-		crash.At, crash.Share = crash.At+cut.At, lossShare
+		crash.At, crash.Share = crash.At+cut.At, cutCrashShare
 		out = append(out, cut, crash)
 	}
 	return out
@@ -92,103 +92,103 @@
 	}
 }
 
-// ownerNode returns the node that owns the fleet, or any that lives.
-func (w *World) ownerNode() *node {
-	for _, n := range w.nodes {
-		if n.owner != nil && !n.owner.over && w.table.owner.node == n.name {
-			return n
+// ownerEntryVM returns the node that owns the fleet, or any that lives.
+func (w *World) ownerEntryVM() *entryVM {
+	for _, e := range w.entryVMs {
+		if e.owner != nil && !e.owner.ended && w.table.owner.entryVM == e.name {
+			return e
 		}
 	}
-	return w.nodes[w.rng.IntN(len(w.nodes))]
+	return w.entryVMs[w.rng.IntN(len(w.entryVMs))]
 }
 
-func (x Fault) strike(w *World) {
-	n := w.ownerNode()
+func (x Fault) inject(w *World) {
+	e := w.ownerEntryVM()
 	switch x.Kind {
 	case KillOwner:
-		n.kill()
-		w.after(x.For, func() { n.reboot() })
+		e.kill()
+		w.after(x.For, func() { e.restart() })
 	case FreezeOwner:
-		n.freeze()
-		w.after(x.For, n.thaw)
+		e.freeze()
+		w.after(x.For, e.thaw)
 	case KillAll:
-		for _, n := range w.nodes {
-			n.kill()
-			w.after(x.For, func() { n.reboot() })
+		for _, e := range w.entryVMs {
+			e.kill()
+			w.after(x.For, func() { e.restart() })
 		}
 	case StopOwner:
-		n.retire()
-		w.after(x.For, func() { n.reboot() })
+		e.shutDown()
+		w.after(x.For, func() { e.restart() })
 	case CutOwnerFromTable:
-		n.cutFrom["table"] = true
-		w.after(x.For, func() { delete(n.cutFrom, "table") })
+		e.unreachable["table"] = true
+		w.after(x.For, func() { delete(e.unreachable, "table") })
 	case CutZone:
-		x.cutZone(w)
+		x.isolateZone(w)
 	default:
-		x.strikeTable(w)
+		x.injectTableFault(w)
 	}
 }
 
-// reboot starts a process unless one runs already.
-func (n *node) reboot() {
-	if n.life == 0 {
-		n.boot()
+// restart starts a process unless one runs already.
+func (e *entryVM) restart() {
+	if e.run == 0 {
+		e.startProcess()
 	}
 }
 
-func (x Fault) cutZone(w *World) {
+func (x Fault) isolateZone(w *World) {
 	zone := zoneName(w.rng.IntN(zoneCount))
-	for _, n := range w.nodes {
-		if n.zone != zone {
-			n.cutFrom[zone] = true
-			w.after(x.For, func() { delete(n.cutFrom, zone) })
+	for _, e := range w.entryVMs {
+		if e.zone != zone {
+			e.unreachable[zone] = true
+			w.after(x.For, func() { delete(e.unreachable, zone) })
 			continue
 		}
 		for i := range zoneCount {
 			if other := zoneName(i); other != zone {
-				n.cutFrom[other] = true
-				w.after(x.For, func() { delete(n.cutFrom, other) })
+				e.unreachable[other] = true
+				w.after(x.For, func() { delete(e.unreachable, other) })
 			}
 		}
-		n.cutFrom["table"] = true
-		w.after(x.For, func() { delete(n.cutFrom, "table") })
+		e.unreachable["table"] = true
+		w.after(x.For, func() { delete(e.unreachable, "table") })
 	}
 }
 
-func (x Fault) strikeTable(w *World) {
+func (x Fault) injectTableFault(w *World) {
 	t := w.table
 	switch x.Kind {
 	case TableDown:
 		t.down = true
 		w.after(x.For, func() { t.down = false })
 	case TableSlow:
-		t.slow = 250 * time.Millisecond
-		w.after(x.For, func() { t.slow = 0 })
+		t.extraDelay = 250 * time.Millisecond
+		w.after(x.For, func() { t.extraDelay = 0 })
 	case AnswersLost, AnswersLostLate:
-		t.lost, t.late = 0.35, x.Kind == AnswersLostLate
-		w.after(x.For, func() { t.lost = 0 })
+		t.lostAnswerShare, t.lateWrites = 0.35, x.Kind == AnswersLostLate
+		w.after(x.For, func() { t.lostAnswerShare = 0 })
 	default:
-		x.strikeVMs(w)
+		x.injectVMFault(w)
 	}
 }
 
-func (x Fault) strikeVMs(w *World) {
+func (x Fault) injectVMFault(w *World) {
 	for _, m := range w.machines {
-		v := m.life
+		v := m.vm
 		if v == nil || !v.up || !w.chance(x.Share) {
 			continue
 		}
 		switch x.Kind {
 		case VMsCrash:
-			w.crash(v, x.For, false)
+			w.crashVM(v, x.For, false)
 		case VMsCrashSameID:
-			w.crash(v, x.For, true)
+			w.crashVM(v, x.For, true)
 		case VMsFail:
 			v.failing = true
 			w.after(x.For, func() { v.failing = false })
 		case VMsSlow:
-			v.slow = 5
-			w.after(x.For, func() { v.slow = 1 })
+			v.slowdown = 5
+			w.after(x.For, func() { v.slowdown = 1 })
 		case VMsHang:
 			v.hanging = true
 			w.after(x.For, func() { v.hanging = false })
--- a/core/emulator/golden_test.go
+++ b/core/emulator/golden_test.go
@@ -12,15 +12,15 @@
 
 // A whole small day, decision by decision: a lasting job, some others, an upkeep, and
 // the owner killed in the middle.
-func TestGoldenDay(t *testing.T) {
+func TestGoldenTrace(t *testing.T) {
 	var b strings.Builder
-	d := emulator.Day{
-		Seed: 11, Length: 4 * time.Second, Nodes: 2, VMs: 5, Standby: 1, JobsPerSecond: 0.4, Lasting: 1, Wave: 1,
+	s := emulator.Scenario{
+		Seed: 11, Length: 4 * time.Second, EntryVMs: 2, VMsPerPool: 5, StandbyMachines: 1, JobsPerSecond: 0.4, LongRunning: 1, WaveMachines: 1,
 		Faults: []emulator.Fault{{Kind: emulator.KillOwner, At: 2500 * time.Millisecond, For: 2 * time.Second}},
 		Trace:  func(line string) { b.WriteString(line + "\n") },
 	}
-	broken, _ := emulator.Play(d)
-	for _, x := range broken {
+	violations, _ := emulator.Run(s)
+	for _, x := range violations {
 		b.WriteString("broken: " + x + "\n")
 	}
 	golden.Assert(t, b.String(), "small_day.golden")
--- a/core/emulator/machines.go
+++ b/core/emulator/machines.go
@@ -6,91 +6,91 @@
 	"lavenderpond/core/job"
 )
 
-// machinesList is the platform's list of machines.
-func (w *World) machinesList() []job.Machine {
+// listMachines is the platform's list of machines.
+func (w *World) listMachines() []job.Machine {
 	var out []job.Machine
 	for _, m := range w.machines {
 		x := job.Machine{
 			ID: m.id, Pool: m.pool, State: m.state, Zone: m.zone, Labels: []job.Label{"a", m.rack},
-			Capacity: fullRoom,
+			Capacity: fullCapacity,
 		}
-		if m.life != nil && m.life.up {
-			x.VM = m.life.id
+		if m.vm != nil && m.vm.up {
+			x.VM = m.vm.id
 		}
 		out = append(out, x)
 	}
 	return out
 }
 
-// checkMachine judges an order for a machine and tells whether it is accepted.
-func (w *World) checkMachine(id job.MachineID, f job.Fence, holder string) job.MachineRefusal {
-	m := w.machine(id)
+// acceptMachineOrder judges an order for a machine and tells whether it is accepted.
+func (w *World) acceptMachineOrder(id job.MachineID, f job.Fence, issuer string) job.MachineRefusal {
+	m := w.findMachine(id)
 	if m == nil || m.state != job.MachineUp {
 		return job.MachineBusy
 	}
 	if f < m.fence {
-		w.judge.broken("machine %s: fence %d of %s after %d of %s", id, f, holder, m.fence, m.holder)
+		w.checker.violationf("machine %s: fence %d of %s after %d of %s", id, f, issuer, m.fence, m.issuer)
 	}
-	if m.holder != "" && m.holder != holder && w.now.Sub(m.lastFrom) < 3*time.Second {
-		w.judge.broken("machine %s: %s gives an order %s after %s", id, holder, w.now.Sub(m.lastFrom), m.holder)
+	if m.issuer != "" && m.issuer != issuer && w.now.Sub(m.lastOrderAt) < 3*time.Second {
+		w.checker.violationf("machine %s: %s gives an order %s after %s", id, issuer, w.now.Sub(m.lastOrderAt), m.issuer)
 	}
-	m.fence, m.holder, m.lastFrom = f, holder, w.now
+	m.fence, m.issuer, m.lastOrderAt = f, issuer, w.now
 	return job.MachineAccepted
 }
 
-// upkeep takes a machine away for its upkeep.
-func (w *World) upkeep(m *machine) {
-	w.Figures.Upkeeps++
-	w.judge.upkeep(m)
-	w.takeAway(m, job.MachineMaintenance, upkeepPeriod)
+// startMaintenance takes a machine away for its upkeep.
+func (w *World) startMaintenance(m *machine) {
+	w.Stats.MaintenanceStarts++
+	w.checker.maintenanceStarted(m)
+	w.takeOutOfService(m, job.MachineMaintenance, maintenancePeriod)
 }
 
-// move takes a machine into another pool.
-func (w *World) move(m *machine, pool job.PoolName) {
-	w.Figures.Moves++
+// startMove takes a machine into another pool.
+func (w *World) startMove(m *machine, pool job.PoolName) {
+	w.Stats.Moves++
 	m.pool = pool
-	w.takeAway(m, job.MachineMoving, movePeriod)
+	w.takeOutOfService(m, job.MachineMoving, movePeriod)
 }
 
-func (w *World) takeAway(m *machine, s job.MachineState, d time.Duration) {
-	if v := m.life; v != nil {
-		w.judge.takenAway(v)
-		v.die()
+func (w *World) takeOutOfService(m *machine, s job.MachineState, d time.Duration) {
+	if v := m.vm; v != nil {
+		w.checker.vmRemoved(v)
+		v.shutDown()
 		w.table.dropVM(v.id)
 	}
-	m.state, m.life = s, nil
+	m.state, m.vm = s, nil
 	w.after(d, func() {
 		m.state = job.MachineUp
-		w.judge.back(m)
-		if p := w.conf.Pool(m.pool); p == nil || !p.Standby {
-			w.newLife(m, "")
+		w.checker.machineReturned(m)
+		if p := w.config.Pool(m.pool); p == nil || !p.Standby {
+			w.startVM(m, "")
 		}
 	})
 }
 
-// crash ends a VM's life; it comes back after d, under the same ID or a new one.
-func (w *World) crash(v *vm, d time.Duration, sameID bool) {
+// crashVM ends a VM's life; it comes back after d, under the same ID or a new one.
+func (w *World) crashVM(v *vm, d time.Duration, sameID bool) {
 	if !v.up {
 		return
 	}
-	w.Figures.Crashes++
+	w.Stats.Crashes++
 	m := v.machine
-	w.judge.crashed(v)
-	v.die()
+	w.checker.vmCrashed(v)
+	v.shutDown()
 	m.state = job.MachineDown
-	w.after(3*heartbeat, func() {
+	w.after(3*heartbeatInterval, func() {
 		if w.vms[v.id] == v {
 			w.table.dropVM(v.id)
 		}
 	})
 	w.after(d, func() {
-		if m.life != v {
+		if m.vm != v {
 			return
 		}
 		id := job.VMID("")
 		if sameID {
 			id = v.id
 		}
-		w.newLife(m, id)
+		w.startVM(m, id)
 	})
 }
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -13,55 +13,55 @@
 
 // owner is a tenure.
 type owner struct {
-	n         *node
-	life      int
-	fence     int64
-	renewal   int64
-	turn      int64
-	batch     int64
-	right     lease.Ownership
-	scheduler *schedule.Scheduler
-	queue     []schedule.Command
-	busy      bool
-	renewAt   time.Time
-	jobsSeen  int
-	cancels   int
-	vmsSeen   int
-	over      bool
+	entryVM       *entryVM
+	run           int
+	fence         int64
+	renewal       int64
+	turn          int64
+	batch         int64
+	ownership     lease.Ownership
+	scheduler     *schedule.Scheduler
+	pendingSaves  []schedule.Command
+	committing    bool
+	renewAt       time.Time
+	jobsRead      int
+	cancelsRead   int
+	vmChangesRead int
+	ended         bool
 }
 
-// load reads what the former owner left.
-func (o *owner) load() {
-	n, t := o.n, o.n.w.table
-	n.call(2*time.Second, false, func() { o.restore(t) }, func(ok bool) {
+// loadState reads what the former owner left.
+func (o *owner) loadState() {
+	e, t := o.entryVM, o.entryVM.w.table
+	e.callTable(2*time.Second, false, func() { o.restore(t) }, func(ok bool) {
 		if !ok || o.scheduler == nil {
-			o.n.w.after(100*time.Millisecond, func() { n.here(o.life, o.load) })
+			o.entryVM.w.after(100*time.Millisecond, func() { e.inRun(o.run, o.loadState) })
 			return
 		}
 		o.tick()
-		o.list()
-		o.commit()
+		o.pollMachines()
+		o.commitPending()
 	})
 }
 
 func (o *owner) restore(t *table) {
-	now := o.n.w.now
+	now := o.entryVM.w.now
 	o.scheduler = schedule.New(schedule.Settings{
-		Holder: o.n.name, FormerOrders: valuesByKey(t.orders),
+		Holder: o.entryVM.name, FormerOrders: valuesByKey(t.orders),
 		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.turn * 10_000), TookOver: now,
-		LeaseMax: leaseMax, TaskStopMax: taskStop,
+		LeaseMax: leaseMax, TaskStopMax: taskStopMax,
 		MachineLease: 3 * time.Second,
 		Observer:     o,
 	})
 	s := o.scheduler
-	s.Configure(o.n.w.conf)
-	s.SetEvacuatedZones(o.n.w.evacuations())
+	s.Configure(o.entryVM.w.config)
+	s.SetEvacuatedZones(o.entryVM.w.evacuatedZones())
 	for _, v := range valuesByKey(t.roster) {
 		s.AddInheritedVM(v)
 	}
-	o.takeJobs(now)
-	o.takeVMs(now)
-	for number, w := range o.n.w.waves() {
+	o.readJobs(now)
+	o.readVMs(now)
+	for number, w := range o.entryVM.w.waves() {
 		s.AddWave(now, w, t.waves[number])
 	}
 }
@@ -76,261 +76,261 @@
 	return out
 }
 
-// takeJobs takes in what was submitted and cancelled since the last time.
-func (o *owner) takeJobs(now time.Time) {
-	t := o.n.w.table
-	for _, s := range t.submitted[o.jobsSeen:] {
+// readJobs takes in what was submitted and cancelled since the last time.
+func (o *owner) readJobs(now time.Time) {
+	t := o.entryVM.w.table
+	for _, s := range t.submitted[o.jobsRead:] {
 		var p *job.Progress
-		if o.jobsSeen == 0 || s.version < o.fence {
+		if o.jobsRead == 0 || s.version < o.fence {
 			if known, ok := t.progress[s.job.ID]; ok {
 				p = &known
 			}
 		}
 		o.scheduler.AddJob(now, s.job, p, s.version < o.fence)
 	}
-	o.jobsSeen = len(t.submitted)
-	for _, id := range t.cancelled[o.cancels:] {
+	o.jobsRead = len(t.submitted)
+	for _, id := range t.cancelled[o.cancelsRead:] {
 		o.scheduler.Cancel(now, id)
 	}
-	o.cancels = len(t.cancelled)
+	o.cancelsRead = len(t.cancelled)
 }
 
-func (o *owner) takeVMs(now time.Time) {
-	t := o.n.w.table
-	if o.vmsSeen == 0 {
-		for _, v := range o.n.w.order {
-			if e, ok := t.vms[v.id]; ok && o.n.w.vms[v.id] == v {
-				o.scheduler.VMSeen(now, e)
+func (o *owner) readVMs(now time.Time) {
+	t := o.entryVM.w.table
+	if o.vmChangesRead == 0 {
+		for _, v := range o.entryVM.w.allVMs {
+			if r, ok := t.vms[v.id]; ok && o.entryVM.w.vms[v.id] == v {
+				o.scheduler.VMSeen(now, r)
 			}
 		}
-		o.vmsSeen = len(t.vmChanges)
+		o.vmChangesRead = len(t.vmChanges)
 		return
 	}
-	for _, c := range t.vmChanges[o.vmsSeen:] {
+	for _, c := range t.vmChanges[o.vmChangesRead:] {
 		if c.removed {
-			o.scheduler.VMUnlisted(now, c.entry.ID)
+			o.scheduler.VMUnlisted(now, c.record.ID)
 		} else {
-			o.scheduler.VMSeen(now, c.entry)
+			o.scheduler.VMSeen(now, c.record)
 		}
 	}
-	o.vmsSeen = len(t.vmChanges)
+	o.vmChangesRead = len(t.vmChanges)
 }
 
 // tick is one turn of the owner's loop.
 func (o *owner) tick() {
-	o.n.here(o.life, func() {
-		if o.over {
+	o.entryVM.inRun(o.run, func() {
+		if o.ended {
 			return
 		}
-		o.n.w.after(tickEvery, o.tick)
-		if !o.n.cutFrom["table"] && !o.n.w.table.down && !o.n.w.table.turnedAway[o.n] {
-			o.takeJobs(o.n.w.now)
-			o.takeVMs(o.n.w.now)
-			o.scheduler.SetEvacuatedZones(o.n.w.evacuations())
+		o.entryVM.w.after(tickInterval, o.tick)
+		if !o.entryVM.unreachable["table"] && !o.entryVM.w.table.down && !o.entryVM.w.table.refused[o.entryVM] {
+			o.readJobs(o.entryVM.w.now)
+			o.readVMs(o.entryVM.w.now)
+			o.scheduler.SetEvacuatedZones(o.entryVM.w.evacuatedZones())
 		}
-		o.act()
+		o.runScheduler()
 	})
 }
 
-// act lets the scheduler decide and carries out what it wants.
-func (o *owner) act() {
-	now := o.n.w.now
-	if o.over {
+// runScheduler lets the scheduler decide and carries out what it wants.
+func (o *owner) runScheduler() {
+	now := o.entryVM.w.now
+	if o.ended {
 		return
 	}
-	o.scheduler.SetRights(schedule.Rights{Order: o.right.MayOrderMachines(now), Start: o.right.MayStartTasks(now), Hold: o.right.MayExtendLeases(now)})
+	o.scheduler.SetRights(schedule.Rights{Order: o.ownership.MayOrderMachines(now), Start: o.ownership.MayStartTasks(now), Hold: o.ownership.MayExtendLeases(now)})
 	o.scheduler.Tick(now)
 	o.scheduler.Assign(now, now)
 	for _, c := range o.scheduler.TakeCommands() {
-		o.carryOut(c)
+		o.execute(c)
 	}
-	o.commit()
+	o.commitPending()
 }
 
-func (o *owner) carryOut(c schedule.Command) {
-	w := o.n.w
+func (o *owner) execute(c schedule.Command) {
+	w := o.entryVM.w
 	switch c := c.(type) {
 	case schedule.Save, schedule.SaveVM, schedule.DropVM, schedule.SaveWave, schedule.SaveOrder, schedule.DropOrder:
-		o.queue = append(o.queue, c)
+		o.pendingSaves = append(o.pendingSaves, c)
 	case schedule.Start:
-		w.Figures.Starts++
+		w.Stats.Starts++
 		sent := w.now
-		o.order(c.VM, callTimeout, func(v *vm, answer func(job.Report)) {
-			if w.lateToUnheld || !v.canNotBar(c.Order.Fence, sent) {
-				answer(v.start(c.Order, o.n.name))
+		o.sendOrder(c.VM, orderTimeout, func(v *vm, answer func(job.Report)) {
+			if w.lateStartsBeforeHold || !v.cannotDetectLate(c.Order.Fence, sent) {
+				answer(v.startTask(c.Order, o.entryVM.name))
 			}
 		}, func(now time.Time, out schedule.Outcome, r job.Report) {
 			o.scheduler.StartAnswered(now, c, out, r)
 		})
 	case schedule.Stop:
-		o.order(c.VM, callTimeout, func(v *vm, answer func(job.Report)) {
-			answer(v.stop(c.Task, c.Attempt, c.Fence))
+		o.sendOrder(c.VM, orderTimeout, func(v *vm, answer func(job.Report)) {
+			answer(v.stopTask(c.Task, c.Attempt, c.Fence))
 		}, func(now time.Time, out schedule.Outcome, r job.Report) {
 			o.scheduler.StopAnswered(now, c, out, r)
 		})
 	case schedule.Hold:
-		o.order(c.VM, c.Order.Wait+holdGrace, func(v *vm, answer func(job.Report)) {
+		o.sendOrder(c.VM, c.Order.Wait+holdTimeoutMargin, func(v *vm, answer func(job.Report)) {
 			v.hold(c.Order, answer)
 		}, func(now time.Time, out schedule.Outcome, r job.Report) {
 			o.scheduler.HoldAnswered(now, c, out, r)
 		})
 	case schedule.Upkeep:
-		o.machineOrder(c.Machine, func(m *machine) { w.upkeep(m) }, func(out schedule.Outcome, why job.MachineRefusal) {
-			o.scheduler.UpkeepAnswered(w.now, c, out, why)
+		o.sendMachineOrder(c.Machine, func(m *machine) { w.startMaintenance(m) }, func(out schedule.Outcome, refusal job.MachineRefusal) {
+			o.scheduler.UpkeepAnswered(w.now, c, out, refusal)
 		})
 	case schedule.Move:
-		o.machineOrder(c.Machine, func(m *machine) { w.move(m, c.Pool) }, func(out schedule.Outcome, why job.MachineRefusal) {
-			o.scheduler.MoveAnswered(w.now, c, out, why)
+		o.sendMachineOrder(c.Machine, func(m *machine) { w.startMove(m, c.Pool) }, func(out schedule.Outcome, refusal job.MachineRefusal) {
+			o.scheduler.MoveAnswered(w.now, c, out, refusal)
 		})
 	case schedule.PublishWave:
-		w.judge.waveShown(c.State)
+		w.checker.wavePublished(c.State)
 	case schedule.Pace, schedule.RequestTickets, schedule.DeleteJob:
 	}
 }
 
-// order sends an order to a VM, unless the right is over.
-func (o *owner) order(id job.VMID, timeout time.Duration, carryOut func(v *vm, answer func(job.Report)), answer func(time.Time, schedule.Outcome, job.Report)) {
-	w, n := o.n.w, o.n
+// sendOrder sends an order to a VM, unless the right is over.
+func (o *owner) sendOrder(id job.VMID, timeout time.Duration, apply func(v *vm, answer func(job.Report)), answer func(time.Time, schedule.Outcome, job.Report)) {
+	w, e := o.entryVM.w, o.entryVM
 	v := w.vms[id]
 	done := false
 	finish := func(out schedule.Outcome, r job.Report) {
-		n.here(o.life, func() {
-			if !done && !o.over {
+		e.inRun(o.run, func() {
+			if !done && !o.ended {
 				done = true
 				answer(w.now, out, r)
-				o.act()
+				o.runScheduler()
 			}
 		})
 	}
 	w.after(timeout, func() { finish(schedule.Unanswered, job.Report{}) })
-	if v == nil || n.cutFrom[v.machine.zone] {
+	if v == nil || e.unreachable[v.machine.zone] {
 		return
 	}
-	if w.chance(w.judge.lateShare) {
-		w.after(w.between(2*time.Second, 12*time.Second), func() { w.lateOrder(w.vms[id], carryOut) })
+	if w.chance(w.checker.lateOrderShare) {
+		w.after(w.randomBetween(2*time.Second, 12*time.Second), func() { w.deliverLate(w.vms[id], apply) })
 		return
 	}
-	w.after(w.hop(), func() {
+	w.after(w.networkDelay(), func() {
 		if v = w.vms[id]; v == nil || !v.up {
 			return
 		}
-		carryOut(v, func(r job.Report) { w.after(w.hop(), func() { finish(schedule.Answered, r) }) })
+		apply(v, func(r job.Report) { w.after(w.networkDelay(), func() { finish(schedule.Answered, r) }) })
 	})
 }
 
-// lateOrder carries out an order that got no answer. A life that began since under the
+// deliverLate carries out an order that got no answer. A life that began since under the
 // same ID takes it for its own.
-func (w *World) lateOrder(v *vm, carryOut func(v *vm, answer func(job.Report))) {
+func (w *World) deliverLate(v *vm, apply func(v *vm, answer func(job.Report))) {
 	if v != nil && v.up {
-		carryOut(v, func(job.Report) {})
+		apply(v, func(job.Report) {})
 	}
 }
 
-func (o *owner) machineOrder(id job.MachineID, carryOut func(m *machine), answer func(schedule.Outcome, job.MachineRefusal)) {
-	w, n := o.n.w, o.n
-	if !o.right.MayOrderMachines(w.now) {
+func (o *owner) sendMachineOrder(id job.MachineID, apply func(m *machine), answer func(schedule.Outcome, job.MachineRefusal)) {
+	w, e := o.entryVM.w, o.entryVM
+	if !o.ownership.MayOrderMachines(w.now) {
 		// The process may have stood still since the scheduler decided.
 		answer(schedule.NotDone, job.MachineAccepted)
 		return
 	}
-	w.after(w.hop(), func() {
-		why := w.checkMachine(id, job.Fence(o.fence), n.name)
-		if why == job.MachineAccepted {
-			carryOut(w.machine(id))
+	w.after(w.networkDelay(), func() {
+		refusal := w.acceptMachineOrder(id, job.Fence(o.fence), e.name)
+		if refusal == job.MachineAccepted {
+			apply(w.findMachine(id))
 		}
-		w.after(w.hop(), func() {
-			n.here(o.life, func() {
-				if !o.over {
-					answer(schedule.Answered, why)
+		w.after(w.networkDelay(), func() {
+			e.inRun(o.run, func() {
+				if !o.ended {
+					answer(schedule.Answered, refusal)
 				}
 			})
 		})
 	})
 }
 
-// list reads the machines list.
-func (o *owner) list() {
-	o.n.here(o.life, func() {
-		if o.over {
+// pollMachines reads the machines list.
+func (o *owner) pollMachines() {
+	o.entryVM.inRun(o.run, func() {
+		if o.ended {
 			return
 		}
-		asked := o.n.w.now
-		list := o.n.w.machinesList()
-		o.n.w.after(4*time.Millisecond, func() {
-			o.n.here(o.life, func() {
-				if !o.over {
+		asked := o.entryVM.w.now
+		list := o.entryVM.w.listMachines()
+		o.entryVM.w.after(4*time.Millisecond, func() {
+			o.entryVM.inRun(o.run, func() {
+				if !o.ended {
 					o.scheduler.Machines(asked, list)
 				}
 			})
 		})
-		o.n.w.after(listEvery, o.list)
+		o.entryVM.w.after(machineListInterval, o.pollMachines)
 	})
 }
 
-// commit stores what waits, or renews the right.
-func (o *owner) commit() {
-	n, now := o.n, o.n.w.now
-	if o.busy || o.over || (len(o.queue) == 0 && now.Before(o.renewAt)) {
+// commitPending stores what waits, or renews the right.
+func (o *owner) commitPending() {
+	e, now := o.entryVM, o.entryVM.w.now
+	if o.committing || o.ended || (len(o.pendingSaves) == 0 && now.Before(o.renewAt)) {
 		return
 	}
-	o.busy = true
-	o.n.w.after(groupFor, func() {
-		o.n.here(o.life, func() {
-			saves := o.queue
-			o.queue = nil
+	o.committing = true
+	o.entryVM.w.after(commitWindow, func() {
+		o.entryVM.inRun(o.run, func() {
+			saves := o.pendingSaves
+			o.pendingSaves = nil
 			o.batch++
-			o.store(saves, n.w.now)
+			o.commitBatch(saves, e.w.now)
 		})
 	})
 }
 
-// store carries out a transaction, however often it takes; first is when it was sent
+// commitBatch carries out a transaction, however often it takes; first is when it was sent
 // for the first time.
-func (o *owner) store(saves []schedule.Command, first time.Time) {
-	n, t := o.n, o.n.w.table
-	sent := n.w.now
-	row := renewalRow{life: o.life, node: n.name, batch: o.batch}
-	expected := o.renewal
+func (o *owner) commitBatch(saves []schedule.Command, firstSent time.Time) {
+	e, t := o.entryVM, o.entryVM.w.table
+	sent := e.w.now
+	row := renewalRow{run: o.run, entryVM: e.name, batch: o.batch}
+	expectedRenewal := o.renewal
 	var got commitResult
-	n.call(commitLeast+t.slow*4, true, func() { got = t.commit(o.fence, expected, row, saves) }, func(ok bool) {
+	e.callTable(minCommitTimeout+t.extraDelay*4, true, func() { got = t.commit(o.fence, expectedRenewal, row, saves) }, func(ok bool) {
 		switch {
 		case !ok:
-			n.w.after(60*time.Millisecond, func() { n.here(o.life, func() { o.store(saves, first) }) })
-		case got.ok, got.owner == o.fence && got.row == row:
-			o.stored(first, sent, max(got.version, got.renewal), saves)
+			e.w.after(60*time.Millisecond, func() { e.inRun(o.run, func() { o.commitBatch(saves, firstSent) }) })
+		case got.ok, got.owner == o.fence && got.renewalRow == row:
+			o.batchCommitted(firstSent, sent, max(got.version, got.renewal), saves)
 		default:
-			o.leave()
+			o.stepDown()
 		}
 	})
 }
 
-func (o *owner) stored(first, sent time.Time, version int64, saves []schedule.Command) {
+func (o *owner) batchCommitted(firstSent, sent time.Time, version int64, saves []schedule.Command) {
 	o.renewal = version
-	o.right.Confirm(first, sent)
+	o.ownership.Confirm(firstSent, sent)
 	o.scheduler.RaiseFence(job.Fence(version))
-	o.renewAt = o.n.w.now.Add(renewEvery)
-	o.busy = false
+	o.renewAt = o.entryVM.w.now.Add(renewInterval)
+	o.committing = false
 	last := int64(0)
 	for _, c := range saves {
 		sequence, _ := schedule.SequenceOf(c)
 		last = max(last, sequence)
 	}
 	if last > 0 {
-		o.scheduler.SavesStored(o.n.w.now, last)
+		o.scheduler.SavesStored(o.entryVM.w.now, last)
 	}
-	o.act()
+	o.runScheduler()
 }
 
-// leave ends the tenure: another process is the owner.
-func (o *owner) leave() {
-	o.over = true
-	o.n.owner = nil
-	life := o.life
-	o.n.watch = lease.Watcher{}
-	o.n.w.after(lookEvery, func() { o.n.look(life) })
+// stepDown ends the tenure: another process is the owner.
+func (o *owner) stepDown() {
+	o.ended = true
+	o.entryVM.owner = nil
+	run := o.run
+	o.entryVM.watcher = lease.Watcher{}
+	o.entryVM.w.after(pollInterval, func() { o.entryVM.pollOwner(run) })
 }
 
-func (w *World) machine(id job.MachineID) *machine {
+func (w *World) findMachine(id job.MachineID) *machine {
 	i := slices.IndexFunc(w.machines, func(m *machine) bool { return m.id == id })
 	if i < 0 {
 		return nil
@@ -341,7 +341,7 @@
 // Decided implements schedule.Observer.
 func (o *owner) Decided(d schedule.Decision) {
 	if d.Kind == schedule.TaskGivenUp {
-		o.n.w.judge.gaveUp[d.Task] = true
+		o.entryVM.w.checker.gaveUp[d.Task] = true
 	}
-	o.n.w.tell("%s %s %v attempt %d vm %s: %s, age %s", o.n.name, d.Kind, d.Task, d.Attempt, d.VM, d.Reason, d.Age)
+	o.entryVM.w.tracef("%s %s %v attempt %d vm %s: %s, age %s", o.entryVM.name, d.Kind, d.Task, d.Attempt, d.VM, d.Reason, d.Age)
 }
--- /dev/null
+++ b/core/emulator/scenario.go
@@ -0,0 +1,302 @@
+package emulator
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"lavenderpond/core/job"
+)
+
+// Scenario says what a day is made of. Its zero value is a calm day without load.
+type Scenario struct {
+	Seed uint64
+	// Length is how long callers hand jobs in.
+	Length time.Duration
+	// EntryVMs is the number of entry VMs, VMs that of VMs in each pool.
+	EntryVMs, VMsPerPool, StandbyMachines int
+	// JobsPerSecond is the mean rate of each of the two queues.
+	JobsPerSecond float64
+	// Burst multiplies the rate of one queue after the other.
+	Burst float64
+	// LongRunning is the number of lasting jobs of each pool.
+	LongRunning int
+	// WaveMachines is the number of machines that are due for upkeep.
+	WaveMachines int
+	// Evacuations are what operators ask for.
+	Evacuations []Evacuation
+	// Faults are what goes wrong.
+	Faults []Fault
+	// LateOrderShare of the orders get no answer and are carried out later.
+	LateOrderShare float64
+	// LateStartsBeforeHold lets late starts reach a new life of their VM before an owner has held it.
+	LateStartsBeforeHold bool
+	// Quota bounds the CPU of the first account; 0 means no bound.
+	Quota int64
+	// FailingShare of the jobs have a single task that always fails.
+	FailingShare float64
+	// CrashingShare of the jobs, and CrashingLasting of the lasting ones, have a single
+	// task that crashes each VM that starts it.
+	CrashingShare, CrashingLongRunningShare float64
+	// ResizingShare of the machines shrink and grow while they run; half of these take
+	// whatever they are told to start.
+	ResizingShare float64
+	// Trace, if set, is told of each decision and fault.
+	Trace func(line string)
+}
+
+// trackedJob is a job as its caller knows it.
+type trackedJob struct {
+	job.Job
+	submittedAt  time.Time
+	cancelledAt  time.Time
+	allTasksFail bool
+	// failingTask is the one task of the job that always fails, crashing the one that
+	// crashes each VM that starts it.
+	failingTask, crashingTask job.TaskID
+	failureRate               float64
+	meanRunTime               time.Duration
+}
+
+// runTime is how long a task really runs.
+func (t *trackedJob) runTime(id job.TaskID) time.Duration {
+	// Tasks of a step differ a little, the same at each attempt.
+	spread := 0.85 + 0.3*float64((id.Index*7+id.Step*3)%10)/10
+	return time.Duration(float64(t.meanRunTime) * spread)
+}
+
+// latencyTarget is how long the job may take.
+func (t *trackedJob) latencyTarget() time.Duration {
+	return time.Duration(t.Terms.Stretch*float64(t.meanRunTime)*1.15*float64(len(t.Body.Steps))) + t.Terms.LatencyAllowance
+}
+
+// pools of an emulated deployment.
+const (
+	poolOne = job.PoolName("one")
+	poolTwo = job.PoolName("two")
+	standby = job.PoolName("standby")
+)
+
+// settlePeriod is how long a day goes on after its last job: faults heal, and what
+// was accepted must come to its end.
+const settlePeriod = 45 * time.Second
+
+// maxRunLength bounds a day on which an account asks more than its cap: its jobs
+// come to their end one after the other, long after the last fault.
+const maxRunLength = 4 * time.Minute
+
+// hasUnfinishedJobs tells whether an accepted job isn't over.
+func (w *World) hasUnfinishedJobs() bool {
+	for _, s := range w.table.submitted {
+		if !s.job.Body.LongRunning() && w.jobs[s.job.ID].mustFinish() && !w.checker.states[s.job.ID].Final() {
+			return true
+		}
+	}
+	return false
+}
+
+// Run plays a day and returns what was broken and what happened.
+func Run(sc Scenario) (violations []string, stats Stats) {
+	w := newWorld(sc)
+	for _, x := range sc.Faults {
+		w.at(leadTime+x.At, func() {
+			w.tracef("fault %s for %s", x.Kind, x.For)
+			x.inject(w)
+		})
+	}
+	for _, e := range sc.Evacuations {
+		w.at(leadTime+e.At, func() { e.request(w) })
+	}
+	end := leadTime + sc.Length + settlePeriod
+	w.runUntil(end)
+	for end < maxRunLength && w.hasUnfinishedJobs() {
+		end += settlePeriod
+		w.runUntil(end)
+	}
+	w.checkFinalState()
+	return w.checker.violations, w.Stats
+}
+
+// leadTime is how long the system runs before callers come.
+const leadTime = 6 * time.Second
+
+func newWorld(sc Scenario) *World {
+	w := &World{
+		now: epoch, rng: rand.New(rand.NewPCG(sc.Seed, 1)), vms: map[job.VMID]*vm{}, jobs: map[job.ID]*trackedJob{},
+		evacuated: map[job.ZoneName]time.Time{},
+	}
+	w.trace = sc.Trace
+	w.table = newTable(w)
+	w.checker = newChecker(w)
+	w.checker.lateOrderShare = sc.LateOrderShare
+	w.lateStartsBeforeHold = sc.LateStartsBeforeHold
+	w.checker.evacuationLimit = evacuationLimit
+	if len(sc.Faults) == 0 {
+		w.checker.evacuationLimit = evacuationLimitWithoutFaults
+	}
+	w.config = &job.Configuration{
+		Version: 1,
+		Queues: []job.Queue{
+			{Name: "one", Pool: poolOne, MaxAttempts: 3, Stretch: 1.6, LatencyAllowance: 600 * time.Millisecond},
+			{Name: "two", Pool: poolTwo, MaxAttempts: 3, Stretch: 1.6, LatencyAllowance: 600 * time.Millisecond},
+		},
+		Pools:    []job.Pool{{Name: poolOne}, {Name: poolTwo}, {Name: standby, Standby: true}},
+		Accounts: []job.Account{{Name: "first", Quota: job.Resources{CPU: sc.Quota}}, {Name: "second"}},
+	}
+	w.config.Index()
+	w.addMachines(sc)
+	for i := range sc.EntryVMs {
+		n := &entryVM{w: w, name: fmt.Sprintf("entry-%d", i), zone: zoneName(i), unreachable: map[job.ZoneName]bool{}}
+		w.entryVMs = append(w.entryVMs, n)
+		w.after(w.randomBetween(0, 300*time.Millisecond), n.startProcess)
+	}
+	w.scheduleJobs(sc)
+	if sc.WaveMachines > 0 {
+		w.at(leadTime+2*time.Second, func() { w.addWave(sc.WaveMachines) })
+	}
+	return w
+}
+
+func zoneName(i int) job.ZoneName { return job.ZoneName(rune('a' + i%zoneCount)) }
+
+const zoneCount = 3
+
+func (w *World) addMachines(sc Scenario) {
+	add := func(pool job.PoolName, n int) {
+		for i := range n {
+			m := &machine{
+				id: job.MachineID(fmt.Sprintf("m-%s-%02d", pool, i)), pool: pool, zone: zoneName(i),
+				rack: job.Label(fmt.Sprintf("r%s-%d", zoneName(i), i/4)), state: job.MachineUp, resizes: w.chance(sc.ResizingShare),
+			}
+			m.ignoresCapacity = m.resizes && w.chance(0.5)
+			w.machines = append(w.machines, m)
+			if pool != standby {
+				w.startVM(m, "")
+			}
+		}
+	}
+	add(poolOne, sc.VMsPerPool)
+	add(poolTwo, sc.VMsPerPool)
+	add(standby, sc.StandbyMachines)
+}
+
+// scheduleJobs plans the callers' jobs.
+func (w *World) scheduleJobs(sc Scenario) {
+	for i := range sc.LongRunning {
+		for _, queue := range []job.QueueName{"one", "two"} {
+			w.at(leadTime-3*time.Second+time.Duration(i)*100*time.Millisecond, func() { w.submitLongRunning(sc, queue) })
+		}
+	}
+	if sc.JobsPerSecond <= 0 {
+		return
+	}
+	for q, queue := range []job.QueueName{"one", "two"} {
+		at := time.Duration(0)
+		for at < sc.Length {
+			rate := sc.JobsPerSecond
+			// The queues burst in turn, for four seconds each.
+			if sc.Burst > 0 && int(at/(4*time.Second))%4 == q {
+				rate *= sc.Burst
+			}
+			at += time.Duration(w.rng.ExpFloat64() / rate * float64(time.Second))
+			w.at(leadTime+at, func() { w.submitJob(sc, queue) })
+		}
+	}
+}
+
+func (w *World) newJobID() job.ID { return job.ID(fmt.Sprintf("%016x", w.rng.Uint64())) }
+
+func (w *World) submitLongRunning(sc Scenario, queue job.QueueName) {
+	t := &trackedJob{submittedAt: w.now, failureRate: 0, meanRunTime: longRunningStartup}
+	t.Job = job.Job{ID: w.newJobID(), Terms: w.terms(queue, "second"), Body: job.Body{
+		Spec:  "lasting",
+		Steps: []job.Step{{Count: 4, Resources: job.Resources{CPU: 3000, MemMB: 4000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true}},
+	}}
+	if w.chance(sc.CrashingLongRunningShare) {
+		t.crashingTask = w.randomTask(t)
+	}
+	w.jobs[t.ID] = t
+	w.table.submit(t.Job)
+}
+
+func (w *World) terms(queue job.QueueName, a job.AccountName) job.Terms {
+	q := w.config.Queue(queue)
+	return job.Terms{Queue: queue, Pool: q.Pool, Account: a, MaxAttempts: q.MaxAttempts, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
+}
+
+func (w *World) submitJob(sc Scenario, queue job.QueueName) {
+	t := &trackedJob{submittedAt: w.now, failureRate: 0.002, allTasksFail: w.chance(0.01)}
+	t.meanRunTime = time.Duration(math.Exp(w.rng.NormFloat64()*0.4) * float64(time.Second))
+	t.meanRunTime = min(max(t.meanRunTime, 100*time.Millisecond), 3*time.Second)
+	account := job.AccountName("first")
+	if w.chance(0.5) {
+		account = "second"
+	}
+	body := job.Body{Spec: "work"}
+	for s := range 1 + w.rng.IntN(2) {
+		st := job.Step{
+			Count: 2 + w.rng.IntN(8), Resources: job.Resources{CPU: 800 + w.rng.Int64N(2500), MemMB: 1000},
+			Estimate: time.Duration(math.Exp(w.rng.NormFloat64()*0.5) * float64(t.meanRunTime)),
+		}
+		if s > 0 {
+			st.After = []int{s - 1}
+		}
+		body.Steps = append(body.Steps, st)
+	}
+	t.Job = job.Job{ID: w.newJobID(), Terms: w.terms(queue, account), Body: body}
+	w.addFaultyTasks(t, sc)
+	w.jobs[t.ID] = t
+	w.Stats.Jobs++
+	w.table.submit(t.Job)
+	if w.chance(0.05) {
+		w.after(w.randomBetween(0, 2*time.Second), func() {
+			t.cancelledAt = w.now
+			w.table.cancel(t.ID)
+		})
+	}
+}
+
+// addWave asks for the upkeep of machines of both pools.
+func (w *World) addWave(n int) {
+	w.wave = job.Wave{Number: 1, MaxConcurrent: 2, Within: 30 * time.Second}
+	for i, m := range w.machines {
+		if i%2 == 0 && len(w.wave.Machines) < n {
+			w.wave.Machines = append(w.wave.Machines, m.id)
+		}
+	}
+	w.hasWave = true
+	for _, e := range w.entryVMs {
+		if o := e.owner; o != nil && o.scheduler != nil {
+			o.scheduler.AddWave(w.now, w.wave, nil)
+		}
+	}
+}
+
+func (w *World) waves() map[int64]job.Wave {
+	if !w.hasWave {
+		return nil
+	}
+	return map[int64]job.Wave{w.wave.Number: w.wave}
+}
+
+func (w *World) maxConcurrentMaintenance() int { return w.wave.MaxConcurrent }
+
+// checkFinalState checks that nothing was lost: by now every accepted job is over, and
+// what is to last runs.
+func (w *World) checkFinalState() {
+	for _, s := range w.table.submitted {
+		t := w.jobs[s.job.ID]
+		state := w.checker.states[t.ID]
+		switch {
+		case !t.mustFinish():
+		case t.Body.LongRunning():
+			w.checker.checkLongRunning(t)
+		case !state.Final():
+			w.checker.violationf("%s, handed in at %.3f s, is still %s", t.ID, t.submittedAt.Sub(epoch).Seconds(), state)
+		}
+	}
+	if w.hasWave && w.checker.waveState != job.WaveCompleted && !w.checker.longRunningGivenUp() {
+		w.checker.violationf("the wave is not completed")
+	}
+}
--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -28,25 +28,25 @@
 
 	// down refuses calls, slow delays them, lost drops answers of writes, late
 	// carries some of these out later.
-	down bool
-	slow time.Duration
-	lost float64
-	late bool
-	// turnedAway are nodes that get no answer.
-	turnedAway map[*node]bool
+	down            bool
+	extraDelay      time.Duration
+	lostAnswerShare float64
+	lateWrites      bool
+	// refused are nodes that get no answer.
+	refused map[*entryVM]bool
 }
 
 type ownerRow struct {
-	node   string
-	life   int
-	turn   int64
-	vacant bool
+	entryVM string
+	run     int
+	turn    int64
+	vacant  bool
 }
 
 type renewalRow struct {
-	life  int
-	node  string
-	batch int64
+	run     int
+	entryVM string
+	batch   int64
 }
 
 type submission struct {
@@ -55,7 +55,7 @@
 }
 
 type vmChange struct {
-	entry   job.VMRecord
+	record  job.VMRecord
 	removed bool
 }
 
@@ -63,24 +63,24 @@
 	return &table{
 		w: w, progress: map[job.ID]job.Progress{}, waves: map[int64][]job.MachineID{},
 		vms: map[job.VMID]job.VMRecord{}, roster: map[job.VMID]schedule.RosterVM{},
-		orders: map[job.MachineID]schedule.MachineOrder{}, turnedAway: map[*node]bool{},
+		orders: map[job.MachineID]schedule.MachineOrder{}, refused: map[*entryVM]bool{},
 	}
 }
 
-func (t *table) bump() int64 {
+func (t *table) nextVersion() int64 {
 	t.version++
 	return t.version
 }
 
-// swap makes a node the owner if both rows are as it read them.
-func (t *table) swap(owner, renewal int64, row ownerRow) (int64, bool) {
+// swapOwner makes a node the owner if both rows are as it read them.
+func (t *table) swapOwner(owner, renewal int64, row ownerRow) (int64, bool) {
 	if owner != t.ownerVersion || renewal != t.renewalVersion {
 		return 0, false
 	}
-	v := t.bump()
+	v := t.nextVersion()
 	t.owner, t.ownerVersion = row, v
-	t.renewal, t.renewalVersion = renewalRow{life: row.life, node: row.node}, v
-	t.w.Figures.TakeOvers++
+	t.renewal, t.renewalVersion = renewalRow{run: row.run, entryVM: row.entryVM}, v
+	t.w.Stats.Takeovers++
 	return v, true
 }
 
@@ -89,21 +89,21 @@
 	ok             bool
 	version        int64
 	owner, renewal int64
-	row            renewalRow
+	renewalRow     renewalRow
 }
 
 // commit stores saves if the owner and its last renewal are as expected.
 func (t *table) commit(owner, renewal int64, row renewalRow, saves []schedule.Command) commitResult {
 	if owner != t.ownerVersion || renewal != t.renewalVersion {
-		return commitResult{owner: t.ownerVersion, renewal: t.renewalVersion, row: t.renewal}
+		return commitResult{owner: t.ownerVersion, renewal: t.renewalVersion, renewalRow: t.renewal}
 	}
-	v := t.bump()
+	v := t.nextVersion()
 	t.renewal, t.renewalVersion = row, v
 	for _, c := range saves {
 		switch c := c.(type) {
 		case schedule.Save:
 			t.progress[c.Job] = c.Progress
-			t.w.judge.shown(c.Job, c.Progress.State)
+			t.w.checker.jobStatePublished(c.Job, c.Progress.State)
 		case schedule.SaveVM:
 			t.roster[c.VM.ID] = c.VM
 		case schedule.DropVM:
@@ -121,11 +121,11 @@
 
 // submit stores a job once.
 func (t *table) submit(j job.Job) {
-	t.submitted = append(t.submitted, submission{job: j, version: t.bump()})
+	t.submitted = append(t.submitted, submission{job: j, version: t.nextVersion()})
 }
 
 func (t *table) cancel(id job.ID) {
-	t.bump()
+	t.nextVersion()
 	t.cancelled = append(t.cancelled, id)
 }
 
@@ -134,18 +134,18 @@
 	if !v.up || v.w.vms[v.id] != v {
 		return
 	}
-	e := job.VMRecord{
-		ID: v.id, Pool: v.pool, Address: string(v.id), Zone: v.machine.zone, Draining: v.drains,
-		Capacity: v.room(), Labels: []job.Label{"a", v.machine.rack},
+	r := job.VMRecord{
+		ID: v.id, Pool: v.pool, Address: string(v.id), Zone: v.machine.zone, Draining: v.draining,
+		Capacity: v.capacity(), Labels: []job.Label{"a", v.machine.rack},
 		Born: job.Born(v.born.UnixMilli()), Machine: v.machine.id,
 	}
-	t.vms[v.id] = e
-	t.vmChanges = append(t.vmChanges, vmChange{entry: e})
+	t.vms[v.id] = r
+	t.vmChanges = append(t.vmChanges, vmChange{record: r})
 }
 
 func (t *table) dropVM(id job.VMID) {
-	if e, ok := t.vms[id]; ok {
+	if r, ok := t.vms[id]; ok {
 		delete(t.vms, id)
-		t.vmChanges = append(t.vmChanges, vmChange{entry: e, removed: true})
+		t.vmChanges = append(t.vmChanges, vmChange{record: r, removed: true})
 	}
 }
--- a/core/emulator/trace_test.go
+++ b/core/emulator/trace_test.go
@@ -15,10 +15,10 @@
 	if err != nil {
 		return
 	}
-	d := dayOf(seed)
-	d.Trace = func(line string) { fmt.Println(line) }
-	broken, _ := emulator.Play(d)
-	for _, b := range broken {
-		fmt.Println("broken:", b)
+	s := scenarioOf(seed)
+	s.Trace = func(line string) { fmt.Println(line) }
+	violations, _ := emulator.Run(s)
+	for _, v := range violations {
+		fmt.Println("broken:", v)
 	}
 }
--- a/core/emulator/world.go
+++ b/core/emulator/world.go
@@ -15,39 +15,39 @@
 
 // World is one day while it is played.
 type World struct {
-	now    time.Time
-	rng    *rand.Rand
-	events eventQueue
-	serial int64
+	now     time.Time
+	rng     *rand.Rand
+	events  eventQueue
+	lastSeq int64
 
 	table    *table
-	nodes    []*node
+	entryVMs []*entryVM
 	vms      map[job.VMID]*vm
-	order    []*vm
+	allVMs   []*vm
 	machines []*machine
-	jobs     map[job.ID]*truth
-	conf     *job.Configuration
+	jobs     map[job.ID]*trackedJob
+	config   *job.Configuration
 	// evacuated are the availability zones in which nothing may start, and since when.
 	evacuated map[job.ZoneName]time.Time
-	judge     *judge
+	checker   *checker
 	nextVM    int
 	trace     func(line string)
-	Figures   Figures
+	Stats     Stats
 	wave      job.Wave
 	hasWave   bool
-	// lateToUnheld lets late starts reach a new life before any owner has held it.
-	lateToUnheld bool
+	// lateStartsBeforeHold lets late starts reach a new life before any owner has held it.
+	lateStartsBeforeHold bool
 }
 
-// Figures count what happened.
-type Figures struct {
+// Stats count what happened.
+type Stats struct {
 	Jobs, Completed, Failed, Cancelled int
 	InTime                             int
 	// GivenUp counts the jobs that were shown as failed though none of their tasks was
 	// at fault.
 	GivenUp                    int
-	Starts, TakeOvers, Crashes int
-	Moves, Upkeeps             int
+	Starts, Takeovers, Crashes int
+	Moves, MaintenanceStarts   int
 	// LongestGap is the longest time without an owner that starts tasks.
 	LongestGap time.Duration
 }
@@ -56,9 +56,9 @@
 var epoch = time.Unix(1_800_000_000, 0)
 
 type event struct {
-	at     time.Time
-	serial int64
-	run    func()
+	at  time.Time
+	seq int64
+	run func()
 }
 
 type eventQueue []event
@@ -68,7 +68,7 @@
 	if !q[i].at.Equal(q[j].at) {
 		return q[i].at.Before(q[j].at)
 	}
-	return q[i].serial < q[j].serial
+	return q[i].seq < q[j].seq
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
@@ -81,18 +81,18 @@
 
 // after runs f once d has passed.
 func (w *World) after(d time.Duration, f func()) {
-	w.serial++
-	heap.Push(&w.events, event{at: w.now.Add(max(0, d)), serial: w.serial, run: f})
+	w.lastSeq++
+	heap.Push(&w.events, event{at: w.now.Add(max(0, d)), seq: w.lastSeq, run: f})
 }
 
 // at runs f at an instant of the day, counted from its beginning.
 func (w *World) at(d time.Duration, f func()) { w.after(epoch.Add(d).Sub(w.now), f) }
 
-// Since returns how much of the day has passed.
-func (w *World) Since() time.Duration { return w.now.Sub(epoch) }
+// Elapsed returns how much of the day has passed.
+func (w *World) Elapsed() time.Duration { return w.now.Sub(epoch) }
 
-// run plays until the instant.
-func (w *World) run(until time.Duration) {
+// runUntil plays until the instant.
+func (w *World) runUntil(until time.Duration) {
 	end := epoch.Add(until)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
 		e := heap.Pop(&w.events).(event)
@@ -102,8 +102,8 @@
 	w.now = end
 }
 
-// between returns a random period.
-func (w *World) between(from, to time.Duration) time.Duration {
+// randomBetween returns a random period.
+func (w *World) randomBetween(from, to time.Duration) time.Duration {
 	if to <= from {
 		return from
 	}
@@ -113,12 +113,14 @@
 // chance is true with probability p.
 func (w *World) chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
-// hop is the time of one way between two processes.
-func (w *World) hop() time.Duration { return w.between(300*time.Microsecond, 900*time.Microsecond) }
+// networkDelay is the time of one way between two processes.
+func (w *World) networkDelay() time.Duration {
+	return w.randomBetween(300*time.Microsecond, 900*time.Microsecond)
+}
 
-// tell writes a line to the day's trace, if it has one.
-func (w *World) tell(format string, args ...any) {
+// tracef writes a line to the day's trace, if it has one.
+func (w *World) tracef(format string, args ...any) {
 	if w.trace != nil {
-		w.trace(fmt.Sprintf("%8.3f ", w.Since().Seconds()) + fmt.Sprintf(format, args...))
+		w.trace(fmt.Sprintf("%8.3f ", w.Elapsed().Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -19,83 +19,83 @@
 const (
 	// callTimeout is how long a caller waits for an answer.
 	callTimeout = 3 * time.Second
-	// tries is how often a submission is sent.
-	tries = 5
-	// tryPause is the pause between two tries and between two looks at a state.
-	tryPause = 300 * time.Millisecond
+	// submitAttempts is how often a submission is sent.
+	submitAttempts = 5
+	// retryDelay is the pause between two tries and between two looks at a state.
+	retryDelay = 300 * time.Millisecond
 	// cancelOneIn is how many jobs there are for one that is cancelled.
 	cancelOneIn = 12
 	// crashOneIn is how many jobs there are for one with a task that crashes VMs, and
 	// crashLastsOneIn how many of those for one whose tasks last.
-	crashOneIn, crashLastsOneIn = 40, 4
+	crashOneIn, crashLongRunningOneIn = 40, 4
 )
 
 // caller hands jobs in and follows them over connections that it keeps open.
 type caller struct {
-	fleet  *fleet
-	client http.Client
-	rng    *rand.Rand
-	serial int
-	name   int
-	// crash says which of each crashOneIn jobs has a task that crashes VMs.
-	crash int
+	fleet     *fleet
+	client    http.Client
+	rng       *rand.Rand
+	submitted int
+	number    int
+	// crashOffset says which of each crashOneIn jobs has a task that crashes VMs.
+	crashOffset int
 }
 
 func newCaller(f *fleet, name int, rng *rand.Rand) *caller {
 	return &caller{
-		fleet: f, name: name, rng: rng, crash: rng.IntN(crashOneIn),
+		fleet: f, number: name, rng: rng, crashOffset: rng.IntN(crashOneIn),
 		client: http.Client{Transport: &http.Transport{}, Timeout: callTimeout},
 	}
 }
 
 // run hands jobs in until work ends, and follows what is open until ctx ends.
-func (c *caller) run(ctx, work context.Context) {
+func (c *caller) run(ctx, submitting context.Context) {
 	var open []job.ID
 	for ctx.Err() == nil {
-		if work.Err() == nil {
-			open = append(open, c.offer(ctx))
+		if submitting.Err() == nil {
+			open = append(open, c.submitNext(ctx))
 		}
-		if work.Err() == nil && c.rng.IntN(cancelOneIn) == 0 {
+		if submitting.Err() == nil && c.rng.IntN(cancelOneIn) == 0 {
 			c.cancel(ctx, open[c.rng.IntN(len(open))])
 		}
-		left := open[:0:0]
+		remaining := open[:0:0]
 		for _, id := range open {
-			if !c.follow(ctx, id) {
-				left = append(left, id)
+			if !c.pollState(ctx, id) {
+				remaining = append(remaining, id)
 			}
 		}
-		open = left
-		supervisor.Sleep(ctx, tryPause)
+		open = remaining
+		supervisor.Sleep(ctx, retryDelay)
 	}
 }
 
-// offer hands in the next job.
-func (c *caller) offer(ctx context.Context) job.ID {
-	steps := c.steps()
+// submitNext hands in the next job.
+func (c *caller) submitNext(ctx context.Context) job.ID {
+	steps := c.randomSteps()
 	spec := standin.Spec{CPU: steps[0].CPU, RunMS: steps[0].RunMS}
-	if c.serial%crashOneIn == c.crash {
-		if spec.Lasting = c.rng.IntN(crashLastsOneIn) == 0; spec.Lasting {
+	if c.submitted%crashOneIn == c.crashOffset {
+		if spec.Lasting = c.rng.IntN(crashLongRunningOneIn) == 0; spec.Lasting {
 			steps = steps[:1]
 			steps[0].Lasting = true
 		}
 		spec.Crash = &standin.Crash{Step: c.rng.IntN(len(steps))}
-		one := &steps[spec.Crash.Step]
-		one.Count++
-		spec.Crash.Index = c.rng.IntN(one.Count)
+		step := &steps[spec.Crash.Step]
+		step.Count++
+		spec.Crash.Index = c.rng.IntN(step.Count)
 	}
 	return c.submit(ctx, spec, steps)
 }
 
-func (c *caller) steps() []standin.StepBody {
+func (c *caller) randomSteps() []standin.StepBody {
 	var out []standin.StepBody
 	// The VM reads what a task needs from the job's spec, which has one for all steps.
 	cpu, runMS := 1000+c.rng.Int64N(3000), 50+c.rng.Int64N(600)
 	for s := range 1 + c.rng.IntN(3) {
-		one := standin.StepBody{Count: 1 + c.rng.IntN(4), CPU: cpu, MemMB: 100, RunMS: runMS}
+		step := standin.StepBody{Count: 1 + c.rng.IntN(4), CPU: cpu, MemMB: 100, RunMS: runMS}
 		if s > 0 {
-			one.After = []int{s - 1}
+			step.After = []int{s - 1}
 		}
-		out = append(out, one)
+		out = append(out, step)
 	}
 	return out
 }
@@ -103,26 +103,26 @@
 // submit hands a job in, with the same ID at several daemons until one says what
 // became of it.
 func (c *caller) submit(ctx context.Context, spec standin.Spec, steps []standin.StepBody) job.ID {
-	c.serial++
-	id := job.ID(fmt.Sprintf("%08x%08x", c.name, c.serial))
+	c.submitted++
+	id := job.ID(fmt.Sprintf("%08x%08x", c.number, c.submitted))
 	body, err := standin.JobBody(spec, steps)
 	if err != nil {
 		return id
 	}
-	c.fleet.judge.Offered(id, spec, steps)
-	for range tries {
+	c.fleet.checker.Submitting(id, spec, steps)
+	for range submitAttempts {
 		status, _ := c.call(ctx, http.MethodPost, id, body)
-		c.fleet.judge.Answered(id, status)
+		c.fleet.checker.SubmitAnswered(id, status)
 		if status == http.StatusOK || status == http.StatusGatewayTimeout {
 			break
 		}
-		supervisor.Sleep(ctx, tryPause)
+		supervisor.Sleep(ctx, retryDelay)
 	}
 	return id
 }
 
-// follow looks at a job's state and tells whether it is over.
-func (c *caller) follow(ctx context.Context, id job.ID) bool {
+// pollState looks at a job's state and tells whether it is over.
+func (c *caller) pollState(ctx context.Context, id job.ID) bool {
 	status, body := c.call(ctx, http.MethodGet, id, nil)
 	var out struct {
 		State string `json:"state"`
@@ -130,19 +130,19 @@
 	if status == http.StatusOK && json.Unmarshal(body, &out) != nil {
 		return false
 	}
-	c.fleet.judge.Shown(id, status, out.State)
+	c.fleet.checker.StateReturned(id, status, out.State)
 	return status == http.StatusGone || out.State == "completed" || out.State == "cancelled" || out.State == "failed"
 }
 
 func (c *caller) cancel(ctx context.Context, id job.ID) {
-	c.fleet.judge.Cancelled(id)
+	c.fleet.checker.Cancelling(id)
 	c.call(ctx, http.MethodDelete, id, nil)
 }
 
 // call makes one call to some daemon; status 0 stands for no answer.
 func (c *caller) call(ctx context.Context, method string, id job.ID, body []byte) (status int, answer []byte) {
 	e := c.fleet.entries[c.rng.IntN(len(c.fleet.entries))]
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+e.callers.String()+standin.Prefix+string(id), bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+e.callerAddress.String()+standin.Prefix+string(id), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -23,25 +23,25 @@
 )
 
 const (
-	// vmRoom is a VM's room in thousandths of a core.
-	vmRoom = 16_000
-	// tickEvery is how often VMs look at their tasks.
-	tickEvery = 10 * time.Millisecond
-	// heartbeatEvery is how often a VM writes its row.
-	heartbeatEvery = 1500 * time.Millisecond
-	// backLeast and backMost bound how long a VM that a task crashed is away.
-	backLeast = time.Second
-	backMost  = 5 * time.Second
+	// vmCapacity is a VM's room in thousandths of a core.
+	vmCapacity = 16_000
+	// tickInterval is how often VMs look at their tasks.
+	tickInterval = 10 * time.Millisecond
+	// heartbeatInterval is how often a VM writes its row.
+	heartbeatInterval = 1500 * time.Millisecond
+	// minDowntime and backMost bound how long a VM that a task crashed is away.
+	minDowntime = time.Second
+	maxDowntime = 5 * time.Second
 )
 
 // entry is one daemon and the links to and from it.
 type entry struct {
-	name     string
-	settings string
-	log      string
-	// front takes callers, table and machines carry the daemon's calls.
-	front, table, machines *link.Link
-	callers                netip.AddrPort
+	name         string
+	settingsFile string
+	logFile      string
+	// frontLink takes callers, table and machines carry the daemon's calls.
+	frontLink, tableLink, machinesLink *link.Link
+	callerAddress                      netip.AddrPort
 
 	mu      sync.Mutex
 	command *exec.Cmd
@@ -53,18 +53,18 @@
 	name string
 	zone job.ZoneName
 	link *link.Link
-	// unguarded VMs start what doesn't fit, too.
-	unguarded bool
+	// ignoresCapacity VMs start what doesn't fit, too.
+	ignoresCapacity bool
 
 	mu      sync.Mutex
 	vm      *standin.VM
 	down    bool
-	lives   int
+	idCount int
 	address string
 }
 
-// life returns the newest life, and whether it has ended.
-func (m *machine) life() (vm *standin.VM, down bool) {
+// currentVM returns the newest life, and whether it has ended.
+func (m *machine) currentVM() (vm *standin.VM, down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.vm, m.down
@@ -72,7 +72,7 @@
 
 // ServeHTTP implements http.Handler for the life that is there.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	vm, down := m.life()
+	vm, down := m.currentVM()
 	if down {
 		<-r.Context().Done()
 		return
@@ -82,17 +82,17 @@
 
 // fleet is everything that a soak runs.
 type fleet struct {
-	binary   string
-	folder   string
-	table    *standin.Table
-	cloud    *standin.Machines
-	judge    *Judge
-	entries  []*entry
-	machines []*machine
-	rng      *rand.Rand
-	servers  []*http.Server
-	group    supervisor.Group
-	version  int
+	binary        string
+	folder        string
+	table         *standin.Table
+	cloud         *standin.Machines
+	checker       *Checker
+	entries       []*entry
+	machines      []*machine
+	rng           *rand.Rand
+	servers       []*http.Server
+	group         supervisor.Group
+	configVersion int
 	// mu guards rng and evacuated, which counts the requests in force for each
 	// availability zone.
 	mu        sync.Mutex
@@ -113,9 +113,9 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// handedOut are the addresses given to any fleet of this process. A fleet listens at some
+// allocatedAddresses are the addresses given to any fleet of this process. A fleet listens at some
 // of its own only later: another one that got the same would be taken for a part of it.
-var handedOut sync.Map
+var allocatedAddresses sync.Map
 
 // listen listens at a loopback address that was not handed out before.
 func listen() (net.Listener, error) {
@@ -124,7 +124,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "listen")
 		}
-		if _, before := handedOut.LoadOrStore(l.Addr().String(), true); !before {
+		if _, before := allocatedAddresses.LoadOrStore(l.Addr().String(), true); !before {
 			return l, nil
 		}
 		// It stays open meanwhile, so that the next one is another.
@@ -142,33 +142,33 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// link carries connections from a free address to target.
-func (f *fleet) link(ctx context.Context, name string, target netip.AddrPort) (*link.Link, netip.AddrPort, error) {
+// addLink carries connections from a free address to target.
+func (f *fleet) addLink(ctx context.Context, name string, target netip.AddrPort) (*link.Link, netip.AddrPort, error) {
 	at, err := freeAddress()
 	if err != nil {
 		return nil, at, err
 	}
 	l := link.New(name)
-	f.group.Go(func() { f.carry(ctx, l, link.Forward{Listen: at, Target: target}) })
+	f.group.Go(func() { f.serveLink(ctx, l, link.Forward{Listen: at, Target: target}) })
 	return l, at, nil
 }
 
 const (
-	// linkTries and linkRetry bound how long a link waits for its port, which a
+	// maxLinkAttempts and linkRetry bound how long a link waits for its port, which a
 	// connection may hold while the link refuses callers.
-	linkTries = 100
-	linkRetry = 50 * time.Millisecond
+	maxLinkAttempts = 100
+	linkRetryDelay  = 50 * time.Millisecond
 )
 
-// carry serves a link until ctx ends.
-func (f *fleet) carry(ctx context.Context, l *link.Link, x link.Forward) {
+// serveLink serves a link until ctx ends.
+func (f *fleet) serveLink(ctx context.Context, l *link.Link, x link.Forward) {
 	var err error
-	for range linkTries {
-		if err = l.Serve(ctx, x); err == nil || !supervisor.Sleep(ctx, linkRetry) {
+	for range maxLinkAttempts {
+		if err = l.Serve(ctx, x); err == nil || !supervisor.Sleep(ctx, linkRetryDelay) {
 			return
 		}
 	}
-	f.judge.Report("%v", err)
+	f.checker.Reportf("%v", err)
 }
 
 // build lays out stand-ins, links and settings; nothing runs yet.
@@ -187,56 +187,56 @@
 			return err
 		}
 	}
-	f.list()
+	f.publishMachines()
 	for i := range entries {
 		if err := f.addEntry(ctx, i, table, cloud); err != nil {
 			return err
 		}
 	}
-	f.group.Go(func() { _ = supervisor.Every(ctx, tickEvery, f.tick) })
-	f.group.Go(func() { _ = supervisor.Every(ctx, heartbeatEvery, func(context.Context) { f.heartbeat() }) })
+	f.group.Go(func() { _ = supervisor.Every(ctx, tickInterval, f.tick) })
+	f.group.Go(func() { _ = supervisor.Every(ctx, heartbeatInterval, func(context.Context) { f.heartbeat() }) })
 	return nil
 }
 
 func (f *fleet) addMachine(ctx context.Context, i int) error {
-	m := &machine{name: fmt.Sprintf("m-%d", i), zone: f.zone(i), unguarded: i%2 == 1}
+	m := &machine{name: fmt.Sprintf("m-%d", i), zone: f.zone(i), ignoresCapacity: i%2 == 1}
 	at, err := f.serve(m)
 	if err != nil {
 		return err
 	}
-	l, address, err := f.link(ctx, m.name, at)
+	l, address, err := f.addLink(ctx, m.name, at)
 	if err != nil {
 		return err
 	}
 	m.link, m.address = l, address.String()
 	f.machines = append(f.machines, m)
-	f.bear(m, false)
+	f.startVM(m, false)
 	return nil
 }
 
 // bear gives a machine a new life, under its former ID or another, unless it lives.
-func (f *fleet) bear(m *machine, sameID bool) {
+func (f *fleet) startVM(m *machine, sameID bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case m.vm == nil:
-		m.lives++
+		m.idCount++
 	case !m.down:
 		return
 	case !sameID:
 		f.table.Put(standin.VMRow(m.vm.ID), nil)
-		m.lives++
+		m.idCount++
 	}
-	m.vm = standin.NewVM(job.VMID(fmt.Sprintf("vm-%s-%d", m.name, m.lives)), vmRoom, f.judge, f.rng)
-	m.vm.Unguarded = m.unguarded
+	m.vm = standin.NewVM(job.VMID(fmt.Sprintf("vm-%s-%d", m.name, m.idCount)), vmCapacity, f.checker, f.rng)
+	m.vm.Unguarded = m.ignoresCapacity
 	m.down = false
-	f.judge.Placed(m.vm.ID, Place{Zone: m.zone, Room: vmRoom, Unguarded: m.unguarded})
+	f.checker.Placed(m.vm.ID, Placement{Zone: m.zone, Capacity: vmCapacity, IgnoresCapacity: m.ignoresCapacity})
 }
 
-// crash ends a machine's life, if it is still this one.
-func (f *fleet) crash(m *machine, vm *standin.VM) {
+// crashVM ends a machine's life, if it is still this one.
+func (f *fleet) crashVM(m *machine, vm *standin.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.vm == vm {
@@ -245,32 +245,32 @@
 	}
 }
 
-// resize changes the room of the VM that lives on a machine.
-func (f *fleet) resize(m *machine, room int64) {
+// resizeVM changes the room of the VM that lives on a machine.
+func (f *fleet) resizeVM(m *machine, capacity int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.vm.Resize(room)
-	f.judge.Resized(m.vm.ID, room)
+	m.vm.Resize(capacity)
+	f.checker.Resized(m.vm.ID, capacity)
 }
 
 func (f *fleet) tick(ctx context.Context) {
 	for _, m := range f.machines {
-		vm, down := m.life()
-		if !down && !vm.Tick(tickEvery) {
-			f.crash(m, vm)
-			f.group.Go(func() { f.revive(ctx, m) })
+		vm, down := m.currentVM()
+		if !down && !vm.Tick(tickInterval) {
+			f.crashVM(m, vm)
+			f.group.Go(func() { f.restartAfterCrash(ctx, m) })
 		}
 	}
 }
 
-// revive gives a machine that a task crashed a new life after some time.
-func (f *fleet) revive(ctx context.Context, m *machine) {
+// restartAfterCrash gives a machine that a task crashed a new life after some time.
+func (f *fleet) restartAfterCrash(ctx context.Context, m *machine) {
 	f.mu.Lock()
-	away := backLeast + time.Duration(f.rng.Int64N(int64(backMost-backLeast)))
-	same := f.rng.IntN(2) == 0
+	downtime := minDowntime + time.Duration(f.rng.Int64N(int64(maxDowntime-minDowntime)))
+	sameID := f.rng.IntN(2) == 0
 	f.mu.Unlock()
-	supervisor.Sleep(ctx, away)
-	f.bear(m, same)
+	supervisor.Sleep(ctx, downtime)
+	f.startVM(m, sameID)
 }
 
 // heartbeat writes the rows of the VMs that live, and removes those of others.
@@ -285,14 +285,14 @@
 		}
 		m.mu.Unlock()
 	}
-	f.list()
+	f.publishMachines()
 }
 
-func (f *fleet) list() {
+func (f *fleet) publishMachines() {
 	var list []job.Machine
 	for _, m := range f.machines {
 		m.mu.Lock()
-		x := job.Machine{ID: job.MachineID(m.name), Pool: standin.Pool, State: job.MachineUp, Zone: m.zone, VM: m.vm.ID, Capacity: job.Resources{CPU: vmRoom}}
+		x := job.Machine{ID: job.MachineID(m.name), Pool: standin.Pool, State: job.MachineUp, Zone: m.zone, VM: m.vm.ID, Capacity: job.Resources{CPU: vmCapacity}}
 		if m.down {
 			x.State, x.VM = "down", ""
 		}
@@ -303,8 +303,8 @@
 }
 
 func (f *fleet) reconfigure() {
-	f.version++
-	f.table.Put(standin.ConfigurationRow, standin.Configuration(f.version))
+	f.configVersion++
+	f.table.Put(standin.ConfigurationRow, standin.Configuration(f.configVersion))
 }
 
 // evacuate asks that nothing start in the zone.
@@ -317,7 +317,7 @@
 	f.evacuated[z]++
 	if f.evacuated[z] == 1 {
 		f.table.Put(standin.EvacuationRow(z), []byte("{}"))
-		f.judge.Evacuated(z)
+		f.checker.Evacuated(z)
 	}
 }
 
@@ -327,7 +327,7 @@
 	defer f.mu.Unlock()
 	f.evacuated[z]--
 	if f.evacuated[z] == 0 {
-		f.judge.Reopened(z)
+		f.checker.Reopened(z)
 		f.table.Put(standin.EvacuationRow(z), nil)
 	}
 }
@@ -344,28 +344,28 @@
 		return err
 	}
 	var tableAt, cloudAt netip.AddrPort
-	if e.table, tableAt, err = f.link(ctx, e.name+"-table", table); err != nil {
+	if e.tableLink, tableAt, err = f.addLink(ctx, e.name+"-table", table); err != nil {
 		return err
 	}
-	if e.machines, cloudAt, err = f.link(ctx, e.name+"-machines", cloud); err != nil {
+	if e.machinesLink, cloudAt, err = f.addLink(ctx, e.name+"-machines", cloud); err != nil {
 		return err
 	}
-	if e.front, e.callers, err = f.link(ctx, e.name+"-front", front); err != nil {
+	if e.frontLink, e.callerAddress, err = f.addLink(ctx, e.name+"-front", front); err != nil {
 		return err
 	}
-	e.settings = filepath.Join(f.folder, e.name+".toml")
-	e.log = filepath.Join(f.folder, e.name+".log")
+	e.settingsFile = filepath.Join(f.folder, e.name+".toml")
+	e.logFile = filepath.Join(f.folder, e.name+".log")
 	f.entries = append(f.entries, e)
 	peer, err := freeAddress()
 	if err != nil {
 		return err
 	}
 	text := standin.SettingsText(e.name, string(f.zone(i)), peer, front.String(), ready.String(), tableAt.String(), cloudAt.String())
-	return errors.Wrap(os.WriteFile(e.settings, []byte(text), 0o600), "write settings")
+	return errors.Wrap(os.WriteFile(e.settingsFile, []byte(text), 0o600), "write settings")
 }
 
-// start starts the daemon, if it doesn't run.
-func (f *fleet) start(e *entry) error {
+// startDaemon starts the daemon, if it doesn't run.
+func (f *fleet) startDaemon(e *entry) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	select {
@@ -373,11 +373,11 @@
 	default:
 		return nil
 	}
-	out, err := os.OpenFile(e.log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(e.logFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "open log")
 	}
-	c := exec.Command(f.binary, e.settings)
+	c := exec.Command(f.binary, e.settingsFile)
 	c.Stdout, c.Stderr = out, out
 	if err := c.Start(); err != nil {
 		return errors.Wrap(err, "start daemon")
@@ -403,15 +403,15 @@
 	}
 }
 
-// ended waits until the daemon has ended, at most for patience.
-func (e *entry) ended(patience time.Duration) bool {
+// waitExit waits until the daemon has ended, at most for patience.
+func (e *entry) waitExit(timeout time.Duration) bool {
 	e.mu.Lock()
 	exited := e.exited
 	e.mu.Unlock()
 	select {
 	case <-exited:
 		return true
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/io/soak/soak.go
+++ b/io/soak/soak.go
@@ -21,74 +21,74 @@
 	Entries, Machines, Callers int
 	// Trouble is for how long faults strike and jobs come.
 	Trouble time.Duration
-	// Tell is told of each fault; nil for nobody.
-	Tell func(line string)
+	// OnFault is told of each fault; nil for nobody.
+	OnFault func(line string)
 }
 
 const (
-	// settleMost is how long after the last fault all that was accepted may take to
+	// maxSettleTime is how long after the last fault all that was accepted may take to
 	// come to its end: leases of VMs out of reach run out after ten seconds, and
 	// what waited for them runs then. Jobs whose tasks crash VMs get as long to be
 	// given up.
-	settleMost = 40 * time.Second
-	// settlePoll is how often that is looked at.
-	settlePoll = 200 * time.Millisecond
+	maxSettleTime = 40 * time.Second
+	// settlePollInterval is how often that is looked at.
+	settlePollInterval = 200 * time.Millisecond
 	// leadTime is how long the daemons run before callers come.
 	leadTime = 1500 * time.Millisecond
 
-	fewEntries, fewMachines, fewCallers = 4, 6, 4
+	defaultEntries, defaultMachines, defaultCallers = 4, 6, 4
 )
 
 // Run runs a soak and returns what was broken and what happened.
-func (s Soak) Run(ctx context.Context) (broken []string, figures string, err error) {
+func (s Soak) Run(ctx context.Context) (violations []string, summary string, err error) {
 	if err := os.MkdirAll(s.Folder, 0o700); err != nil {
 		return nil, "", errors.Wrap(err, "make folder")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	f := &fleet{
 		binary: s.Binary, folder: s.Folder, table: standin.NewTable(), cloud: &standin.Machines{},
-		judge: NewJudge(), rng: rand.New(rand.NewPCG(s.Seed, 1)),
+		checker: NewChecker(), rng: rand.New(rand.NewPCG(s.Seed, 1)),
 	}
 	defer f.close()
 	defer cancel()
-	if err := f.build(ctx, or(s.Entries, fewEntries), or(s.Machines, fewMachines)); err != nil {
+	if err := f.build(ctx, orDefault(s.Entries, defaultEntries), orDefault(s.Machines, defaultMachines)); err != nil {
 		return nil, "", err
 	}
 	for _, e := range f.entries {
-		if err := f.start(e); err != nil {
+		if err := f.startDaemon(e); err != nil {
 			return nil, "", err
 		}
 	}
 	supervisor.Sleep(ctx, leadTime)
-	work, stop := context.WithTimeout(ctx, s.Trouble)
+	submitting, stop := context.WithTimeout(ctx, s.Trouble)
 	defer stop()
 	var g supervisor.Group
-	for i := range or(s.Callers, fewCallers) {
+	for i := range orDefault(s.Callers, defaultCallers) {
 		c := newCaller(f, i+1, rand.New(rand.NewPCG(s.Seed, uint64(i+2))))
 		if i == 0 {
 			c.submit(ctx, standin.Spec{CPU: 1000, Lasting: true}, []standin.StepBody{{Count: 3, CPU: 1000, MemMB: 100, Lasting: true}})
 		}
-		g.Go(func() { c.run(ctx, work) })
+		g.Go(func() { c.run(ctx, submitting) })
 	}
-	f.trouble(work, rand.New(rand.NewPCG(s.Seed, 0)), s.tell)
-	for until := time.Now().Add(settleMost); !f.judge.Settled() && time.Now().Before(until); {
-		supervisor.Sleep(ctx, settlePoll)
+	f.injectFaults(submitting, rand.New(rand.NewPCG(s.Seed, 0)), s.reportFault)
+	for until := time.Now().Add(maxSettleTime); !f.checker.Settled() && time.Now().Before(until); {
+		supervisor.Sleep(ctx, settlePollInterval)
 	}
 	cancel()
 	g.Wait()
-	f.judge.Finish()
-	return f.judge.Broken(), f.judge.Figures(), nil
+	f.checker.Finish()
+	return f.checker.Violations(), f.checker.Summary(), nil
 }
 
-func (s Soak) tell(line string) {
-	if s.Tell != nil {
-		s.Tell(line)
+func (s Soak) reportFault(line string) {
+	if s.OnFault != nil {
+		s.OnFault(line)
 	}
 }
 
-func or(n, few int) int {
+func orDefault(n, fallback int) int {
 	if n > 0 {
 		return n
 	}
-	return few
+	return fallback
 }
--- a/io/soak/soak_test.go
+++ b/io/soak/soak_test.go
@@ -28,15 +28,15 @@
 	for _, seed := range ciSeeds {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			var told []string
+			var faults []string
 			s := soak.Soak{
 				Seed: seed, Binary: binary, Folder: t.TempDir(), Trouble: 8 * time.Second,
-				Tell: func(line string) { told = append(told, line) },
+				OnFault: func(line string) { faults = append(faults, line) },
 			}
-			broken, figures, err := s.Run(t.Context())
+			violations, summary, err := s.Run(t.Context())
 			assert.NilError(t, err)
-			assert.Assert(t, len(broken) == 0, "%s\n%s\n%s", strings.Join(broken, "\n"), figures, strings.Join(told, "\n"))
-			t.Log(figures)
+			assert.Assert(t, len(violations) == 0, "%s\n%s\n%s", strings.Join(violations, "\n"), summary, strings.Join(faults, "\n"))
+			t.Log(summary)
 		})
 	}
 }
