--- a/cmd/lavenderpond-soak/main.go
+++ b/cmd/lavenderpond-soak/main.go
@@ -1,5 +1,5 @@
-// Command lavenderpond-soak runs daemons as processes of their own under seeded
-// faults and checks what callers and VMs see. It ends only processes that it started.
+// Command lavenderpond-soak runs the daemons as separate processes under seeded faults and
+// checks what callers and VMs observe. It signals only processes that it started.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"lavenderpond/io/soak"
 )
 
-// Exit statuses.
+// Exit statuses: success, violated invariants, and a run that could not be carried out.
 const (
 	exitOK         = 0
 	exitViolations = 1
--- a/core/emulator/capacity.go
+++ b/core/emulator/capacity.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// heartbeat is how often a VM writes its entry.
+	// heartbeatInterval is the interval at which a VM writes its record to the table.
 	heartbeatInterval = 1500 * time.Millisecond
-	// contactPeriod is how long an entry VM has been in touch before it has to know
-	// what the directory says.
+	// contactPeriod is how long an entry VM must have been in contact with the table before
+	// it has to know the VM records.
 	contactPeriod = 3 * time.Second
-	// minResizeInterval and resizeAtMost bound how long a VM that shrinks keeps its room.
+	// minResizeInterval and maxResizeInterval bound the time between changes of the capacity
+	// of a VM.
 	minResizeInterval = time.Second
 	maxResizeInterval = 8 * time.Second
-	// minCapacityShare is the least share of its full room to which a VM shrinks.
+	// minCapacityShare is the smallest share of its full capacity to which a VM shrinks.
 	minCapacityShare = 0.2
 )
 
-// fullCapacity is the room of a VM that hasn't shrunk.
+// fullCapacity is the capacity of a VM that has not shrunk.
 var fullCapacity = job.Resources{CPU: vmCPU, MemMB: vmMemMB}
 
-// capacityChange is the room that a VM has from an instant on.
+// capacityChange is the capacity of a VM from a point in time on.
 type capacityChange struct {
 	capacity job.Resources
 	since    time.Time
 }
 
-// capacity is what the VM has now.
+// capacity returns the current capacity.
 func (v *vm) capacity() job.Resources { return v.capacities[len(v.capacities)-1].capacity }
 
-// scheduleResize gives the VM another room before long, and so on while it lives.
+// scheduleResize changes the capacity of the VM at random intervals while it is up.
 func (v *vm) scheduleResize() {
 	v.w.after(v.w.randomBetween(minResizeInterval, maxResizeInterval), func() {
 		if !v.up {
@@ -43,15 +44,15 @@
 	})
 }
 
-// setCapacity changes the VM's room; its next heartbeat shows it.
+// setCapacity changes the capacity. The next heartbeat publishes it.
 func (v *vm) setCapacity(capacity job.Resources) {
 	v.w.tracef("%s has room %d now", v.id, capacity.CPU)
 	v.capacities = append(v.capacities, capacityChange{capacity, v.w.now})
 	v.w.after(v.w.randomBetween(0, heartbeatInterval), func() { v.w.table.putVM(v) })
 }
 
-// capacityLimit is the most that may run on the VM. A room that has shrunk counts once the
-// entry VMs must know of it, one that has grown at once.
+// capacityLimit returns the most that may run on the VM. A decrease of the capacity counts
+// once the entry VMs must know of it, an increase at once.
 func (v *vm) capacityLimit() job.Resources {
 	most := v.capacity()
 	for i := len(v.capacities) - 1; i > 0; i-- {
@@ -63,12 +64,14 @@
 	return most
 }
 
-// fits tells whether the VM takes a task: one that doesn't guard its room takes any.
+// fits reports whether the VM accepts a task with the given reservation. A VM that ignores
+// its capacity accepts any.
 func (v *vm) fits(reservation job.Resources) bool {
 	return v.machine.ignoresCapacity || reservation.FitsIn(v.capacity().Sub(v.used()))
 }
 
-// checkCapacity checks that a start brings no VM over its room; those that guard it refuse.
+// checkCapacity checks that a start does not overload a VM that ignores its capacity. Other
+// VMs refuse such starts themselves.
 func (g *checker) checkCapacity(v *vm, r *vmRun) {
 	used, most := v.used(), v.capacityLimit()
 	if v.machine.ignoresCapacity && !used.FitsIn(most) {
--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -8,35 +8,45 @@
 	"lavenderpond/core/job"
 )
 
-// checker checks what must always hold, from what the VMs see alone.
+// checker verifies the invariants of the system. It relies on what VMs, machines and
+// callers see, not on the state of the scheduler.
 type checker struct {
 	w          *World
 	violations []string
-	// lateOrderShare of the orders get no answer and are carried out later.
+	// lateOrderShare is the share of orders that get no answer and are delivered later.
 	lateOrderShare float64
-	// evacuationLimit bounds the starts in an availability zone after its evacuation.
+	// evacuationLimit is how long after the request for its evacuation tasks may still
+	// start in an availability zone.
 	evacuationLimit time.Duration
-	running         map[job.TaskID][]*vmRun
-	doneAt          map[job.TaskID]time.Time
-	notedDone       map[job.TaskID]bool
-	// failedRuns and notedFailed count the runs of each task that ended failed.
+	// running are the attempts of each task that run.
+	running map[job.TaskID][]*vmRun
+	// doneAt is when each task was first done. notedDone are the tasks whose end as done
+	// an owner has noted.
+	doneAt    map[job.TaskID]time.Time
+	notedDone map[job.TaskID]bool
+	// failedRuns counts the attempts of each task that failed, notedFailed those of them
+	// that an owner has noted.
 	failedRuns, notedFailed map[job.TaskID]int
-	// crashes counts the VMs that crashed under each task, startsAfterCrashes the starts
-	// after too many of them.
+	// crashes counts the VMs that crashed while they ran each task, startsAfterCrashLimit
+	// the starts of crashing tasks after crashLimit such crashes.
 	crashes, startsAfterCrashLimit map[job.TaskID]int
-	// lastCrash is when a VM last crashed under each task.
+	// lastCrash is when a VM last crashed while it ran each task.
 	lastCrash map[job.TaskID]time.Time
-	// gaveUp are the tasks that an owner says it has given up.
+	// gaveUp are the tasks that an owner reports as given up.
 	gaveUp map[job.TaskID]bool
-	// mayGiveUp are the jobs that crashes allow to be shown as failed.
+	// mayGiveUp are the jobs that may be shown as failed because of crashes.
 	mayGiveUp map[job.ID]bool
 	// lastStart is when each task was last started.
 	lastStart map[job.TaskID]time.Time
-	states    map[job.ID]job.State
-	// inMaintenance are the machines in upkeep.
+	// states are the states of jobs that callers see.
+	states map[job.ID]job.State
+	// inMaintenance are the machines in maintenance.
 	inMaintenance map[job.MachineID]bool
-	waveState     job.WaveState
-	stoppedAt     map[job.TaskID]time.Time
+	// waveState is the last published state of the maintenance wave.
+	waveState job.WaveState
+	// stoppedAt is when each long-running task with a disruption budget was stopped by an
+	// order. The entry is removed once the task is at work again.
+	stoppedAt map[job.TaskID]time.Time
 }
 
 func newChecker(w *World) *checker {
@@ -49,13 +59,14 @@
 	}
 }
 
-// broken notes a violation.
+// violationf records a violated invariant.
 func (g *checker) violationf(format string, args ...any) {
 	g.violations = append(g.violations, fmt.Sprintf("%7.3f s: ", g.w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
 }
 
-// taskStarted checks a start: no second run, no run after a noted end, the steps
-// before it done, the account within its cap.
+// taskStarted checks a start: the task does not run already, and no end of it as done was
+// noted; the steps before it are done; the VM, its zone and its job may take the start; and
+// the account stays within its quota.
 func (g *checker) taskStarted(v *vm, r *vmRun) {
 	t := g.w.jobs[r.task.Job]
 	step := &t.Body.Steps[r.task.Step]
@@ -96,6 +107,8 @@
 	g.running[r.task] = append(g.running[r.task], r)
 }
 
+// checkQuota checks the CPU that an account uses. The limit is a tenth above the quota, and
+// above that by the largest running task of the account.
 func (g *checker) checkQuota(t *trackedJob) {
 	account := g.w.config.Account(t.Terms.Account)
 	if account == nil || account.Quota.CPU == 0 {
@@ -128,6 +141,7 @@
 	}
 }
 
+// taskEnded records the end of an attempt.
 func (g *checker) taskEnded(_ *vm, r *vmRun, how job.Ending) {
 	g.removeRun(r)
 	switch {
@@ -138,12 +152,11 @@
 	}
 }
 
-// runLost takes in a run that ended with its VM. An end that nobody took note of
-// may be repeated.
+// runLost records an attempt that was lost with its VM. The task may be started again.
 func (g *checker) runLost(_ *vm, r *vmRun) { g.removeRun(r) }
 
-// endNoted takes in that a VM forgets an end, which came at ended and before which its lease
-// last ran out at lapsed.
+// endNoted records that an owner has noted an end, which occurred at ended. It checks that
+// the task was not started again since, unless the lease of its VM was found expired since.
 func (g *checker) endNoted(v *vm, e job.End, ended time.Time) {
 	if e.How == job.EndedFailed {
 		g.notedFailed[e.Task]++
@@ -158,7 +171,7 @@
 	g.notedDone[e.Task] = true
 }
 
-// taskStopping checks that a lasting step doesn't miss more than it may on our account.
+// taskStopping checks that stop orders keep to the disruption budget of a step.
 func (g *checker) taskStopping(v *vm, r *vmRun) {
 	t := g.w.jobs[r.task.Job]
 	step := &t.Body.Steps[r.task.Step]
@@ -180,15 +193,16 @@
 	}
 }
 
-// startupDone notes that a lasting task is at work again: from now on it isn't away
-// because of our order.
+// startupDone records that a long-running task is at work. From then on it no longer counts
+// as stopped by an order.
 func (g *checker) startupDone(r *vmRun) {
 	if slices.Contains(g.running[r.task], r) && !r.stopping {
 		delete(g.stoppedAt, r.task)
 	}
 }
 
-// vmRemoved checks that a move or upkeep ends no task.
+// vmRemoved checks that a move or maintenance of a machine ends no task that was not told
+// to stop.
 func (g *checker) vmRemoved(v *vm) {
 	for _, r := range v.runs {
 		if !r.stopping {
@@ -197,6 +211,7 @@
 	}
 }
 
+// maintenanceStarted checks that not too many machines are in maintenance.
 func (g *checker) maintenanceStarted(m *machine) {
 	g.inMaintenance[m.id] = true
 	if n := len(g.inMaintenance); n > g.w.maxConcurrentMaintenance() {
@@ -208,7 +223,7 @@
 
 func (g *checker) wavePublished(s job.WaveState) { g.waveState = s }
 
-// jobStatePublished takes in a state that callers are shown from now on.
+// jobStatePublished checks and records the state of a job that callers see from now on.
 func (g *checker) jobStatePublished(id job.ID, s job.State) {
 	t := g.w.jobs[id]
 	if g.states[id] == s {
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// minCrashDelay and crashAtMost bound how long after its start a task crashes its VM.
+	// minCrashDelay and maxCrashDelay bound the time from the start of a crashing task to
+	// the crash of its VM.
 	minCrashDelay = time.Millisecond
 	maxCrashDelay = time.Second
-	// downAtLeast and downAtMost bound how long that VM is away.
+	// minDowntime and maxDowntime bound the time until that VM starts again.
 	minDowntime = time.Second
 	maxDowntime = 5 * time.Second
-	// minCrashesToGiveUp is how many VMs must have crashed under a task before its job may
-	// be shown as failed.
+	// minCrashesToGiveUp is how many VMs must have crashed while they ran a task before its
+	// job may be shown as failed.
 	minCrashesToGiveUp = 2
-	// crashesCounted is the number of crashes from which on the starts of a task that
-	// crashes its VMs are counted, startsAllowed how many there may be.
+	// crashLimit is the number of crashes after which a crashing task may be started only
+	// maxStartsAfterCrashLimit times more.
 	crashLimit               = 3
 	maxStartsAfterCrashLimit = 2
-	// maxRestartDelay is how long a lasting task may be away after a crash: the lease of a
-	// VM that nobody hears any more, and a start elsewhere.
+	// maxRestartDelay is how long a long-running task may be missing after a crash: the
+	// lease of the silent VM must expire before the task is started elsewhere.
 	maxRestartDelay = 8 * time.Second
 )
 
-// scheduleCrash lets a task that crashes its VMs do so, unless its run is over by then. Until
-// then it makes progress like any other.
+// scheduleCrash schedules the crash of a VM by a task that runs on it, which does not happen
+// if the attempt ends before. Until then the task reports progress like any other.
 func (v *vm) scheduleCrash(r *vmRun, work time.Duration) {
 	r.runTime = work
 	v.w.after(v.w.randomBetween(minCrashDelay, maxCrashDelay), func() {
@@ -39,7 +40,7 @@
 	})
 }
 
-// vmCrashed takes in that a VM crashes under all that runs there.
+// vmCrashed counts the crash of a VM for all tasks that run on it.
 func (g *checker) vmCrashed(v *vm) {
 	for _, r := range v.runs {
 		g.crashes[r.task]++
@@ -50,7 +51,7 @@
 	}
 }
 
-// checkCrashingTask checks that a task that crashes its VMs isn't started time and again.
+// checkCrashingTask checks that a task that crashes its VMs is not started without limit.
 func (g *checker) checkCrashingTask(t *trackedJob, v *vm, r *vmRun) {
 	if r.task != t.crashingTask || g.crashes[r.task] < crashLimit {
 		return
@@ -61,16 +62,18 @@
 	}
 }
 
-// mustFinish tells whether the job must come to its end, or last.
+// mustFinish reports whether the job must finish or, if long-running, keep running. Jobs with
+// a task that crashes its VMs may be given up.
 func (t *trackedJob) mustFinish() bool { return t.crashingTask == noTask }
 
-// givenUpWithCause tells whether an owner has given the task up, and had cause to.
+// givenUpWithCause reports whether an owner has given up the task after enough crashes.
 func (g *checker) givenUpWithCause(id job.TaskID) bool {
 	return g.gaveUp[id] && g.crashes[id] >= minCrashesToGiveUp
 }
 
-// longRunningGivenUp tells whether a lasting task was given up. Its step then misses it for
-// good, and the upkeep of the VMs where its siblings are at work may have to wait.
+// longRunningGivenUp reports whether a long-running task was given up. Its step then lacks
+// the task for good, so its disruption budget may never allow the maintenance of the
+// machines that run the other tasks of the step.
 func (g *checker) longRunningGivenUp() bool {
 	for id := range g.gaveUp {
 		if g.w.jobs[id.Job].Body.LongRunning() && g.givenUpWithCause(id) {
@@ -80,7 +83,8 @@
 	return false
 }
 
-// checkLongRunning checks that all tasks of a lasting job run but those that were given up.
+// checkLongRunning checks that all tasks of a long-running job run, except those that were
+// given up.
 func (g *checker) checkLongRunning(t *trackedJob) {
 	for i := range t.Body.Steps[0].Count {
 		id := job.TaskID{Job: t.ID, Index: i}
--- a/core/emulator/entry_vm.go
+++ b/core/emulator/entry_vm.go
@@ -7,7 +7,8 @@
 	"lavenderpond/core/lease"
 )
 
-// Periods of the emulated entry VMs; they match those of the real driver.
+// Intervals and timeouts of the emulated entry VMs. They match those of the production
+// driver.
 const (
 	pollInterval        = 150 * time.Millisecond
 	tickInterval        = 40 * time.Millisecond
@@ -19,25 +20,27 @@
 	machineListInterval = 500 * time.Millisecond
 )
 
-// node is an entry VM with its process.
+// entryVM is an entry VM with its process, which can be killed and started again.
 type entryVM struct {
 	w    *World
 	name string
 	zone job.ZoneName
-	// run tells apart the processes; 0 stands for none.
+	// run numbers the current process; 0 means that none runs. lastRun is the number of
+	// the latest one.
 	run     int
 	lastRun int
 	frozen  bool
-	// deferred is what arrived while the node was frozen.
+	// deferred are the callbacks that became due while the process was frozen.
 	deferred []func()
 	watcher  lease.Watcher
 	owner    *owner
-	// unreachable are the VMs out of reach, by zone.
+	// unreachable are the availability zones whose VMs are out of reach. The key "table"
+	// stands for the table.
 	unreachable map[job.ZoneName]bool
 }
 
-// inRun runs f on the node's process, if the one that asked still lives; a frozen
-// one runs it when it wakes.
+// inRun calls f if the process with the given number still runs. If the process is
+// frozen, the call is deferred until it resumes.
 func (e *entryVM) inRun(run int, f func()) {
 	if e.run != run {
 		return
@@ -49,7 +52,7 @@
 	f()
 }
 
-// startProcess starts a process.
+// startProcess starts a new process, which knows nothing of earlier ones.
 func (e *entryVM) startProcess() {
 	e.lastRun++
 	e.run = e.lastRun
@@ -58,7 +61,7 @@
 	e.pollOwner(e.run)
 }
 
-// kill ends the process.
+// kill ends the process without notice.
 func (e *entryVM) kill() {
 	e.run = 0
 	e.owner = nil
@@ -77,8 +80,8 @@
 	}
 }
 
-// callTable carries out a call to the table. answer gets false if there is none in
-// time; the call may have been carried out all the same.
+// callTable sends a call to the table. apply carries it out there. answer is called with
+// false if there is no reply in time; the call may have been carried out even so.
 func (e *entryVM) callTable(timeout time.Duration, write bool, apply func(), answer func(ok bool)) {
 	t := e.w.table
 	run := e.run
@@ -110,7 +113,7 @@
 	})
 }
 
-// pollOwner reads the owner's rows and takes over when it must.
+// pollOwner reads the rows of the owner and its renewal until a takeover is due.
 func (e *entryVM) pollOwner(run int) {
 	e.inRun(run, func() {
 		if e.owner != nil {
@@ -135,6 +138,7 @@
 	})
 }
 
+// takeOver tries to become the owner. If it fails, polling continues.
 func (e *entryVM) takeOver(run int, seen lease.Observation, row ownerRow) {
 	t := e.w.table
 	sent := e.w.now
@@ -154,7 +158,7 @@
 	})
 }
 
-// shutDown is a planned stop: the right is given back before the process ends.
+// shutDown stops the process as planned: it gives up ownership first.
 func (e *entryVM) shutDown() {
 	t := e.w.table
 	if o := e.owner; o != nil && !e.frozen {
--- a/core/emulator/evacuation.go
+++ b/core/emulator/evacuation.go
@@ -10,23 +10,27 @@
 )
 
 const (
-	// evacuationLimit bounds the starts in an evacuated availability zone on days with
-	// faults, evacuateCalmly on others.
+	// evacuationLimit is how long after the request for its evacuation tasks may still start
+	// in an availability zone, in runs with faults. evacuationLimitWithoutFaults is the same
+	// for other runs.
 	evacuationLimit              = 5 * time.Second
 	evacuationLimitWithoutFaults = time.Second
-	// operatorRetryDelay is the pause before an operator repeats a refused request.
+	// operatorRetryDelay is the delay before an operator repeats a request that the table
+	// did not take.
 	operatorRetryDelay = 100 * time.Millisecond
 )
 
-// Evacuation is an operator's request that nothing start in an availability zone.
+// Evacuation is a request of an operator to start no tasks in an availability zone.
 type Evacuation struct {
 	Zone job.ZoneName
-	// At counts from the first caller.
+	// At is the time from the end of the lead time, when submissions begin, to the request.
+	// For is how long it stays in force.
 	At  time.Duration
 	For time.Duration
 }
 
-// RandomEvacuations draws evacuations for a day of the length; they may overlap.
+// RandomEvacuations returns n random evacuations within a scenario of the given length. They
+// may overlap.
 func RandomEvacuations(seed uint64, length time.Duration, n int) []Evacuation {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var out []Evacuation
@@ -39,8 +43,8 @@
 	return out
 }
 
-// request stores the request, once the table takes it. A zone that is evacuated already
-// stays so until the first request for it is taken back.
+// request stores the request as soon as the table is up. A zone that is evacuated already
+// stays so until the first request for it is withdrawn.
 func (e Evacuation) request(w *World) {
 	if w.table.down {
 		w.after(operatorRetryDelay, func() { e.request(w) })
@@ -53,6 +57,7 @@
 	w.after(e.For, func() { e.withdraw(w) })
 }
 
+// withdraw takes back the request as soon as the table is up.
 func (e Evacuation) withdraw(w *World) {
 	if w.table.down {
 		w.after(operatorRetryDelay, func() { e.withdraw(w) })
@@ -62,4 +67,5 @@
 	delete(w.evacuated, e.Zone)
 }
 
+// evacuatedZones returns the zones in which no task may start, in order.
 func (w *World) evacuatedZones() []job.ZoneName { return slices.Sorted(maps.Keys(w.evacuated)) }
--- a/core/emulator/failing_jobs.go
+++ b/core/emulator/failing_jobs.go
@@ -2,10 +2,10 @@
 
 import "lavenderpond/core/job"
 
-// noTask is the task of a job without such a task.
+// noTask is the failing or crashing task of a job that has none.
 var noTask job.TaskID
 
-// anyTaskExhausted tells whether all attempts of one of the job's tasks have ended failed.
+// anyTaskExhausted reports whether all attempts of one of the job's tasks have failed.
 func (g *checker) anyTaskExhausted(t *trackedJob) bool {
 	for step := range t.Body.Steps {
 		for i := range t.Body.Steps[step].Count {
@@ -17,15 +17,16 @@
 	return false
 }
 
-// checkMaxAttempts checks that a task isn't started after all its attempts were noted as
-// failed.
+// checkMaxAttempts checks that a task is not started after an owner has noted the failure of
+// all its attempts.
 func (g *checker) checkMaxAttempts(t *trackedJob, r *vmRun) {
 	if n := g.notedFailed[r.task]; !r.longRunning && n >= t.Terms.MaxAttempts {
 		g.violationf("BUDGET: %v attempt %d starts after %d failed ones were noted", r.task, r.attempt, n)
 	}
 }
 
-// addFaultyTasks gives a job its failing or crashing task, on days that have such jobs.
+// addFaultyTasks gives a random share of jobs a failing or a crashing task, in scenarios that
+// have such jobs.
 func (w *World) addFaultyTasks(t *trackedJob, sc Scenario) {
 	if w.chance(sc.FailingShare) {
 		t.failingTask = w.randomTask(t)
@@ -36,18 +37,18 @@
 	}
 }
 
-// soleTaskCPU is more than half of a VM.
+// soleTaskCPU is 6/10 of the CPU of a VM, so that only one such task fits on a VM.
 const soleTaskCPU = vmCPU * 6 / 10
 
-// enlargeTasks makes the job's tasks so wide that each runs on a VM of its own: its end is then
-// noted at once, whatever else isn't stored yet.
+// enlargeTasks makes the tasks of the job so large that each runs on a VM of its own. An end
+// is then noted at once, even while ends of other tasks are not stored yet.
 func (t *trackedJob) enlargeTasks() {
 	for i := range t.Body.Steps {
 		t.Body.Steps[i].Resources.CPU = soleTaskCPU
 	}
 }
 
-// randomTask draws one of the job's tasks.
+// randomTask returns a random task of the job.
 func (w *World) randomTask(t *trackedJob) job.TaskID {
 	step := w.rng.IntN(len(t.Body.Steps))
 	return job.TaskID{Job: t.ID, Step: step, Index: w.rng.IntN(t.Body.Steps[step].Count)}
--- a/core/emulator/fault.go
+++ b/core/emulator/fault.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// FaultKind is a kind of trouble.
+// FaultKind is a kind of fault.
 type FaultKind int
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
 	KillOwner FaultKind = iota
 	FreezeOwner
@@ -28,7 +28,7 @@
 	faultKinds
 )
 
-// String returns the kind in snake case.
+// String returns the name of the kind in snake case.
 func (k FaultKind) String() string {
 	return [...]string{
 		"kill_owner", "freeze_owner", "kill_all", "stop_owner", "cut_owner_from_table", "cut_zone", "table_down",
@@ -37,17 +37,19 @@
 	}[k]
 }
 
-// Fault is one trouble of a day.
+// Fault is a fault that is injected into a run.
 type Fault struct {
 	Kind FaultKind
-	// At counts from the first caller.
+	// At is the time from the end of the lead time, when submissions begin, to the fault.
+	// For is how long the fault lasts.
 	At  time.Duration
 	For time.Duration
-	// Share is the part of the VMs that is struck.
+	// Share is the share of the VMs that are affected, for faults of VMs.
 	Share float64
 }
 
-// RandomFaults draws troubles for a day of the length.
+// RandomFaults returns n random faults within a scenario of the given length. They may
+// overlap.
 func RandomFaults(seed uint64, length time.Duration, n int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var out []Fault
@@ -57,7 +59,7 @@
 	return out
 }
 
-// RandomFaultsOf draws troubles of one kind.
+// RandomFaultsOf is like RandomFaults, with faults of one kind only.
 func RandomFaultsOf(k FaultKind, seed uint64, length time.Duration, n int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	var out []Fault
@@ -67,12 +69,12 @@
 	return out
 }
 
-// cutCrashShare is the part of the VMs that crash when the owner is cut off.
+// cutCrashShare is the share of the VMs that crash after a cut of RandomCutsWithCrashes.
 const cutCrashShare = 0.4
 
-// RandomCutsWithCrashes draws cuts of the owner from the table, each followed by crashes of VMs
-// before another process owns the fleet: what the former owner knows of these alone is
-// lost.
+// RandomCutsWithCrashes returns n random cuts of the owner from the table, each followed by
+// crashes of VMs within a second, before another process takes over. What only the previous
+// owner knows of these VMs is lost.
 func RandomCutsWithCrashes(seed uint64, length time.Duration, n int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var out []Fault
@@ -92,7 +94,7 @@
 	}
 }
 
-// ownerEntryVM returns the node that owns the fleet, or any that lives.
+// ownerEntryVM returns the entry VM that owns the fleet or, if none does, a random one.
 func (w *World) ownerEntryVM() *entryVM {
 	for _, e := range w.entryVMs {
 		if e.owner != nil && !e.owner.ended && w.table.owner.entryVM == e.name {
@@ -102,6 +104,7 @@
 	return w.entryVMs[w.rng.IntN(len(w.entryVMs))]
 }
 
+// inject begins the fault, and schedules its end.
 func (x Fault) inject(w *World) {
 	e := w.ownerEntryVM()
 	switch x.Kind {
@@ -129,13 +132,15 @@
 	}
 }
 
-// restart starts a process unless one runs already.
+// restart starts a process unless one is running.
 func (e *entryVM) restart() {
 	if e.run == 0 {
 		e.startProcess()
 	}
 }
 
+// isolateZone cuts a random availability zone off from the other zones, in both
+// directions, and from the table.
 func (x Fault) isolateZone(w *World) {
 	zone := zoneName(w.rng.IntN(zoneCount))
 	for _, e := range w.entryVMs {
--- a/core/emulator/golden_test.go
+++ b/core/emulator/golden_test.go
@@ -10,8 +10,8 @@
 	"lavenderpond/core/emulator"
 )
 
-// A whole small day, decision by decision: a lasting job, some others, an upkeep, and
-// the owner killed in the middle.
+// Compares all decisions of a small run with a golden file: a long-running job, some other
+// jobs, the maintenance of a machine, and the kill of the owner in the middle.
 func TestGoldenTrace(t *testing.T) {
 	var b strings.Builder
 	s := emulator.Scenario{
--- a/core/emulator/machines.go
+++ b/core/emulator/machines.go
@@ -6,7 +6,7 @@
 	"lavenderpond/core/job"
 )
 
-// listMachines is the platform's list of machines.
+// listMachines returns the platform's list of machines.
 func (w *World) listMachines() []job.Machine {
 	var out []job.Machine
 	for _, m := range w.machines {
@@ -22,7 +22,8 @@
 	return out
 }
 
-// acceptMachineOrder judges an order for a machine and tells whether it is accepted.
+// acceptMachineOrder decides whether a machine accepts an order. It reports a violation
+// if the fence goes back, or if two entry VMs order the same machine within 3 s.
 func (w *World) acceptMachineOrder(id job.MachineID, f job.Fence, issuer string) job.MachineRefusal {
 	m := w.findMachine(id)
 	if m == nil || m.state != job.MachineUp {
@@ -38,20 +39,22 @@
 	return job.MachineAccepted
 }
 
-// startMaintenance takes a machine away for its upkeep.
+// startMaintenance takes a machine out of service for its maintenance.
 func (w *World) startMaintenance(m *machine) {
 	w.Stats.MaintenanceStarts++
 	w.checker.maintenanceStarted(m)
 	w.takeOutOfService(m, job.MachineMaintenance, maintenancePeriod)
 }
 
-// startMove takes a machine into another pool.
+// startMove moves a machine to another pool.
 func (w *World) startMove(m *machine, pool job.PoolName) {
 	w.Stats.Moves++
 	m.pool = pool
 	w.takeOutOfService(m, job.MachineMoving, movePeriod)
 }
 
+// takeOutOfService ends the VM of a machine, and returns the machine to service after d.
+// In the standby pool it returns without a VM.
 func (w *World) takeOutOfService(m *machine, s job.MachineState, d time.Duration) {
 	if v := m.vm; v != nil {
 		w.checker.vmRemoved(v)
@@ -68,7 +71,8 @@
 	})
 }
 
-// crashVM ends a VM's life; it comes back after d, under the same ID or a new one.
+// crashVM ends a VM without notice. Its machine starts a new VM after d, under the same ID
+// or a new one.
 func (w *World) crashVM(v *vm, d time.Duration, sameID bool) {
 	if !v.up {
 		return
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -11,7 +11,7 @@
 	"lavenderpond/core/schedule"
 )
 
-// owner is a tenure.
+// owner is the state of an entry VM while it owns the fleet, for one term of ownership.
 type owner struct {
 	entryVM       *entryVM
 	run           int
@@ -30,7 +30,7 @@
 	ended         bool
 }
 
-// loadState reads what the former owner left.
+// loadState reads what the previous owner stored, and starts the loops of the owner.
 func (o *owner) loadState() {
 	e, t := o.entryVM, o.entryVM.w.table
 	e.callTable(2*time.Second, false, func() { o.restore(t) }, func(ok bool) {
@@ -44,6 +44,7 @@
 	})
 }
 
+// restore creates a scheduler from the stored state.
 func (o *owner) restore(t *table) {
 	now := o.entryVM.w.now
 	o.scheduler = schedule.New(schedule.Settings{
@@ -66,8 +67,8 @@
 	}
 }
 
-// valuesByKey returns the values of m in the order of their keys, as the table
-// lists its rows.
+// valuesByKey returns the values of m in the order of their keys, as the table lists its
+// rows.
 func valuesByKey[K cmp.Ordered, V any](m map[K]V) []V {
 	var out []V
 	for _, k := range slices.Sorted(maps.Keys(m)) {
@@ -76,7 +77,7 @@
 	return out
 }
 
-// readJobs takes in what was submitted and cancelled since the last time.
+// readJobs passes jobs submitted and cancelled since the last call to the scheduler.
 func (o *owner) readJobs(now time.Time) {
 	t := o.entryVM.w.table
 	for _, s := range t.submitted[o.jobsRead:] {
@@ -95,6 +96,8 @@
 	o.cancelsRead = len(t.cancelled)
 }
 
+// readVMs passes changes of VM records since the last call to the scheduler; the first call
+// passes all records.
 func (o *owner) readVMs(now time.Time) {
 	t := o.entryVM.w.table
 	if o.vmChangesRead == 0 {
@@ -116,7 +119,8 @@
 	o.vmChangesRead = len(t.vmChanges)
 }
 
-// tick is one turn of the owner's loop.
+// tick is one iteration of the owner's loop. The owner sees changes in the table only while
+// it can reach it.
 func (o *owner) tick() {
 	o.entryVM.inRun(o.run, func() {
 		if o.ended {
@@ -132,7 +136,7 @@
 	})
 }
 
-// runScheduler lets the scheduler decide and carries out what it wants.
+// runScheduler lets the scheduler decide and executes its commands.
 func (o *owner) runScheduler() {
 	now := o.entryVM.w.now
 	if o.ended {
@@ -188,7 +192,8 @@
 	}
 }
 
-// sendOrder sends an order to a VM, unless the right is over.
+// sendOrder sends an order to a VM. apply carries the order out on the VM, answer gets the
+// outcome. A share of the orders is delivered late, without an answer.
 func (o *owner) sendOrder(id job.VMID, timeout time.Duration, apply func(v *vm, answer func(job.Report)), answer func(time.Time, schedule.Outcome, job.Report)) {
 	w, e := o.entryVM.w, o.entryVM
 	v := w.vms[id]
@@ -218,18 +223,19 @@
 	})
 }
 
-// deliverLate carries out an order that got no answer. A life that began since under the
-// same ID takes it for its own.
+// deliverLate delivers an order that got no answer in time. A VM that has started since
+// under the same ID takes the order as its own.
 func (w *World) deliverLate(v *vm, apply func(v *vm, answer func(job.Report))) {
 	if v != nil && v.up {
 		apply(v, func(job.Report) {})
 	}
 }
 
+// sendMachineOrder sends an order to a machine while the owner may order machines.
 func (o *owner) sendMachineOrder(id job.MachineID, apply func(m *machine), answer func(schedule.Outcome, job.MachineRefusal)) {
 	w, e := o.entryVM.w, o.entryVM
 	if !o.ownership.MayOrderMachines(w.now) {
-		// The process may have stood still since the scheduler decided.
+		// The process may have been frozen since the scheduler decided.
 		answer(schedule.NotDone, job.MachineAccepted)
 		return
 	}
@@ -248,7 +254,7 @@
 	})
 }
 
-// pollMachines reads the machines list.
+// pollMachines reads the platform's list of machines periodically.
 func (o *owner) pollMachines() {
 	o.entryVM.inRun(o.run, func() {
 		if o.ended {
@@ -267,7 +273,8 @@
 	})
 }
 
-// commitPending stores what waits, or renews the right.
+// commitPending stores the pending saves, or renews the ownership if that is due. It waits
+// for commitWindow first, so that further saves join the batch.
 func (o *owner) commitPending() {
 	e, now := o.entryVM, o.entryVM.w.now
 	if o.committing || o.ended || (len(o.pendingSaves) == 0 && now.Before(o.renewAt)) {
@@ -284,8 +291,9 @@
 	})
 }
 
-// commitBatch carries out a transaction, however often it takes; first is when it was sent
-// for the first time.
+// commitBatch sends a transaction, and repeats it until there is an answer. firstSent is
+// when it was first sent. A renewal row that equals its own shows that an earlier try was
+// carried out.
 func (o *owner) commitBatch(saves []schedule.Command, firstSent time.Time) {
 	e, t := o.entryVM, o.entryVM.w.table
 	sent := e.w.now
@@ -304,6 +312,7 @@
 	})
 }
 
+// batchCommitted handles the success of a commit.
 func (o *owner) batchCommitted(firstSent, sent time.Time, version int64, saves []schedule.Command) {
 	o.renewal = version
 	o.ownership.Confirm(firstSent, sent)
@@ -321,7 +330,7 @@
 	o.runScheduler()
 }
 
-// stepDown ends the tenure: another process is the owner.
+// stepDown ends the ownership, since another process owns the fleet.
 func (o *owner) stepDown() {
 	o.ended = true
 	o.entryVM.owner = nil
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -9,84 +9,90 @@
 	"lavenderpond/core/job"
 )
 
-// Scenario says what a day is made of. Its zero value is a calm day without load.
+// Scenario configures a run. Its zero value has no load and no faults.
 type Scenario struct {
 	Seed uint64
-	// Length is how long callers hand jobs in.
+	// Length is for how long callers submit jobs.
 	Length time.Duration
-	// EntryVMs is the number of entry VMs, VMs that of VMs in each pool.
+	// EntryVMs is the number of entry VMs, VMsPerPool that of VMs in each of the two
+	// pools, StandbyMachines that of machines in the standby pool.
 	EntryVMs, VMsPerPool, StandbyMachines int
-	// JobsPerSecond is the mean rate of each of the two queues.
+	// JobsPerSecond is the mean rate of submissions to each of the two queues.
 	JobsPerSecond float64
-	// Burst multiplies the rate of one queue after the other.
+	// Burst multiplies the rate of each queue in turn; 0 means no bursts.
 	Burst float64
-	// LongRunning is the number of lasting jobs of each pool.
+	// LongRunning is the number of long-running jobs in each of the two queues.
 	LongRunning int
-	// WaveMachines is the number of machines that are due for upkeep.
+	// WaveMachines is the number of machines in the maintenance wave; 0 means no wave.
 	WaveMachines int
-	// Evacuations are what operators ask for.
+	// Evacuations are the requests of operators to evacuate availability zones.
 	Evacuations []Evacuation
-	// Faults are what goes wrong.
+	// Faults are the faults that are injected.
 	Faults []Fault
-	// LateOrderShare of the orders get no answer and are carried out later.
+	// LateOrderShare is the share of orders that get no answer and are delivered seconds
+	// later.
 	LateOrderShare float64
-	// LateStartsBeforeHold lets late starts reach a new life of their VM before an owner has held it.
+	// LateStartsBeforeHold lets late start orders reach a restarted VM before any owner
+	// has sent it a hold order.
 	LateStartsBeforeHold bool
-	// Quota bounds the CPU of the first account; 0 means no bound.
+	// Quota limits the CPU of the first client account, in thousandths of a core; 0 means
+	// no limit.
 	Quota int64
-	// FailingShare of the jobs have a single task that always fails.
+	// FailingShare is the share of jobs with one task that always fails.
 	FailingShare float64
-	// CrashingShare of the jobs, and CrashingLasting of the lasting ones, have a single
-	// task that crashes each VM that starts it.
+	// CrashingShare is the share of jobs, CrashingLongRunningShare that of long-running
+	// jobs, with one task that crashes every VM that starts it.
 	CrashingShare, CrashingLongRunningShare float64
-	// ResizingShare of the machines shrink and grow while they run; half of these take
-	// whatever they are told to start.
+	// ResizingShare is the share of machines whose VMs change their capacity while they
+	// run; half of these VMs start tasks even if they exceed the capacity.
 	ResizingShare float64
-	// Trace, if set, is told of each decision and fault.
+	// Trace, if set, is called with a line for each decision and fault.
 	Trace func(line string)
 }
 
-// trackedJob is a job as its caller knows it.
+// trackedJob is a submitted job with what the simulation knows about it and the
+// scheduler does not.
 type trackedJob struct {
 	job.Job
-	submittedAt  time.Time
-	cancelledAt  time.Time
+	submittedAt time.Time
+	cancelledAt time.Time
+	// allTasksFail is set for a job whose every task fails.
 	allTasksFail bool
-	// failingTask is the one task of the job that always fails, crashing the one that
-	// crashes each VM that starts it.
+	// failingTask is the one task of the job that always fails, crashingTask the one that
+	// crashes every VM that starts it. Both are noTask for other jobs.
 	failingTask, crashingTask job.TaskID
 	failureRate               float64
 	meanRunTime               time.Duration
 }
 
-// runTime is how long a task really runs.
+// runTime returns how long a task runs on a VM of normal speed.
 func (t *trackedJob) runTime(id job.TaskID) time.Duration {
-	// Tasks of a step differ a little, the same at each attempt.
+	// Tasks of a step differ slightly; all attempts of a task take equally long.
 	spread := 0.85 + 0.3*float64((id.Index*7+id.Step*3)%10)/10
 	return time.Duration(float64(t.meanRunTime) * spread)
 }
 
-// latencyTarget is how long the job may take.
+// latencyTarget returns how long the job may take to count as completed in time.
 func (t *trackedJob) latencyTarget() time.Duration {
 	return time.Duration(t.Terms.Stretch*float64(t.meanRunTime)*1.15*float64(len(t.Body.Steps))) + t.Terms.LatencyAllowance
 }
 
-// pools of an emulated deployment.
+// Pools of the emulated deployment.
 const (
 	poolOne = job.PoolName("one")
 	poolTwo = job.PoolName("two")
 	standby = job.PoolName("standby")
 )
 
-// settlePeriod is how long a day goes on after its last job: faults heal, and what
-// was accepted must come to its end.
+// settlePeriod is how long a run continues after the last submission. In this time the
+// remaining faults end, and accepted jobs must finish.
 const settlePeriod = 45 * time.Second
 
-// maxRunLength bounds a day on which an account asks more than its cap: its jobs
-// come to their end one after the other, long after the last fault.
+// maxRunLength limits runs in which an account submits more than its quota allows. Such
+// jobs finish one after the other, long after the last fault has ended.
 const maxRunLength = 4 * time.Minute
 
-// hasUnfinishedJobs tells whether an accepted job isn't over.
+// hasUnfinishedJobs reports whether an accepted job that must finish has no final state.
 func (w *World) hasUnfinishedJobs() bool {
 	for _, s := range w.table.submitted {
 		if !s.job.Body.LongRunning() && w.jobs[s.job.ID].mustFinish() && !w.checker.states[s.job.ID].Final() {
@@ -96,7 +102,7 @@
 	return false
 }
 
-// Run plays a day and returns what was broken and what happened.
+// Run simulates a scenario and returns the violated invariants and the statistics.
 func Run(sc Scenario) (violations []string, stats Stats) {
 	w := newWorld(sc)
 	for _, x := range sc.Faults {
@@ -118,7 +124,8 @@
 	return w.checker.violations, w.Stats
 }
 
-// leadTime is how long the system runs before callers come.
+// leadTime is how long the system runs before the first job is submitted. Times of
+// faults and evacuations count from its end.
 const leadTime = 6 * time.Second
 
 func newWorld(sc Scenario) *World {
@@ -181,7 +188,7 @@
 	add(standby, sc.StandbyMachines)
 }
 
-// scheduleJobs plans the callers' jobs.
+// scheduleJobs schedules the submissions of all jobs.
 func (w *World) scheduleJobs(sc Scenario) {
 	for i := range sc.LongRunning {
 		for _, queue := range []job.QueueName{"one", "two"} {
@@ -195,7 +202,7 @@
 		at := time.Duration(0)
 		for at < sc.Length {
 			rate := sc.JobsPerSecond
-			// The queues burst in turn, for four seconds each.
+			// The queues have bursts in turn, four seconds each.
 			if sc.Burst > 0 && int(at/(4*time.Second))%4 == q {
 				rate *= sc.Burst
 			}
@@ -257,7 +264,7 @@
 	}
 }
 
-// addWave asks for the upkeep of machines of both pools.
+// addWave requests maintenance of n machines in a wave; it takes every second machine.
 func (w *World) addWave(n int) {
 	w.wave = job.Wave{Number: 1, MaxConcurrent: 2, Within: 30 * time.Second}
 	for i, m := range w.machines {
@@ -282,8 +289,8 @@
 
 func (w *World) maxConcurrentMaintenance() int { return w.wave.MaxConcurrent }
 
-// checkFinalState checks that nothing was lost: by now every accepted job is over, and
-// what is to last runs.
+// checkFinalState checks at the end of a run that nothing was lost: every accepted job
+// has a final state, long-running tasks run, and the maintenance wave is completed.
 func (w *World) checkFinalState() {
 	for _, s := range w.table.submitted {
 		t := w.jobs[s.job.ID]
--- a/core/emulator/scenario_test.go
+++ b/core/emulator/scenario_test.go
@@ -13,7 +13,8 @@
 	"lavenderpond/core/emulator"
 )
 
-// scenarioCountVariable sets how many days each test plays; CI plays few.
+// scenarioCountVariable is the environment variable that sets how many scenarios each test
+// runs. CI runs the default counts.
 const scenarioCountVariable = "LAVENDERPOND_DAYS"
 
 func scenarioCount(defaultCount uint64) uint64 {
@@ -23,14 +24,15 @@
 	return defaultCount
 }
 
-// withoutFaults is a day with load, lasting jobs and a wave, and no trouble.
+// withoutFaults returns a scenario with load, long-running jobs and a maintenance wave, but
+// no faults.
 func withoutFaults(seed uint64) emulator.Scenario {
 	return emulator.Scenario{
 		Seed: seed, Length: 20 * time.Second, EntryVMs: 5, VMsPerPool: 8, StandbyMachines: 3, JobsPerSecond: 3, Burst: 3, LongRunning: 2, WaveMachines: 7,
 	}
 }
 
-// Ranges of seeds, so that a seed alone says what kind of day it is.
+// Ranges of seeds. Each range has its own kind of scenario, so a seed alone identifies a run.
 const (
 	faultsFrom        = 1000
 	lateOrdersFrom    = 2000
@@ -44,7 +46,7 @@
 	seedRange         = 1000
 )
 
-// scenarioOf returns the day of a seed.
+// scenarioOf returns the scenario of a seed.
 func scenarioOf(seed uint64) emulator.Scenario {
 	s := withoutFaults(seed)
 	switch seed / seedRange * seedRange {
@@ -94,7 +96,7 @@
 	}
 }
 
-// runRange plays the first days of a range.
+// runRange runs the first seeds of a range.
 func runRange(t *testing.T, from, defaultCount uint64) {
 	var seeds []uint64
 	for i := range scenarioCount(defaultCount) {
@@ -110,64 +112,68 @@
 	}
 }
 
-// A day is played again exactly: else a seed that failed would prove nothing.
+// Guards against runs that are not reproducible: a failure could not be debugged by its seed.
 func TestSameSeedRepeats(t *testing.T) {
 	_, first := emulator.Run(scenarioOf(1007))
 	_, second := emulator.Run(scenarioOf(1007))
 	assert.Equal(t, fmt.Sprint(first), fmt.Sprint(second))
 }
 
-// Kills, freezes, cuts, outages and crashes come in series and overlap. Whatever
-// happens, no task runs twice, nothing starts out of order, and in the end all
-// that was accepted is over and all that is to last runs.
+// Kills, freezes, network cuts, outages and crashes follow each other and overlap. No task
+// may run twice at a time, no step may start out of order, and at the end all accepted jobs
+// must be finished and all long-running tasks must run.
 func TestWithFaults(t *testing.T) { runRange(t, faultsFrom, 24) }
 
-// A share of all orders gets no answer and is carried out seconds later, while
-// owners change and VMs crash.
+// Guards against late orders that take effect: a share of all orders gets no answer and is
+// delivered seconds later, while owners change and VMs crash.
 func TestWithLateOrders(t *testing.T) { runRange(t, lateOrdersFrom, 16) }
 
-// An account with a small cap never has more running, whoever owns the fleet.
+// Guards against an account with a small quota that exceeds it when the owner changes.
 func TestQuotaHolds(t *testing.T) { runRange(t, quotaFrom, 6) }
 
-// Availability zones are evacuated, one, several or all at a time, while owners are
-// lost, zones cut and the table is out of reach: no start there once the request has
-// had its time, by whichever process, and all that was accepted still comes to its end.
+// Availability zones are evacuated, one, several or all at a time, while owners are lost,
+// zones are cut off and the table is unreachable. No process may start a task in a zone once
+// the limit after the request is over, and all accepted jobs must still finish.
 func TestWithEvacuations(t *testing.T) { runRange(t, evacuationsFrom, 16) }
 
-// Guards against done siblings of a failed task that start again under the next owner.
+// Guards against the next owner starting tasks again that were done before another task of
+// their job failed.
 func TestWithFailingTasks(t *testing.T) { runRange(t, failingTasksFrom, 8) }
 
-// Guards against a task that crashes one VM after the other and is started without end.
+// Guards against a task that crashes one VM after another and is started without limit.
 func TestWithCrashingTasks(t *testing.T) { runRange(t, crashingTasksFrom, 8) }
 
-// Guards against starts on VMs that have shrunk since and take whatever they are told to start.
+// Guards against overload of VMs whose capacity has shrunk and that accept every start.
 func TestWithResizingVMs(t *testing.T) { runRange(t, resizingVMsFrom, 8) }
 
-// Guards against late orders that change what runs on a new life of their VM.
+// Guards against late orders that affect a VM restarted under the same ID.
 func TestWithLateOrdersToRestartedVMs(t *testing.T) { runRange(t, reusedIDsFrom, 8) }
 
-// Guards against two owners, each out of reach of some VMs, that both start a task.
+// Guards against a second start of a task by a new owner when a network partition separates
+// the owners from different VMs.
 func TestWithZonesCutOff(t *testing.T) { runRange(t, zoneCutsFrom, 4) }
 
-// Days that once failed:
-//   - 1050: an upkeep that was refused as busy, after an earlier order for the
-//     machine was carried out, let the wave take one machine too many away;
-//   - 2012: a VM that a new owner hadn't heard yet counted as empty and had its
-//     upkeep under running tasks;
-//   - 3111: a start was taken by a new life of its VM; its lease was reckoned from
-//     the former life's clock, and the task was started a second time;
-//   - 1059: two take-overs in a row, and the second new owner didn't know of the
-//     first one's orders for a machine;
-//   - 3025: what an account had running on VMs out of reach didn't count against
-//     its cap for a new owner;
-//   - 3166: an account asked more than its cap, and the day ended before its last
-//     job: days now go on until all is over, four minutes at most;
-//   - 2034, 2066: a start without an answer reached a new life under the same ID;
-//   - 5016, 5020, 5090: a job failed, the done end of a sibling was noted before that was
-//     stored, and the next owner started the sibling again.
+// Seeds that found faults. Known causes:
+//   - 1050: a maintenance order was refused as busy after an earlier order for the
+//     machine had been carried out, and the wave took one machine too many out of service;
+//   - 2012: a VM that a new owner had no report of counted as empty, and its machine
+//     went into maintenance while tasks ran;
+//   - 3111: a restarted VM accepted a start; its lease was computed from the clock of the
+//     previous run of the VM, and the task was started a second time;
+//   - 1059: after two takeovers in a row, the second new owner did not know of the first
+//     one's orders for a machine;
+//   - 3025: a new owner did not count tasks on unreachable VMs against the quota of their
+//     account;
+//   - 3166: an account submitted more than its quota allows, and the run ended before its
+//     last job did; runs therefore continue until all jobs have finished, for at most four
+//     minutes;
+//   - 2034, 2066: a start without an answer reached a VM restarted under the same ID;
+//   - 5016, 5020, 5090: the end of a done task was noted before the failure of its job was
+//     stored, and the next owner started the task again.
 func TestRegressionSeeds(t *testing.T) {
 	runSeeds(t, []uint64{1003, 1050, 1055, 1059, 2012, 2034, 2066, 3025, 3068, 3111, 3166, 5016, 5020, 5090})
 }
 
-// Guards against a hold of a VM's former life that is carried out by the new one, which then forgets ends that nobody has seen.
+// Guards against lost ends of tasks: a late hold order for the previous run of a VM reaches the
+// restarted VM, which then forgets ends that no owner has seen.
 func TestLateHoldToRestartedVM(t *testing.T) { runSeeds(t, []uint64{2050, 8009}) }
--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -7,8 +7,8 @@
 	"lavenderpond/core/schedule"
 )
 
-// table is the platform's table, as far as the entry VMs use it: each method is
-// one call that is carried out at once; calls take time on their way.
+// table is the platform's table as far as the entry VMs use it. Each method carries out
+// one call atomically; entryVM.callTable adds the delays and faults of the network.
 type table struct {
 	w       *World
 	version int64
@@ -26,16 +26,17 @@
 	vms            map[job.VMID]job.VMRecord
 	vmChanges      []vmChange
 
-	// down refuses calls, slow delays them, lost drops answers of writes, late
-	// carries some of these out later.
+	// down drops all calls, and extraDelay delays them. lostAnswerShare is the share of
+	// writes that get no answer; with lateWrites these are carried out seconds later.
 	down            bool
 	extraDelay      time.Duration
 	lostAnswerShare float64
 	lateWrites      bool
-	// refused are nodes that get no answer.
+	// refused are the entry VMs whose calls are dropped.
 	refused map[*entryVM]bool
 }
 
+// ownerRow says which process owns the fleet. turn numbers the terms of ownership.
 type ownerRow struct {
 	entryVM string
 	run     int
@@ -43,6 +44,7 @@
 	vacant  bool
 }
 
+// renewalRow is the owner's last renewal. batch identifies the commit that wrote it.
 type renewalRow struct {
 	run     int
 	entryVM string
@@ -54,6 +56,7 @@
 	version int64
 }
 
+// vmChange is a change to the records of VMs, for owners that follow them.
 type vmChange struct {
 	record  job.VMRecord
 	removed bool
@@ -72,7 +75,7 @@
 	return t.version
 }
 
-// swapOwner makes a node the owner if both rows are as it read them.
+// swapOwner makes row the owner if both rows still have the versions that were read.
 func (t *table) swapOwner(owner, renewal int64, row ownerRow) (int64, bool) {
 	if owner != t.ownerVersion || renewal != t.renewalVersion {
 		return 0, false
@@ -84,7 +87,8 @@
 	return v, true
 }
 
-// commitResult is the answer to a commit.
+// commitResult is the answer to a commit. If ok is false, it has the versions and the
+// renewal that are stored instead of the expected ones.
 type commitResult struct {
 	ok             bool
 	version        int64
@@ -92,7 +96,8 @@
 	renewalRow     renewalRow
 }
 
-// commit stores saves if the owner and its last renewal are as expected.
+// commit stores saves and renews the ownership if the versions of the owner and of its
+// last renewal are as expected.
 func (t *table) commit(owner, renewal int64, row renewalRow, saves []schedule.Command) commitResult {
 	if owner != t.ownerVersion || renewal != t.renewalVersion {
 		return commitResult{owner: t.ownerVersion, renewal: t.renewalVersion, renewalRow: t.renewal}
@@ -119,7 +124,7 @@
 	return commitResult{ok: true, version: v, owner: owner, renewal: v}
 }
 
-// submit stores a job once.
+// submit stores a job.
 func (t *table) submit(j job.Job) {
 	t.submitted = append(t.submitted, submission{job: j, version: t.nextVersion()})
 }
@@ -129,7 +134,7 @@
 	t.cancelled = append(t.cancelled, id)
 }
 
-// putVM writes a VM's entry, if it can reach the table.
+// putVM writes a VM's record, unless the VM is down or was replaced under the same ID.
 func (t *table) putVM(v *vm) {
 	if !v.up || v.w.vms[v.id] != v {
 		return
--- a/core/emulator/trace_test.go
+++ b/core/emulator/trace_test.go
@@ -9,7 +9,8 @@
 	"lavenderpond/core/emulator"
 )
 
-// TestTrace prints one day's decisions: LAVENDERPOND_SEED=n go test -v -run TestTrace.
+// TestTrace prints the decisions and violations of the run with the seed in LAVENDERPOND_SEED:
+// LAVENDERPOND_SEED=n go test -v -run TestTrace. It does nothing without a seed.
 func TestTrace(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("LAVENDERPOND_SEED"), 10, 64)
 	if err != nil {
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -8,7 +8,7 @@
 	"lavenderpond/core/job"
 )
 
-// Periods and bounds of the emulated VMs.
+// Durations and capacity of the emulated VMs. CPU is in thousandths of a core.
 const (
 	leaseMax           = 6 * time.Second
 	taskStopMax        = 400 * time.Millisecond
@@ -19,7 +19,7 @@
 	vmMemMB            = 65536
 )
 
-// machine is a machine; each of its lives is a vm.
+// machine is a physical machine. It runs at most one VM at a time.
 type machine struct {
 	id    job.MachineID
 	pool  job.PoolName
@@ -27,16 +27,18 @@
 	rack  job.Label
 	state job.MachineState
 	vm    *vm
-	// resizes is set if its lives shrink and grow, unguarded if they start what doesn't
-	// fit.
+	// resizes is set if its VMs change their capacity while they run, ignoresCapacity if
+	// they also start tasks that exceed it.
 	resizes, ignoresCapacity bool
-	// fence is the highest that an order carried, holder who sent it.
+	// fence is the highest fence of any order so far, issuer the entry VM that sent the
+	// last order, at lastOrderAt.
 	fence       job.Fence
 	issuer      string
 	lastOrderAt time.Time
 }
 
-// vm is one life of a VM.
+// vm is one run of a VM, from its start to its crash or removal. A VM that starts again
+// is another vm, possibly under the same ID.
 type vm struct {
 	w         *World
 	id        job.VMID
@@ -47,38 +49,48 @@
 	up        bool
 	listed    bool
 	draining  bool
-	fence     job.Fence
-	lease     job.VMClock
-	// capacities are those it has had, the present one last.
-	capacities  []capacityChange
+	// fence is the highest fence of any order so far, lease the time on the clock of the VM
+	// at which its lease expires.
+	fence job.Fence
+	lease job.VMClock
+	// capacities has all capacities so far, the current one last.
+	capacities []capacityChange
+	// runs are the attempts that run, unnotedEnds the ends that no owner has noted yet.
+	// lastEnd is the number of the latest end.
 	runs        []*vmRun
 	unnotedEnds []job.End
 	lastEnd     int64
-	// endedAt is when each end came; lapsed is when the lease was last over.
+	// endedAt is when each end occurred, by its number. leaseExpiredAt is when the lease
+	// was last found expired.
 	endedAt        map[int64]time.Time
 	leaseExpiredAt time.Time
-	// closedAttempts is the highest attempt of each task that was stopped or has ended here.
+	// closedAttempts is the highest attempt of each task that was stopped or has ended on
+	// this VM. It and earlier attempts are not started again.
 	closedAttempts map[job.TaskID]job.Attempt
-	// slowdown multiplies run times, failing makes all that starts fail.
+	// slowdown multiplies run times. Tasks that start while failing is set will fail; tasks
+	// that start while hanging is set never end.
 	slowdown float64
 	failing  bool
 	hanging  bool
 }
 
+// vmRun is an attempt of a task that runs on a VM.
 type vmRun struct {
 	task      job.TaskID
 	attempt   job.Attempt
 	startedAt time.Time
-	// takes is how long it runs; 0 if it stands still or lasts.
+	// runTime is the time from the start to the planned end of the attempt; 0 if it hangs or
+	// is long-running and has none.
 	runTime     time.Duration
 	fails       bool
 	resources   job.Resources
 	longRunning bool
 	stopping    bool
-	// startedBy is who ordered it.
+	// startedBy is the entry VM that ordered the start.
 	startedBy string
 }
 
+// clock returns the VM's clock, which begins at 0 with the VM and may run up to 2% slow.
 func (v *vm) clock() job.VMClock {
 	return job.VMClock(float64(v.w.now.Sub(v.born).Milliseconds()) * v.clockRate)
 }
@@ -91,7 +103,7 @@
 	return sum
 }
 
-// startVM puts a new VM on a machine, under a new ID or the one given.
+// startVM starts a VM on a machine, under the given ID or, if that is empty, a new one.
 func (w *World) startVM(m *machine, id job.VMID) *vm {
 	if id == "" {
 		w.nextVM++
@@ -112,7 +124,8 @@
 	return v
 }
 
-// checkLease ends what runs when the lease is over.
+// checkLease ends all running tasks once the lease has expired. It repeats while the VM is
+// up.
 func (w *World) checkLease(v *vm) {
 	if !v.up {
 		return
@@ -128,7 +141,7 @@
 	w.after(10*time.Millisecond, func() { w.checkLease(v) })
 }
 
-// endRun ends a run and lists it.
+// endRun ends an attempt and adds it to the ends to report.
 func (v *vm) endRun(r *vmRun, how job.Ending) {
 	v.runs = slices.DeleteFunc(v.runs, func(o *vmRun) bool { return o == r })
 	v.lastEnd++
@@ -138,7 +151,7 @@
 	v.w.checker.taskEnded(v, r, how)
 }
 
-// die ends the life; all that ran is gone without a trace.
+// shutDown ends the VM. Its running tasks are lost without a report.
 func (v *vm) shutDown() {
 	if !v.up {
 		return
@@ -150,22 +163,25 @@
 	v.runs = nil
 }
 
-// extendLease takes a deadline that any order carried.
+// extendLease extends the lease to the deadline of an order, at most leaseMax from now.
 func (v *vm) extendLease(deadline job.VMClock) {
 	limit := v.clock() + job.VMClock(leaseMax.Milliseconds())
 	v.lease = max(v.lease, min(deadline, limit))
 }
 
+// newReport returns a report without lists of tasks.
 func (v *vm) newReport(refused job.Refusal) job.Report {
 	return job.Report{Clock: v.clock(), Refused: refused}
 }
 
-// cannotDetectLate tells whether this life began after an order was sent and no owner that knows of
-// it has held it yet: it has seen no higher fence, and its clock is behind all deadlines.
+// cannotDetectLate reports whether this VM has no means to refuse a late order: the VM
+// started after the order was sent, and has seen no higher fence since, as no owner that
+// knows of it has sent it a hold order. Its clock is behind all deadlines.
 func (v *vm) cannotDetectLate(f job.Fence, sent time.Time) bool {
 	return v.born.After(sent) && v.fence <= f
 }
 
+// rejectsFence reports whether an order with fence f is stale, and otherwise records f.
 func (v *vm) rejectsFence(f job.Fence) bool {
 	if f < v.fence {
 		return true
@@ -174,6 +190,7 @@
 	return false
 }
 
+// startTask carries out a start order.
 func (v *vm) startTask(o job.StartOrder, issuer string) job.Report {
 	if v.rejectsFence(o.Fence) {
 		return v.newReport(job.RefusedStaleFence)
@@ -208,14 +225,15 @@
 		v.scheduleCrash(r, runTime)
 		return v.newReport(job.NotRefused)
 	case t.failingTask:
-		// All its attempts may fail before its siblings are done.
+		// Shorter runs let all attempts fail before the other tasks of the step are done.
 		runTime = v.w.randomBetween(runTime/10, runTime)
 	}
 	v.scheduleEnd(r, runTime)
 	return v.newReport(job.NotRefused)
 }
 
-// scheduleEnd ends the run when its work is done.
+// scheduleEnd schedules the end of an attempt. One that fails does so after half its run
+// time; hanging and long-running attempts have no end.
 func (v *vm) scheduleEnd(r *vmRun, runTime time.Duration) {
 	if v.hanging {
 		return
@@ -239,7 +257,8 @@
 	})
 }
 
-// progressPercent is how far the run has come; a lasting one is at work after its startup.
+// progressPercent returns the reported progress. A long-running attempt reports 100 once its
+// startup is over.
 func (r *vmRun) progressPercent(now time.Time) int {
 	ran := now.Sub(r.startedAt)
 	switch {
@@ -251,6 +270,7 @@
 	return int(min(99, 100*ran/r.runTime))
 }
 
+// stopTask carries out a stop order. The attempt ends some time later, within taskStopMax.
 func (v *vm) stopTask(t job.TaskID, a job.Attempt, f job.Fence) job.Report {
 	if v.rejectsFence(f) {
 		return v.newReport(job.RefusedStaleFence)
@@ -270,7 +290,8 @@
 	return v.newReport(job.NotRefused)
 }
 
-// hold answers once there is an end to report or the wait is over.
+// hold carries out a hold order: it extends the lease, forgets the ends that the owner has
+// noted, and answers once there is an end to report or the wait is over.
 func (v *vm) hold(o job.HoldOrder, answer func(job.Report)) {
 	if v.rejectsFence(o.Fence) {
 		answer(v.newReport(job.RefusedStaleFence))
@@ -289,6 +310,7 @@
 	v.awaitEnd(v.w.now.Add(o.Wait), answer)
 }
 
+// awaitEnd polls for an end to report every 5 ms.
 func (v *vm) awaitEnd(until time.Time, answer func(job.Report)) {
 	if !v.up {
 		return
--- a/core/emulator/world.go
+++ b/core/emulator/world.go
@@ -1,7 +1,8 @@
-// Package emulator plays whole days of a deployment in virtual time: the table,
-// VMs, machines, callers and entry VMs, with faults between and in them. The
-// entry VMs run the real decision code of core/lease and core/schedule. The same
-// seed always plays the same day.
+// Package emulator is a deterministic discrete-event simulation of a deployment in
+// virtual time: the table, VMs, machines, callers and entry VMs, with faults in them
+// and in the connections between them. The entry VMs run the production decision code
+// of core/lease and core/schedule. A checker verifies invariants during the run. The
+// same scenario with the same seed always gives the same run.
 package emulator
 
 import (
@@ -13,7 +14,7 @@
 	"lavenderpond/core/job"
 )
 
-// World is one day while it is played.
+// World is the state of a running simulation.
 type World struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -22,12 +23,14 @@
 
 	table    *table
 	entryVMs []*entryVM
+	// vms has the latest VM under each ID, allVMs all that ever ran, in order of creation.
 	vms      map[job.VMID]*vm
 	allVMs   []*vm
 	machines []*machine
 	jobs     map[job.ID]*trackedJob
 	config   *job.Configuration
-	// evacuated are the availability zones in which nothing may start, and since when.
+	// evacuated maps the availability zones in which no task may start to the time of
+	// the request.
 	evacuated map[job.ZoneName]time.Time
 	checker   *checker
 	nextVM    int
@@ -35,24 +38,26 @@
 	Stats     Stats
 	wave      job.Wave
 	hasWave   bool
-	// lateStartsBeforeHold lets late starts reach a new life before any owner has held it.
+	// lateStartsBeforeHold lets late start orders reach a restarted VM before any owner
+	// has sent it a hold order.
 	lateStartsBeforeHold bool
 }
 
-// Stats count what happened.
+// Stats counts the events of a run.
 type Stats struct {
 	Jobs, Completed, Failed, Cancelled int
-	InTime                             int
-	// GivenUp counts the jobs that were shown as failed though none of their tasks was
-	// at fault.
+	// InTime counts the jobs that completed within their latency target.
+	InTime int
+	// GivenUp counts the jobs that were shown as failed although none of their tasks
+	// was set up to fail or to crash its VM.
 	GivenUp                    int
 	Starts, Takeovers, Crashes int
 	Moves, MaintenanceStarts   int
-	// LongestGap is the longest time without an owner that starts tasks.
+	// LongestGap is the longest time without an owner that may start tasks.
 	LongestGap time.Duration
 }
 
-// epoch is when the days begin; any fixed time will do.
+// epoch is the virtual time at which every run begins. Any fixed time would do.
 var epoch = time.Unix(1_800_000_000, 0)
 
 type event struct {
@@ -79,19 +84,19 @@
 	return e
 }
 
-// after runs f once d has passed.
+// after schedules f to run once d has passed.
 func (w *World) after(d time.Duration, f func()) {
 	w.lastSeq++
 	heap.Push(&w.events, event{at: w.now.Add(max(0, d)), seq: w.lastSeq, run: f})
 }
 
-// at runs f at an instant of the day, counted from its beginning.
+// at schedules f to run at time d after the start of the run.
 func (w *World) at(d time.Duration, f func()) { w.after(epoch.Add(d).Sub(w.now), f) }
 
-// Elapsed returns how much of the day has passed.
+// Elapsed returns the virtual time since the start of the run.
 func (w *World) Elapsed() time.Duration { return w.now.Sub(epoch) }
 
-// runUntil plays until the instant.
+// runUntil processes all events up to the given time after the start of the run.
 func (w *World) runUntil(until time.Duration) {
 	end := epoch.Add(until)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
@@ -102,7 +107,7 @@
 	w.now = end
 }
 
-// randomBetween returns a random period.
+// randomBetween returns a random duration in [from, to).
 func (w *World) randomBetween(from, to time.Duration) time.Duration {
 	if to <= from {
 		return from
@@ -110,15 +115,15 @@
 	return from + time.Duration(w.rng.Int64N(int64(to-from)))
 }
 
-// chance is true with probability p.
+// chance returns true with probability p.
 func (w *World) chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
-// networkDelay is the time of one way between two processes.
+// networkDelay returns a random one-way delay between two processes.
 func (w *World) networkDelay() time.Duration {
 	return w.randomBetween(300*time.Microsecond, 900*time.Microsecond)
 }
 
-// tracef writes a line to the day's trace, if it has one.
+// tracef writes a line to the run's trace, if it has one.
 func (w *World) tracef(format string, args ...any) {
 	if w.trace != nil {
 		w.trace(fmt.Sprintf("%8.3f ", w.Elapsed().Seconds()) + fmt.Sprintf(format, args...))
--- a/io/soak/address_test.go
+++ b/io/soak/address_test.go
@@ -6,8 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against two fleets side by side that share an address: one's daemons then answer
-// the other's callers, and its VMs run tasks that nobody handed in there.
+// Guards against two fleets that run at the same time and share an address. The daemons of one
+// would answer the callers of the other, and its VMs would run tasks that none of its callers
+// submitted.
 func TestAddressesAreHandedOutOnce(t *testing.T) {
 	seen := map[string]bool{}
 	for range 2000 {
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -19,25 +19,25 @@
 const (
 	// callTimeout is how long a caller waits for an answer.
 	callTimeout = 3 * time.Second
-	// submitAttempts is how often a submission is sent.
+	// submitAttempts is how often a submission is sent at most.
 	submitAttempts = 5
-	// retryDelay is the pause between two tries and between two looks at a state.
+	// retryDelay is the delay between two attempts and between two requests for a state.
 	retryDelay = 300 * time.Millisecond
-	// cancelOneIn is how many jobs there are for one that is cancelled.
+	// cancelOneIn is the mean number of jobs submitted per job that is cancelled.
 	cancelOneIn = 12
-	// crashOneIn is how many jobs there are for one with a task that crashes VMs, and
-	// crashLastsOneIn how many of those for one whose tasks last.
+	// One in crashOneIn jobs has a task that crashes VMs, and on average one in
+	// crashLongRunningOneIn of these is long-running.
 	crashOneIn, crashLongRunningOneIn = 40, 4
 )
 
-// caller hands jobs in and follows them over connections that it keeps open.
+// caller submits jobs and polls their states over persistent connections.
 type caller struct {
 	fleet     *fleet
 	client    http.Client
 	rng       *rand.Rand
 	submitted int
 	number    int
-	// crashOffset says which of each crashOneIn jobs has a task that crashes VMs.
+	// crashOffset says which of every crashOneIn jobs has a task that crashes VMs.
 	crashOffset int
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// run hands jobs in until work ends, and follows what is open until ctx ends.
+// run submits jobs until submitting ends, and polls unfinished ones until ctx ends.
 func (c *caller) run(ctx, submitting context.Context) {
 	var open []job.ID
 	for ctx.Err() == nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// submitNext hands in the next job.
+// submitNext submits the next job.
 func (c *caller) submitNext(ctx context.Context) job.ID {
 	steps := c.randomSteps()
 	spec := standin.Spec{CPU: steps[0].CPU, RunMS: steps[0].RunMS}
@@ -86,9 +86,11 @@
 	return c.submit(ctx, spec, steps)
 }
 
+// randomSteps returns one to three steps, each after the one before.
 func (c *caller) randomSteps() []standin.StepBody {
 	var out []standin.StepBody
-	// The VM reads what a task needs from the job's spec, which has one for all steps.
+	// The VM takes the resources of a task from the spec of the job, which has one value for
+	// all steps.
 	cpu, runMS := 1000+c.rng.Int64N(3000), 50+c.rng.Int64N(600)
 	for s := range 1 + c.rng.IntN(3) {
 		step := standin.StepBody{Count: 1 + c.rng.IntN(4), CPU: cpu, MemMB: 100, RunMS: runMS}
@@ -100,8 +102,8 @@
 	return out
 }
 
-// submit hands a job in, with the same ID at several daemons until one says what
-// became of it.
+// submit submits a job to random daemons, each time with the same ID, until one answers that
+// the job is accepted or that its fate is unknown.
 func (c *caller) submit(ctx context.Context, spec standin.Spec, steps []standin.StepBody) job.ID {
 	c.submitted++
 	id := job.ID(fmt.Sprintf("%08x%08x", c.number, c.submitted))
@@ -121,7 +123,7 @@
 	return id
 }
 
-// pollState looks at a job's state and tells whether it is over.
+// pollState requests the state of a job and reports whether the job has finished.
 func (c *caller) pollState(ctx context.Context, id job.ID) bool {
 	status, body := c.call(ctx, http.MethodGet, id, nil)
 	var out struct {
@@ -139,7 +141,7 @@
 	c.call(ctx, http.MethodDelete, id, nil)
 }
 
-// call makes one call to some daemon; status 0 stands for no answer.
+// call sends a request to a random daemon. Status 0 means no answer.
 func (c *caller) call(ctx context.Context, method string, id job.ID, body []byte) (status int, answer []byte) {
 	e := c.fleet.entries[c.rng.IntN(len(c.fleet.entries))]
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+e.callerAddress.String()+standin.Prefix+string(id), bytes.NewReader(body))
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -1,6 +1,6 @@
-// Package soak runs the real daemons as processes of their own against stand-ins
-// of the platform, injects seeded faults from outside them, and checks what
-// callers and VMs see.
+// Package soak implements a soak test: it runs the production daemons as separate processes
+// against stand-ins of the platform, injects seeded faults from outside, and checks what
+// callers and VMs observe.
 package soak
 
 import (
@@ -12,43 +12,49 @@
 	"lavenderpond/platform/standin"
 )
 
-// Checker checks the promises while a soak goes on. Use NewJudge.
+// Checker verifies the invariants of the system during a soak test, from what callers and
+// VMs observe. Create it with NewChecker.
 type Checker struct {
-	mu        sync.Mutex
+	mu sync.Mutex
+	// now returns the time; tests replace it.
 	now       func() time.Time
 	startedAt time.Time
-	running   map[job.TaskID]map[job.VMID]bool
-	// done are tasks with a run that ended well, noted those whose end was noted.
+	// running are the VMs that run each task.
+	running map[job.TaskID]map[job.VMID]bool
+	// done are the tasks with an attempt that ended as done, noted those of them whose end
+	// an owner has noted.
 	done, noted map[job.TaskID]bool
 	jobs        map[job.ID]*submittedJob
 	violations  []string
 	startCount  int
-	// crashes counts the VMs that have crashed under a task, spare its starts after
-	// crashesMost of them.
+	// crashes counts the VMs that have crashed while they ran a task, startsAfterCrashLimit
+	// the starts of the task after crashLimit such crashes.
 	crashes, startsAfterCrashLimit map[job.TaskID]int
 	placements                     map[job.VMID]*Placement
-	// evacuated are the availability zones in which nothing may start, and since when.
+	// evacuated maps the availability zones in which no task may start to the time of
+	// the request.
 	evacuated map[job.ZoneName]time.Time
 }
 
-// Placement is where a VM is and what it may take.
+// Placement describes a VM: its availability zone and its capacity.
 type Placement struct {
 	Zone job.ZoneName
 	// Capacity is in thousandths of a core.
 	Capacity int64
-	// IgnoresCapacity VMs start what doesn't fit, too.
+	// IgnoresCapacity is set if the VM also starts tasks that exceed its capacity.
 	IgnoresCapacity bool
-	// previous are the rooms that it had before.
+	// previous are the capacities that the VM had before.
 	previous []pastCapacity
 }
 
-// pastCapacity is a room that a VM had until some time.
+// pastCapacity is a capacity that a VM had until some time.
 type pastCapacity struct {
 	capacity int64
 	until    time.Time
 }
 
-// limit returns what may run there: the largest room of late.
+// capacityLimit returns the most that may run on the VM: its largest capacity within the
+// past shrinkLimit.
 func (p *Placement) capacityLimit(now time.Time) int64 {
 	most := p.Capacity
 	for _, f := range p.previous {
@@ -59,18 +65,19 @@
 	return most
 }
 
-// evacuationLimit is how long after the request for it no task starts in an availability
-// zone any more.
+// evacuationLimit is how long after the request for its evacuation tasks may still start in
+// an availability zone.
 const evacuationLimit = 5 * time.Second
 
 const (
-	// shrinkLimit is how long after a VM's room has shrunk starts must keep to it: the
-	// VM tells of it at its next heartbeat.
+	// shrinkLimit is how long after a decrease of the capacity of a VM starts may still
+	// exceed it: the VM reports it only with its next heartbeat.
 	shrinkLimit = 3*time.Second + heartbeatInterval
-	// minCrashesToFail is how many VMs crash under a task before its job may fail.
+	// minCrashesToFail is how many VMs must crash while they run a task before its job may
+	// fail.
 	minCrashesToFail = 2
-	// crashLimit is how many VMs crash under a task before it may be started only
-	// sparesMost times more.
+	// crashLimit is the number of crashes after which a crashing task may be started only
+	// maxStartsAfterCrashLimit times more.
 	crashLimit               = 3
 	maxStartsAfterCrashLimit = 2
 )
@@ -79,14 +86,14 @@
 type submittedJob struct {
 	spec  standin.Spec
 	steps []standin.StepBody
-	// accepted is set by a success, unknown by an answer that leaves it open,
-	// started by the first task.
+	// accepted is set by a successful submission, unknown by an answer that leaves open
+	// whether the job was accepted, started by the first start of a task.
 	accepted, unknown, started bool
 	cancelled                  bool
 	final                      string
 }
 
-// NewChecker returns a judge that knows of no job.
+// NewChecker returns a checker without jobs and VMs.
 func NewChecker() *Checker {
 	return &Checker{
 		now: time.Now, startedAt: time.Now(), running: map[job.TaskID]map[job.VMID]bool{}, done: map[job.TaskID]bool{},
@@ -96,33 +103,34 @@
 	}
 }
 
+// violationf records a violated invariant. j.mu must be held.
 func (j *Checker) violationf(format string, args ...any) {
 	at := j.now().Sub(j.startedAt).Seconds()
 	j.violations = append(j.violations, fmt.Sprintf("%8.3f s  ", at)+fmt.Sprintf(format, args...))
 }
 
-// Reportf notes something else that was broken.
+// Reportf records a failure that another part of the soak test has found.
 func (j *Checker) Reportf(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violationf(format, args...)
 }
 
-// Violations returns what was broken so far.
+// Violations returns the violations recorded so far.
 func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.violations
 }
 
-// Placed notes where a new life of a VM is.
+// Placed records the placement of a VM that starts or restarts.
 func (j *Checker) Placed(vm job.VMID, p Placement) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.placements[vm] = &p
 }
 
-// Resized notes that a VM's room has changed.
+// Resized records a change of the capacity of a VM.
 func (j *Checker) Resized(vm job.VMID, capacity int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -131,15 +139,15 @@
 	p.Capacity = capacity
 }
 
-// Evacuated notes that nothing may start in the zone from now on, once the request has
-// had its time.
+// Evacuated records the request to start no tasks in the zone. It applies once
+// evacuationLimit has passed.
 func (j *Checker) Evacuated(z job.ZoneName) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.evacuated[z] = j.now()
 }
 
-// Reopened notes that tasks may start in the zone again.
+// Reopened records that tasks may start in the zone again.
 func (j *Checker) Reopened(z job.ZoneName) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -179,7 +187,8 @@
 	j.checkStartsAfterCrashes(vm, t)
 }
 
-// checkCapacity checks that a start left the VM within its room.
+// checkCapacity checks that a start does not overload a VM that ignores its capacity. Other
+// VMs refuse such starts themselves.
 func (j *Checker) checkCapacity(vm job.VMID, t job.TaskID) {
 	p := j.placements[vm]
 	var used int64
@@ -193,7 +202,7 @@
 	}
 }
 
-// checkStartsAfterCrashes checks that a task that crashes VMs isn't started for ever.
+// checkStartsAfterCrashes checks that a task that crashes VMs is not started without limit.
 func (j *Checker) checkStartsAfterCrashes(vm job.VMID, t job.TaskID) {
 	if !j.jobs[t.Job].spec.Crashes(t) || j.crashes[t] < crashLimit {
 		return
@@ -235,14 +244,14 @@
 	}
 }
 
-// Submitting notes a job before its first submission.
+// Submitting records a job before its first submission.
 func (j *Checker) Submitting(id job.ID, spec standin.Spec, steps []standin.StepBody) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[id] = &submittedJob{spec: spec, steps: steps}
 }
 
-// SubmitAnswered notes the status of a submission; 0 stands for no answer.
+// SubmitAnswered records the HTTP status of a submission; 0 means no answer.
 func (j *Checker) SubmitAnswered(id job.ID, status int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -254,14 +263,14 @@
 	}
 }
 
-// Cancelling notes that a caller cancels a job.
+// Cancelling records that a caller is about to cancel a job.
 func (j *Checker) Cancelling(id job.ID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[id].cancelled = true
 }
 
-// StateReturned checks a state that a caller was shown.
+// StateReturned checks the answer to a request for the state of a job.
 func (j *Checker) StateReturned(id job.ID, status int, state string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -288,7 +297,7 @@
 	}
 }
 
-// mayFail tells whether enough VMs have crashed under one of the job's tasks.
+// mayFail reports whether enough VMs have crashed while they ran one of the job's tasks.
 func (j *Checker) mayFail(id job.ID) bool {
 	for t, n := range j.crashes {
 		if t.Job == id && n >= minCrashesToFail {
@@ -298,8 +307,8 @@
 	return false
 }
 
-// Unfinished returns the accepted jobs that aren't over, and the lasting tasks that
-// don't run; none with a task that crashes VMs.
+// Unfinished describes the accepted jobs that have no final state and the long-running tasks
+// that do not run. It leaves out jobs with a task that crashes VMs.
 func (j *Checker) Unfinished() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -320,7 +329,8 @@
 	return out
 }
 
-// Settled tells whether nothing is open, and no job with a task that crashes VMs either.
+// Settled reports whether all accepted jobs have finished or, if long-running, run. Jobs with
+// a task that crashes VMs must have finished.
 func (j *Checker) Settled() bool {
 	if len(j.Unfinished()) > 0 {
 		return false
@@ -335,7 +345,7 @@
 	return true
 }
 
-// Finish checks what can be told at the end only.
+// Finish does the checks that are possible only at the end of the soak test.
 func (j *Checker) Finish() {
 	for _, o := range j.Unfinished() {
 		j.Reportf("at the end: %s", o)
@@ -349,7 +359,7 @@
 	}
 }
 
-// Summary sums up what happened.
+// Summary returns the counts of jobs and starts as text.
 func (j *Checker) Summary() string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/io/soak/checker_test.go
+++ b/io/soak/checker_test.go
@@ -16,8 +16,8 @@
 	testVM  = job.VMID("vm")
 )
 
-// newTestChecker returns a judge that knows of an accepted job with a task that crashes VMs and
-// a sound one, and of a VM; clock is what it reads the time from.
+// newTestChecker returns a checker with an accepted job of two tasks, of which crash selects the
+// one that crashes VMs, and with a VM. The checker reads the time from clock.
 func newTestChecker(crash *standin.Crash, p Placement) (j *Checker, clock *time.Time) {
 	j = NewChecker()
 	clock = new(time.Now())
@@ -30,7 +30,7 @@
 
 func testTask(index int) job.TaskID { return job.TaskID{Job: testJob, Index: index} }
 
-// startAndCrash plays n starts of a task and the crash of the VM after each.
+// startAndCrash records n starts of a task, each followed by a crash of the VM.
 func startAndCrash(j *Checker, t job.TaskID, n int) {
 	for range n {
 		j.Started(testVM, t, 1, "")
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards against a task that takes one VM after the other down without an end.
+// Guards against a task that crashes one VM after another without limit.
 func TestCrashingTaskHasTwoMoreStarts(t *testing.T) {
 	j, _ := newTestChecker(&standin.Crash{}, Placement{Capacity: 2000})
 	startAndCrash(j, testTask(0), crashLimit+maxStartsAfterCrashLimit)
@@ -56,14 +56,15 @@
 	assertViolations(t, j, "after 5 VMs have crashed under it")
 }
 
-// Guards against a sound task that is given up since it ran beside a crashing one.
+// Guards against a checker that limits the starts of a task which only ran beside a crashing
+// one.
 func TestTaskBesideCrashingOneMayRestart(t *testing.T) {
 	j, _ := newTestChecker(&standin.Crash{}, Placement{Capacity: 2000})
 	startAndCrash(j, testTask(1), crashLimit+maxStartsAfterCrashLimit+1)
 	assertViolations(t, j)
 }
 
-// Guards against a job that is given up before two VMs have crashed under one task.
+// Guards against a job that fails before two VMs have crashed while they ran the same task.
 func TestFailedNeedsTwoCrashesUnderOneTask(t *testing.T) {
 	j, _ := newTestChecker(&standin.Crash{}, Placement{Capacity: 2000})
 	startAndCrash(j, testTask(0), 1)
@@ -75,7 +76,7 @@
 	assertViolations(t, j, "is shown as failed")
 }
 
-// Guards against an accepted job without a crashing task that never ends.
+// Guards against an accepted job that never finishes, unless one of its tasks crashes VMs.
 func TestOnlyCrashingJobsMayStayOpen(t *testing.T) {
 	j, _ := newTestChecker(&standin.Crash{}, Placement{Capacity: 2000})
 	j.Finish()
@@ -85,7 +86,7 @@
 	assertViolations(t, j, "was accepted and isn't over")
 }
 
-// Guards against starts that bring a VM without a guard over its room.
+// Guards against starts that overload a VM which ignores its capacity.
 func TestVMIgnoringCapacityIsNotOverloaded(t *testing.T) {
 	for _, ignoresCapacity := range []bool{false, true} {
 		j, _ := newTestChecker(nil, Placement{Capacity: 1000, IgnoresCapacity: ignoresCapacity})
@@ -100,7 +101,7 @@
 	}
 }
 
-// Guards against starts by a room that has shrunk long ago.
+// Guards against starts that rely on a capacity from before a decrease, once its limit is over.
 func TestShrunkCapacityAppliesAfterLimit(t *testing.T) {
 	for elapsed, violated := range map[time.Duration]bool{shrinkLimit: false, shrinkLimit + time.Millisecond: true} {
 		j, clock := newTestChecker(nil, Placement{Capacity: 2000, IgnoresCapacity: true})
@@ -116,7 +117,7 @@
 	}
 }
 
-// Guards against a judge that holds a VM to the small room that it no longer has.
+// Guards against a checker that still applies a small capacity after an increase.
 func TestGrownCapacityAppliesAtOnce(t *testing.T) {
 	j, clock := newTestChecker(nil, Placement{Capacity: 2000, IgnoresCapacity: true})
 	j.Resized(testVM, 500)
--- a/io/soak/faults.go
+++ b/io/soak/faults.go
@@ -12,31 +12,31 @@
 	"lavenderpond/platform/standin"
 )
 
-// fault is one kind of trouble: it strikes and, after a while, heals.
+// fault is a kind of fault. It lasts for a random time.
 type fault struct {
 	name string
-	// inject begins it and returns what heals it.
+	// inject begins the fault. It returns a description and a function that ends the fault.
 	inject func(f *fleet, rng *rand.Rand) (what string, heal func())
-	// extraDuration is how much longer than others it lasts.
+	// extraDuration is added to the random duration.
 	extraDuration time.Duration
 }
 
 const (
-	// minFaultDuration and faultMost bound how long a fault lasts.
+	// minFaultDuration and maxFaultDuration bound how long a fault lasts, apart from its
+	// extraDuration.
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 5 * time.Second
-	// meanFaultInterval is the mean pause between the beginnings of two faults, so that
-	// about three go on at a time.
+	// meanFaultInterval is the mean time between the starts of two faults, so that about
+	// three are active at a time.
 	meanFaultInterval = 800 * time.Millisecond
-	// stopTimeout is how long a daemon may take to stop: the platform kills it after
-	// six seconds.
+	// stopTimeout is how long a daemon may take to stop. The platform kills it after 6 s.
 	stopTimeout = 6 * time.Second
 )
 
-// linkFaults are what can be done to a link.
+// linkFaults are the states of a link that is broken in some way.
 var linkFaults = []link.State{link.Refused, link.Silent, link.Held, link.Deaf}
 
-// faults are all kinds. The order must not change: seeds choose by it.
+// faults are all kinds of faults. Their order must not change, as seeds select by index.
 var faults = []fault{
 	{name: "kill", inject: func(f *fleet, rng *rand.Rand) (string, func()) {
 		e := f.entries[rng.IntN(len(f.entries))]
@@ -135,6 +135,7 @@
 	}},
 }
 
+// breakLink puts a link into a random faulty state.
 func breakLink(l *link.Link, name string, rng *rand.Rand) (string, func()) {
 	s := linkFaults[rng.IntN(len(linkFaults))]
 	l.Set(s, 0)
@@ -148,7 +149,8 @@
 	}
 }
 
-// restartDaemon starts a daemon anew once it has ended.
+// restartDaemon starts a daemon again once its process has ended, which it enforces after
+// stopTimeout.
 func (f *fleet) restartDaemon(e *entry) {
 	if !e.waitExit(stopTimeout) {
 		e.signal(syscall.SIGCONT)
@@ -160,8 +162,7 @@
 	}
 }
 
-// injectFaults strikes with one fault after the other until ctx ends; it returns once
-// all are healed.
+// injectFaults injects random faults until ctx ends, and returns once all have ended.
 func (f *fleet) injectFaults(ctx context.Context, rng *rand.Rand, report func(string)) {
 	var g supervisor.Group
 	defer g.Wait()
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -23,23 +23,24 @@
 )
 
 const (
-	// vmCapacity is a VM's room in thousandths of a core.
+	// vmCapacity is the full capacity of a VM in thousandths of a core.
 	vmCapacity = 16_000
-	// tickInterval is how often VMs look at their tasks.
+	// tickInterval is the interval at which VMs update their tasks.
 	tickInterval = 10 * time.Millisecond
-	// heartbeatInterval is how often a VM writes its row.
+	// heartbeatInterval is the interval at which a VM writes its row to the table.
 	heartbeatInterval = 1500 * time.Millisecond
-	// minDowntime and backMost bound how long a VM that a task crashed is away.
+	// minDowntime and maxDowntime bound how long a VM is down after a task has crashed it.
 	minDowntime = time.Second
 	maxDowntime = 5 * time.Second
 )
 
-// entry is one daemon and the links to and from it.
+// entry is a daemon of an entry VM and the links to and from it.
 type entry struct {
 	name         string
 	settingsFile string
 	logFile      string
-	// frontLink takes callers, table and machines carry the daemon's calls.
+	// frontLink carries calls to the daemon; callerAddress is the address where it takes
+	// them. The other links carry calls of the daemon to the table and to the cloud.
 	frontLink, tableLink, machinesLink *link.Link
 	callerAddress                      netip.AddrPort
 
@@ -48,12 +49,12 @@
 	exited  chan struct{}
 }
 
-// machine is a VM's place; its life changes when it crashes.
+// machine is a machine that runs one VM at a time. After a crash it gets a new one.
 type machine struct {
 	name string
 	zone job.ZoneName
 	link *link.Link
-	// ignoresCapacity VMs start what doesn't fit, too.
+	// ignoresCapacity is set if its VMs also start tasks that exceed their capacity.
 	ignoresCapacity bool
 
 	mu      sync.Mutex
@@ -63,14 +64,14 @@
 	address string
 }
 
-// currentVM returns the newest life, and whether it has ended.
+// currentVM returns the latest VM, and whether it is down.
 func (m *machine) currentVM() (vm *standin.VM, down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.vm, m.down
 }
 
-// ServeHTTP implements http.Handler for the life that is there.
+// ServeHTTP passes requests to the current VM. It does not answer while the VM is down.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	vm, down := m.currentVM()
 	if down {
@@ -80,7 +81,8 @@
 	vm.ServeHTTP(w, r)
 }
 
-// fleet is everything that a soak runs.
+// fleet is the system under test: daemons, VMs, the stand-ins of the platform and the links
+// between them.
 type fleet struct {
 	binary        string
 	folder        string
@@ -93,15 +95,16 @@
 	servers       []*http.Server
 	group         supervisor.Group
 	configVersion int
-	// mu guards rng and evacuated, which counts the requests in force for each
-	// availability zone.
+	// mu guards rng and evacuated. evacuated counts the evacuation requests in force for
+	// each availability zone.
 	mu        sync.Mutex
 	evacuated map[job.ZoneName]int
 }
 
+// zone returns the availability zone of the i-th daemon or machine.
 func (f *fleet) zone(i int) job.ZoneName { return job.ZoneName(rune('a' + i%3)) }
 
-// serve serves h at a free loopback address until the fleet closes.
+// serve serves h at a free loopback address until the fleet is closed.
 func (f *fleet) serve(h http.Handler) (netip.AddrPort, error) {
 	l, err := listen()
 	if err != nil {
@@ -109,15 +112,16 @@
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	f.servers = append(f.servers, s)
-	f.group.Go(func() { _ = s.Serve(l) }) // It ends when the fleet closes it.
+	f.group.Go(func() { _ = s.Serve(l) }) // Returns when the fleet is closed.
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// allocatedAddresses are the addresses given to any fleet of this process. A fleet listens at some
-// of its own only later: another one that got the same would be taken for a part of it.
+// allocatedAddresses are the addresses that were given to any fleet of this process. A fleet
+// starts to listen at some of its addresses only later. Without this record another fleet
+// could get the same address, and its connections would reach the wrong fleet.
 var allocatedAddresses sync.Map
 
-// listen listens at a loopback address that was not handed out before.
+// listen listens at a loopback address that was not allocated before.
 func listen() (net.Listener, error) {
 	for {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -127,12 +131,13 @@
 		if _, before := allocatedAddresses.LoadOrStore(l.Addr().String(), true); !before {
 			return l, nil
 		}
-		// It stays open meanwhile, so that the next one is another.
+		// This listener stays open until listen returns, so that the next attempt gets another
+		// port.
 		defer l.Close() //nolint:errcheck // Nothing was written.
 	}
 }
 
-// freeAddress returns a loopback address that nobody listens at.
+// freeAddress allocates a loopback address at which nothing listens.
 func freeAddress() (netip.AddrPort, error) {
 	l, err := listen()
 	if err != nil {
@@ -142,7 +147,7 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// addLink carries connections from a free address to target.
+// addLink starts a link that forwards connections from a free address to target.
 func (f *fleet) addLink(ctx context.Context, name string, target netip.AddrPort) (*link.Link, netip.AddrPort, error) {
 	at, err := freeAddress()
 	if err != nil {
@@ -154,8 +159,8 @@
 }
 
 const (
-	// maxLinkAttempts and linkRetry bound how long a link waits for its port, which a
-	// connection may hold while the link refuses callers.
+	// maxLinkAttempts and linkRetryDelay bound how long a link waits for its port. While the
+	// link refuses callers, a connection may occupy the port.
 	maxLinkAttempts = 100
 	linkRetryDelay  = 50 * time.Millisecond
 )
@@ -171,7 +176,8 @@
 	f.checker.Reportf("%v", err)
 }
 
-// build lays out stand-ins, links and settings; nothing runs yet.
+// build starts the stand-ins, VMs and links, and writes the settings of the daemons. It does
+// not start the daemons.
 func (f *fleet) build(ctx context.Context, entries, machines int) error {
 	table, err := f.serve(f.table)
 	if err != nil {
@@ -214,7 +220,8 @@
 	return nil
 }
 
-// bear gives a machine a new life, under its former ID or another, unless it lives.
+// startVM starts a VM on a machine that has none or whose VM is down, under the previous ID
+// or a new one.
 func (f *fleet) startVM(m *machine, sameID bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,7 +242,7 @@
 	f.checker.Placed(m.vm.ID, Placement{Zone: m.zone, Capacity: vmCapacity, IgnoresCapacity: m.ignoresCapacity})
 }
 
-// crashVM ends a machine's life, if it is still this one.
+// crashVM ends the VM of a machine, if vm is still the current one.
 func (f *fleet) crashVM(m *machine, vm *standin.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -245,7 +252,7 @@
 	}
 }
 
-// resizeVM changes the room of the VM that lives on a machine.
+// resizeVM changes the capacity of the VM on a machine.
 func (f *fleet) resizeVM(m *machine, capacity int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -253,6 +260,7 @@
 	f.checker.Resized(m.vm.ID, capacity)
 }
 
+// tick advances all VMs, and restarts those that a task has crashed.
 func (f *fleet) tick(ctx context.Context) {
 	for _, m := range f.machines {
 		vm, down := m.currentVM()
@@ -263,7 +271,8 @@
 	}
 }
 
-// restartAfterCrash gives a machine that a task crashed a new life after some time.
+// restartAfterCrash starts a new VM after a random downtime, under the previous ID or a new
+// one.
 func (f *fleet) restartAfterCrash(ctx context.Context, m *machine) {
 	f.mu.Lock()
 	downtime := minDowntime + time.Duration(f.rng.Int64N(int64(maxDowntime-minDowntime)))
@@ -273,7 +282,7 @@
 	f.startVM(m, sameID)
 }
 
-// heartbeat writes the rows of the VMs that live, and removes those of others.
+// heartbeat writes the rows of VMs that are up, and removes the rows of others.
 func (f *fleet) heartbeat() {
 	for _, m := range f.machines {
 		m.mu.Lock()
@@ -288,6 +297,7 @@
 	f.publishMachines()
 }
 
+// publishMachines updates the list of machines of the stand-in of the cloud.
 func (f *fleet) publishMachines() {
 	var list []job.Machine
 	for _, m := range f.machines {
@@ -302,12 +312,13 @@
 	f.cloud.Set(list)
 }
 
+// reconfigure writes the configuration with a new version.
 func (f *fleet) reconfigure() {
 	f.configVersion++
 	f.table.Put(standin.ConfigurationRow, standin.Configuration(f.configVersion))
 }
 
-// evacuate asks that nothing start in the zone.
+// evacuate adds a request to start no tasks in the zone.
 func (f *fleet) evacuate(z job.ZoneName) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -321,7 +332,7 @@
 	}
 }
 
-// reopen takes one request back.
+// reopen withdraws one request. The zone reopens with the last one.
 func (f *fleet) reopen(z job.ZoneName) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -332,6 +343,7 @@
 	}
 }
 
+// addEntry sets up the links and the settings file of a daemon.
 func (f *fleet) addEntry(ctx context.Context, i int, table, cloud netip.AddrPort) error {
 	e := &entry{name: fmt.Sprintf("entry-%d", i), exited: make(chan struct{})}
 	close(e.exited)
@@ -364,7 +376,7 @@
 	return errors.Wrap(os.WriteFile(e.settingsFile, []byte(text), 0o600), "write settings")
 }
 
-// startDaemon starts the daemon, if it doesn't run.
+// startDaemon starts a daemon unless it is running.
 func (f *fleet) startDaemon(e *entry) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -385,25 +397,25 @@
 	exited := make(chan struct{})
 	e.command, e.exited = c, exited
 	f.group.Go(func() {
-		_ = c.Wait() // A killed daemon has an exit status of its own.
+		_ = c.Wait() // A killed daemon returns an error, which is expected.
 		_ = out.Close()
 		close(exited)
 	})
 	return nil
 }
 
-// signal sends a signal to the daemon, if it runs.
+// signal sends a signal to the daemon if it is running.
 func (e *entry) signal(s syscall.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	select {
 	case <-e.exited:
 	default:
-		_ = e.command.Process.Signal(s) // It may have just ended.
+		_ = e.command.Process.Signal(s) // The process may have just ended.
 	}
 }
 
-// waitExit waits until the daemon has ended, at most for patience.
+// waitExit waits until the daemon has ended, and reports whether it did within timeout.
 func (e *entry) waitExit(timeout time.Duration) bool {
 	e.mu.Lock()
 	exited := e.exited
@@ -416,7 +428,7 @@
 	}
 }
 
-// close ends all daemons and servers.
+// close kills all daemons, closes all servers, and waits for all goroutines of the fleet.
 func (f *fleet) close() {
 	for _, e := range f.entries {
 		e.signal(syscall.SIGCONT)
--- a/io/soak/soak.go
+++ b/io/soak/soak.go
@@ -12,34 +12,34 @@
 	"lavenderpond/platform/standin"
 )
 
-// Soak says what a run is made of.
+// Soak configures a soak test.
 type Soak struct {
 	Seed uint64
-	// Binary is the daemon's program, Folder takes settings and logs.
+	// Binary is the path of the daemon to run. Settings and logs are written to Folder.
 	Binary, Folder string
-	// Entries, Machines and Callers are the numbers of each; 0 stands for a few.
+	// Entries, Machines and Callers are the numbers of daemons, machines and callers; 0 means
+	// the default.
 	Entries, Machines, Callers int
-	// Trouble is for how long faults strike and jobs come.
+	// Trouble is for how long faults are injected and jobs are submitted.
 	Trouble time.Duration
-	// OnFault is told of each fault; nil for nobody.
+	// OnFault, if set, is called with a description of each fault.
 	OnFault func(line string)
 }
 
 const (
-	// maxSettleTime is how long after the last fault all that was accepted may take to
-	// come to its end: leases of VMs out of reach run out after ten seconds, and
-	// what waited for them runs then. Jobs whose tasks crash VMs get as long to be
-	// given up.
+	// maxSettleTime is how long after the last fault accepted jobs may take to finish. Leases
+	// of unreachable VMs expire after 10 s, and tasks that waited for that run afterwards.
+	// Jobs whose tasks crash VMs must be given up within the same time.
 	maxSettleTime = 40 * time.Second
-	// settlePollInterval is how often that is looked at.
+	// settlePollInterval is the interval at which unfinished jobs are checked.
 	settlePollInterval = 200 * time.Millisecond
-	// leadTime is how long the daemons run before callers come.
+	// leadTime is how long the daemons run before callers start.
 	leadTime = 1500 * time.Millisecond
 
 	defaultEntries, defaultMachines, defaultCallers = 4, 6, 4
 )
 
-// Run runs a soak and returns what was broken and what happened.
+// Run runs the soak test. It returns the violated invariants and a summary of the run.
 func (s Soak) Run(ctx context.Context) (violations []string, summary string, err error) {
 	if err := os.MkdirAll(s.Folder, 0o700); err != nil {
 		return nil, "", errors.Wrap(err, "make folder")
@@ -86,6 +86,7 @@
 	}
 }
 
+// orDefault returns n if it is positive, and fallback otherwise.
 func orDefault(n, fallback int) int {
 	if n > 0 {
 		return n
--- a/io/soak/soak_test.go
+++ b/io/soak/soak_test.go
@@ -13,14 +13,15 @@
 	"lavenderpond/io/soak"
 )
 
-// ciSeeds are played each time, and seeds that ever failed, with what they found.
+// ciSeeds are the seeds that run each time. A seed that has found a fault is added with a note
+// of the fault.
 var ciSeeds = []uint64{1, 2}
 
-// Daemons are killed, stopped and paused, cut off from the table, callers and VMs
-// in one direction or both, the table fails in five ways, VMs crash, turn slow, shrink
-// and keep orders back, and tasks crash VMs, all of it overlapping. Whatever happens, no
-// task runs twice or before its turn, no refused job runs, no VM gets more than its room,
-// a task that crashes VMs is given up, and what else was accepted comes to its end.
+// Faults overlap: daemons are killed, stopped, paused, and cut off from the table, callers and
+// VMs in one or both directions; the table fails in five ways; VMs crash, slow down, shrink and
+// delay orders; and tasks crash VMs. No task may run twice at a time or before its step is due,
+// no refused job may run, no VM may be overloaded, tasks that crash VMs must be given up, and
+// all other accepted jobs must finish.
 func TestShortSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "lavenderpond-edge")
 	out, err := exec.Command("go", "build", "-o", binary, "lavenderpond/cmd/lavenderpond-edge").CombinedOutput()
