--- a/cmd/lavenderpond-soak/main.go
+++ b/cmd/lavenderpond-soak/main.go
@@ -56,8 +56,8 @@
 			Entries: o.Entries, Machines: o.Machines, Callers: o.Callers, Trouble: o.Trouble,
 		}
 		if !o.Quiet {
-			began := time.Now()
-			s.OnFault = func(line string) { fmt.Printf("%8.3f s  %s\n", time.Since(began).Seconds(), line) }
+			startTime := time.Now()
+			s.OnFault = func(line string) { fmt.Printf("%8.3f s  %s\n", time.Since(startTime).Seconds(), line) }
 		}
 		violations, summary, err := s.Run(ctx)
 		if err != nil {
--- a/core/emulator/capacity.go
+++ b/core/emulator/capacity.go
@@ -54,14 +54,14 @@
 // capacityLimit returns the most that may run on the VM. A decrease of the capacity counts
 // once the entry VMs must know of it, an increase at once.
 func (v *vm) capacityLimit() job.Resources {
-	most := v.capacity()
+	limit := v.capacity()
 	for i := len(v.capacities) - 1; i > 0; i-- {
 		if v.w.now.Sub(v.capacities[i].since) > contactPeriod+heartbeatInterval {
 			break
 		}
-		most = most.Max(v.capacities[i-1].capacity)
+		limit = limit.Max(v.capacities[i-1].capacity)
 	}
-	return most
+	return limit
 }
 
 // fits reports whether the VM accepts a task with the given reservation. A VM that ignores
@@ -73,8 +73,8 @@
 // checkCapacity checks that a start does not overload a VM that ignores its capacity. Other
 // VMs refuse such starts themselves.
 func (g *checker) checkCapacity(v *vm, r *vmRun) {
-	used, most := v.used(), v.capacityLimit()
-	if v.machine.ignoresCapacity && !used.FitsIn(most) {
-		g.violationf("%v attempt %d overloads %s: CPU %d of %d", r.task, r.attempt, v.id, used.CPU, most.CPU)
+	used, limit := v.used(), v.capacityLimit()
+	if v.machine.ignoresCapacity && !used.FitsIn(limit) {
+		g.violationf("%v attempt %d overloads %s: CPU %d of %d", r.task, r.attempt, v.id, used.CPU, limit.CPU)
 	}
 }
--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -81,17 +81,17 @@
 	g.checkMaxAttempts(t, r)
 	g.checkCrashingTask(t, v, r)
 	g.checkCapacity(v, r)
-	if asked, ok := g.w.evacuated[v.machine.zone]; ok && g.w.now.Sub(asked) > g.evacuationLimit {
-		g.violationf("%v starts on %s in zone %s, which has been evacuated since %.3f s", r.task, v.id, v.machine.zone, asked.Sub(epoch).Seconds())
+	if requestedAt, ok := g.w.evacuated[v.machine.zone]; ok && g.w.now.Sub(requestedAt) > g.evacuationLimit {
+		g.violationf("%v starts on %s in zone %s, which has been evacuated since %.3f s", r.task, v.id, v.machine.zone, requestedAt.Sub(epoch).Seconds())
 	}
 	if step.LongRunning {
 		g.w.after(longRunningStartup, func() { g.startupDone(r) })
 	}
 	for _, a := range step.After {
 		for i := range t.Body.Steps[a].Count {
-			before := job.TaskID{Job: r.task.Job, Occurrence: r.task.Occurrence, Step: a, Index: i}
-			if g.doneAt[before].IsZero() {
-				g.violationf("%v starts before %v of an earlier step is done", r.task, before)
+			predecessor := job.TaskID{Job: r.task.Job, Occurrence: r.task.Occurrence, Step: a, Index: i}
+			if g.doneAt[predecessor].IsZero() {
+				g.violationf("%v starts before %v of an earlier step is done", r.task, predecessor)
 			}
 		}
 	}
@@ -114,18 +114,18 @@
 	if account == nil || account.Quota.CPU == 0 {
 		return
 	}
-	sum, most := int64(0), int64(0)
+	used, largest := int64(0), int64(0)
 	for id, runs := range g.running {
 		o := g.w.jobs[id.Job]
 		if o.Terms.Account != t.Terms.Account {
 			continue
 		}
 		cpu := o.Body.Steps[id.Step].Resources.CPU
-		sum += cpu * int64(len(runs))
-		most = max(most, cpu)
+		used += cpu * int64(len(runs))
+		largest = max(largest, cpu)
 	}
-	if sum > account.Quota.CPU*11/10+most {
-		g.violationf("account %s exceeds its quota: CPU %d of %d", t.Terms.Account, sum, account.Quota.CPU)
+	if used > account.Quota.CPU*11/10+largest {
+		g.violationf("account %s exceeds its quota: CPU %d of %d", t.Terms.Account, used, account.Quota.CPU)
 	}
 }
 
@@ -164,9 +164,9 @@
 	if e.How != job.EndedDone {
 		return
 	}
-	again := g.lastStart[e.Task]
-	if v.leaseExpiredAt.Before(ended) && again.After(ended) && !g.w.jobs[e.Task.Job].Body.Steps[e.Task.Step].Speculative {
-		g.violationf("%v was started again at %.3f s although its end on %s at %.3f s was still to be noted", e.Task, again.Sub(epoch).Seconds(), v.id, ended.Sub(epoch).Seconds())
+	lastStart := g.lastStart[e.Task]
+	if v.leaseExpiredAt.Before(ended) && lastStart.After(ended) && !g.w.jobs[e.Task.Job].Body.Steps[e.Task.Step].Speculative {
+		g.violationf("%v was started again at %.3f s although its end on %s at %.3f s was still to be noted", e.Task, lastStart.Sub(epoch).Seconds(), v.id, ended.Sub(epoch).Seconds())
 	}
 	g.notedDone[e.Task] = true
 }
@@ -183,8 +183,8 @@
 	for i := range step.Count {
 		id := r.task
 		id.Index = i
-		_, ours := g.stoppedAt[id]
-		if i != r.task.Index && ours {
+		_, stopped := g.stoppedAt[id]
+		if i != r.task.Index && stopped {
 			others++
 		}
 	}
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -29,8 +29,8 @@
 
 // scheduleCrash schedules the crash of a VM by a task that runs on it, which does not happen
 // if the attempt ends before. Until then the task reports progress like any other.
-func (v *vm) scheduleCrash(r *vmRun, work time.Duration) {
-	r.runTime = work
+func (v *vm) scheduleCrash(r *vmRun, runTime time.Duration) {
+	r.runTime = runTime
 	v.w.after(v.w.randomBetween(minCrashDelay, maxCrashDelay), func() {
 		if !v.up || !slices.Contains(v.runs, r) {
 			return
--- a/core/emulator/entry_vm.go
+++ b/core/emulator/entry_vm.go
@@ -39,14 +39,14 @@
 	unreachable map[job.ZoneName]bool
 }
 
-// inRun calls f if the process with the given number still runs. If the process is
+// callIfRunning calls f if the process with the given number still runs. If the process is
 // frozen, the call is deferred until it resumes.
-func (e *entryVM) inRun(run int, f func()) {
+func (e *entryVM) callIfRunning(run int, f func()) {
 	if e.run != run {
 		return
 	}
 	if e.frozen {
-		e.deferred = append(e.deferred, func() { e.inRun(run, f) })
+		e.deferred = append(e.deferred, func() { e.callIfRunning(run, f) })
 		return
 	}
 	f()
@@ -87,7 +87,7 @@
 	run := e.run
 	answered := false
 	finish := func(ok bool) {
-		e.inRun(run, func() {
+		e.callIfRunning(run, func() {
 			if !answered {
 				answered = true
 				answer(ok)
@@ -115,7 +115,7 @@
 
 // pollOwner reads the rows of the owner and its renewal until a takeover is due.
 func (e *entryVM) pollOwner(run int) {
-	e.inRun(run, func() {
+	e.callIfRunning(run, func() {
 		if e.owner != nil {
 			return
 		}
--- a/core/emulator/golden_test.go
+++ b/core/emulator/golden_test.go
@@ -20,8 +20,8 @@
 		Trace:  func(line string) { b.WriteString(line + "\n") },
 	}
 	violations, _ := emulator.Run(s)
-	for _, x := range violations {
-		b.WriteString("violation: " + x + "\n")
+	for _, v := range violations {
+		b.WriteString("violation: " + v + "\n")
 	}
 	golden.Assert(t, b.String(), "small_day.golden")
 }
--- a/core/emulator/machines.go
+++ b/core/emulator/machines.go
@@ -58,7 +58,7 @@
 func (w *World) takeOutOfService(m *machine, s job.MachineState, d time.Duration) {
 	if v := m.vm; v != nil {
 		w.checker.vmRemoved(v)
-		v.shutDown()
+		v.terminate()
 		w.table.dropVM(v.id)
 	}
 	m.state, m.vm = s, nil
@@ -80,7 +80,7 @@
 	w.Stats.Crashes++
 	m := v.machine
 	w.checker.vmCrashed(v)
-	v.shutDown()
+	v.terminate()
 	m.state = job.MachineDown
 	w.after(3*heartbeatInterval, func() {
 		if w.vms[v.id] == v {
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -35,7 +35,7 @@
 	e, t := o.entryVM, o.entryVM.w.table
 	e.callTable(2*time.Second, false, func() { o.restore(t) }, func(ok bool) {
 		if !ok || o.scheduler == nil {
-			o.entryVM.w.after(100*time.Millisecond, func() { e.inRun(o.run, o.loadState) })
+			o.entryVM.w.after(100*time.Millisecond, func() { e.callIfRunning(o.run, o.loadState) })
 			return
 		}
 		o.tick()
@@ -122,7 +122,7 @@
 // tick is one iteration of the owner's loop. The owner sees changes in the table only while
 // it can reach it.
 func (o *owner) tick() {
-	o.entryVM.inRun(o.run, func() {
+	o.entryVM.callIfRunning(o.run, func() {
 		if o.ended {
 			return
 		}
@@ -197,11 +197,11 @@
 func (o *owner) sendOrder(id job.VMID, timeout time.Duration, apply func(v *vm, answer func(job.Report)), answer func(time.Time, schedule.Outcome, job.Report)) {
 	w, e := o.entryVM.w, o.entryVM
 	v := w.vms[id]
-	done := false
+	answered := false
 	finish := func(out schedule.Outcome, r job.Report) {
-		e.inRun(o.run, func() {
-			if !done && !o.ended {
-				done = true
+		e.callIfRunning(o.run, func() {
+			if !answered && !o.ended {
+				answered = true
 				answer(w.now, out, r)
 				o.runScheduler()
 			}
@@ -245,7 +245,7 @@
 			apply(w.findMachine(id))
 		}
 		w.after(w.networkDelay(), func() {
-			e.inRun(o.run, func() {
+			e.callIfRunning(o.run, func() {
 				if !o.ended {
 					answer(schedule.Answered, refusal)
 				}
@@ -256,16 +256,16 @@
 
 // pollMachines reads the platform's list of machines periodically.
 func (o *owner) pollMachines() {
-	o.entryVM.inRun(o.run, func() {
+	o.entryVM.callIfRunning(o.run, func() {
 		if o.ended {
 			return
 		}
-		asked := o.entryVM.w.now
+		requestedAt := o.entryVM.w.now
 		list := o.entryVM.w.listMachines()
 		o.entryVM.w.after(4*time.Millisecond, func() {
-			o.entryVM.inRun(o.run, func() {
+			o.entryVM.callIfRunning(o.run, func() {
 				if !o.ended {
-					o.scheduler.Machines(asked, list)
+					o.scheduler.Machines(requestedAt, list)
 				}
 			})
 		})
@@ -282,7 +282,7 @@
 	}
 	o.committing = true
 	o.entryVM.w.after(commitWindow, func() {
-		o.entryVM.inRun(o.run, func() {
+		o.entryVM.callIfRunning(o.run, func() {
 			saves := o.pendingSaves
 			o.pendingSaves = nil
 			o.batch++
@@ -303,7 +303,7 @@
 	e.callTable(minCommitTimeout+t.extraDelay*4, true, func() { got = t.commit(o.fence, expectedRenewal, row, saves) }, func(ok bool) {
 		switch {
 		case !ok:
-			e.w.after(60*time.Millisecond, func() { e.inRun(o.run, func() { o.commitBatch(saves, firstSent) }) })
+			e.w.after(60*time.Millisecond, func() { e.callIfRunning(o.run, func() { o.commitBatch(saves, firstSent) }) })
 		case got.ok, got.owner == o.fence && got.renewalRow == row:
 			o.batchCommitted(firstSent, sent, max(got.version, got.renewal), saves)
 		default:
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -154,9 +154,9 @@
 	w.config.Index()
 	w.addMachines(sc)
 	for i := range sc.EntryVMs {
-		n := &entryVM{w: w, name: fmt.Sprintf("entry-%d", i), zone: zoneName(i), unreachable: map[job.ZoneName]bool{}}
-		w.entryVMs = append(w.entryVMs, n)
-		w.after(w.randomBetween(0, 300*time.Millisecond), n.startProcess)
+		e := &entryVM{w: w, name: fmt.Sprintf("entry-%d", i), zone: zoneName(i), unreachable: map[job.ZoneName]bool{}}
+		w.entryVMs = append(w.entryVMs, e)
+		w.after(w.randomBetween(0, 300*time.Millisecond), e.startProcess)
 	}
 	w.scheduleJobs(sc)
 	if sc.WaveMachines > 0 {
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -151,8 +151,8 @@
 	v.w.checker.taskEnded(v, r, how)
 }
 
-// shutDown ends the VM. Its running tasks are lost without a report.
-func (v *vm) shutDown() {
+// terminate ends the VM. Its running tasks are lost without a report.
+func (v *vm) terminate() {
 	if !v.up {
 		return
 	}
--- a/io/soak/address_test.go
+++ b/io/soak/address_test.go
@@ -9,7 +9,7 @@
 // Guards against two fleets that run at the same time and share an address. The daemons of one
 // would answer the callers of the other, and its VMs would run tasks that none of its callers
 // submitted.
-func TestAddressesAreHandedOutOnce(t *testing.T) {
+func TestAddressesAreAllocatedOnce(t *testing.T) {
 	seen := map[string]bool{}
 	for range 2000 {
 		a, err := freeAddress()
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -41,30 +41,30 @@
 	crashOffset int
 }
 
-func newCaller(f *fleet, name int, rng *rand.Rand) *caller {
+func newCaller(f *fleet, number int, rng *rand.Rand) *caller {
 	return &caller{
-		fleet: f, number: name, rng: rng, crashOffset: rng.IntN(crashOneIn),
+		fleet: f, number: number, rng: rng, crashOffset: rng.IntN(crashOneIn),
 		client: http.Client{Transport: &http.Transport{}, Timeout: callTimeout},
 	}
 }
 
 // run submits jobs until submitting ends, and polls unfinished ones until ctx ends.
 func (c *caller) run(ctx, submitting context.Context) {
-	var open []job.ID
+	var unfinished []job.ID
 	for ctx.Err() == nil {
 		if submitting.Err() == nil {
-			open = append(open, c.submitNext(ctx))
+			unfinished = append(unfinished, c.submitNext(ctx))
 		}
 		if submitting.Err() == nil && c.rng.IntN(cancelOneIn) == 0 {
-			c.cancel(ctx, open[c.rng.IntN(len(open))])
+			c.cancel(ctx, unfinished[c.rng.IntN(len(unfinished))])
 		}
-		remaining := open[:0:0]
-		for _, id := range open {
+		remaining := unfinished[:0:0]
+		for _, id := range unfinished {
 			if !c.pollState(ctx, id) {
 				remaining = append(remaining, id)
 			}
 		}
-		open = remaining
+		unfinished = remaining
 		supervisor.Sleep(ctx, retryDelay)
 	}
 }
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -56,13 +56,13 @@
 // capacityLimit returns the most that may run on the VM: its largest capacity within the
 // past shrinkLimit.
 func (p *Placement) capacityLimit(now time.Time) int64 {
-	most := p.Capacity
-	for _, f := range p.previous {
-		if now.Sub(f.until) <= shrinkLimit {
-			most = max(most, f.capacity)
+	limit := p.Capacity
+	for _, c := range p.previous {
+		if now.Sub(c.until) <= shrinkLimit {
+			limit = max(limit, c.capacity)
 		}
 	}
-	return most
+	return limit
 }
 
 // evacuationLimit is how long after the request for its evacuation tasks may still start in
@@ -165,8 +165,8 @@
 		return
 	}
 	k.started = true
-	if asked, ok := j.evacuated[j.placements[vm].Zone]; ok && j.now().Sub(asked) > evacuationLimit {
-		j.violationf("%v starts on %s in a zone that has been evacuated for %s", t, vm, j.now().Sub(asked))
+	if requestedAt, ok := j.evacuated[j.placements[vm].Zone]; ok && j.now().Sub(requestedAt) > evacuationLimit {
+		j.violationf("%v starts on %s in a zone that has been evacuated for %s", t, vm, j.now().Sub(requestedAt))
 	}
 	if others := j.running[t]; len(others) > 0 {
 		j.violationf("%v starts on %s as attempt %d while it runs on %v", t, vm, n, others)
@@ -197,8 +197,8 @@
 			used += j.jobs[x.Job].steps[x.Step].CPU
 		}
 	}
-	if most := p.capacityLimit(j.now()); p.IgnoresCapacity && used > most {
-		j.violationf("%v overloads %s: CPU %d of %d", t, vm, used, most)
+	if limit := p.capacityLimit(j.now()); p.IgnoresCapacity && used > limit {
+		j.violationf("%v overloads %s: CPU %d of %d", t, vm, used, limit)
 	}
 }
 
--- a/io/soak/checker_test.go
+++ b/io/soak/checker_test.go
@@ -65,7 +65,7 @@
 }
 
 // Guards against a job that fails before two VMs have crashed while they ran the same task.
-func TestFailedNeedsTwoCrashesUnderOneTask(t *testing.T) {
+func TestFailureNeedsTwoCrashesUnderOneTask(t *testing.T) {
 	j, _ := newTestChecker(&standin.Crash{}, Placement{Capacity: 2000})
 	startAndCrash(j, testTask(0), 1)
 	startAndCrash(j, testTask(1), 1)
@@ -77,7 +77,7 @@
 }
 
 // Guards against an accepted job that never finishes, unless one of its tasks crashes VMs.
-func TestOnlyCrashingJobsMayStayOpen(t *testing.T) {
+func TestOnlyCrashingJobsMayStayUnfinished(t *testing.T) {
 	j, _ := newTestChecker(&standin.Crash{}, Placement{Capacity: 2000})
 	j.Finish()
 	assertViolations(t, j)
--- a/io/soak/faults.go
+++ b/io/soak/faults.go
@@ -16,7 +16,7 @@
 type fault struct {
 	name string
 	// inject begins the fault. It returns a description and a function that ends the fault.
-	inject func(f *fleet, rng *rand.Rand) (what string, heal func())
+	inject func(f *fleet, rng *rand.Rand) (description string, end func())
 	// extraDuration is added to the random duration.
 	extraDuration time.Duration
 }
@@ -120,14 +120,14 @@
 		return string(zone), func() { f.reopen(zone) }
 	}},
 	{name: "shrink", extraDuration: shrinkLimit, inject: func(f *fleet, rng *rand.Rand) (string, func()) {
-		capacity, what := rng.Int64N(vmCapacity/2), ""
+		capacity, machines := rng.Int64N(vmCapacity/2), ""
 		for _, m := range f.machines {
 			if rng.IntN(2) == 0 {
 				f.resizeVM(m, capacity)
-				what += m.name + " "
+				machines += m.name + " "
 			}
 		}
-		return fmt.Sprint(what, "to ", capacity), func() {
+		return fmt.Sprint(machines, "to ", capacity), func() {
 			for _, m := range f.machines {
 				f.resizeVM(m, vmCapacity)
 			}
@@ -169,11 +169,11 @@
 	for ctx.Err() == nil {
 		x := faults[rng.IntN(len(faults))]
 		duration := x.extraDuration + minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
-		what, heal := x.inject(f, rng)
-		report(fmt.Sprintf("%s %s for %s", x.name, what, duration.Round(time.Millisecond)))
+		description, end := x.inject(f, rng)
+		report(fmt.Sprintf("%s %s for %s", x.name, description, duration.Round(time.Millisecond)))
 		g.Go(func() {
 			supervisor.Sleep(ctx, duration)
-			heal()
+			end()
 		})
 		supervisor.Sleep(ctx, time.Duration(rng.ExpFloat64()*float64(meanFaultInterval)))
 	}
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -149,13 +149,13 @@
 
 // addLink starts a link that forwards connections from a free address to target.
 func (f *fleet) addLink(ctx context.Context, name string, target netip.AddrPort) (*link.Link, netip.AddrPort, error) {
-	at, err := freeAddress()
+	address, err := freeAddress()
 	if err != nil {
-		return nil, at, err
+		return nil, address, err
 	}
 	l := link.New(name)
-	f.group.Go(func() { f.serveLink(ctx, l, link.Forward{Listen: at, Target: target}) })
-	return l, at, nil
+	f.group.Go(func() { f.serveLink(ctx, l, link.Forward{Listen: address, Target: target}) })
+	return l, address, nil
 }
 
 const (
