--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -8,8 +8,8 @@
 	"lavenderpond/core/job"
 )
 
-// checker verifies the invariants of the system. It relies on what VMs, machines and
-// callers see, not on the state of the scheduler.
+// checker verifies the invariants of the system from what VMs, machines and callers see. Of
+// the decisions of the scheduler it uses only which tasks were given up.
 type checker struct {
 	w          *World
 	violations []string
@@ -107,8 +107,8 @@
 	g.running[r.task] = append(g.running[r.task], r)
 }
 
-// checkQuota checks the CPU that an account uses. The limit is a tenth above the quota, and
-// above that by the largest running task of the account.
+// checkQuota checks the CPU that an account uses. It tolerates a tenth of the quota plus the
+// largest running task of the account above the quota.
 func (g *checker) checkQuota(t *trackedJob) {
 	account := g.w.config.Account(t.Terms.Account)
 	if account == nil || account.Quota.CPU == 0 {
@@ -129,6 +129,7 @@
 	}
 }
 
+// removeRun removes an attempt from those that run.
 func (g *checker) removeRun(r *vmRun) {
 	runs := g.running[r.task]
 	for i, x := range runs {
@@ -171,7 +172,9 @@
 	g.notedDone[e.Task] = true
 }
 
-// taskStopping checks that stop orders keep to the disruption budget of a step.
+// taskStopping checks that a long-running step does not miss more tasks because of stop orders
+// than its disruption budget allows. Tasks of cancelled jobs, on draining VMs or still in their
+// startup do not count.
 func (g *checker) taskStopping(v *vm, r *vmRun) {
 	t := g.w.jobs[r.task.Job]
 	step := &t.Body.Steps[r.task.Step]
@@ -219,6 +222,7 @@
 	}
 }
 
+// machineReturned records that a machine is in service again.
 func (g *checker) machineReturned(m *machine) { delete(g.inMaintenance, m.id) }
 
 func (g *checker) wavePublished(s job.WaveState) { g.waveState = s }
--- a/core/emulator/entry_vm.go
+++ b/core/emulator/entry_vm.go
@@ -10,13 +10,22 @@
 // Intervals and timeouts of the emulated entry VMs. They match those of the production
 // driver.
 const (
-	pollInterval        = 150 * time.Millisecond
-	tickInterval        = 40 * time.Millisecond
-	renewInterval       = 250 * time.Millisecond
-	commitWindow        = 12 * time.Millisecond
-	orderTimeout        = 700 * time.Millisecond
-	minCommitTimeout    = 250 * time.Millisecond
-	holdTimeoutMargin   = 600 * time.Millisecond
+	// pollInterval is the time between two reads of the row of the owner by other entry VMs.
+	pollInterval = 150 * time.Millisecond
+	// tickInterval is the time between two iterations of the loop of the owner,
+	// renewInterval that between two renewals of its ownership.
+	tickInterval  = 40 * time.Millisecond
+	renewInterval = 250 * time.Millisecond
+	// commitWindow is how long a commit waits for further saves to join it.
+	commitWindow = 12 * time.Millisecond
+	// orderTimeout is how long the owner waits for the answer to an order. For a hold order
+	// it waits for holdTimeoutMargin longer than the VM may.
+	orderTimeout = 700 * time.Millisecond
+	// minCommitTimeout is how long the owner waits for the answer to a commit if the table is
+	// not slow.
+	minCommitTimeout  = 250 * time.Millisecond
+	holdTimeoutMargin = 600 * time.Millisecond
+	// machineListInterval is the time between two reads of the list of machines.
 	machineListInterval = 500 * time.Millisecond
 )
 
@@ -69,8 +78,10 @@
 	e.deferred = nil
 }
 
+// freeze suspends the process.
 func (e *entryVM) freeze() { e.frozen = true }
 
+// thaw resumes the process, which then runs the deferred callbacks.
 func (e *entryVM) thaw() {
 	e.frozen = false
 	deferred := e.deferred
--- a/core/emulator/evacuation.go
+++ b/core/emulator/evacuation.go
@@ -23,7 +23,7 @@
 // Evacuation is a request of an operator to start no tasks in an availability zone.
 type Evacuation struct {
 	Zone job.ZoneName
-	// At is the time from the end of the lead time, when submissions begin, to the request.
+	// At is the time from the end of the lead time to the request.
 	// For is how long it stays in force.
 	At  time.Duration
 	For time.Duration
--- a/core/emulator/fault.go
+++ b/core/emulator/fault.go
@@ -40,7 +40,7 @@
 // Fault is a fault that is injected into a run.
 type Fault struct {
 	Kind FaultKind
-	// At is the time from the end of the lead time, when submissions begin, to the fault.
+	// At is the time from the end of the lead time to the fault.
 	// For is how long the fault lasts.
 	At  time.Duration
 	For time.Duration
@@ -87,6 +87,8 @@
 	return out
 }
 
+// randomFault returns a fault that lasts one to seven seconds and, if it is one of VMs, affects
+// 10% to 30% of them.
 func randomFault(rng *rand.Rand, k FaultKind, length time.Duration) Fault {
 	return Fault{
 		Kind: k, At: time.Duration(rng.Int64N(int64(length))),
@@ -177,6 +179,7 @@
 	}
 }
 
+// injectVMFault affects each VM with probability Share.
 func (x Fault) injectVMFault(w *World) {
 	for _, m := range w.machines {
 		v := m.vm
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -13,21 +13,27 @@
 
 // owner is the state of an entry VM while it owns the fleet, for one term of ownership.
 type owner struct {
-	entryVM       *entryVM
-	run           int
-	fence         int64
-	renewal       int64
-	turn          int64
-	batch         int64
-	ownership     lease.Ownership
-	scheduler     *schedule.Scheduler
-	pendingSaves  []schedule.Command
-	committing    bool
-	renewAt       time.Time
+	entryVM *entryVM
+	run     int
+	// fence is the version of the row that made it the owner, renewal that of its last
+	// renewal. turn numbers the terms of ownership, batch the commits of this one.
+	fence     int64
+	renewal   int64
+	turn      int64
+	batch     int64
+	ownership lease.Ownership
+	scheduler *schedule.Scheduler
+	// pendingSaves are the saves for the next commit; committing is set during a commit.
+	pendingSaves []schedule.Command
+	committing   bool
+	renewAt      time.Time
+	// jobsRead, cancelsRead and vmChangesRead count the entries of the table that were passed
+	// to the scheduler.
 	jobsRead      int
 	cancelsRead   int
 	vmChangesRead int
-	ended         bool
+	// ended is set once another process is the owner.
+	ended bool
 }
 
 // loadState reads what the previous owner stored, and starts the loops of the owner.
@@ -119,8 +125,8 @@
 	o.vmChangesRead = len(t.vmChanges)
 }
 
-// tick is one iteration of the owner's loop. The owner sees changes in the table only while
-// it can reach it.
+// tick is one iteration of the owner's loop. The owner learns of changes only while it can
+// reach the table.
 func (o *owner) tick() {
 	o.entryVM.callIfRunning(o.run, func() {
 		if o.ended {
@@ -151,6 +157,7 @@
 	o.commitPending()
 }
 
+// execute carries out a command of the scheduler.
 func (o *owner) execute(c schedule.Command) {
 	w := o.entryVM.w
 	switch c := c.(type) {
@@ -339,6 +346,7 @@
 	o.entryVM.w.after(pollInterval, func() { o.entryVM.pollOwner(run) })
 }
 
+// findMachine returns the machine with the given ID, or nil.
 func (w *World) findMachine(id job.MachineID) *machine {
 	i := slices.IndexFunc(w.machines, func(m *machine) bool { return m.id == id })
 	if i < 0 {
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -61,8 +61,10 @@
 	// failingTask is the one task of the job that always fails, crashingTask the one that
 	// crashes every VM that starts it. Both are noTask for other jobs.
 	failingTask, crashingTask job.TaskID
-	failureRate               float64
-	meanRunTime               time.Duration
+	// failureRate is the probability that an attempt of a task fails without other cause.
+	// meanRunTime is the run time of the tasks, from which each differs slightly.
+	failureRate float64
+	meanRunTime time.Duration
 }
 
 // runTime returns how long a task runs on a VM of normal speed.
@@ -89,10 +91,12 @@
 const settlePeriod = 45 * time.Second
 
 // maxRunLength limits runs in which an account submits more than its quota allows. Such
-// jobs finish one after the other, long after the last fault has ended.
+// jobs finish one after the other, long after the last fault has ended. A run that has
+// reached this length is not extended by another settlePeriod.
 const maxRunLength = 4 * time.Minute
 
-// hasUnfinishedJobs reports whether an accepted job that must finish has no final state.
+// hasUnfinishedJobs reports whether a submitted job that must finish has no final state.
+// Long-running jobs do not count.
 func (w *World) hasUnfinishedJobs() bool {
 	for _, s := range w.table.submitted {
 		if !s.job.Body.LongRunning() && w.jobs[s.job.ID].mustFinish() && !w.checker.states[s.job.ID].Final() {
@@ -124,8 +128,8 @@
 	return w.checker.violations, w.Stats
 }
 
-// leadTime is how long the system runs before the first job is submitted. Times of
-// faults and evacuations count from its end.
+// leadTime is how long the system runs before load and faults begin. Long-running jobs are
+// submitted in its last three seconds.
 const leadTime = 6 * time.Second
 
 func newWorld(sc Scenario) *World {
@@ -165,6 +169,7 @@
 	return w
 }
 
+// zoneName returns the availability zone of the i-th machine or entry VM.
 func zoneName(i int) job.ZoneName { return job.ZoneName(rune('a' + i%zoneCount)) }
 
 const zoneCount = 3
@@ -227,6 +232,7 @@
 	w.table.submit(t.Job)
 }
 
+// terms returns the terms of a job in the queue, submitted by account a.
 func (w *World) terms(queue job.QueueName, a job.AccountName) job.Terms {
 	q := w.config.Queue(queue)
 	return job.Terms{Queue: queue, Pool: q.Pool, Account: a, MaxAttempts: q.MaxAttempts, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
@@ -280,6 +286,7 @@
 	}
 }
 
+// waves returns the requested maintenance waves by number.
 func (w *World) waves() map[int64]job.Wave {
 	if !w.hasWave {
 		return nil
@@ -289,7 +296,7 @@
 
 func (w *World) maxConcurrentMaintenance() int { return w.wave.MaxConcurrent }
 
-// checkFinalState checks at the end of a run that nothing was lost: every accepted job
+// checkFinalState checks at the end of a run that nothing was lost: every submitted job
 // has a final state, long-running tasks run, and the maintenance wave is completed.
 func (w *World) checkFinalState() {
 	for _, s := range w.table.submitted {
--- a/core/emulator/scenario_test.go
+++ b/core/emulator/scenario_test.go
@@ -17,6 +17,7 @@
 // runs. CI runs the default counts.
 const scenarioCountVariable = "LAVENDERPOND_DAYS"
 
+// scenarioCount returns the number of scenarios to run for a test.
 func scenarioCount(defaultCount uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv(scenarioCountVariable), 10, 64); err == nil {
 		return n
@@ -79,6 +80,7 @@
 	return s
 }
 
+// runScenario runs the scenario of a seed and fails the test on violations.
 func runScenario(t *testing.T, seed uint64) emulator.Stats {
 	t.Helper()
 	s := scenarioOf(seed)
@@ -105,6 +107,8 @@
 	runSeeds(t, seeds)
 }
 
+// Guards against violations and late jobs in runs without faults: at least 80% of the completed
+// jobs must complete in time.
 func TestWithoutFaults(t *testing.T) {
 	for seed := range uint64(4) {
 		stats := runScenario(t, seed)
@@ -124,8 +128,9 @@
 // must be finished and all long-running tasks must run.
 func TestWithFaults(t *testing.T) { runRange(t, faultsFrom, 24) }
 
-// Guards against late orders that take effect: a share of all orders gets no answer and is
-// delivered seconds later, while owners change and VMs crash.
+// Guards against late orders that break an invariant, such as a second start of a task. A share
+// of all orders gets no answer and is delivered seconds later, while owners change and VMs
+// crash.
 func TestWithLateOrders(t *testing.T) { runRange(t, lateOrdersFrom, 16) }
 
 // Guards against an account with a small quota that exceeds it when the owner changes.
@@ -136,8 +141,8 @@
 // the limit after the request is over, and all accepted jobs must still finish.
 func TestWithEvacuations(t *testing.T) { runRange(t, evacuationsFrom, 16) }
 
-// Guards against the next owner starting tasks again that were done before another task of
-// their job failed.
+// Guards against done tasks that the next owner starts again after another task of their job
+// has failed.
 func TestWithFailingTasks(t *testing.T) { runRange(t, failingTasksFrom, 8) }
 
 // Guards against a task that crashes one VM after another and is started without limit.
@@ -146,11 +151,11 @@
 // Guards against overload of VMs whose capacity has shrunk and that accept every start.
 func TestWithResizingVMs(t *testing.T) { runRange(t, resizingVMsFrom, 8) }
 
-// Guards against late orders that affect a VM restarted under the same ID.
+// Guards against late orders that change which tasks run on a VM restarted under the same ID.
 func TestWithLateOrdersToRestartedVMs(t *testing.T) { runRange(t, reusedIDsFrom, 8) }
 
-// Guards against a second start of a task by a new owner when a network partition separates
-// the owners from different VMs.
+// Guards against two owners that both start a task while each of them cannot reach some of the
+// VMs.
 func TestWithZonesCutOff(t *testing.T) { runRange(t, zoneCutsFrom, 4) }
 
 // Seeds that found faults. Known causes:
@@ -165,7 +170,7 @@
 //   - 3025: a new owner did not count tasks on unreachable VMs against the quota of their
 //     account;
 //   - 3166: an account submitted more than its quota allows, and the run ended before its
-//     last job did; runs therefore continue until all jobs have finished, for at most four
+//     last job did; runs therefore continue until all jobs have finished, up to about four
 //     minutes;
 //   - 2034, 2066: a start without an answer reached a VM restarted under the same ID;
 //   - 5016, 5020, 5090: the end of a done task was noted before the failure of its job was
--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -17,14 +17,17 @@
 	ownerVersion   int64
 	renewal        renewalRow
 	renewalVersion int64
-	progress       map[job.ID]job.Progress
-	roster         map[job.VMID]schedule.RosterVM
-	waves          map[int64][]job.MachineID
-	orders         map[job.MachineID]schedule.MachineOrder
-	submitted      []submission
-	cancelled      []job.ID
-	vms            map[job.VMID]job.VMRecord
-	vmChanges      []vmChange
+	// progress, roster, waves and orders are what owners have saved.
+	progress map[job.ID]job.Progress
+	roster   map[job.VMID]schedule.RosterVM
+	waves    map[int64][]job.MachineID
+	orders   map[job.MachineID]schedule.MachineOrder
+	// submitted and cancelled are in the order of the calls.
+	submitted []submission
+	cancelled []job.ID
+	// vms are the current records of VMs, vmChanges all changes to them.
+	vms       map[job.VMID]job.VMRecord
+	vmChanges []vmChange
 
 	// down drops all calls, and extraDelay delays them. lostAnswerShare is the share of
 	// writes that get no answer; with lateWrites these are carried out seconds later.
@@ -51,6 +54,7 @@
 	batch   int64
 }
 
+// submission is a submitted job and the version of the table at which it was stored.
 type submission struct {
 	job     job.Job
 	version int64
@@ -70,6 +74,7 @@
 	}
 }
 
+// nextVersion advances the version of the table and returns it.
 func (t *table) nextVersion() int64 {
 	t.version++
 	return t.version
@@ -148,6 +153,7 @@
 	t.vmChanges = append(t.vmChanges, vmChange{record: r})
 }
 
+// dropVM removes a VM's record, if there is one.
 func (t *table) dropVM(id job.VMID) {
 	if r, ok := t.vms[id]; ok {
 		delete(t.vms, id)
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -65,7 +65,7 @@
 	endedAt        map[int64]time.Time
 	leaseExpiredAt time.Time
 	// closedAttempts is the highest attempt of each task that was stopped or has ended on
-	// this VM. It and earlier attempts are not started again.
+	// this VM. Start orders for it or for earlier attempts are refused.
 	closedAttempts map[job.TaskID]job.Attempt
 	// slowdown multiplies run times. Tasks that start while failing is set will fail; tasks
 	// that start while hanging is set never end.
@@ -81,11 +81,13 @@
 	startedAt time.Time
 	// runTime is the time from the start to the planned end of the attempt; 0 if it hangs or
 	// is long-running and has none.
-	runTime     time.Duration
+	runTime time.Duration
+	// fails is set if the attempt will end as failed.
 	fails       bool
 	resources   job.Resources
 	longRunning bool
-	stopping    bool
+	// stopping is set once a stop order has arrived.
+	stopping bool
 	// startedBy is the entry VM that ordered the start.
 	startedBy string
 }
@@ -95,6 +97,7 @@
 	return job.VMClock(float64(v.w.now.Sub(v.born).Milliseconds()) * v.clockRate)
 }
 
+// used returns the resources of all running attempts.
 func (v *vm) used() job.Resources {
 	var sum job.Resources
 	for _, r := range v.runs {
@@ -175,8 +178,8 @@
 }
 
 // cannotDetectLate reports whether this VM has no means to refuse a late order: the VM
-// started after the order was sent, and has seen no higher fence since, as no owner that
-// knows of it has sent it a hold order. Its clock is behind all deadlines.
+// started after the order was sent, and no owner that knows of this has sent it a hold order
+// yet. So the VM has seen no higher fence, and its clock is behind all deadlines.
 func (v *vm) cannotDetectLate(f job.Fence, sent time.Time) bool {
 	return v.born.After(sent) && v.fence <= f
 }
--- a/core/emulator/world.go
+++ b/core/emulator/world.go
@@ -33,11 +33,12 @@
 	// the request.
 	evacuated map[job.ZoneName]time.Time
 	checker   *checker
-	nextVM    int
-	trace     func(line string)
-	Stats     Stats
-	wave      job.Wave
-	hasWave   bool
+	// nextVM is the number in the latest ID of a VM.
+	nextVM  int
+	trace   func(line string)
+	Stats   Stats
+	wave    job.Wave
+	hasWave bool
 	// lateStartsBeforeHold lets late start orders reach a restarted VM before any owner
 	// has sent it a hold order.
 	lateStartsBeforeHold bool
@@ -60,12 +61,14 @@
 // epoch is the virtual time at which every run begins. Any fixed time would do.
 var epoch = time.Unix(1_800_000_000, 0)
 
+// event is a callback due at a virtual time. seq orders events that are due at the same time.
 type event struct {
 	at  time.Time
 	seq int64
 	run func()
 }
 
+// eventQueue is a heap of events in the order in which they run.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -32,9 +32,10 @@
 
 // caller submits jobs and polls their states over persistent connections.
 type caller struct {
-	fleet     *fleet
-	client    http.Client
-	rng       *rand.Rand
+	fleet  *fleet
+	client http.Client
+	rng    *rand.Rand
+	// submitted counts the submitted jobs, number tells callers apart; IDs of jobs have both.
 	submitted int
 	number    int
 	// crashOffset says which of every crashOneIn jobs has a task that crashes VMs.
@@ -102,8 +103,8 @@
 	return out
 }
 
-// submit submits a job to random daemons, each time with the same ID, until one answers that
-// the job is accepted or that its fate is unknown.
+// submit sends a job to random daemons, with the same ID each time, until one answers that the
+// job was accepted or that the outcome is unknown. It gives up after submitAttempts.
 func (c *caller) submit(ctx context.Context, spec standin.Spec, steps []standin.StepBody) job.ID {
 	c.submitted++
 	id := job.ID(fmt.Sprintf("%08x%08x", c.number, c.submitted))
@@ -136,6 +137,7 @@
 	return status == http.StatusGone || out.State == "completed" || out.State == "cancelled" || out.State == "failed"
 }
 
+// cancel requests the cancellation of a job and ignores the answer.
 func (c *caller) cancel(ctx context.Context, id job.ID) {
 	c.fleet.checker.Cancelling(id)
 	c.call(ctx, http.MethodDelete, id, nil)
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -70,8 +70,8 @@
 const evacuationLimit = 5 * time.Second
 
 const (
-	// shrinkLimit is how long after a decrease of the capacity of a VM starts may still
-	// exceed it: the VM reports it only with its next heartbeat.
+	// shrinkLimit is how long after a decrease of the capacity of a VM starts may still exceed
+	// the new capacity, which the VM reports only with its next heartbeat.
 	shrinkLimit = 3*time.Second + heartbeatInterval
 	// minCrashesToFail is how many VMs must crash while they run a task before its job may
 	// fail.
@@ -90,7 +90,8 @@
 	// whether the job was accepted, started by the first start of a task.
 	accepted, unknown, started bool
 	cancelled                  bool
-	final                      string
+	// final is the final state that a caller was shown.
+	final string
 }
 
 // NewChecker returns a checker without jobs and VMs.
@@ -213,6 +214,7 @@
 	}
 }
 
+// stepDone reports whether all tasks of a step are done.
 func (j *Checker) stepDone(id job.ID, step, count int) bool {
 	for i := range count {
 		if !j.done[job.TaskID{Job: id, Step: step, Index: i}] {
--- a/io/soak/faults.go
+++ b/io/soak/faults.go
@@ -142,6 +142,7 @@
 	return name + " " + string(s), func() { l.Set(link.Open, 0) }
 }
 
+// forEachVM calls do for the latest VM of each machine.
 func (f *fleet) forEachVM(do func(v *standin.VM)) {
 	for _, m := range f.machines {
 		vm, _ := m.currentVM()
@@ -149,8 +150,8 @@
 	}
 }
 
-// restartDaemon starts a daemon again once its process has ended, which it enforces after
-// stopTimeout.
+// restartDaemon waits for the process of a daemon to end, kills it after stopTimeout, and starts
+// a new one.
 func (f *fleet) restartDaemon(e *entry) {
 	if !e.waitExit(stopTimeout) {
 		e.signal(syscall.SIGCONT)
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -44,7 +44,8 @@
 	frontLink, tableLink, machinesLink *link.Link
 	callerAddress                      netip.AddrPort
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// command is the latest process; exited is closed once it has ended.
 	command *exec.Cmd
 	exited  chan struct{}
 }
@@ -57,7 +58,8 @@
 	// ignoresCapacity is set if its VMs also start tasks that exceed their capacity.
 	ignoresCapacity bool
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// vm is the latest VM, which has ended if down is set. idCount numbers the IDs of VMs.
 	vm      *standin.VM
 	down    bool
 	idCount int
@@ -204,6 +206,8 @@
 	return nil
 }
 
+// addMachine adds the i-th machine and starts a VM on it. The VMs of every second machine ignore
+// their capacity.
 func (f *fleet) addMachine(ctx context.Context, i int) error {
 	m := &machine{name: fmt.Sprintf("m-%d", i), zone: f.zone(i), ignoresCapacity: i%2 == 1}
 	at, err := f.serve(m)
