--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -73,7 +73,7 @@
 	g.lastStart[r.task] = g.w.now
 	if len(g.running[r.task]) > 0 && !step.Speculative {
 		other := g.running[r.task][0]
-		g.violationf("%v attempt %d starts on %s while attempt %d runs since %.3f s", r.task, r.attempt, v.id, other.attempt, other.startedAt.Sub(epoch).Seconds())
+		g.violationf("%v attempt %d starts on %s while attempt %d has been running since %.3f s", r.task, r.attempt, v.id, other.attempt, other.startedAt.Sub(epoch).Seconds())
 	}
 	if g.notedDone[r.task] && !step.Speculative {
 		g.violationf("%v attempt %d starts on %s after an owner noted the task as done", r.task, r.attempt, v.id)
