--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -147,7 +147,7 @@
 	r := job.VMRecord{
 		ID: v.id, Pool: v.pool, Address: string(v.id), Zone: v.machine.zone, Draining: v.draining,
 		Capacity: v.capacity(), Labels: []job.Label{"a", v.machine.rack},
-		Born: job.Born(v.born.UnixMilli()), Machine: v.machine.id,
+		Born: job.Born(v.startedAt.UnixMilli()), Machine: v.machine.id,
 	}
 	t.vms[v.id] = r
 	t.vmChanges = append(t.vmChanges, vmChange{record: r})
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -44,7 +44,7 @@
 	id        job.VMID
 	machine   *machine
 	pool      job.PoolName
-	born      time.Time
+	startedAt time.Time
 	clockRate float64
 	up        bool
 	listed    bool
@@ -94,7 +94,7 @@
 
 // clock returns the VM's clock, which begins at 0 with the VM and may run up to 2% slow.
 func (v *vm) clock() job.VMClock {
-	return job.VMClock(float64(v.w.now.Sub(v.born).Milliseconds()) * v.clockRate)
+	return job.VMClock(float64(v.w.now.Sub(v.startedAt).Milliseconds()) * v.clockRate)
 }
 
 // used returns the resources of all running attempts.
@@ -113,7 +113,7 @@
 		id = job.VMID(fmt.Sprintf("vm-%04d", w.nextVM))
 	}
 	v := &vm{
-		w: w, id: id, machine: m, pool: m.pool, born: w.now, clockRate: 1 - 0.02*w.rng.Float64(), up: true, listed: true,
+		w: w, id: id, machine: m, pool: m.pool, startedAt: w.now, clockRate: 1 - 0.02*w.rng.Float64(), up: true, listed: true,
 		closedAttempts: map[job.TaskID]job.Attempt{}, slowdown: 1, endedAt: map[int64]time.Time{}, capacities: []capacityChange{{fullCapacity, w.now}},
 	}
 	if m.resizes {
@@ -181,7 +181,7 @@
 // started after the order was sent, and no owner that knows of this has sent it a hold order
 // yet. So the VM has seen no higher fence, and its clock is behind all deadlines.
 func (v *vm) cannotDetectLate(f job.Fence, sent time.Time) bool {
-	return v.born.After(sent) && v.fence <= f
+	return v.startedAt.After(sent) && v.fence <= f
 }
 
 // rejectsFence reports whether an order with fence f is stale, and otherwise records f.
@@ -323,7 +323,7 @@
 		return
 	}
 	r := v.newReport(job.NotRefused)
-	r.Born = job.Born(v.born.UnixMilli())
+	r.Born = job.Born(v.startedAt.UnixMilli())
 	r.Lists = true
 	r.Finished = slices.Clone(v.unnotedEnds)
 	for _, x := range v.runs {
