--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -15,8 +15,8 @@
 	violations []string
 	// lateOrderShare is the share of orders that get no answer and are delivered later.
 	lateOrderShare float64
-	// evacuationLimit is how long after the request for its evacuation tasks may still
-	// start in an availability zone.
+	// evacuationLimit is how long tasks may still start in an availability zone after the
+	// request to evacuate it.
 	evacuationLimit time.Duration
 	// running are the attempts of each task that run.
 	running map[job.TaskID][]*vmRun
--- a/core/emulator/evacuation.go
+++ b/core/emulator/evacuation.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// evacuationLimit is how long after the request for its evacuation tasks may still start
-	// in an availability zone, in runs with faults. evacuationLimitWithoutFaults is the same
+	// evacuationLimit is how long tasks may still start in an availability zone after the
+	// request to evacuate it, in runs with faults. evacuationLimitWithoutFaults is the same
 	// for other runs.
 	evacuationLimit              = 5 * time.Second
 	evacuationLimitWithoutFaults = time.Second
--- a/core/emulator/scenario_test.go
+++ b/core/emulator/scenario_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// Guards against runs that are not reproducible: a failure could not be debugged by its seed.
+// Guards against runs that are not reproducible: a failure could not be reproduced by its seed.
 func TestSameSeedRepeats(t *testing.T) {
 	_, first := emulator.Run(scenarioOf(1007))
 	_, second := emulator.Run(scenarioOf(1007))
@@ -133,7 +133,7 @@
 // crash.
 func TestWithLateOrders(t *testing.T) { runRange(t, lateOrdersFrom, 16) }
 
-// Guards against an account with a small quota that exceeds it when the owner changes.
+// Guards against an account with a small quota that has more running, under any owner.
 func TestQuotaHolds(t *testing.T) { runRange(t, quotaFrom, 6) }
 
 // Availability zones are evacuated, one, several or all at a time, while owners are lost,
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -65,13 +65,13 @@
 	return limit
 }
 
-// evacuationLimit is how long after the request for its evacuation tasks may still start in
-// an availability zone.
+// evacuationLimit is how long tasks may still start in an availability zone after the request
+// to evacuate it.
 const evacuationLimit = 5 * time.Second
 
 const (
-	// shrinkLimit is how long after a decrease of the capacity of a VM starts may still exceed
-	// the new capacity, which the VM reports only with its next heartbeat.
+	// shrinkLimit is how long starts may still exceed the capacity of a VM after a decrease,
+	// which the VM reports only with its next heartbeat.
 	shrinkLimit = 3*time.Second + heartbeatInterval
 	// minCrashesToFail is how many VMs must crash while they run a task before its job may
 	// fail.
