--- a/cmd/lavenderpond/audit.go
+++ b/cmd/lavenderpond/audit.go
@@ -23,7 +23,7 @@
 	g.add("VERSION", "AT", "AUTHOR", "KIND", "ROW", "BEFORE", "AFTER", "REASON", "CHANGE")
 	for _, r := range reply.Records {
 		g.add(r.Version, when(r.At), r.Author, r.Kind, r.Row, r.Before, r.After, r.Reason, r.ChangeId)
-		if r.Kind == operator.KindMissing {
+		if r.Kind == operator.KindRecordMissing {
 			missing = append(missing, fmt.Sprint(r.Version))
 		}
 	}
--- a/io/caller/client.go
+++ b/io/caller/client.go
@@ -32,7 +32,7 @@
 	length := uint64(len(req.Body))
 	m := connect.NewRequest(&pb.SubmitRequest{
 		Team: string(c.Team), Id: string(req.Key.ID), Attempt: uint32(req.Attempt), Queue: string(req.Queue),
-		Deadline: timestamppb.New(req.Deadline), FirstSent: stamp(req.FirstSent),
+		Deadline: timestamppb.New(req.Deadline), FirstSent: toTimestamp(req.FirstSent),
 		Idempotent: req.Idempotent, Urgent: req.Urgent,
 		DeclaredRunMs: uint32(req.DeclaredRun / time.Millisecond),
 		Body:          req.Body, BodyLength: &length, NoWait: noWait,
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -20,19 +20,19 @@
 
 // Limits on what callers send.
 const (
-	// maxName bounds teams, ids and queues, in bytes.
-	maxName = 200
-	// overhead is what a request may have besides its body, in bytes.
-	overhead = 4096
-	// compressAbove is the size from which an answer is compressed for callers that
+	// maxNameBytes bounds teams, ids and queues, in bytes.
+	maxNameBytes = 200
+	// requestOverheadBytes is what a request may have besides its body, in bytes.
+	requestOverheadBytes = 4096
+	// compressMinBytes is the size from which an answer is compressed for callers that
 	// accept it, in bytes. Below it, gzip cost a tenth of the entry's processor time.
-	compressAbove = 16 << 10
-	// base64Growth is by how much a body grows in the JSON codec, in quarters.
-	base64Growth = 6
+	compressMinBytes = 16 << 10
+	// base64GrowthQuarters is by how much a body grows in the JSON codec, in quarters.
+	base64GrowthQuarters = 6
 )
 
-// Front brings a request to its home and back.
-type Front interface {
+// Backend brings a request to its home and back.
+type Backend interface {
 	Submit(ctx context.Context, req core.Request, noWait bool) core.Answer
 	Fetch(ctx context.Context, key core.RequestKey, digest core.KeyDigest) core.Answer
 	Cancel(ctx context.Context, key core.RequestKey, digest core.KeyDigest) core.Answer
@@ -40,7 +40,7 @@
 
 // Server implements CallerService over a Front. Its Front must be set.
 type Server struct {
-	Front Front
+	Backend Backend
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody int
 	// SkewBound is the most that two clocks differ.
@@ -55,44 +55,44 @@
 
 // Handler returns the URL path of the service and its HTTP handler.
 func (s *Server) Handler() (string, http.Handler) {
-	limit := s.MaxBody*base64Growth/4 + overhead
+	limit := s.MaxBody*base64GrowthQuarters/4 + requestOverheadBytes
 	path, h := lavenderpondv1connect.NewCallerServiceHandler(s, connectrpc.Options(),
-		connect.WithReadMaxBytes(limit), connect.WithCompressMinBytes(compressAbove))
+		connect.WithReadMaxBytes(limit), connect.WithCompressMinBytes(compressMinBytes))
 	return path, connectrpc.LimitBody(h, int64(limit))
 }
 
 // Submit implements CallerService.
 func (s *Server) Submit(ctx context.Context, r *connect.Request[pb.SubmitRequest]) (*connect.Response[pb.Answer], error) {
 	m := r.Msg
-	req := requestOf(m, keyOf(r.Header()))
-	if refusal, bad := s.check(m, req); bad {
-		return respond(req.Key.ID, m.Attempt, core.RefusalAnswer(req.Attempt, refusal)), nil
+	req := toRequest(m, keyDigest(r.Header()))
+	if refusal, refused := s.validate(m, req); refused {
+		return toResponse(req.Key.ID, m.Attempt, core.RefusalAnswer(req.Attempt, refusal)), nil
 	}
-	return respond(req.Key.ID, m.Attempt, s.Front.Submit(ctx, req, m.NoWait)), nil
+	return toResponse(req.Key.ID, m.Attempt, s.Backend.Submit(ctx, req, m.NoWait)), nil
 }
 
 // Fetch implements CallerService.
 func (s *Server) Fetch(ctx context.Context, r *connect.Request[pb.FetchRequest]) (*connect.Response[pb.Answer], error) {
 	key := core.RequestKey{Team: core.TeamID(r.Msg.Team), ID: core.RequestID(r.Msg.Id)}
-	return respond(key.ID, 0, s.Front.Fetch(ctx, key, keyOf(r.Header()))), nil
+	return toResponse(key.ID, 0, s.Backend.Fetch(ctx, key, keyDigest(r.Header()))), nil
 }
 
 // Cancel implements CallerService.
 func (s *Server) Cancel(ctx context.Context, r *connect.Request[pb.CancelRequest]) (*connect.Response[pb.Answer], error) {
 	key := core.RequestKey{Team: core.TeamID(r.Msg.Team), ID: core.RequestID(r.Msg.Id)}
-	return respond(key.ID, 0, s.Front.Cancel(ctx, key, keyOf(r.Header()))), nil
+	return toResponse(key.ID, 0, s.Backend.Cancel(ctx, key, keyDigest(r.Header()))), nil
 }
 
-// check looks at the form of a request, before anything is done with it.
-func (s *Server) check(m *pb.SubmitRequest, req core.Request) (core.NotRun, bool) {
+// validate looks at the form of a request, before anything is done with it.
+func (s *Server) validate(m *pb.SubmitRequest, req core.Request) (core.NotRun, bool) {
 	now := s.now()
 	switch {
-	case badName(m.Team):
-		return malformed("team: 1 to %d bytes without control characters or slashes", maxName), true
-	case badName(m.Id):
-		return malformed("id: 1 to %d bytes without control characters or slashes", maxName), true
-	case badName(m.Queue):
-		return malformed("queue: 1 to %d bytes without control characters or slashes", maxName), true
+	case invalidName(m.Team):
+		return malformed("team: 1 to %d bytes without control characters or slashes", maxNameBytes), true
+	case invalidName(m.Id):
+		return malformed("id: 1 to %d bytes without control characters or slashes", maxNameBytes), true
+	case invalidName(m.Queue):
+		return malformed("queue: 1 to %d bytes without control characters or slashes", maxNameBytes), true
 	case m.Deadline == nil || m.Deadline.CheckValid() != nil:
 		return malformed("deadline: a timestamp is needed"), true
 	case m.FirstSent != nil && m.FirstSent.CheckValid() != nil:
@@ -126,15 +126,15 @@
 	return core.NotRun{Code: core.CodeMalformed, Detail: fmt.Sprintf(format, args...)}
 }
 
-func badName(name string) bool {
-	if name == "" || len(name) > maxName {
+func invalidName(name string) bool {
+	if name == "" || len(name) > maxNameBytes {
 		return true
 	}
 	return strings.ContainsFunc(name, func(r rune) bool { return r < ' ' || r == 0x7f || r == '/' })
 }
 
-// keyOf returns the digest of the team key in the Authorization header.
-func keyOf(h http.Header) core.KeyDigest {
+// keyDigest returns the digest of the team key in the Authorization header.
+func keyDigest(h http.Header) core.KeyDigest {
 	key, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
@@ -142,7 +142,7 @@
 	return core.Digest(key)
 }
 
-func requestOf(m *pb.SubmitRequest, digest core.KeyDigest) core.Request {
+func toRequest(m *pb.SubmitRequest, digest core.KeyDigest) core.Request {
 	req := core.Request{
 		Key:         core.RequestKey{Team: core.TeamID(m.Team), ID: core.RequestID(m.Id)},
 		KeyDigest:   digest,
@@ -162,7 +162,7 @@
 	return req
 }
 
-func respond(id core.RequestID, attempt uint32, a core.Answer) *connect.Response[pb.Answer] {
+func toResponse(id core.RequestID, attempt uint32, a core.Answer) *connect.Response[pb.Answer] {
 	m := &pb.Answer{Id: string(id), Attempt: attempt}
 	code := core.CodeOf(a)
 	m.Code, m.CodeName = uint32(code), code.String()
@@ -170,9 +170,9 @@
 	case core.Done:
 		m.Outcome, m.Body, m.BodyLength, m.Vm = pb.Outcome_OUTCOME_DONE, a.Body, uint64(len(a.Body)), string(a.VM)
 	case core.NotRun:
-		m.Outcome, m.Detail, m.ComeBackAt = pb.Outcome_OUTCOME_NOT_RUN, a.Detail, stamp(a.ComeBackAt)
+		m.Outcome, m.Detail, m.ComeBackAt = pb.Outcome_OUTCOME_NOT_RUN, a.Detail, toTimestamp(a.ComeBackAt)
 	case core.OutcomeUnknown:
-		m.Outcome, m.Detail, m.ComeBackAt = pb.Outcome_OUTCOME_UNKNOWN, a.Detail, stamp(a.ComeBackAt)
+		m.Outcome, m.Detail, m.ComeBackAt = pb.Outcome_OUTCOME_UNKNOWN, a.Detail, toTimestamp(a.ComeBackAt)
 	case core.Pending:
 		m.Outcome = pb.Outcome_OUTCOME_PENDING
 	default:
@@ -184,7 +184,7 @@
 	return connect.NewResponse(m)
 }
 
-func stamp(t time.Time) *timestamppb.Timestamp {
+func toTimestamp(t time.Time) *timestamppb.Timestamp {
 	if t.IsZero() {
 		return nil
 	}
--- a/io/connectrpc/connectrpc_test.go
+++ b/io/connectrpc/connectrpc_test.go
@@ -15,19 +15,19 @@
 	"lavenderpond/io/gen/lavenderpond/v1/lavenderpondv1connect"
 )
 
-// echo answers every submission with its id.
-type echo struct {
+// echoService answers every submission with its id.
+type echoService struct {
 	lavenderpondv1connect.UnimplementedCallerServiceHandler
 }
 
-func (echo) Submit(_ context.Context, r *connect.Request[pb.SubmitRequest]) (*connect.Response[pb.Answer], error) {
+func (echoService) Submit(_ context.Context, r *connect.Request[pb.SubmitRequest]) (*connect.Response[pb.Answer], error) {
 	return connect.NewResponse(&pb.Answer{Id: r.Msg.Id}), nil
 }
 
 // TestRefusalsAreNumbered: a caller sends what can't be read as the message, or
 // more than is allowed. It gets the number and a sentence that names the cause.
-func TestRefusalsAreNumbered(t *testing.T) {
-	path, h := lavenderpondv1connect.NewCallerServiceHandler(echo{}, Options())
+func TestErrorsCarryResultCodes(t *testing.T) {
+	path, h := lavenderpondv1connect.NewCallerServiceHandler(echoService{}, Options())
 	mux := http.NewServeMux()
 	mux.Handle(path, LimitBody(h, 1000))
 	srv := httptest.NewServer(mux)
--- a/io/connectrpc/limit.go
+++ b/io/connectrpc/limit.go
@@ -7,8 +7,8 @@
 	"lavenderpond/core"
 )
 
-// refusal is the connect protocol's error body.
-type refusal struct {
+// errorBody is the connect protocol's error body.
+type errorBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
@@ -24,6 +24,6 @@
 		err := core.Errorf(core.CodeTooLarge, "the request has %d bytes, at most %d are allowed", r.ContentLength, limit)
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
-		_ = json.NewEncoder(w).Encode(refusal{Code: "resource_exhausted", Message: err.Error()})
+		_ = json.NewEncoder(w).Encode(errorBody{Code: "resource_exhausted", Message: err.Error()})
 	})
 }
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -236,7 +236,7 @@
 func (d *Daemon) http() *HTTP {
 	mux := http.NewServeMux()
 	mux.Handle((&caller.Server{
-		Front: d.front, MaxBody: d.settings.Entry.MaxBody, SkewBound: d.settings.Entry.SkewBound,
+		Backend: d.front, MaxBody: d.settings.Entry.MaxBody, SkewBound: d.settings.Entry.SkewBound,
 		MaxLifetime: d.settings.Entry.MaxLifetime,
 	}).Handler())
 	mux.Handle((&operator.Server{
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -57,20 +57,20 @@
 	handingOver atomic.Bool
 }
 
-var _ caller.Front = (*Front)(nil)
+var _ caller.Backend = (*Front)(nil)
 
-// Submit implements caller.Front.
+// Submit implements caller.Backend.
 func (f *Front) Submit(ctx context.Context, req core.Request, noWait bool) core.Answer {
 	return f.take(ctx, peer.ForwardArgs{Kind: peer.ForwardSubmit, Request: req, NoWait: noWait})
 }
 
-// Fetch implements caller.Front.
+// Fetch implements caller.Backend.
 func (f *Front) Fetch(ctx context.Context, key core.RequestKey, digest core.KeyDigest) core.Answer {
 	req := core.Request{Key: key, KeyDigest: digest}
 	return f.take(ctx, peer.ForwardArgs{Kind: peer.ForwardFetch, Request: req})
 }
 
-// Cancel implements caller.Front.
+// Cancel implements caller.Backend.
 func (f *Front) Cancel(ctx context.Context, key core.RequestKey, digest core.KeyDigest) core.Answer {
 	req := core.Request{Key: key, KeyDigest: digest}
 	return f.take(ctx, peer.ForwardArgs{Kind: peer.ForwardCancel, Request: req})
--- a/io/operator/budget.go
+++ b/io/operator/budget.go
@@ -40,26 +40,26 @@
 // Round writes the budgets that differ at now from what is in force. It returns the
 // first error, after it tried the other pools if the table can be reached.
 func (b *BudgetSync) Round(ctx context.Context, now time.Time) error {
-	var failed error
-	head, list := b.differing(now)
-	for _, p := range list {
+	var firstErr error
+	head, outdated := b.outdatedBudgets(now)
+	for _, p := range outdated {
 		err := b.sync(ctx, head, p)
 		switch {
 		case err == nil, errors.Is(err, table.ErrConflict):
 		case errors.Is(err, table.ErrUnreachable), errors.Is(err, table.ErrOutcomeUnknown):
 			return err
-		case failed == nil:
-			failed = errors.Wrapf(err, "budget of pool %s", p.id)
+		case firstErr == nil:
+			firstErr = errors.Wrapf(err, "budget of pool %s", p.id)
 		}
 	}
-	return failed
+	return firstErr
 }
 
-// differing returns the budgets that the entry's view and its cache of pools disagree
+// outdatedBudgets returns the budgets that the entry's view and its cache of pools disagree
 // on, and the head row of the view: none while the view isn't complete up to a head.
-func (b *BudgetSync) differing(now time.Time) (table.Row, []poolBudget) {
+func (b *BudgetSync) outdatedBudgets(now time.Time) (table.Row, []poolBudget) {
 	var head table.Row
-	var list []poolBudget
+	var outdated []poolBudget
 	b.View(func(v *config.View) {
 		if head = v.Head(); head.Version == 0 {
 			return
@@ -68,11 +68,11 @@
 			wanted, _ := v.Pool(now, id)
 			state, ok := b.Pool(id)
 			if !ok || state.MaxUnavailable != wanted.MaxUnavailable || state.Spare != wanted.Spare {
-				list = append(list, poolBudget{id, wanted})
+				outdated = append(outdated, poolBudget{id, wanted})
 			}
 		}
 	})
-	return head, list
+	return head, outdated
 }
 
 // sync writes one budget.
@@ -89,12 +89,12 @@
 	if err != nil {
 		return err
 	}
-	set, err := fleet.SetPool(state, p.value.MaxUnavailable, p.value.Spare)
-	if err != nil || len(set.Writes) == 0 {
+	tx, err := fleet.SetPool(state, p.value.MaxUnavailable, p.value.Spare)
+	if err != nil || len(tx.Writes) == 0 {
 		return err
 	}
 	if !b.noHeadCheck {
-		set.Check(head)
+		tx.Check(head)
 	}
-	return b.Table.Transact(ctx, set)
+	return b.Table.Transact(ctx, tx)
 }
--- a/io/operator/budget_test.go
+++ b/io/operator/budget_test.go
@@ -20,21 +20,21 @@
 // the check of the head row, the sync brings the old one back and a drain too many
 // is permitted.
 func TestSyncBudgets(t *testing.T) {
-	run := func(noHeadCheck bool) int {
+	finalBudget := func(noHeadCheck bool) int {
 		h := newHistory(1, &Server{})
-		h.t.quiet = true
+		h.t.faultless = true
 		h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_AddException{AddException: &pb.AddException{
 			Id: "festival", Scope: "config/pool/frames", Value: map[string]int32{"max_unavailable": 3}, Reason: "spring festival",
-			End: stamp(start.Add(time.Hour)),
+			End: toTimestamp(startTime.Add(time.Hour)),
 		}}})
-		followed := &followedTable{faultyTable: h.t}
-		sync := followed.sync(noHeadCheck)
-		followed.follow(t)
-		assert.NilError(t, sync.Round(context.Background(), start))
-		assert.Equal(t, h.budget(t), 3)
-		followed.follow(t)
-		assert.NilError(t, sync.Round(context.Background(), start.Add(2*time.Hour)))
-		assert.Equal(t, h.budget(t), 1)
+		replica := &replicatedTable{faultyTable: h.t}
+		sync := replica.newSync(noHeadCheck)
+		replica.replicate(t)
+		assert.NilError(t, sync.Round(context.Background(), startTime))
+		assert.Equal(t, h.maxUnavailable(t), 3)
+		replica.replicate(t)
+		assert.NilError(t, sync.Round(context.Background(), startTime.Add(2*time.Hour)))
+		assert.Equal(t, h.maxUnavailable(t), 1)
 		h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_SetPool{SetPool: &pb.SetPool{Pool: "frames", MaxUnavailable: ptr(4)}}})
 		h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_RetireException{
 			RetireException: &pb.RetireException{Id: "festival", Reason: "over"}}})
@@ -45,15 +45,15 @@
 		var tx table.Transaction
 		assert.NilError(t, tx.Set(row.Key, p))
 		assert.NilError(t, h.t.rows.Transact(tx))
-		followed.follow(t)
-		followed.race = func() {
+		replica.replicate(t)
+		replica.beforeRead = func() {
 			h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_SetPool{SetPool: &pb.SetPool{Pool: "frames", MaxUnavailable: ptr(2)}}})
 		}
-		assert.NilError(t, sync.Round(context.Background(), start))
-		return h.budget(t)
+		assert.NilError(t, sync.Round(context.Background(), startTime))
+		return h.maxUnavailable(t)
 	}
-	assert.Equal(t, run(false), 2)
-	assert.Equal(t, run(true), 4, "red: the safeguard is not needed")
+	assert.Equal(t, finalBudget(false), 2)
+	assert.Equal(t, finalBudget(true), 4, "red: the safeguard is not needed")
 }
 
 // TestSyncBudgetsCost: with hundreds of pools and a change every 20 s, a controller
@@ -62,50 +62,50 @@
 // an exception on a pool, and its end, cost a read and a write of that pool.
 func TestSyncBudgetsCost(t *testing.T) {
 	h := newHistory(1, &Server{})
-	h.t.quiet = true
+	h.t.faultless = true
 	for i := range 20 {
 		h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_SetPool{
 			SetPool: &pb.SetPool{Pool: fmt.Sprint("pool", i), MaxUnavailable: ptr(1)}}})
 	}
-	followed := &followedTable{faultyTable: h.t}
-	sync := followed.sync(false)
+	replica := &replicatedTable{faultyTable: h.t}
+	sync := replica.newSync(false)
 	cost := func(now time.Time) [2]int {
-		followed.follow(t)
-		followed.reads, followed.writes = 0, 0
+		replica.replicate(t)
+		replica.reads, replica.writes = 0, 0
 		assert.NilError(t, sync.Round(context.Background(), now))
-		return [2]int{followed.reads, followed.writes}
+		return [2]int{replica.reads, replica.writes}
 	}
-	assert.Equal(t, cost(start), [2]int{0, 0})
+	assert.Equal(t, cost(startTime), [2]int{0, 0})
 	h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_SetTeam{SetTeam: &pb.SetTeam{Team: "imaging", Share: ptr(2)}}})
-	assert.Equal(t, cost(start), [2]int{0, 0})
+	assert.Equal(t, cost(startTime), [2]int{0, 0})
 	h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_AddException{AddException: &pb.AddException{
 		Id: "festival", Scope: "config/pool/pool7", Value: map[string]int32{"max_unavailable": 3}, Reason: "spring festival",
-		End: stamp(start.Add(time.Hour)),
+		End: toTimestamp(startTime.Add(time.Hour)),
 	}}})
-	assert.Equal(t, cost(start), [2]int{1, 1})
-	assert.Equal(t, cost(start), [2]int{0, 0})
-	assert.Equal(t, cost(start.Add(2*time.Hour)), [2]int{1, 1})
+	assert.Equal(t, cost(startTime), [2]int{1, 1})
+	assert.Equal(t, cost(startTime), [2]int{0, 0})
+	assert.Equal(t, cost(startTime.Add(2*time.Hour)), [2]int{1, 1})
 }
 
 // TestSyncBudgetsOldCache: the entry's view and its cache of pools lag behind the
 // table each in its own way. A view that isn't complete up to a head writes nothing,
 // and an old cache costs a read but changes nothing.
-func TestSyncBudgetsOldCache(t *testing.T) {
+func TestSyncBudgetsStaleCache(t *testing.T) {
 	h := newHistory(1, &Server{})
-	h.t.quiet = true
-	followed := &followedTable{faultyTable: h.t}
-	sync := followed.sync(false)
+	h.t.faultless = true
+	replica := &replicatedTable{faultyTable: h.t}
+	sync := replica.newSync(false)
 	gap := config.Delta{Base: 1, Version: 9, Rows: h.t.rows.Scan(table.PrefixConfig)}
-	_, err := followed.view.Apply(gap, config.FromPeer)
+	_, err := replica.view.Apply(gap, config.FromPeer)
 	assert.NilError(t, err)
-	assert.NilError(t, sync.Round(context.Background(), start))
-	assert.Equal(t, followed.reads, 0)
-	followed.follow(t)
-	followed.pools = map[core.PoolID]fleet.Pool{"frames": {MaxUnavailable: 9}}
-	assert.NilError(t, sync.Round(context.Background(), start))
-	assert.Equal(t, followed.reads, 1)
-	assert.Equal(t, followed.writes, 0)
-	assert.Equal(t, h.budget(t), 1)
+	assert.NilError(t, sync.Round(context.Background(), startTime))
+	assert.Equal(t, replica.reads, 0)
+	replica.replicate(t)
+	replica.pools = map[core.PoolID]fleet.Pool{"frames": {MaxUnavailable: 9}}
+	assert.NilError(t, sync.Round(context.Background(), startTime))
+	assert.Equal(t, replica.reads, 1)
+	assert.Equal(t, replica.writes, 0)
+	assert.Equal(t, h.maxUnavailable(t), 1)
 }
 
 // TestSyncBudgetsBadRow: one pool's row can't be read. The exception on another pool is
@@ -113,31 +113,31 @@
 // a row that has nothing to do with them.
 func TestSyncBudgetsBadRow(t *testing.T) {
 	h := newHistory(1, &Server{})
-	h.t.quiet = true
+	h.t.faultless = true
 	h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_SetPool{SetPool: &pb.SetPool{Pool: "bad", MaxUnavailable: ptr(1)}}})
-	followed := &followedTable{faultyTable: h.t}
-	followed.follow(t)
-	delete(followed.pools, "bad")
-	followed.pools["frames"] = fleet.Pool{MaxUnavailable: 9}
+	replica := &replicatedTable{faultyTable: h.t}
+	replica.replicate(t)
+	delete(replica.pools, "bad")
+	replica.pools["frames"] = fleet.Pool{MaxUnavailable: 9}
 	for pool, value := range map[core.PoolID]string{"bad": `[]`, "frames": `{"max_unavailable":9}`} {
 		row := table.Write{Key: table.PoolStateKey(pool), Value: []byte(value)}
 		assert.NilError(t, h.t.rows.Transact(table.Transaction{Writes: []table.Write{row}}))
 	}
-	assert.ErrorContains(t, followed.sync(false).Round(context.Background(), start), "pool/bad")
-	assert.Equal(t, h.budget(t), 1)
+	assert.ErrorContains(t, replica.newSync(false).Round(context.Background(), startTime), "pool/bad")
+	assert.Equal(t, h.maxUnavailable(t), 1)
 }
 
-// followedTable is a table and what an entry follows of it: as it was when it was
+// replicatedTable is a table and what an entry follows of it: as it was when it was
 // followed last. Race lets an operator in once, after the budgets were compared.
-type followedTable struct {
+type replicatedTable struct {
 	*faultyTable
-	race          func()
+	beforeRead    func()
 	view          config.View
 	pools         map[core.PoolID]fleet.Pool
 	reads, writes int
 }
 
-func (t *followedTable) sync(noHeadCheck bool) *BudgetSync {
+func (t *replicatedTable) newSync(noHeadCheck bool) *BudgetSync {
 	return &BudgetSync{
 		Table: t, View: func(f func(v *config.View)) { f(&t.view) }, noHeadCheck: noHeadCheck,
 		Pool: func(id core.PoolID) (fleet.Pool, bool) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// follow takes in what the table has.
-func (t *followedTable) follow(tt *testing.T) {
+// replicate takes in what the table has.
+func (t *replicatedTable) replicate(tt *testing.T) {
 	tt.Helper()
 	var head config.Head
 	assert.NilError(tt, t.rows.Read(table.ConfigHead).Decode(&head))
@@ -163,23 +163,23 @@
 }
 
 // Read implements platform.Table.
-func (t *followedTable) Read(ctx context.Context, key table.Key) (table.Row, error) {
-	if t.race != nil {
-		race := t.race
-		t.race = nil
-		race()
+func (t *replicatedTable) Read(ctx context.Context, key table.Key) (table.Row, error) {
+	if t.beforeRead != nil {
+		hook := t.beforeRead
+		t.beforeRead = nil
+		hook()
 	}
 	t.reads++
 	return t.faultyTable.Read(ctx, key)
 }
 
 // Transact implements platform.Table.
-func (t *followedTable) Transact(ctx context.Context, x table.Transaction) error {
+func (t *replicatedTable) Transact(ctx context.Context, x table.Transaction) error {
 	t.writes++
 	return t.faultyTable.Transact(ctx, x)
 }
 
-func (h *history) budget(t *testing.T) int {
+func (h *history) maxUnavailable(t *testing.T) int {
 	t.Helper()
 	p, err := fleet.DecodePool(h.t.rows.Read(table.PoolStateKey("frames")))
 	assert.NilError(t, err)
--- a/io/operator/change.go
+++ b/io/operator/change.go
@@ -19,10 +19,10 @@
 	}
 	var reply *pb.ApplyChangeReply
 	var err error
-	if a := s.adminOf(m); a != nil {
-		reply, err = s.applyAdmin(ctx, m, a)
+	if c := s.fleetChangeOf(m); c != nil {
+		reply, err = s.applyFleetChange(ctx, m, c)
 		if err == nil && reply.Note == "" {
-			reply.Note = s.noteOnZone(ctx, a)
+			reply.Note = s.unknownZoneNote(ctx, c)
 		}
 	} else {
 		reply, err = s.applyConfig(ctx, m)
@@ -33,8 +33,8 @@
 	return connect.NewResponse(reply), nil
 }
 
-// target returns a change of configuration without its value, for its row's key.
-func target(m *pb.ApplyChangeRequest) (config.Change, error) {
+// configChangeOf returns a change of configuration without its value, for its row's key.
+func configChangeOf(m *pb.ApplyChangeRequest) (config.Change, error) {
 	switch c := m.Change.(type) {
 	case *pb.ApplyChangeRequest_SetTeam:
 		return config.SetTeam{Author: m.Author, Team: core.TeamID(c.SetTeam.Team)}, nil
@@ -45,7 +45,7 @@
 	case *pb.ApplyChangeRequest_SetDefaults:
 		return config.SetDefaults{Author: m.Author}, nil
 	case *pb.ApplyChangeRequest_AddException:
-		return addException(m, c.AddException), nil
+		return exceptionOf(m, c.AddException), nil
 	case *pb.ApplyChangeRequest_RetireException:
 		return config.RetireException{Author: m.Author, ID: c.RetireException.Id, Reason: c.RetireException.Reason}, nil
 	case *pb.ApplyChangeRequest_GrantKey:
@@ -58,8 +58,8 @@
 	}
 }
 
-// adminOf returns the builder of a change of VMs or maintenance, nil for others.
-func (s *Server) adminOf(m *pb.ApplyChangeRequest) admin {
+// fleetChangeOf returns the builder of a change of VMs or maintenance, nil for others.
+func (s *Server) fleetChangeOf(m *pb.ApplyChangeRequest) fleetChange {
 	switch c := m.Change.(type) {
 	case *pb.ApplyChangeRequest_AddVm:
 		return addVM{c.AddVm}
@@ -73,22 +73,22 @@
 		return returnVM{c.ReturnVm}
 	case *pb.ApplyChangeRequest_PlanMaintenance:
 		p := c.PlanMaintenance
-		return wave{zone: p.Zone, reason: p.Reason, kind: "plan_maintenance", plan: p}
+		return waveChange{zone: p.Zone, reason: p.Reason, kind: "plan_maintenance", plan: p}
 	case *pb.ApplyChangeRequest_StartMaintenance:
-		return wave{zone: c.StartMaintenance.Zone, reason: c.StartMaintenance.Reason, kind: "start_maintenance", step: maintenance.Start}
+		return waveChange{zone: c.StartMaintenance.Zone, reason: c.StartMaintenance.Reason, kind: "start_maintenance", step: maintenance.Start}
 	case *pb.ApplyChangeRequest_PauseMaintenance:
-		return wave{zone: c.PauseMaintenance.Zone, reason: c.PauseMaintenance.Reason, kind: "pause_maintenance", step: maintenance.Pause}
+		return waveChange{zone: c.PauseMaintenance.Zone, reason: c.PauseMaintenance.Reason, kind: "pause_maintenance", step: maintenance.Pause}
 	default:
 		return nil
 	}
 }
 
-func addException(m *pb.ApplyChangeRequest, e *pb.AddException) config.AddException {
+func exceptionOf(m *pb.ApplyChangeRequest, e *pb.AddException) config.AddException {
 	values := map[string]int{}
 	for name, n := range e.Value {
 		values[name] = int(n)
 	}
 	return config.AddException{
-		Author: m.Author, ID: e.Id, Scope: tableKey(e.Scope), Reason: e.Reason, End: instant(e.End), Value: values,
+		Author: m.Author, ID: e.Id, Scope: tableKey(e.Scope), Reason: e.Reason, End: toTime(e.End), Value: values,
 	}
 }
--- a/io/operator/once_test.go
+++ b/io/operator/change_test.go
@@ -18,35 +18,35 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-var start = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// seeds is how many histories the property test replays.
-const seeds = 600
+// seedCount is how many histories the property test replays.
+const seedCount = 600
 
 // faultyTable is down at times, loses answers of writes that took effect, and lets
 // other operators come in between.
 type faultyTable struct {
-	rows  table.Memory
-	rand  *rand.Rand
-	quiet bool
-	// between runs before some reads and transactions.
-	between func()
-	depth   int
+	rows      table.Memory
+	rand      *rand.Rand
+	faultless bool
+	// interleave runs before some reads and transactions.
+	interleave func()
+	depth      int
 }
 
-func (t *faultyTable) chance(percent int) bool { return !t.quiet && t.rand.IntN(100) < percent }
+func (t *faultyTable) chance(percent int) bool { return !t.faultless && t.rand.IntN(100) < percent }
 
-// letIn lets another operator in between, at times.
-func (t *faultyTable) letIn(percent int) {
-	if t.between != nil && t.depth < 3 && t.chance(percent) {
+// maybeInterleave lets another operator in between, at times.
+func (t *faultyTable) maybeInterleave(percent int) {
+	if t.interleave != nil && t.depth < 3 && t.chance(percent) {
 		t.depth++
-		t.between()
+		t.interleave()
 		t.depth--
 	}
 }
 
 func (t *faultyTable) Read(_ context.Context, key table.Key) (table.Row, error) {
-	t.letIn(5)
+	t.maybeInterleave(5)
 	if t.chance(5) {
 		return table.Row{}, table.ErrUnreachable
 	}
@@ -62,7 +62,7 @@
 }
 
 func (t *faultyTable) Transact(_ context.Context, tx table.Transaction) error {
-	t.letIn(30)
+	t.maybeInterleave(30)
 	if t.chance(10) {
 		return table.ErrUnreachable
 	}
@@ -73,39 +73,39 @@
 	return err
 }
 
-// nobody is a Backend without other entries.
-type nobody struct{ withdrawn int }
+// singleEntryBackend is a Backend without other entries.
+type singleEntryBackend struct{ withdrawals int }
 
-func (*nobody) Fleet(context.Context) []EntryStatus {
+func (*singleEntryBackend) Fleet(context.Context) []EntryStatus {
 	return []EntryStatus{{Entry: "a1#1", Reachable: true}}
 }
-func (n *nobody) Withdraw(context.Context, key.Withdrawal) []Confirmation {
-	n.withdrawn++
+func (n *singleEntryBackend) Withdraw(context.Context, key.Withdrawal) []Confirmation {
+	n.withdrawals++
 	return []Confirmation{{Entry: "a1#1", Zone: "zone_a", Confirmed: true}}
 }
-func (*nobody) View() config.Delta { return config.Delta{} }
-func (*nobody) Dump() any          { return nil }
+func (*singleEntryBackend) View() config.Delta { return config.Delta{} }
+func (*singleEntryBackend) Dump() any          { return nil }
 
 // history is one seeded run of operators who change teams, VMs and budgets.
 type history struct {
-	t       *faultyTable
-	s       *Server
-	n       int
-	results map[string]error
-	wanted  map[string]*pb.ApplyChangeRequest
+	t        *faultyTable
+	s        *Server
+	count    int
+	results  map[string]error
+	requests map[string]*pb.ApplyChangeRequest
 }
 
 func newHistory(seed uint64, s *Server) *history {
 	h := &history{
-		t: &faultyTable{rand: rand.New(rand.NewPCG(seed, 1)), quiet: true}, s: s,
-		results: map[string]error{}, wanted: map[string]*pb.ApplyChangeRequest{},
+		t: &faultyTable{rand: rand.New(rand.NewPCG(seed, 1)), faultless: true}, s: s,
+		results: map[string]error{}, requests: map[string]*pb.ApplyChangeRequest{},
 	}
-	s.Table, s.Backend, s.Now = h.t, &nobody{}, func() time.Time { return start }
+	s.Table, s.Backend, s.Now = h.t, &singleEntryBackend{}, func() time.Time { return startTime }
 	h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_SetPool{SetPool: &pb.SetPool{Pool: "frames", MaxUnavailable: ptr(1)}}})
 	for i := range 4 {
 		h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_AddVm{AddVm: newVM(i)}})
 	}
-	h.t.quiet, h.t.between = false, h.random
+	h.t.faultless, h.t.interleave = false, h.randomChange
 	return h
 }
 
@@ -116,26 +116,26 @@
 // change sends a change as the command does: again under the same id, until the
 // answer is certain or the command gives up.
 func (h *history) change(m *pb.ApplyChangeRequest) {
-	h.n++
-	m.ChangeId, m.Author = fmt.Sprint("c", h.n), "ana"
-	h.wanted[m.ChangeId] = m
-	sent := false
+	h.count++
+	m.ChangeId, m.Author = fmt.Sprint("c", h.count), "ana"
+	h.requests[m.ChangeId] = m
+	mayHaveApplied := false
 	for range 5 {
 		_, err := h.s.ApplyChange(context.Background(), connect.NewRequest(m))
 		code := core.CodeDone
 		if err != nil {
-			code = asError(err).Code
+			code = toCoreError(err).Code
 		}
-		if code != core.CodeChangeUnknown && (code != core.CodePlatformDown || !sent) {
+		if code != core.CodeChangeUnknown && (code != core.CodePlatformDown || !mayHaveApplied) {
 			h.results[m.ChangeId] = err
 			return
 		}
-		sent = true
+		mayHaveApplied = true
 	}
 	h.results[m.ChangeId] = core.Errorf(core.CodeChangeUnknown, "given up")
 }
 
-func (h *history) random() {
+func (h *history) randomChange() {
 	value := ptr(int32(h.t.rand.IntN(90) + 1))
 	vm := fmt.Sprint("vm", h.t.rand.IntN(5))
 	m := &pb.ApplyChangeRequest{}
@@ -145,7 +145,7 @@
 	case 1:
 		m.Change = &pb.ApplyChangeRequest_SetTeam{SetTeam: &pb.SetTeam{Team: "imaging", Limit: value}}
 	case 2:
-		m.Change = &pb.ApplyChangeRequest_CordonVm{CordonVm: &pb.CordonVM{Zone: "zone_a", Vm: vm, DrainBy: stamp(start.Add(time.Hour))}}
+		m.Change = &pb.ApplyChangeRequest_CordonVm{CordonVm: &pb.CordonVM{Zone: "zone_a", Vm: vm, DrainBy: toTimestamp(startTime.Add(time.Hour))}}
 	case 3:
 		m.Change = &pb.ApplyChangeRequest_ReturnVm{ReturnVm: &pb.ReturnVM{Zone: "zone_a", Vm: vm}}
 	case 4:
@@ -159,27 +159,27 @@
 // check returns what is wrong with the history, empty if nothing.
 func (h *history) check() string {
 	records := map[string]int{}
-	last := map[table.Key]string{}
+	lastValue := map[table.Key]string{}
 	for _, r := range h.t.rows.Scan(table.PrefixAudit) {
 		var a config.AuditRecord
 		if err := r.Decode(&a); err != nil {
 			return err.Error()
 		}
 		records[string(a.Change)]++
-		if string(a.Before) != last[a.Key] {
-			return fmt.Sprintf("%s: before is %s, was %s", a.Change, a.Before, last[a.Key])
+		if string(a.Before) != lastValue[a.Key] {
+			return fmt.Sprintf("%s: before is %s, was %s", a.Change, a.Before, lastValue[a.Key])
 		}
-		last[a.Key] = string(a.After)
-		if m := h.wanted[string(a.Change)].GetSetTeam(); m != nil && string(a.After) != teamAfter(m, a.Before) {
+		lastValue[a.Key] = string(a.After)
+		if m := h.requests[string(a.Change)].GetSetTeam(); m != nil && string(a.After) != teamAfter(m, a.Before) {
 			return fmt.Sprintf("%s: another operator's field was undone: %s after %s", a.Change, a.After, a.Before)
 		}
 	}
 	for id, err := range h.results {
-		n := records[id]
+		applied := records[id]
 		switch {
-		case n > 1:
-			return fmt.Sprintf("%s took effect %d times", id, n)
-		case n == 1 && err != nil && asError(err).Code != core.CodeChangeUnknown:
+		case applied > 1:
+			return fmt.Sprintf("%s took effect %d times", id, applied)
+		case applied == 1 && err != nil && toCoreError(err).Code != core.CodeChangeUnknown:
 			return fmt.Sprintf("%s took effect, its operator was told %v", id, err)
 		}
 	}
@@ -191,8 +191,8 @@
 	if before != nil {
 		_ = json.Unmarshal(before, &t)
 	}
-	set(&t.Share, m.Share)
-	set(&t.Limit, m.Limit)
+	setInt(&t.Share, m.Share)
+	setInt(&t.Limit, m.Limit)
 	data, _ := json.Marshal(t)
 	return string(data)
 }
@@ -204,31 +204,31 @@
 // row that has changed since) and without the record of the change id (a retry
 // finds the VM changed by itself and is refused).
 func TestChangesOnce(t *testing.T) {
-	for seed := range uint64(seeds) {
-		if fault := replay(seed, &Server{}); fault != "" {
+	for seed := range uint64(seedCount) {
+		if fault := runHistory(seed, &Server{}); fault != "" {
 			t.Fatalf("seed %d: %s", seed, fault)
 		}
 	}
 	for name, broken := range map[string]Server{"noPin": {noPin: true}, "noRecord": {noRecord: true}} {
-		red := 0
-		for seed := range uint64(seeds) {
+		failing := 0
+		for seed := range uint64(seedCount) {
 			s := broken
-			if fault := replay(seed, &s); fault != "" {
-				red++
-				if red == 1 {
+			if fault := runHistory(seed, &s); fault != "" {
+				failing++
+				if failing == 1 {
 					t.Logf("%s: seed %d: %s", name, seed, fault)
 				}
 			}
 		}
-		t.Logf("%s: %d of %d seeds red", name, red, seeds)
-		assert.Assert(t, red > 0, "%s is not needed", name)
+		t.Logf("%s: %d of %d seeds red", name, failing, seedCount)
+		assert.Assert(t, failing > 0, "%s is not needed", name)
 	}
 }
 
-func replay(seed uint64, s *Server) string {
+func runHistory(seed uint64, s *Server) string {
 	h := newHistory(seed, s)
 	for range 20 {
-		h.random()
+		h.randomChange()
 	}
 	return h.check()
 }
@@ -237,23 +237,23 @@
 // withdraws it; it is in force at the entry at once, and the report says that the
 // table has yet to record it. With the table written first, the command fails and
 // the leaked key works on.
-func TestWithdrawWhileTableIsDown(t *testing.T) {
+func TestWithdrawWhileTableDown(t *testing.T) {
 	m := &pb.WithdrawRequest{ChangeId: "c1", Author: "ana", Digest: string(core.Digest("leaked")), Team: "imaging"}
-	withdraw := func(s *Server) (*nobody, *pb.WithdrawReply) {
-		n := &nobody{}
-		s.Table, s.Backend, s.Now = &downTable{}, n, func() time.Time { return start }
+	withdraw := func(s *Server) (*singleEntryBackend, *pb.WithdrawReply) {
+		backend := &singleEntryBackend{}
+		s.Table, s.Backend, s.Now = &downTable{}, backend, func() time.Time { return startTime }
 		reply, err := s.Withdraw(context.Background(), connect.NewRequest(m))
 		if err != nil {
-			return n, nil
+			return backend, nil
 		}
-		return n, reply.Msg
+		return backend, reply.Msg
 	}
-	n, reply := withdraw(&Server{})
-	assert.Equal(t, n.withdrawn, 1)
+	backend, reply := withdraw(&Server{})
+	assert.Equal(t, backend.withdrawals, 1)
 	assert.Equal(t, core.Code(reply.TableCode), core.CodePlatformDown)
 	assert.Assert(t, reply.Confirmations[0].Confirmed)
-	n, _ = withdraw(&Server{tableFirst: true})
-	assert.Equal(t, n.withdrawn, 0, "red: the safeguard is not needed")
+	backend, _ = withdraw(&Server{tableFirst: true})
+	assert.Equal(t, backend.withdrawals, 0, "red: the safeguard is not needed")
 }
 
 type downTable struct{ faultyTable }
--- a/io/operator/config.go
+++ b/io/operator/config.go
@@ -16,11 +16,11 @@
 // applyConfig makes a change of configuration. Fields that the operator left out
 // are filled in from the row.
 func (s *Server) applyConfig(ctx context.Context, m *pb.ApplyChangeRequest) (*pb.ApplyChangeReply, error) {
-	c, err := target(m)
+	c, err := configChangeOf(m)
 	if err != nil {
 		return nil, err
 	}
-	p := &pinned{Table: s.Table, extend: s.budgetOf}
+	p := &pinnedTable{Table: s.Table, addWrites: s.addPoolState}
 	row, err := p.pin(ctx, c.Key())
 	if err != nil {
 		return nil, err
@@ -28,7 +28,7 @@
 	if s.noPin {
 		p.rows = nil
 	}
-	base, repeated, err := s.baseOf(ctx, p, m, row)
+	base, repeated, err := s.mergeBase(ctx, p, m, row)
 	if err != nil {
 		return nil, err
 	}
@@ -43,17 +43,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return &pb.ApplyChangeReply{Version: uint64(applied.Version), Repeated: applied.Before, Note: s.noteOn(ctx, c, m)}, nil
+	return &pb.ApplyChangeReply{Version: uint64(applied.Version), Repeated: applied.Before, Note: s.changeNote(ctx, c, m)}, nil
 }
 
-// baseOf returns the row that the change's missing fields come from. For a change
+// mergeBase returns the row that the change's missing fields come from. For a change
 // id that took effect before, that is the row as it was then: filled in from
 // today's row, a repeated change would look like another one under the same id.
 //
 // The change id's record is pinned: it may be deleted at any moment after its time, and
 // a change that was merged with the old row would then be made anew, over what others
 // have changed since.
-func (s *Server) baseOf(ctx context.Context, p *pinned, m *pb.ApplyChangeRequest, row table.Row) (table.Row, bool, error) {
+func (s *Server) mergeBase(ctx context.Context, p *pinnedTable, m *pb.ApplyChangeRequest, row table.Row) (table.Row, bool, error) {
 	recordRow, err := s.Table.Read(ctx, table.ChangeKey(core.ChangeID(m.ChangeId)))
 	if err != nil || recordRow.Version == 0 {
 		return row, false, err
@@ -62,8 +62,8 @@
 	if err := recordRow.Decode(&record); err != nil {
 		return row, false, err
 	}
-	p.keep(recordRow)
-	audit, err := s.audit(ctx, record.Version)
+	p.pinRow(recordRow)
+	audit, err := s.findAuditRecord(ctx, record.Version)
 	base := table.Row{Key: row.Key, Value: audit.Before}
 	if audit.Before != nil {
 		base.Version = 1
@@ -77,12 +77,12 @@
 	switch c := c.(type) {
 	case config.SetTeam:
 		err = row.Decode(&c.Value)
-		set(&c.Value.Share, m.GetSetTeam().Share)
-		set(&c.Value.Limit, m.GetSetTeam().Limit)
+		setInt(&c.Value.Share, m.GetSetTeam().Share)
+		setInt(&c.Value.Limit, m.GetSetTeam().Limit)
 		return c, err
 	case config.SetPool:
 		err = row.Decode(&c.Value)
-		set(&c.Value.MaxUnavailable, m.GetSetPool().MaxUnavailable)
+		setInt(&c.Value.MaxUnavailable, m.GetSetPool().MaxUnavailable)
 		setBool(&c.Value.Spare, m.GetSetPool().Spare)
 		setBool(&c.Value.LendsIdle, m.GetSetPool().LendsIdle)
 		return c, err
@@ -92,23 +92,23 @@
 			c.Value.Pool = core.PoolID(m.GetSetQueue().GetPool())
 		}
 		setBool(&c.Value.Overflow, m.GetSetQueue().Overflow)
-		set(&c.Value.MaxQueued, m.GetSetQueue().MaxQueued)
+		setInt(&c.Value.MaxQueued, m.GetSetQueue().MaxQueued)
 		return c, err
 	case config.SetDefaults:
 		err = row.Decode(&c.Value)
 		d := m.GetSetDefaults()
-		set(&c.Value.Share, d.Share)
-		set(&c.Value.Limit, d.Limit)
-		set(&c.Value.MaxUnavailable, d.MaxUnavailable)
-		set(&c.Value.MaxQueued, d.MaxQueued)
-		set(&c.Value.MaxBody, d.MaxBody)
+		setInt(&c.Value.Share, d.Share)
+		setInt(&c.Value.Limit, d.Limit)
+		setInt(&c.Value.MaxUnavailable, d.MaxUnavailable)
+		setInt(&c.Value.MaxQueued, d.MaxQueued)
+		setInt(&c.Value.MaxBody, d.MaxBody)
 		return c, err
 	default:
 		return c, nil
 	}
 }
 
-func set[T ~int](field *T, value *int32) {
+func setInt[T ~int](field *T, value *int32) {
 	if value != nil {
 		*field = T(*value)
 	}
@@ -120,11 +120,11 @@
 	}
 }
 
-// budgetOf adds the pool's row of state to the transaction that sets the pool, so
+// addPoolState adds the pool's row of state to the transaction that sets the pool, so
 // that drain permits never count against another budget than the one accepted.
-func (s *Server) budgetOf(ctx context.Context, t *table.Transaction) error {
+func (s *Server) addPoolState(ctx context.Context, t *table.Transaction) error {
 	for _, w := range t.Writes {
-		id, ok := poolOf(w.Key)
+		id, ok := poolOfConfigKey(w.Key)
 		if !ok {
 			continue
 		}
@@ -140,18 +140,18 @@
 		if err != nil {
 			return err
 		}
-		more, err := fleet.SetPool(row, budget(value, defaults), value.Spare)
+		stateWrites, err := fleet.SetPool(row, maxUnavailable(value, defaults), value.Spare)
 		if err != nil {
 			return err
 		}
-		t.Checks = append(t.Checks, more.Checks...)
-		t.Writes = append(t.Writes, more.Writes...)
+		t.Checks = append(t.Checks, stateWrites.Checks...)
+		t.Writes = append(t.Writes, stateWrites.Writes...)
 		return nil
 	}
 	return nil
 }
 
-func budget(p config.Pool, defaults table.Row) int {
+func maxUnavailable(p config.Pool, defaults table.Row) int {
 	var d config.Defaults
 	if p.MaxUnavailable == 0 && defaults.Decode(&d) == nil {
 		return d.MaxUnavailable
@@ -159,19 +159,19 @@
 	return p.MaxUnavailable
 }
 
-// pinned is a table whose reads of some rows return, once, what was read before.
+// pinnedTable is a table whose reads of some rows return, once, what was read before.
 // platform.Apply thereby checks the very rows that a change was merged with: a
 // change by another operator in between is a conflict, and never undone unseen.
-type pinned struct {
+type pinnedTable struct {
 	platform.Table
 	rows map[table.Key]table.Row
-	// extend adds to a transaction, on rows that it reads itself.
-	extend func(ctx context.Context, t *table.Transaction) error
+	// addWrites adds to a transaction, on rows that it reads itself.
+	addWrites func(ctx context.Context, t *table.Transaction) error
 }
 
 // pin reads the head and the row of key, in this order, so that whoever changes
 // the row later has a version above the head's.
-func (p *pinned) pin(ctx context.Context, key table.Key) (table.Row, error) {
+func (p *pinnedTable) pin(ctx context.Context, key table.Key) (table.Row, error) {
 	p.rows = map[table.Key]table.Row{}
 	for _, k := range []table.Key{table.ConfigHead, key} {
 		row, err := p.Table.Read(ctx, k)
@@ -183,16 +183,16 @@
 	return p.rows[key], nil
 }
 
-// keep lets the next read of row's key return row. Without pinned rows, as in a test,
+// pinRow lets the next read of row's key return row. Without pinned rows, as in a test,
 // it does nothing.
-func (p *pinned) keep(row table.Row) {
+func (p *pinnedTable) pinRow(row table.Row) {
 	if p.rows != nil {
 		p.rows[row.Key] = row
 	}
 }
 
 // Read implements platform.Table.
-func (p *pinned) Read(ctx context.Context, key table.Key) (table.Row, error) {
+func (p *pinnedTable) Read(ctx context.Context, key table.Key) (table.Row, error) {
 	if row, ok := p.rows[key]; ok {
 		delete(p.rows, key)
 		return row, nil
@@ -201,8 +201,8 @@
 }
 
 // Transact implements platform.Table.
-func (p *pinned) Transact(ctx context.Context, t table.Transaction) error {
-	if err := p.extend(ctx, &t); err != nil {
+func (p *pinnedTable) Transact(ctx context.Context, t table.Transaction) error {
+	if err := p.addWrites(ctx, &t); err != nil {
 		// Nothing was sent; any other error would count as a lost answer.
 		return errors.Wrap(table.ErrUnreachable, err.Error())
 	}
--- a/io/operator/error.go
+++ b/io/operator/error.go
@@ -28,20 +28,20 @@
 
 // toConnect turns err into a connect error with its numbered code as a detail.
 func toConnect(err error) error {
-	e := asError(err)
+	e := toCoreError(err)
 	code, ok := connectCodes[e.Code]
 	if !ok {
 		code = connect.CodeInternal
 	}
 	ce := connect.NewError(code, e)
-	m := &pb.ErrorDetail{Code: uint32(e.Code), CodeName: e.Code.String(), Detail: e.Detail, ComeBackAt: stamp(e.ComeBackAt)}
+	m := &pb.ErrorDetail{Code: uint32(e.Code), CodeName: e.Code.String(), Detail: e.Detail, ComeBackAt: toTimestamp(e.ComeBackAt)}
 	if detail, err := connect.NewErrorDetail(m); err == nil {
 		ce.AddDetail(detail)
 	}
 	return ce
 }
 
-func asError(err error) *core.Error {
+func toCoreError(err error) *core.Error {
 	var e *core.Error
 	switch {
 	case errors.As(err, &e):
@@ -66,20 +66,20 @@
 			continue
 		}
 		if m, ok := value.(*pb.ErrorDetail); ok {
-			return &core.Error{Code: core.Code(m.Code), Detail: m.Detail, ComeBackAt: instant(m.ComeBackAt)}, true
+			return &core.Error{Code: core.Code(m.Code), Detail: m.Detail, ComeBackAt: toTime(m.ComeBackAt)}, true
 		}
 	}
 	return nil, false
 }
 
-func stamp(t time.Time) *timestamppb.Timestamp {
+func toTimestamp(t time.Time) *timestamppb.Timestamp {
 	if t.IsZero() {
 		return nil
 	}
 	return timestamppb.New(t)
 }
 
-func instant(t *timestamppb.Timestamp) time.Time {
+func toTime(t *timestamppb.Timestamp) time.Time {
 	if t == nil {
 		return time.Time{}
 	}
--- a/io/operator/export.go
+++ b/io/operator/export.go
@@ -15,8 +15,8 @@
 	"lavenderpond/io/supervisor"
 )
 
-// exportRow holds how far the audit was copied to the object store.
-const exportRow table.Key = "export/audit"
+// exportProgressKey holds how far the audit was copied to the object store.
+const exportProgressKey table.Key = "export/audit"
 
 // DefaultExportInterval is the time between two looks for new audit records. With
 // all entries at work it costs the table two reads an entry.
@@ -25,11 +25,11 @@
 // exportBatch bounds the records that one round copies.
 const exportBatch = 200
 
-// exported is the value of exportRow.
-type exported struct {
-	// Version is the last record that the object store has, Deleted the last that the
+// exportProgress is the value of exportRow.
+type exportProgress struct {
+	// Copied is the last record that the object store has, Deleted the last that the
 	// table no longer has.
-	Version core.Version `json:"version"`
+	Copied  core.Version `json:"version"`
 	Deleted core.Version `json:"deleted,omitempty"`
 	// DeleteAt is when the record after Deleted may be deleted; zero if not known yet.
 	DeleteAt time.Time `json:"delete_at,omitzero"`
@@ -48,12 +48,12 @@
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
-	// deleted is the mark's Deleted as this exporter last saw or set it.
-	deleted core.Version
+	// lastDeleted is the mark's Deleted as this exporter last saw or set it.
+	lastDeleted core.Version
 
 	// Switched on in tests only, to see the safeguards fail: the mark moves before the
 	// objects are stored; records are deleted unread, early, or apart from the mark.
-	markFirst, deleteUnread, deleteEarly, deleteApart bool
+	saveProgressFirst, deleteUnverified, deleteEarly, deleteSeparately bool
 }
 
 // AuditObject returns the name of the object that holds the record of v.
@@ -68,7 +68,7 @@
 	return supervisor.Child{Name: "audit_export", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, interval, func(ctx context.Context) {
 			if err := e.Round(ctx); err != nil {
-				e.Log.Debug().Err(err).Str("code", asError(err).Code.String()).Msg("audit not exported")
+				e.Log.Debug().Err(err).Str("code", toCoreError(err).Code.String()).Msg("audit not exported")
 			}
 		})
 	}}
@@ -78,18 +78,18 @@
 // whose time is over.
 func (e *Exporter) Round(ctx context.Context) error {
 	var head config.Head
-	var mark exported
-	if _, err := e.read(ctx, table.ConfigHead, &head); err != nil {
+	var progress exportProgress
+	if _, err := e.readRow(ctx, table.ConfigHead, &head); err != nil {
 		return err
 	}
-	row, err := e.read(ctx, exportRow, &mark)
+	row, err := e.readRow(ctx, exportProgressKey, &progress)
 	if err != nil {
 		return err
 	}
-	if mark.Version < head.Version {
-		err = e.export(ctx, row, mark, head.Version)
+	if progress.Copied < head.Version {
+		err = e.export(ctx, row, progress, head.Version)
 	} else {
-		err = e.delete(ctx, row, mark)
+		err = e.deleteExpired(ctx, row, progress)
 	}
 	if errors.Is(err, table.ErrConflict) {
 		// Another entry's exporter was faster.
@@ -103,19 +103,19 @@
 // The mark moves only after the objects are stored. Moved first, an exporter that
 // ends in between, or an object store that is down, would leave a gap that nobody
 // fills, and the monitor would miss an accepted change.
-func (e *Exporter) export(ctx context.Context, row table.Row, mark exported, head core.Version) error {
-	first, last := mark.Version+1, min(head, mark.Version+exportBatch)
-	mark.Version = last
-	if e.markFirst {
-		return firstError(e.mark(ctx, row, mark), e.copy(ctx, first, last))
+func (e *Exporter) export(ctx context.Context, row table.Row, progress exportProgress, head core.Version) error {
+	first, last := progress.Copied+1, min(head, progress.Copied+exportBatch)
+	progress.Copied = last
+	if e.saveProgressFirst {
+		return firstError(e.saveProgress(ctx, row, progress), e.copyRecords(ctx, first, last))
 	}
-	if err := e.copy(ctx, first, last); err != nil {
+	if err := e.copyRecords(ctx, first, last); err != nil {
 		return err
 	}
-	return e.mark(ctx, row, mark)
+	return e.saveProgress(ctx, row, progress)
 }
 
-func (e *Exporter) copy(ctx context.Context, first, last core.Version) error {
+func (e *Exporter) copyRecords(ctx context.Context, first, last core.Version) error {
 	for v := first; v <= last; v++ {
 		row, err := e.Table.Read(ctx, table.AuditKey(v))
 		if err != nil {
@@ -131,16 +131,16 @@
 	return nil
 }
 
-func (e *Exporter) mark(ctx context.Context, row table.Row, mark exported) error {
+func (e *Exporter) saveProgress(ctx context.Context, row table.Row, progress exportProgress) error {
 	var t table.Transaction
 	t.Check(row)
-	if err := t.Set(exportRow, mark); err != nil {
+	if err := t.Set(exportProgressKey, progress); err != nil {
 		return err
 	}
 	return e.Table.Transact(ctx, t)
 }
 
-func (e *Exporter) read(ctx context.Context, key table.Key, value any) (table.Row, error) {
+func (e *Exporter) readRow(ctx context.Context, key table.Key, value any) (table.Row, error) {
 	row, err := e.Table.Read(ctx, key)
 	if err != nil {
 		return row, err
--- a/io/operator/export_delete.go
+++ b/io/operator/export_delete.go
@@ -20,7 +20,7 @@
 	deleteMargin = time.Minute
 )
 
-// delete deletes the audit records whose time is over, oldest first, each together
+// deleteExpired deletes the audit records whose time is over, oldest first, each together
 // with the record of its change id. Without it the table would grow by 8,600 rows a
 // day at 4,300 changes.
 //
@@ -31,34 +31,34 @@
 // While the mark moves between two rounds, another entry's exporter is at work, and
 // this one leaves it alone: all entries together would read a backlog's records for
 // nothing, some 70 reads a second with 30 entries.
-func (e *Exporter) delete(ctx context.Context, row table.Row, mark exported) error {
-	if mark.Deleted >= mark.Version || e.now().Before(mark.DeleteAt) {
+func (e *Exporter) deleteExpired(ctx context.Context, row table.Row, progress exportProgress) error {
+	if progress.Deleted >= progress.Copied || e.now().Before(progress.DeleteAt) {
 		return nil
 	}
-	if mark.Deleted != e.deleted {
-		e.deleted = mark.Deleted
+	if progress.Deleted != e.lastDeleted {
+		e.lastDeleted = progress.Deleted
 		return nil
 	}
 	var t table.Transaction
-	deleted, deleteAt, err := e.gather(ctx, &t, mark)
-	if deleted == mark.Deleted && deleteAt.IsZero() {
+	deleted, deleteAt, err := e.collectDeletions(ctx, &t, progress)
+	if deleted == progress.Deleted && deleteAt.IsZero() {
 		return err
 	}
 	// What was gathered before an error is certain, and goes.
-	mark.Deleted, mark.DeleteAt = deleted, deleteAt
-	if err := e.commit(ctx, row, mark, t); err != nil {
+	progress.Deleted, progress.DeleteAt = deleted, deleteAt
+	if err := e.commitDeletions(ctx, row, progress, t); err != nil {
 		return err
 	}
-	e.deleted = deleted
+	e.lastDeleted = deleted
 	return nil
 }
 
-// gather adds the deletions to t. It returns the last version among them, or that of
+// collectDeletions adds the deletions to t. It returns the last version among them, or that of
 // the mark, and when the next one may go if that lies ahead.
-func (e *Exporter) gather(ctx context.Context, t *table.Transaction, mark exported) (core.Version, time.Time, error) {
-	last := min(mark.Version, mark.Deleted+deleteBatch)
-	for v := mark.Deleted + 1; v <= last; v++ {
-		deleteAt, err := e.deleteOne(ctx, t, v)
+func (e *Exporter) collectDeletions(ctx context.Context, t *table.Transaction, progress exportProgress) (core.Version, time.Time, error) {
+	last := min(progress.Copied, progress.Deleted+deleteBatch)
+	for v := progress.Deleted + 1; v <= last; v++ {
+		deleteAt, err := e.addDeletion(ctx, t, v)
 		if err != nil || !deleteAt.IsZero() {
 			return v - 1, deleteAt, err
 		}
@@ -66,34 +66,34 @@
 	return last, time.Time{}, nil
 }
 
-func (e *Exporter) commit(ctx context.Context, row table.Row, mark exported, t table.Transaction) error {
-	if e.deleteApart {
-		return firstError(e.mark(ctx, row, mark), e.Table.Transact(ctx, t))
+func (e *Exporter) commitDeletions(ctx context.Context, row table.Row, progress exportProgress, t table.Transaction) error {
+	if e.deleteSeparately {
+		return firstError(e.saveProgress(ctx, row, progress), e.Table.Transact(ctx, t))
 	}
 	t.Check(row)
-	if err := t.Set(exportRow, mark); err != nil {
+	if err := t.Set(exportProgressKey, progress); err != nil {
 		return err
 	}
 	return e.Table.Transact(ctx, t)
 }
 
-// deleteOne adds to t the deletion of version v's records. If it isn't time yet, it
+// addDeletion adds to t the deletion of version v's records. If it isn't time yet, it
 // adds nothing and returns when it is.
-func (e *Exporter) deleteOne(ctx context.Context, t *table.Transaction, v core.Version) (time.Time, error) {
+func (e *Exporter) addDeletion(ctx context.Context, t *table.Transaction, v core.Version) (time.Time, error) {
 	var audit config.AuditRecord
-	auditRow, err := e.read(ctx, table.AuditKey(v), &audit)
+	auditRow, err := e.readRow(ctx, table.AuditKey(v), &audit)
 	if err != nil || auditRow.Version == 0 {
 		return time.Time{}, err
 	}
 	var record config.ChangeRecord
-	recordRow, err := e.read(ctx, table.ChangeKey(audit.Change), &record)
+	recordRow, err := e.readRow(ctx, table.ChangeKey(audit.Change), &record)
 	if err != nil {
 		return time.Time{}, err
 	}
 	if at := e.deleteAt(audit, record); e.now().Before(at) {
 		return at, nil
 	}
-	if err := e.readBack(ctx, v, auditRow.Value); err != nil {
+	if err := e.verifyStored(ctx, v, auditRow.Value); err != nil {
 		return time.Time{}, err
 	}
 	t.Check(auditRow)
@@ -122,11 +122,11 @@
 	return until.Add(deleteMargin)
 }
 
-// readBack makes sure that the object store has the record of v. What the store lost
+// verifyStored makes sure that the object store has the record of v. What the store lost
 // or cut since it was copied would else be gone for good, and the monitor would miss an
 // accepted change. It is stored again, and read back in a later round.
-func (e *Exporter) readBack(ctx context.Context, v core.Version, value []byte) error {
-	if e.deleteUnread {
+func (e *Exporter) verifyStored(ctx context.Context, v core.Version, value []byte) error {
+	if e.deleteUnverified {
 		return nil
 	}
 	data, err := e.Objects.Get(ctx, AuditObject(v))
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -14,14 +14,14 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// exportRun is a history with two exporters, and all audit records that it ever had.
-type exportRun struct {
+// exportSimulation is a history with two exporters, and all audit records that it ever had.
+type exportSimulation struct {
 	*history
 	now       time.Time
 	store     *fakeObjects
 	exporters [2]*Exporter
 	accepted  map[core.Version]acceptedChange
-	fault     string
+	violation string
 }
 
 type acceptedChange struct {
@@ -29,74 +29,74 @@
 	audit config.AuditRecord
 }
 
-func newExportRun(seed uint64, with Exporter) *exportRun {
-	r := &exportRun{history: newHistory(seed, &Server{}), now: start, accepted: map[core.Version]acceptedChange{}}
+func newExportSimulation(seed uint64, template Exporter) *exportSimulation {
+	r := &exportSimulation{history: newHistory(seed, &Server{}), now: startTime, accepted: map[core.Version]acceptedChange{}}
 	clock := func() time.Time { return r.now }
 	r.s.Now = clock
-	r.store = &fakeObjects{table: r.t, objects: map[string]string{}, forgets: true}
-	with.Table, with.Objects, with.Now = r.t, r.store, clock
+	r.store = &fakeObjects{table: r.t, objects: map[string]string{}, losesObjects: true}
+	template.Table, template.Objects, template.Now = r.t, r.store, clock
 	for i := range r.exporters {
-		e := with
-		r.exporters[i] = &e
+		exporter := template
+		r.exporters[i] = &exporter
 	}
-	r.t.between = func() {
+	r.t.interleave = func() {
 		if r.t.rand.IntN(2) == 0 {
-			r.random()
+			r.randomChange()
 		} else {
-			r.export()
+			r.exportRound()
 		}
 	}
 	return r
 }
 
-func (r *exportRun) export() {
-	r.look()
+func (r *exportSimulation) exportRound() {
+	r.checkRecords()
 	_ = r.exporters[r.t.rand.IntN(2)].Round(context.Background())
-	r.look()
+	r.checkRecords()
 }
 
-// look remembers the records in the table and finds what is wrong: a record that is
+// checkRecords remembers the records in the table and finds what is wrong: a record that is
 // nowhere, or one of a change id that went before its time.
-func (r *exportRun) look() {
+func (r *exportSimulation) checkRecords() {
 	for v := core.Version(len(r.accepted) + 1); ; v++ {
 		c := acceptedChange{row: r.t.rows.Read(table.AuditKey(v))}
 		if c.row.Version == 0 {
 			break
 		}
 		if err := c.row.Decode(&c.audit); err != nil {
-			r.fault = err.Error()
+			r.violation = err.Error()
 		}
 		r.accepted[v] = c
 	}
 	for v, c := range r.accepted {
 		kept := r.t.rows.Read(c.row.Key).Version > 0
 		if !kept && r.store.objects[AuditObject(v)] != string(c.row.Value) {
-			r.fault = "an accepted change is neither in the table nor in the object store"
+			r.violation = "an accepted change is neither in the table nor in the object store"
 		}
-		early := r.now.Before(c.audit.At.Add(config.RecordRetention))
-		if early && r.t.rows.Read(table.ChangeKey(c.audit.Change)).Version == 0 {
-			r.fault = "a change id was forgotten before its time"
+		retained := r.now.Before(c.audit.At.Add(config.RecordRetention))
+		if retained && r.t.rows.Read(table.ChangeKey(c.audit.Change)).Version == 0 {
+			r.violation = "a change id was forgotten before its time"
 		}
 	}
 }
 
 // run lets hours pass, then days without faults, and returns what is wrong.
-func (r *exportRun) run() string {
+func (r *exportSimulation) run() string {
 	for range 30 {
-		r.random()
-		r.export()
+		r.randomChange()
+		r.exportRound()
 		r.now = r.now.Add(time.Duration(r.t.rand.IntN(4)) * time.Hour)
 	}
-	r.t.quiet = true
+	r.t.faultless = true
 	for range 20 {
 		r.now = r.now.Add(config.RecordRetention)
-		r.export()
+		r.exportRound()
 	}
-	left := len(r.t.rows.Scan(table.PrefixAudit)) + len(r.t.rows.Scan(table.PrefixChange))
-	if r.fault == "" && left > 0 {
+	remaining := len(r.t.rows.Scan(table.PrefixAudit)) + len(r.t.rows.Scan(table.PrefixChange))
+	if r.violation == "" && remaining > 0 {
 		return "rows stay for ever"
 	}
-	return r.fault
+	return r.violation
 }
 
 // TestExportDeletes: the monitor would miss a change for good, an operator's repeated
@@ -108,73 +108,75 @@
 func TestExportDeletes(t *testing.T) {
 	const runs = 150
 	for seed := range uint64(runs) {
-		if fault := newExportRun(seed, Exporter{}).run(); fault != "" {
+		if fault := newExportSimulation(seed, Exporter{}).run(); fault != "" {
 			t.Fatalf("seed %d: %s", seed, fault)
 		}
 	}
 	for name, broken := range map[string]Exporter{
-		"deleteUnread": {deleteUnread: true}, "deleteEarly": {deleteEarly: true}, "deleteApart": {deleteApart: true},
+		"deleteUnread": {deleteUnverified: true}, "deleteEarly": {deleteEarly: true}, "deleteApart": {deleteSeparately: true},
 	} {
-		red, last := 0, ""
+		failing, example := 0, ""
 		for seed := range uint64(runs) {
-			if fault := newExportRun(seed, broken).run(); fault != "" {
-				red, last = red+1, fault
+			if fault := newExportSimulation(seed, broken).run(); fault != "" {
+				failing, example = failing+1, fault
 			}
 		}
-		t.Logf("%s: %d of %d seeds red: %s", name, red, runs, last)
-		assert.Assert(t, red > 0, "%s: the safeguard is not needed", name)
+		t.Logf("%s: %d of %d seeds red: %s", name, failing, runs, example)
+		assert.Assert(t, failing > 0, "%s: the safeguard is not needed", name)
 	}
 }
 
 // TestExportStoreDown: the object store is down for a month. Nothing is deleted, each
 // record is copied when it is back, and then the old ones go.
 func TestExportStoreDown(t *testing.T) {
-	r := newExportRun(1, Exporter{})
-	r.t.between, r.t.quiet = nil, true
-	r.store.forgets = false
-	down := &brokenObjects{}
-	r.exporters[0].Objects, r.exporters[1].Objects = down, down
+	r := newExportSimulation(1, Exporter{})
+	r.t.interleave, r.t.faultless = nil, true
+	r.store.losesObjects = false
+	unreachable := &unreachableObjects{}
+	r.exporters[0].Objects, r.exporters[1].Objects = unreachable, unreachable
 	for range 30 {
-		r.random()
+		r.randomChange()
 		r.now = r.now.Add(config.RecordRetention)
-		r.export()
+		r.exportRound()
 	}
 	changes := len(r.accepted)
 	assert.Equal(t, len(r.t.rows.Scan(table.PrefixAudit)), changes)
 	assert.Equal(t, len(r.t.rows.Scan(table.PrefixChange)), changes)
-	assert.Assert(t, down.asked > 0)
+	assert.Assert(t, unreachable.puts > 0)
 	r.exporters[0].Objects, r.exporters[1].Objects = r.store, r.store
 	for range 2 + changes/deleteBatch {
-		r.export()
+		r.exportRound()
 	}
-	assert.Equal(t, r.fault, "")
+	assert.Equal(t, r.violation, "")
 	assert.Equal(t, len(r.store.objects), changes)
 	// The last change is a day old, without the margin for clocks.
 	assert.Equal(t, len(r.t.rows.Scan(table.PrefixAudit)), 1)
 }
 
-// brokenObjects is an object store that is down.
-type brokenObjects struct{ asked int }
+// unreachableObjects is an object store that is down.
+type unreachableObjects struct{ puts int }
 
-func (o *brokenObjects) Put(context.Context, string, []byte) error {
-	o.asked++
+func (o *unreachableObjects) Put(context.Context, string, []byte) error {
+	o.puts++
 	return table.ErrUnreachable
 }
 
-func (*brokenObjects) Get(context.Context, string) ([]byte, error) { return nil, table.ErrUnreachable }
+func (*unreachableObjects) Get(context.Context, string) ([]byte, error) {
+	return nil, table.ErrUnreachable
+}
 
-// wholePlatform is a table with the object store beside it, as platform.Client is.
+// tableWithObjects is a table with the object store beside it, as platform.Client is.
 // OnRead runs once, after the read of a row.
-type wholePlatform struct {
+type tableWithObjects struct {
 	*faultyTable
 	*fakeObjects
-	onRead map[table.Key]func()
+	afterRead map[table.Key]func()
 }
 
-func (p *wholePlatform) Read(ctx context.Context, key table.Key) (table.Row, error) {
+func (p *tableWithObjects) Read(ctx context.Context, key table.Key) (table.Row, error) {
 	row, err := p.faultyTable.Read(ctx, key)
-	if f := p.onRead[key]; f != nil {
-		delete(p.onRead, key)
+	if f := p.afterRead[key]; f != nil {
+		delete(p.afterRead, key)
 		f()
 	}
 	return row, err
@@ -187,11 +189,11 @@
 // (the old limit is back), and without the pinned record (the change is made anew, with
 // what its row held at the first time).
 func TestRepeatWhileDeleted(t *testing.T) {
-	repeat := func(with Exporter, after time.Duration, between bool) (config.Team, *pb.ApplyChangeReply) {
-		r := newExportRun(1, with)
-		r.t.between, r.t.quiet = nil, true
-		r.store.forgets = false
-		p := &wholePlatform{faultyTable: r.t, fakeObjects: r.store, onRead: map[table.Key]func(){}}
+	repeat := func(template Exporter, after time.Duration, deleteDuringRepeat bool) (config.Team, *pb.ApplyChangeReply) {
+		r := newExportSimulation(1, template)
+		r.t.interleave, r.t.faultless = nil, true
+		r.store.losesObjects = false
+		p := &tableWithObjects{faultyTable: r.t, fakeObjects: r.store, afterRead: map[table.Key]func(){}}
 		r.s.Table = p
 		apply := func(id string, share, limit *int32) *pb.ApplyChangeReply {
 			m := &pb.ApplyChangeRequest{ChangeId: id, Author: "ana", Change: &pb.ApplyChangeRequest_SetTeam{
@@ -202,12 +204,12 @@
 		}
 		apply("lost", nil, ptr(40))
 		apply("later", ptr(3), ptr(60))
-		r.export()
+		r.exportRound()
 		r.now = r.now.Add(after)
-		if between {
-			p.onRead[table.ChangeKey("lost")] = r.export
+		if deleteDuringRepeat {
+			p.afterRead[table.ChangeKey("lost")] = r.exportRound
 		} else {
-			r.export()
+			r.exportRound()
 		}
 		reply := apply("lost", nil, ptr(40))
 		var team config.Team
@@ -215,8 +217,8 @@
 		return team, reply
 	}
 	latest := config.Team{Share: 3, Limit: 60}
-	for _, between := range []bool{false, true} {
-		team, reply := repeat(Exporter{}, config.RecordRetention-time.Second, between)
+	for _, deleteDuringRepeat := range []bool{false, true} {
+		team, reply := repeat(Exporter{}, config.RecordRetention-time.Second, deleteDuringRepeat)
 		assert.Assert(t, reply.Repeated)
 		assert.Equal(t, team, latest)
 	}
@@ -235,10 +237,10 @@
 // TestListAuditDeleted: an operator lists changes older than what the table keeps, and
 // sees them as before they were deleted there.
 func TestListAuditDeleted(t *testing.T) {
-	r := newExportRun(2, Exporter{})
-	r.t.between, r.t.quiet = nil, true
-	r.store.forgets = false
-	r.s.Table = &wholePlatform{faultyTable: r.t, fakeObjects: r.store}
+	r := newExportSimulation(2, Exporter{})
+	r.t.interleave, r.t.faultless = nil, true
+	r.store.losesObjects = false
+	r.s.Table = &tableWithObjects{faultyTable: r.t, fakeObjects: r.store}
 	list := func() []*pb.AuditRecord {
 		reply, err := r.s.ListAudit(context.Background(), connect.NewRequest(&pb.ListAuditRequest{Last: 5}))
 		assert.NilError(t, err)
@@ -248,7 +250,7 @@
 	assert.Equal(t, len(before), 5)
 	for range 4 {
 		r.now = r.now.Add(config.RecordRetention)
-		r.export()
+		r.exportRound()
 	}
 	assert.Equal(t, len(r.t.rows.Scan(table.PrefixAudit)), 0)
 	for i, record := range list() {
@@ -256,41 +258,41 @@
 	}
 	// The store loses one of them: the list names it and goes on.
 	delete(r.store.objects, AuditObject(core.Version(before[2].Version)))
-	before[2] = &pb.AuditRecord{Version: before[2].Version, Kind: KindMissing}
+	before[2] = &pb.AuditRecord{Version: before[2].Version, Kind: KindRecordMissing}
 	for i, record := range list() {
 		assert.Equal(t, record.String(), before[i].String())
 	}
 	// An outage of the store is no missing record: the list fails, to be asked again.
 	r.s.Table = struct {
 		*faultyTable
-		*brokenObjects
-	}{r.t, &brokenObjects{}}
+		*unreachableObjects
+	}{r.t, &unreachableObjects{}}
 	_, err := r.s.ListAudit(context.Background(), connect.NewRequest(&pb.ListAuditRequest{Last: 5}))
 	assert.ErrorIs(t, err, table.ErrUnreachable)
 }
 
-// simultaneous lets the next exporter run right before each transaction takes effect,
+// concurrentTable lets the next exporter run right before each transaction takes effect,
 // so that all work on the same mark and one transaction wins. It counts reads.
-type simultaneous struct {
+type concurrentTable struct {
 	*faultyTable
-	next  []*Exporter
-	reads int
+	pendingRounds []*Exporter
+	reads         int
 }
 
-func (s *simultaneous) Read(ctx context.Context, key table.Key) (table.Row, error) {
+func (s *concurrentTable) Read(ctx context.Context, key table.Key) (table.Row, error) {
 	s.reads++
 	return s.faultyTable.Read(ctx, key)
 }
 
-func (s *simultaneous) Transact(ctx context.Context, t table.Transaction) error {
-	s.runNext(ctx)
+func (s *concurrentTable) Transact(ctx context.Context, t table.Transaction) error {
+	s.runPending(ctx)
 	return s.faultyTable.Transact(ctx, t)
 }
 
-func (s *simultaneous) runNext(ctx context.Context) {
-	for len(s.next) > 0 {
-		e := s.next[0]
-		s.next = s.next[1:]
+func (s *concurrentTable) runPending(ctx context.Context) {
+	for len(s.pendingRounds) > 0 {
+		e := s.pendingRounds[0]
+		s.pendingRounds = s.pendingRounds[1:]
 		_ = e.Round(ctx)
 	}
 }
@@ -299,35 +301,35 @@
 // backlog at the same moment. They would all read the same records, delete them once,
 // and again in each round, and take the table's reads from others. After the first
 // round one goes on alone; when it ends, another takes its place.
-func TestExportOneDeletes(t *testing.T) {
+func TestExportSingleDeleter(t *testing.T) {
 	const entries, changes = 30, 8 * deleteBatch
-	r := newExportRun(1, Exporter{})
-	r.t.between, r.t.quiet = nil, true
-	r.store.forgets = false
+	r := newExportSimulation(1, Exporter{})
+	r.t.interleave, r.t.faultless = nil, true
+	r.store.losesObjects = false
 	for range changes {
-		r.random()
+		r.randomChange()
 	}
-	r.export()
+	r.exportRound()
 	r.now = r.now.Add(2 * config.RecordRetention)
-	s := &simultaneous{faultyTable: r.t}
+	s := &concurrentTable{faultyTable: r.t}
 	var all []*Exporter
 	for range entries {
 		all = append(all, &Exporter{Table: s, Objects: r.store, Now: r.exporters[0].Now})
 	}
 	round := func(exporters []*Exporter) int {
-		s.next, s.reads = exporters, 0
-		s.runNext(context.Background())
+		s.pendingRounds, s.reads = exporters, 0
+		s.runPending(context.Background())
 		return s.reads
 	}
-	const look, batch = 2, 2 * deleteBatch
-	assert.Equal(t, round(all), entries*(look+batch))
+	const readsToCheck, readsOfBatch = 2, 2 * deleteBatch
+	assert.Equal(t, round(all), entries*(readsToCheck+readsOfBatch))
 	for range 2 {
-		assert.Equal(t, round(all), entries*look+batch)
+		assert.Equal(t, round(all), entries*readsToCheck+readsOfBatch)
 	}
 	// The last one's transaction took effect first, so it is the one at work. It ends,
 	// and the others see its last work, then that the mark stays.
 	rest := all[:entries-1]
-	assert.Equal(t, round(rest), len(rest)*look)
-	assert.Equal(t, round(rest), len(rest)*(look+batch))
-	assert.Equal(t, round(rest), len(rest)*look+batch)
+	assert.Equal(t, round(rest), len(rest)*readsToCheck)
+	assert.Equal(t, round(rest), len(rest)*(readsToCheck+readsOfBatch))
+	assert.Equal(t, round(rest), len(rest)*readsToCheck+readsOfBatch)
 }
--- a/io/operator/export_test.go
+++ b/io/operator/export_test.go
@@ -14,16 +14,16 @@
 // fakeObjects is the object store: down at times, and answers are lost. It may also
 // lose what it said it had stored.
 type fakeObjects struct {
-	table   *faultyTable
-	objects map[string]string
-	forgets bool
+	table        *faultyTable
+	objects      map[string]string
+	losesObjects bool
 }
 
 func (o *fakeObjects) Put(_ context.Context, name string, data []byte) error {
 	if o.table.chance(20) {
 		return table.ErrUnreachable
 	}
-	if !o.forgets || !o.table.chance(20) {
+	if !o.losesObjects || !o.table.chance(20) {
 		o.objects[name] = string(data)
 	}
 	if o.table.chance(10) {
@@ -48,33 +48,33 @@
 // change, as the table has it. With the mark moved before the objects are stored,
 // records are missing for good.
 func TestExport(t *testing.T) {
-	missing := func(seed uint64, markFirst bool) int {
+	missing := func(seed uint64, saveProgressFirst bool) int {
 		h := newHistory(seed, &Server{})
 		store := &fakeObjects{table: h.t, objects: map[string]string{}}
 		exporters := []*Exporter{
-			{Table: h.t, Objects: store, Now: h.s.Now, markFirst: markFirst},
-			{Table: h.t, Objects: store, Now: h.s.Now, markFirst: markFirst}}
+			{Table: h.t, Objects: store, Now: h.s.Now, saveProgressFirst: saveProgressFirst},
+			{Table: h.t, Objects: store, Now: h.s.Now, saveProgressFirst: saveProgressFirst}}
 		for range 10 {
-			h.random()
+			h.randomChange()
 			_ = exporters[h.t.rand.IntN(2)].Round(context.Background())
 		}
-		h.t.quiet = true
+		h.t.faultless = true
 		assert.NilError(t, exporters[0].Round(context.Background()))
-		n := 0
+		count := 0
 		for i, r := range h.t.rows.Scan(table.PrefixAudit) {
 			if store.objects[AuditObject(core.Version(i+1))] != string(r.Value) {
-				n++
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	red := 0
-	for seed := range uint64(seeds) {
+	failing := 0
+	for seed := range uint64(seedCount) {
 		assert.Equal(t, missing(seed, false), 0, "seed %d", seed)
 		if missing(seed, true) > 0 {
-			red++
+			failing++
 		}
 	}
-	t.Logf("markFirst: %d of %d seeds red", red, seeds)
-	assert.Assert(t, red > 0, "the safeguard is not needed")
+	t.Logf("markFirst: %d of %d seeds red", failing, seedCount)
+	assert.Assert(t, failing > 0, "the safeguard is not needed")
 }
--- a/io/operator/lists.go
+++ b/io/operator/lists.go
@@ -18,27 +18,27 @@
 
 // Prefixes of the rows of each list.
 var (
-	teamRows      = string(table.TeamKey(""))
-	poolRows      = string(table.PoolConfigKey(""))
-	queueRows     = string(table.QueueKey(""))
-	exceptionRows = string(table.ExceptionKey(""))
+	teamPrefix      = string(table.TeamKey(""))
+	poolPrefix      = string(table.PoolConfigKey(""))
+	queuePrefix     = string(table.QueueKey(""))
+	exceptionPrefix = string(table.ExceptionKey(""))
 )
 
 // ListTeams implements OperatorService.
 func (s *Server) ListTeams(ctx context.Context, _ *connect.Request[pb.ListTeamsRequest]) (*connect.Response[pb.ListTeamsReply], error) {
-	rows, view, err := s.scanConfig(ctx, teamRows)
+	rows, view, err := s.scanConfig(ctx, teamPrefix)
 	if err != nil {
 		return nil, err
 	}
 	reply := &pb.ListTeamsReply{View: view}
-	loads := map[string]*pb.Team{}
+	byName := map[string]*pb.Team{}
 	for _, r := range rows {
 		var t config.Team
 		if err := r.Decode(&t); err != nil {
 			return nil, err
 		}
-		m := &pb.Team{Team: nameIn(r, teamRows), Share: int32(t.Share), Limit: int32(t.Limit), RowVersion: uint64(r.Version)}
-		loads[m.Team] = m
+		m := &pb.Team{Team: rowName(r, teamPrefix), Share: int32(t.Share), Limit: int32(t.Limit), RowVersion: uint64(r.Version)}
+		byName[m.Team] = m
 		reply.Teams = append(reply.Teams, m)
 	}
 	for _, e := range s.Backend.Fleet(ctx) {
@@ -46,7 +46,7 @@
 			reply.Unreachable = append(reply.Unreachable, string(e.Entry))
 		}
 		for _, l := range e.Teams {
-			if m := loads[string(l.Team)]; m != nil {
+			if m := byName[string(l.Team)]; m != nil {
 				m.Running += int32(l.Running)
 				m.Queued += int32(l.Queued)
 			}
@@ -57,7 +57,7 @@
 
 // ListPools implements OperatorService.
 func (s *Server) ListPools(ctx context.Context, _ *connect.Request[pb.ListPoolsRequest]) (*connect.Response[pb.ListPoolsReply], error) {
-	rows, _, err := s.Table.Scan(ctx, poolRows)
+	rows, _, err := s.Table.Scan(ctx, poolPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 		if err := r.Decode(&p); err != nil {
 			return nil, err
 		}
-		name := nameIn(r, poolRows)
+		name := rowName(r, poolPrefix)
 		state := states[core.PoolID(name)]
 		failed := state.Failed()
 		reply.Pools = append(reply.Pools, &pb.Pool{
@@ -112,7 +112,7 @@
 		}
 		reply.Vms = append(reply.Vms, &pb.VM{
 			Zone: string(v.Zone), Vm: string(v.Ref.VM), Pool: string(v.VM.Pool), State: v.VM.State.String(), Rack: string(v.VM.Rack),
-			Address: v.VM.Address, Slots: int32(v.VM.Slots), Connections: int32(v.VM.Connections), Since: stamp(v.VM.Since),
+			Address: v.VM.Address, Slots: int32(v.VM.Slots), Connections: int32(v.VM.Connections), Since: toTimestamp(v.VM.Since),
 			MoveTo: string(v.VM.MoveTo), Wave: v.VM.Wave,
 		})
 	}
@@ -121,7 +121,7 @@
 
 // ListQueues implements OperatorService.
 func (s *Server) ListQueues(ctx context.Context, _ *connect.Request[pb.ListQueuesRequest]) (*connect.Response[pb.ListQueuesReply], error) {
-	rows, view, err := s.scanConfig(ctx, queueRows)
+	rows, view, err := s.scanConfig(ctx, queuePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 			return nil, err
 		}
 		reply.Queues = append(reply.Queues, &pb.Queue{
-			Queue: nameIn(r, queueRows), Pool: string(q.Pool), Overflow: q.Overflow, MaxQueued: int32(q.MaxQueued), RowVersion: uint64(r.Version),
+			Queue: rowName(r, queuePrefix), Pool: string(q.Pool), Overflow: q.Overflow, MaxQueued: int32(q.MaxQueued), RowVersion: uint64(r.Version),
 		})
 	}
 	return connect.NewResponse(reply), nil
@@ -169,7 +169,7 @@
 			return nil, err
 		}
 		if r.Msg.Team == "" || r.Msg.Team == string(k.Team) {
-			reply.Keys = append(reply.Keys, &pb.TeamKey{Digest: nameIn(row, table.PrefixKey), Team: string(k.Team), Withdrawn: k.Withdrawn})
+			reply.Keys = append(reply.Keys, &pb.TeamKey{Digest: rowName(row, table.PrefixKey), Team: string(k.Team), Withdrawn: k.Withdrawn})
 		}
 	}
 	return connect.NewResponse(reply), nil
@@ -177,7 +177,7 @@
 
 // ListExceptions implements OperatorService.
 func (s *Server) ListExceptions(ctx context.Context, _ *connect.Request[pb.ListExceptionsRequest]) (*connect.Response[pb.ListExceptionsReply], error) {
-	rows, view, err := s.scanConfig(ctx, exceptionRows)
+	rows, view, err := s.scanConfig(ctx, exceptionPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 			return nil, err
 		}
 		m := &pb.Exception{
-			Id: nameIn(r, exceptionRows), Scope: e.Scope, Reason: e.Reason, Author: e.Author, End: stamp(e.End),
+			Id: rowName(r, exceptionPrefix), Scope: e.Scope, Reason: e.Reason, Author: e.Author, End: toTimestamp(e.End),
 			Ended: !e.End.After(s.now()), Value: map[string]int32{},
 		}
 		for name, n := range e.Value {
@@ -201,14 +201,14 @@
 
 // Bounds of ListAudit: the whole audit grows without end.
 const (
-	defaultLast = 50
-	maxLast     = 1000
+	defaultAuditCount = 50
+	maxAuditCount     = 1000
 )
 
-// KindMissing stands in an audit list for a change whose record neither the table nor
+// KindRecordMissing stands in an audit list for a change whose record neither the table nor
 // the object store has any more. Without it one lost record would end the whole list,
 // and an operator would wait for a platform that is up.
-const KindMissing = "record_missing"
+const KindRecordMissing = "record_missing"
 
 // ListAudit implements OperatorService.
 func (s *Server) ListAudit(ctx context.Context, r *connect.Request[pb.ListAuditRequest]) (*connect.Response[pb.ListAuditReply], error) {
@@ -222,12 +222,12 @@
 	}
 	last := core.Version(r.Msg.Last)
 	if last == 0 {
-		last = defaultLast
+		last = defaultAuditCount
 	}
-	last = min(last, maxLast, head.Version)
+	last = min(last, maxAuditCount, head.Version)
 	reply := &pb.ListAuditReply{}
 	for v := head.Version - last + 1; v <= head.Version; v++ {
-		record, err := s.auditRecord(ctx, v)
+		record, err := s.auditMessage(ctx, v)
 		if err != nil {
 			return nil, err
 		}
@@ -236,20 +236,20 @@
 	return connect.NewResponse(reply), nil
 }
 
-func (s *Server) auditRecord(ctx context.Context, v core.Version) (*pb.AuditRecord, error) {
-	a, err := s.audit(ctx, v)
+func (s *Server) auditMessage(ctx context.Context, v core.Version) (*pb.AuditRecord, error) {
+	a, err := s.findAuditRecord(ctx, v)
 	if errors.Is(err, platform.ErrNoObject) {
-		return &pb.AuditRecord{Version: uint64(v), Kind: KindMissing}, nil
+		return &pb.AuditRecord{Version: uint64(v), Kind: KindRecordMissing}, nil
 	}
 	return &pb.AuditRecord{
-		Version: uint64(v), ChangeId: string(a.Change), Author: a.Author, At: stamp(a.At), Kind: a.Kind, Reason: a.Reason,
+		Version: uint64(v), ChangeId: string(a.Change), Author: a.Author, At: toTimestamp(a.At), Kind: a.Kind, Reason: a.Reason,
 		Row: strings.TrimSpace(string(a.Key)), Before: string(a.Before), After: string(a.After),
 	}, err
 }
 
-// audit returns the record of version v, from the table, or from the object store if
+// findAuditRecord returns the record of version v, from the table, or from the object store if
 // the table no longer keeps it.
-func (s *Server) audit(ctx context.Context, v core.Version) (config.AuditRecord, error) {
+func (s *Server) findAuditRecord(ctx context.Context, v core.Version) (config.AuditRecord, error) {
 	var a config.AuditRecord
 	row, err := s.Table.Read(ctx, table.AuditKey(v))
 	if err != nil || row.Version > 0 {
--- a/io/operator/note.go
+++ b/io/operator/note.go
@@ -11,10 +11,10 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// noteOn tells what an operator should know after c. A limit below what runs
+// changeNote tells what an operator should know after c. A limit below what runs
 // stops nothing that runs; the note shows how far the team still is above it.
-func (s *Server) noteOn(ctx context.Context, c config.Change, m *pb.ApplyChangeRequest) string {
-	if note := s.unsetName(ctx, c); note != "" {
+func (s *Server) changeNote(ctx context.Context, c config.Change, m *pb.ApplyChangeRequest) string {
+	if note := s.missingReferenceNote(ctx, c); note != "" {
 		return note
 	}
 	t, ok := c.(config.SetTeam)
@@ -44,47 +44,47 @@
 	return note
 }
 
-// unsetName tells of a name in c that nothing is set under. It may be misspelt: the key,
+// missingReferenceNote tells of a name in c that nothing is set under. It may be misspelt: the key,
 // queue or exception is then accepted, and has no effect that anybody sees. It is no
 // refusal, since rows may be set in any order.
-func (s *Server) unsetName(ctx context.Context, c config.Change) string {
+func (s *Server) missingReferenceNote(ctx context.Context, c config.Change) string {
 	switch c := c.(type) {
 	case config.GrantKey:
-		return s.noteUnset(ctx, table.TeamKey(c.Team), "the key works once it is")
+		return s.missingRowNote(ctx, table.TeamKey(c.Team), "the key works once it is")
 	case config.SetQueue:
 		if c.Value.Pool == "" {
 			return ""
 		}
-		return s.noteUnset(ctx, table.PoolConfigKey(c.Value.Pool), "the queue's requests find no VM until it is")
+		return s.missingRowNote(ctx, table.PoolConfigKey(c.Value.Pool), "the queue's requests find no VM until it is")
 	case config.AddException:
 		if c.Scope == table.ConfigDefaults {
 			return ""
 		}
-		return s.noteUnset(ctx, c.Scope, "the exception changes nothing until it is")
+		return s.missingRowNote(ctx, c.Scope, "the exception changes nothing until it is")
 	default:
 		return ""
 	}
 }
 
-// noteUnset returns a note if there is no row of key. One that can't be read gives none:
+// missingRowNote returns a note if there is no row of key. One that can't be read gives none:
 // the change itself was made.
-func (s *Server) noteUnset(ctx context.Context, key table.Key, until string) string {
+func (s *Server) missingRowNote(ctx context.Context, key table.Key, consequence string) string {
 	row, err := s.Table.Read(ctx, key)
 	if err != nil || row.Version > 0 {
 		return ""
 	}
-	return fmt.Sprintf("no %s is set; %s", strings.TrimPrefix(string(key), table.PrefixConfig), until)
+	return fmt.Sprintf("no %s is set; %s", strings.TrimPrefix(string(key), table.PrefixConfig), consequence)
 }
 
-// noteOnZone tells that no entry of the zone has ever stated its address. The zone may be
+// unknownZoneNote tells that no entry of the zone has ever stated its address. The zone may be
 // misspelt, and nothing would then drain, check or maintain its VMs.
-func (s *Server) noteOnZone(ctx context.Context, a admin) string {
+func (s *Server) unknownZoneNote(ctx context.Context, c fleetChange) string {
 	zone := ""
-	switch a := a.(type) {
+	switch c := c.(type) {
 	case addVM:
-		zone = a.Zone
-	case wave:
-		zone = a.zone
+		zone = c.Zone
+	case waveChange:
+		zone = c.zone
 	}
 	if zone == "" {
 		return ""
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -20,8 +20,8 @@
 	"lavenderpond/io/platform"
 )
 
-// maxRequest bounds an operator's request, in bytes.
-const maxRequest = 1 << 20
+// maxRequestBytes bounds an operator's request, in bytes.
+const maxRequestBytes = 1 << 20
 
 // defaultTimeout bounds a request whose caller names no timeout.
 const defaultTimeout = 10 * time.Second
@@ -96,35 +96,35 @@
 // Handler returns the URL path of the service and its HTTP handler.
 func (s *Server) Handler() (string, http.Handler) {
 	path, h := lavenderpondv1connect.NewOperatorServiceHandler(s, connectrpc.Options(),
-		connect.WithReadMaxBytes(maxRequest), connect.WithInterceptors(connect.UnaryInterceptorFunc(s.intercept)))
-	return path, s.guard(connectrpc.LimitBody(h, maxRequest))
+		connect.WithReadMaxBytes(maxRequestBytes), connect.WithInterceptors(connect.UnaryInterceptorFunc(s.intercept)))
+	return path, s.requireKey(connectrpc.LimitBody(h, maxRequestBytes))
 }
 
-// guard lets in only who has the operator key, before anything is read of a body.
-func (s *Server) guard(next http.Handler) http.Handler {
-	refuse := connect.NewErrorWriter()
+// requireKey lets in only who has the operator key, before anything is read of a body.
+func (s *Server) requireKey(next http.Handler) http.Handler {
+	errorWriter := connect.NewErrorWriter()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.authorized(r.Header) {
 			next.ServeHTTP(w, r)
 			return
 		}
 		err := core.Errorf(core.CodeNotAuthorized, "send the operator key as Authorization: Bearer KEY")
-		s.log(r.URL.Path, nil, err)
-		if !refuse.IsSupported(r) {
+		s.logCall(r.URL.Path, nil, err)
+		if !errorWriter.IsSupported(r) {
 			http.Error(w, err.Error(), http.StatusUnauthorized)
 			return
 		}
-		_ = refuse.Write(w, r, toConnect(err))
+		_ = errorWriter.Write(w, r, toConnect(err))
 	})
 }
 
 // intercept gives errors their code and writes the log.
 func (s *Server) intercept(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
-		ctx, cancel := s.shorten(ctx)
+		ctx, cancel := s.shortenDeadline(ctx)
 		defer cancel()
 		resp, err := next(ctx, r)
-		s.log(r.Spec().Procedure, r.Any(), err)
+		s.logCall(r.Spec().Procedure, r.Any(), err)
 		if err != nil {
 			return nil, toConnect(err)
 		}
@@ -132,18 +132,18 @@
 	}
 }
 
-// signed is a request that makes a change.
-type signed interface {
+// changeRequest is a request that makes a change.
+type changeRequest interface {
 	GetChangeId() string
 	GetAuthor() string
 }
 
-func (s *Server) log(procedure string, message any, err error) {
+func (s *Server) logCall(procedure string, message any, err error) {
 	code, line := core.CodeDone, s.Log.Debug()
-	m, isChange := message.(signed)
+	m, isChange := message.(changeRequest)
 	switch {
 	case err != nil:
-		code, line = asError(err).Code, s.Log.Warn().Err(err)
+		code, line = toCoreError(err).Code, s.Log.Warn().Err(err)
 	case isChange:
 		line = s.Log.Info()
 	}
@@ -153,10 +153,10 @@
 	line.Str("call", path.Base(procedure)).Int("code", int(code)).Str("code_name", code.String()).Msg("operator call")
 }
 
-// shorten leaves a fifth of the caller's time for the way back: a command that ran
+// shortenDeadline leaves a fifth of the caller's time for the way back: a command that ran
 // into its own timeout while the table is down could not tell a change that was
 // not made from a lost answer.
-func (s *Server) shorten(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *Server) shortenDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithTimeout(ctx, defaultTimeout)
--- a/io/operator/rows.go
+++ b/io/operator/rows.go
@@ -15,13 +15,13 @@
 
 func tableKey(key string) table.Key { return table.Key(key) }
 
-func isAddress(s string) bool {
+func isAddrPort(s string) bool {
 	_, err := netip.ParseAddrPort(s)
 	return err == nil
 }
 
-// poolOf returns the pool whose settings stand under key.
-func poolOf(key table.Key) (core.PoolID, bool) {
+// poolOfConfigKey returns the pool whose settings stand under key.
+func poolOfConfigKey(key table.Key) (core.PoolID, bool) {
 	id, ok := strings.CutPrefix(string(key), string(table.PoolConfigKey("")))
 	return core.PoolID(id), ok
 }
@@ -42,8 +42,8 @@
 	return fleet.DecodeVM(row)
 }
 
-// readMember reads a VM and its pool.
-func (s *Server) readMember(ctx context.Context, key table.Key) (fleet.VMRow, fleet.PoolRow, error) {
+// readVMAndPool reads a VM and its pool.
+func (s *Server) readVMAndPool(ctx context.Context, key table.Key) (fleet.VMRow, fleet.PoolRow, error) {
 	vm, err := s.readVM(ctx, key)
 	if err != nil {
 		return vm, fleet.PoolRow{}, err
@@ -72,5 +72,5 @@
 	return rows, &pb.View{Entry: string(s.Entry), Version: uint64(d.Version)}, nil
 }
 
-// nameIn returns what follows prefix in the key of r.
-func nameIn(r table.Row, prefix string) string { return strings.TrimPrefix(string(r.Key), prefix) }
+// rowName returns what follows prefix in the key of r.
+func rowName(r table.Row, prefix string) string { return strings.TrimPrefix(string(r.Key), prefix) }
--- a/io/operator/status.go
+++ b/io/operator/status.go
@@ -24,7 +24,7 @@
 func describeEntry(e EntryStatus) *pb.EntryStatus {
 	m := &pb.EntryStatus{
 		Zone: string(e.Zone), Entry: string(e.Entry), Reachable: e.Reachable, Version: uint64(e.Version),
-		KeysFreshAt: stamp(e.KeysFreshAt), Shards: int32(e.Shards),
+		KeysFreshAt: toTimestamp(e.KeysFreshAt), Shards: int32(e.Shards),
 	}
 	for _, l := range e.Teams {
 		m.Running += int32(l.Running)
@@ -46,7 +46,7 @@
 		case !c.Confirmed:
 			c.Detail = fmt.Sprintf("has version %d", e.Version)
 		}
-		reply.Confirmations = append(reply.Confirmations, confirmations([]Confirmation{c})...)
+		reply.Confirmations = append(reply.Confirmations, confirmationMessages([]Confirmation{c})...)
 	}
 	return connect.NewResponse(reply), nil
 }
--- a/io/operator/vm.go
+++ b/io/operator/vm.go
@@ -10,9 +10,9 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// verifyWithin is how long a VM that an operator returns may take to show that it
+// verifyTimeout is how long a VM that an operator returns may take to show that it
 // works, before it counts as failed.
-const verifyWithin = 10 * time.Minute
+const verifyTimeout = 10 * time.Minute
 
 // The changes of VMs.
 type (
@@ -25,23 +25,23 @@
 
 func vmKey(zone, vm string) table.Key { return table.VMKey(core.ZoneID(zone), core.VMID(vm)) }
 
-func (a addVM) subject() table.Key    { return vmKey(a.Zone, a.Vm) }
-func (a removeVM) subject() table.Key { return vmKey(a.Zone, a.Vm) }
-func (a moveVM) subject() table.Key   { return vmKey(a.Zone, a.Vm) }
-func (a cordonVM) subject() table.Key { return vmKey(a.Zone, a.Vm) }
-func (a returnVM) subject() table.Key { return vmKey(a.Zone, a.Vm) }
+func (a addVM) rowKey() table.Key    { return vmKey(a.Zone, a.Vm) }
+func (a removeVM) rowKey() table.Key { return vmKey(a.Zone, a.Vm) }
+func (a moveVM) rowKey() table.Key   { return vmKey(a.Zone, a.Vm) }
+func (a cordonVM) rowKey() table.Key { return vmKey(a.Zone, a.Vm) }
+func (a returnVM) rowKey() table.Key { return vmKey(a.Zone, a.Vm) }
 
-func (addVM) about() (kind, reason string)    { return "add_vm", "" }
-func (removeVM) about() (kind, reason string) { return "remove_vm", "" }
-func (moveVM) about() (kind, reason string)   { return "move_vm", "" }
-func (cordonVM) about() (kind, reason string) { return "cordon_vm", "" }
-func (returnVM) about() (kind, reason string) { return "return_vm", "" }
+func (addVM) auditInfo() (kind, reason string)    { return "add_vm", "" }
+func (removeVM) auditInfo() (kind, reason string) { return "remove_vm", "" }
+func (moveVM) auditInfo() (kind, reason string)   { return "move_vm", "" }
+func (cordonVM) auditInfo() (kind, reason string) { return "cordon_vm", "" }
+func (returnVM) auditInfo() (kind, reason string) { return "return_vm", "" }
 
 func (a addVM) build(ctx context.Context, s *Server, now time.Time, _ *pb.ApplyChangeRequest) (table.Transaction, error) {
-	if err := checkVM(a.AddVM); err != nil {
+	if err := validateVM(a.AddVM); err != nil {
 		return table.Transaction{}, err
 	}
-	vm, err := s.readVM(ctx, a.subject())
+	vm, err := s.readVM(ctx, a.rowKey())
 	if err != nil {
 		return table.Transaction{}, err
 	}
@@ -59,7 +59,7 @@
 }
 
 func (a removeVM) build(ctx context.Context, s *Server, _ time.Time, _ *pb.ApplyChangeRequest) (table.Transaction, error) {
-	vm, pool, err := s.readMember(ctx, a.subject())
+	vm, pool, err := s.readVMAndPool(ctx, a.rowKey())
 	if err != nil {
 		return table.Transaction{}, err
 	}
@@ -67,7 +67,7 @@
 }
 
 func (a moveVM) build(ctx context.Context, s *Server, now time.Time, m *pb.ApplyChangeRequest) (table.Transaction, error) {
-	vm, pool, err := s.readMember(ctx, a.subject())
+	vm, pool, err := s.readVMAndPool(ctx, a.rowKey())
 	if err != nil {
 		return table.Transaction{}, err
 	}
@@ -78,20 +78,20 @@
 	if !to.Exists() {
 		return table.Transaction{}, core.Errorf(core.CodeNotFound, "no pool %q; set it first", a.Pool)
 	}
-	return s.permit(now, vm, pool, fleet.Permit{
-		Change: core.ChangeID(m.ChangeId), MoveTo: to.ID, Resize: a.Resize, DrainBy: instant(a.DrainBy),
+	return s.permitDrain(now, vm, pool, fleet.Permit{
+		Change: core.ChangeID(m.ChangeId), MoveTo: to.ID, Resize: a.Resize, DrainBy: toTime(a.DrainBy),
 	})
 }
 
 func (a cordonVM) build(ctx context.Context, s *Server, now time.Time, m *pb.ApplyChangeRequest) (table.Transaction, error) {
-	vm, pool, err := s.readMember(ctx, a.subject())
+	vm, pool, err := s.readVMAndPool(ctx, a.rowKey())
 	if err != nil {
 		return table.Transaction{}, err
 	}
-	return s.permit(now, vm, pool, fleet.Permit{Change: core.ChangeID(m.ChangeId), DrainBy: instant(a.DrainBy)})
+	return s.permitDrain(now, vm, pool, fleet.Permit{Change: core.ChangeID(m.ChangeId), DrainBy: toTime(a.DrainBy)})
 }
 
-func (s *Server) permit(now time.Time, vm fleet.VMRow, pool fleet.PoolRow, p fleet.Permit) (table.Transaction, error) {
+func (s *Server) permitDrain(now time.Time, vm fleet.VMRow, pool fleet.PoolRow, p fleet.Permit) (table.Transaction, error) {
 	if !p.DrainBy.After(now) {
 		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "drain_by: a time ahead is needed")
 	}
@@ -99,7 +99,7 @@
 }
 
 func (a returnVM) build(ctx context.Context, s *Server, now time.Time, _ *pb.ApplyChangeRequest) (table.Transaction, error) {
-	vm, pool, err := s.readMember(ctx, a.subject())
+	vm, pool, err := s.readVMAndPool(ctx, a.rowKey())
 	if err != nil {
 		return table.Transaction{}, err
 	}
@@ -107,17 +107,17 @@
 	case fleet.Cordoned, fleet.Draining:
 		return fleet.Rules{}.Withdraw(now, vm, pool)
 	case fleet.Stopped, fleet.Failed:
-		return fleet.Rules{}.Verify(now, vm, now.Add(verifyWithin))
+		return fleet.Rules{}.Verify(now, vm, now.Add(verifyTimeout))
 	default:
 		return fleet.Rules{}.Return(now, vm, pool, time.Time{})
 	}
 }
 
-func checkVM(a *pb.AddVM) error {
+func validateVM(a *pb.AddVM) error {
 	switch {
 	case a.Zone == "" || a.Vm == "" || a.Rack == "":
 		return core.Errorf(core.CodeInvalidSetting, "zone, vm and rack: all three are needed")
-	case !isAddress(a.Address):
+	case !isAddrPort(a.Address):
 		return core.Errorf(core.CodeInvalidSetting, "address is %q; allowed: an IP number and a port", a.Address)
 	case a.Slots < 1 || a.Connections < 1:
 		return core.Errorf(core.CodeInvalidSetting, "slots is %d, connections %d; allowed: 1 or more", a.Slots, a.Connections)
--- a/io/operator/wave.go
+++ b/io/operator/wave.go
@@ -13,22 +13,22 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// wave is a change of a zone's maintenance: a plan, or one of the other steps.
-type wave struct {
+// waveChange is a change of a zone's maintenance: a plan, or one of the other steps.
+type waveChange struct {
 	zone, reason, kind string
 	plan               *pb.PlanMaintenance
 	step               func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error)
 }
 
-func (a wave) subject() table.Key { return maintenance.WaveKey(core.ZoneID(a.zone)) }
+func (a waveChange) rowKey() table.Key { return maintenance.WaveKey(core.ZoneID(a.zone)) }
 
-func (a wave) about() (kind, reason string) { return a.kind, a.reason }
+func (a waveChange) auditInfo() (kind, reason string) { return a.kind, a.reason }
 
-func (a wave) build(ctx context.Context, s *Server, now time.Time, m *pb.ApplyChangeRequest) (table.Transaction, error) {
+func (a waveChange) build(ctx context.Context, s *Server, now time.Time, m *pb.ApplyChangeRequest) (table.Transaction, error) {
 	if a.zone == "" {
 		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "zone: a name is needed")
 	}
-	row, err := s.Table.Read(ctx, a.subject())
+	row, err := s.Table.Read(ctx, a.rowKey())
 	if err != nil {
 		return table.Transaction{}, err
 	}
@@ -38,23 +38,23 @@
 	}
 	o := maintenance.OperatorChange{Author: m.Author, Reason: a.reason, Change: core.ChangeID(m.ChangeId)}
 	if a.plan != nil {
-		return maintenance.Plan(now, w, o, instant(a.plan.Deadline), int(a.plan.MaxNotBack))
+		return maintenance.Plan(now, w, o, toTime(a.plan.Deadline), int(a.plan.MaxNotBack))
 	}
 	return a.step(w, o)
 }
 
-// waveZones is the prefix of the rows of zones' maintenance.
-var waveZones = string(maintenance.WaveKey(""))
+// wavePrefix is the prefix of the rows of zones' maintenance.
+var wavePrefix = string(maintenance.WaveKey(""))
 
 // MaintenanceStatus implements OperatorService.
 func (s *Server) MaintenanceStatus(ctx context.Context, _ *connect.Request[pb.MaintenanceStatusRequest]) (*connect.Response[pb.MaintenanceStatusReply], error) {
-	rows, _, err := s.Table.Scan(ctx, waveZones)
+	rows, _, err := s.Table.Scan(ctx, wavePrefix)
 	if err != nil {
 		return nil, err
 	}
 	reply := &pb.MaintenanceStatusReply{}
 	for _, r := range rows {
-		zone := core.ZoneID(nameIn(r, waveZones))
+		zone := core.ZoneID(rowName(r, wavePrefix))
 		w, err := maintenance.DecodeWave(zone, r)
 		if err != nil {
 			return nil, err
@@ -71,7 +71,7 @@
 func describeWave(now time.Time, w maintenance.WaveRow, vms []fleet.VMRow) *pb.Wave {
 	p := maintenance.ProgressOf(now, w.Zone, w.Wave, vms)
 	return &pb.Wave{
-		Zone: string(w.Zone), Status: w.Wave.Status.String(), Number: int32(w.Wave.Number), Deadline: stamp(w.Wave.Deadline),
+		Zone: string(w.Zone), Status: w.Wave.Status.String(), Number: int32(w.Wave.Number), Deadline: toTimestamp(w.Wave.Deadline),
 		Total: int32(p.Total), Maintained: int32(p.Maintained), Out: int32(p.Out), Failed: int32(p.Failed),
 		NotBack: int32(p.NotBack), MaxNotBack: int32(w.Wave.MaxNotBack), Late: int32(p.Late),
 		Author: w.Wave.Author, Reason: w.Wave.Reason,
--- a/io/operator/withdraw.go
+++ b/io/operator/withdraw.go
@@ -30,17 +30,17 @@
 		return nil, core.Errorf(core.CodeMalformed,
 			"digest: 64 lower-case hex digits are needed, as 'keys list' shows them and 'printf %%s KEY | sha256sum' prints them; nothing was withdrawn")
 	}
-	w := key.Withdrawal{Digest: core.KeyDigest(m.Digest), Team: s.teamOf(m), Author: m.Author, Reason: m.Reason}
+	w := key.Withdrawal{Digest: core.KeyDigest(m.Digest), Team: s.withdrawnTeam(m), Author: m.Author, Reason: m.Reason}
 	if s.tableFirst {
 		if _, err := s.recordWithdrawal(ctx, w, m); err != nil {
 			return nil, err
 		}
 	}
-	reply := &pb.WithdrawReply{Confirmations: confirmations(s.Backend.Withdraw(ctx, w))}
+	reply := &pb.WithdrawReply{Confirmations: confirmationMessages(s.Backend.Withdraw(ctx, w))}
 	applied, err := s.recordWithdrawal(ctx, w, m)
 	reply.Version = uint64(applied.Version)
 	if err != nil {
-		e := asError(err)
+		e := toCoreError(err)
 		reply.TableCode, reply.TableDetail = uint32(e.Code), e.Detail
 	}
 	return connect.NewResponse(reply), nil
@@ -52,7 +52,7 @@
 		if err != nil {
 			return platform.Applied{}, err
 		}
-		if w.Team = teamIn(row); w.Team == "" {
+		if w.Team = teamOfKeyRow(row); w.Team == "" {
 			return platform.Applied{}, core.Errorf(core.CodeNotFound, "no key with this digest is known; name its team to record the withdrawal")
 		}
 	}
@@ -60,20 +60,20 @@
 	return platform.Apply(ctx, s.Table, c, core.ChangeID(m.ChangeId), s.now())
 }
 
-// teamOf returns the key's team by the entry's view, or else by the operator's word.
-func (s *Server) teamOf(m *pb.WithdrawRequest) core.TeamID {
+// withdrawnTeam returns the key's team by the entry's view, or else by the operator's word.
+func (s *Server) withdrawnTeam(m *pb.WithdrawRequest) core.TeamID {
 	for _, r := range s.Backend.View().Rows {
 		if r.Key != table.KeyDigestKey(core.KeyDigest(m.Digest)) {
 			continue
 		}
-		if team := teamIn(r); team != "" {
+		if team := teamOfKeyRow(r); team != "" {
 			return team
 		}
 	}
 	return core.TeamID(m.Team)
 }
 
-func teamIn(r table.Row) core.TeamID {
+func teamOfKeyRow(r table.Row) core.TeamID {
 	var k config.Key
 	if err := r.Decode(&k); err != nil {
 		return ""
@@ -81,7 +81,7 @@
 	return k.Team
 }
 
-func confirmations(cs []Confirmation) []*pb.Confirmation {
+func confirmationMessages(cs []Confirmation) []*pb.Confirmation {
 	var list []*pb.Confirmation
 	for _, c := range cs {
 		list = append(list, &pb.Confirmation{Zone: string(c.Zone), Entry: string(c.Entry), Confirmed: c.Confirmed, Detail: c.Detail})
--- a/io/target/client.go
+++ b/io/target/client.go
@@ -19,8 +19,8 @@
 // answer that tells how it ended.
 const leaseGrace = 2 * time.Second
 
-// askTimeout bounds one question about a task.
-const askTimeout = 2 * time.Second
+// queryTimeout bounds one question about a task.
+const queryTimeout = 2 * time.Second
 
 // Client starts, asks about and stops tasks. It is safe for concurrent use.
 type Client struct {
@@ -30,8 +30,8 @@
 	MaxAnswer int64
 	HTTP      *http.Client
 
-	// off switches safeguards off, in tests only.
-	off struct{ clock, task, length bool }
+	// disabled switches safeguards off, in tests only.
+	disabled struct{ startByCheck, taskCheck, lengthCheck bool }
 }
 
 // NewClient returns a client that keeps up to connections connections to each
@@ -69,12 +69,12 @@
 	setMillis(req.Header, HeaderLeaseUntil, d.LeaseUntil)
 	// The clock is read right before the write: a process that was paused since
 	// it decided must not start work on a right that has lapsed meanwhile.
-	if !c.now().Before(d.StartBy) && !c.off.clock {
+	if !c.now().Before(d.StartBy) && !c.disabled.startByCheck {
 		return home.NotStarted{Reason: home.Late}
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return c.sendError(err)
+		return c.endOfSendError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return c.readEnd(resp, d)
@@ -82,7 +82,7 @@
 
 // Ask asks the target what became of a task.
 func (c *Client) Ask(ctx context.Context, address string, key core.RequestKey) home.Finding {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	req, err := c.request(ctx, http.MethodGet, address, key, nil)
 	if err != nil {
@@ -114,7 +114,7 @@
 // Accepts asks a target whether it takes new work, by a task that is late before
 // it arrives: a target that takes work calls it late, and nothing starts.
 func (c *Client) Accepts(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	req, err := c.request(ctx, http.MethodPost, address, core.RequestKey{Team: "probe", ID: "probe"}, http.NoBody)
 	if err != nil {
@@ -133,7 +133,7 @@
 
 // Stop tells the target to stop a task. A lost order is made good by the lease.
 func (c *Client) Stop(ctx context.Context, address string, key core.RequestKey) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	req, err := c.request(ctx, http.MethodDelete, address, key, nil)
 	if err != nil {
@@ -153,8 +153,8 @@
 	return req, nil
 }
 
-// sendError tells a request that never left from one that may have arrived.
-func (c *Client) sendError(err error) home.End {
+// endOfSendError tells a request that never left from one that may have arrived.
+func (c *Client) endOfSendError(err error) home.End {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return home.NotStarted{Reason: home.Unreachable}
@@ -186,7 +186,7 @@
 // answer is shorter than the length its runner stated, a crossed one names
 // another task.
 func (c *Client) readBody(resp *http.Response, key core.RequestKey) ([]byte, error) {
-	if resp.Header.Get(HeaderTask) != key.String() && !c.off.task {
+	if resp.Header.Get(HeaderTask) != key.String() && !c.disabled.taskCheck {
 		return nil, errors.New("answer of another task")
 	}
 	length, err := strconv.ParseInt(resp.Header.Get(HeaderLength), 10, 64)
@@ -197,7 +197,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read answer")
 	}
-	if int64(len(body)) != length && !c.off.length {
+	if int64(len(body)) != length && !c.disabled.lengthCheck {
 		return nil, errors.New("answer was cut")
 	}
 	return body, nil
@@ -230,7 +230,7 @@
 	return c.Now()
 }
 
-var reasons = map[string]home.Reason{
+var notStartedReasons = map[string]home.Reason{
 	ReasonFull:    home.Full,
 	ReasonLeaving: home.Leaving,
 	ReasonLate:    home.Late,
@@ -238,7 +238,7 @@
 }
 
 func notStarted(reason string) home.End {
-	r, ok := reasons[reason]
+	r, ok := notStartedReasons[reason]
 	if !ok {
 		return home.Lost{}
 	}
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -17,22 +17,22 @@
 )
 
 var (
-	key  = core.RequestKey{Team: "lyra", ID: "frame-1"}
-	noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+	key         = core.RequestKey{Team: "lyra", ID: "frame-1"}
+	startOfTest = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 )
 
-// reply makes a target that answers every POST in one way.
-type reply struct {
-	status               int
-	task, attempt        string
-	length               string
-	body                 string
-	notStarted, state    string
-	lose, cutAfterHeader bool
+// fakeTarget makes a target that answers every POST in one way.
+type fakeTarget struct {
+	status                        int
+	task, attempt                 string
+	length                        string
+	body                          string
+	notStarted, state             string
+	dropConnection, dropAfterBody bool
 }
 
-func (p reply) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	if p.lose {
+func (p fakeTarget) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	if p.dropConnection {
 		panic(http.ErrAbortHandler)
 	}
 	for name, value := range map[string]string{
@@ -44,13 +44,13 @@
 	}
 	w.WriteHeader(p.status)
 	_, _ = w.Write([]byte(p.body))
-	if p.cutAfterHeader {
+	if p.dropAfterBody {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func start(t *testing.T, c *Client, h http.Handler, now time.Time) home.End {
+func startTask(t *testing.T, c *Client, h http.Handler, now time.Time) home.End {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	defer srv.Close()
@@ -59,84 +59,84 @@
 	c.HTTP = srv.Client()
 	return c.Start(t.Context(), strings.TrimPrefix(srv.URL, "http://"), home.Dispatch{
 		Request: core.Request{Key: key, Body: []byte("frames")}, Number: 2,
-		StartBy: noon.Add(time.Second), LeaseUntil: time.Now().Add(time.Minute),
+		StartBy: startOfTest.Add(time.Second), LeaseUntil: time.Now().Add(time.Minute),
 	})
 }
 
-var whole = reply{status: 200, task: "lyra/frame-1", attempt: "2", length: "5", body: "plate"}
+var completeReply = fakeTarget{status: 200, task: "lyra/frame-1", attempt: "2", length: "5", body: "plate"}
 
 // TestStartEnds: a target answers in every way that it can. Only the whole answer
 // of this task and this dispatch is taken, only the target's own word counts as
 // "not started", and whatever else came leaves open whether the task ran.
 func TestStartEnds(t *testing.T) {
-	change := func(f func(*reply)) reply {
-		r := whole
+	modified := func(f func(*fakeTarget)) fakeTarget {
+		r := completeReply
 		f(&r)
 		return r
 	}
 	cases := []struct {
 		name string
-		h    reply
+		h    fakeTarget
 		want home.End
 	}{
-		{"whole", whole, home.Answered{Body: []byte("plate")}},
-		{"crossed task", change(func(r *reply) { r.task = "vega/frame-1" }), home.Damaged{}},
-		{"crossed dispatch", change(func(r *reply) { r.attempt = "1" }), home.Damaged{}},
-		{"cut", change(func(r *reply) { r.body = "pla" }), home.Damaged{}},
-		{"too long", change(func(r *reply) { r.body = "plate plate" }), home.Damaged{}},
-		{"no length", change(func(r *reply) { r.length = "" }), home.Damaged{}},
-		{"broken off", change(func(r *reply) { r.body, r.cutAfterHeader = "pl", true }), home.Damaged{}},
-		{"lost", reply{lose: true}, home.Lost{}},
-		{"failed", reply{status: 500}, home.Failed{}},
-		{"stopped", reply{status: 200, state: StateStopped}, home.Stopped{}},
-		{"full", reply{status: 503, notStarted: ReasonFull}, home.NotStarted{Reason: home.Full}},
-		{"leaving", reply{status: 503, notStarted: ReasonLeaving}, home.NotStarted{Reason: home.Leaving}},
-		{"late", reply{status: 503, notStarted: ReasonLate}, home.NotStarted{Reason: home.Late}},
-		{"unknown reason", reply{status: 503, notStarted: "tired"}, home.Lost{}},
+		{"whole", completeReply, home.Answered{Body: []byte("plate")}},
+		{"crossed task", modified(func(r *fakeTarget) { r.task = "vega/frame-1" }), home.Damaged{}},
+		{"crossed dispatch", modified(func(r *fakeTarget) { r.attempt = "1" }), home.Damaged{}},
+		{"cut", modified(func(r *fakeTarget) { r.body = "pla" }), home.Damaged{}},
+		{"too long", modified(func(r *fakeTarget) { r.body = "plate plate" }), home.Damaged{}},
+		{"no length", modified(func(r *fakeTarget) { r.length = "" }), home.Damaged{}},
+		{"broken off", modified(func(r *fakeTarget) { r.body, r.dropAfterBody = "pl", true }), home.Damaged{}},
+		{"lost", fakeTarget{dropConnection: true}, home.Lost{}},
+		{"failed", fakeTarget{status: 500}, home.Failed{}},
+		{"stopped", fakeTarget{status: 200, state: StateStopped}, home.Stopped{}},
+		{"full", fakeTarget{status: 503, notStarted: ReasonFull}, home.NotStarted{Reason: home.Full}},
+		{"leaving", fakeTarget{status: 503, notStarted: ReasonLeaving}, home.NotStarted{Reason: home.Leaving}},
+		{"late", fakeTarget{status: 503, notStarted: ReasonLate}, home.NotStarted{Reason: home.Late}},
+		{"unknown reason", fakeTarget{status: 503, notStarted: "tired"}, home.Lost{}},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { assert.DeepEqual(t, start(t, &Client{}, c.h, noon), c.want) })
+		t.Run(c.name, func(t *testing.T) { assert.DeepEqual(t, startTask(t, &Client{}, c.h, startOfTest), c.want) })
 	}
 }
 
 // TestSafeguardsOfStart: with a check switched off, the same target's answer is
 // taken for what it isn't.
-func TestSafeguardsOfStart(t *testing.T) {
-	crossed, cut := whole, whole
-	crossed.task, cut.body = "vega/frame-1", "pla"
+func TestStartWithoutChecks(t *testing.T) {
+	misdirected, truncated := completeReply, completeReply
+	misdirected.task, truncated.body = "vega/frame-1", "pla"
 	c := &Client{}
-	c.off.task = true
-	assert.DeepEqual(t, start(t, c, crossed, noon), home.End(home.Answered{Body: []byte("plate")}))
+	c.disabled.taskCheck = true
+	assert.DeepEqual(t, startTask(t, c, misdirected, startOfTest), home.End(home.Answered{Body: []byte("plate")}))
 	c = &Client{}
-	c.off.length = true
-	assert.DeepEqual(t, start(t, c, cut, noon), home.End(home.Answered{Body: []byte("pla")}))
+	c.disabled.lengthCheck = true
+	assert.DeepEqual(t, startTask(t, c, truncated, startOfTest), home.End(home.Answered{Body: []byte("pla")}))
 }
 
 // TestFrozenBeforeTheWrite: the holder is frozen after it decided and wakes when
 // its right has lapsed. The clock is read right before the write, so nothing is
 // sent; with that check off the target gets the request.
-func TestFrozenBeforeTheWrite(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		sent := 0
+func TestPausedBeforeWrite(t *testing.T) {
+	for _, disabled := range []bool{false, true} {
+		requests := 0
 		h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			sent++
-			whole.ServeHTTP(w, r)
+			requests++
+			completeReply.ServeHTTP(w, r)
 		})
 		c := &Client{}
-		c.off.clock = off
-		end := start(t, c, h, noon.Add(3*time.Second))
-		if off {
-			assert.Equal(t, sent, 1)
+		c.disabled.startByCheck = disabled
+		end := startTask(t, c, h, startOfTest.Add(3*time.Second))
+		if disabled {
+			assert.Equal(t, requests, 1)
 			continue
 		}
-		assert.Equal(t, sent, 0)
+		assert.Equal(t, requests, 0)
 		assert.DeepEqual(t, end, home.End(home.NotStarted{Reason: home.Late}))
 	}
 }
 
 // TestNothingListens: a connection that can't be made proves that nothing started.
-func TestNothingListens(t *testing.T) {
-	srv := httptest.NewServer(whole)
+func TestConnectionRefused(t *testing.T) {
+	srv := httptest.NewServer(completeReply)
 	address := strings.TrimPrefix(srv.URL, "http://")
 	srv.Close()
 	c := NewClient(1, 1000)
@@ -160,11 +160,11 @@
 		h.Set(HeaderAttempt, attempt)
 		h.Set(HeaderLength, length)
 		h.Set(HeaderNotStarted, notStarted)
-		resp := &http.Response{StatusCode: 200, Header: h, Body: readCloser(body)}
+		resp := &http.Response{StatusCode: 200, Header: h, Body: newBody(body)}
 		end := c.readEnd(resp, home.Dispatch{Request: core.Request{Key: key}, Number: 2})
 		if a, ok := end.(home.Answered); ok {
-			wanted := task == key.String() && attempt == "2" && string(a.Body) == body && notStarted == ""
-			assert.Assert(t, wanted && fmt.Sprint(len(body)) == strings.TrimLeft(strings.TrimPrefix(length, "+"), "0") || body == "", "%q %q %q %q", task, attempt, length, body)
+			matches := task == key.String() && attempt == "2" && string(a.Body) == body && notStarted == ""
+			assert.Assert(t, matches && fmt.Sprint(len(body)) == strings.TrimLeft(strings.TrimPrefix(length, "+"), "0") || body == "", "%q %q %q %q", task, attempt, length, body)
 		}
 	})
 }
@@ -173,24 +173,24 @@
 
 func (stringBody) Close() error { return nil }
 
-func readCloser(s string) stringBody { return stringBody{strings.NewReader(s)} }
+func newBody(s string) stringBody { return stringBody{strings.NewReader(s)} }
 
 // TestNeverSentTwice: a target answers with a redirection to itself, or breaks the
 // connection. The client must not follow or try again, with a body or without:
 // the task might run twice.
-func TestNeverSentTwice(t *testing.T) {
+func TestStartNeverResends(t *testing.T) {
 	for _, body := range []string{"", "frames"} {
 		for _, status := range []int{http.StatusTemporaryRedirect, 0} {
-			var got atomic.Int64
+			var requests atomic.Int64
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				got.Add(1)
+				requests.Add(1)
 				if status == 0 {
 					panic(http.ErrAbortHandler)
 				}
 				http.Redirect(w, r, r.URL.Path, status)
 			}))
-			_ = startAt(NewClient(2, 1000), srv, body)
-			assert.Equal(t, got.Load(), int64(1), "body %q, status %d", body, status)
+			_ = startTaskAt(NewClient(2, 1000), srv, body)
+			assert.Equal(t, requests.Load(), int64(1), "body %q, status %d", body, status)
 			srv.Close()
 		}
 	}
@@ -199,13 +199,13 @@
 // TestEarlyRefusal: a target refuses a task of some megabytes without reading it and
 // closes. The refusal arrives all the same: the task did not start.
 func TestEarlyRefusal(t *testing.T) {
-	srv := httptest.NewServer(reply{status: 503, notStarted: ReasonFull})
+	srv := httptest.NewServer(fakeTarget{status: 503, notStarted: ReasonFull})
 	defer srv.Close()
-	end := startAt(NewClient(2, 1000), srv, strings.Repeat("x", 8<<20))
+	end := startTaskAt(NewClient(2, 1000), srv, strings.Repeat("x", 8<<20))
 	assert.DeepEqual(t, end, home.End(home.NotStarted{Reason: home.Full}))
 }
 
-func startAt(c *Client, srv *httptest.Server, body string) home.End {
+func startTaskAt(c *Client, srv *httptest.Server, body string) home.End {
 	deadline := time.Now().Add(time.Minute)
 	return c.Start(context.Background(), strings.TrimPrefix(srv.URL, "http://"), home.Dispatch{
 		Request: core.Request{Key: key, Body: []byte(body)}, Number: 2, StartBy: deadline, LeaseUntil: deadline,
@@ -214,10 +214,10 @@
 
 // TestAnswersKeepNoSlack: answers are kept until their requests' deadlines. The buffer
 // of a short one is as long as the answer.
-func TestAnswersKeepNoSlack(t *testing.T) {
-	srv := httptest.NewServer(whole)
+func TestAnswerBufferIsExact(t *testing.T) {
+	srv := httptest.NewServer(completeReply)
 	defer srv.Close()
-	end := startAt(NewClient(2, 1000), srv, "frames")
+	end := startTaskAt(NewClient(2, 1000), srv, "frames")
 	a, ok := end.(home.Answered)
 	assert.Assert(t, ok, "%v", end)
 	assert.Equal(t, cap(a.Body), len(a.Body))
--- a/io/target/standin/control.go
+++ b/io/target/standin/control.go
@@ -17,16 +17,16 @@
 type Control struct {
 	VM *VM
 
-	mu       sync.Mutex
-	backAt   time.Time
-	stuck    bool
-	rebooted int
+	mu      sync.Mutex
+	upAt    time.Time
+	stuck   bool
+	reboots int
 	// fence is the highest that an order carried.
 	fence core.Version
 }
 
-// admits says whether an order is not older than one seen before, and remembers it.
-func (c *Control) admits(fence core.Version) bool {
+// acceptFence says whether an order is not older than one seen before, and remembers it.
+func (c *Control) acceptFence(fence core.Version) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if fence < c.fence {
@@ -53,7 +53,7 @@
 }
 
 func (c *Control) state(w http.ResponseWriter, _ *http.Request) {
-	c.settle()
+	c.finishReboot()
 	c.VM.mu.Lock()
 	up := !c.VM.down
 	c.VM.mu.Unlock()
@@ -72,13 +72,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if c.VM.now().After(order.NotAfter) || !c.admits(order.Fence) {
+	if c.VM.now().After(order.NotAfter) || !c.acceptFence(order.Fence) {
 		http.Error(w, "the order's time has passed", http.StatusConflict)
 		return
 	}
 	c.mu.Lock()
-	c.backAt = c.VM.now().Add(RebootTime)
-	c.rebooted++
+	c.upAt = c.VM.now().Add(RebootTime)
+	c.reboots++
 	c.mu.Unlock()
 	c.VM.setDown(true)
 }
@@ -93,7 +93,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !c.admits(order.Fence) {
+	if !c.acceptFence(order.Fence) {
 		http.Error(w, "an order with a higher fence came before", http.StatusConflict)
 		return
 	}
@@ -118,15 +118,15 @@
 	c.mu.Unlock()
 }
 
-// settle brings the VM back up when its reboot is over.
-func (c *Control) settle() {
+// finishReboot brings the VM back up when its reboot is over.
+func (c *Control) finishReboot() {
 	c.mu.Lock()
-	back := !c.stuck && !c.backAt.IsZero() && !c.VM.now().Before(c.backAt)
-	if back {
-		c.backAt = time.Time{}
+	over := !c.stuck && !c.upAt.IsZero() && !c.VM.now().Before(c.upAt)
+	if over {
+		c.upAt = time.Time{}
 	}
 	c.mu.Unlock()
-	if back {
+	if over {
 		c.VM.setDown(false)
 	}
 }
@@ -136,7 +136,7 @@
 	v.setDown(true)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.ended, v.order = make(map[string]ending), nil
+	v.outcomes, v.endedOrder = make(map[string]outcome), nil
 }
 
 // Restart brings the VM back.
--- a/io/target/standin/log.go
+++ b/io/target/standin/log.go
@@ -19,9 +19,9 @@
 // StartLog records what really ran, for tests to check answers and limits
 // against. A nil log records nothing. It is safe for concurrent use.
 type StartLog struct {
-	mu     sync.Mutex
-	starts []Start
-	open   map[string]int
+	mu      sync.Mutex
+	starts  []Start
+	running map[string]int
 }
 
 func (l *StartLog) started(s Start) {
@@ -30,10 +30,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open == nil {
-		l.open = make(map[string]int)
+	if l.running == nil {
+		l.running = make(map[string]int)
 	}
-	l.open[string(s.VM)+" "+s.Task] = len(l.starts)
+	l.running[string(s.VM)+" "+s.Task] = len(l.starts)
 	l.starts = append(l.starts, s)
 }
 
@@ -44,9 +44,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := string(vm) + " " + name
-	if i, ok := l.open[key]; ok {
+	if i, ok := l.running[key]; ok {
 		l.starts[i].End = at
-		delete(l.open, key)
+		delete(l.running, key)
 	}
 }
 
--- a/io/target/standin/reply.go
+++ b/io/target/standin/reply.go
@@ -10,14 +10,14 @@
 	"lavenderpond/io/target"
 )
 
-// maxBody bounds a task's body, in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes bounds a task's body, in bytes.
+const maxBodyBytes = 16 << 20
 
 func taskName(r *http.Request) string { return r.PathValue("team") + "/" + r.PathValue("id") }
 
-// readAll reads a request's body and refuses one that is shorter than stated.
-func readAll(r *http.Request) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(r.Body, maxBody))
+// readBody reads a request's body and refuses one that is shorter than stated.
+func readBody(r *http.Request) ([]byte, error) {
+	return io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 }
 
 func refuse(w http.ResponseWriter, reason string) {
@@ -25,9 +25,9 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// answerTo makes the answer of a task: it names the task, so that a person sees
+// makeAnswer makes the answer of a task: it names the task, so that a person sees
 // whose it is, and is filled up to the size that the work asks for.
-func answerTo(name string, body []byte, work Work) []byte {
+func makeAnswer(name string, body []byte, work Work) []byte {
 	answer := fmt.Appendf(nil, "done %s, %d bytes in", name, len(body))
 	if fill := work.AnswerBytes - len(answer); fill > 0 {
 		answer = append(answer, bytes.Repeat([]byte{'.'}, fill)...)
@@ -42,7 +42,7 @@
 	if f.CrossAnswers > 0 {
 		// Whole in itself, and another task's.
 		name = "other/task"
-		answer = answerTo(name, nil, work)
+		answer = makeAnswer(name, nil, work)
 	}
 	h := w.Header()
 	h.Set(target.HeaderTask, name)
@@ -59,7 +59,7 @@
 	_, _ = w.Write(answer)
 }
 
-func countDown(n *int) {
+func decrement(n *int) {
 	if *n > 0 {
 		*n--
 	}
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -23,12 +23,12 @@
 	// Log, if set, records every start and end.
 	Log *StartLog
 
-	mu      sync.Mutex
-	running map[*task]struct{}
-	ended   map[string]ending
-	order   []string
-	faults  Faults
-	down    bool
+	mu         sync.Mutex
+	running    map[*task]struct{}
+	outcomes   map[string]outcome
+	endedOrder []string
+	faults     Faults
+	down       bool
 	// drainUntil makes the VM refuse new work before then.
 	drainUntil time.Time
 }
@@ -57,8 +57,8 @@
 	Fail        bool  `json:"fail"`
 }
 
-// keptAnswers bounds how many answers a VM keeps for questions.
-const keptAnswers = 20000
+// maxKeptAnswers bounds how many answers a VM keeps for questions.
+const maxKeptAnswers = 20000
 
 // task is one start; two starts of one id are two tasks.
 type task struct {
@@ -66,7 +66,7 @@
 	stop chan struct{}
 }
 
-type ending struct {
+type outcome struct {
 	state string
 	body  []byte
 }
@@ -96,7 +96,7 @@
 
 func (v *VM) post(w http.ResponseWriter, r *http.Request) {
 	name := taskName(r)
-	body, err := readAll(r)
+	body, err := readBody(r)
 	if err != nil {
 		refuse(w, target.ReasonInvalid)
 		return
@@ -108,7 +108,7 @@
 	}
 	work := parseWork(body)
 	stopped := v.run(r, t, work)
-	answer := answerTo(name, body, work)
+	answer := makeAnswer(name, body, work)
 	state := target.StateDone
 	if stopped {
 		state, answer = target.StateStopped, nil
@@ -138,8 +138,8 @@
 	if v.running == nil {
 		v.running = make(map[*task]struct{})
 	}
-	if v.ended == nil {
-		v.ended = make(map[string]ending)
+	if v.outcomes == nil {
+		v.outcomes = make(map[string]outcome)
 	}
 	// A second start of the same id is not refused here: the record must show
 	// what the callers' side did.
@@ -151,7 +151,7 @@
 
 // run takes the task's time and reports whether it was stopped.
 func (v *VM) run(r *http.Request, t *task, work Work) bool {
-	if v.fails() || work.RunMs <= 0 {
+	if v.failsAll() || work.RunMs <= 0 {
 		return false
 	}
 	v.mu.Lock()
@@ -171,7 +171,7 @@
 	}
 }
 
-func (v *VM) fails() bool {
+func (v *VM) failsAll() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.faults.FailAll
@@ -183,31 +183,31 @@
 	defer v.mu.Unlock()
 	delete(v.running, t)
 	name := t.name
-	v.ended[name] = ending{state: state, body: answer}
-	v.order = append(v.order, name)
-	if len(v.order) > keptAnswers {
-		delete(v.ended, v.order[0])
-		v.order = v.order[1:]
+	v.outcomes[name] = outcome{state: state, body: answer}
+	v.endedOrder = append(v.endedOrder, name)
+	if len(v.endedOrder) > maxKeptAnswers {
+		delete(v.outcomes, v.endedOrder[0])
+		v.endedOrder = v.endedOrder[1:]
 	}
 	v.Log.ended(v.ID, name, v.now())
 	f := v.faults
-	countDown(&v.faults.LoseAnswers)
-	countDown(&v.faults.CutAnswers)
-	countDown(&v.faults.CrossAnswers)
+	decrement(&v.faults.LoseAnswers)
+	decrement(&v.faults.CutAnswers)
+	decrement(&v.faults.CrossAnswers)
 	return f
 }
 
 func (v *VM) get(w http.ResponseWriter, r *http.Request) {
 	name := taskName(r)
 	v.mu.Lock()
-	e, done := v.ended[name]
+	e, ended := v.outcomes[name]
 	isRunning := v.isRunning(name)
 	v.mu.Unlock()
 	w.Header().Set(target.HeaderTask, name)
 	switch {
 	case isRunning:
 		w.Header().Set(target.HeaderState, target.StateRunning)
-	case !done:
+	case !ended:
 		w.Header().Set(target.HeaderState, target.StateNone)
 	default:
 		w.Header().Set(target.HeaderState, e.state)
