--- a/io/caller/client.go
+++ b/io/caller/client.go
@@ -13,21 +13,21 @@
 	"lavenderpond/io/gen/lavenderpond/v1/lavenderpondv1connect"
 )
 
-// Client submits requests of one team to one entry.
+// Client submits the requests of one team to one entry.
 type Client struct {
 	Team core.TeamID
-	// Key is the team key; it is sent and never printed.
+	// Key is the team key. It is sent with each request and never printed.
 	Key string
 
 	service lavenderpondv1connect.CallerServiceClient
 }
 
-// NewClient returns a client of the entry at baseURL, as in http://10.0.0.1:7001.
+// NewClient returns a client of the entry at baseURL, such as http://10.0.0.1:7001.
 func NewClient(h *http.Client, baseURL string, team core.TeamID, key string) *Client {
 	return &Client{Team: team, Key: key, service: lavenderpondv1connect.NewCallerServiceClient(h, baseURL)}
 }
 
-// Submit sends one attempt of a request and returns its answer.
+// Submit sends one attempt of a request and returns the answer.
 func (c *Client) Submit(ctx context.Context, req core.Request, noWait bool) (*pb.Answer, error) {
 	length := uint64(len(req.Body))
 	m := connect.NewRequest(&pb.SubmitRequest{
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -1,5 +1,6 @@
-// Package caller serves teams: it takes their requests over connect-go, checks
-// their form, and gives each caller the answer to its own request.
+// Package caller is the interface of an entry for teams. Its server accepts requests over
+// connect-go, validates them, and returns to each caller the answer to its own request.
+// Its client submits requests to an entry.
 package caller
 
 import (
@@ -20,32 +21,34 @@
 
 // Limits on what callers send.
 const (
-	// maxNameBytes bounds teams, ids and queues, in bytes.
+	// maxNameBytes is the maximum length of the names of teams and queues and of ids.
 	maxNameBytes = 200
-	// requestOverheadBytes is what a request may have besides its body, in bytes.
+	// requestOverheadBytes is the maximum size of a request without its body.
 	requestOverheadBytes = 4096
 	// compressMinBytes is the size from which an answer is compressed for callers that
-	// accept it, in bytes. Below it, gzip cost a tenth of the entry's processor time.
+	// accept compression. Compressing smaller answers with gzip costs a tenth of the
+	// entry's processor time.
 	compressMinBytes = 16 << 10
-	// base64GrowthQuarters is by how much a body grows in the JSON codec, in quarters.
+	// base64GrowthQuarters is the size that a body may have in the JSON codec, in quarters
+	// of its size in bytes. The JSON codec encodes bodies in base64.
 	base64GrowthQuarters = 6
 )
 
-// Backend brings a request to its home and back.
+// Backend passes a caller's call on to the home of its request id and returns the answer.
 type Backend interface {
 	Submit(ctx context.Context, req core.Request, noWait bool) core.Answer
 	Fetch(ctx context.Context, key core.RequestKey, digest core.KeyDigest) core.Answer
 	Cancel(ctx context.Context, key core.RequestKey, digest core.KeyDigest) core.Answer
 }
 
-// Server implements CallerService over a Front. Its Front must be set.
+// Server implements CallerService over a Backend, which must be set.
 type Server struct {
 	Backend Backend
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request's body, in bytes.
 	MaxBody int
-	// SkewBound is the most that two clocks differ.
+	// SkewBound is the maximum difference between two clocks.
 	SkewBound time.Duration
-	// MaxLifetime is the furthest that a deadline may lie ahead.
+	// MaxLifetime is the maximum time from now to a request's deadline.
 	MaxLifetime time.Duration
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
@@ -83,7 +86,8 @@
 	return toResponse(key.ID, 0, s.Backend.Cancel(ctx, key, keyDigest(r.Header()))), nil
 }
 
-// validate looks at the form of a request, before anything is done with it.
+// validate checks the fields of a request. It returns the refusal and true if the request
+// isn't valid.
 func (s *Server) validate(m *pb.SubmitRequest, req core.Request) (core.NotRun, bool) {
 	now := s.now()
 	switch {
@@ -126,6 +130,8 @@
 	return core.NotRun{Code: core.CodeMalformed, Detail: fmt.Sprintf(format, args...)}
 }
 
+// invalidName reports whether name is empty, too long, or holds a slash or a control
+// character.
 func invalidName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return true
@@ -133,7 +139,8 @@
 	return strings.ContainsFunc(name, func(r rune) bool { return r < ' ' || r == 0x7f || r == '/' })
 }
 
-// keyDigest returns the digest of the team key in the Authorization header.
+// keyDigest returns the digest of the team key in the Authorization header, or "" if the
+// header holds no bearer token.
 func keyDigest(h http.Header) core.KeyDigest {
 	key, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -162,6 +169,7 @@
 	return req
 }
 
+// toResponse converts an answer to the message that the caller gets.
 func toResponse(id core.RequestID, attempt uint32, a core.Answer) *connect.Response[pb.Answer] {
 	m := &pb.Answer{Id: string(id), Attempt: attempt}
 	code := core.CodeOf(a)
@@ -184,6 +192,7 @@
 	return connect.NewResponse(m)
 }
 
+// toTimestamp returns nil for the zero time.
 func toTimestamp(t time.Time) *timestamppb.Timestamp {
 	if t.IsZero() {
 		return nil
--- a/io/connectrpc/codec.go
+++ b/io/connectrpc/codec.go
@@ -1,6 +1,5 @@
-// Package connectrpc gives the connect protocol's own refusals the numbered result
-// codes that all others have: a message that can't be read, and one that is too
-// large.
+// Package connectrpc gives numbered result codes to the errors that connect handlers
+// return before a service method runs: a message can't be decoded, or it is too large.
 package connectrpc
 
 import (
@@ -11,12 +10,13 @@
 	"lavenderpond/core"
 )
 
-// Options makes a handler name the numbered code of a message that can't be read.
+// Options returns the codecs of a handler. Their errors carry a numbered result code if a
+// message can't be decoded.
 func Options() connect.HandlerOption {
 	return connect.WithHandlerOptions(connect.WithCodec(protoCodec{}), connect.WithCodec(jsonCodec{}))
 }
 
-// protoCodec is the binary codec, by the protobuf library.
+// protoCodec is the binary codec. It uses the protobuf library.
 type protoCodec struct{}
 
 // Name implements connect.Codec.
@@ -30,9 +30,8 @@
 	return malformed(proto.Unmarshal(data, v.(proto.Message)))
 }
 
-// jsonCodec is the JSON codec, by the protobuf library. A misspelt field is an
-// error: it would otherwise be dropped in silence, and with it what the caller
-// meant.
+// jsonCodec is the JSON codec. It uses the protobuf library. An unknown field is an error,
+// because ignoring a misspelt field would silently drop what the caller meant.
 type jsonCodec struct{}
 
 // Name implements connect.Codec.
--- a/io/connectrpc/connectrpc_test.go
+++ b/io/connectrpc/connectrpc_test.go
@@ -15,7 +15,7 @@
 	"lavenderpond/io/gen/lavenderpond/v1/lavenderpondv1connect"
 )
 
-// echoService answers every submission with its id.
+// echoService answers each Submit call with the request's id.
 type echoService struct {
 	lavenderpondv1connect.UnimplementedCallerServiceHandler
 }
@@ -24,8 +24,8 @@
 	return connect.NewResponse(&pb.Answer{Id: r.Msg.Id}), nil
 }
 
-// TestRefusalsAreNumbered: a caller sends what can't be read as the message, or
-// more than is allowed. It gets the number and a sentence that names the cause.
+// TestErrorsCarryResultCodes checks that a caller who sends a message that can't be
+// decoded or is too large gets a numbered code and a sentence that names the cause.
 func TestErrorsCarryResultCodes(t *testing.T) {
 	path, h := lavenderpondv1connect.NewCallerServiceHandler(echoService{}, Options())
 	mux := http.NewServeMux()
--- a/io/connectrpc/limit.go
+++ b/io/connectrpc/limit.go
@@ -7,14 +7,14 @@
 	"lavenderpond/core"
 )
 
-// errorBody is the connect protocol's error body.
+// errorBody is the body of an error response in the connect protocol.
 type errorBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// LimitBody refuses a request whose stated length is above limit, in bytes, before
-// its body is read. A body without a length is bounded by the handler's own limit.
+// LimitBody refuses a request whose Content-Length is above limit, in bytes, before its
+// body is read. A body of unknown length is bounded by the limit of the handler itself.
 func LimitBody(next http.Handler, limit int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength <= limit {
--- a/io/operator/budget.go
+++ b/io/operator/budget.go
@@ -13,32 +13,36 @@
 	"lavenderpond/io/platform"
 )
 
-// BudgetSync brings the budgets in the pools' rows of state in line with the
-// configuration in force, with its defaults and exceptions, which begin and end
-// without a change of the pool. Every controller may run one.
+// BudgetSync keeps the disruption budgets in the state rows of pools equal to the
+// configuration in force. That includes defaults and exceptions, which change a pool's
+// budget without a change of the pool's own settings. Every controller may run a
+// BudgetSync.
 //
-// It compares what the entry follows anyway, so that only a pool that differs costs
-// a read. Read whole each time, configuration and pools cost a zone 6 KB/s at 4,300
-// changes a day.
+// It compares data that the entry replicates in any case, so only a pool whose budget
+// differs costs a read. Reading all of the configuration and all pools each time would
+// cost a zone 6 KB/s at 4,300 changes a day.
 type BudgetSync struct {
 	Table platform.Table
-	// View calls f with the entry's view, as platform.Configuration does.
+	// View calls f with the entry's view of the configuration, as platform.Configuration
+	// does.
 	View func(f func(v *config.View))
-	// Pool returns a pool's state as last followed, as platform.FleetWatcher does.
+	// Pool returns the entry's replicated copy of a pool's state, as
+	// platform.FleetWatcher does.
 	Pool func(id core.PoolID) (fleet.Pool, bool)
 
-	// noHeadCheck is switched on in tests only, to see the safeguard fail.
+	// noHeadCheck is set by tests only, to show that the check of the head row is needed.
 	noHeadCheck bool
 }
 
-// poolBudget is what a pool's row of state should say.
+// poolBudget is the budget that the configuration in force gives a pool.
 type poolBudget struct {
 	id    core.PoolID
 	value config.Pool
 }
 
-// Round writes the budgets that differ at now from what is in force. It returns the
-// first error, after it tried the other pools if the table can be reached.
+// Round writes each budget that differs at now from the configuration in force. An error
+// with one pool doesn't keep Round from the others, unless the table can't be reached or
+// lost an answer. Round returns the first error.
 func (b *BudgetSync) Round(ctx context.Context, now time.Time) error {
 	var firstErr error
 	head, outdated := b.outdatedBudgets(now)
@@ -55,8 +59,9 @@
 	return firstErr
 }
 
-// outdatedBudgets returns the budgets that the entry's view and its cache of pools disagree
-// on, and the head row of the view: none while the view isn't complete up to a head.
+// outdatedBudgets compares the entry's view of the configuration with its cache of pool
+// states. It returns the budgets to write and the head row of the view. It returns no
+// budgets while the view isn't complete up to a head row.
 func (b *BudgetSync) outdatedBudgets(now time.Time) (table.Row, []poolBudget) {
 	var head table.Row
 	var outdated []poolBudget
@@ -77,9 +82,9 @@
 
 // sync writes one budget.
 //
-// The write checks the head row: the entry's view may be older than the table, and
-// would otherwise bring back a budget that was replaced since. The pool's row is read
-// anew, since the cache lags too.
+// The transaction checks the head row. The entry's view may be older than the table, and
+// without the check the write could restore a budget that has been replaced since. The
+// pool's row is read from the table because the cache may be stale as well.
 func (b *BudgetSync) sync(ctx context.Context, head table.Row, p poolBudget) error {
 	row, err := b.Table.Read(ctx, table.PoolStateKey(p.id))
 	if err != nil {
--- a/io/operator/budget_test.go
+++ b/io/operator/budget_test.go
@@ -15,10 +15,10 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// TestSyncBudgets: an exception raises a pool's budget and ends. While the
-// controller syncs, an operator lowers the budget. The lowered one stays; without
-// the check of the head row, the sync brings the old one back and a drain too many
-// is permitted.
+// TestSyncBudgets checks that a sync follows the begin and the end of an exception, and
+// that it never overwrites a newer budget. An operator lowers the budget while a sync is
+// at work. Without the check of the head row, the sync restores the old budget, which
+// permits one drain too many.
 func TestSyncBudgets(t *testing.T) {
 	finalBudget := func(noHeadCheck bool) int {
 		h := newHistory(1, &Server{})
@@ -56,10 +56,11 @@
 	assert.Equal(t, finalBudget(true), 4, "red: the safeguard is not needed")
 }
 
-// TestSyncBudgetsCost: with hundreds of pools and a change every 20 s, a controller
-// that reads configuration and pools for each change takes the table's reads from
-// others. A round without a difference reads nothing, also after a change of a team;
-// an exception on a pool, and its end, cost a read and a write of that pool.
+// TestSyncBudgetsCost bounds the table calls of a sync. With hundreds of pools and a
+// change every 20 s, a controller that reads all configuration and pools for each change
+// would use up the table's read capacity. A round without a difference reads nothing,
+// also after a change of a team. The begin and the end of an exception on a pool each
+// cost one read and one write of that pool.
 func TestSyncBudgetsCost(t *testing.T) {
 	h := newHistory(1, &Server{})
 	h.t.faultless = true
@@ -87,9 +88,9 @@
 	assert.Equal(t, cost(startTime.Add(2*time.Hour)), [2]int{1, 1})
 }
 
-// TestSyncBudgetsOldCache: the entry's view and its cache of pools lag behind the
-// table each in its own way. A view that isn't complete up to a head writes nothing,
-// and an old cache costs a read but changes nothing.
+// TestSyncBudgetsStaleCache checks a sync while the entry's view or its cache of pools
+// lags behind the table. With a view that isn't complete up to a head row, the sync does
+// nothing. A stale cache costs a read and no write.
 func TestSyncBudgetsStaleCache(t *testing.T) {
 	h := newHistory(1, &Server{})
 	h.t.faultless = true
@@ -108,9 +109,9 @@
 	assert.Equal(t, h.maxUnavailable(t), 1)
 }
 
-// TestSyncBudgetsBadRow: one pool's row can't be read. The exception on another pool is
-// carried over all the same; else its VMs would wait for a permit until somebody mends
-// a row that has nothing to do with them.
+// TestSyncBudgetsBadRow checks that a pool row that can't be decoded doesn't block the
+// other pools. Otherwise their VMs would wait for a drain permit until somebody repairs
+// an unrelated row.
 func TestSyncBudgetsBadRow(t *testing.T) {
 	h := newHistory(1, &Server{})
 	h.t.faultless = true
@@ -127,8 +128,9 @@
 	assert.Equal(t, h.maxUnavailable(t), 1)
 }
 
-// replicatedTable is a table and what an entry follows of it: as it was when it was
-// followed last. Race lets an operator in once, after the budgets were compared.
+// replicatedTable is a table together with an entry's view of the configuration and its
+// cache of pools, as of the last call of replicate. It counts reads and writes. If
+// beforeRead is set, the next Read calls it once, after the budgets were compared.
 type replicatedTable struct {
 	*faultyTable
 	beforeRead    func()
@@ -147,7 +149,7 @@
 	}
 }
 
-// replicate takes in what the table has.
+// replicate brings the view and the cache of pools up to date with the table.
 func (t *replicatedTable) replicate(tt *testing.T) {
 	tt.Helper()
 	var head config.Head
--- a/io/operator/change.go
+++ b/io/operator/change.go
@@ -33,7 +33,9 @@
 	return connect.NewResponse(reply), nil
 }
 
-// configChangeOf returns a change of configuration without its value, for its row's key.
+// configChangeOf returns the change of configuration that m asks for. The settings of
+// teams, pools, queues and defaults are still empty: merge fills them in once the row of
+// the change's key has been read.
 func configChangeOf(m *pb.ApplyChangeRequest) (config.Change, error) {
 	switch c := m.Change.(type) {
 	case *pb.ApplyChangeRequest_SetTeam:
@@ -58,7 +60,8 @@
 	}
 }
 
-// fleetChangeOf returns the builder of a change of VMs or maintenance, nil for others.
+// fleetChangeOf returns the change of VMs or maintenance that m asks for, or nil if m asks
+// for a change of configuration.
 func (s *Server) fleetChangeOf(m *pb.ApplyChangeRequest) fleetChange {
 	switch c := m.Change.(type) {
 	case *pb.ApplyChangeRequest_AddVm:
--- a/io/operator/change_test.go
+++ b/io/operator/change_test.go
@@ -20,23 +20,24 @@
 
 var startTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// seedCount is how many histories the property test replays.
+// seedCount is the number of histories that a property test runs.
 const seedCount = 600
 
-// faultyTable is down at times, loses answers of writes that took effect, and lets
-// other operators come in between.
+// faultyTable is a table that is down at times, loses the answers of writes that took
+// effect, and lets other operators make changes between its calls.
 type faultyTable struct {
 	rows      table.Memory
 	rand      *rand.Rand
 	faultless bool
-	// interleave runs before some reads and transactions.
+	// interleave, if set, runs before some reads and transactions.
 	interleave func()
 	depth      int
 }
 
 func (t *faultyTable) chance(percent int) bool { return !t.faultless && t.rand.IntN(100) < percent }
 
-// maybeInterleave lets another operator in between, at times.
+// maybeInterleave calls interleave with the given probability, unless calls are nested
+// too deep.
 func (t *faultyTable) maybeInterleave(percent int) {
 	if t.interleave != nil && t.depth < 3 && t.chance(percent) {
 		t.depth++
@@ -73,7 +74,7 @@
 	return err
 }
 
-// singleEntryBackend is a Backend without other entries.
+// singleEntryBackend is a Backend that knows no other entries.
 type singleEntryBackend struct{ withdrawals int }
 
 func (*singleEntryBackend) Fleet(context.Context) []EntryStatus {
@@ -86,7 +87,8 @@
 func (*singleEntryBackend) View() config.Delta { return config.Delta{} }
 func (*singleEntryBackend) Dump() any          { return nil }
 
-// history is one seeded run of operators who change teams, VMs and budgets.
+// history is a seeded run in which operators change teams, VMs and budgets. It remembers
+// each request and the result that its operator got.
 type history struct {
 	t        *faultyTable
 	s        *Server
@@ -113,8 +115,8 @@
 	return &pb.AddVM{Zone: "zone_a", Vm: fmt.Sprint("vm", i), Pool: "frames", Rack: "r1", Address: "10.1.0.1:9000", Slots: 8, Connections: 64}
 }
 
-// change sends a change as the command does: again under the same id, until the
-// answer is certain or the command gives up.
+// change sends a change as the operator's command does. It repeats the change under the
+// same id until the result is certain, and gives up after five attempts.
 func (h *history) change(m *pb.ApplyChangeRequest) {
 	h.count++
 	m.ChangeId, m.Author = fmt.Sprint("c", h.count), "ana"
@@ -156,7 +158,7 @@
 	h.change(m)
 }
 
-// check returns what is wrong with the history, empty if nothing.
+// check returns the violation that it found in the history, or "".
 func (h *history) check() string {
 	records := map[string]int{}
 	lastValue := map[table.Key]string{}
@@ -197,12 +199,12 @@
 	return string(data)
 }
 
-// TestChangesOnce: operators race each other on the same rows while the table is
-// down at times and loses answers of writes that took effect. Each change takes
-// effect at most once, a definite refusal is true, and nobody's field is undone by
-// another's change of the same row. Red without the pinned rows (a merge with a
-// row that has changed since) and without the record of the change id (a retry
-// finds the VM changed by itself and is refused).
+// TestChangesOnce checks changes by operators who race each other on the same rows, while
+// the table is down at times and loses answers of writes that took effect. Each change
+// takes effect at most once. A change that was definitely refused had no effect. No change
+// undoes a field that another operator set in the same row. Without pinned rows, a change
+// is merged with a row that has changed since. Without the record of the change id, a
+// retry finds the VM already changed by its first attempt and is refused.
 func TestChangesOnce(t *testing.T) {
 	for seed := range uint64(seedCount) {
 		if fault := runHistory(seed, &Server{}); fault != "" {
@@ -233,10 +235,10 @@
 	return h.check()
 }
 
-// TestWithdrawWhileTableIsDown: a key leaks while the table is down. The operator
-// withdraws it; it is in force at the entry at once, and the report says that the
-// table has yet to record it. With the table written first, the command fails and
-// the leaked key works on.
+// TestWithdrawWhileTableDown checks the withdrawal of a leaked key while the table is
+// down. The withdrawal is in force at the entry at once, and the report tells that the
+// table hasn't recorded it. If the table were written first, the command would fail and
+// the leaked key would go on working.
 func TestWithdrawWhileTableDown(t *testing.T) {
 	m := &pb.WithdrawRequest{ChangeId: "c1", Author: "ana", Digest: string(core.Digest("leaked")), Team: "imaging"}
 	withdraw := func(s *Server) (*singleEntryBackend, *pb.WithdrawReply) {
--- a/io/operator/config.go
+++ b/io/operator/config.go
@@ -13,8 +13,8 @@
 	"lavenderpond/io/platform"
 )
 
-// applyConfig makes a change of configuration. Fields that the operator left out
-// are filled in from the row.
+// applyConfig applies a change of configuration. Fields that the operator left out keep
+// the values that the row has.
 func (s *Server) applyConfig(ctx context.Context, m *pb.ApplyChangeRequest) (*pb.ApplyChangeReply, error) {
 	c, err := configChangeOf(m)
 	if err != nil {
@@ -46,13 +46,14 @@
 	return &pb.ApplyChangeReply{Version: uint64(applied.Version), Repeated: applied.Before, Note: s.changeNote(ctx, c, m)}, nil
 }
 
-// mergeBase returns the row that the change's missing fields come from. For a change
-// id that took effect before, that is the row as it was then: filled in from
-// today's row, a repeated change would look like another one under the same id.
+// mergeBase returns the row that supplies the fields that m leaves out, and whether the
+// change id has a record already. If it has one, the base is the row as it was before
+// that change. With the present row as base, a repeated command would look like a
+// different change under the same id.
 //
-// The change id's record is pinned: it may be deleted at any moment after its time, and
-// a change that was merged with the old row would then be made anew, over what others
-// have changed since.
+// The record of the change id is pinned. It may be deleted at any moment once its
+// retention is over, and a change that was merged with the old row would then be applied
+// a second time, over what others have changed since.
 func (s *Server) mergeBase(ctx context.Context, p *pinnedTable, m *pb.ApplyChangeRequest, row table.Row) (table.Row, bool, error) {
 	recordRow, err := s.Table.Read(ctx, table.ChangeKey(core.ChangeID(m.ChangeId)))
 	if err != nil || recordRow.Version == 0 {
@@ -71,7 +72,8 @@
 	return base, true, err
 }
 
-// merge fills the fields that are set in m, and those of row that are not, into c.
+// merge fills in the settings of c: the fields that m sets, and for the others the values
+// of row.
 func merge(c config.Change, m *pb.ApplyChangeRequest, row table.Row) (config.Change, error) {
 	var err error
 	switch c := c.(type) {
@@ -120,8 +122,9 @@
 	}
 }
 
-// addPoolState adds the pool's row of state to the transaction that sets the pool, so
-// that drain permits never count against another budget than the one accepted.
+// addPoolState extends a transaction that changes a pool's settings: it also writes the
+// budget into the pool's state row. Drain permits then always count against the accepted
+// budget.
 func (s *Server) addPoolState(ctx context.Context, t *table.Transaction) error {
 	for _, w := range t.Writes {
 		id, ok := poolOfConfigKey(w.Key)
@@ -151,6 +154,7 @@
 	return nil
 }
 
+// maxUnavailable returns the disruption budget of p, or the default one if p has none.
 func maxUnavailable(p config.Pool, defaults table.Row) int {
 	var d config.Defaults
 	if p.MaxUnavailable == 0 && defaults.Decode(&d) == nil {
@@ -159,18 +163,20 @@
 	return p.MaxUnavailable
 }
 
-// pinnedTable is a table whose reads of some rows return, once, what was read before.
-// platform.Apply thereby checks the very rows that a change was merged with: a
-// change by another operator in between is a conflict, and never undone unseen.
+// pinnedTable is a table in which some rows are pinned: the next read of a pinned row
+// returns it as it was read before. It makes platform.Apply check the very rows that a
+// change was merged with. A change by another operator in between is then a conflict and
+// isn't silently undone.
 type pinnedTable struct {
 	platform.Table
 	rows map[table.Key]table.Row
-	// addWrites adds to a transaction, on rows that it reads itself.
+	// addWrites extends each transaction before it is sent. It reads the rows that it
+	// needs.
 	addWrites func(ctx context.Context, t *table.Transaction) error
 }
 
-// pin reads the head and the row of key, in this order, so that whoever changes
-// the row later has a version above the head's.
+// pin reads and pins the head row and the row of key. It reads the head row first, so
+// that any later change of the other row has a version above that of the head.
 func (p *pinnedTable) pin(ctx context.Context, key table.Key) (table.Row, error) {
 	p.rows = map[table.Key]table.Row{}
 	for _, k := range []table.Key{table.ConfigHead, key} {
@@ -183,8 +189,8 @@
 	return p.rows[key], nil
 }
 
-// pinRow lets the next read of row's key return row. Without pinned rows, as in a test,
-// it does nothing.
+// pinRow makes the next read of row's key return row. It does nothing if pinning is off,
+// as in a test.
 func (p *pinnedTable) pinRow(row table.Row) {
 	if p.rows != nil {
 		p.rows[row.Key] = row
@@ -203,7 +209,7 @@
 // Transact implements platform.Table.
 func (p *pinnedTable) Transact(ctx context.Context, t table.Transaction) error {
 	if err := p.addWrites(ctx, &t); err != nil {
-		// Nothing was sent; any other error would count as a lost answer.
+		// Nothing was sent. platform.Apply would take any other error for a lost answer.
 		return errors.Wrap(table.ErrUnreachable, err.Error())
 	}
 	return p.Table.Transact(ctx, t)
--- a/io/operator/error.go
+++ b/io/operator/error.go
@@ -12,7 +12,8 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// connectCodes are the connect codes of result codes; others are internal.
+// connectCodes maps numbered result codes to connect codes. A code that isn't listed maps
+// to connect.CodeInternal.
 var connectCodes = map[core.Code]connect.Code{
 	core.CodeMalformed:      connect.CodeInvalidArgument,
 	core.CodeNotFound:       connect.CodeNotFound,
@@ -26,7 +27,7 @@
 	core.CodeNotAuthorized:  connect.CodeUnauthenticated,
 }
 
-// toConnect turns err into a connect error with its numbered code as a detail.
+// toConnect converts err to a connect error that carries the numbered code as a detail.
 func toConnect(err error) error {
 	e := toCoreError(err)
 	code, ok := connectCodes[e.Code]
@@ -41,6 +42,7 @@
 	return ce
 }
 
+// toCoreError returns the numbered error in err, or wraps err in one.
 func toCoreError(err error) *core.Error {
 	var e *core.Error
 	switch {
@@ -53,8 +55,9 @@
 	}
 }
 
-// FromConnect returns the refusal that an entry gave, for clients. It is false if
-// no entry's word came back, so that the command may or may not have been heard.
+// FromConnect returns the numbered error that a client's call got from an entry. It
+// returns false if err carries none: no entry answered, so the command may or may not
+// have arrived.
 func FromConnect(err error) (*core.Error, bool) {
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
@@ -72,6 +75,7 @@
 	return nil, false
 }
 
+// toTimestamp returns nil for the zero time.
 func toTimestamp(t time.Time) *timestamppb.Timestamp {
 	if t.IsZero() {
 		return nil
@@ -79,6 +83,7 @@
 	return timestamppb.New(t)
 }
 
+// toTime returns the zero time for nil.
 func toTime(t *timestamppb.Timestamp) time.Time {
 	if t == nil {
 		return time.Time{}
--- a/io/operator/export.go
+++ b/io/operator/export.go
@@ -15,51 +15,53 @@
 	"lavenderpond/io/supervisor"
 )
 
-// exportProgressKey holds how far the audit was copied to the object store.
+// exportProgressKey is the key of the row that records how far audit records were copied
+// to the object store and deleted from the table.
 const exportProgressKey table.Key = "export/audit"
 
-// DefaultExportInterval is the time between two looks for new audit records. With
-// all entries at work it costs the table two reads an entry.
+// DefaultExportInterval is the time between two rounds of an Exporter. A round without
+// work costs the table two reads, and every entry runs an Exporter.
 const DefaultExportInterval = 10 * time.Second
 
-// exportBatch bounds the records that one round copies.
+// exportBatch is the maximum number of records that one round copies.
 const exportBatch = 200
 
-// exportProgress is the value of exportRow.
+// exportProgress is the value of the row under exportProgressKey.
 type exportProgress struct {
-	// Copied is the last record that the object store has, Deleted the last that the
-	// table no longer has.
-	Copied  core.Version `json:"version"`
+	// Copied is the version of the last record that was copied to the object store.
+	Copied core.Version `json:"version"`
+	// Deleted is the version of the last record that was deleted from the table.
 	Deleted core.Version `json:"deleted,omitempty"`
-	// DeleteAt is when the record after Deleted may be deleted; zero if not known yet.
+	// DeleteAt is when the record after Deleted may be deleted. Zero means not known.
 	DeleteAt time.Time `json:"delete_at,omitzero"`
 }
 
-// Exporter copies the audit records of accepted changes to the object store, where
-// the monitor reads them as "audit-VERSION.json", and deletes them in the table later,
-// with the records of their change ids. Every entry may run one: a record that is
-// copied twice is the same twice.
+// Exporter copies the audit records of accepted changes to the object store, where the
+// monitor reads them as "audit-VERSION.json". Once their retention is over, it deletes
+// them from the table, together with the records of their change ids. Every entry may
+// run an Exporter: copying a record twice stores the same object again.
 type Exporter struct {
 	Table   platform.Table
 	Objects platform.Objects
 	Log     zerolog.Logger
-	// Interval between rounds; 0 means DefaultExportInterval.
+	// Interval is the time between rounds; 0 means DefaultExportInterval.
 	Interval time.Duration
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
-	// lastDeleted is the mark's Deleted as this exporter last saw or set it.
+	// lastDeleted is exportProgress.Deleted as this exporter last read or wrote it.
 	lastDeleted core.Version
 
-	// Switched on in tests only, to see the safeguards fail: the mark moves before the
-	// objects are stored; records are deleted unread, early, or apart from the mark.
+	// For tests only, to show that each safeguard is needed: save the progress before the
+	// objects are stored, delete records without verifying the stored object, before
+	// their retention is over, or in another transaction than the progress.
 	saveProgressFirst, deleteUnverified, deleteEarly, deleteSeparately bool
 }
 
-// AuditObject returns the name of the object that holds the record of v.
+// AuditObject returns the name of the object that holds the audit record of version v.
 func AuditObject(v core.Version) string { return fmt.Sprintf("audit-%020d.json", uint64(v)) }
 
-// Child returns the exporter's part of the daemon's tree.
+// Child returns the exporter as a child of the daemon's supervision tree.
 func (e *Exporter) Child() supervisor.Child {
 	interval := e.Interval
 	if interval == 0 {
@@ -74,8 +76,8 @@
 	}}
 }
 
-// Round copies the records that are not in the object store yet, and deletes those
-// whose time is over.
+// Round copies the audit records that the object store doesn't have. If there are none,
+// it deletes records from the table whose retention is over.
 func (e *Exporter) Round(ctx context.Context) error {
 	var head config.Head
 	var progress exportProgress
@@ -92,17 +94,17 @@
 		err = e.deleteExpired(ctx, row, progress)
 	}
 	if errors.Is(err, table.ErrConflict) {
-		// Another entry's exporter was faster.
+		// The exporter of another entry saved its progress first.
 		return nil
 	}
 	return err
 }
 
-// export copies the records after the mark, up to head.
+// export copies the records after progress.Copied, up to version head.
 //
-// The mark moves only after the objects are stored. Moved first, an exporter that
-// ends in between, or an object store that is down, would leave a gap that nobody
-// fills, and the monitor would miss an accepted change.
+// It saves the progress only after the objects are stored. In the other order, an
+// exporter that ends in between or an object store that is down would leave a gap that
+// nobody fills, and the monitor would miss an accepted change.
 func (e *Exporter) export(ctx context.Context, row table.Row, progress exportProgress, head core.Version) error {
 	first, last := progress.Copied+1, min(head, progress.Copied+exportBatch)
 	progress.Copied = last
@@ -131,6 +133,7 @@
 	return nil
 }
 
+// saveProgress replaces the progress row, unless it has changed since row was read.
 func (e *Exporter) saveProgress(ctx context.Context, row table.Row, progress exportProgress) error {
 	var t table.Transaction
 	t.Check(row)
@@ -140,6 +143,7 @@
 	return e.Table.Transact(ctx, t)
 }
 
+// readRow reads the row of key and decodes it into value.
 func (e *Exporter) readRow(ctx context.Context, key table.Key, value any) (table.Row, error) {
 	row, err := e.Table.Read(ctx, key)
 	if err != nil {
--- a/io/operator/export_delete.go
+++ b/io/operator/export_delete.go
@@ -13,24 +13,26 @@
 )
 
 const (
-	// deleteBatch bounds the versions that one transaction deletes, two rows each, so
-	// that an outage's backlog doesn't take the writes of others.
+	// deleteBatch is the maximum number of versions that one transaction deletes, with
+	// two rows each. It keeps the backlog of an outage from using up the table's write
+	// capacity.
 	deleteBatch = 25
-	// deleteMargin is above any difference between two entries' clocks.
+	// deleteMargin exceeds any difference between the clocks of two entries.
 	deleteMargin = time.Minute
 )
 
-// deleteExpired deletes the audit records whose time is over, oldest first, each together
-// with the record of its change id. Without it the table would grow by 8,600 rows a
-// day at 4,300 changes.
+// deleteExpired deletes the audit records whose retention is over, oldest first, each
+// together with the record of its change id. Without it the table would grow by 8,600
+// rows a day at 4,300 changes.
 //
-// Rows and mark change in one transaction that checks the mark, so of two exporters
-// one deletes, and after a lost answer the mark tells what was done. A mark that moved
-// apart from its rows would leave rows that nobody ever deletes.
+// One transaction deletes the rows, saves the progress and checks the previous progress.
+// So only one of two exporters deletes, and after a lost answer the progress row tells
+// what was done. With separate transactions, the progress could pass rows that nobody
+// would ever delete.
 //
-// While the mark moves between two rounds, another entry's exporter is at work, and
-// this one leaves it alone: all entries together would read a backlog's records for
-// nothing, some 70 reads a second with 30 entries.
+// If the progress has changed since this exporter's last round, the exporter of another
+// entry is at work, and this one deletes nothing. Otherwise all entries would read the
+// records of a backlog in vain, some 70 reads a second with 30 entries.
 func (e *Exporter) deleteExpired(ctx context.Context, row table.Row, progress exportProgress) error {
 	if progress.Deleted >= progress.Copied || e.now().Before(progress.DeleteAt) {
 		return nil
@@ -44,7 +46,7 @@
 	if deleted == progress.Deleted && deleteAt.IsZero() {
 		return err
 	}
-	// What was gathered before an error is certain, and goes.
+	// Deletions that were collected before an error are safe to commit.
 	progress.Deleted, progress.DeleteAt = deleted, deleteAt
 	if err := e.commitDeletions(ctx, row, progress, t); err != nil {
 		return err
@@ -53,8 +55,9 @@
 	return nil
 }
 
-// collectDeletions adds the deletions to t. It returns the last version among them, or that of
-// the mark, and when the next one may go if that lies ahead.
+// collectDeletions adds the deletions of one batch to t. It returns the last version that
+// they cover, or progress.Deleted if there are none. If the batch ends at a record that
+// must stay for now, it also returns when that record may be deleted.
 func (e *Exporter) collectDeletions(ctx context.Context, t *table.Transaction, progress exportProgress) (core.Version, time.Time, error) {
 	last := min(progress.Copied, progress.Deleted+deleteBatch)
 	for v := progress.Deleted + 1; v <= last; v++ {
@@ -66,6 +69,7 @@
 	return last, time.Time{}, nil
 }
 
+// commitDeletions sends t, which holds the deletions, together with the new progress.
 func (e *Exporter) commitDeletions(ctx context.Context, row table.Row, progress exportProgress, t table.Transaction) error {
 	if e.deleteSeparately {
 		return firstError(e.saveProgress(ctx, row, progress), e.Table.Transact(ctx, t))
@@ -77,8 +81,9 @@
 	return e.Table.Transact(ctx, t)
 }
 
-// addDeletion adds to t the deletion of version v's records. If it isn't time yet, it
-// adds nothing and returns when it is.
+// addDeletion adds to t the deletion of the audit record of version v and of the record
+// of its change id. If their retention isn't over, it adds nothing and returns when it
+// will be.
 func (e *Exporter) addDeletion(ctx context.Context, t *table.Transaction, v core.Version) (time.Time, error) {
 	var audit config.AuditRecord
 	auditRow, err := e.readRow(ctx, table.AuditKey(v), &audit)
@@ -105,26 +110,27 @@
 	return time.Time{}, nil
 }
 
-// deleteAt returns when the record of a change id may go. Deleted earlier, an operator
-// who repeats a change whose answer was lost would make it a second time, over what
-// others have changed since. The audit record stays as long: it tells what the change
-// was merged with, and who won a race.
+// deleteAt returns when the record of a change id may be deleted. If it were deleted
+// earlier, an operator who repeats a change after a lost answer would apply it a second
+// time, over what others have changed since. The audit record stays as long, because it
+// tells what the change was merged with and who won a race.
 func (e *Exporter) deleteAt(a config.AuditRecord, r config.ChangeRecord) time.Time {
 	if e.deleteEarly {
 		return time.Time{}
 	}
 	until := r.KeepUntil
 	if r.Version != a.Version || until.IsZero() {
-		// The change id is another change's by now, or the record is from before records
-		// had a deadline.
+		// The change id belongs to a later change, or the record was written without a
+		// KeepUntil time.
 		until = a.At.Add(config.RecordRetention)
 	}
 	return until.Add(deleteMargin)
 }
 
-// verifyStored makes sure that the object store has the record of v. What the store lost
-// or cut since it was copied would else be gone for good, and the monitor would miss an
-// accepted change. It is stored again, and read back in a later round.
+// verifyStored checks that the object store holds the audit record of version v. An
+// object that the store lost or truncated since the copy would be gone for good once the
+// row is deleted, and the monitor would miss an accepted change. Such an object is stored
+// again, and verified in a later round.
 func (e *Exporter) verifyStored(ctx context.Context, v core.Version, value []byte) error {
 	if e.deleteUnverified {
 		return nil
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -14,7 +14,8 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// exportSimulation is a history with two exporters, and all audit records that it ever had.
+// exportSimulation is a history of changes with two exporters at work. It remembers the
+// audit records of all changes that were accepted.
 type exportSimulation struct {
 	*history
 	now       time.Time
@@ -55,8 +56,9 @@
 	r.checkRecords()
 }
 
-// checkRecords remembers the records in the table and finds what is wrong: a record that is
-// nowhere, or one of a change id that went before its time.
+// checkRecords remembers new audit records of the table. It sets violation if a record is
+// neither in the table nor in the object store, or if the record of a change id was
+// deleted before its retention was over.
 func (r *exportSimulation) checkRecords() {
 	for v := core.Version(len(r.accepted) + 1); ; v++ {
 		c := acceptedChange{row: r.t.rows.Read(table.AuditKey(v))}
@@ -80,7 +82,8 @@
 	}
 }
 
-// run lets hours pass, then days without faults, and returns what is wrong.
+// run simulates some days with changes and faults, then a long time without either. It
+// returns the violation that it found, or "".
 func (r *exportSimulation) run() string {
 	for range 30 {
 		r.randomChange()
@@ -99,12 +102,13 @@
 	return r.violation
 }
 
-// TestExportDeletes: the monitor would miss a change for good, an operator's repeated
-// change would be made twice, or the table would grow without end. For some days
-// operators make changes while two exporters copy and delete, also within each other's
-// rounds; table and store are down at times and lose answers, and the store loses
-// objects that it had confirmed. Red without reading back, before the stored time, and
-// with the mark in a transaction of its own.
+// TestExportDeletes guards against three failures: the monitor misses a change for good,
+// an operator's repeated change is applied twice, or the table grows without end. For
+// some days operators make changes while two exporters copy and delete, also in the
+// middle of each other's rounds. The table and the object store are down at times and
+// lose answers, and the store loses objects that it had confirmed. The test also shows
+// that it fails if an exporter deletes without verifying the object, deletes before the
+// retention is over, or saves its progress in a separate transaction.
 func TestExportDeletes(t *testing.T) {
 	const runs = 150
 	for seed := range uint64(runs) {
@@ -126,8 +130,9 @@
 	}
 }
 
-// TestExportStoreDown: the object store is down for a month. Nothing is deleted, each
-// record is copied when it is back, and then the old ones go.
+// TestExportStoreDown checks a long outage of the object store: 30 changes, one after each
+// retention period. Nothing is deleted meanwhile. When the store is back, each record is
+// copied, and the old ones are deleted from the table.
 func TestExportStoreDown(t *testing.T) {
 	r := newExportSimulation(1, Exporter{})
 	r.t.interleave, r.t.faultless = nil, true
@@ -149,11 +154,11 @@
 	}
 	assert.Equal(t, r.violation, "")
 	assert.Equal(t, len(r.store.objects), changes)
-	// The last change is a day old, without the margin for clocks.
+	// The last change has reached its retention, but not yet the margin for clocks.
 	assert.Equal(t, len(r.t.rows.Scan(table.PrefixAudit)), 1)
 }
 
-// unreachableObjects is an object store that is down.
+// unreachableObjects is an object store that is down. It counts the attempts to store.
 type unreachableObjects struct{ puts int }
 
 func (o *unreachableObjects) Put(context.Context, string, []byte) error {
@@ -165,8 +170,8 @@
 	return nil, table.ErrUnreachable
 }
 
-// tableWithObjects is a table with the object store beside it, as platform.Client is.
-// OnRead runs once, after the read of a row.
+// tableWithObjects serves the table and the object store in one value, as
+// platform.Client does. A function in afterRead runs once, after the read of its row.
 type tableWithObjects struct {
 	*faultyTable
 	*fakeObjects
@@ -182,12 +187,13 @@
 	return row, err
 }
 
-// TestRepeatWhileDeleted: an operator's answer was lost, another raised the share and
-// the limit since, and the first repeats the command under the same id: a moment before
-// the record's time is over, and after it, while an exporter deletes the record right
-// after it was read. Both times nothing may be made twice. Red when records go early
-// (the old limit is back), and without the pinned record (the change is made anew, with
-// what its row held at the first time).
+// TestRepeatWhileDeleted checks that a repeated change isn't applied twice while its
+// records are deleted. An operator's answer is lost, another operator then raises the
+// share and the limit, and the first repeats the command under the same id: just before
+// the record's retention is over, and after it, while an exporter deletes the record right
+// after it was read. If records were deleted early, the old limit would come
+// back. If the record weren't pinned, the change would be applied anew on the row as it
+// was the first time.
 func TestRepeatWhileDeleted(t *testing.T) {
 	repeat := func(template Exporter, after time.Duration, deleteDuringRepeat bool) (config.Team, *pb.ApplyChangeReply) {
 		r := newExportSimulation(1, template)
@@ -225,8 +231,8 @@
 	team, reply := repeat(Exporter{}, config.RecordRetention+2*deleteMargin, true)
 	assert.Assert(t, reply.Repeated)
 	assert.Equal(t, team, latest)
-	// After its time, the id is a new change's: it sets what it names, and undoes
-	// nothing else.
+	// Once the record is deleted, the id counts as that of a new change. It sets the
+	// fields that it names and undoes nothing else.
 	team, reply = repeat(Exporter{}, config.RecordRetention+2*deleteMargin, false)
 	assert.Assert(t, !reply.Repeated)
 	assert.Equal(t, team, config.Team{Share: 3, Limit: 40})
@@ -234,8 +240,8 @@
 	assert.Assert(t, !reply.Repeated && team.Limit == 40, "red: the safeguard is not needed")
 }
 
-// TestListAuditDeleted: an operator lists changes older than what the table keeps, and
-// sees them as before they were deleted there.
+// TestListAuditDeleted checks that the list of changes shows records that were deleted
+// from the table just as it did before.
 func TestListAuditDeleted(t *testing.T) {
 	r := newExportSimulation(2, Exporter{})
 	r.t.interleave, r.t.faultless = nil, true
@@ -256,13 +262,14 @@
 	for i, record := range list() {
 		assert.Equal(t, record.String(), before[i].String())
 	}
-	// The store loses one of them: the list names it and goes on.
+	// The store loses one record: the list reports it as missing and goes on.
 	delete(r.store.objects, AuditObject(core.Version(before[2].Version)))
 	before[2] = &pb.AuditRecord{Version: before[2].Version, Kind: KindRecordMissing}
 	for i, record := range list() {
 		assert.Equal(t, record.String(), before[i].String())
 	}
-	// An outage of the store is no missing record: the list fails, to be asked again.
+	// During an outage of the store the record may still exist, so the list fails and the
+	// operator can repeat it.
 	r.s.Table = struct {
 		*faultyTable
 		*unreachableObjects
@@ -271,8 +278,9 @@
 	assert.ErrorIs(t, err, table.ErrUnreachable)
 }
 
-// concurrentTable lets the next exporter run right before each transaction takes effect,
-// so that all work on the same mark and one transaction wins. It counts reads.
+// concurrentTable runs the pending exporters' rounds right before a transaction takes
+// effect. All rounds then start from the same progress, and one transaction wins. It
+// counts reads.
 type concurrentTable struct {
 	*faultyTable
 	pendingRounds []*Exporter
@@ -297,10 +305,10 @@
 	}
 }
 
-// TestExportOneDeletes: after a long outage of the object store all entries find a
-// backlog at the same moment. They would all read the same records, delete them once,
-// and again in each round, and take the table's reads from others. After the first
-// round one goes on alone; when it ends, another takes its place.
+// TestExportSingleDeleter checks that entries don't all work on the same backlog. After a
+// long outage of the object store, all entries find a backlog at the same moment. If each
+// read the same records in every round, they would use up the table's read capacity.
+// After the first round one exporter goes on alone. When it ends, another takes over.
 func TestExportSingleDeleter(t *testing.T) {
 	const entries, changes = 30, 8 * deleteBatch
 	r := newExportSimulation(1, Exporter{})
@@ -326,8 +334,8 @@
 	for range 2 {
 		assert.Equal(t, round(all), entries*readsToCheck+readsOfBatch)
 	}
-	// The last one's transaction took effect first, so it is the one at work. It ends,
-	// and the others see its last work, then that the mark stays.
+	// The transaction of the last exporter took effect first, so that one is at work. When
+	// it ends, the others first see its last progress, then that the progress stays.
 	rest := all[:entries-1]
 	assert.Equal(t, round(rest), len(rest)*readsToCheck)
 	assert.Equal(t, round(rest), len(rest)*(readsToCheck+readsOfBatch))
--- a/io/operator/export_test.go
+++ b/io/operator/export_test.go
@@ -11,8 +11,8 @@
 	"lavenderpond/io/platform"
 )
 
-// fakeObjects is the object store: down at times, and answers are lost. It may also
-// lose what it said it had stored.
+// fakeObjects is an object store that is down at times and loses answers. With
+// losesObjects it also loses objects whose storing it confirmed.
 type fakeObjects struct {
 	table        *faultyTable
 	objects      map[string]string
@@ -43,10 +43,9 @@
 	return []byte(data), nil
 }
 
-// TestExport: operators make changes while the table and the object store fail at
-// times and two entries export at once. In the end the monitor finds every accepted
-// change, as the table has it. With the mark moved before the objects are stored,
-// records are missing for good.
+// TestExport checks that every accepted change reaches the object store as the table has
+// it, while the table and the store fail at times and two entries export at once. If the
+// progress is saved before the objects are stored, records are missing for good.
 func TestExport(t *testing.T) {
 	missing := func(seed uint64, saveProgressFirst bool) int {
 		h := newHistory(seed, &Server{})
--- a/io/operator/fleet_change.go
+++ b/io/operator/fleet_change.go
@@ -15,23 +15,25 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// maxApplyAttempts bounds how often a change is planned again after others came first,
-// or sent again after a lost answer.
+// maxApplyAttempts bounds the attempts at a change. An attempt is repeated if another
+// change took effect first, or if the table could not be reached or lost its answer.
 const maxApplyAttempts = 10
 
-// fleetChange builds the transaction of a change of VMs or maintenance, on rows that it
-// reads. An empty transaction says that nothing is left to do.
+// fleetChange is a change of VMs or of a zone's maintenance.
 type fleetChange interface {
-	// rowKey is the row that the change is about.
+	// rowKey returns the key of the row that the audit record describes.
 	rowKey() table.Key
-	// auditInfo returns the kind of change and the reason for its audit record.
+	// auditInfo returns the kind and the reason for the audit record.
 	auditInfo() (kind, reason string)
+	// build reads the rows that the change depends on and returns its transaction.
+	// The transaction has no writes if nothing is left to do.
 	build(ctx context.Context, s *Server, now time.Time, m *pb.ApplyChangeRequest) (table.Transaction, error)
 }
 
-// applyFleetChange carries out a once. Such a change gets a version, an audit record and
-// the record of its change id like any change of configuration, in the same
-// transaction: a lost answer is settled by reading that record.
+// applyFleetChange applies c at most once. Like a change of configuration, c gets a
+// version, an audit record and a record of its change id, all in the transaction that
+// makes the change. After a lost answer, the record of the change id tells whether the
+// change took effect.
 func (s *Server) applyFleetChange(ctx context.Context, m *pb.ApplyChangeRequest, c fleetChange) (*pb.ApplyChangeReply, error) {
 	var lastErr error
 	mayHaveApplied := false
@@ -39,7 +41,7 @@
 		reply, err := s.tryFleetChange(ctx, m, c)
 		switch {
 		case err == nil:
-			// After a lost answer the record is this call's own work.
+			// After a lost answer, the record may be from an earlier attempt of this call.
 			reply.Repeated = reply.Repeated && !mayHaveApplied
 			return reply, nil
 		case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrUnreachable):
@@ -60,6 +62,8 @@
 	}
 }
 
+// tryFleetChange makes one attempt at c, or returns the result that an earlier attempt
+// recorded under the same change id.
 func (s *Server) tryFleetChange(ctx context.Context, m *pb.ApplyChangeRequest, c fleetChange) (*pb.ApplyChangeReply, error) {
 	recordRow, err := s.Table.Read(ctx, table.ChangeKey(core.ChangeID(m.ChangeId)))
 	if err != nil {
@@ -91,6 +95,8 @@
 	return &pb.ApplyChangeReply{Version: uint64(version)}, s.Table.Transact(ctx, t)
 }
 
+// repeatedReply answers a change whose id already has a record. A different change under
+// that id is refused.
 func repeatedReply(m *pb.ApplyChangeRequest, row table.Row) (*pb.ApplyChangeReply, error) {
 	var record config.ChangeRecord
 	if err := row.Decode(&record); err != nil {
@@ -103,7 +109,8 @@
 	return &pb.ApplyChangeReply{Version: uint64(record.Version), Repeated: true}, nil
 }
 
-// recordChange adds the head's next version, the audit record and the change's record.
+// recordChange adds to t the head row with the next version, the audit record and the
+// record of the change id. It returns the new version.
 func recordChange(t *table.Transaction, m *pb.ApplyChangeRequest, c fleetChange, now time.Time, headRow, before, recordRow table.Row) (core.Version, error) {
 	var head config.Head
 	if err := headRow.Decode(&head); err != nil {
@@ -131,8 +138,9 @@
 		t.Set(table.AuditKey(head.Version), audit))
 }
 
-// changeDigest tells two changes under one id apart. A drain's deadline is left out: an
-// operator who repeats the command later gives a later one.
+// changeDigest returns a digest by which two different changes under one change id are
+// told apart. It leaves out the deadline of a drain, because an operator who repeats the
+// command later gives a later deadline.
 func changeDigest(m *pb.ApplyChangeRequest) string {
 	m = proto.CloneOf(m)
 	switch c := m.Change.(type) {
--- a/io/operator/lists.go
+++ b/io/operator/lists.go
@@ -16,7 +16,7 @@
 	"lavenderpond/io/platform"
 )
 
-// Prefixes of the rows of each list.
+// Key prefixes of the rows of each list.
 var (
 	teamPrefix      = string(table.TeamKey(""))
 	poolPrefix      = string(table.PoolConfigKey(""))
@@ -83,6 +83,7 @@
 	return connect.NewResponse(reply), nil
 }
 
+// poolStates reads the state rows of all pools.
 func (s *Server) poolStates(ctx context.Context) (map[core.PoolID]fleet.Pool, error) {
 	rows, _, err := s.Table.Scan(ctx, table.PrefixPool)
 	if err != nil {
@@ -199,15 +200,16 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Bounds of ListAudit: the whole audit grows without end.
+// Number of records that ListAudit returns by default and at most. The number of all
+// records grows without end.
 const (
 	defaultAuditCount = 50
 	maxAuditCount     = 1000
 )
 
-// KindRecordMissing stands in an audit list for a change whose record neither the table nor
-// the object store has any more. Without it one lost record would end the whole list,
-// and an operator would wait for a platform that is up.
+// KindRecordMissing is the kind that an audit list shows for a change whose record is
+// neither in the table nor in the object store. Without it, one lost record would make
+// the whole list fail, and an operator would wait for a platform that is up.
 const KindRecordMissing = "record_missing"
 
 // ListAudit implements OperatorService.
@@ -236,6 +238,7 @@
 	return connect.NewResponse(reply), nil
 }
 
+// auditMessage returns the record of version v as ListAudit sends it.
 func (s *Server) auditMessage(ctx context.Context, v core.Version) (*pb.AuditRecord, error) {
 	a, err := s.findAuditRecord(ctx, v)
 	if errors.Is(err, platform.ErrNoObject) {
@@ -247,15 +250,15 @@
 	}, err
 }
 
-// findAuditRecord returns the record of version v, from the table, or from the object store if
-// the table no longer keeps it.
+// findAuditRecord reads the record of version v from the table, or from the object store
+// if it was deleted from the table.
 func (s *Server) findAuditRecord(ctx context.Context, v core.Version) (config.AuditRecord, error) {
 	var a config.AuditRecord
 	row, err := s.Table.Read(ctx, table.AuditKey(v))
 	if err != nil || row.Version > 0 {
 		return a, firstError(err, row.Decode(&a))
 	}
-	// The platform's client serves the object store beside the table.
+	// platform.Client implements both platform.Table and platform.Objects.
 	objects, ok := s.Table.(platform.Objects)
 	if !ok {
 		return a, nil
--- a/io/operator/note.go
+++ b/io/operator/note.go
@@ -11,8 +11,8 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// changeNote tells what an operator should know after c. A limit below what runs
-// stops nothing that runs; the note shows how far the team still is above it.
+// changeNote returns what an operator should know after change c, or "". A new limit
+// doesn't stop running tasks, so the note tells how far the team is still above it.
 func (s *Server) changeNote(ctx context.Context, c config.Change, m *pb.ApplyChangeRequest) string {
 	if note := s.missingReferenceNote(ctx, c); note != "" {
 		return note
@@ -44,9 +44,9 @@
 	return note
 }
 
-// missingReferenceNote tells of a name in c that nothing is set under. It may be misspelt: the key,
-// queue or exception is then accepted, and has no effect that anybody sees. It is no
-// refusal, since rows may be set in any order.
+// missingReferenceNote returns a note if c refers to a team, pool or other row that isn't
+// set. The name may be misspelt, and the key, queue or exception would then have no
+// visible effect. The change isn't refused, because rows may be set in any order.
 func (s *Server) missingReferenceNote(ctx context.Context, c config.Change) string {
 	switch c := c.(type) {
 	case config.GrantKey:
@@ -66,8 +66,8 @@
 	}
 }
 
-// missingRowNote returns a note if there is no row of key. One that can't be read gives none:
-// the change itself was made.
+// missingRowNote returns a note with the consequence if key has no row. A row that can't
+// be read gives no note and no error, because the change itself has taken effect.
 func (s *Server) missingRowNote(ctx context.Context, key table.Key, consequence string) string {
 	row, err := s.Table.Read(ctx, key)
 	if err != nil || row.Version > 0 {
@@ -76,8 +76,8 @@
 	return fmt.Sprintf("no %s is set; %s", strings.TrimPrefix(string(key), table.PrefixConfig), consequence)
 }
 
-// unknownZoneNote tells that no entry of the zone has ever stated its address. The zone may be
-// misspelt, and nothing would then drain, check or maintain its VMs.
+// unknownZoneNote returns a note if no entry of c's zone has ever published its address.
+// The zone may be misspelt, and nothing would then drain, check or maintain its VMs.
 func (s *Server) unknownZoneNote(ctx context.Context, c fleetChange) string {
 	zone := ""
 	switch c := c.(type) {
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator serves the operators' commands on an entry: changes to the
-// platform's table, lists, and what is in force where.
+// Package operator serves operators' commands on an entry. They change the platform's
+// table, list its rows, and report which configuration and which withdrawals are in force
+// at which entry.
 package operator
 
 import (
@@ -20,31 +21,31 @@
 	"lavenderpond/io/platform"
 )
 
-// maxRequestBytes bounds an operator's request, in bytes.
+// maxRequestBytes is the maximum size of an operator's request.
 const maxRequestBytes = 1 << 20
 
-// defaultTimeout bounds a request whose caller names no timeout.
+// defaultTimeout bounds a request whose caller sets no timeout.
 const defaultTimeout = 10 * time.Second
 
-// Backend is what the service asks of the daemon that it runs in.
+// Backend is what the service needs from the daemon that it runs in.
 type Backend interface {
-	// Fleet returns the status of this entry, first, and of every other entry that
-	// it knows. It returns within ctx and marks those that it can't reach. A zone of
-	// which it knows no entry gets an unreachable status without an Entry, so that
-	// operators see that the zone can't be vouched for.
+	// Fleet returns the status of this entry first, and then of every other known entry.
+	// It returns before ctx ends and marks the entries that it can't reach. A zone
+	// without a known entry gets an unreachable status with an empty Entry, so that
+	// operators see that the state of the zone is unknown.
 	Fleet(ctx context.Context) []EntryStatus
-	// Withdraw puts the withdrawal of a key in force here, and sends it to every
-	// known entry. It returns a confirmation for each, this entry first, and one
-	// without an Entry for a zone of which it knows none. The team is empty if nobody
-	// named it.
+	// Withdraw puts the withdrawal of a key in force at this entry and sends it to every
+	// known entry. It returns a confirmation for each, with this entry first. A zone
+	// without a known entry gets a confirmation with an empty Entry. The team of w is
+	// empty if it isn't known.
 	Withdraw(ctx context.Context, w key.Withdrawal) []Confirmation
 	// View returns every row of the entry's view of the configuration.
 	View() config.Delta
-	// Dump returns the process's state, to be encoded as JSON, without secrets.
+	// Dump returns the state of the process without secrets, as a value to encode as JSON.
 	Dump() any
 }
 
-// EntryStatus is what an entry tells of itself.
+// EntryStatus is the status that an entry reports of itself.
 type EntryStatus struct {
 	Entry core.EntryID
 	Zone  core.ZoneID
@@ -52,25 +53,26 @@
 	Reachable bool
 	// Version is the configuration version in force.
 	Version core.Version
-	// KeysFreshAt is the youngest evidence that the key list is whole.
+	// KeysFreshAt is the latest time at which the entry's key list was known to be
+	// complete.
 	KeysFreshAt time.Time
 	Shards      int
 	Teams       []TeamLoad
 }
 
-// TeamLoad is a team's work at one entry.
+// TeamLoad is the load of one team at one entry.
 type TeamLoad struct {
 	Team    core.TeamID
 	Running core.Slots
 	Queued  int
 }
 
-// Confirmation says whether something is in force at an entry.
+// Confirmation tells whether a change or a withdrawal is in force at an entry.
 type Confirmation struct {
 	Entry     core.EntryID
 	Zone      core.ZoneID
 	Confirmed bool
-	// Detail says why it can't be confirmed.
+	// Detail is the reason if it isn't confirmed.
 	Detail string
 }
 
@@ -78,7 +80,7 @@
 type Server struct {
 	Table   platform.Table
 	Backend Backend
-	// Entry names this entry in reports.
+	// Entry is the id of this entry, for reports.
 	Entry core.EntryID
 	// Log gets a line for each change, withdrawal and refusal.
 	Log zerolog.Logger
@@ -87,7 +89,7 @@
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
-	// Test-only: each switches one safeguard off.
+	// For tests only: each field disables one safeguard.
 	noPin, noRecord, tableFirst bool
 }
 
@@ -100,7 +102,7 @@
 	return path, s.requireKey(connectrpc.LimitBody(h, maxRequestBytes))
 }
 
-// requireKey lets in only who has the operator key, before anything is read of a body.
+// requireKey refuses requests without the operator key before it reads their bodies.
 func (s *Server) requireKey(next http.Handler) http.Handler {
 	errorWriter := connect.NewErrorWriter()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -118,7 +120,7 @@
 	})
 }
 
-// intercept gives errors their code and writes the log.
+// intercept bounds the time of a call, logs it, and converts its error to a connect error.
 func (s *Server) intercept(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 		ctx, cancel := s.shortenDeadline(ctx)
@@ -132,7 +134,7 @@
 	}
 }
 
-// changeRequest is a request that makes a change.
+// changeRequest is implemented by the messages of requests that change something.
 type changeRequest interface {
 	GetChangeId() string
 	GetAuthor() string
@@ -153,9 +155,9 @@
 	line.Str("call", path.Base(procedure)).Int("code", int(code)).Str("code_name", code.String()).Msg("operator call")
 }
 
-// shortenDeadline leaves a fifth of the caller's time for the way back: a command that ran
-// into its own timeout while the table is down could not tell a change that was
-// not made from a lost answer.
+// shortenDeadline reserves a fifth of the caller's time for the reply. A command that ran
+// into its own timeout while the table is down could not distinguish a change that wasn't
+// made from a lost answer.
 func (s *Server) shortenDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/io/operator/rows.go
+++ b/io/operator/rows.go
@@ -20,7 +20,8 @@
 	return err == nil
 }
 
-// poolOfConfigKey returns the pool whose settings stand under key.
+// poolOfConfigKey returns the pool whose settings the row of key holds. It returns false
+// if key isn't the key of a pool's settings.
 func poolOfConfigKey(key table.Key) (core.PoolID, bool) {
 	id, ok := strings.CutPrefix(string(key), string(table.PoolConfigKey("")))
 	return core.PoolID(id), ok
@@ -55,8 +56,9 @@
 	return vm, pool, err
 }
 
-// scanConfig returns the rows of configuration under prefix, or, while the table
-// is down, those of the entry's own view, with a note of whose view it is.
+// scanConfig returns the configuration rows under prefix. While the table is down, it
+// returns the rows of this entry's view instead, and a pb.View that names the entry and
+// its version.
 func (s *Server) scanConfig(ctx context.Context, prefix string) ([]table.Row, *pb.View, error) {
 	rows, _, err := s.Table.Scan(ctx, prefix)
 	if err == nil || !errors.Is(err, table.ErrUnreachable) {
@@ -72,5 +74,5 @@
 	return rows, &pb.View{Entry: string(s.Entry), Version: uint64(d.Version)}, nil
 }
 
-// rowName returns what follows prefix in the key of r.
+// rowName returns the part of r's key after prefix, which is the name of what r describes.
 func rowName(r table.Row, prefix string) string { return strings.TrimPrefix(string(r.Key), prefix) }
--- a/io/operator/status.go
+++ b/io/operator/status.go
@@ -34,8 +34,8 @@
 	return m
 }
 
-// Where implements OperatorService. An entry that doesn't answer is not taken to
-// have the version: it may be cut off, and serving on with an older one.
+// Where implements OperatorService. An entry that doesn't answer counts as unconfirmed:
+// it may be partitioned and still serve with an older version.
 func (s *Server) Where(ctx context.Context, r *connect.Request[pb.WhereRequest]) (*connect.Response[pb.WhereReply], error) {
 	reply := &pb.WhereReply{}
 	for _, e := range s.Backend.Fleet(ctx) {
--- a/io/operator/vm.go
+++ b/io/operator/vm.go
@@ -10,11 +10,11 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// verifyTimeout is how long a VM that an operator returns may take to show that it
-// works, before it counts as failed.
+// verifyTimeout is how long a VM that an operator returns to service may take to pass its
+// verification. After that it counts as failed.
 const verifyTimeout = 10 * time.Minute
 
-// The changes of VMs.
+// Fleet changes of a single VM.
 type (
 	addVM    struct{ *pb.AddVM }
 	removeVM struct{ *pb.RemoveVM }
--- a/io/operator/wave.go
+++ b/io/operator/wave.go
@@ -13,7 +13,8 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// waveChange is a change of a zone's maintenance: a plan, or one of the other steps.
+// waveChange is a fleet change of a zone's maintenance wave. It plans the wave if plan is
+// set, and otherwise starts or pauses it by calling step.
 type waveChange struct {
 	zone, reason, kind string
 	plan               *pb.PlanMaintenance
@@ -43,7 +44,7 @@
 	return a.step(w, o)
 }
 
-// wavePrefix is the prefix of the rows of zones' maintenance.
+// wavePrefix is the key prefix of the rows of maintenance waves, one for each zone.
 var wavePrefix = string(maintenance.WaveKey(""))
 
 // MaintenanceStatus implements OperatorService.
--- a/io/operator/withdraw.go
+++ b/io/operator/withdraw.go
@@ -14,13 +14,13 @@
 	"lavenderpond/io/platform"
 )
 
-// digestPattern is the form of every digest that an entry compares keys with. The key
-// itself, or a digest in upper case, matches no key: taken, the report would say "in
+// digestPattern matches the digests of keys as entries compute them. The key itself or a
+// digest in upper case would match no key. If it were accepted, the report would say "in
 // force" at every entry while the leaked key goes on working.
 var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// Withdraw implements OperatorService. The entries come before the table: a table
-// that is slow or down must not keep a leaked key working.
+// Withdraw implements OperatorService. It informs the entries before it writes the table,
+// because a table that is slow or down must not keep a leaked key working.
 func (s *Server) Withdraw(ctx context.Context, r *connect.Request[pb.WithdrawRequest]) (*connect.Response[pb.WithdrawReply], error) {
 	m := r.Msg
 	if m.ChangeId == "" || m.Author == "" {
@@ -46,6 +46,7 @@
 	return connect.NewResponse(reply), nil
 }
 
+// recordWithdrawal writes the withdrawal to the table.
 func (s *Server) recordWithdrawal(ctx context.Context, w key.Withdrawal, m *pb.WithdrawRequest) (platform.Applied, error) {
 	if w.Team == "" {
 		row, err := s.Table.Read(ctx, table.KeyDigestKey(w.Digest))
@@ -60,7 +61,8 @@
 	return platform.Apply(ctx, s.Table, c, core.ChangeID(m.ChangeId), s.now())
 }
 
-// withdrawnTeam returns the key's team by the entry's view, or else by the operator's word.
+// withdrawnTeam returns the team of the key, from the entry's view of the configuration or
+// else from the request.
 func (s *Server) withdrawnTeam(m *pb.WithdrawRequest) core.TeamID {
 	for _, r := range s.Backend.View().Rows {
 		if r.Key != table.KeyDigestKey(core.KeyDigest(m.Digest)) {
@@ -73,6 +75,7 @@
 	return core.TeamID(m.Team)
 }
 
+// teamOfKeyRow returns the team of the key that r describes, or "" if there is none.
 func teamOfKeyRow(r table.Row) core.TeamID {
 	var k config.Key
 	if err := r.Decode(&k); err != nil {
--- a/io/target/client.go
+++ b/io/target/client.go
@@ -15,27 +15,28 @@
 	"lavenderpond/core/home"
 )
 
-// leaseGrace is how long after a task's lease the client still waits for the
-// answer that tells how it ended.
+// leaseGrace is how long after the end of a task's lease the client still waits for the
+// answer.
 const leaseGrace = 2 * time.Second
 
-// queryTimeout bounds one question about a task.
+// queryTimeout bounds each call other than the start of a task.
 const queryTimeout = 2 * time.Second
 
-// Client starts, asks about and stops tasks. It is safe for concurrent use.
+// Client starts tasks on targets, asks about them and stops them. It is safe for
+// concurrent use.
 type Client struct {
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// MaxAnswer bounds an answer's body, in bytes.
+	// MaxAnswer is the maximum size of an answer's body, in bytes.
 	MaxAnswer int64
 	HTTP      *http.Client
 
-	// disabled switches safeguards off, in tests only.
+	// disabled is set by tests only, to show that each safeguard is needed.
 	disabled struct{ startByCheck, taskCheck, lengthCheck bool }
 }
 
-// NewClient returns a client that keeps up to connections connections to each
-// target and reads at most maxAnswer bytes of an answer.
+// NewClient returns a client with at most the given number of connections to each target.
+// It rejects answers of more than maxAnswer bytes.
 func NewClient(connections int, maxAnswer int64) *Client {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return &Client{
@@ -50,8 +51,9 @@
 	}
 }
 
-// Start sends d to the target at address and returns how it ended. It returns
-// NotStarted only if the task certainly did not and will not start.
+// Start sends d to the target at address, waits for the answer, and returns how the
+// dispatch ended. It returns NotStarted only if the task certainly did not and will not
+// start.
 func (c *Client) Start(ctx context.Context, address string, d home.Dispatch) home.End {
 	ctx, cancel := context.WithDeadline(ctx, d.LeaseUntil.Add(leaseGrace))
 	defer cancel()
@@ -59,16 +61,16 @@
 	if err != nil {
 		return home.NotStarted{Reason: home.Unreachable}
 	}
-	// The body must not be sent again by the HTTP library: a repeated write could
-	// start the task twice. Without GetBody it can't be had a second time. The
-	// reader isn't wrapped: a body that the library takes for unknown is written
-	// apart from the headers, which cost a second system call a dispatch.
+	// The HTTP library must not resend the body, because a second write could start the
+	// task twice. Without GetBody it can't. Wrapping the reader would prevent a resend as
+	// well, but the library writes a body of an unknown type separately from the headers,
+	// which costs a second system call for each dispatch.
 	req.GetBody = nil
 	req.Header.Set(HeaderAttempt, strconv.FormatUint(uint64(d.Number), 10))
 	setMillis(req.Header, HeaderStartBy, d.StartBy)
 	setMillis(req.Header, HeaderLeaseUntil, d.LeaseUntil)
-	// The clock is read right before the write: a process that was paused since
-	// it decided must not start work on a right that has lapsed meanwhile.
+	// The clock is read right before the write. If the process was paused after it decided
+	// to start the task, its shard lease may have expired, and it must not start work.
 	if !c.now().Before(d.StartBy) && !c.disabled.startByCheck {
 		return home.NotStarted{Reason: home.Late}
 	}
@@ -80,7 +82,7 @@
 	return c.readEnd(resp, d)
 }
 
-// Ask asks the target what became of a task.
+// Ask asks the target for the state of a task, and for its answer if it has ended.
 func (c *Client) Ask(ctx context.Context, address string, key core.RequestKey) home.Finding {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -111,8 +113,9 @@
 	}
 }
 
-// Accepts asks a target whether it takes new work, by a task that is late before
-// it arrives: a target that takes work calls it late, and nothing starts.
+// Accepts reports whether the target accepts new tasks. It sends a task whose start time
+// has passed already. A target that accepts tasks refuses this one as late, so nothing
+// starts.
 func (c *Client) Accepts(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -131,7 +134,8 @@
 	return resp.Header.Get(HeaderNotStarted) == ReasonLate
 }
 
-// Stop tells the target to stop a task. A lost order is made good by the lease.
+// Stop tells the target to stop a task. It ignores errors: if the call is lost, the task
+// stops at the end of its lease.
 func (c *Client) Stop(ctx context.Context, address string, key core.RequestKey) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -153,7 +157,8 @@
 	return req, nil
 }
 
-// endOfSendError tells a request that never left from one that may have arrived.
+// endOfSendError distinguishes a request that was never sent from one that may have
+// arrived. Only a failed dial proves that nothing was sent.
 func (c *Client) endOfSendError(err error) home.End {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -162,6 +167,7 @@
 	return home.Lost{}
 }
 
+// readEnd returns how the dispatch ended according to the target's response.
 func (c *Client) readEnd(resp *http.Response, d home.Dispatch) home.End {
 	if reason := resp.Header.Get(HeaderNotStarted); reason != "" {
 		return notStarted(reason)
@@ -182,9 +188,9 @@
 	return home.Answered{Body: body}
 }
 
-// readBody returns the answer's body if it is whole and of this task: a cut
-// answer is shorter than the length its runner stated, a crossed one names
-// another task.
+// readBody returns the answer's body if it is complete and belongs to the task of key. A
+// truncated answer is shorter than the length that it states, and a misdirected answer
+// names another task.
 func (c *Client) readBody(resp *http.Response, key core.RequestKey) ([]byte, error) {
 	if resp.Header.Get(HeaderTask) != key.String() && !c.disabled.taskCheck {
 		return nil, errors.New("answer of another task")
@@ -203,9 +209,9 @@
 	return body, nil
 }
 
-// readUpTo reads r to its end, or one byte more than length. Answers are kept until
-// their requests' deadlines: io.ReadAll's buffer of 512 bytes cost five times what a
-// short answer needs.
+// readUpTo reads r to its end, but at most one byte more than length. Its buffer is as
+// long as the answer, because answers are kept until the deadlines of their requests. The
+// initial buffer of io.ReadAll has 512 bytes, five times what a short answer needs.
 func readUpTo(r io.Reader, length int64) ([]byte, error) {
 	body := make([]byte, length)
 	n, err := io.ReadFull(r, body)
@@ -237,6 +243,8 @@
 	ReasonInvalid: home.Invalid,
 }
 
+// notStarted converts a value of HeaderNotStarted. With an unknown reason, it is open
+// whether the task started.
 func notStarted(reason string) home.End {
 	r, ok := notStartedReasons[reason]
 	if !ok {
@@ -245,6 +253,6 @@
 	return home.NotStarted{Reason: r}
 }
 
-// noRedirect makes a redirection an answer like any other: to follow it would be to
-// send the task a second time.
+// noRedirect makes the client return a redirect as the answer. Following it would send the
+// task a second time.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -21,7 +21,7 @@
 	startOfTest = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 )
 
-// fakeTarget makes a target that answers every POST in one way.
+// fakeTarget is a target that answers each request in the way that its fields describe.
 type fakeTarget struct {
 	status                        int
 	task, attempt                 string
@@ -65,9 +65,9 @@
 
 var completeReply = fakeTarget{status: 200, task: "lyra/frame-1", attempt: "2", length: "5", body: "plate"}
 
-// TestStartEnds: a target answers in every way that it can. Only the whole answer
-// of this task and this dispatch is taken, only the target's own word counts as
-// "not started", and whatever else came leaves open whether the task ran.
+// TestStartEnds checks the result of Start for each kind of response. Start accepts only a
+// complete answer of this task and this dispatch. It returns NotStarted only if the target
+// says so. After any other response it is open whether the task ran.
 func TestStartEnds(t *testing.T) {
 	modified := func(f func(*fakeTarget)) fakeTarget {
 		r := completeReply
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestSafeguardsOfStart: with a check switched off, the same target's answer is
-// taken for what it isn't.
+// TestStartWithoutChecks shows that the checks of answers are needed. With a check
+// disabled, Start accepts a misdirected or a truncated answer.
 func TestStartWithoutChecks(t *testing.T) {
 	misdirected, truncated := completeReply, completeReply
 	misdirected.task, truncated.body = "vega/frame-1", "pla"
@@ -112,9 +112,9 @@
 	assert.DeepEqual(t, startTask(t, c, truncated, startOfTest), home.End(home.Answered{Body: []byte("pla")}))
 }
 
-// TestFrozenBeforeTheWrite: the holder is frozen after it decided and wakes when
-// its right has lapsed. The clock is read right before the write, so nothing is
-// sent; with that check off the target gets the request.
+// TestPausedBeforeWrite checks a process that is paused after it decided to start a task
+// and resumes when its shard lease has expired. Start reads the clock right before the
+// write and sends nothing. With that check disabled, the target gets the request.
 func TestPausedBeforeWrite(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		requests := 0
@@ -134,7 +134,8 @@
 	}
 }
 
-// TestNothingListens: a connection that can't be made proves that nothing started.
+// TestConnectionRefused checks that Start returns NotStarted if it can't connect, since
+// that proves that nothing started.
 func TestConnectionRefused(t *testing.T) {
 	srv := httptest.NewServer(completeReply)
 	address := strings.TrimPrefix(srv.URL, "http://")
@@ -146,8 +147,8 @@
 	assert.DeepEqual(t, c.Ask(t.Context(), address, key), home.Finding(home.FoundNothing{}))
 }
 
-// FuzzAnswer throws answers with arbitrary headers and bodies at the client: it
-// takes one only if it is whole, of this task and of this dispatch.
+// FuzzAnswer gives the client answers with arbitrary headers and bodies. It must accept
+// an answer only if it is complete and belongs to this task and this dispatch.
 func FuzzAnswer(f *testing.F) {
 	f.Add("lyra/frame-1", "2", "5", "plate", "")
 	f.Add("vega/frame-1", "2", "5", "plate", "")
@@ -175,9 +176,8 @@
 
 func newBody(s string) stringBody { return stringBody{strings.NewReader(s)} }
 
-// TestNeverSentTwice: a target answers with a redirection to itself, or breaks the
-// connection. The client must not follow or try again, with a body or without:
-// the task might run twice.
+// TestStartNeverResends checks that the client neither follows a redirect nor retries
+// after a broken connection, with or without a body. Otherwise the task might run twice.
 func TestStartNeverResends(t *testing.T) {
 	for _, body := range []string{"", "frames"} {
 		for _, status := range []int{http.StatusTemporaryRedirect, 0} {
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestEarlyRefusal: a target refuses a task of some megabytes without reading it and
-// closes. The refusal arrives all the same: the task did not start.
+// TestEarlyRefusal checks that the client gets the refusal of a target that closes the
+// connection without reading a body of some megabytes. The task did not start.
 func TestEarlyRefusal(t *testing.T) {
 	srv := httptest.NewServer(fakeTarget{status: 503, notStarted: ReasonFull})
 	defer srv.Close()
@@ -212,8 +212,8 @@
 	})
 }
 
-// TestAnswersKeepNoSlack: answers are kept until their requests' deadlines. The buffer
-// of a short one is as long as the answer.
+// TestAnswerBufferIsExact checks that the buffer of a short answer is no longer than the
+// answer, because answers are kept until the deadlines of their requests.
 func TestAnswerBufferIsExact(t *testing.T) {
 	srv := httptest.NewServer(completeReply)
 	defer srv.Close()
--- a/io/target/protocol.go
+++ b/io/target/protocol.go
@@ -1,8 +1,9 @@
-// Package target speaks to the target VMs: it starts tasks under a lease, takes
-// their whole answers, asks about tasks whose answer was lost, and stops tasks.
+// Package target implements the protocol with target VMs. Its client starts tasks under a
+// lease, accepts only complete answers, asks about tasks whose answer was lost, and stops
+// tasks.
 //
-// The protocol is HTTP: POST /tasks/TEAM/ID starts a task and returns its answer,
-// GET asks about it, DELETE stops it. Times in headers are Unix milliseconds.
+// The protocol runs over HTTP. POST /tasks/TEAM/ID starts a task and returns its answer,
+// GET asks about the task, and DELETE stops it. Times in headers are Unix milliseconds.
 package target
 
 import (
@@ -16,23 +17,25 @@
 
 // Headers of requests and answers.
 const (
-	// HeaderTask is "team/id" and HeaderAttempt the dispatch's number; answers
-	// repeat both, so that a crossed answer is found out.
+	// HeaderTask is "team/id" and HeaderAttempt the number of the dispatch. Answers
+	// repeat both, so that the client detects an answer of another task or dispatch.
 	HeaderTask    = "Task"
 	HeaderAttempt = "Attempt"
-	// HeaderStartBy is the last moment at which the task may start.
+	// HeaderStartBy is the time before which the task must start.
 	HeaderStartBy = "Start-By"
-	// HeaderLeaseUntil is when the target stops the task.
+	// HeaderLeaseUntil is the end of the lease, at which the target stops the task.
 	HeaderLeaseUntil = "Lease-Until"
-	// HeaderLength is the length of an answer's body, set by the task's runner.
+	// HeaderLength is the length of an answer's body in bytes, as the program that ran
+	// the task states it.
 	HeaderLength = "Answer-Length"
-	// HeaderNotStarted gives the reason of a refusal: the task did not start.
+	// HeaderNotStarted is the reason if the target refused the task, which then did not
+	// start.
 	HeaderNotStarted = "Not-Started"
-	// HeaderState is running, done, stopped or none, in answers to GET.
+	// HeaderState is the state of the task.
 	HeaderState = "Task-State"
 )
 
-// Reasons in HeaderNotStarted.
+// Values of HeaderNotStarted.
 const (
 	ReasonFull    = "full"
 	ReasonLeaving = "leaving"
@@ -40,7 +43,7 @@
 	ReasonInvalid = "invalid"
 )
 
-// States in HeaderState.
+// Values of HeaderState.
 const (
 	StateNone    = "none"
 	StateRunning = "running"
@@ -57,7 +60,7 @@
 	h.Set(name, strconv.FormatInt(t.UnixMilli(), 10))
 }
 
-// Millis reads a header of Unix milliseconds.
+// Millis returns the time in a header of Unix milliseconds.
 func Millis(h http.Header, name string) (time.Time, error) {
 	ms, err := strconv.ParseInt(h.Get(name), 10, 64)
 	if err != nil {
--- a/io/target/standin/control.go
+++ b/io/target/standin/control.go
@@ -9,11 +9,11 @@
 	"lavenderpond/core"
 )
 
-// RebootTime is how long a VM is away when the platform reboots it.
+// RebootTime is how long a VM is down when the platform reboots it.
 const RebootTime = 2 * time.Second
 
-// Control is the interface by which the platform's stand-in and tests reach a
-// VM: its state, reboots, faults.
+// Control is the control interface of a VM. The platform's stand-in and tests use it to
+// read the VM's state, to reboot and drain the VM, and to set faults.
 type Control struct {
 	VM *VM
 
@@ -21,11 +21,12 @@
 	upAt    time.Time
 	stuck   bool
 	reboots int
-	// fence is the highest that an order carried.
+	// fence is the highest fence of any order so far.
 	fence core.Version
 }
 
-// acceptFence says whether an order is not older than one seen before, and remembers it.
+// acceptFence reports whether an order with this fence is at least as new as every order
+// before it, and if so remembers the fence.
 func (c *Control) acceptFence(fence core.Version) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,7 +37,7 @@
 	return true
 }
 
-// State is what a VM tells the platform.
+// State is the state that a VM reports to the platform.
 type State struct {
 	Up      bool       `json:"up"`
 	Running core.Slots `json:"running"`
@@ -61,8 +62,8 @@
 	_ = json.NewEncoder(w).Encode(State{Up: up, Running: c.VM.Running()})
 }
 
-// reboot takes the VM down for RebootTime. What runs there is cut off: it is the
-// caller's duty to drain it before.
+// reboot takes the VM down for RebootTime and stops its running tasks. Callers must drain
+// the VM first.
 func (c *Control) reboot(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		NotAfter time.Time    `json:"not_after"`
@@ -83,7 +84,7 @@
 	c.VM.setDown(true)
 }
 
-// drain makes the VM refuse new work until the time given.
+// drain makes the VM refuse new tasks until the given time.
 func (c *Control) drain(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		Until time.Time    `json:"until"`
@@ -102,7 +103,7 @@
 	c.VM.drainUntil = order.Until
 }
 
-// faults sets the VM's faults; "stuck" keeps it from coming back.
+// faults sets the VM's faults. "stuck" keeps the VM down after a reboot.
 func (c *Control) faults(w http.ResponseWriter, r *http.Request) {
 	var f struct {
 		Faults
@@ -118,7 +119,7 @@
 	c.mu.Unlock()
 }
 
-// finishReboot brings the VM back up when its reboot is over.
+// finishReboot brings the VM up again if the time of its reboot is over.
 func (c *Control) finishReboot() {
 	c.mu.Lock()
 	over := !c.stuck && !c.upAt.IsZero() && !c.VM.now().Before(c.upAt)
@@ -131,7 +132,8 @@
 	}
 }
 
-// Crash ends the VM at once: what runs is cut off, and what ended is forgotten.
+// Crash takes the VM down at once. Its running tasks stop, and it forgets the answers of
+// tasks that ended.
 func (v *VM) Crash() {
 	v.setDown(true)
 	v.mu.Lock()
@@ -139,9 +141,10 @@
 	v.outcomes, v.endedOrder = make(map[string]outcome), nil
 }
 
-// Restart brings the VM back.
+// Restart brings the VM up again.
 func (v *VM) Restart() { v.setDown(false) }
 
+// setDown takes the VM down, which stops its running tasks, or brings it up.
 func (v *VM) setDown(down bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/io/target/standin/log.go
+++ b/io/target/standin/log.go
@@ -7,7 +7,7 @@
 	"lavenderpond/core"
 )
 
-// Start is one start of a task, as the target saw it.
+// Start records one start of a task on a VM.
 type Start struct {
 	VM      core.VMID `json:"vm"`
 	Task    string    `json:"task"`
@@ -16,8 +16,8 @@
 	End     time.Time `json:"end,omitzero"`
 }
 
-// StartLog records what really ran, for tests to check answers and limits
-// against. A nil log records nothing. It is safe for concurrent use.
+// StartLog records which tasks ran, and when. Tests compare answers and limits with it. A
+// nil StartLog records nothing. It is safe for concurrent use.
 type StartLog struct {
 	mu      sync.Mutex
 	starts  []Start
@@ -50,7 +50,7 @@
 	}
 }
 
-// Starts returns all starts so far, in order.
+// Starts returns all starts so far, in the order in which they happened.
 func (l *StartLog) Starts() []Start {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/io/target/standin/reply.go
+++ b/io/target/standin/reply.go
@@ -10,12 +10,13 @@
 	"lavenderpond/io/target"
 )
 
-// maxBodyBytes bounds a task's body, in bytes.
+// maxBodyBytes is the maximum size of a task's body.
 const maxBodyBytes = 16 << 20
 
 func taskName(r *http.Request) string { return r.PathValue("team") + "/" + r.PathValue("id") }
 
-// readBody reads a request's body and refuses one that is shorter than stated.
+// readBody reads a request's body. It returns an error if the body is shorter than the
+// request states.
 func readBody(r *http.Request) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 }
@@ -25,8 +26,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// makeAnswer makes the answer of a task: it names the task, so that a person sees
-// whose it is, and is filled up to the size that the work asks for.
+// makeAnswer returns the answer of a task, padded to the size that the work asks for. It
+// names the task, so that a person who reads it sees which task it belongs to.
 func makeAnswer(name string, body []byte, work Work) []byte {
 	answer := fmt.Appendf(nil, "done %s, %d bytes in", name, len(body))
 	if fill := work.AnswerBytes - len(answer); fill > 0 {
@@ -35,12 +36,13 @@
 	return answer
 }
 
+// reply sends the answer of a task, changed as the faults demand.
 func reply(w http.ResponseWriter, r *http.Request, name, state string, answer []byte, f Faults, work Work) {
 	if f.LoseAnswers > 0 {
 		panic(http.ErrAbortHandler) // the connection ends without an answer
 	}
 	if f.CrossAnswers > 0 {
-		// Whole in itself, and another task's.
+		// The answer is complete, but belongs to another task.
 		name = "other/task"
 		answer = makeAnswer(name, nil, work)
 	}
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -1,6 +1,7 @@
-// Package standin is a small stand-in for target VMs: slots, connections,
-// leases, and a record of every start by which tests check what really ran. It
-// can be told to lose, cut, cross or delay answers, to fail, leave or stop.
+// Package standin simulates target VMs for tests. A simulated VM has slots, honours
+// leases, and records every start, so that tests can check which tasks ran. It can be told
+// to lose, truncate, misdirect or delay answers, to fail tasks, to refuse new tasks, and
+// to go down.
 package standin
 
 import (
@@ -14,7 +15,7 @@
 	"lavenderpond/io/target"
 )
 
-// VM is one target VM. Slots must be set. It is safe for concurrent use.
+// VM is a simulated target VM. Slots must be set. It is safe for concurrent use.
 type VM struct {
 	ID    core.VMID
 	Slots core.Slots
@@ -29,43 +30,47 @@
 	endedOrder []string
 	faults     Faults
 	down       bool
-	// drainUntil makes the VM refuse new work before then.
+	// drainUntil is the time until which the VM refuses new tasks.
 	drainUntil time.Time
 }
 
-// Faults says how a VM misbehaves.
+// Faults describes how a VM misbehaves.
 type Faults struct {
-	// FailAll answers every task with a failure, at once.
+	// FailAll fails every task at once.
 	FailAll bool `json:"fail_all,omitempty"`
-	// RefuseAll says that no task is valid.
+	// RefuseAll refuses every task as invalid.
 	RefuseAll bool `json:"refuse_all,omitempty"`
-	// LoseAnswers, CutAnswers and CrossAnswers each count down per task that ran.
+	// LoseAnswers, CutAnswers and CrossAnswers are the numbers of answers to lose, to
+	// truncate, and to replace with the answer of another task. Each task that ran counts
+	// all three down.
 	LoseAnswers  int `json:"lose_answers,omitempty"`
 	CutAnswers   int `json:"cut_answers,omitempty"`
 	CrossAnswers int `json:"cross_answers,omitempty"`
-	// Leaving refuses new tasks and lets what runs finish.
+	// Leaving refuses new tasks and lets running tasks finish.
 	Leaving bool `json:"leaving,omitempty"`
-	// SlowBy multiplies run times, if above 1.
+	// SlowBy is the factor by which tasks run longer, if above 1.
 	SlowBy int `json:"slow_by,omitempty"`
 }
 
-// Work is what the stand-in understands of a task's body. Another body runs for
-// no time and is answered all the same.
+// Work is the JSON form of a task's body that the simulated VM understands. A task with
+// any other body takes no time and gets an answer all the same.
 type Work struct {
 	RunMs       int64 `json:"run_ms"`
 	AnswerBytes int   `json:"answer_bytes"`
 	Fail        bool  `json:"fail"`
 }
 
-// maxKeptAnswers bounds how many answers a VM keeps for questions.
+// maxKeptAnswers is the maximum number of ended tasks whose answers a VM keeps for GET
+// requests.
 const maxKeptAnswers = 20000
 
-// task is one start; two starts of one id are two tasks.
+// task is one start of a task. Two starts of the same id are two values.
 type task struct {
 	name string
 	stop chan struct{}
 }
 
+// outcome is the final state of a task and the body of its answer.
 type outcome struct {
 	state string
 	body  []byte
@@ -87,7 +92,7 @@
 	v.faults = f
 }
 
-// Running returns how many slots are in use.
+// Running returns the number of slots in use.
 func (v *VM) Running() core.Slots {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,7 +122,7 @@
 	reply(w, r, name, state, answer, f, work)
 }
 
-// start takes a slot, or says why the task doesn't start.
+// start takes a slot for a task. If the task can't start, it returns the reason.
 func (v *VM) start(name string, r *http.Request) (*task, string) {
 	startBy, err := target.Millis(r.Header, target.HeaderStartBy)
 	if err != nil {
@@ -141,15 +146,16 @@
 	if v.outcomes == nil {
 		v.outcomes = make(map[string]outcome)
 	}
-	// A second start of the same id is not refused here: the record must show
-	// what the callers' side did.
+	// A second start of the same id isn't refused, so that the log shows every start that
+	// the entries ordered.
 	t := &task{name: name, stop: make(chan struct{}, 1)}
 	v.running[t] = struct{}{}
 	v.Log.started(Start{VM: v.ID, Task: name, Attempt: r.Header.Get(target.HeaderAttempt), At: v.now()})
 	return t, ""
 }
 
-// run takes the task's time and reports whether it was stopped.
+// run waits for the run time of the task. It reports whether the task was stopped before,
+// by a call or by the end of its lease.
 func (v *VM) run(r *http.Request, t *task, work Work) bool {
 	if v.failsAll() || work.RunMs <= 0 {
 		return false
@@ -177,7 +183,8 @@
 	return v.faults.FailAll
 }
 
-// end frees the slot, keeps the answer and returns the faults for the reply.
+// end frees the task's slot and keeps its answer. It returns the faults to apply to the
+// reply.
 func (v *VM) end(t *task, state string, answer []byte) Faults {
 	v.mu.Lock()
 	defer v.mu.Unlock()
