--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -98,7 +98,7 @@
 	case invalidName(m.Queue):
 		return malformed("queue: 1 to %d bytes without control characters or slashes", maxNameBytes), true
 	case m.Deadline == nil || m.Deadline.CheckValid() != nil:
-		return malformed("deadline: a timestamp is needed"), true
+		return malformed("deadline: a valid timestamp is required"), true
 	case m.FirstSent != nil && m.FirstSent.CheckValid() != nil:
 		return malformed("first_sent: not a valid timestamp"), true
 	case m.BodyLength != nil && *m.BodyLength != uint64(len(m.Body)):
@@ -111,7 +111,7 @@
 		return core.NotRun{Code: core.CodeDeadlinePassed}, true
 	case req.Deadline.After(now.Add(s.MaxLifetime + s.SkewBound)):
 		return core.NotRun{Code: core.CodeDeadlineTooFar,
-			Detail: fmt.Sprintf("at most %s ahead", s.MaxLifetime)}, true
+			Detail: fmt.Sprintf("the deadline may be at most %s ahead", s.MaxLifetime)}, true
 	case req.FirstSent.After(now.Add(s.SkewBound)):
 		return core.NotRun{Code: core.CodeClockAhead,
 			Detail: fmt.Sprintf("first_sent may be at most %s ahead", s.SkewBound)}, true
--- a/io/operator/budget.go
+++ b/io/operator/budget.go
@@ -53,7 +53,7 @@
 		case errors.Is(err, table.ErrUnreachable), errors.Is(err, table.ErrOutcomeUnknown):
 			return err
 		case firstErr == nil:
-			firstErr = errors.Wrapf(err, "budget of pool %s", p.id)
+			firstErr = errors.Wrapf(err, "sync budget of pool %s", p.id)
 		}
 	}
 	return firstErr
--- a/io/operator/budget_test.go
+++ b/io/operator/budget_test.go
@@ -53,7 +53,7 @@
 		return h.maxUnavailable(t)
 	}
 	assert.Equal(t, finalBudget(false), 2)
-	assert.Equal(t, finalBudget(true), 4, "red: the safeguard is not needed")
+	assert.Equal(t, finalBudget(true), 4, "the test must fail without the check of the head row")
 }
 
 // TestSyncBudgetsCost bounds the table calls of a sync. With hundreds of pools and a
--- a/io/operator/change.go
+++ b/io/operator/change.go
@@ -15,7 +15,7 @@
 func (s *Server) ApplyChange(ctx context.Context, r *connect.Request[pb.ApplyChangeRequest]) (*connect.Response[pb.ApplyChangeReply], error) {
 	m := r.Msg
 	if m.ChangeId == "" || m.Author == "" {
-		return nil, core.Errorf(core.CodeMalformed, "change_id and author: both are needed")
+		return nil, core.Errorf(core.CodeMalformed, "change_id and author are both required")
 	}
 	var reply *pb.ApplyChangeReply
 	var err error
@@ -56,7 +56,7 @@
 		a := c.AttestZone
 		return config.AttestZone{Author: m.Author, Zone: core.ZoneID(a.Zone), Down: a.Down, Reason: a.Reason}, nil
 	default:
-		return nil, core.Errorf(core.CodeMalformed, "change: none of the known kinds is set")
+		return nil, core.Errorf(core.CodeMalformed, "change: no known kind of change is set")
 	}
 }
 
--- a/io/operator/change_test.go
+++ b/io/operator/change_test.go
@@ -134,7 +134,7 @@
 		}
 		mayHaveApplied = true
 	}
-	h.results[m.ChangeId] = core.Errorf(core.CodeChangeUnknown, "given up")
+	h.results[m.ChangeId] = core.Errorf(core.CodeChangeUnknown, "gave up")
 }
 
 func (h *history) randomChange() {
@@ -169,7 +169,7 @@
 		}
 		records[string(a.Change)]++
 		if string(a.Before) != lastValue[a.Key] {
-			return fmt.Sprintf("%s: before is %s, was %s", a.Change, a.Before, lastValue[a.Key])
+			return fmt.Sprintf("%s: the audit record has %s as Before, but the row was %s", a.Change, a.Before, lastValue[a.Key])
 		}
 		lastValue[a.Key] = string(a.After)
 		if m := h.requests[string(a.Change)].GetSetTeam(); m != nil && string(a.After) != teamAfter(m, a.Before) {
@@ -182,7 +182,7 @@
 		case applied > 1:
 			return fmt.Sprintf("%s took effect %d times", id, applied)
 		case applied == 1 && err != nil && toCoreError(err).Code != core.CodeChangeUnknown:
-			return fmt.Sprintf("%s took effect, its operator was told %v", id, err)
+			return fmt.Sprintf("%s took effect, but its operator was told %v", id, err)
 		}
 	}
 	return ""
@@ -222,8 +222,8 @@
 				}
 			}
 		}
-		t.Logf("%s: %d of %d seeds red", name, failing, seedCount)
-		assert.Assert(t, failing > 0, "%s is not needed", name)
+		t.Logf("%s: %d of %d seeds fail", name, failing, seedCount)
+		assert.Assert(t, failing > 0, "%s: the test must fail without the safeguard", name)
 	}
 }
 
@@ -255,7 +255,7 @@
 	assert.Equal(t, core.Code(reply.TableCode), core.CodePlatformDown)
 	assert.Assert(t, reply.Confirmations[0].Confirmed)
 	backend, _ = withdraw(&Server{tableFirst: true})
-	assert.Equal(t, backend.withdrawals, 0, "red: the safeguard is not needed")
+	assert.Equal(t, backend.withdrawals, 0, "the test must fail if the table is written first")
 }
 
 type downTable struct{ faultyTable }
--- a/io/operator/export.go
+++ b/io/operator/export.go
@@ -70,7 +70,7 @@
 	return supervisor.Child{Name: "audit_export", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, interval, func(ctx context.Context) {
 			if err := e.Round(ctx); err != nil {
-				e.Log.Debug().Err(err).Str("code", toCoreError(err).Code.String()).Msg("audit not exported")
+				e.Log.Debug().Err(err).Str("code", toCoreError(err).Code.String()).Msg("audit export failed")
 			}
 		})
 	}}
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -77,7 +77,7 @@
 		}
 		retained := r.now.Before(c.audit.At.Add(config.RecordRetention))
 		if retained && r.t.rows.Read(table.ChangeKey(c.audit.Change)).Version == 0 {
-			r.violation = "a change id was forgotten before its time"
+			r.violation = "the record of a change id was deleted before its retention was over"
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	}
 	remaining := len(r.t.rows.Scan(table.PrefixAudit)) + len(r.t.rows.Scan(table.PrefixChange))
 	if r.violation == "" && remaining > 0 {
-		return "rows stay for ever"
+		return "some rows are never deleted"
 	}
 	return r.violation
 }
@@ -117,7 +117,7 @@
 		}
 	}
 	for name, broken := range map[string]Exporter{
-		"deleteUnread": {deleteUnverified: true}, "deleteEarly": {deleteEarly: true}, "deleteApart": {deleteSeparately: true},
+		"deleteUnverified": {deleteUnverified: true}, "deleteEarly": {deleteEarly: true}, "deleteSeparately": {deleteSeparately: true},
 	} {
 		failing, example := 0, ""
 		for seed := range uint64(runs) {
@@ -125,8 +125,8 @@
 				failing, example = failing+1, fault
 			}
 		}
-		t.Logf("%s: %d of %d seeds red: %s", name, failing, runs, example)
-		assert.Assert(t, failing > 0, "%s: the safeguard is not needed", name)
+		t.Logf("%s: %d of %d seeds fail: %s", name, failing, runs, example)
+		assert.Assert(t, failing > 0, "%s: the test must fail without the safeguard", name)
 	}
 }
 
@@ -237,7 +237,7 @@
 	assert.Assert(t, !reply.Repeated)
 	assert.Equal(t, team, config.Team{Share: 3, Limit: 40})
 	team, reply = repeat(Exporter{deleteEarly: true}, config.RecordRetention-time.Second, false)
-	assert.Assert(t, !reply.Repeated && team.Limit == 40, "red: the safeguard is not needed")
+	assert.Assert(t, !reply.Repeated && team.Limit == 40, "the test must fail if records are deleted early")
 }
 
 // TestListAuditDeleted checks that the list of changes shows records that were deleted
--- a/io/operator/export_test.go
+++ b/io/operator/export_test.go
@@ -74,6 +74,6 @@
 			failing++
 		}
 	}
-	t.Logf("markFirst: %d of %d seeds red", failing, seedCount)
-	assert.Assert(t, failing > 0, "the safeguard is not needed")
+	t.Logf("saveProgressFirst: %d of %d seeds fail", failing, seedCount)
+	assert.Assert(t, failing > 0, "the test must fail if the progress is saved first")
 }
--- a/io/operator/lists.go
+++ b/io/operator/lists.go
@@ -265,7 +265,7 @@
 	}
 	data, err := objects.Get(ctx, AuditObject(v))
 	if err != nil {
-		return a, errors.Wrapf(err, "audit record %d is in the object store only", v)
+		return a, errors.Wrapf(err, "read audit record %d from the object store", v)
 	}
 	return a, errors.Wrapf(json.Unmarshal(data, &a), "decode audit record %d", v)
 }
--- a/io/operator/vm.go
+++ b/io/operator/vm.go
@@ -93,7 +93,7 @@
 
 func (s *Server) permitDrain(now time.Time, vm fleet.VMRow, pool fleet.PoolRow, p fleet.Permit) (table.Transaction, error) {
 	if !p.DrainBy.After(now) {
-		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "drain_by: a time ahead is needed")
+		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "drain_by: a time in the future is required")
 	}
 	return fleet.Rules{}.Permit(now, vm, pool, p)
 }
@@ -116,7 +116,7 @@
 func validateVM(a *pb.AddVM) error {
 	switch {
 	case a.Zone == "" || a.Vm == "" || a.Rack == "":
-		return core.Errorf(core.CodeInvalidSetting, "zone, vm and rack: all three are needed")
+		return core.Errorf(core.CodeInvalidSetting, "zone, vm and rack are all required")
 	case !isAddrPort(a.Address):
 		return core.Errorf(core.CodeInvalidSetting, "address is %q; allowed: an IP number and a port", a.Address)
 	case a.Slots < 1 || a.Connections < 1:
--- a/io/operator/wave.go
+++ b/io/operator/wave.go
@@ -27,7 +27,7 @@
 
 func (a waveChange) build(ctx context.Context, s *Server, now time.Time, m *pb.ApplyChangeRequest) (table.Transaction, error) {
 	if a.zone == "" {
-		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "zone: a name is needed")
+		return table.Transaction{}, core.Errorf(core.CodeInvalidSetting, "zone is required")
 	}
 	row, err := s.Table.Read(ctx, a.rowKey())
 	if err != nil {
--- a/io/operator/withdraw.go
+++ b/io/operator/withdraw.go
@@ -24,7 +24,7 @@
 func (s *Server) Withdraw(ctx context.Context, r *connect.Request[pb.WithdrawRequest]) (*connect.Response[pb.WithdrawReply], error) {
 	m := r.Msg
 	if m.ChangeId == "" || m.Author == "" {
-		return nil, core.Errorf(core.CodeMalformed, "change_id and author: both are needed")
+		return nil, core.Errorf(core.CodeMalformed, "change_id and author are both required")
 	}
 	if !digestPattern.MatchString(m.Digest) {
 		return nil, core.Errorf(core.CodeMalformed,
--- a/io/target/client.go
+++ b/io/target/client.go
@@ -151,7 +151,7 @@
 func (c *Client) request(ctx context.Context, method, address string, key core.RequestKey, body io.Reader) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+TaskPath(key), body)
 	if err != nil {
-		return nil, errors.Wrap(err, "target request")
+		return nil, errors.Wrap(err, "create target request")
 	}
 	req.Header.Set(HeaderTask, key.String())
 	return req, nil
@@ -193,18 +193,18 @@
 // names another task.
 func (c *Client) readBody(resp *http.Response, key core.RequestKey) ([]byte, error) {
 	if resp.Header.Get(HeaderTask) != key.String() && !c.disabled.taskCheck {
-		return nil, errors.New("answer of another task")
+		return nil, errors.New("answer belongs to another task")
 	}
 	length, err := strconv.ParseInt(resp.Header.Get(HeaderLength), 10, 64)
 	if err != nil || length < 0 || length > c.MaxAnswer {
-		return nil, errors.New("answer without a usable length")
+		return nil, errors.New("answer has no valid length")
 	}
 	body, err := readUpTo(resp.Body, length)
 	if err != nil {
 		return nil, errors.Wrap(err, "read answer")
 	}
 	if int64(len(body)) != length && !c.disabled.lengthCheck {
-		return nil, errors.New("answer was cut")
+		return nil, errors.New("answer is truncated")
 	}
 	return body, nil
 }
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -79,14 +79,14 @@
 		h    fakeTarget
 		want home.End
 	}{
-		{"whole", completeReply, home.Answered{Body: []byte("plate")}},
-		{"crossed task", modified(func(r *fakeTarget) { r.task = "vega/frame-1" }), home.Damaged{}},
-		{"crossed dispatch", modified(func(r *fakeTarget) { r.attempt = "1" }), home.Damaged{}},
-		{"cut", modified(func(r *fakeTarget) { r.body = "pla" }), home.Damaged{}},
+		{"complete", completeReply, home.Answered{Body: []byte("plate")}},
+		{"other task", modified(func(r *fakeTarget) { r.task = "vega/frame-1" }), home.Damaged{}},
+		{"other dispatch", modified(func(r *fakeTarget) { r.attempt = "1" }), home.Damaged{}},
+		{"truncated", modified(func(r *fakeTarget) { r.body = "pla" }), home.Damaged{}},
 		{"too long", modified(func(r *fakeTarget) { r.body = "plate plate" }), home.Damaged{}},
 		{"no length", modified(func(r *fakeTarget) { r.length = "" }), home.Damaged{}},
-		{"broken off", modified(func(r *fakeTarget) { r.body, r.dropAfterBody = "pl", true }), home.Damaged{}},
-		{"lost", fakeTarget{dropConnection: true}, home.Lost{}},
+		{"connection dropped", modified(func(r *fakeTarget) { r.body, r.dropAfterBody = "pl", true }), home.Damaged{}},
+		{"no response", fakeTarget{dropConnection: true}, home.Lost{}},
 		{"failed", fakeTarget{status: 500}, home.Failed{}},
 		{"stopped", fakeTarget{status: 200, state: StateStopped}, home.Stopped{}},
 		{"full", fakeTarget{status: 503, notStarted: ReasonFull}, home.NotStarted{Reason: home.Full}},
--- a/io/target/standin/control.go
+++ b/io/target/standin/control.go
@@ -74,7 +74,7 @@
 		return
 	}
 	if c.VM.now().After(order.NotAfter) || !c.acceptFence(order.Fence) {
-		http.Error(w, "the order's time has passed", http.StatusConflict)
+		http.Error(w, "the order has expired or its fence is stale", http.StatusConflict)
 		return
 	}
 	c.mu.Lock()
@@ -95,7 +95,7 @@
 		return
 	}
 	if !c.acceptFence(order.Fence) {
-		http.Error(w, "an order with a higher fence came before", http.StatusConflict)
+		http.Error(w, "the fence of the order is stale", http.StatusConflict)
 		return
 	}
 	c.VM.mu.Lock()
