--- a/io/operator/budget_test.go
+++ b/io/operator/budget_test.go
@@ -96,8 +96,8 @@
 	h.t.faultless = true
 	replica := &replicatedTable{faultyTable: h.t}
 	sync := replica.newSync(false)
-	gap := config.Delta{Base: 1, Version: 9, Rows: h.t.rows.Scan(table.PrefixConfig)}
-	_, err := replica.view.Apply(gap, config.FromPeer)
+	incomplete := config.Delta{Base: 1, Version: 9, Rows: h.t.rows.Scan(table.PrefixConfig)}
+	_, err := replica.view.Apply(incomplete, config.FromPeer)
 	assert.NilError(t, err)
 	assert.NilError(t, sync.Round(context.Background(), startTime))
 	assert.Equal(t, replica.reads, 0)
--- a/io/operator/change_test.go
+++ b/io/operator/change_test.go
@@ -80,8 +80,8 @@
 func (*singleEntryBackend) Fleet(context.Context) []EntryStatus {
 	return []EntryStatus{{Entry: "a1#1", Reachable: true}}
 }
-func (n *singleEntryBackend) Withdraw(context.Context, key.Withdrawal) []Confirmation {
-	n.withdrawals++
+func (b *singleEntryBackend) Withdraw(context.Context, key.Withdrawal) []Confirmation {
+	b.withdrawals++
 	return []Confirmation{{Entry: "a1#1", Zone: "zone_a", Confirmed: true}}
 }
 func (*singleEntryBackend) View() config.Delta { return config.Delta{} }
@@ -207,18 +207,18 @@
 // retry finds the VM already changed by its first attempt and is refused.
 func TestChangesOnce(t *testing.T) {
 	for seed := range uint64(seedCount) {
-		if fault := runHistory(seed, &Server{}); fault != "" {
-			t.Fatalf("seed %d: %s", seed, fault)
+		if violation := runHistory(seed, &Server{}); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
-	for name, broken := range map[string]Server{"noPin": {noPin: true}, "noRecord": {noRecord: true}} {
+	for name, broken := range map[string]Server{"noPinnedRows": {noPinnedRows: true}, "noChangeRecord": {noChangeRecord: true}} {
 		failing := 0
 		for seed := range uint64(seedCount) {
 			s := broken
-			if fault := runHistory(seed, &s); fault != "" {
+			if violation := runHistory(seed, &s); violation != "" {
 				failing++
 				if failing == 1 {
-					t.Logf("%s: seed %d: %s", name, seed, fault)
+					t.Logf("%s: seed %d: %s", name, seed, violation)
 				}
 			}
 		}
@@ -254,7 +254,7 @@
 	assert.Equal(t, backend.withdrawals, 1)
 	assert.Equal(t, core.Code(reply.TableCode), core.CodePlatformDown)
 	assert.Assert(t, reply.Confirmations[0].Confirmed)
-	backend, _ = withdraw(&Server{tableFirst: true})
+	backend, _ = withdraw(&Server{withdrawTableFirst: true})
 	assert.Equal(t, backend.withdrawals, 0, "the test must fail if the table is written first")
 }
 
--- a/io/operator/config.go
+++ b/io/operator/config.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.noPin {
-		p.rows = nil
+	if s.noPinnedRows {
+		p.pinned = nil
 	}
 	base, repeated, err := s.mergeBase(ctx, p, m, row)
 	if err != nil {
@@ -169,7 +169,7 @@
 // isn't silently undone.
 type pinnedTable struct {
 	platform.Table
-	rows map[table.Key]table.Row
+	pinned map[table.Key]table.Row
 	// addWrites extends each transaction before it is sent. It reads the rows that it
 	// needs.
 	addWrites func(ctx context.Context, t *table.Transaction) error
@@ -178,29 +178,29 @@
 // pin reads and pins the head row and the row of key. It reads the head row first, so
 // that any later change of the other row has a version above that of the head.
 func (p *pinnedTable) pin(ctx context.Context, key table.Key) (table.Row, error) {
-	p.rows = map[table.Key]table.Row{}
+	p.pinned = map[table.Key]table.Row{}
 	for _, k := range []table.Key{table.ConfigHead, key} {
 		row, err := p.Table.Read(ctx, k)
 		if err != nil {
 			return row, err
 		}
-		p.rows[k] = row
+		p.pinned[k] = row
 	}
-	return p.rows[key], nil
+	return p.pinned[key], nil
 }
 
 // pinRow makes the next read of row's key return row. It does nothing if pinning is off,
 // as in a test.
 func (p *pinnedTable) pinRow(row table.Row) {
-	if p.rows != nil {
-		p.rows[row.Key] = row
+	if p.pinned != nil {
+		p.pinned[row.Key] = row
 	}
 }
 
 // Read implements platform.Table.
 func (p *pinnedTable) Read(ctx context.Context, key table.Key) (table.Row, error) {
-	if row, ok := p.rows[key]; ok {
-		delete(p.rows, key)
+	if row, ok := p.pinned[key]; ok {
+		delete(p.pinned, key)
 		return row, nil
 	}
 	return p.Table.Read(ctx, key)
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -112,8 +112,8 @@
 func TestExportDeletes(t *testing.T) {
 	const runs = 150
 	for seed := range uint64(runs) {
-		if fault := newExportSimulation(seed, Exporter{}).run(); fault != "" {
-			t.Fatalf("seed %d: %s", seed, fault)
+		if violation := newExportSimulation(seed, Exporter{}).run(); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 	for name, broken := range map[string]Exporter{
@@ -121,8 +121,8 @@
 	} {
 		failing, example := 0, ""
 		for seed := range uint64(runs) {
-			if fault := newExportSimulation(seed, broken).run(); fault != "" {
-				failing, example = failing+1, fault
+			if violation := newExportSimulation(seed, broken).run(); violation != "" {
+				failing, example = failing+1, violation
 			}
 		}
 		t.Logf("%s: %d of %d seeds fail: %s", name, failing, runs, example)
--- a/io/operator/fleet_change.go
+++ b/io/operator/fleet_change.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if recordRow.Version != 0 && !s.noRecord {
+	if recordRow.Version != 0 && !s.noChangeRecord {
 		return repeatedReply(m, recordRow)
 	}
 	head, err := s.Table.Read(ctx, table.ConfigHead)
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -90,7 +90,7 @@
 	Now func() time.Time
 
 	// For tests only: each field disables one safeguard.
-	noPin, noRecord, tableFirst bool
+	noPinnedRows, noChangeRecord, withdrawTableFirst bool
 }
 
 var _ lavenderpondv1connect.OperatorServiceHandler = (*Server)(nil)
--- a/io/operator/withdraw.go
+++ b/io/operator/withdraw.go
@@ -31,7 +31,7 @@
 			"digest: 64 lower-case hex digits are needed, as 'keys list' shows them and 'printf %%s KEY | sha256sum' prints them; nothing was withdrawn")
 	}
 	w := key.Withdrawal{Digest: core.KeyDigest(m.Digest), Team: s.withdrawnTeam(m), Author: m.Author, Reason: m.Reason}
-	if s.tableFirst {
+	if s.withdrawTableFirst {
 		if _, err := s.recordWithdrawal(ctx, w, m); err != nil {
 			return nil, err
 		}
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	key         = core.RequestKey{Team: "lyra", ID: "frame-1"}
-	startOfTest = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+	key      = core.RequestKey{Team: "lyra", ID: "frame-1"}
+	baseTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 )
 
 // fakeTarget is a target that answers each request in the way that its fields describe.
@@ -59,7 +59,7 @@
 	c.HTTP = srv.Client()
 	return c.Start(t.Context(), strings.TrimPrefix(srv.URL, "http://"), home.Dispatch{
 		Request: core.Request{Key: key, Body: []byte("frames")}, Number: 2,
-		StartBy: startOfTest.Add(time.Second), LeaseUntil: time.Now().Add(time.Minute),
+		StartBy: baseTime.Add(time.Second), LeaseUntil: time.Now().Add(time.Minute),
 	})
 }
 
@@ -95,7 +95,7 @@
 		{"unknown reason", fakeTarget{status: 503, notStarted: "tired"}, home.Lost{}},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { assert.DeepEqual(t, startTask(t, &Client{}, c.h, startOfTest), c.want) })
+		t.Run(c.name, func(t *testing.T) { assert.DeepEqual(t, startTask(t, &Client{}, c.h, baseTime), c.want) })
 	}
 }
 
@@ -106,10 +106,10 @@
 	misdirected.task, truncated.body = "vega/frame-1", "pla"
 	c := &Client{}
 	c.disabled.taskCheck = true
-	assert.DeepEqual(t, startTask(t, c, misdirected, startOfTest), home.End(home.Answered{Body: []byte("plate")}))
+	assert.DeepEqual(t, startTask(t, c, misdirected, baseTime), home.End(home.Answered{Body: []byte("plate")}))
 	c = &Client{}
 	c.disabled.lengthCheck = true
-	assert.DeepEqual(t, startTask(t, c, truncated, startOfTest), home.End(home.Answered{Body: []byte("pla")}))
+	assert.DeepEqual(t, startTask(t, c, truncated, baseTime), home.End(home.Answered{Body: []byte("pla")}))
 }
 
 // TestPausedBeforeWrite checks a process that is paused after it decided to start a task
@@ -124,7 +124,7 @@
 		})
 		c := &Client{}
 		c.disabled.startByCheck = disabled
-		end := startTask(t, c, h, startOfTest.Add(3*time.Second))
+		end := startTask(t, c, h, baseTime.Add(3*time.Second))
 		if disabled {
 			assert.Equal(t, requests, 1)
 			continue
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -207,7 +207,7 @@
 func (v *VM) get(w http.ResponseWriter, r *http.Request) {
 	name := taskName(r)
 	v.mu.Lock()
-	e, ended := v.outcomes[name]
+	o, ended := v.outcomes[name]
 	isRunning := v.isRunning(name)
 	v.mu.Unlock()
 	w.Header().Set(target.HeaderTask, name)
@@ -217,9 +217,9 @@
 	case !ended:
 		w.Header().Set(target.HeaderState, target.StateNone)
 	default:
-		w.Header().Set(target.HeaderState, e.state)
-		w.Header().Set(target.HeaderLength, strconv.Itoa(len(e.body)))
-		_, _ = w.Write(e.body)
+		w.Header().Set(target.HeaderState, o.state)
+		w.Header().Set(target.HeaderLength, strconv.Itoa(len(o.body)))
+		_, _ = w.Write(o.body)
 	}
 }
 
