--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -29,12 +29,13 @@
 	// accept compression. Compressing smaller answers with gzip costs a tenth of the
 	// entry's processor time.
 	compressMinBytes = 16 << 10
-	// base64GrowthQuarters is the size that a body may have in the JSON codec, in quarters
-	// of its size in bytes. The JSON codec encodes bodies in base64.
+	// base64GrowthQuarters bounds the size of a body in the JSON codec, which encodes it in
+	// base64. It is in quarters of the body's own size.
 	base64GrowthQuarters = 6
 )
 
-// Backend passes a caller's call on to the home of its request id and returns the answer.
+// Backend passes a caller's call on to the home of its request id, which is the entry that
+// decides about the request, and returns the answer.
 type Backend interface {
 	Submit(ctx context.Context, req core.Request, noWait bool) core.Answer
 	Fetch(ctx context.Context, key core.RequestKey, digest core.KeyDigest) core.Answer
--- a/io/operator/budget_test.go
+++ b/io/operator/budget_test.go
@@ -38,6 +38,7 @@
 		h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_SetPool{SetPool: &pb.SetPool{Pool: "frames", MaxUnavailable: ptr(4)}}})
 		h.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_RetireException{
 			RetireException: &pb.RetireException{Id: "festival", Reason: "over"}}})
+		// Set another budget in the state row, so that the next round has one to write.
 		row := h.t.rows.Read(table.PoolStateKey("frames"))
 		var p fleet.Pool
 		assert.NilError(t, row.Decode(&p))
--- a/io/operator/change_test.go
+++ b/io/operator/change_test.go
@@ -188,6 +188,7 @@
 	return ""
 }
 
+// teamAfter returns the row that m must leave behind if the row was before.
 func teamAfter(m *pb.SetTeam, before json.RawMessage) string {
 	var t config.Team
 	if before != nil {
--- a/io/operator/config.go
+++ b/io/operator/config.go
@@ -48,7 +48,7 @@
 
 // mergeBase returns the row that supplies the fields that m leaves out, and whether the
 // change id has a record already. If it has one, the base is the row as it was before
-// that change. With the present row as base, a repeated command would look like a
+// that change. If the base were the current row, a repeated command would look like a
 // different change under the same id.
 //
 // The record of the change id is pinned. It may be deleted at any moment once its
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -25,6 +25,7 @@
 	violation string
 }
 
+// acceptedChange is an audit record and its row, as first read from the table.
 type acceptedChange struct {
 	row   table.Row
 	audit config.AuditRecord
@@ -130,9 +131,9 @@
 	}
 }
 
-// TestExportStoreDown checks a long outage of the object store: 30 changes, one after each
-// retention period. Nothing is deleted meanwhile. When the store is back, each record is
-// copied, and the old ones are deleted from the table.
+// TestExportStoreDown checks an outage of the object store for a month, with one change a
+// day. Nothing is deleted meanwhile. When the store is back, each record is copied, and
+// the old ones are deleted from the table.
 func TestExportStoreDown(t *testing.T) {
 	r := newExportSimulation(1, Exporter{})
 	r.t.interleave, r.t.faultless = nil, true
@@ -154,7 +155,7 @@
 	}
 	assert.Equal(t, r.violation, "")
 	assert.Equal(t, len(r.store.objects), changes)
-	// The last change has reached its retention, but not yet the margin for clocks.
+	// The last change is one day old. Its retention is over, but not deleteMargin.
 	assert.Equal(t, len(r.t.rows.Scan(table.PrefixAudit)), 1)
 }
 
@@ -191,9 +192,9 @@
 // records are deleted. An operator's answer is lost, another operator then raises the
 // share and the limit, and the first repeats the command under the same id: just before
 // the record's retention is over, and after it, while an exporter deletes the record right
-// after it was read. If records were deleted early, the old limit would come
-// back. If the record weren't pinned, the change would be applied anew on the row as it
-// was the first time.
+// after it was read. If records were deleted early, the old limit would come back. If the
+// record weren't pinned, the change would be applied anew to the row as it was the first
+// time.
 func TestRepeatWhileDeleted(t *testing.T) {
 	repeat := func(template Exporter, after time.Duration, deleteDuringRepeat bool) (config.Team, *pb.ApplyChangeReply) {
 		r := newExportSimulation(1, template)
--- a/io/target/standin/control.go
+++ b/io/target/standin/control.go
@@ -12,13 +12,15 @@
 // RebootTime is how long a VM is down when the platform reboots it.
 const RebootTime = 2 * time.Second
 
-// Control is the control interface of a VM. The platform's stand-in and tests use it to
-// read the VM's state, to reboot and drain the VM, and to set faults.
+// Control is the control interface of a VM. The simulated platform and tests use it
+// to read the VM's state, to reboot and drain the VM, and to set faults.
 type Control struct {
 	VM *VM
 
-	mu      sync.Mutex
-	upAt    time.Time
+	mu sync.Mutex
+	// upAt is when the VM comes up after a reboot; zero if it isn't rebooting.
+	upAt time.Time
+	// stuck keeps the VM down after a reboot.
 	stuck   bool
 	reboots int
 	// fence is the highest fence of any order so far.
--- a/io/target/standin/log.go
+++ b/io/target/standin/log.go
@@ -19,8 +19,9 @@
 // StartLog records which tasks ran, and when. Tests compare answers and limits with it. A
 // nil StartLog records nothing. It is safe for concurrent use.
 type StartLog struct {
-	mu      sync.Mutex
-	starts  []Start
+	mu     sync.Mutex
+	starts []Start
+	// running maps the VM and name of a running task to the index of its start.
 	running map[string]int
 }
 
--- a/io/target/standin/reply.go
+++ b/io/target/standin/reply.go
@@ -15,8 +15,8 @@
 
 func taskName(r *http.Request) string { return r.PathValue("team") + "/" + r.PathValue("id") }
 
-// readBody reads a request's body. It returns an error if the body is shorter than the
-// request states.
+// readBody reads at most maxBodyBytes of a request's body. It returns an error if the body
+// is shorter than the request states.
 func readBody(r *http.Request) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 }
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -24,9 +24,11 @@
 	// Log, if set, records every start and end.
 	Log *StartLog
 
-	mu         sync.Mutex
-	running    map[*task]struct{}
-	outcomes   map[string]outcome
+	mu      sync.Mutex
+	running map[*task]struct{}
+	// outcomes holds the outcomes of ended tasks by task name.
+	outcomes map[string]outcome
+	// endedOrder lists the names of ended tasks, oldest first.
 	endedOrder []string
 	faults     Faults
 	down       bool
