--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -35,7 +35,7 @@
 )
 
 // Backend passes a caller's call on to the home of its request id, which is the entry that
-// decides about the request, and returns the answer.
+// holds the lease on the id's shard, and returns the answer.
 type Backend interface {
 	Submit(ctx context.Context, req core.Request, noWait bool) core.Answer
 	Fetch(ctx context.Context, key core.RequestKey, digest core.KeyDigest) core.Answer
