--- a/io/operator/error.go
+++ b/io/operator/error.go
@@ -12,7 +12,8 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// connectCodes are the connect codes of result codes; others are internal.
+// connectCodes maps numbered result codes to connect codes. A code that isn't listed maps
+// to connect.CodeInternal.
 var connectCodes = map[core.Code]connect.Code{
 	core.CodeMalformed:      connect.CodeInvalidArgument,
 	core.CodeNotFound:       connect.CodeNotFound,
@@ -26,22 +27,23 @@
 	core.CodeNotAuthorized:  connect.CodeUnauthenticated,
 }
 
-// toConnect turns err into a connect error with its numbered code as a detail.
+// toConnect converts err to a connect error that carries the numbered code as a detail.
 func toConnect(err error) error {
-	e := asError(err)
+	e := toCoreError(err)
 	code, ok := connectCodes[e.Code]
 	if !ok {
 		code = connect.CodeInternal
 	}
 	ce := connect.NewError(code, e)
-	m := &pb.ErrorDetail{Code: uint32(e.Code), CodeName: e.Code.String(), Detail: e.Detail, ComeBackAt: stamp(e.ComeBackAt)}
+	m := &pb.ErrorDetail{Code: uint32(e.Code), CodeName: e.Code.String(), Detail: e.Detail, ComeBackAt: toTimestamp(e.ComeBackAt)}
 	if detail, err := connect.NewErrorDetail(m); err == nil {
 		ce.AddDetail(detail)
 	}
 	return ce
 }
 
-func asError(err error) *core.Error {
+// toCoreError returns the numbered error in err, or wraps err in one.
+func toCoreError(err error) *core.Error {
 	var e *core.Error
 	switch {
 	case errors.As(err, &e):
@@ -53,8 +55,9 @@
 	}
 }
 
-// FromConnect returns the refusal that an entry gave, for clients. It is false if
-// no entry's word came back, so that the command may or may not have been heard.
+// FromConnect returns the numbered error that a client's call got from an entry. It
+// returns false if err carries none: no entry answered, so the command may or may not
+// have arrived.
 func FromConnect(err error) (*core.Error, bool) {
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
@@ -66,20 +69,22 @@
 			continue
 		}
 		if m, ok := value.(*pb.ErrorDetail); ok {
-			return &core.Error{Code: core.Code(m.Code), Detail: m.Detail, ComeBackAt: instant(m.ComeBackAt)}, true
+			return &core.Error{Code: core.Code(m.Code), Detail: m.Detail, ComeBackAt: toTime(m.ComeBackAt)}, true
 		}
 	}
 	return nil, false
 }
 
-func stamp(t time.Time) *timestamppb.Timestamp {
+// toTimestamp returns nil for the zero time.
+func toTimestamp(t time.Time) *timestamppb.Timestamp {
 	if t.IsZero() {
 		return nil
 	}
 	return timestamppb.New(t)
 }
 
-func instant(t *timestamppb.Timestamp) time.Time {
+// toTime returns the zero time for nil.
+func toTime(t *timestamppb.Timestamp) time.Time {
 	if t == nil {
 		return time.Time{}
 	}
--- a/io/operator/export.go
+++ b/io/operator/export.go
@@ -15,51 +15,53 @@
 	"lavenderpond/io/supervisor"
 )
 
-// exportRow holds how far the audit was copied to the object store.
-const exportRow table.Key = "export/audit"
+// exportProgressKey is the key of the row that records how far audit records were copied
+// to the object store and deleted from the table.
+const exportProgressKey table.Key = "export/audit"
 
-// DefaultExportInterval is the time between two looks for new audit records. With
-// all entries at work it costs the table two reads an entry.
+// DefaultExportInterval is the time between two rounds of an Exporter. A round without
+// work costs the table two reads, and every entry runs an Exporter.
 const DefaultExportInterval = 10 * time.Second
 
-// exportBatch bounds the records that one round copies.
+// exportBatch is the maximum number of records that one round copies.
 const exportBatch = 200
 
-// exported is the value of exportRow.
-type exported struct {
-	// Version is the last record that the object store has, Deleted the last that the
-	// table no longer has.
-	Version core.Version `json:"version"`
+// exportProgress is the value of the row under exportProgressKey.
+type exportProgress struct {
+	// Copied is the version of the last record that was copied to the object store.
+	Copied core.Version `json:"version"`
+	// Deleted is the version of the last record that was deleted from the table.
 	Deleted core.Version `json:"deleted,omitempty"`
-	// DeleteAt is when the record after Deleted may be deleted; zero if not known yet.
+	// DeleteAt is when the record after Deleted may be deleted. Zero means not known.
 	DeleteAt time.Time `json:"delete_at,omitzero"`
 }
 
-// Exporter copies the audit records of accepted changes to the object store, where
-// the monitor reads them as "audit-VERSION.json", and deletes them in the table later,
-// with the records of their change ids. Every entry may run one: a record that is
-// copied twice is the same twice.
+// Exporter copies the audit records of accepted changes to the object store, where the
+// monitor reads them as "audit-VERSION.json". Once their retention is over, it deletes
+// them from the table, together with the records of their change ids. Every entry may
+// run an Exporter: copying a record twice stores the same object again.
 type Exporter struct {
 	Table   platform.Table
 	Objects platform.Objects
 	Log     zerolog.Logger
-	// Interval between rounds; 0 means DefaultExportInterval.
+	// Interval is the time between rounds; 0 means DefaultExportInterval.
 	Interval time.Duration
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
-	// deleted is the mark's Deleted as this exporter last saw or set it.
-	deleted core.Version
+	// lastDeleted is exportProgress.Deleted as this exporter last read or wrote it.
+	lastDeleted core.Version
 
-	// Switched on in tests only, to see the safeguards fail: the mark moves before the
-	// objects are stored; records are deleted unread, early, or apart from the mark.
-	markFirst, deleteUnread, deleteEarly, deleteApart bool
+	// For tests only, to show that each safeguard is needed: save the progress before the
+	// objects are stored, delete records without verifying the stored object, before
+	// their retention is over, or in another transaction than the progress.
+	saveProgressFirst, deleteUnverified, deleteEarly, deleteSeparately bool
 }
 
-// AuditObject returns the name of the object that holds the record of v.
+// AuditObject returns the name of the object that holds the audit record of version v.
 func AuditObject(v core.Version) string { return fmt.Sprintf("audit-%020d.json", uint64(v)) }
 
-// Child returns the exporter's part of the daemon's tree.
+// Child returns the exporter as a child of the daemon's supervision tree.
 func (e *Exporter) Child() supervisor.Child {
 	interval := e.Interval
 	if interval == 0 {
@@ -68,54 +70,54 @@
 	return supervisor.Child{Name: "audit_export", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, interval, func(ctx context.Context) {
 			if err := e.Round(ctx); err != nil {
-				e.Log.Debug().Err(err).Str("code", asError(err).Code.String()).Msg("audit not exported")
+				e.Log.Debug().Err(err).Str("code", toCoreError(err).Code.String()).Msg("audit export failed")
 			}
 		})
 	}}
 }
 
-// Round copies the records that are not in the object store yet, and deletes those
-// whose time is over.
+// Round copies the audit records that the object store doesn't have. If there are none,
+// it deletes records from the table whose retention is over.
 func (e *Exporter) Round(ctx context.Context) error {
 	var head config.Head
-	var mark exported
-	if _, err := e.read(ctx, table.ConfigHead, &head); err != nil {
+	var progress exportProgress
+	if _, err := e.readRow(ctx, table.ConfigHead, &head); err != nil {
 		return err
 	}
-	row, err := e.read(ctx, exportRow, &mark)
+	row, err := e.readRow(ctx, exportProgressKey, &progress)
 	if err != nil {
 		return err
 	}
-	if mark.Version < head.Version {
-		err = e.export(ctx, row, mark, head.Version)
+	if progress.Copied < head.Version {
+		err = e.export(ctx, row, progress, head.Version)
 	} else {
-		err = e.delete(ctx, row, mark)
+		err = e.deleteExpired(ctx, row, progress)
 	}
 	if errors.Is(err, table.ErrConflict) {
-		// Another entry's exporter was faster.
+		// The exporter of another entry saved its progress first.
 		return nil
 	}
 	return err
 }
 
-// export copies the records after the mark, up to head.
+// export copies the records after progress.Copied, up to version head.
 //
-// The mark moves only after the objects are stored. Moved first, an exporter that
-// ends in between, or an object store that is down, would leave a gap that nobody
-// fills, and the monitor would miss an accepted change.
-func (e *Exporter) export(ctx context.Context, row table.Row, mark exported, head core.Version) error {
-	first, last := mark.Version+1, min(head, mark.Version+exportBatch)
-	mark.Version = last
-	if e.markFirst {
-		return firstError(e.mark(ctx, row, mark), e.copy(ctx, first, last))
+// It saves the progress only after the objects are stored. In the other order, an
+// exporter that ends in between or an object store that is down would leave a gap that
+// nobody fills, and the monitor would miss an accepted change.
+func (e *Exporter) export(ctx context.Context, row table.Row, progress exportProgress, head core.Version) error {
+	first, last := progress.Copied+1, min(head, progress.Copied+exportBatch)
+	progress.Copied = last
+	if e.saveProgressFirst {
+		return firstError(e.saveProgress(ctx, row, progress), e.copyRecords(ctx, first, last))
 	}
-	if err := e.copy(ctx, first, last); err != nil {
+	if err := e.copyRecords(ctx, first, last); err != nil {
 		return err
 	}
-	return e.mark(ctx, row, mark)
+	return e.saveProgress(ctx, row, progress)
 }
 
-func (e *Exporter) copy(ctx context.Context, first, last core.Version) error {
+func (e *Exporter) copyRecords(ctx context.Context, first, last core.Version) error {
 	for v := first; v <= last; v++ {
 		row, err := e.Table.Read(ctx, table.AuditKey(v))
 		if err != nil {
@@ -131,16 +133,18 @@
 	return nil
 }
 
-func (e *Exporter) mark(ctx context.Context, row table.Row, mark exported) error {
+// saveProgress replaces the progress row, unless it has changed since row was read.
+func (e *Exporter) saveProgress(ctx context.Context, row table.Row, progress exportProgress) error {
 	var t table.Transaction
 	t.Check(row)
-	if err := t.Set(exportRow, mark); err != nil {
+	if err := t.Set(exportProgressKey, progress); err != nil {
 		return err
 	}
 	return e.Table.Transact(ctx, t)
 }
 
-func (e *Exporter) read(ctx context.Context, key table.Key, value any) (table.Row, error) {
+// readRow reads the row of key and decodes it into value.
+func (e *Exporter) readRow(ctx context.Context, key table.Key, value any) (table.Row, error) {
 	row, err := e.Table.Read(ctx, key)
 	if err != nil {
 		return row, err
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -17,22 +17,22 @@
 )
 
 var (
-	key  = core.RequestKey{Team: "lyra", ID: "frame-1"}
-	noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+	key      = core.RequestKey{Team: "lyra", ID: "frame-1"}
+	baseTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 )
 
-// reply makes a target that answers every POST in one way.
-type reply struct {
-	status               int
-	task, attempt        string
-	length               string
-	body                 string
-	notStarted, state    string
-	lose, cutAfterHeader bool
+// fakeTarget is a target that answers each request in the way that its fields describe.
+type fakeTarget struct {
+	status                        int
+	task, attempt                 string
+	length                        string
+	body                          string
+	notStarted, state             string
+	dropConnection, dropAfterBody bool
 }
 
-func (p reply) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	if p.lose {
+func (p fakeTarget) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	if p.dropConnection {
 		panic(http.ErrAbortHandler)
 	}
 	for name, value := range map[string]string{
@@ -44,13 +44,13 @@
 	}
 	w.WriteHeader(p.status)
 	_, _ = w.Write([]byte(p.body))
-	if p.cutAfterHeader {
+	if p.dropAfterBody {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func start(t *testing.T, c *Client, h http.Handler, now time.Time) home.End {
+func startTask(t *testing.T, c *Client, h http.Handler, now time.Time) home.End {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	defer srv.Close()
@@ -59,84 +59,85 @@
 	c.HTTP = srv.Client()
 	return c.Start(t.Context(), strings.TrimPrefix(srv.URL, "http://"), home.Dispatch{
 		Request: core.Request{Key: key, Body: []byte("frames")}, Number: 2,
-		StartBy: noon.Add(time.Second), LeaseUntil: time.Now().Add(time.Minute),
+		StartBy: baseTime.Add(time.Second), LeaseUntil: time.Now().Add(time.Minute),
 	})
 }
 
-var whole = reply{status: 200, task: "lyra/frame-1", attempt: "2", length: "5", body: "plate"}
+var completeReply = fakeTarget{status: 200, task: "lyra/frame-1", attempt: "2", length: "5", body: "plate"}
 
-// TestStartEnds: a target answers in every way that it can. Only the whole answer
-// of this task and this dispatch is taken, only the target's own word counts as
-// "not started", and whatever else came leaves open whether the task ran.
+// TestStartEnds checks the result of Start for each kind of response. Start accepts only a
+// complete answer of this task and this dispatch. It returns NotStarted only if the target
+// says so. After any other response it is open whether the task ran.
 func TestStartEnds(t *testing.T) {
-	change := func(f func(*reply)) reply {
-		r := whole
+	modified := func(f func(*fakeTarget)) fakeTarget {
+		r := completeReply
 		f(&r)
 		return r
 	}
 	cases := []struct {
 		name string
-		h    reply
+		h    fakeTarget
 		want home.End
 	}{
-		{"whole", whole, home.Answered{Body: []byte("plate")}},
-		{"crossed task", change(func(r *reply) { r.task = "vega/frame-1" }), home.Damaged{}},
-		{"crossed dispatch", change(func(r *reply) { r.attempt = "1" }), home.Damaged{}},
-		{"cut", change(func(r *reply) { r.body = "pla" }), home.Damaged{}},
-		{"too long", change(func(r *reply) { r.body = "plate plate" }), home.Damaged{}},
-		{"no length", change(func(r *reply) { r.length = "" }), home.Damaged{}},
-		{"broken off", change(func(r *reply) { r.body, r.cutAfterHeader = "pl", true }), home.Damaged{}},
-		{"lost", reply{lose: true}, home.Lost{}},
-		{"failed", reply{status: 500}, home.Failed{}},
-		{"stopped", reply{status: 200, state: StateStopped}, home.Stopped{}},
-		{"full", reply{status: 503, notStarted: ReasonFull}, home.NotStarted{Reason: home.Full}},
-		{"leaving", reply{status: 503, notStarted: ReasonLeaving}, home.NotStarted{Reason: home.Leaving}},
-		{"late", reply{status: 503, notStarted: ReasonLate}, home.NotStarted{Reason: home.Late}},
-		{"unknown reason", reply{status: 503, notStarted: "tired"}, home.Lost{}},
+		{"complete", completeReply, home.Answered{Body: []byte("plate")}},
+		{"other task", modified(func(r *fakeTarget) { r.task = "vega/frame-1" }), home.Damaged{}},
+		{"other dispatch", modified(func(r *fakeTarget) { r.attempt = "1" }), home.Damaged{}},
+		{"truncated", modified(func(r *fakeTarget) { r.body = "pla" }), home.Damaged{}},
+		{"too long", modified(func(r *fakeTarget) { r.body = "plate plate" }), home.Damaged{}},
+		{"no length", modified(func(r *fakeTarget) { r.length = "" }), home.Damaged{}},
+		{"connection dropped", modified(func(r *fakeTarget) { r.body, r.dropAfterBody = "pl", true }), home.Damaged{}},
+		{"no response", fakeTarget{dropConnection: true}, home.Lost{}},
+		{"failed", fakeTarget{status: 500}, home.Failed{}},
+		{"stopped", fakeTarget{status: 200, state: StateStopped}, home.Stopped{}},
+		{"full", fakeTarget{status: 503, notStarted: ReasonFull}, home.NotStarted{Reason: home.Full}},
+		{"leaving", fakeTarget{status: 503, notStarted: ReasonLeaving}, home.NotStarted{Reason: home.Leaving}},
+		{"late", fakeTarget{status: 503, notStarted: ReasonLate}, home.NotStarted{Reason: home.Late}},
+		{"unknown reason", fakeTarget{status: 503, notStarted: "tired"}, home.Lost{}},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { assert.DeepEqual(t, start(t, &Client{}, c.h, noon), c.want) })
+		t.Run(c.name, func(t *testing.T) { assert.DeepEqual(t, startTask(t, &Client{}, c.h, baseTime), c.want) })
 	}
 }
 
-// TestSafeguardsOfStart: with a check switched off, the same target's answer is
-// taken for what it isn't.
-func TestSafeguardsOfStart(t *testing.T) {
-	crossed, cut := whole, whole
-	crossed.task, cut.body = "vega/frame-1", "pla"
+// TestStartWithoutChecks shows that the checks of answers are needed. With a check
+// disabled, Start accepts a misdirected or a truncated answer.
+func TestStartWithoutChecks(t *testing.T) {
+	misdirected, truncated := completeReply, completeReply
+	misdirected.task, truncated.body = "vega/frame-1", "pla"
 	c := &Client{}
-	c.off.task = true
-	assert.DeepEqual(t, start(t, c, crossed, noon), home.End(home.Answered{Body: []byte("plate")}))
+	c.disabled.taskCheck = true
+	assert.DeepEqual(t, startTask(t, c, misdirected, baseTime), home.End(home.Answered{Body: []byte("plate")}))
 	c = &Client{}
-	c.off.length = true
-	assert.DeepEqual(t, start(t, c, cut, noon), home.End(home.Answered{Body: []byte("pla")}))
+	c.disabled.lengthCheck = true
+	assert.DeepEqual(t, startTask(t, c, truncated, baseTime), home.End(home.Answered{Body: []byte("pla")}))
 }
 
-// TestFrozenBeforeTheWrite: the holder is frozen after it decided and wakes when
-// its right has lapsed. The clock is read right before the write, so nothing is
-// sent; with that check off the target gets the request.
-func TestFrozenBeforeTheWrite(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		sent := 0
+// TestPausedBeforeWrite checks a process that is paused after it decided to start a task
+// and resumes when its shard lease has expired. Start reads the clock right before the
+// write and sends nothing. With that check disabled, the target gets the request.
+func TestPausedBeforeWrite(t *testing.T) {
+	for _, disabled := range []bool{false, true} {
+		requests := 0
 		h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			sent++
-			whole.ServeHTTP(w, r)
+			requests++
+			completeReply.ServeHTTP(w, r)
 		})
 		c := &Client{}
-		c.off.clock = off
-		end := start(t, c, h, noon.Add(3*time.Second))
-		if off {
-			assert.Equal(t, sent, 1)
+		c.disabled.startByCheck = disabled
+		end := startTask(t, c, h, baseTime.Add(3*time.Second))
+		if disabled {
+			assert.Equal(t, requests, 1)
 			continue
 		}
-		assert.Equal(t, sent, 0)
+		assert.Equal(t, requests, 0)
 		assert.DeepEqual(t, end, home.End(home.NotStarted{Reason: home.Late}))
 	}
 }
 
-// TestNothingListens: a connection that can't be made proves that nothing started.
-func TestNothingListens(t *testing.T) {
-	srv := httptest.NewServer(whole)
+// TestConnectionRefused checks that Start returns NotStarted if it can't connect, since
+// that proves that nothing started.
+func TestConnectionRefused(t *testing.T) {
+	srv := httptest.NewServer(completeReply)
 	address := strings.TrimPrefix(srv.URL, "http://")
 	srv.Close()
 	c := NewClient(1, 1000)
@@ -146,8 +147,8 @@
 	assert.DeepEqual(t, c.Ask(t.Context(), address, key), home.Finding(home.FoundNothing{}))
 }
 
-// FuzzAnswer throws answers with arbitrary headers and bodies at the client: it
-// takes one only if it is whole, of this task and of this dispatch.
+// FuzzAnswer gives the client answers with arbitrary headers and bodies. It must accept
+// an answer only if it is complete and belongs to this task and this dispatch.
 func FuzzAnswer(f *testing.F) {
 	f.Add("lyra/frame-1", "2", "5", "plate", "")
 	f.Add("vega/frame-1", "2", "5", "plate", "")
@@ -160,11 +161,11 @@
 		h.Set(HeaderAttempt, attempt)
 		h.Set(HeaderLength, length)
 		h.Set(HeaderNotStarted, notStarted)
-		resp := &http.Response{StatusCode: 200, Header: h, Body: readCloser(body)}
+		resp := &http.Response{StatusCode: 200, Header: h, Body: newBody(body)}
 		end := c.readEnd(resp, home.Dispatch{Request: core.Request{Key: key}, Number: 2})
 		if a, ok := end.(home.Answered); ok {
-			wanted := task == key.String() && attempt == "2" && string(a.Body) == body && notStarted == ""
-			assert.Assert(t, wanted && fmt.Sprint(len(body)) == strings.TrimLeft(strings.TrimPrefix(length, "+"), "0") || body == "", "%q %q %q %q", task, attempt, length, body)
+			matches := task == key.String() && attempt == "2" && string(a.Body) == body && notStarted == ""
+			assert.Assert(t, matches && fmt.Sprint(len(body)) == strings.TrimLeft(strings.TrimPrefix(length, "+"), "0") || body == "", "%q %q %q %q", task, attempt, length, body)
 		}
 	})
 }
@@ -173,51 +174,50 @@
 
 func (stringBody) Close() error { return nil }
 
-func readCloser(s string) stringBody { return stringBody{strings.NewReader(s)} }
+func newBody(s string) stringBody { return stringBody{strings.NewReader(s)} }
 
-// TestNeverSentTwice: a target answers with a redirection to itself, or breaks the
-// connection. The client must not follow or try again, with a body or without:
-// the task might run twice.
-func TestNeverSentTwice(t *testing.T) {
+// TestStartNeverResends checks that the client neither follows a redirect nor retries
+// after a broken connection, with or without a body. Otherwise the task might run twice.
+func TestStartNeverResends(t *testing.T) {
 	for _, body := range []string{"", "frames"} {
 		for _, status := range []int{http.StatusTemporaryRedirect, 0} {
-			var got atomic.Int64
+			var requests atomic.Int64
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				got.Add(1)
+				requests.Add(1)
 				if status == 0 {
 					panic(http.ErrAbortHandler)
 				}
 				http.Redirect(w, r, r.URL.Path, status)
 			}))
-			_ = startAt(NewClient(2, 1000), srv, body)
-			assert.Equal(t, got.Load(), int64(1), "body %q, status %d", body, status)
+			_ = startTaskAt(NewClient(2, 1000), srv, body)
+			assert.Equal(t, requests.Load(), int64(1), "body %q, status %d", body, status)
 			srv.Close()
 		}
 	}
 }
 
-// TestEarlyRefusal: a target refuses a task of some megabytes without reading it and
-// closes. The refusal arrives all the same: the task did not start.
+// TestEarlyRefusal checks that the client gets the refusal of a target that closes the
+// connection without reading a body of some megabytes. The task did not start.
 func TestEarlyRefusal(t *testing.T) {
-	srv := httptest.NewServer(reply{status: 503, notStarted: ReasonFull})
+	srv := httptest.NewServer(fakeTarget{status: 503, notStarted: ReasonFull})
 	defer srv.Close()
-	end := startAt(NewClient(2, 1000), srv, strings.Repeat("x", 8<<20))
+	end := startTaskAt(NewClient(2, 1000), srv, strings.Repeat("x", 8<<20))
 	assert.DeepEqual(t, end, home.End(home.NotStarted{Reason: home.Full}))
 }
 
-func startAt(c *Client, srv *httptest.Server, body string) home.End {
+func startTaskAt(c *Client, srv *httptest.Server, body string) home.End {
 	deadline := time.Now().Add(time.Minute)
 	return c.Start(context.Background(), strings.TrimPrefix(srv.URL, "http://"), home.Dispatch{
 		Request: core.Request{Key: key, Body: []byte(body)}, Number: 2, StartBy: deadline, LeaseUntil: deadline,
 	})
 }
 
-// TestAnswersKeepNoSlack: answers are kept until their requests' deadlines. The buffer
-// of a short one is as long as the answer.
-func TestAnswersKeepNoSlack(t *testing.T) {
-	srv := httptest.NewServer(whole)
+// TestAnswerBufferIsExact checks that the buffer of a short answer is no longer than the
+// answer, because answers are kept until the deadlines of their requests.
+func TestAnswerBufferIsExact(t *testing.T) {
+	srv := httptest.NewServer(completeReply)
 	defer srv.Close()
-	end := startAt(NewClient(2, 1000), srv, "frames")
+	end := startTaskAt(NewClient(2, 1000), srv, "frames")
 	a, ok := end.(home.Answered)
 	assert.Assert(t, ok, "%v", end)
 	assert.Equal(t, cap(a.Body), len(a.Body))
--- a/io/target/standin/control.go
+++ b/io/target/standin/control.go
@@ -9,24 +9,27 @@
 	"lavenderpond/core"
 )
 
-// RebootTime is how long a VM is away when the platform reboots it.
+// RebootTime is how long a VM is down when the platform reboots it.
 const RebootTime = 2 * time.Second
 
-// Control is the interface by which the platform's stand-in and tests reach a
-// VM: its state, reboots, faults.
+// Control is the control interface of a VM. The simulated platform and tests use it
+// to read the VM's state, to reboot and drain the VM, and to set faults.
 type Control struct {
 	VM *VM
 
-	mu       sync.Mutex
-	backAt   time.Time
-	stuck    bool
-	rebooted int
-	// fence is the highest that an order carried.
+	mu sync.Mutex
+	// upAt is when the VM comes up after a reboot; zero if it isn't rebooting.
+	upAt time.Time
+	// stuck keeps the VM down after a reboot.
+	stuck   bool
+	reboots int
+	// fence is the highest fence of any order so far.
 	fence core.Version
 }
 
-// admits says whether an order is not older than one seen before, and remembers it.
-func (c *Control) admits(fence core.Version) bool {
+// acceptFence reports whether an order with this fence is at least as new as every order
+// before it, and if so remembers the fence.
+func (c *Control) acceptFence(fence core.Version) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if fence < c.fence {
@@ -36,7 +39,7 @@
 	return true
 }
 
-// State is what a VM tells the platform.
+// State is the state that a VM reports to the platform.
 type State struct {
 	Up      bool       `json:"up"`
 	Running core.Slots `json:"running"`
@@ -53,7 +56,7 @@
 }
 
 func (c *Control) state(w http.ResponseWriter, _ *http.Request) {
-	c.settle()
+	c.finishReboot()
 	c.VM.mu.Lock()
 	up := !c.VM.down
 	c.VM.mu.Unlock()
@@ -61,8 +64,8 @@
 	_ = json.NewEncoder(w).Encode(State{Up: up, Running: c.VM.Running()})
 }
 
-// reboot takes the VM down for RebootTime. What runs there is cut off: it is the
-// caller's duty to drain it before.
+// reboot takes the VM down for RebootTime and stops its running tasks. Callers must drain
+// the VM first.
 func (c *Control) reboot(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		NotAfter time.Time    `json:"not_after"`
@@ -72,18 +75,18 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if c.VM.now().After(order.NotAfter) || !c.admits(order.Fence) {
-		http.Error(w, "the order's time has passed", http.StatusConflict)
+	if c.VM.now().After(order.NotAfter) || !c.acceptFence(order.Fence) {
+		http.Error(w, "the order has expired or its fence is stale", http.StatusConflict)
 		return
 	}
 	c.mu.Lock()
-	c.backAt = c.VM.now().Add(RebootTime)
-	c.rebooted++
+	c.upAt = c.VM.now().Add(RebootTime)
+	c.reboots++
 	c.mu.Unlock()
 	c.VM.setDown(true)
 }
 
-// drain makes the VM refuse new work until the time given.
+// drain makes the VM refuse new tasks until the given time.
 func (c *Control) drain(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		Until time.Time    `json:"until"`
@@ -93,8 +96,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !c.admits(order.Fence) {
-		http.Error(w, "an order with a higher fence came before", http.StatusConflict)
+	if !c.acceptFence(order.Fence) {
+		http.Error(w, "the fence of the order is stale", http.StatusConflict)
 		return
 	}
 	c.VM.mu.Lock()
@@ -102,7 +105,7 @@
 	c.VM.drainUntil = order.Until
 }
 
-// faults sets the VM's faults; "stuck" keeps it from coming back.
+// faults sets the VM's faults. "stuck" keeps the VM down after a reboot.
 func (c *Control) faults(w http.ResponseWriter, r *http.Request) {
 	var f struct {
 		Faults
@@ -118,30 +121,32 @@
 	c.mu.Unlock()
 }
 
-// settle brings the VM back up when its reboot is over.
-func (c *Control) settle() {
+// finishReboot brings the VM up again if the time of its reboot is over.
+func (c *Control) finishReboot() {
 	c.mu.Lock()
-	back := !c.stuck && !c.backAt.IsZero() && !c.VM.now().Before(c.backAt)
-	if back {
-		c.backAt = time.Time{}
+	over := !c.stuck && !c.upAt.IsZero() && !c.VM.now().Before(c.upAt)
+	if over {
+		c.upAt = time.Time{}
 	}
 	c.mu.Unlock()
-	if back {
+	if over {
 		c.VM.setDown(false)
 	}
 }
 
-// Crash ends the VM at once: what runs is cut off, and what ended is forgotten.
+// Crash takes the VM down at once. Its running tasks stop, and it forgets the answers of
+// tasks that ended.
 func (v *VM) Crash() {
 	v.setDown(true)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.ended, v.order = make(map[string]ending), nil
+	v.outcomes, v.endedOrder = make(map[string]outcome), nil
 }
 
-// Restart brings the VM back.
+// Restart brings the VM up again.
 func (v *VM) Restart() { v.setDown(false) }
 
+// setDown takes the VM down, which stops its running tasks, or brings it up.
 func (v *VM) setDown(down bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/io/target/standin/log.go
+++ b/io/target/standin/log.go
@@ -7,7 +7,7 @@
 	"lavenderpond/core"
 )
 
-// Start is one start of a task, as the target saw it.
+// Start records one start of a task on a VM.
 type Start struct {
 	VM      core.VMID `json:"vm"`
 	Task    string    `json:"task"`
@@ -16,12 +16,13 @@
 	End     time.Time `json:"end,omitzero"`
 }
 
-// StartLog records what really ran, for tests to check answers and limits
-// against. A nil log records nothing. It is safe for concurrent use.
+// StartLog records which tasks ran, and when. Tests compare answers and limits with it. A
+// nil StartLog records nothing. It is safe for concurrent use.
 type StartLog struct {
 	mu     sync.Mutex
 	starts []Start
-	open   map[string]int
+	// running maps the VM and name of a running task to the index of its start.
+	running map[string]int
 }
 
 func (l *StartLog) started(s Start) {
@@ -30,10 +31,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open == nil {
-		l.open = make(map[string]int)
+	if l.running == nil {
+		l.running = make(map[string]int)
 	}
-	l.open[string(s.VM)+" "+s.Task] = len(l.starts)
+	l.running[string(s.VM)+" "+s.Task] = len(l.starts)
 	l.starts = append(l.starts, s)
 }
 
@@ -44,13 +45,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := string(vm) + " " + name
-	if i, ok := l.open[key]; ok {
+	if i, ok := l.running[key]; ok {
 		l.starts[i].End = at
-		delete(l.open, key)
+		delete(l.running, key)
 	}
 }
 
-// Starts returns all starts so far, in order.
+// Starts returns all starts so far, in the order in which they happened.
 func (l *StartLog) Starts() []Start {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -1,6 +1,7 @@
-// Package standin is a small stand-in for target VMs: slots, connections,
-// leases, and a record of every start by which tests check what really ran. It
-// can be told to lose, cut, cross or delay answers, to fail, leave or stop.
+// Package standin simulates target VMs for tests. A simulated VM has slots, honours
+// leases, and records every start, so that tests can check which tasks ran. It can be told
+// to lose, truncate, misdirect or delay answers, to fail tasks, to refuse new tasks, and
+// to go down.
 package standin
 
 import (
@@ -14,7 +15,7 @@
 	"lavenderpond/io/target"
 )
 
-// VM is one target VM. Slots must be set. It is safe for concurrent use.
+// VM is a simulated target VM. Slots must be set. It is safe for concurrent use.
 type VM struct {
 	ID    core.VMID
 	Slots core.Slots
@@ -25,48 +26,54 @@
 
 	mu      sync.Mutex
 	running map[*task]struct{}
-	ended   map[string]ending
-	order   []string
-	faults  Faults
-	down    bool
-	// drainUntil makes the VM refuse new work before then.
+	// outcomes holds the outcomes of ended tasks by task name.
+	outcomes map[string]outcome
+	// endedOrder lists the names of ended tasks, oldest first.
+	endedOrder []string
+	faults     Faults
+	down       bool
+	// drainUntil is the time until which the VM refuses new tasks.
 	drainUntil time.Time
 }
 
-// Faults says how a VM misbehaves.
+// Faults describes how a VM misbehaves.
 type Faults struct {
-	// FailAll answers every task with a failure, at once.
+	// FailAll fails every task at once.
 	FailAll bool `json:"fail_all,omitempty"`
-	// RefuseAll says that no task is valid.
+	// RefuseAll refuses every task as invalid.
 	RefuseAll bool `json:"refuse_all,omitempty"`
-	// LoseAnswers, CutAnswers and CrossAnswers each count down per task that ran.
+	// LoseAnswers, CutAnswers and CrossAnswers are the numbers of answers to lose, to
+	// truncate, and to replace with the answer of another task. Each task that ran counts
+	// all three down.
 	LoseAnswers  int `json:"lose_answers,omitempty"`
 	CutAnswers   int `json:"cut_answers,omitempty"`
 	CrossAnswers int `json:"cross_answers,omitempty"`
-	// Leaving refuses new tasks and lets what runs finish.
+	// Leaving refuses new tasks and lets running tasks finish.
 	Leaving bool `json:"leaving,omitempty"`
-	// SlowBy multiplies run times, if above 1.
+	// SlowBy is the factor by which tasks run longer, if above 1.
 	SlowBy int `json:"slow_by,omitempty"`
 }
 
-// Work is what the stand-in understands of a task's body. Another body runs for
-// no time and is answered all the same.
+// Work is the JSON form of a task's body that the simulated VM understands. A task with
+// any other body takes no time and gets an answer all the same.
 type Work struct {
 	RunMs       int64 `json:"run_ms"`
 	AnswerBytes int   `json:"answer_bytes"`
 	Fail        bool  `json:"fail"`
 }
 
-// keptAnswers bounds how many answers a VM keeps for questions.
-const keptAnswers = 20000
+// maxKeptAnswers is the maximum number of ended tasks whose answers a VM keeps for GET
+// requests.
+const maxKeptAnswers = 20000
 
-// task is one start; two starts of one id are two tasks.
+// task is one start of a task. Two starts of the same id are two values.
 type task struct {
 	name string
 	stop chan struct{}
 }
 
-type ending struct {
+// outcome is the final state of a task and the body of its answer.
+type outcome struct {
 	state string
 	body  []byte
 }
@@ -87,7 +94,7 @@
 	v.faults = f
 }
 
-// Running returns how many slots are in use.
+// Running returns the number of slots in use.
 func (v *VM) Running() core.Slots {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -96,7 +103,7 @@
 
 func (v *VM) post(w http.ResponseWriter, r *http.Request) {
 	name := taskName(r)
-	body, err := readAll(r)
+	body, err := readBody(r)
 	if err != nil {
 		refuse(w, target.ReasonInvalid)
 		return
@@ -108,7 +115,7 @@
 	}
 	work := parseWork(body)
 	stopped := v.run(r, t, work)
-	answer := answerTo(name, body, work)
+	answer := makeAnswer(name, body, work)
 	state := target.StateDone
 	if stopped {
 		state, answer = target.StateStopped, nil
@@ -117,7 +124,7 @@
 	reply(w, r, name, state, answer, f, work)
 }
 
-// start takes a slot, or says why the task doesn't start.
+// start takes a slot for a task. If the task can't start, it returns the reason.
 func (v *VM) start(name string, r *http.Request) (*task, string) {
 	startBy, err := target.Millis(r.Header, target.HeaderStartBy)
 	if err != nil {
@@ -138,20 +145,21 @@
 	if v.running == nil {
 		v.running = make(map[*task]struct{})
 	}
-	if v.ended == nil {
-		v.ended = make(map[string]ending)
+	if v.outcomes == nil {
+		v.outcomes = make(map[string]outcome)
 	}
-	// A second start of the same id is not refused here: the record must show
-	// what the callers' side did.
+	// A second start of the same id isn't refused, so that the log shows every start that
+	// the entries ordered.
 	t := &task{name: name, stop: make(chan struct{}, 1)}
 	v.running[t] = struct{}{}
 	v.Log.started(Start{VM: v.ID, Task: name, Attempt: r.Header.Get(target.HeaderAttempt), At: v.now()})
 	return t, ""
 }
 
-// run takes the task's time and reports whether it was stopped.
+// run waits for the run time of the task. It reports whether the task was stopped before,
+// by a call or by the end of its lease.
 func (v *VM) run(r *http.Request, t *task, work Work) bool {
-	if v.fails() || work.RunMs <= 0 {
+	if v.failsAll() || work.RunMs <= 0 {
 		return false
 	}
 	v.mu.Lock()
@@ -171,48 +179,49 @@
 	}
 }
 
-func (v *VM) fails() bool {
+func (v *VM) failsAll() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.faults.FailAll
 }
 
-// end frees the slot, keeps the answer and returns the faults for the reply.
+// end frees the task's slot and keeps its answer. It returns the faults to apply to the
+// reply.
 func (v *VM) end(t *task, state string, answer []byte) Faults {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.running, t)
 	name := t.name
-	v.ended[name] = ending{state: state, body: answer}
-	v.order = append(v.order, name)
-	if len(v.order) > keptAnswers {
-		delete(v.ended, v.order[0])
-		v.order = v.order[1:]
+	v.outcomes[name] = outcome{state: state, body: answer}
+	v.endedOrder = append(v.endedOrder, name)
+	if len(v.endedOrder) > maxKeptAnswers {
+		delete(v.outcomes, v.endedOrder[0])
+		v.endedOrder = v.endedOrder[1:]
 	}
 	v.Log.ended(v.ID, name, v.now())
 	f := v.faults
-	countDown(&v.faults.LoseAnswers)
-	countDown(&v.faults.CutAnswers)
-	countDown(&v.faults.CrossAnswers)
+	decrement(&v.faults.LoseAnswers)
+	decrement(&v.faults.CutAnswers)
+	decrement(&v.faults.CrossAnswers)
 	return f
 }
 
 func (v *VM) get(w http.ResponseWriter, r *http.Request) {
 	name := taskName(r)
 	v.mu.Lock()
-	e, done := v.ended[name]
+	o, ended := v.outcomes[name]
 	isRunning := v.isRunning(name)
 	v.mu.Unlock()
 	w.Header().Set(target.HeaderTask, name)
 	switch {
 	case isRunning:
 		w.Header().Set(target.HeaderState, target.StateRunning)
-	case !done:
+	case !ended:
 		w.Header().Set(target.HeaderState, target.StateNone)
 	default:
-		w.Header().Set(target.HeaderState, e.state)
-		w.Header().Set(target.HeaderLength, strconv.Itoa(len(e.body)))
-		_, _ = w.Write(e.body)
+		w.Header().Set(target.HeaderState, o.state)
+		w.Header().Set(target.HeaderLength, strconv.Itoa(len(o.body)))
+		_, _ = w.Write(o.body)
 	}
 }
 
