--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -175,10 +175,10 @@
 
 // postLive keeps the VMs on the platform's list.
 func (c *fillCommand) postLive(ctx context.Context) {
-	var posts []standin.LivePost
+	var posts []standin.LiveReport
 	for _, z := range c.Zones {
 		for i := range c.VMs {
-			posts = append(posts, standin.LivePost{
+			posts = append(posts, standin.LiveReport{
 				Liveness: platform.Liveness{Name: string(vmName(z, i)), Zone: z}, Control: "http://" + c.Control.String(),
 			})
 		}
--- a/cmd/lavenderpond-standin/outage.go
+++ b/cmd/lavenderpond-standin/outage.go
@@ -92,8 +92,8 @@
 }
 
 // living leaves out the posts of VMs that are down.
-func (o *outages) living(posts []platformstandin.LivePost) []platformstandin.LivePost {
-	var list []platformstandin.LivePost
+func (o *outages) living(posts []platformstandin.LiveReport) []platformstandin.LiveReport {
+	var list []platformstandin.LiveReport
 	for _, p := range posts {
 		if down, _ := o.isDown(core.VMID(p.Name)); !down {
 			list = append(list, p)
--- a/cmd/lavenderpond-standin/targets.go
+++ b/cmd/lavenderpond-standin/targets.go
@@ -39,14 +39,14 @@
 	if c.LogStarts {
 		starts = &standin.StartLog{}
 	}
-	var posts []platformstandin.LivePost
+	var posts []platformstandin.LiveReport
 	out := newOutages()
 	for i := range c.Count {
 		vm := &standin.VM{
 			ID: core.VMID(fmt.Sprintf("%s-%03d", c.Prefix, i)), Slots: core.Slots(c.Slots), Log: starts,
 		}
 		address := netip.AddrPortFrom(c.Listen.Addr(), c.Listen.Port()+uint16(i))
-		posts = append(posts, platformstandin.LivePost{
+		posts = append(posts, platformstandin.LiveReport{
 			Liveness: platform.Liveness{Name: string(vm.ID), Zone: core.ZoneID(c.Zone)},
 			Control:  "http://" + address.String(),
 		})
@@ -80,7 +80,7 @@
 }
 
 // post keeps the VMs on the platform's live list.
-func (c *targetsCommand) post(ctx context.Context, posts []platformstandin.LivePost, log zerolog.Logger) {
+func (c *targetsCommand) post(ctx context.Context, posts []platformstandin.LiveReport, log zerolog.Logger) {
 	body, err := json.Marshal(posts)
 	if err != nil {
 		return
--- a/cmd/lavenderpond/fakes_test.go
+++ b/cmd/lavenderpond/fakes_test.go
@@ -87,7 +87,7 @@
 
 // Get implements platform.Objects: an empty store.
 func (t *fakeTable) Get(_ context.Context, name string) ([]byte, error) {
-	return nil, errors.Wrap(platform.ErrNoObject, name)
+	return nil, errors.Wrap(platform.ErrObjectNotFound, name)
 }
 
 // dropAudit loses the audit record of v, which the object store has neither.
--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -15,7 +15,7 @@
 // configuration answers the questions of home and front from the entry's view.
 type configuration struct {
 	*platform.Configuration
-	watcher *platform.Watcher
+	watcher *platform.ConfigWatcher
 	spread  *peer.Spread
 }
 
@@ -70,13 +70,13 @@
 }
 
 // loaded says whether the configuration was read once, here or at a peer.
-func (c *configuration) loaded() bool { return !c.KeysTrustedUntil().IsZero() }
+func (c *configuration) loaded() bool { return !c.KeysFreshUntil().IsZero() }
 
 // buildConfig connects the configuration to the queue and to what waits.
 func (d *Daemon) buildConfig(queue *fair.Queue) {
 	s := d.settings
 	c := &configuration{Configuration: &platform.Configuration{
-		Zone: s.Entry.Zone, Zones: s.Entry.Zones, KeyTrust: s.Keys.CutOffBound, Skew: s.Entry.SkewBound, Started: d.started,
+		Zone: s.Entry.Zone, Zones: s.Entry.Zones, MaxKeyStaleness: s.Keys.CutOffBound, Skew: s.Entry.SkewBound, Started: d.started,
 		OnWithdrawn: func(digests []core.KeyDigest) {
 			for _, digest := range digests {
 				d.requests.Handle(home.KeyWithdrawn{Digest: digest})
@@ -84,7 +84,7 @@
 		},
 		OnChange: func() { d.requests.Handle(home.Changed{}) },
 	}}
-	c.watcher = &platform.Watcher{
+	c.watcher = &platform.ConfigWatcher{
 		Table: d.platform, Config: c.Configuration, Now: d.now, Log: d.log, Interval: s.Platform.PollInterval,
 	}
 	c.spread = &peer.Spread{
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -170,7 +170,7 @@
 	notStarted, ok := end.(home.NotStarted)
 	switch {
 	case !ok:
-		d.fleet.Answered(vm, asked)
+		d.fleet.Accepted(vm, asked)
 	case notStarted.Reason == home.Leaving:
 		d.fleet.Refused(vm)
 	case notStarted.Reason == home.Unreachable:
--- a/io/entry/parts.go
+++ b/io/entry/parts.go
@@ -29,7 +29,7 @@
 		if d.now().Before(d.started.Add(partsAfter)) {
 			return
 		}
-		for _, team := range d.limits.NextFirstParts(d.teams(), partsPerRound) {
+		for _, team := range d.limits.NextInitialAllotments(d.teams(), partsPerRound) {
 			d.limits.Limiter().RecordDemand(d.now(), team)
 		}
 	})
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -38,7 +38,7 @@
 		Entry: d.id, Zone: d.settings.Entry.Zone, Reachable: true,
 		Version: d.config.Version(),
 		// The trust counts from the evidence.
-		KeysFreshAt: d.config.KeysTrustedUntil().Add(-d.settings.Keys.CutOffBound),
+		KeysFreshAt: d.config.KeysFreshUntil().Add(-d.settings.Keys.CutOffBound),
 		Shards:      d.shards.Holding(),
 	}
 	d.requests.Locked(func(h *home.Home) { s.Teams = teamLoads(h.Loads()) })
@@ -153,7 +153,7 @@
 func (b backend) Dump() any {
 	s := state{
 		Entry: b.id, Zone: b.settings.Entry.Zone, Started: b.started, Now: b.now(), Stopping: b.stopping.Load(),
-		Version: b.config.Version(), KeysUntil: b.config.KeysTrustedUntil(), Shards: b.shards.Dump(),
+		Version: b.config.Version(), KeysUntil: b.config.KeysFreshUntil(), Shards: b.shards.Dump(),
 		Limits: b.limits.Dump(), Targets: b.fleet.Targets(), Control: b.control.State(),
 		Unrecorded: b.config.Unrecorded(),
 	}
--- a/io/operator/export_test.go
+++ b/io/operator/export_test.go
@@ -38,7 +38,7 @@
 		return nil, table.ErrUnreachable
 	}
 	if !ok {
-		return nil, platform.ErrNoObject
+		return nil, platform.ErrObjectNotFound
 	}
 	return []byte(data), nil
 }
--- a/io/operator/lists.go
+++ b/io/operator/lists.go
@@ -238,7 +238,7 @@
 
 func (s *Server) auditRecord(ctx context.Context, v core.Version) (*pb.AuditRecord, error) {
 	a, err := s.audit(ctx, v)
-	if errors.Is(err, platform.ErrNoObject) {
+	if errors.Is(err, platform.ErrObjectNotFound) {
 		return &pb.AuditRecord{Version: uint64(v), Kind: KindMissing}, nil
 	}
 	return &pb.AuditRecord{
--- a/io/operator/withdraw.go
+++ b/io/operator/withdraw.go
@@ -46,14 +46,14 @@
 	return connect.NewResponse(reply), nil
 }
 
-func (s *Server) recordWithdrawal(ctx context.Context, w key.Withdrawal, m *pb.WithdrawRequest) (platform.Applied, error) {
+func (s *Server) recordWithdrawal(ctx context.Context, w key.Withdrawal, m *pb.WithdrawRequest) (platform.ApplyResult, error) {
 	if w.Team == "" {
 		row, err := s.Table.Read(ctx, table.KeyDigestKey(w.Digest))
 		if err != nil {
-			return platform.Applied{}, err
+			return platform.ApplyResult{}, err
 		}
 		if w.Team = teamIn(row); w.Team == "" {
-			return platform.Applied{}, core.Errorf(core.CodeNotFound, "no key with this digest is known; name its team to record the withdrawal")
+			return platform.ApplyResult{}, core.Errorf(core.CodeNotFound, "no key with this digest is known; name its team to record the withdrawal")
 		}
 	}
 	c := config.WithdrawKey{Author: w.Author, Team: w.Team, Digest: w.Digest, Reason: w.Reason}
--- a/io/peer/spread_test.go
+++ b/io/peer/spread_test.go
@@ -49,7 +49,7 @@
 type spreadEntry struct {
 	fleet   *spreadFleet
 	config  *platform.Configuration
-	watcher *platform.Watcher
+	watcher *platform.ConfigWatcher
 	spread  *Spread
 	reaches bool
 	dead    bool
@@ -89,7 +89,7 @@
 		self := Member{Entry: core.EntryID(fmt.Sprintf("%s%d", zone, i%perZone)), Zone: zone, Address: fmt.Sprint(i)}
 		e := &spreadEntry{fleet: f, reaches: true}
 		e.config = &platform.Configuration{Zone: zone, Zones: zones, Started: f.now, Skew: 250 * time.Millisecond}
-		e.watcher = &platform.Watcher{Table: e, Config: e.config, Now: now}
+		e.watcher = &platform.ConfigWatcher{Table: e, Config: e.config, Now: now}
 		e.spread = &Spread{
 			Self: self, Replica: e.config, Zones: zones, Call: f.call, Now: now,
 			Members: f.members, noRelay: noRelay, inOrder: true,
--- a/io/platform/allot.go
+++ b/io/platform/allot.go
@@ -20,18 +20,18 @@
 	DefaultAllotInterval = 100 * time.Millisecond
 	// allotPollInterval is the time between two polls of changed allotment rows.
 	allotPollInterval = time.Second
-	// quietTeamsInterval is the time between two polls of the teams' rows while nothing
+	// idleTeamRowsInterval is the time between two polls of the teams' rows while nothing
 	// moves in the zone and nobody waits. A mark of another zone is heard that late.
-	quietTeamsInterval = 3 * time.Second
-	// goneInterval is the time between two looks at the list of live VMs.
-	goneInterval = 5 * time.Second
-	// listLag is longer than the platform's list ever lags: an entry that started
+	idleTeamRowsInterval = 3 * time.Second
+	// endedEntriesInterval is the time between two looks at the list of live VMs.
+	endedEntriesInterval = 5 * time.Second
+	// maxListLag is longer than the platform's list ever lags: an entry that started
 	// before and isn't listed was listed once, and has gone for good.
-	listLag = 10 * time.Minute
-	// maxRounds bounds how many answers are handled in one round.
-	maxRounds = 8
-	// maxSendings bounds the table requests under way at once.
-	maxSendings = 4
+	maxListLag = 10 * time.Minute
+	// maxPassesPerRound bounds how many answers are handled in one round.
+	maxPassesPerRound = 8
+	// maxConcurrentRequests bounds the table requests under way at once.
+	maxConcurrentRequests = 4
 )
 
 // Allotments drives an entry's Ledger: it carries out moves of allotments and makes
@@ -57,20 +57,20 @@
 	// The fields below belong to the driver's goroutine.
 	driver sync.Mutex
 	// The revisions up to which the zone's and the teams' rows were read.
-	zoneSince, teamSince table.Revision
-	// teamsAt is when the poll left that last read the teams' rows.
-	teamsAt  time.Time
-	polledAt time.Time
-	polled   bool
-	goneAt   time.Time
-	told     toldLimits
-	listed   map[string]bool
+	zoneRowsRevision, teamRowsRevision table.Revision
+	// teamRowsPolledAt is when the poll left that last read the teams' rows.
+	teamRowsPolledAt time.Time
+	rowsPolledAt     time.Time
+	polled           bool
+	endedCheckedAt   time.Time
+	reportedLimits   limitsReport
+	previouslyListed map[string]bool
 	// pending are the commands that wait for the next round.
 	pending []limit.Command
 
 	// Switched on in tests only: a lost answer is taken for a success; commands are sent
 	// one after the other, so that a seed gives the same run.
-	lostIsDone, inOrder bool
+	assumeLostApplied, sequential bool
 }
 
 // Limiter returns the ledger for the dispatch of requests, safe for concurrent use.
@@ -83,8 +83,8 @@
 	return a.Ledger.Dump()
 }
 
-// NextFirstParts is the ledger's.
-func (a *Allotments) NextFirstParts(teams []core.TeamID, n int) []core.TeamID {
+// NextInitialAllotments is the ledger's.
+func (a *Allotments) NextInitialAllotments(teams []core.TeamID, n int) []core.TeamID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.Ledger.NextInitialAllotments(teams, n)
@@ -101,20 +101,20 @@
 func (a *Allotments) Round(ctx context.Context) {
 	a.driver.Lock()
 	defer a.driver.Unlock()
-	a.tell(ctx, a.news(ctx)...)
+	a.process(ctx, a.collectEvents(ctx)...)
 }
 
-// tell hands events to the ledger and carries out all that follows. No command may be
+// process hands events to the ledger and carries out all that follows. No command may be
 // dropped: the ledger waits for the answer to each.
-func (a *Allotments) tell(ctx context.Context, events ...limit.Event) {
+func (a *Allotments) process(ctx context.Context, events ...limit.Event) {
 	a.pending = append(a.pending, a.handle(events...)...)
-	for range maxRounds {
+	for range maxPassesPerRound {
 		if len(a.pending) == 0 || ctx.Err() != nil {
 			return
 		}
 		commands := a.pending
 		a.pending = nil
-		a.pending = a.handle(a.carryOut(ctx, commands)...)
+		a.pending = a.handle(a.execute(ctx, commands)...)
 		if a.OnChange != nil {
 			a.OnChange()
 		}
@@ -125,7 +125,7 @@
 // ctx ends. What still runs stays counted until its leases end.
 func (a *Allotments) Release(ctx context.Context) {
 	a.driver.Lock()
-	a.tell(ctx, limit.Stop{})
+	a.process(ctx, limit.Stop{})
 	a.driver.Unlock()
 	for !a.released() && ctx.Err() == nil {
 		a.Round(ctx)
@@ -155,18 +155,18 @@
 	return commands
 }
 
-// news gathers the limits in force, attestations, changed rows and dead entries.
-func (a *Allotments) news(ctx context.Context) []limit.Event {
-	events := append(a.readLimits(), limit.Tick{})
+// collectEvents gathers the limits in force, attestations, changed rows and dead entries.
+func (a *Allotments) collectEvents(ctx context.Context) []limit.Event {
+	events := append(a.configurationEvents(), limit.Tick{})
 	now := a.Now()
-	if !now.Before(a.polledAt.Add(allotPollInterval)) {
-		a.polledAt = now
+	if !now.Before(a.rowsPolledAt.Add(allotPollInterval)) {
+		a.rowsPolledAt = now
 		events = append(events, a.members())
-		events = append(events, a.poll(ctx)...)
+		events = append(events, a.pollRows(ctx)...)
 	}
-	if !now.Before(a.goneAt.Add(goneInterval)) {
-		a.goneAt = now
-		events = append(events, a.findGone(ctx)...)
+	if !now.Before(a.endedCheckedAt.Add(endedEntriesInterval)) {
+		a.endedCheckedAt = now
+		events = append(events, a.findEnded(ctx)...)
 	}
 	return events
 }
@@ -179,28 +179,28 @@
 	return m
 }
 
-func (a *Allotments) poll(ctx context.Context) []limit.Event {
+func (a *Allotments) pollRows(ctx context.Context) []limit.Event {
 	if !a.polled && len(a.ledgerTeams()) == 0 {
 		return nil
 	}
 	sent := a.Now()
 	// The team's rows are read last: whatever move the zone's rows show, the team's
 	// are as new.
-	zone, zoneSince, err := a.Table.Changes(ctx, table.PrefixZoneAllotment(a.Ledger.Zone), a.zoneSince)
+	zone, zoneSince, err := a.Table.Changes(ctx, table.PrefixZoneAllotment(a.Ledger.Zone), a.zoneRowsRevision)
 	if err != nil {
 		return nil
 	}
-	if len(zone) == 0 && a.polled && sent.Before(a.teamsAt.Add(quietTeamsInterval)) && !a.needsTeamRows() {
-		a.zoneSince = zoneSince
+	if len(zone) == 0 && a.polled && sent.Before(a.teamRowsPolledAt.Add(idleTeamRowsInterval)) && !a.needsTeamRows() {
+		a.zoneRowsRevision = zoneSince
 		return nil
 	}
-	teams, teamSince, err := a.Table.Changes(ctx, table.PrefixTeamAllotment, a.teamSince)
+	teams, teamSince, err := a.Table.Changes(ctx, table.PrefixTeamAllotment, a.teamRowsRevision)
 	if err != nil {
 		return nil
 	}
-	a.teamsAt = sent
+	a.teamRowsPolledAt = sent
 	e := limit.Polled{Sent: sent, First: !a.polled, Rows: append(zone, teams...)}
-	a.zoneSince, a.teamSince, a.polled = zoneSince, teamSince, true
+	a.zoneRowsRevision, a.teamRowsRevision, a.polled = zoneSince, teamSince, true
 	return []limit.Event{e}
 }
 
@@ -210,14 +210,14 @@
 	return a.Ledger.NeedsTeamRows(a.Now())
 }
 
-// carryOut sends the commands to the table and returns the answers.
-func (a *Allotments) carryOut(ctx context.Context, commands []limit.Command) []limit.Event {
+// execute sends the commands to the table and returns the answers.
+func (a *Allotments) execute(ctx context.Context, commands []limit.Command) []limit.Event {
 	events := make([]limit.Event, len(commands))
-	for first := 0; first < len(commands); first += maxSendings {
+	for first := 0; first < len(commands); first += maxConcurrentRequests {
 		var g supervisor.Group
-		for i := first; i < min(first+maxSendings, len(commands)); i++ {
+		for i := first; i < min(first+maxConcurrentRequests, len(commands)); i++ {
 			g.Go(func() { events[i] = a.send(ctx, commands[i]) })
-			if a.inOrder {
+			if a.sequential {
 				g.Wait()
 			}
 		}
@@ -235,10 +235,10 @@
 func (a *Allotments) send(ctx context.Context, command limit.Command) limit.Event {
 	switch c := command.(type) {
 	case limit.ReadRows:
-		return a.read(ctx, c.Team)
+		return a.readRows(ctx, c.Team)
 	case limit.Move:
 		result := resultOf(a.Table.Transact(ctx, c.Transaction))
-		if a.lostIsDone && result == limit.ResultUnknown {
+		if a.assumeLostApplied && result == limit.ResultUnknown {
 			result = limit.ResultApplied
 		}
 		return limit.Moved{ID: c.ID, Result: result}
@@ -247,8 +247,8 @@
 	}
 }
 
-// read returns nil if the table can't be reached; the ledger asks again.
-func (a *Allotments) read(ctx context.Context, team core.TeamID) limit.Event {
+// readRows returns nil if the table can't be reached; the ledger asks again.
+func (a *Allotments) readRows(ctx context.Context, team core.TeamID) limit.Event {
 	e := limit.RowsRead{Sent: a.Now(), Team: team}
 	var err error
 	if e.TeamRow, err = a.Table.Read(ctx, table.TeamAllotmentKey(team)); err != nil {
@@ -273,9 +273,9 @@
 	}
 }
 
-// findGone returns the entries of this zone that hold allotments and have ended, by
+// findEnded returns the entries of this zone that hold allotments and have ended, by
 // the platform's list: their name is listed with a later start, or not any more.
-func (a *Allotments) findGone(ctx context.Context) []limit.Event {
+func (a *Allotments) findEnded(ctx context.Context) []limit.Event {
 	live, err := a.Live.Live(ctx, a.Ledger.Zone)
 	if err != nil {
 		return nil
@@ -289,24 +289,24 @@
 	a.mu.Unlock()
 	var events []limit.Event
 	for _, e := range holders {
-		if a.ended(e, started) {
+		if a.hasEnded(e, started) {
 			events = append(events, limit.EntryGone{Entry: e})
 		}
 	}
-	a.listed = make(map[string]bool, len(live))
+	a.previouslyListed = make(map[string]bool, len(live))
 	for name := range started {
-		a.listed[name] = true
+		a.previouslyListed[name] = true
 	}
 	return events
 }
 
-func (a *Allotments) ended(e core.EntryID, started map[string]time.Time) bool {
+func (a *Allotments) hasEnded(e core.EntryID, started map[string]time.Time) bool {
 	own := e.Started()
 	listed, ok := started[e.Name()]
 	if ok {
 		return listed.UnixMilli() > own.UnixMilli()
 	}
-	return a.listed[e.Name()] || a.Now().After(own.Add(listLag))
+	return a.previouslyListed[e.Name()] || a.Now().After(own.Add(maxListLag))
 }
 
 func (a *Allotments) interval() time.Duration {
--- a/io/platform/allot_news.go
+++ b/io/platform/allot_news.go
@@ -9,23 +9,23 @@
 	"lavenderpond/core/table"
 )
 
-// limitsInterval is the time between two readings of all teams' limits while nothing
+// limitsRefreshInterval is the time between two readings of all teams' limits while nothing
 // shows that one changed: a row may come with a change that the view is complete up
 // to already.
-const limitsInterval = time.Second
+const limitsRefreshInterval = time.Second
 
-// toldLimits is what the ledger was told of the limits in force. The zero value has
+// limitsReport is what the ledger was told of the limits in force. The zero value has
 // told nothing.
-type toldLimits struct {
-	head table.Row
-	at   time.Time
+type limitsReport struct {
+	head       table.Row
+	reportedAt time.Time
 	// until is when the next exception ends, and limits may change with no new row.
-	until time.Time
+	validUntil time.Time
 }
 
-// readLimits returns the attested zones and the limits that may have changed: all, or
+// configurationEvents returns the attested zones and the limits that may have changed: all, or
 // only those of teams that are new to the ledger.
-func (a *Allotments) readLimits() []limit.Event {
+func (a *Allotments) configurationEvents() []limit.Event {
 	now := a.Now()
 	events := make([]limit.Event, 0, len(a.Config.Zones)+1)
 	a.Config.View(func(v *config.View) {
@@ -42,14 +42,14 @@
 
 // changedLimits returns false if no team's limit can have changed.
 func (a *Allotments) changedLimits(now time.Time, v *config.View) (limit.Limits, bool) {
-	teams := a.unlimitedTeams()
-	if a.told.mayDiffer(now, v) {
-		a.told = toldLimits{head: v.Head(), at: now, until: nextEnd(now, v)}
+	teams := a.teamsWithUnknownLimit()
+	if a.reportedLimits.mayBeOutdated(now, v) {
+		a.reportedLimits = limitsReport{head: v.Head(), reportedAt: now, validUntil: nextExceptionEnd(now, v)}
 		teams = a.ledgerTeams()
 	} else if len(teams) == 0 {
 		return limit.Limits{}, false
 	}
-	l := limit.Limits{Head: a.told.head, Limits: make(map[core.TeamID]core.Slots, len(teams))}
+	l := limit.Limits{Head: a.reportedLimits.head, Limits: make(map[core.TeamID]core.Slots, len(teams))}
 	for _, t := range teams {
 		team, _ := v.Team(now, t)
 		l.Limits[t] = team.Limit
@@ -57,17 +57,17 @@
 	return l, true
 }
 
-// mayDiffer reports whether the limits in force may not be those that were told. While
+// mayBeOutdated reports whether the limits in force may not be those that were told. While
 // the view has rows of a change but not all of it, any of them may come at any time.
-func (t *toldLimits) mayDiffer(now time.Time, v *config.View) bool {
+func (t *limitsReport) mayBeOutdated(now time.Time, v *config.View) bool {
 	if t.head.Version == 0 || v.Head().Version != t.head.Version {
 		return true
 	}
-	return !now.Before(t.at.Add(limitsInterval)) || !t.until.IsZero() && !now.Before(t.until)
+	return !now.Before(t.reportedAt.Add(limitsRefreshInterval)) || !t.validUntil.IsZero() && !now.Before(t.validUntil)
 }
 
-// nextEnd returns when the first exception ends, or zero.
-func nextEnd(now time.Time, v *config.View) time.Time {
+// nextExceptionEnd returns when the first exception ends, or zero.
+func nextExceptionEnd(now time.Time, v *config.View) time.Time {
 	var end time.Time
 	for _, e := range v.Exceptions(now) {
 		if end.IsZero() || e.End.Before(end) {
@@ -83,7 +83,7 @@
 	return a.Ledger.Teams()
 }
 
-func (a *Allotments) unlimitedTeams() []core.TeamID {
+func (a *Allotments) teamsWithUnknownLimit() []core.TeamID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.Ledger.UnknownLimits()
--- a/io/platform/allot_news_test.go
+++ b/io/platform/allot_news_test.go
@@ -20,12 +20,12 @@
 // ledger. Limits and defaults change, exceptions begin and end, teams are new, and
 // peers tell rows with a gap before them, in any order; after each round the ledger
 // has the limits that a look at every team in the view gives.
-func TestLedgerHasTheLimitsInForce(t *testing.T) {
+func TestLedgerLimitsMatchConfiguration(t *testing.T) {
 	const seeds, rounds = 20, 400
 	compared := 0
 	for seed := range uint64(seeds) {
 		now := changeStart
-		w := &newsWorld{r: rand.New(rand.NewPCG(seed, 4)), t: t, table: &lossyTable{calm: true}}
+		w := &configChanger{rand: rand.New(rand.NewPCG(seed, 4)), t: t, table: &lossyTable{reliable: true}}
 		w.entry = newAllotEntry(w.table, "za", "a#1000", func() time.Time { return now })
 		for range rounds {
 			now = now.Add(100 * time.Millisecond)
@@ -43,47 +43,47 @@
 	t.Logf("%d seeds, %d limits compared", seeds, compared)
 }
 
-// newsWorld is one entry whose configuration changes.
-type newsWorld struct {
-	t     *testing.T
-	r     *rand.Rand
-	table *lossyTable
-	entry *allotEntry
-	n     int
+// configChanger is one entry whose configuration changes.
+type configChanger struct {
+	t           *testing.T
+	rand        *rand.Rand
+	table       *lossyTable
+	entry       *allotEntry
+	changeCount int
 }
 
-func (w *newsWorld) change(now time.Time) {
-	w.n++
-	team := core.TeamID(fmt.Sprint("t", w.r.IntN(8)))
-	slots := core.Slots(w.r.IntN(20))
-	switch w.r.IntN(12) {
+func (w *configChanger) change(now time.Time) {
+	w.changeCount++
+	team := core.TeamID(fmt.Sprint("t", w.rand.IntN(8)))
+	slots := core.Slots(w.rand.IntN(20))
+	switch w.rand.IntN(12) {
 	case 0, 1:
 		w.apply(now, config.SetTeam{Author: "ana", Team: team, Value: config.Team{Share: 1, Limit: slots}})
 	case 2:
 		w.apply(now, config.SetDefaults{Author: "ana", Value: config.Defaults{Limit: slots}})
 	case 3:
-		end := now.Add(time.Duration(1+w.r.IntN(2500)) * time.Millisecond)
+		end := now.Add(time.Duration(1+w.rand.IntN(2500)) * time.Millisecond)
 		w.apply(now, config.AddException{
-			Author: "ana", ID: fmt.Sprint(w.n), Scope: table.TeamKey(team), Reason: "test", End: end,
-			Value: map[string]int{"limit": 1 + w.r.IntN(30)},
+			Author: "ana", ID: fmt.Sprint(w.changeCount), Scope: table.TeamKey(team), Reason: "test", End: end,
+			Value: map[string]int{"limit": 1 + w.rand.IntN(30)},
 		})
 	case 4:
 		w.entry.allotments.Limiter().RecordDemand(now, team)
 	case 5, 6:
 		assert.NilError(w.t, w.entry.watcher.Poll(context.Background()))
 	case 7:
-		w.gap(team)
+		w.tellWithGap(team)
 	}
 }
 
-func (w *newsWorld) apply(now time.Time, c config.Change) {
+func (w *configChanger) apply(now time.Time, c config.Change) {
 	// A change that isn't accepted, as of a team that is not there, changes nothing.
-	_, _ = Apply(context.Background(), w.table, c, core.ChangeID(fmt.Sprint("c", w.n)), now)
+	_, _ = Apply(context.Background(), w.table, c, core.ChangeID(fmt.Sprint("c", w.changeCount)), now)
 }
 
-// gap tells the newest rows as a peer would that believes this entry to know more than
+// tellWithGap tells the newest rows as a peer would that believes this entry to know more than
 // it does: rows are taken, but the view isn't complete up to them.
-func (w *newsWorld) gap(team core.TeamID) {
+func (w *configChanger) tellWithGap(team core.TeamID) {
 	head := w.table.rows.Read(table.ConfigHead)
 	var h config.Head
 	assert.NilError(w.t, head.Decode(&h))
@@ -99,7 +99,7 @@
 func BenchmarkRound(b *testing.B) {
 	for _, teams := range []int{6, 60, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			x := &lossyTable{calm: true}
+			x := &lossyTable{reliable: true}
 			now := changeStart
 			e := newAllotEntry(x, "za", "a#1000", func() time.Time { return now })
 			var t table.Transaction
@@ -129,14 +129,14 @@
 	}
 }
 
-// seenTable notes the rows that polls brought.
-type seenTable struct {
+// recordingTable notes the rows that polls brought.
+type recordingTable struct {
 	*lossyTable
 	seen  map[table.Key]bool
 	polls map[string]int
 }
 
-func (t *seenTable) Changes(ctx context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
+func (t *recordingTable) Changes(ctx context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
 	rows, revision, err := t.lossyTable.Changes(ctx, prefix, since)
 	t.polls[prefix]++
 	for _, row := range rows {
@@ -148,8 +148,8 @@
 // Each entry would read what moves in seven zones, more than the 10 KB a second that it
 // has for control. Another zone takes a part and leaves a mark; this zone's entry reads
 // the team's row, which holds both, and not the other zone's.
-func TestPollBringsTheOwnZonesRows(t *testing.T) {
-	x := &seenTable{lossyTable: &lossyTable{calm: true}, seen: make(map[table.Key]bool), polls: make(map[string]int)}
+func TestPollReadsOwnZoneRows(t *testing.T) {
+	x := &recordingTable{lossyTable: &lossyTable{reliable: true}, seen: make(map[table.Key]bool), polls: make(map[string]int)}
 	now := changeStart
 	e := newAllotEntry(x, "za", "a#1000", func() time.Time { return now })
 	var rows table.Transaction
--- a/io/platform/allot_test.go
+++ b/io/platform/allot_test.go
@@ -23,7 +23,7 @@
 // allotEntry is an entry with its real drivers over a lossy table.
 type allotEntry struct {
 	allotments *Allotments
-	watcher    *Watcher
+	watcher    *ConfigWatcher
 	live       *fakeLive
 	running    []core.RequestKey
 }
@@ -31,8 +31,8 @@
 func newAllotEntry(t Table, zone core.ZoneID, id core.EntryID, now func() time.Time) *allotEntry {
 	c := &Configuration{Zone: zone, Zones: []core.ZoneID{"za", "zb"}}
 	e := &allotEntry{live: &fakeLive{}}
-	e.watcher = &Watcher{Table: t, Config: c, Now: now}
-	e.allotments = &Allotments{Table: t, Live: e.live, Config: c, Now: now, Interval: time.Millisecond, inOrder: true}
+	e.watcher = &ConfigWatcher{Table: t, Config: c, Now: now}
+	e.allotments = &Allotments{Table: t, Live: e.live, Config: c, Now: now, Interval: time.Millisecond, sequential: true}
 	e.allotments.Ledger = limit.Ledger{Self: id, Zone: zone, MaxLifetime: 30 * time.Second}
 	return e
 }
@@ -59,9 +59,9 @@
 
 const allotLimit = 5
 
-// allotRun returns the most that ran at once, and the parts left at the end.
-func allotRun(t *testing.T, seed uint64, lostIsDone bool) (most int, left core.Slots) {
-	x := &lossyTable{r: rand.New(rand.NewPCG(seed, 9)), calm: true}
+// runAllotments returns the most that ran at once, and the parts left at the end.
+func runAllotments(t *testing.T, seed uint64, lostIsDone bool) (most int, left core.Slots) {
+	x := &lossyTable{rand: rand.New(rand.NewPCG(seed, 9)), reliable: true}
 	now, started := changeStart, 0
 	stopping := false
 	clock := func() time.Time {
@@ -78,22 +78,22 @@
 	// b's daemon dies with work running; its successor learns it from the list.
 	successor := newAllotEntry(x, "zb", "b#2000", clock)
 	successor.live.live = []Liveness{{Name: "b", Zone: "zb", Started: time.UnixMilli(2000)}}
-	a.allotments.lostIsDone, b.allotments.lostIsDone, successor.allotments.lostIsDone = lostIsDone, lostIsDone, lostIsDone
+	a.allotments.assumeLostApplied, b.allotments.assumeLostApplied, successor.allotments.assumeLostApplied = lostIsDone, lostIsDone, lostIsDone
 	steps := func(n int, entries ...*allotEntry) {
 		for range n {
 			now = now.Add(250 * time.Millisecond)
 			for _, e := range entries {
-				e.step(now, x.r, &started)
+				e.step(now, x.rand, &started)
 				most = max(most, len(a.running)+len(b.running)+len(successor.running))
 			}
 		}
 	}
-	x.calm = false
+	x.reliable = false
 	steps(200, a, b)
 	steps(80, a, successor)
 	b.running = nil
 	steps(200, a, successor)
-	x.calm, stopping = true, true
+	x.reliable, stopping = true, true
 	for _, e := range []*allotEntry{a, successor} {
 		for _, key := range e.running {
 			e.allotments.Limiter().Release(key)
@@ -125,7 +125,7 @@
 	for _, lostIsDone := range []bool{false, true} {
 		broken, worst := 0, 0
 		for seed := range uint64(seeds) {
-			most, left := allotRun(t, seed, lostIsDone)
+			most, left := runAllotments(t, seed, lostIsDone)
 			assert.Check(t, lostIsDone || most <= allotLimit, "seed %d: %d run, limit %d", seed, most, allotLimit)
 			assert.Check(t, lostIsDone || left == 0, "seed %d: parts of %d left", seed, left)
 			worst = max(worst, most)
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -11,12 +11,12 @@
 	"lavenderpond/core/table"
 )
 
-// maxTries bounds how often a change is planned again after other changes moved
+// maxAttempts bounds how often a change is planned again after other changes moved
 // the head row, or sent again after a lost answer.
-const maxTries = 10
+const maxAttempts = 10
 
-// Applied says how a change took effect.
-type Applied struct {
+// ApplyResult says how a change took effect.
+type ApplyResult struct {
 	// Version is the configuration version that holds the change.
 	Version core.Version `json:"version"`
 	// Before is true if the change id had taken effect earlier.
@@ -27,7 +27,7 @@
 // called. Its errors are core.Errors: CodeConflict names the change that won,
 // CodePlatformDown says that nothing was written, and CodeChangeUnknown that c may
 // have taken effect and should be repeated under the same id.
-func Apply(ctx context.Context, t Table, c config.Change, id core.ChangeID, now time.Time) (Applied, error) {
+func Apply(ctx context.Context, t Table, c config.Change, id core.ChangeID, now time.Time) (ApplyResult, error) {
 	a := applier{table: t, change: c, id: id, now: now}
 	return a.run(ctx)
 }
@@ -37,69 +37,69 @@
 	change config.Change
 	id     core.ChangeID
 	now    time.Time
-	// base is the row's version when the command first read it.
-	base     core.Version
-	baseHead core.Version
-	haveBase bool
-	// sent is true once an answer was lost: the change may have taken effect.
-	sent bool
-	// forgetful is switched on in tests only: the record of the change id
+	// baseVersion is the row's version when the command first read it.
+	baseVersion     core.Version
+	baseHeadVersion core.Version
+	haveBase        bool
+	// outcomeUnknown is true once an answer was lost: the change may have taken effect.
+	outcomeUnknown bool
+	// ignoreRecord is switched on in tests only: the record of the change id
 	// is neither read nor checked.
-	forgetful bool
+	ignoreRecord bool
 }
 
-func (a *applier) run(ctx context.Context) (Applied, error) {
+func (a *applier) run(ctx context.Context) (ApplyResult, error) {
 	var err error
-	for range maxTries {
+	for range maxAttempts {
 		var done bool
-		var applied Applied
+		var applied ApplyResult
 		applied, done, err = a.try(ctx)
 		if done {
 			return applied, err
 		}
 	}
-	return Applied{}, a.giveUp(err)
+	return ApplyResult{}, a.finalError(err)
 }
 
 // try makes one round: read, settle, plan, write. It returns done false if the
 // round is worth repeating.
-func (a *applier) try(ctx context.Context) (Applied, bool, error) {
+func (a *applier) try(ctx context.Context) (ApplyResult, bool, error) {
 	rows, err := a.read(ctx)
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
 	// The record of the change id is read before anything is planned: after a lost
 	// answer it alone tells whether the write took effect, and a second write would
 	// undo what another operator did in between.
-	if a.forgetful {
+	if a.ignoreRecord {
 		rows[table.ChangeKey(a.id)] = table.Row{}
 	}
 	record, applied, err := config.Applied(a.change, a.id, rows)
 	if err != nil {
-		return Applied{}, true, err
+		return ApplyResult{}, true, err
 	}
 	if applied {
-		return Applied{Version: record.Version, Before: !a.sent}, true, nil
+		return ApplyResult{Version: record.Version, Before: !a.outcomeUnknown}, true, nil
 	}
 	if err := a.checkBase(ctx, rows); err != nil {
-		return Applied{}, true, err
+		return ApplyResult{}, true, err
 	}
 	plan, err := config.Plan(a.change, a.id, a.now, rows)
 	if err != nil {
-		return Applied{}, true, err
+		return ApplyResult{}, true, err
 	}
-	if a.forgetful {
+	if a.ignoreRecord {
 		plan.Checks = plan.Checks[1:]
 	}
 	err = a.table.Transact(ctx, plan)
 	switch {
 	case err == nil:
-		return Applied{Version: headVersion(rows) + 1}, true, nil
+		return ApplyResult{Version: headVersion(rows) + 1}, true, nil
 	case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrUnreachable):
 	default:
-		a.sent = true
+		a.outcomeUnknown = true
 	}
-	return Applied{}, false, err
+	return ApplyResult{}, false, err
 }
 
 func (a *applier) read(ctx context.Context) (config.Rows, error) {
@@ -120,19 +120,19 @@
 func (a *applier) checkBase(ctx context.Context, rows config.Rows) error {
 	version := rows[a.change.Key()].Version
 	if !a.haveBase {
-		a.haveBase, a.base, a.baseHead = true, version, headVersion(rows)
+		a.haveBase, a.baseVersion, a.baseHeadVersion = true, version, headVersion(rows)
 		return nil
 	}
-	if _, ok := a.change.(config.WithdrawKey); ok || version == a.base {
+	if _, ok := a.change.(config.WithdrawKey); ok || version == a.baseVersion {
 		return nil
 	}
 	return core.Errorf(core.CodeConflict, "%s was changed first, by %s; read it again and repeat under a new change id",
-		a.change.Key(), a.winner(ctx, headVersion(rows)))
+		a.change.Key(), a.conflictingChange(ctx, headVersion(rows)))
 }
 
-// winner names the change that changed the row since baseHead.
-func (a *applier) winner(ctx context.Context, head core.Version) string {
-	for v := head; v > a.baseHead; v-- {
+// conflictingChange names the change that changed the row since baseHead.
+func (a *applier) conflictingChange(ctx context.Context, head core.Version) string {
+	for v := head; v > a.baseHeadVersion; v-- {
 		row, err := a.table.Read(ctx, table.AuditKey(v))
 		var audit config.AuditRecord
 		if err != nil || row.Decode(&audit) != nil || audit.Key != a.change.Key() {
@@ -143,8 +143,8 @@
 	return "another change"
 }
 
-func (a *applier) giveUp(err error) error {
-	if a.sent {
+func (a *applier) finalError(err error) error {
+	if a.outcomeUnknown {
 		return core.Errorf(core.CodeChangeUnknown, "change %s may have taken effect: repeat it under the same change id (%v)", a.id, err)
 	}
 	if errors.Is(err, table.ErrConflict) {
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -19,13 +19,13 @@
 // lossyTable loses answers of writes, is down at times, and lets another operator in
 // before writes.
 type lossyTable struct {
-	rows    table.Memory
-	r       *rand.Rand
-	between func()
-	calm    bool
+	rows        table.Memory
+	rand        *rand.Rand
+	beforeWrite func()
+	reliable    bool
 }
 
-func (t *lossyTable) chance(percent int) bool { return !t.calm && t.r.IntN(100) < percent }
+func (t *lossyTable) chance(percent int) bool { return !t.reliable && t.rand.IntN(100) < percent }
 
 func (t *lossyTable) Read(_ context.Context, key table.Key) (table.Row, error) {
 	if t.chance(10) {
@@ -46,10 +46,10 @@
 }
 
 func (t *lossyTable) Transact(_ context.Context, tx table.Transaction) error {
-	if between := t.between; between != nil && t.chance(40) {
-		t.between = nil
+	if between := t.beforeWrite; between != nil && t.chance(40) {
+		t.beforeWrite = nil
 		between()
-		t.between = between
+		t.beforeWrite = between
 	}
 	if t.chance(10) {
 		return table.ErrUnreachable
@@ -61,21 +61,21 @@
 	return err
 }
 
-// racing is two operators who set one team's limit, each repeating a change under
+// racingOperators is two operators who set one team's limit, each repeating a change under
 // its id until the outcome is certain.
-type racing struct {
-	t         *lossyTable
-	forgetful bool
-	sent      map[core.ChangeID]core.Slots
-	done      map[core.ChangeID]bool
-	refused   map[core.ChangeID]bool
+type racingOperators struct {
+	t            *lossyTable
+	ignoreRecord bool
+	sent         map[core.ChangeID]core.Slots
+	done         map[core.ChangeID]bool
+	refused      map[core.ChangeID]bool
 }
 
-func (x *racing) set(id core.ChangeID, n core.Slots) {
+func (x *racingOperators) set(id core.ChangeID, n core.Slots) {
 	x.sent[id] = n
 	c := config.SetTeam{Author: string(id), Team: "frames", Value: config.Team{Share: 1, Limit: n}}
 	for range 20 {
-		a := applier{table: x.t, change: c, id: id, now: changeStart, forgetful: x.forgetful}
+		a := applier{table: x.t, change: c, id: id, now: changeStart, ignoreRecord: x.ignoreRecord}
 		_, err := a.run(context.Background())
 		switch core.ErrorCode(err) {
 		case core.CodeConflict:
@@ -94,17 +94,17 @@
 // told as done was written, and what is refused was not: compared with the audit
 // records. Without the record of the change id, a command whose answer was lost takes
 // its own write for that of another operator and reports a refusal that is false.
-func TestApplyOnce(t *testing.T) {
+func TestApplyTakesEffectOnce(t *testing.T) {
 	const seeds = 500
 	for _, forgetful := range []bool{false, true} {
 		twice, races, settled := 0, 0, 0
 		for seed := range uint64(seeds) {
-			x := &racing{
-				t: &lossyTable{r: rand.New(rand.NewPCG(seed, 3))}, forgetful: forgetful,
+			x := &racingOperators{
+				t: &lossyTable{rand: rand.New(rand.NewPCG(seed, 3))}, ignoreRecord: forgetful,
 				sent: map[core.ChangeID]core.Slots{}, done: map[core.ChangeID]bool{}, refused: map[core.ChangeID]bool{},
 			}
 			n := core.Slots(0)
-			x.t.between = func() { n++; x.set(core.ChangeID(fmt.Sprint("bo", n)), 100+n) }
+			x.t.beforeWrite = func() { n++; x.set(core.ChangeID(fmt.Sprint("bo", n)), 100+n) }
 			for i := range 10 {
 				x.set(core.ChangeID(fmt.Sprint("ana", i)), core.Slots(i+1))
 			}
@@ -137,7 +137,7 @@
 
 // The command of the operator who comes second names who won and what stands now.
 func TestConflictNamesTheWinner(t *testing.T) {
-	x := &lossyTable{calm: true}
+	x := &lossyTable{reliable: true}
 	team := func(author string, n core.Slots) config.Change {
 		return config.SetTeam{Author: author, Team: "frames", Value: config.Team{Share: 1, Limit: n}}
 	}
--- a/io/platform/client.go
+++ b/io/platform/client.go
@@ -117,7 +117,7 @@
 func (c *Client) Get(ctx context.Context, name string) ([]byte, error) {
 	data, status, err := c.do(ctx, http.MethodGet, c.BaseURL+PathObjects+url.PathEscape(name), nil)
 	if err == nil && status == http.StatusNotFound {
-		return nil, errors.Wrap(ErrNoObject, name)
+		return nil, errors.Wrap(ErrObjectNotFound, name)
 	}
 	return data, c.expectOK(data, status, err)
 }
--- a/io/platform/controller.go
+++ b/io/platform/controller.go
@@ -17,12 +17,12 @@
 // Defaults of Controller.
 const (
 	DefaultControlInterval = 5 * time.Second
-	// stepsPerTick bounds the steps of one VM in a tick. A stop and its reboot
+	// maxStepsPerTick bounds the steps of one VM in a tick. A stop and its reboot
 	// belong into one: by the next tick the reboot's deadline may have passed.
-	stepsPerTick = 3
-	// controlListRate bounds what is read of the live list, in bytes a second. The
+	maxStepsPerTick = 3
+	// controllerListBytesPerSecond bounds what is read of the live list, in bytes a second. The
 	// daemon's SharedList reads it that often anyway, so that it costs nothing more.
-	controlListRate = sharedListRate
+	controllerListBytesPerSecond = sharedListBytesPerSecond
 )
 
 // Controller carries out a zone's maintenance. Every entry of the zone runs one;
@@ -49,16 +49,16 @@
 	suspects map[core.VMID]bool
 	state    ControllerState
 
-	own  FleetRows
-	list listPace
+	ownRows    FleetRows
+	listPoller listPoller
 	// listed, leaving and gone are what the live list last said.
-	listed, leaving, gone map[core.VMID]bool
-	looks                 maintenance.CheckScheduler
+	listed, leaving, unlisted map[core.VMID]bool
+	checks                    maintenance.CheckScheduler
 	// renewAt is when the lease is to be renewed.
-	renewAt time.Time
-	choice  maintenance.LeasePolicy
+	renewAt     time.Time
+	leasePolicy maintenance.LeasePolicy
 	// Test-only: switches the check of a reboot's deadline off.
-	noDeadline bool
+	skipDeadlineCheck bool
 }
 
 // ControllerState is what a dump shows of a Controller.
@@ -112,14 +112,14 @@
 // Tick acquires or renews the lease, takes every VM that is out a step further,
 // and takes out the VMs that the planner chooses.
 func (c *Controller) Tick(ctx context.Context) error {
-	held, err := c.choose(ctx)
+	held, err := c.ensureLease(ctx)
 	if err != nil || !held {
 		return err
 	}
 	if err := c.refresh(ctx); err != nil {
 		return err
 	}
-	rest, err := c.attend(ctx)
+	rest, err := c.checkDueVMs(ctx)
 	if err != nil || slices.ContainsFunc(rest, func(d maintenance.DueCheck) bool { return d.Suspect }) {
 		// A stop that is planned now might come on top of failures not yet recorded.
 		return err
@@ -131,19 +131,19 @@
 
 func (c *Controller) rows() *FleetRows {
 	if c.Rows == nil {
-		return &c.own
+		return &c.ownRows
 	}
 	return c.Rows
 }
 
-// readList reads the live list if it is due, and notes the VMs that are listed
+// pollList reads the live list if it is due, and notes the VMs that are listed
 // as leaving, and those that aren't listed. The latter stay gone until they are: the
 // look that follows may be lost, and a controller that has just taken over hasn't seen
 // a list on which they were. One that the list is late to show costs a look. A list
 // that can't be read changes nothing.
-func (c *Controller) readList(ctx context.Context) {
-	c.list.BytesPerSecond = controlListRate
-	live, due, err := c.list.poll(ctx, c.Now(), c.Live, c.Zone)
+func (c *Controller) pollList(ctx context.Context) {
+	c.listPoller.BytesPerSecond = controllerListBytesPerSecond
+	live, due, err := c.listPoller.poll(ctx, c.Now(), c.Live, c.Zone)
 	if err != nil || !due {
 		return
 	}
@@ -157,7 +157,7 @@
 			c.leaving[id] = true
 		}
 		if !c.listed[id] {
-			c.looks.MarkDue(id) // It may be back.
+			c.checks.MarkDue(id) // It may be back.
 		}
 	}
 	for _, vm := range c.rows().VMs() {
@@ -165,7 +165,7 @@
 			gone[vm.Ref.VM] = true
 		}
 	}
-	c.listed, c.gone = listed, gone
+	c.listed, c.unlisted = listed, gone
 }
 
 func (c *Controller) takeSuspects() map[core.VMID]bool {
--- a/io/platform/controller_late_test.go
+++ b/io/platform/controller_late_test.go
@@ -13,9 +13,9 @@
 // now is the controllers' clock. The second look after a VM's status is the one
 // right before a reboot is sent.
 func (s *session) now() time.Time {
-	s.sinceSaw++
-	if s.sinceSaw == 2 {
-		s.pauseAt("decided", s.saw)
+	s.clockReadsSinceStatus++
+	if s.clockReadsSinceStatus == 2 {
+		s.pauseAt("decided", s.lastStatusVM)
 	}
 	return s.world.Now
 }
@@ -23,10 +23,10 @@
 // pauseAt pauses the controller for ten minutes if the test asks for it, while
 // the other one goes on, and then gives vm a task.
 func (s *session) pauseAt(point string, vm fleet.Ref) {
-	if s.pauseIn == nil || s.paused || vm.VM == "" || !s.pauseIn(point, vm) {
+	if s.pauseWhen == nil || s.paused || vm.VM == "" || !s.pauseWhen(point, vm) {
 		return
 	}
-	s.pauseIn, s.paused = nil, true
+	s.pauseWhen, s.paused = nil, true
 	for range 120 {
 		s.advance()
 		s.tick(1 - s.active)
@@ -56,14 +56,14 @@
 		s := newSession(t, 1, faults{})
 		s.world.Unfenced = c.unfenced
 		for _, controller := range s.controllers {
-			controller.noDeadline = c.noDeadline
+			controller.skipDeadlineCheck = c.noDeadline
 		}
 		paused := false
-		s.pauseIn = func(point string, vm fleet.Ref) bool {
+		s.pauseWhen = func(point string, vm fleet.Ref) bool {
 			paused = point == c.point && s.world.Row(vm).VM.State == fleet.Stopped
 			return paused
 		}
-		for n := 0; n < 200 && s.pauseIn != nil; n++ {
+		for n := 0; n < 200 && s.pauseWhen != nil; n++ {
 			s.advance()
 			s.tick(0)
 		}
--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -14,17 +14,17 @@
 const (
 	// leaseIntervals is how many intervals a lease outlasts its renewal.
 	leaseIntervals = 4
-	// patienceIntervals is how many intervals another entry has to take a free lease
+	// takeoverDelayIntervals is how many intervals another entry has to take a free lease
 	// before the relay does: it looks once in each.
-	patienceIntervals = 2
+	takeoverDelayIntervals = 2
 )
 
 // errLeaseLost ends a tick of a controller that was paused for long.
 var errLeaseLost = errors.New("another entry is the zone's controller now")
 
-// choose takes or renews the lease at the start of a tick, or leaves it to another
+// ensureLease takes or renews the lease at the start of a tick, or leaves it to another
 // entry. It returns false if this entry doesn't hold it.
-func (c *Controller) choose(ctx context.Context) (bool, error) {
+func (c *Controller) ensureLease(ctx context.Context) (bool, error) {
 	row, err := c.Table.Read(ctx, maintenance.LeaseKey(c.Zone))
 	if err != nil {
 		return false, err
@@ -34,11 +34,11 @@
 		return false, err
 	}
 	now := c.Now()
-	switch c.choice.Next(now, l, c.Self, c.entries(ctx), patienceIntervals*c.interval()) {
+	switch c.leasePolicy.Next(now, l, c.Self, c.entries(ctx), takeoverDelayIntervals*c.interval()) {
 	case maintenance.LeaseAcquire:
 		return c.acquire(ctx, row)
 	case maintenance.LeaseRelease:
-		c.setHolds(false)
+		c.setHoldsLease(false)
 		t, err := maintenance.Release(now, row)
 		if err != nil {
 			return false, err
@@ -46,16 +46,16 @@
 		return false, c.Table.Transact(ctx, t)
 	case maintenance.LeaseNoAction:
 	}
-	c.setHolds(false)
+	c.setHoldsLease(false)
 	return false, nil
 }
 
-// keepLease renews the lease if that is due, or returns errLeaseLost.
+// renewLeaseIfDue renews the lease if that is due, or returns errLeaseLost.
 //
 // With slow calls a tick may outlast the lease. Another entry would then start and
 // do the same work again, while each is in the other's way: every second one of
 // their transactions fails.
-func (c *Controller) keepLease(ctx context.Context) error {
+func (c *Controller) renewLeaseIfDue(ctx context.Context) error {
 	if c.Now().Before(c.renewAt) {
 		return nil
 	}
@@ -81,11 +81,11 @@
 	if errors.Is(err, table.ErrConflict) {
 		held, err = false, nil
 	}
-	c.setHolds(held && err == nil)
+	c.setHoldsLease(held && err == nil)
 	return held, err
 }
 
-func (c *Controller) setHolds(holds bool) {
+func (c *Controller) setHoldsLease(holds bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.Holds = holds
--- a/io/platform/controller_look.go
+++ b/io/platform/controller_look.go
@@ -11,32 +11,32 @@
 
 // Bounds of a tick's looks at VMs.
 const (
-	// looksPerTick bounds the VMs that are looked at in a tick; the others come first
+	// maxChecksPerTick bounds the VMs that are looked at in a tick; the others come first
 	// in the next one. A zone of 1,430 VMs that returns as a whole would else keep a
 	// controller from its planning and its network for minutes.
-	looksPerTick = 256
-	// looksPerCall bounds the VMs of one call, so that the platform can answer it
+	maxChecksPerTick = 256
+	// maxChecksPerCall bounds the VMs of one call, so that the platform can answer it
 	// within a request's timeout.
-	looksPerCall = 128
+	maxChecksPerCall = 128
 )
 
-// attend looks at the VMs that are due and takes each as far as it can go now. It
+// checkDueVMs looks at the VMs that are due and takes each as far as it can go now. It
 // returns those that it didn't come to: a tick is bounded in VMs and in time.
-func (c *Controller) attend(ctx context.Context) ([]maintenance.DueCheck, error) {
-	c.readList(ctx)
+func (c *Controller) checkDueVMs(ctx context.Context) ([]maintenance.DueCheck, error) {
+	c.pollList(ctx)
 	suspects := c.takeSuspects()
 	for id := range suspects {
-		c.looks.MarkDue(id)
+		c.checks.MarkDue(id)
 	}
 	now := c.Now()
-	due := c.looks.Due(now, c.Driver, c.rows().VMs(), func(id core.VMID) bool {
-		return c.leaving[id] || c.gone[id] || suspects[id]
+	due := c.checks.Due(now, c.Driver, c.rows().VMs(), func(id core.VMID) bool {
+		return c.leaving[id] || c.unlisted[id] || suspects[id]
 	})
 	end := now.Add(c.interval())
 	var err error
-	for left := looksPerTick; err == nil && left > 0 && len(due) > 0 && c.Now().Before(end); {
+	for left := maxChecksPerTick; err == nil && left > 0 && len(due) > 0 && c.Now().Before(end); {
 		var n int
-		n, err = c.attendBatch(ctx, due[:min(left, looksPerCall, len(due))], end)
+		n, err = c.checkBatch(ctx, due[:min(left, maxChecksPerCall, len(due))], end)
 		due, left = due[n:], left-n
 	}
 	for _, rest := range due {
@@ -47,33 +47,33 @@
 	return due, err
 }
 
-// attendBatch looks at VMs in one call, and takes them further until end, but one
+// checkBatch looks at VMs in one call, and takes them further until end, but one
 // at least. It returns how many it came to.
-func (c *Controller) attendBatch(ctx context.Context, batch []maintenance.DueCheck, end time.Time) (int, error) {
-	if err := c.keepLease(ctx); err != nil {
+func (c *Controller) checkBatch(ctx context.Context, batch []maintenance.DueCheck, end time.Time) (int, error) {
+	if err := c.renewLeaseIfDue(ctx); err != nil {
 		return 0, err
 	}
-	seen := c.lookAll(ctx, batch)
+	seen := c.checkAll(ctx, batch)
 	for i, due := range batch {
 		if i > 0 && !c.Now().Before(end) {
 			return i, nil
 		}
-		if err := c.keepLease(ctx); err != nil {
+		if err := c.renewLeaseIfDue(ctx); err != nil {
 			return i, err
 		}
-		if err := c.steps(ctx, due.VM, seen[i]); err != nil {
+		if err := c.advance(ctx, due.VM, seen[i]); err != nil {
 			return i, err
 		}
-		if due.Suspect && c.isUnsettled(due.VM, seen[i]) {
+		if due.Suspect && c.isSuspicionOpen(due.VM, seen[i]) {
 			c.Suspect(due.VM.Ref.VM)
 		}
 	}
 	return len(batch), nil
 }
 
-// isUnsettled reports whether the suspicion against vm is still neither refuted nor
+// isSuspicionOpen reports whether the suspicion against vm is still neither refuted nor
 // recorded: the platform's answer was lost, or the change of the row was.
-func (c *Controller) isUnsettled(vm *fleet.VMRow, seen *maintenance.Observation) bool {
+func (c *Controller) isSuspicionOpen(vm *fleet.VMRow, seen *maintenance.Observation) bool {
 	if seen != nil && seen.Up {
 		return false
 	}
@@ -81,12 +81,12 @@
 	return ok && now.VM.State == fleet.Serving
 }
 
-// lookAll is look for many VMs in one call. A VM that the answer leaves out stays
+// checkAll is look for many VMs in one call. A VM that the answer leaves out stays
 // nil: the platform didn't answer for it, which says nothing of the VM. Taken for
 // down, a partial or lost answer would take a fleet that works out of service.
-func (c *Controller) lookAll(ctx context.Context, batch []maintenance.DueCheck) []*maintenance.Observation {
+func (c *Controller) checkAll(ctx context.Context, batch []maintenance.DueCheck) []*maintenance.Observation {
 	now := c.Now()
-	asks := make([]LookRequest, len(batch))
+	asks := make([]CheckRequest, len(batch))
 	places := make(map[core.VMID]int, len(batch))
 	for i, due := range batch {
 		asks[i].VM, places[due.VM.Ref.VM] = due.VM.Ref.VM, i
@@ -95,7 +95,7 @@
 		}
 	}
 	seen := make([]*maintenance.Observation, len(batch))
-	looks, err := c.VMs.Look(ctx, c.Zone, asks)
+	looks, err := c.VMs.CheckVMs(ctx, c.Zone, asks)
 	if err != nil {
 		c.Log.Debug().Err(err).Int("vms", len(asks)).Msg("VMs not looked at")
 		return seen
@@ -113,9 +113,9 @@
 	return seen
 }
 
-// look tells the VM to refuse new work or to take it again, and then asks what
+// checkVM tells the VM to refuse new work or to take it again, and then asks what
 // runs there: in this order, nothing can start after the answer was taken.
-func (c *Controller) look(ctx context.Context, vm *fleet.VMRow) *maintenance.Observation {
+func (c *Controller) checkVM(ctx context.Context, vm *fleet.VMRow) *maintenance.Observation {
 	var refuses time.Time
 	if until, ok := c.Driver.HoldUntil(c.Now(), *vm); ok {
 		err := c.VMs.Drain(ctx, vm.Ref, DrainRequest{Until: until, Fence: vm.Row.Version})
--- a/io/platform/controller_return_test.go
+++ b/io/platform/controller_return_test.go
@@ -20,19 +20,19 @@
 // the injected clock; the other controller ticks meanwhile when its time comes.
 type slowZone struct {
 	*session
-	delay     time.Duration
-	otherAt   time.Time
-	otherRuns bool
-	// looked counts the VMs looked at in a tick, single those asked for one by one.
-	looked, single int
+	delay        time.Duration
+	otherTickAt  time.Time
+	otherTicking bool
+	// checked counts the VMs looked at in a tick, single those asked for one by one.
+	checked, singleChecks int
 	// answers, if set, alters the answer about many VMs.
-	answers func([]VMLook) ([]VMLook, error)
+	alterReply func([]CheckResult) ([]CheckResult, error)
 }
 
 func newSlowZone(t *testing.T, delay time.Duration) *slowZone {
 	size := sim.Size{Zones: 1, Pools: 31, PoolVMs: 46, SpareVMs: 4, RackVMs: 4, MaxUnavailable: 4}
 	w := sim.NewWorld(1, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC), size, size.MaxUnavailable)
-	z := &slowZone{session: &session{t: t, rand: rand.New(rand.NewPCG(1, 4)), world: w}, delay: delay, otherAt: w.Now.Add(testStep)}
+	z := &slowZone{session: &session{t: t, rand: rand.New(rand.NewPCG(1, 4)), world: w}, delay: delay, otherTickAt: w.Now.Add(testStep)}
 	for i := range 2 {
 		z.controllers = append(z.controllers, &Controller{
 			Zone: "z0", Self: core.EntryID(fmt.Sprint("entry", i)), Table: z, Live: z, VMs: z,
@@ -42,29 +42,29 @@
 	return z
 }
 
-// pass takes the time of a call.
-func (z *slowZone) pass() {
+// spendCall takes the time of a call.
+func (z *slowZone) spendCall() {
 	z.world.Advance(z.delay)
-	if z.otherRuns || z.world.Now.Before(z.otherAt) {
+	if z.otherTicking || z.world.Now.Before(z.otherTickAt) {
 		return
 	}
-	z.otherRuns, z.otherAt = true, z.world.Now.Add(testStep)
+	z.otherTicking, z.otherTickAt = true, z.world.Now.Add(testStep)
 	_ = z.controllers[1].Tick(z.t.Context())
-	z.otherRuns = false
+	z.otherTicking = false
 }
 
 func (z *slowZone) Read(ctx context.Context, key table.Key) (table.Row, error) {
-	z.pass()
+	z.spendCall()
 	return z.session.Read(ctx, key)
 }
 
 func (z *slowZone) Changes(ctx context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
-	z.pass()
+	z.spendCall()
 	return z.session.Changes(ctx, prefix, since)
 }
 
 func (z *slowZone) Transact(ctx context.Context, tx table.Transaction) error {
-	z.pass()
+	z.spendCall()
 	return z.session.Transact(ctx, tx)
 }
 
@@ -79,31 +79,31 @@
 	return live, nil
 }
 
-func (z *slowZone) Look(ctx context.Context, zone core.ZoneID, asks []LookRequest) ([]VMLook, error) {
-	z.pass()
-	if !z.otherRuns {
-		z.looked += len(asks)
+func (z *slowZone) CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error) {
+	z.spendCall()
+	if !z.otherTicking {
+		z.checked += len(asks)
 	}
-	looks, err := z.session.Look(ctx, zone, asks)
-	if z.answers != nil {
-		return z.answers(looks)
+	looks, err := z.session.CheckVMs(ctx, zone, asks)
+	if z.alterReply != nil {
+		return z.alterReply(looks)
 	}
 	return looks, err
 }
 
 func (z *slowZone) Status(ctx context.Context, vm fleet.Ref) (VMStatus, error) {
-	z.pass()
-	z.single++
+	z.spendCall()
+	z.singleChecks++
 	return z.session.Status(ctx, vm)
 }
 
 // tick lets the first controller work and returns how long it took.
 func (z *slowZone) tick() time.Duration {
-	z.looked = 0
+	z.checked = 0
 	began := z.world.Now
 	assert.NilError(z.t, z.controllers[0].Tick(z.t.Context()))
 	took := z.world.Now.Sub(began)
-	assert.Assert(z.t, z.looked <= looksPerTick, "%d VMs looked at in a tick", z.looked)
+	assert.Assert(z.t, z.checked <= maxChecksPerTick, "%d VMs looked at in a tick", z.checked)
 	z.world.Advance(testStep)
 	return took
 }
@@ -149,7 +149,7 @@
 	looked, minutes := 0, 0
 	for ; z.world.Now.Add(2 * time.Minute).Before(back); minutes++ {
 		looked = 0
-		for end := z.world.Now.Add(time.Minute); z.world.Now.Before(end); looked += z.looked {
+		for end := z.world.Now.Add(time.Minute); z.world.Now.Before(end); looked += z.checked {
 			z.tick()
 		}
 	}
@@ -164,7 +164,7 @@
 		assert.Assert(t, ticks < 40, "%d of %d serve", z.count(fleet.Serving), all)
 	}
 	t.Logf("%d ticks and %s until all serve, the longest %s", ticks, z.world.Now.Sub(back), longest)
-	assert.Equal(t, z.single, 0, "VMs looked at one by one")
+	assert.Equal(t, z.singleChecks, 0, "VMs looked at one by one")
 	assert.Assert(t, longest < 2*testStep)
 	assert.Equal(t, z.lease().Epoch, core.Epoch(1), "the second entry never took the lease")
 }
@@ -174,7 +174,7 @@
 // within the tick, so that the second entry stays out of the way.
 func TestLeaseKeptInLongTick(t *testing.T) {
 	z := newSlowZone(t, DefaultTimeout-100*time.Millisecond)
-	z.controllers[0].Planner = planMany{}
+	z.controllers[0].Planner = onePerPoolPlanner{}
 	longest := time.Duration(0)
 	for range 5 {
 		longest = max(longest, z.tick())
@@ -185,10 +185,10 @@
 	assert.Equal(t, z.lease().Epoch, core.Epoch(1))
 }
 
-// planMany takes a VM out of each pool, if it may.
-type planMany struct{}
+// onePerPoolPlanner takes a VM out of each pool, if it may.
+type onePerPoolPlanner struct{}
 
-func (planMany) Plan(_ time.Time, v maintenance.View) []maintenance.Command {
+func (onePerPoolPlanner) Plan(_ time.Time, v maintenance.View) []maintenance.Command {
 	var commands []maintenance.Command
 	seen := make(map[core.PoolID]bool)
 	for _, vm := range v.VMs {
@@ -204,11 +204,11 @@
 // spent, by an answer about many VMs that is lost, or cut to a part of them, or that
 // names others. What it leaves out is unknown and stays as it is; what it has counts,
 // and the rest follows with the next answer.
-func TestPartialLooks(t *testing.T) {
-	for name, answers := range map[string]func([]VMLook) ([]VMLook, error){
-		"lost":    func([]VMLook) ([]VMLook, error) { return nil, table.ErrUnreachable },
-		"partial": func(looks []VMLook) ([]VMLook, error) { return looks[:len(looks)/2], nil },
-		"others":  func([]VMLook) ([]VMLook, error) { return []VMLook{{VM: "vm99999"}}, nil },
+func TestPartialCheckReply(t *testing.T) {
+	for name, answers := range map[string]func([]CheckResult) ([]CheckResult, error){
+		"lost":    func([]CheckResult) ([]CheckResult, error) { return nil, table.ErrUnreachable },
+		"partial": func(looks []CheckResult) ([]CheckResult, error) { return looks[:len(looks)/2], nil },
+		"others":  func([]CheckResult) ([]CheckResult, error) { return []CheckResult{{VM: "vm99999"}}, nil },
 	} {
 		z := newSlowZone(t, time.Millisecond)
 		all := len(z.world.Machines())
@@ -218,7 +218,7 @@
 		for _, m := range z.world.Machines()[:200] {
 			z.controllers[0].Suspect(m.Ref.VM)
 		}
-		z.answers = answers
+		z.alterReply = answers
 		z.tick()
 		failed := z.count(fleet.Failed)
 		assert.Equal(t, z.count(fleet.Serving), all-failed, name)
@@ -227,7 +227,7 @@
 		} else {
 			assert.Equal(t, failed, 0, name)
 		}
-		z.answers = nil
+		z.alterReply = nil
 		z.tick()
 		assert.Equal(t, z.count(fleet.Failed), len(lost), name)
 		assert.Equal(t, z.count(fleet.Serving), all-len(lost), name)
@@ -238,15 +238,15 @@
 // it was idle and refused work when it was asked, its hold lapsed on the answer's way,
 // and an entry that is cut off gave it a task. The clock is read after the answer, and
 // what was held only until then counts as not held.
-func TestLateLook(t *testing.T) {
+func TestLateCheckReply(t *testing.T) {
 	z := newSlowZone(t, time.Millisecond)
-	z.otherAt = z.world.Now.AddDate(1, 0, 0)
-	z.controllers[0].Planner = planMany{}
+	z.otherTickAt = z.world.Now.AddDate(1, 0, 0)
+	z.controllers[0].Planner = onePerPoolPlanner{}
 	z.tick()
 	z.controllers[0].Planner = nil
 	z.tick()
 	assert.Equal(t, z.count(fleet.Draining), len(z.world.Pools()))
-	z.answers = func(looks []VMLook) ([]VMLook, error) {
+	z.alterReply = func(looks []CheckResult) ([]CheckResult, error) {
 		z.world.Advance(testTiming.HoldDuration)
 		for _, l := range looks {
 			z.world.Dispatch(fleet.Ref{Zone: "z0", VM: l.VM}, time.Hour)
@@ -261,19 +261,19 @@
 // A VM fails and its budget goes on as if it served: the one suspicion against it is
 // lost when the tick ends early, since the table can't be reached, or when another
 // entry takes over that hasn't seen a list on which the VM was.
-func TestSuspicionKept(t *testing.T) {
+func TestSuspicionNotLost(t *testing.T) {
 	z := newSlowZone(t, time.Millisecond)
-	z.otherAt = z.world.Now.AddDate(1, 0, 0)
+	z.otherTickAt = z.world.Now.AddDate(1, 0, 0)
 	z.tick()
 	lost := z.world.Machines()[700:702]
 	z.world.FailAll(lost[:1], time.Hour)
 	z.controllers[0].Suspect(lost[0].Ref.VM)
-	z.answers = func(looks []VMLook) ([]VMLook, error) {
+	z.alterReply = func(looks []CheckResult) ([]CheckResult, error) {
 		z.faults.tableDown = 1
 		return looks, nil
 	}
 	assert.ErrorIs(t, z.controllers[0].Tick(t.Context()), table.ErrUnreachable)
-	z.answers, z.faults.tableDown = nil, 0
+	z.alterReply, z.faults.tableDown = nil, 0
 	z.tick()
 	assert.Equal(t, z.count(fleet.Failed), 1, "after a tick that ended early")
 
--- a/io/platform/controller_step.go
+++ b/io/platform/controller_step.go
@@ -12,28 +12,28 @@
 	"lavenderpond/core/table"
 )
 
-// steps takes a VM as many steps further as it can go now. seen is what a look at
+// advance takes a VM as many steps further as it can go now. seen is what a look at
 // it just showed.
-func (c *Controller) steps(ctx context.Context, vm *fleet.VMRow, seen *maintenance.Observation) error {
-	for range stepsPerTick {
+func (c *Controller) advance(ctx context.Context, vm *fleet.VMRow, seen *maintenance.Observation) error {
+	for range maxStepsPerTick {
 		err := c.step(ctx, vm, seen)
-		c.looks.RecordCheck(c.Now(), vm.Ref.VM, seen)
+		c.checks.RecordCheck(c.Now(), vm.Ref.VM, seen)
 		if err != nil {
 			return err
 		}
 		next, ok := c.rows().VM(vm.Key())
-		if !ok || !goesOn(vm, next) {
+		if !ok || !needsImmediateStep(vm, next) {
 			return nil
 		}
-		vm, seen = next, c.look(ctx, next)
+		vm, seen = next, c.checkVM(ctx, next)
 	}
 	return nil
 }
 
-// goesOn reports whether a VM needs its next step in the same tick: the reboot
+// needsImmediateStep reports whether a VM needs its next step in the same tick: the reboot
 // after a stop has a deadline, and a VM whose permit was withdrawn refuses work
 // until it is told otherwise. Other VMs wait for a look with many others.
-func goesOn(vm, next *fleet.VMRow) bool {
+func needsImmediateStep(vm, next *fleet.VMRow) bool {
 	withdrawn := next.VM.State == fleet.Serving && vm.VM.State != fleet.Verifying
 	return next.Row.Version != vm.Row.Version && (next.VM.State == fleet.Stopped || withdrawn)
 }
@@ -46,7 +46,7 @@
 	}
 	next, err := c.Driver.Next(c.Now(), *vm, c.rows().Pools(), seen)
 	if err != nil {
-		return c.settle(ctx, vm.Ref, err)
+		return c.handleError(ctx, vm.Ref, err)
 	}
 	if next.Reboot && !c.reboot(ctx, vm, next.NotAfter) {
 		return nil
@@ -55,7 +55,7 @@
 		return nil
 	}
 	if err := c.transact(ctx, next.Transaction); err != nil {
-		return c.settle(ctx, vm.Ref, err)
+		return c.handleError(ctx, vm.Ref, err)
 	}
 	c.Log.Info().Str("vm", vm.Ref.String()).Str("from", vm.VM.State.String()).Str("wave", vm.VM.Wave).Msg("maintenance step")
 	return nil
@@ -67,7 +67,7 @@
 // may return the VM into service once the deadline has passed.
 func (c *Controller) reboot(ctx context.Context, vm *fleet.VMRow, notAfter time.Time) bool {
 	left := notAfter.Sub(c.Now())
-	if c.noDeadline {
+	if c.skipDeadlineCheck {
 		left = DefaultTimeout
 	}
 	if left <= 0 {
@@ -99,30 +99,30 @@
 		if i > 0 && !c.Now().Before(end) {
 			break
 		}
-		if err := c.keepLease(ctx); err != nil {
+		if err := c.renewLeaseIfDue(ctx); err != nil {
 			return err
 		}
-		if err := c.carryOut(ctx, wave, command); err != nil {
+		if err := c.execute(ctx, wave, command); err != nil {
 			return err
 		}
 	}
 	c.mu.Lock()
-	c.state.BadRows = c.rows().Bad()
+	c.state.BadRows = c.rows().Undecodable()
 	c.state.Wave = wave.Wave
 	c.state.Progress = view.Progress(c.Now())
 	c.mu.Unlock()
 	return nil
 }
 
-// carryOut builds the command's transaction on the rows as they are now: the
+// execute builds the command's transaction on the rows as they are now: the
 // commands before it have changed them.
-func (c *Controller) carryOut(ctx context.Context, wave maintenance.WaveRow, command maintenance.Command) error {
+func (c *Controller) execute(ctx context.Context, wave maintenance.WaveRow, command maintenance.Command) error {
 	t, err := c.Driver.Transaction(c.Now(), c.view(wave), wave, command)
 	if err == nil && len(t.Writes) > 0 {
 		err = c.transact(ctx, t)
 	}
 	if err != nil {
-		return c.settle(ctx, fleet.Ref{}, err)
+		return c.handleError(ctx, fleet.Ref{}, err)
 	}
 	if halt, ok := command.(maintenance.Halt); ok {
 		c.Log.Error().Str("zone", string(c.Zone)).Str("reason", halt.Reason).Msg("maintenance halted")
@@ -142,9 +142,9 @@
 	return nil
 }
 
-// settle decides what an error means for the tick. A lost answer needs no memory:
+// handleError decides what an error means for the tick. A lost answer needs no memory:
 // the rows tell whether the change took effect, and the next step starts there.
-func (c *Controller) settle(ctx context.Context, vm fleet.Ref, err error) error {
+func (c *Controller) handleError(ctx context.Context, vm fleet.Ref, err error) error {
 	var refusal *core.Error
 	switch {
 	case errors.As(err, &refusal):
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -13,12 +13,12 @@
 	"lavenderpond/core/route"
 )
 
-// verdict is what came out of some sessions.
-type verdict struct{ breaches, cutOff, finished, halted, stops, moves int }
+// sessionTotals is what came out of some sessions.
+type sessionTotals struct{ breaches, cutOff, finished, halted, stops, moves int }
 
-func runSessions(t *testing.T, seeds uint64, f faults, alter func(*session)) verdict {
+func runSessions(t *testing.T, seeds uint64, f faults, alter func(*session)) sessionTotals {
 	t.Helper()
-	var v verdict
+	var v sessionTotals
 	for seed := range seeds {
 		s := newSession(t, seed, f)
 		if alter != nil {
@@ -47,8 +47,8 @@
 	return v
 }
 
-var hard = faults{
-	lostAnswers: 0.05, tableDown: 0.03, partialLooks: 0.05, pauses: 0.01, listLag: 20 * time.Second, staleEntry: true, rackFails: true, moves: 0.02,
+var allFaults = faults{
+	lostAnswers: 0.05, tableDown: 0.03, omittedVMs: 0.05, pauses: 0.01, listLag: 20 * time.Second, staleEntry: true, rackFails: true, moves: 0.02,
 	vms: sim.Faults{PerVMDay: 0.5},
 }
 
@@ -60,7 +60,7 @@
 // hold: what the World saw of planned stops shows no breach and nothing cut off.
 func TestSessions(t *testing.T) {
 	const seeds = 60
-	v := runSessions(t, seeds, hard, nil)
+	v := runSessions(t, seeds, allFaults, nil)
 	t.Logf("%+v of %d sessions", v, seeds)
 	assert.Assert(t, v.finished > seeds/2, "the maintenance must also get done: %+v", v)
 }
@@ -68,7 +68,7 @@
 // Without the VM's own refusal, the cut-off entry's work is there at the reboot.
 func TestSessionsWithoutRefusal(t *testing.T) {
 	const seeds = 10
-	v := runSessions(t, seeds, hard, func(s *session) { s.deaf = true })
+	v := runSessions(t, seeds, allFaults, func(s *session) { s.ignoreDrain = true })
 	t.Logf("VM takes work while it drains: %+v of %d sessions", v, seeds)
 	assert.Assert(t, v.cutOff > 0)
 }
--- a/io/platform/fleet.go
+++ b/io/platform/fleet.go
@@ -15,8 +15,8 @@
 // a leaving VM may still get new work.
 const DefaultWatchInterval = time.Second
 
-// watchListRate bounds what a watcher reads of the live list, in bytes a second.
-const watchListRate = 3000
+// watcherListBytesPerSecond bounds what a watcher reads of the live list, in bytes a second.
+const watcherListBytesPerSecond = 3000
 
 // FleetWatcher keeps an entry's view of its zone's VMs and of the pools, from
 // the table, the live list and what connections show. While the table or the
@@ -37,10 +37,10 @@
 	// Rows are shared with the Controller; nil means rows of its own.
 	Rows *FleetRows
 
-	own     FleetRows
-	mu      sync.Mutex
-	members fleet.Membership
-	list    listPace
+	ownRows    FleetRows
+	mu         sync.Mutex
+	members    fleet.Membership
+	listPoller listPoller
 }
 
 // Child returns the watcher's part of the daemon's tree.
@@ -92,8 +92,8 @@
 // Unreachable tells that no connection to a VM could be made.
 func (w *FleetWatcher) Unreachable(vm core.VMID) { w.handle(fleet.Unreachable{VM: vm}) }
 
-// Answered tells that a VM took work that was sent at asked.
-func (w *FleetWatcher) Answered(vm core.VMID, asked time.Time) {
+// Accepted tells that a VM took work that was sent at asked.
+func (w *FleetWatcher) Accepted(vm core.VMID, asked time.Time) {
 	w.handle(fleet.Accepted{VM: vm, SentAt: asked})
 }
 
@@ -108,14 +108,14 @@
 
 func (w *FleetWatcher) rows() *FleetRows {
 	if w.Rows == nil {
-		return &w.own
+		return &w.ownRows
 	}
 	return w.Rows
 }
 
 func (w *FleetWatcher) pollList(ctx context.Context) error {
-	w.list.BytesPerSecond = watchListRate
-	live, due, err := w.list.poll(ctx, w.Now(), w.Live, w.Zone)
+	w.listPoller.BytesPerSecond = watcherListBytesPerSecond
+	live, due, err := w.listPoller.poll(ctx, w.Now(), w.Live, w.Zone)
 	if err != nil || !due {
 		return err
 	}
--- a/io/platform/fleet_cache.go
+++ b/io/platform/fleet_cache.go
@@ -8,15 +8,15 @@
 	"lavenderpond/core/table"
 )
 
-// rowKind tells how rows of a kind are decoded.
-type rowKind[T any] struct {
+// rowCodec tells how rows of a kind are decoded.
+type rowCodec[T any] struct {
 	decode  func(table.Row) (T, error)
 	version func(*T) core.Version
 }
 
 // The decoded rows leave out the JSON: transactions need only key and version.
 var (
-	vmRows = rowKind[fleet.VMRow]{
+	vmRowCodec = rowCodec[fleet.VMRow]{
 		decode: func(row table.Row) (fleet.VMRow, error) {
 			vm, err := fleet.DecodeVM(row)
 			vm.Row.Value = nil
@@ -24,7 +24,7 @@
 		},
 		version: func(vm *fleet.VMRow) core.Version { return vm.Row.Version },
 	}
-	poolRows = rowKind[fleet.PoolRow]{
+	poolRowCodec = rowCodec[fleet.PoolRow]{
 		decode: func(row table.Row) (fleet.PoolRow, error) {
 			pool, err := fleet.DecodePool(row)
 			pool.Row.Value = nil
@@ -38,12 +38,12 @@
 // costs what changed and not what stands there. A row that can't be decoded is
 // left out, so that one bad row doesn't stop a zone's maintenance.
 type rowCache[T any] struct {
-	prefix string
-	since  table.Revision
+	prefix   string
+	revision table.Revision
 	// rows are replaced when they change, and never changed themselves.
 	rows map[table.Key]*T
-	// bad holds the rows that could not be decoded.
-	bad map[table.Key]error
+	// undecodable holds the rows that could not be decoded.
+	undecodable map[table.Key]error
 }
 
 // put takes in a row and returns it decoded, or false if that changes nothing.
@@ -51,18 +51,18 @@
 // A poll's answer may be older than a write of this daemon that was applied while
 // it was under way. Taken in, it would undo the write until the next poll, and a
 // controller would decide on it. The versions of a key never fall, so they tell.
-func (c *rowCache[T]) put(row table.Row, kind rowKind[T]) (*T, bool) {
+func (c *rowCache[T]) update(row table.Row, kind rowCodec[T]) (*T, bool) {
 	if c.rows == nil {
-		c.rows, c.bad = make(map[table.Key]*T), make(map[table.Key]error)
+		c.rows, c.undecodable = make(map[table.Key]*T), make(map[table.Key]error)
 	}
 	if held, ok := c.rows[row.Key]; ok && row.Version != 0 && row.Version <= kind.version(held) {
 		return nil, false
 	}
 	delete(c.rows, row.Key)
-	delete(c.bad, row.Key)
+	delete(c.undecodable, row.Key)
 	v, err := kind.decode(row)
 	if err != nil {
-		c.bad[row.Key] = err
+		c.undecodable[row.Key] = err
 		return nil, true
 	}
 	if row.Version != 0 {
@@ -71,6 +71,6 @@
 	return &v, true
 }
 
-func (c *rowCache[T]) holds(key table.Key) bool {
+func (c *rowCache[T]) contains(key table.Key) bool {
 	return c.prefix != "" && strings.HasPrefix(string(key), c.prefix)
 }
--- a/io/platform/fleet_client.go
+++ b/io/platform/fleet_client.go
@@ -46,30 +46,30 @@
 	Fence    core.Version `json:"fence"`
 }
 
-// LookRequest asks for the state of VM, after it got the order of Drain, if there
+// CheckRequest asks for the state of VM, after it got the order of Drain, if there
 // is one: in this order nothing can start on a VM that refuses work after its tasks
 // were counted.
-type LookRequest struct {
+type CheckRequest struct {
 	VM    core.VMID     `json:"vm"`
 	Drain *DrainRequest `json:"drain,omitempty"`
 }
 
-// VMLook answers a LookRequest.
-type VMLook struct {
+// CheckResult answers a LookRequest.
+type CheckResult struct {
 	VM core.VMID `json:"vm"`
 	VMStatus
 	// Drained says that the VM took the order of Drain.
 	Drained bool `json:"drained,omitempty"`
 }
 
-// Looks is the body of a request for the state of many VMs.
-type Looks struct {
-	VMs []LookRequest `json:"vms"`
+// BulkCheckRequest is the body of a request for the state of many VMs.
+type BulkCheckRequest struct {
+	VMs []CheckRequest `json:"vms"`
 }
 
-// VMLooks is the reply to Looks. Nothing is known of a VM that isn't in it.
-type VMLooks struct {
-	VMs []VMLook `json:"vms"`
+// BulkCheckReply is the reply to Looks. Nothing is known of a VM that isn't in it.
+type BulkCheckReply struct {
+	VMs []CheckResult `json:"vms"`
 }
 
 // VMControl is the platform's control of VMs.
@@ -81,10 +81,10 @@
 	// Status returns what vm is doing. A VM that is gone is not up; of one that the
 	// platform doesn't know nothing is known, and that is an error.
 	Status(ctx context.Context, vm fleet.Ref) (VMStatus, error)
-	// Look does for many VMs of zone in one call what Drain and Status do for one. Of
+	// CheckVMs does for many VMs of zone in one call what Drain and Status do for one. Of
 	// VMs that its answer leaves out nothing is known, and after an error of none; an
 	// order may have taken effect all the same.
-	Look(ctx context.Context, zone core.ZoneID, asks []LookRequest) ([]VMLook, error)
+	CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error)
 }
 
 var _ VMControl = (*Client)(nil)
@@ -112,9 +112,9 @@
 	return s, errors.Wrap(json.Unmarshal(data, &s), "decode VM status")
 }
 
-// Look implements VMControl.
-func (c *Client) Look(ctx context.Context, zone core.ZoneID, asks []LookRequest) ([]VMLook, error) {
-	body, err := json.Marshal(Looks{VMs: asks})
+// CheckVMs implements VMControl.
+func (c *Client) CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error) {
+	body, err := json.Marshal(BulkCheckRequest{VMs: asks})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode looks")
 	}
@@ -122,7 +122,7 @@
 	if err := c.expectOK(data, status, err); err != nil {
 		return nil, err
 	}
-	var reply VMLooks
+	var reply BulkCheckReply
 	if err := json.Unmarshal(data, &reply); err != nil {
 		return nil, errors.Wrap(err, "decode looks")
 	}
--- a/io/platform/fleet_client_test.go
+++ b/io/platform/fleet_client_test.go
@@ -53,19 +53,19 @@
 	assert.Assert(t, err != nil)
 }
 
-type countedList struct{ vms, polls int }
+type pollCounter struct{ vms, polls int }
 
-func (l *countedList) Live(context.Context, core.ZoneID) ([]Liveness, error) {
+func (l *pollCounter) Live(context.Context, core.ZoneID) ([]Liveness, error) {
 	l.polls++
 	return make([]Liveness, l.vms), nil
 }
 
 // A large zone's list is read less often: polled every second, it would take a
 // daemon's network several times over. A small zone's is read on every poll.
-func TestListPace(t *testing.T) {
+func TestListPoller(t *testing.T) {
 	for vms, want := range map[int]int{17: 60, 1430: 3} {
-		l, now := &countedList{vms: vms}, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
-		p := listPace{BytesPerSecond: watchListRate}
+		l, now := &pollCounter{vms: vms}, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
+		p := listPoller{BytesPerSecond: watcherListBytesPerSecond}
 		for range 60 {
 			_, _, err := p.poll(context.Background(), now, l, "z")
 			assert.NilError(t, err)
@@ -78,7 +78,7 @@
 // A controller would take VMs out of service by an answer about many of them that
 // is none: from a platform that doesn't know the path, or cut off on its way. Each
 // is an error, and nothing is known of any VM.
-func TestLookReplies(t *testing.T) {
+func TestCheckVMsReplies(t *testing.T) {
 	status, body, got := http.StatusOK, `{"vms":[{"vm":"a","up":true,"running":3,"drained":true}]}`, ""
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
@@ -88,18 +88,18 @@
 	}))
 	defer s.Close()
 	c, at := NewClient(s.URL), time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
-	asks := []LookRequest{{VM: "a", Drain: &DrainRequest{Until: at, Fence: 7}}, {VM: "b"}}
+	asks := []CheckRequest{{VM: "a", Drain: &DrainRequest{Until: at, Fence: 7}}, {VM: "b"}}
 
-	looks, err := c.Look(t.Context(), "z", asks)
+	looks, err := c.CheckVMs(t.Context(), "z", asks)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, looks, []VMLook{{VM: "a", VMStatus: VMStatus{Up: true, Running: 3}, Drained: true}})
+	assert.DeepEqual(t, looks, []CheckResult{{VM: "a", VMStatus: VMStatus{Up: true, Running: 3}, Drained: true}})
 	assert.Equal(t, got, `POST /vms/z/looks {"vms":[{"vm":"a","drain":{"until":"2026-01-05T00:00:00Z","fence":7}},{"vm":"b"}]}`)
 
 	body = body[:len(body)/2]
-	looks, err = c.Look(t.Context(), "z", asks)
+	looks, err = c.CheckVMs(t.Context(), "z", asks)
 	assert.Assert(t, err != nil && looks == nil, "a cut answer")
 	for _, status = range []int{http.StatusGone, http.StatusNotFound, http.StatusInternalServerError} {
-		looks, err = c.Look(t.Context(), "z", asks)
+		looks, err = c.CheckVMs(t.Context(), "z", asks)
 		assert.Assert(t, err != nil && looks == nil, "status %d says nothing of the VMs", status)
 	}
 }
@@ -112,7 +112,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 	defer s.Close()
 	_, err := NewClient(s.URL).Get(context.Background(), "audit-1.json")
-	assert.ErrorIs(t, err, ErrNoObject)
+	assert.ErrorIs(t, err, ErrObjectNotFound)
 	assert.Assert(t, !errors.Is(err, table.ErrUnreachable))
 	status = http.StatusServiceUnavailable
 	_, err = NewClient(s.URL).Get(context.Background(), "audit-1.json")
--- a/io/platform/fleet_list.go
+++ b/io/platform/fleet_list.go
@@ -7,27 +7,27 @@
 	"lavenderpond/core"
 )
 
-// listLineBytes is about what a VM takes in the live list.
-const listLineBytes = 48
+// listEntryBytes is about what a VM takes in the live list.
+const listEntryBytes = 48
 
-// listPace spaces the polls of a zone's live list, which comes whole each time,
+// listPoller spaces the polls of a zone's live list, which comes whole each time,
 // so that it takes no more than BytesPerSecond: a zone of 1,430 VMs has a list
 // of 70 KB, and a daemon 10 KB a second for all its control. Rows and connections
 // find a leaving VM sooner than a list that is read less often.
-type listPace struct {
+type listPoller struct {
 	BytesPerSecond int
-	next           time.Time
+	nextPoll       time.Time
 }
 
 // poll returns the list, or false if it isn't due or can't be read.
-func (p *listPace) poll(ctx context.Context, now time.Time, live LiveList, zone core.ZoneID) ([]Liveness, bool, error) {
-	if now.Before(p.next) {
+func (p *listPoller) poll(ctx context.Context, now time.Time, live LiveList, zone core.ZoneID) ([]Liveness, bool, error) {
+	if now.Before(p.nextPoll) {
 		return nil, false, nil
 	}
 	vms, err := live.Live(ctx, zone)
 	if err != nil {
 		return nil, false, err
 	}
-	p.next = now.Add(time.Duration(len(vms)*listLineBytes) * time.Second / time.Duration(p.BytesPerSecond))
+	p.nextPoll = now.Add(time.Duration(len(vms)*listEntryBytes) * time.Second / time.Duration(p.BytesPerSecond))
 	return vms, true, nil
 }
--- a/io/platform/fleet_rows.go
+++ b/io/platform/fleet_rows.go
@@ -16,24 +16,24 @@
 // together, since a second set cost a controller 4.3 MB in a zone of 1,430 VMs
 // (docs/CAPACITY.md). Its zero value works. It is safe for concurrent use.
 type FleetRows struct {
-	// polling lets one poll be under way at a time: of two whose answers cross, the
+	// pollMu lets one poll be under way at a time: of two whose answers cross, the
 	// older one would set the revision back, or undo the newer one's deletions.
-	polling sync.Mutex
+	pollMu sync.Mutex
 
 	mu    sync.Mutex
 	vms   rowCache[fleet.VMRow]
 	pools rowCache[fleet.PoolRow]
-	// sorted and byID are views of the rows, built anew once a row has changed.
-	sorted []*fleet.VMRow
-	byID   map[core.PoolID]fleet.PoolRow
-	// untold are the VM rows that changed since TakeChanged, by the newest.
-	untold map[table.Key]*fleet.VMRow
+	// sortedVMs and byID are views of the rows, built anew once a row has changed.
+	sortedVMs []*fleet.VMRow
+	poolsByID map[core.PoolID]fleet.PoolRow
+	// unreported are the VM rows that changed since TakeChanged, by the newest.
+	unreported map[table.Key]*fleet.VMRow
 }
 
 // Poll fetches what changed in zone's VMs and in the pools.
 func (r *FleetRows) Poll(ctx context.Context, t Table, zone core.ZoneID) error {
-	r.polling.Lock()
-	defer r.polling.Unlock()
+	r.pollMu.Lock()
+	defer r.pollMu.Unlock()
 	if err := r.pollVMs(ctx, t, table.PrefixVM+string(zone)+"/"); err != nil {
 		return err
 	}
@@ -42,29 +42,29 @@
 
 // pollVMs doesn't hold the lock while it waits for the table.
 func (r *FleetRows) pollVMs(ctx context.Context, t Table, prefix string) error {
-	changed, revision, err := t.Changes(ctx, prefix, r.vms.since)
+	changed, revision, err := t.Changes(ctx, prefix, r.vms.revision)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.vms.prefix, r.vms.since = prefix, revision
+	r.vms.prefix, r.vms.revision = prefix, revision
 	for _, row := range changed {
-		r.putVM(row)
+		r.updateVM(row)
 	}
 	return nil
 }
 
 func (r *FleetRows) pollPools(ctx context.Context, t Table) error {
-	changed, revision, err := t.Changes(ctx, table.PrefixPool, r.pools.since)
+	changed, revision, err := t.Changes(ctx, table.PrefixPool, r.pools.revision)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pools.prefix, r.pools.since = table.PrefixPool, revision
+	r.pools.prefix, r.pools.revision = table.PrefixPool, revision
 	for _, row := range changed {
-		r.putPool(row)
+		r.updatePool(row)
 	}
 	return nil
 }
@@ -81,10 +81,10 @@
 			row.Version = t.Checks[i].Version + 1
 		}
 		switch {
-		case r.vms.holds(w.Key):
-			r.putVM(row)
-		case r.pools.holds(w.Key):
-			r.putPool(row)
+		case r.vms.contains(w.Key):
+			r.updateVM(row)
+		case r.pools.contains(w.Key):
+			r.updatePool(row)
 		}
 	}
 }
@@ -94,11 +94,11 @@
 func (r *FleetRows) TakeChanged() []*fleet.VMRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed := make([]*fleet.VMRow, 0, len(r.untold))
-	for _, vm := range r.untold {
+	changed := make([]*fleet.VMRow, 0, len(r.unreported))
+	for _, vm := range r.unreported {
 		changed = append(changed, vm)
 	}
-	clear(r.untold)
+	clear(r.unreported)
 	return changed
 }
 
@@ -125,55 +125,55 @@
 func (r *FleetRows) VMs() []*fleet.VMRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.sorted != nil {
-		return r.sorted
+	if r.sortedVMs != nil {
+		return r.sortedVMs
 	}
-	r.sorted = make([]*fleet.VMRow, 0, len(r.vms.rows))
+	r.sortedVMs = make([]*fleet.VMRow, 0, len(r.vms.rows))
 	for _, vm := range r.vms.rows {
-		r.sorted = append(r.sorted, vm)
+		r.sortedVMs = append(r.sortedVMs, vm)
 	}
-	slices.SortFunc(r.sorted, func(a, b *fleet.VMRow) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
-	return r.sorted
+	slices.SortFunc(r.sortedVMs, func(a, b *fleet.VMRow) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
+	return r.sortedVMs
 }
 
 // Pools returns the pools. The map must not be changed.
 func (r *FleetRows) Pools() map[core.PoolID]fleet.PoolRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.byID != nil {
-		return r.byID
+	if r.poolsByID != nil {
+		return r.poolsByID
 	}
-	r.byID = make(map[core.PoolID]fleet.PoolRow, len(r.pools.rows))
+	r.poolsByID = make(map[core.PoolID]fleet.PoolRow, len(r.pools.rows))
 	for _, pool := range r.pools.rows {
-		r.byID[pool.ID] = *pool
+		r.poolsByID[pool.ID] = *pool
 	}
-	return r.byID
+	return r.poolsByID
 }
 
-// Bad returns how many rows can't be decoded.
-func (r *FleetRows) Bad() int {
+// Undecodable returns how many rows can't be decoded.
+func (r *FleetRows) Undecodable() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.vms.bad) + len(r.pools.bad)
+	return len(r.vms.undecodable) + len(r.pools.undecodable)
 }
 
-func (r *FleetRows) putVM(row table.Row) {
-	vm, ok := r.vms.put(row, vmRows)
+func (r *FleetRows) updateVM(row table.Row) {
+	vm, ok := r.vms.update(row, vmRowCodec)
 	if !ok {
 		return
 	}
-	r.sorted = nil
+	r.sortedVMs = nil
 	if vm == nil {
 		return // A row that can't be decoded changes nothing in the watcher's view.
 	}
-	if r.untold == nil {
-		r.untold = make(map[table.Key]*fleet.VMRow)
+	if r.unreported == nil {
+		r.unreported = make(map[table.Key]*fleet.VMRow)
 	}
-	r.untold[row.Key] = vm
+	r.unreported[row.Key] = vm
 }
 
-func (r *FleetRows) putPool(row table.Row) {
-	if _, ok := r.pools.put(row, poolRows); ok {
-		r.byID = nil
+func (r *FleetRows) updatePool(row table.Row) {
+	if _, ok := r.pools.update(row, poolRowCodec); ok {
+		r.poolsByID = nil
 	}
 }
--- a/io/platform/fleet_rows_test.go
+++ b/io/platform/fleet_rows_test.go
@@ -14,14 +14,14 @@
 // slowTable answers a poll with what stood there before during was called.
 type slowTable struct {
 	Table
-	during func()
+	duringPoll func()
 }
 
 func (s *slowTable) Changes(ctx context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
 	rows, revision, err := s.Table.Changes(ctx, prefix, since)
-	if s.during != nil {
-		s.during()
-		s.during = nil
+	if s.duringPoll != nil {
+		s.duringPoll()
+		s.duringPoll = nil
 	}
 	return rows, revision, err
 }
@@ -45,7 +45,7 @@
 	write(func(vm fleet.VMRow, pool fleet.PoolRow) (table.Transaction, error) {
 		return fleet.Rules{}.Permit(s.world.Now, vm, pool, fleet.Permit{Change: "own"})
 	})
-	slow.during = func() {
+	slow.duringPoll = func() {
 		write(func(vm fleet.VMRow, pool fleet.PoolRow) (table.Transaction, error) {
 			return fleet.Rules{}.Withdraw(s.world.Now, vm, pool)
 		})
@@ -64,7 +64,7 @@
 // Callers' work goes to a VM for as long as the table is down, although this very
 // entry took the VM out of service: its controller wrote the row, and then the
 // table went. The watcher hands on what the shared rows know, also without a poll.
-func TestWatcherSeesControllersWrite(t *testing.T) {
+func TestWatcherSeesControllerWrites(t *testing.T) {
 	s := newSession(t, 1, faults{})
 	rows := &FleetRows{}
 	w := &FleetWatcher{Zone: "z0", Table: s, Live: s, Now: func() time.Time { return s.world.Now }, Rows: rows}
--- a/io/platform/platform.go
+++ b/io/platform/platform.go
@@ -26,9 +26,9 @@
 	Transact(ctx context.Context, t table.Transaction) error
 }
 
-// ErrNoObject is the object store's own word that it has no object of the name. It is
+// ErrObjectNotFound is the object store's own word that it has no object of the name. It is
 // no outage: asking again doesn't help.
-var ErrNoObject = errors.New("object store: no such object")
+var ErrObjectNotFound = errors.New("object store: no such object")
 
 // Objects is the platform's object store. The monitor reads it.
 type Objects interface {
--- a/io/platform/session_test.go
+++ b/io/platform/session_test.go
@@ -28,9 +28,9 @@
 // faults are what a session goes through. Shares are per call.
 type faults struct {
 	lostAnswers, tableDown float64
-	// partialLooks is the share of VMs that an answer about many leaves out, half of
+	// omittedVMs is the share of VMs that an answer about many leaves out, half of
 	// them after their order took effect.
-	partialLooks float64
+	omittedVMs float64
 	// pauses is the share of calls before which the caller is paused for up to
 	// two minutes, while the fleet and the other controllers go on.
 	pauses float64
@@ -45,10 +45,10 @@
 	vms   sim.Faults
 }
 
-// unseen is how long a failure may stay unknown to the stop that it should
+// maxUnseen is how long a failure may stay unknown to the stop that it should
 // prevent: the list lags, the lease's holder may be paused, and so may the one
 // that asks for the reboot.
-func (f faults) unseen() time.Duration {
+func (f faults) maxUnseen() time.Duration {
 	return f.listLag + leaseIntervals*testStep + testTiming.RebootWindow + 3*testStep
 }
 
@@ -61,22 +61,22 @@
 	world       *sim.World
 	controllers []*Controller
 	views       []map[fleet.Ref]fleet.State
-	lists       []listing
+	listHistory []listSnapshot
 	// active is the controller that ticks; the other one goes on while it is paused.
 	active int
 	paused bool
-	// deaf VMs take work while they drain.
-	deaf bool
-	// pauseIn pauses the first controller once, for ten minutes, at a certain point.
-	pauseIn  func(point string, vm fleet.Ref) bool
-	sinceSaw int
-	saw      fleet.Ref
+	// ignoreDrain VMs take work while they drain.
+	ignoreDrain bool
+	// pauseWhen pauses the first controller once, for ten minutes, at a certain point.
+	pauseWhen             func(point string, vm fleet.Ref) bool
+	clockReadsSinceStatus int
+	lastStatusVM          fleet.Ref
 	// moving holds the VMs that an operator moves, by the pool they come from.
 	moving map[fleet.Ref]core.PoolID
 	moves  int
 }
 
-type listing struct {
+type listSnapshot struct {
 	at  time.Time
 	vms []Liveness
 }
@@ -84,7 +84,7 @@
 func newSession(t *testing.T, seed uint64, f faults) *session {
 	size := sim.Size{Name: "test", Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 6, RackVMs: 4, MaxUnavailable: 2}
 	w := sim.NewWorld(seed, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC), size, size.MaxUnavailable)
-	w.RebootTime, w.Unseen, w.Faults = 30*time.Second, f.unseen(), f.vms
+	w.RebootTime, w.Unseen, w.Faults = 30*time.Second, f.maxUnseen(), f.vms
 	s := &session{t: t, faults: f, rand: rand.New(rand.NewPCG(seed, 4)), world: w, views: make([]map[fleet.Ref]fleet.State, 3), moving: make(map[fleet.Ref]core.PoolID)}
 	for i := range 2 {
 		s.controllers = append(s.controllers, &Controller{
@@ -151,7 +151,7 @@
 			s.world.Dispatch(m.Ref, time.Duration(s.rand.IntN(20))*time.Second)
 		}
 	}
-	l := listing{at: s.world.Now}
+	l := listSnapshot{at: s.world.Now}
 	for _, c := range s.controllers {
 		l.vms = append(l.vms, Liveness{Name: c.Self.Name(), Zone: c.Zone, Started: c.Self.Started()})
 	}
@@ -160,7 +160,7 @@
 			l.vms = append(l.vms, Liveness{Name: string(m.Ref.VM), Zone: m.Ref.Zone})
 		}
 	}
-	s.lists = append(s.lists, l)
+	s.listHistory = append(s.listHistory, l)
 }
 
 // operate lets an operator move a VM with its place, in a race with drains, and
@@ -246,7 +246,7 @@
 }
 
 func (s *session) Transact(_ context.Context, tx table.Transaction) error {
-	s.saw = fleet.Ref{}
+	s.lastStatusVM = fleet.Ref{}
 	s.pause()
 	if err := s.down(); err != nil {
 		return err
@@ -266,15 +266,15 @@
 }
 
 func (s *session) Live(context.Context, core.ZoneID) ([]Liveness, error) {
-	i, _ := slices.BinarySearchFunc(s.lists, s.world.Now.Add(-s.faults.listLag), func(l listing, at time.Time) int {
+	i, _ := slices.BinarySearchFunc(s.listHistory, s.world.Now.Add(-s.faults.listLag), func(l listSnapshot, at time.Time) int {
 		return l.at.Compare(at)
 	})
-	return s.lists[min(i, len(s.lists)-1)].vms, nil
+	return s.listHistory[min(i, len(s.listHistory)-1)].vms, nil
 }
 
 func (s *session) Drain(_ context.Context, vm fleet.Ref, r DrainRequest) error {
 	s.pause()
-	if s.deaf {
+	if s.ignoreDrain {
 		return nil
 	}
 	return s.world.Drain(vm, r.Until, r.Fence)
@@ -283,29 +283,29 @@
 func (s *session) Status(_ context.Context, vm fleet.Ref) (VMStatus, error) {
 	status := VMStatus{Up: s.world.Machine(vm).Up, Running: s.world.Running(vm)}
 	s.pause()
-	s.saw, s.sinceSaw = vm, 0
+	s.lastStatusVM, s.clockReadsSinceStatus = vm, 0
 	return status, nil
 }
 
-// Look asks one VM after the other, so that pauses fall between any two.
-func (s *session) Look(ctx context.Context, zone core.ZoneID, asks []LookRequest) ([]VMLook, error) {
-	var looks []VMLook
+// CheckVMs asks one VM after the other, so that pauses fall between any two.
+func (s *session) CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error) {
+	var looks []CheckResult
 	for _, ask := range asks {
 		vm, left := fleet.Ref{Zone: zone, VM: ask.VM}, s.rand.Float64()
-		if left < s.faults.partialLooks/2 {
+		if left < s.faults.omittedVMs/2 {
 			continue
 		}
-		l := VMLook{VM: ask.VM}
+		l := CheckResult{VM: ask.VM}
 		if ask.Drain != nil {
 			l.Drained = s.Drain(ctx, vm, *ask.Drain) == nil
 		}
 		l.VMStatus, _ = s.Status(ctx, vm)
-		if left >= s.faults.partialLooks {
+		if left >= s.faults.omittedVMs {
 			looks = append(looks, l)
 		}
 	}
 	s.pause()
-	s.saw = fleet.Ref{}
+	s.lastStatusVM = fleet.Ref{}
 	if s.rand.Float64() < s.faults.lostAnswers {
 		return nil, table.ErrUnreachable
 	}
--- a/io/platform/shared_list.go
+++ b/io/platform/shared_list.go
@@ -10,14 +10,14 @@
 
 // Pace of a SharedList.
 const (
-	// sharedListRate is what reading the list may cost a daemon, in bytes a second.
-	sharedListRate = 4 << 10
-	// livenessBytes is about what a line of the list costs on the wire.
-	livenessBytes = 55
-	sharedListMin = time.Second
-	// sharedListMax keeps the list younger than the waits of those who judge by it:
+	// sharedListBytesPerSecond is what reading the list may cost a daemon, in bytes a second.
+	sharedListBytesPerSecond = 4 << 10
+	// sharedListEntryBytes is about what a line of the list costs on the wire.
+	sharedListEntryBytes = 55
+	sharedListMinAge     = time.Second
+	// sharedListMaxAge keeps the list younger than the waits of those who judge by it:
 	// an entry that was never seen must be missing for 30 s to count as ended.
-	sharedListMax = 15 * time.Second
+	sharedListMaxAge = 15 * time.Second
 )
 
 // SharedList wraps a LiveList for all of a daemon's readers: it reads a zone's list
@@ -30,13 +30,13 @@
 	Now      func() time.Time
 
 	mu    sync.Mutex
-	zones map[core.ZoneID]*sharedZone
+	zones map[core.ZoneID]*cachedList
 }
 
-type sharedZone struct {
-	mu        sync.Mutex
-	list      []Liveness
-	goodUntil time.Time
+type cachedList struct {
+	mu         sync.Mutex
+	list       []Liveness
+	validUntil time.Time
 }
 
 var _ LiveList = (*SharedList)(nil)
@@ -47,26 +47,26 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := s.Now()
-	if now.Before(z.goodUntil) {
+	if now.Before(z.validUntil) {
 		return z.list, nil
 	}
 	list, err := s.LiveList.Live(ctx, zone)
 	if err != nil {
 		return nil, err
 	}
-	pace := time.Duration(len(list)*livenessBytes) * time.Second / sharedListRate
-	z.list, z.goodUntil = list, now.Add(min(max(pace, sharedListMin), sharedListMax))
+	pace := time.Duration(len(list)*sharedListEntryBytes) * time.Second / sharedListBytesPerSecond
+	z.list, z.validUntil = list, now.Add(min(max(pace, sharedListMinAge), sharedListMaxAge))
 	return list, nil
 }
 
-func (s *SharedList) zone(id core.ZoneID) *sharedZone {
+func (s *SharedList) zone(id core.ZoneID) *cachedList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.zones == nil {
-		s.zones = make(map[core.ZoneID]*sharedZone)
+		s.zones = make(map[core.ZoneID]*cachedList)
 	}
 	if s.zones[id] == nil {
-		s.zones[id] = &sharedZone{}
+		s.zones[id] = &cachedList{}
 	}
 	return s.zones[id]
 }
--- a/io/platform/shared_list_test.go
+++ b/io/platform/shared_list_test.go
@@ -28,7 +28,7 @@
 // TestSharedListPaces: four readers ask ten times a second for a minute. A small
 // zone's list is read once a second, a large one's at the stated rate; a list that
 // can't be renewed is refused instead of served old.
-func TestSharedListPaces(t *testing.T) {
+func TestSharedListPollRate(t *testing.T) {
 	for size, reads := range map[int]int{17: 60, 150: 29, 1430: 4} {
 		source := &countingList{size: size}
 		now := time.Unix(0, 0)
@@ -43,7 +43,7 @@
 		}
 		assert.Equal(t, source.reads, reads, "size %d", size)
 		source.down = true
-		now = now.Add(sharedListMax)
+		now = now.Add(sharedListMaxAge)
 		_, err := s.Live(t.Context(), "zone_a")
 		assert.ErrorIs(t, err, table.ErrUnreachable)
 	}
--- a/io/platform/standin/entries.go
+++ b/io/platform/standin/entries.go
@@ -61,5 +61,5 @@
 	// for good.
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list(LivePost{Liveness: platform.Liveness{Name: e.Entry.Name(), Zone: e.Zone, Started: e.Entry.Started()}})
+	s.updateLive(LiveReport{Liveness: platform.Liveness{Name: e.Entry.Name(), Zone: e.Zone, Started: e.Entry.Started()}})
 }
--- a/io/platform/standin/faults.go
+++ b/io/platform/standin/faults.go
@@ -39,10 +39,10 @@
 	s.SetFaults(f)
 }
 
-// faulty wraps a handler with the faults in force.
-func (s *Server) faulty(next http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps a handler with the faults in force.
+func (s *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		f := s.inForce(r)
+		f := s.takeFaults(r)
 		if f.Delay > 0 {
 			select {
 			case <-time.After(f.Delay):
@@ -62,8 +62,8 @@
 	}
 }
 
-// inForce returns the faults that hit this request; a lost answer is used up.
-func (s *Server) inForce(r *http.Request) Faults {
+// takeFaults returns the faults that hit this request; a lost answer is used up.
+func (s *Server) takeFaults(r *http.Request) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
--- a/io/platform/standin/live.go
+++ b/io/platform/standin/live.go
@@ -12,21 +12,21 @@
 	"lavenderpond/io/platform"
 )
 
-// LiveLag is how old the live list is at most before a VM that stopped saying
+// LiveTimeout is how old the live list is at most before a VM that stopped saying
 // that it is there drops out.
-const LiveLag = 3 * time.Second
+const LiveTimeout = 3 * time.Second
 
 // liveVM is what a VM last said of itself.
 type liveVM struct {
 	platform.Liveness
 	// control is the URL at which the VM takes reboots; empty for entries.
-	control string
-	until   time.Time
+	control   string
+	expiresAt time.Time
 }
 
-// LivePost is what a VM, or what stands in for it, says of itself. It repeats it
+// LiveReport is what a VM, or what stands in for it, says of itself. It repeats it
 // more often than LiveLag.
-type LivePost struct {
+type LiveReport struct {
 	platform.Liveness
 	Control string `json:"control,omitempty"`
 	// Gone takes the VM off the list at once.
@@ -34,7 +34,7 @@
 }
 
 func (s *Server) postLive(w http.ResponseWriter, r *http.Request) {
-	var posts []LivePost
+	var posts []LiveReport
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&posts); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -42,12 +42,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range posts {
-		s.list(p)
+		s.updateLive(p)
 	}
 }
 
-// list takes in a post. The caller holds the mutex.
-func (s *Server) list(p LivePost) {
+// updateLive takes in a post. The caller holds the mutex.
+func (s *Server) updateLive(p LiveReport) {
 	if s.live == nil {
 		s.live = make(map[string]*liveVM)
 	}
@@ -56,16 +56,16 @@
 		delete(s.live, key)
 		return
 	}
-	s.live[key] = &liveVM{Liveness: p.Liveness, control: p.Control, until: s.now().Add(LiveLag)}
+	s.live[key] = &liveVM{Liveness: p.Liveness, control: p.Control, expiresAt: s.now().Add(LiveTimeout)}
 }
 
 func (s *Server) getLive(w http.ResponseWriter, r *http.Request) {
-	zone := zoneOf(r)
+	zone := zoneParam(r)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := []platform.Liveness{}
 	for key, vm := range s.live {
-		if inZone(key, zone) && s.now().Before(vm.until) {
+		if inZone(key, zone) && s.now().Before(vm.expiresAt) {
 			list = append(list, vm.Liveness)
 		}
 	}
@@ -75,17 +75,17 @@
 
 // reboot passes the order on to the VM.
 func (s *Server) reboot(w http.ResponseWriter, r *http.Request) {
-	s.toVM(w, r, http.MethodPost, "/control/reboot")
+	s.forwardToVM(w, r, http.MethodPost, "/control/reboot")
 }
 
 // drain passes the order on to the VM.
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
-	s.toVM(w, r, http.MethodPost, "/control/drain")
+	s.forwardToVM(w, r, http.MethodPost, "/control/drain")
 }
 
 // getVM asks the VM for its state; a VM that doesn't answer is not up.
 func (s *Server) getVM(w http.ResponseWriter, r *http.Request) {
-	s.toVM(w, r, http.MethodGet, "/control/state")
+	s.forwardToVM(w, r, http.MethodGet, "/control/state")
 }
 
 // VMState is what the platform says of a target VM.
@@ -94,7 +94,7 @@
 	Running core.Slots `json:"running"`
 }
 
-func (s *Server) toVM(w http.ResponseWriter, r *http.Request, method, path string) {
+func (s *Server) forwardToVM(w http.ResponseWriter, r *http.Request, method, path string) {
 	s.mu.Lock()
 	vm := s.live[liveKey(core.ZoneID(r.PathValue("zone")), r.PathValue("vm"))]
 	s.mu.Unlock()
--- a/io/platform/standin/looks.go
+++ b/io/platform/standin/looks.go
@@ -18,34 +18,34 @@
 
 // Bounds of an answer about many VMs.
 const (
-	// looksWithin is how long the answer waits for VMs. Those that did not answer by
+	// bulkCheckTimeout is how long the answer waits for VMs. Those that did not answer by
 	// then are left out.
-	looksWithin = time.Second
-	// looksAtOnce bounds the VMs that are asked at the same time.
-	looksAtOnce = 16
+	bulkCheckTimeout = time.Second
+	// maxConcurrentChecks bounds the VMs that are asked at the same time.
+	maxConcurrentChecks = 16
 )
 
-// errNotTaken says that a VM refused an order.
-var errNotTaken = errors.New("the VM refused")
+// errRefused says that a VM refused an order.
+var errRefused = errors.New("the VM refused")
 
-// looks passes orders on to many VMs and asks each for its state.
-func (s *Server) looks(w http.ResponseWriter, r *http.Request) {
-	var asks platform.Looks
+// checkVMs passes orders on to many VMs and asks each for its state.
+func (s *Server) checkVMs(w http.ResponseWriter, r *http.Request) {
+	var asks platform.BulkCheckRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&asks); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), looksWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), bulkCheckTimeout)
 	defer cancel()
 	zone := core.ZoneID(r.PathValue("zone"))
 	var g supervisor.Group
 	var mu sync.Mutex
-	reply := platform.VMLooks{VMs: []platform.VMLook{}}
-	next := make(chan platform.LookRequest)
-	for range looksAtOnce {
+	reply := platform.BulkCheckReply{VMs: []platform.CheckResult{}}
+	next := make(chan platform.CheckRequest)
+	for range maxConcurrentChecks {
 		g.Go(func() {
 			for ask := range next {
-				if look, ok := s.lookAt(ctx, zone, ask); ok {
+				if look, ok := s.checkVM(ctx, zone, ask); ok {
 					mu.Lock()
 					reply.VMs = append(reply.VMs, look)
 					mu.Unlock()
@@ -61,21 +61,21 @@
 	writeJSON(w, reply)
 }
 
-// lookAt returns false for a VM that the platform doesn't know, or of which it has
+// checkVM returns false for a VM that the platform doesn't know, or of which it has
 // no answer in time.
-func (s *Server) lookAt(ctx context.Context, zone core.ZoneID, ask platform.LookRequest) (platform.VMLook, bool) {
+func (s *Server) checkVM(ctx context.Context, zone core.ZoneID, ask platform.CheckRequest) (platform.CheckResult, bool) {
 	s.mu.Lock()
 	vm := s.live[liveKey(zone, string(ask.VM))]
 	s.mu.Unlock()
 	if vm == nil || vm.control == "" {
-		return platform.VMLook{}, false
+		return platform.CheckResult{}, false
 	}
-	look := platform.VMLook{VM: ask.VM}
+	look := platform.CheckResult{VM: ask.VM}
 	if ask.Drain != nil {
-		look.Drained = askVM(ctx, http.MethodPost, vm.control+"/control/drain", ask.Drain, nil) == nil
+		look.Drained = callVM(ctx, http.MethodPost, vm.control+"/control/drain", ask.Drain, nil) == nil
 	}
 	var state VMState
-	err := askVM(ctx, http.MethodGet, vm.control+"/control/state", nil, &state)
+	err := callVM(ctx, http.MethodGet, vm.control+"/control/state", nil, &state)
 	if ctx.Err() != nil {
 		return look, false
 	}
@@ -84,8 +84,8 @@
 	return look, true
 }
 
-// askVM sends request to a VM and decodes its reply, if one is wanted.
-func askVM(ctx context.Context, method, url string, request, reply any) error {
+// callVM sends request to a VM and decodes its reply, if one is wanted.
+func callVM(ctx context.Context, method, url string, request, reply any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return errNotTaken
+		return errRefused
 	}
 	if reply == nil {
 		return nil
--- a/io/platform/standin/looks_test.go
+++ b/io/platform/standin/looks_test.go
@@ -19,7 +19,7 @@
 // were counted, or for refusing work although it didn't take the order. The stand-in
 // orders first and counts then, tells for each VM whether it took its order, says
 // that a VM which doesn't answer is down, and leaves out one that it doesn't know.
-func TestLooks(t *testing.T) {
+func TestCheckVMs(t *testing.T) {
 	var calls []string
 	vm := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls = append(calls, r.URL.Path)
@@ -38,17 +38,17 @@
 
 	s := &Server{}
 	for name, control := range map[string]string{"drains": vm.URL, "refuses": refuses.URL, "dead": dead.URL} {
-		s.list(LivePost{Liveness: platform.Liveness{Name: name, Zone: "z"}, Control: control})
+		s.updateLive(LiveReport{Liveness: platform.Liveness{Name: name, Zone: "z"}, Control: control})
 	}
 	h := httptest.NewServer(s.Handler())
 	defer h.Close()
 	drain := &platform.DrainRequest{Until: time.Now().Add(time.Minute), Fence: 3}
-	looks, err := platform.NewClient(h.URL).Look(t.Context(), "z", []platform.LookRequest{
+	looks, err := platform.NewClient(h.URL).CheckVMs(t.Context(), "z", []platform.CheckRequest{
 		{VM: "drains", Drain: drain}, {VM: "refuses", Drain: drain}, {VM: "dead", Drain: drain}, {VM: "unknown"},
 	})
 	assert.NilError(t, err)
-	slices.SortFunc(looks, func(a, b platform.VMLook) int { return strings.Compare(string(a.VM), string(b.VM)) })
-	assert.DeepEqual(t, looks, []platform.VMLook{
+	slices.SortFunc(looks, func(a, b platform.CheckResult) int { return strings.Compare(string(a.VM), string(b.VM)) })
+	assert.DeepEqual(t, looks, []platform.CheckResult{
 		{VM: core.VMID("dead")},
 		{VM: "drains", VMStatus: platform.VMStatus{Up: true, Running: 2}, Drained: true},
 		{VM: "refuses", VMStatus: platform.VMStatus{Up: true}},
--- a/io/platform/standin/server.go
+++ b/io/platform/standin/server.go
@@ -38,10 +38,10 @@
 // Handler returns the HTTP interface of the platform and of the faults.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+platform.PathRows, s.faulty(s.getRows))
-	mux.HandleFunc("POST "+platform.PathTransact, s.faulty(s.transact))
-	mux.HandleFunc("PUT "+platform.PathObjects+"{name}", s.faulty(s.putObject))
-	mux.HandleFunc("GET "+platform.PathObjects+"{name}", s.faulty(s.getObject))
+	mux.HandleFunc("GET "+platform.PathRows, s.withFaults(s.getRows))
+	mux.HandleFunc("POST "+platform.PathTransact, s.withFaults(s.transact))
+	mux.HandleFunc("PUT "+platform.PathObjects+"{name}", s.withFaults(s.putObject))
+	mux.HandleFunc("GET "+platform.PathObjects+"{name}", s.withFaults(s.getObject))
 	mux.HandleFunc("GET "+platform.PathLive, s.getLive)
 	mux.HandleFunc("POST /standin/live", s.postLive)
 	mux.HandleFunc("POST /standin/faults", s.postFaults)
@@ -49,7 +49,7 @@
 	mux.HandleFunc("POST /vms/{zone}/{vm}/reboot", s.reboot)
 	mux.HandleFunc("POST /vms/{zone}/{vm}/drain", s.drain)
 	mux.HandleFunc("GET /vms/{zone}/{vm}", s.getVM)
-	mux.HandleFunc("POST /vms/{zone}/looks", s.looks)
+	mux.HandleFunc("POST /vms/{zone}/looks", s.checkVMs)
 	return mux
 }
 
@@ -137,7 +137,7 @@
 	}{s.reads, s.writes})
 }
 
-func zoneOf(r *http.Request) core.ZoneID { return core.ZoneID(r.URL.Query().Get("zone")) }
+func zoneParam(r *http.Request) core.ZoneID { return core.ZoneID(r.URL.Query().Get("zone")) }
 
 func liveKey(zone core.ZoneID, name string) string { return string(zone) + "/" + name }
 
--- a/io/platform/watch.go
+++ b/io/platform/watch.go
@@ -16,13 +16,13 @@
 // DefaultHeadInterval is the time between two polls of the configuration's head.
 const DefaultHeadInterval = 2 * time.Second
 
-// recorder is the author of the record of a withdrawal that an operator gave to
+// unnamedOperator is the author of the record of a withdrawal that an operator gave to
 // entries while the table was down, without a name.
-const recorder = "operator, told to an entry"
+const unnamedOperator = "operator, told to an entry"
 
-// Watcher keeps a Configuration up to date with the table: it polls the head row,
+// ConfigWatcher keeps a Configuration up to date with the table: it polls the head row,
 // and reads what changed only if the head moved.
-type Watcher struct {
+type ConfigWatcher struct {
 	Table  Table
 	Config *Configuration
 	Now    func() time.Time
@@ -32,13 +32,13 @@
 
 	// since are the revisions up to which the rows were read, base the configuration
 	// version that they hold.
-	sinceConfig, sinceKey table.Revision
-	base                  core.Version
-	loaded                bool
+	configRevision, keyRevision table.Revision
+	baseVersion                 core.Version
+	loaded                      bool
 }
 
 // Child returns the watcher's part of the daemon's tree.
-func (w *Watcher) Child() supervisor.Child {
+func (w *ConfigWatcher) Child() supervisor.Child {
 	return supervisor.Child{Name: "watcher", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, w.interval(), func(ctx context.Context) {
 			if err := w.Poll(ctx); err != nil {
@@ -50,7 +50,7 @@
 
 // Poll makes one round: the head, what changed if it moved, and the record of
 // withdrawals that entries were told while the table was down.
-func (w *Watcher) Poll(ctx context.Context) error {
+func (w *ConfigWatcher) Poll(ctx context.Context) error {
 	sent := w.Now()
 	row, err := w.Table.Read(ctx, table.ConfigHead)
 	if err != nil {
@@ -60,26 +60,26 @@
 	if err := row.Decode(&head); err != nil {
 		return err
 	}
-	d := config.Delta{Base: w.base, Version: head.Version}
+	d := config.Delta{Base: w.baseVersion, Version: head.Version}
 	if !w.loaded || head.Version != w.Config.Version() {
-		if d, err = w.changes(ctx, d); err != nil {
+		if d, err = w.readChanges(ctx, d); err != nil {
 			return err
 		}
 	}
 	if err := w.Config.FromTable(d, sent); err != nil {
 		return err
 	}
-	return w.record(ctx)
+	return w.recordWithdrawals(ctx)
 }
 
-// changes reads the rows that changed since the last reading. The keys are read
+// readChanges reads the rows that changed since the last reading. The keys are read
 // last, so that they are at least as new as the head among the other rows.
-func (w *Watcher) changes(ctx context.Context, d config.Delta) (config.Delta, error) {
-	rows, sinceConfig, err := w.Table.Changes(ctx, table.PrefixConfig, w.sinceConfig)
+func (w *ConfigWatcher) readChanges(ctx context.Context, d config.Delta) (config.Delta, error) {
+	rows, sinceConfig, err := w.Table.Changes(ctx, table.PrefixConfig, w.configRevision)
 	if err != nil {
 		return d, err
 	}
-	keys, sinceKey, err := w.Table.Changes(ctx, table.PrefixKey, w.sinceKey)
+	keys, sinceKey, err := w.Table.Changes(ctx, table.PrefixKey, w.keyRevision)
 	if err != nil {
 		return d, err
 	}
@@ -90,26 +90,26 @@
 		}
 	}
 	d.Rows = append(rows, keys...)
-	w.sinceConfig, w.sinceKey, w.base, w.loaded = sinceConfig, sinceKey, d.Version, true
+	w.configRevision, w.keyRevision, w.baseVersion, w.loaded = sinceConfig, sinceKey, d.Version, true
 	return d, nil
 }
 
-// record writes withdrawals to the table that entries were told while it was down.
+// recordWithdrawals writes withdrawals to the table that entries were told while it was down.
 // All entries that know one use the same change id, so it takes effect once.
-func (w *Watcher) record(ctx context.Context) error {
+func (w *ConfigWatcher) recordWithdrawals(ctx context.Context) error {
 	for _, x := range w.Config.Unrecorded() {
 		row, err := w.Table.Read(ctx, table.KeyDigestKey(x.Digest))
 		if err != nil {
 			return err
 		}
-		if err := w.recordOne(ctx, x, row); err != nil {
+		if err := w.recordWithdrawal(ctx, x, row); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *Watcher) recordOne(ctx context.Context, x key.Withdrawal, row table.Row) error {
+func (w *ConfigWatcher) recordWithdrawal(ctx context.Context, x key.Withdrawal, row table.Row) error {
 	k := config.Key{Team: x.Team}
 	if err := row.Decode(&k); err != nil || k.Withdrawn || k.Team == "" {
 		// Recorded by now, and read with the next poll; or of no known team, which no
@@ -118,14 +118,14 @@
 	}
 	author := x.Author
 	if author == "" {
-		author = recorder
+		author = unnamedOperator
 	}
 	change := config.WithdrawKey{Author: author, Team: k.Team, Digest: x.Digest, Reason: x.Reason}
 	_, err := Apply(ctx, w.Table, change, core.ChangeID("withdraw-"+string(x.Digest)), w.Now())
 	return err
 }
 
-func (w *Watcher) interval() time.Duration {
+func (w *ConfigWatcher) interval() time.Duration {
 	if w.Interval == 0 {
 		return DefaultHeadInterval
 	}
--- a/io/platform/watch_state.go
+++ b/io/platform/watch_state.go
@@ -14,8 +14,8 @@
 type Configuration struct {
 	Zone  core.ZoneID
 	Zones []core.ZoneID
-	// KeyTrust is key.Ring's Trust.
-	KeyTrust time.Duration
+	// MaxKeyStaleness is key.Ring's Trust.
+	MaxKeyStaleness time.Duration
 	// Started is when this run of the entry began.
 	Started time.Time
 	// Skew is the most by which the clocks of two machines differ.
@@ -26,10 +26,10 @@
 	// OnChange is called without the lock when the view changed.
 	OnChange func()
 
-	mu   sync.RWMutex
-	view config.View
-	ring key.Ring
-	set  bool
+	mu             sync.RWMutex
+	view           config.View
+	ring           key.Ring
+	ringConfigured bool
 }
 
 // View calls f with the view; f must not keep it.
@@ -67,8 +67,8 @@
 	return c.ring.Team(d)
 }
 
-// KeysTrustedUntil returns until when the key list is trusted.
-func (c *Configuration) KeysTrustedUntil() time.Time {
+// KeysFreshUntil returns until when the key list is trusted.
+func (c *Configuration) KeysFreshUntil() time.Time {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.ring.FreshUntil()
@@ -76,8 +76,8 @@
 
 // Withdraw puts withdrawals in force here.
 func (c *Configuration) Withdraw(withdrawals ...key.Withdrawal) {
-	ended := c.locked(func() []core.KeyDigest { return c.ring.Withdraw(withdrawals...) })
-	c.tell(ended, false)
+	ended := c.update(func() []core.KeyDigest { return c.ring.Withdraw(withdrawals...) })
+	c.notify(ended, false)
 }
 
 // Unrecorded returns the withdrawals that weren't read from the table yet.
@@ -99,7 +99,7 @@
 func (c *Configuration) FromTable(d config.Delta, sent time.Time) error {
 	var failed error
 	changed := false
-	ended := c.locked(func() []core.KeyDigest {
+	ended := c.update(func() []core.KeyDigest {
 		news, err := c.view.Apply(d, config.FromTable)
 		failed, changed = err, len(news) > 0
 		ended := c.ring.Apply(news)
@@ -108,7 +108,7 @@
 		}
 		return ended
 	})
-	c.tell(ended, changed)
+	c.notify(ended, changed)
 	return failed
 }
 
@@ -117,7 +117,7 @@
 func (c *Configuration) FromPeer(d config.Delta, s key.Summary, zone core.ZoneID, sent time.Time) error {
 	var failed error
 	changed := false
-	ended := c.locked(func() []core.KeyDigest {
+	ended := c.update(func() []core.KeyDigest {
 		news, err := c.view.Apply(d, config.FromPeer)
 		failed, changed = err, len(news) > 0
 		ended := c.ring.Apply(news)
@@ -128,21 +128,21 @@
 		}
 		return ended
 	})
-	c.tell(ended, changed)
+	c.notify(ended, changed)
 	return failed
 }
 
-// locked runs f under the lock, with the ring's settings in place.
-func (c *Configuration) locked(f func() []core.KeyDigest) []core.KeyDigest {
+// update runs f under the lock, with the ring's settings in place.
+func (c *Configuration) update(f func() []core.KeyDigest) []core.KeyDigest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.set {
-		c.ring.Zone, c.ring.Zones, c.ring.MaxStaleness, c.ring.Started, c.set = c.Zone, c.Zones, c.KeyTrust, c.Started, true
+	if !c.ringConfigured {
+		c.ring.Zone, c.ring.Zones, c.ring.MaxStaleness, c.ring.Started, c.ringConfigured = c.Zone, c.Zones, c.MaxKeyStaleness, c.Started, true
 	}
 	return f()
 }
 
-func (c *Configuration) tell(ended []core.KeyDigest, changed bool) {
+func (c *Configuration) notify(ended []core.KeyDigest, changed bool) {
 	if len(ended) > 0 && c.OnWithdrawn != nil {
 		c.OnWithdrawn(ended)
 	}
