--- a/io/platform/allot.go
+++ b/io/platform/allot.go
@@ -183,14 +183,14 @@
 	if !a.polled && len(a.ledgerTeams()) == 0 {
 		return nil
 	}
-	sent := a.Now()
+	sentAt := a.Now()
 	// The team's rows are read last: whatever move the zone's rows show, the team's
 	// are as new.
 	zone, zoneSince, err := a.Table.Changes(ctx, table.PrefixZoneAllotment(a.Ledger.Zone), a.zoneRowsRevision)
 	if err != nil {
 		return nil
 	}
-	if len(zone) == 0 && a.polled && sent.Before(a.teamRowsPolledAt.Add(idleTeamRowsInterval)) && !a.needsTeamRows() {
+	if len(zone) == 0 && a.polled && sentAt.Before(a.teamRowsPolledAt.Add(idleTeamRowsInterval)) && !a.needsTeamRows() {
 		a.zoneRowsRevision = zoneSince
 		return nil
 	}
@@ -198,8 +198,8 @@
 	if err != nil {
 		return nil
 	}
-	a.teamRowsPolledAt = sent
-	e := limit.Polled{Sent: sent, First: !a.polled, Rows: append(zone, teams...)}
+	a.teamRowsPolledAt = sentAt
+	e := limit.Polled{Sent: sentAt, First: !a.polled, Rows: append(zone, teams...)}
 	a.zoneRowsRevision, a.teamRowsRevision, a.polled = zoneSince, teamSince, true
 	return []limit.Event{e}
 }
@@ -213,9 +213,9 @@
 // execute sends the commands to the table and returns the answers.
 func (a *Allotments) execute(ctx context.Context, commands []limit.Command) []limit.Event {
 	events := make([]limit.Event, len(commands))
-	for first := 0; first < len(commands); first += maxConcurrentRequests {
+	for start := 0; start < len(commands); start += maxConcurrentRequests {
 		var g supervisor.Group
-		for i := first; i < min(first+maxConcurrentRequests, len(commands)); i++ {
+		for i := start; i < min(start+maxConcurrentRequests, len(commands)); i++ {
 			g.Go(func() { events[i] = a.send(ctx, commands[i]) })
 			if a.sequential {
 				g.Wait()
--- a/io/platform/allot_news_test.go
+++ b/io/platform/allot_news_test.go
@@ -99,23 +99,23 @@
 func BenchmarkRound(b *testing.B) {
 	for _, teams := range []int{6, 60, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			x := &lossyTable{reliable: true}
+			tbl := &lossyTable{reliable: true}
 			now := changeStart
-			e := newAllotEntry(x, "za", "a#1000", func() time.Time { return now })
+			entry := newAllotEntry(tbl, "za", "a#1000", func() time.Time { return now })
 			var t table.Transaction
 			_ = t.Set(table.ConfigHead, config.Head{Version: 1})
 			for i := range teams {
 				_ = t.Set(table.TeamKey(core.TeamID(fmt.Sprintf("team_%04d", i))), config.Team{Share: 1, Limit: 200})
 			}
-			_ = x.rows.Transact(t)
-			_ = e.watcher.Poll(context.Background())
+			_ = tbl.rows.Transact(t)
+			_ = entry.watcher.Poll(context.Background())
 			for i := range teams {
-				e.allotments.Limiter().RecordDemand(now, core.TeamID(fmt.Sprintf("team_%04d", i)))
+				entry.allotments.Limiter().RecordDemand(now, core.TeamID(fmt.Sprintf("team_%04d", i)))
 			}
 			second := func() {
 				for range 10 {
 					now = now.Add(100 * time.Millisecond)
-					e.allotments.Round(context.Background())
+					entry.allotments.Round(context.Background())
 				}
 			}
 			for range 5 {
@@ -149,57 +149,57 @@
 // has for control. Another zone takes a part and leaves a mark; this zone's entry reads
 // the team's row, which holds both, and not the other zone's.
 func TestPollReadsOwnZoneRows(t *testing.T) {
-	x := &recordingTable{lossyTable: &lossyTable{reliable: true}, seen: make(map[table.Key]bool), polls: make(map[string]int)}
+	tbl := &recordingTable{lossyTable: &lossyTable{reliable: true}, seen: make(map[table.Key]bool), polls: make(map[string]int)}
 	now := changeStart
-	e := newAllotEntry(x, "za", "a#1000", func() time.Time { return now })
+	entry := newAllotEntry(tbl, "za", "a#1000", func() time.Time { return now })
 	var rows table.Transaction
 	assert.NilError(t, rows.Set(table.ConfigHead, config.Head{Version: 1}))
 	assert.NilError(t, rows.Set(table.TeamKey("frames"), config.Team{Share: 1, Limit: 4}))
-	assert.NilError(t, x.rows.Transact(rows))
-	assert.NilError(t, e.watcher.Poll(context.Background()))
-	e.allotments.Limiter().RecordDemand(now, "frames")
-	e.rounds(&now, 20)
-	assert.Equal(t, e.allotments.Dump()[0].Part, core.Slots(1))
+	assert.NilError(t, tbl.rows.Transact(rows))
+	assert.NilError(t, entry.watcher.Poll(context.Background()))
+	entry.allotments.Limiter().RecordDemand(now, "frames")
+	entry.rounds(&now, 20)
+	assert.Equal(t, entry.allotments.Dump()[0].Part, core.Slots(1))
 
 	for _, team := range []core.TeamID{"frames", "other"} {
 		var move table.Transaction
 		row := limit.TeamRow{Limit: 4, Zones: map[core.ZoneID]core.Slots{"za": 1, "zb": 3}, Wanted: map[core.ZoneID]time.Time{"zb": now.Add(time.Hour)}}
 		assert.NilError(t, move.Set(table.TeamAllotmentKey(team), row))
 		assert.NilError(t, move.Set(table.ZoneAllotmentKey(team, "zb"), limit.ZoneRow{Entries: map[core.EntryID]core.Slots{"b#1000": 3}}))
-		assert.NilError(t, x.rows.Transact(move))
+		assert.NilError(t, tbl.rows.Transact(move))
 	}
-	e.rounds(&now, 40)
-	assert.Assert(t, x.seen[table.TeamAllotmentKey("frames")])
-	assert.Assert(t, x.seen[table.ZoneAllotmentKey("frames", "za")])
-	assert.Assert(t, !x.seen[table.ZoneAllotmentKey("frames", "zb")])
+	entry.rounds(&now, 40)
+	assert.Assert(t, tbl.seen[table.TeamAllotmentKey("frames")])
+	assert.Assert(t, tbl.seen[table.ZoneAllotmentKey("frames", "za")])
+	assert.Assert(t, !tbl.seen[table.ZoneAllotmentKey("frames", "zb")])
 	// The mark was heard: the idle part was given back.
-	assert.Equal(t, e.allotments.Dump()[0].Part, core.Slots(0))
+	assert.Equal(t, entry.allotments.Dump()[0].Part, core.Slots(0))
 
 	// A minute without news, then one in which a request waits.
 	for _, polls := range []int{20, 60} {
-		clear(x.polls)
+		clear(tbl.polls)
 		for range 60 {
 			if polls == 60 {
-				e.allotments.Limiter().RecordDemand(now, "frames")
+				entry.allotments.Limiter().RecordDemand(now, "frames")
 			}
-			e.rounds(&now, 10)
+			entry.rounds(&now, 10)
 		}
-		assert.Equal(t, x.polls[table.PrefixZoneAllotment("za")], 60)
-		assert.Equal(t, x.polls[table.PrefixTeamAllotment], polls)
+		assert.Equal(t, tbl.polls[table.PrefixZoneAllotment("za")], 60)
+		assert.Equal(t, tbl.polls[table.PrefixTeamAllotment], polls)
 	}
 
 	// After a changed limit nothing of the team starts until the rows were read again.
-	e.rounds(&now, 30)
-	for clear(x.polls); x.polls[table.PrefixTeamAllotment] == 0; {
-		e.rounds(&now, 1)
+	entry.rounds(&now, 30)
+	for clear(tbl.polls); tbl.polls[table.PrefixTeamAllotment] == 0; {
+		entry.rounds(&now, 1)
 	}
 	var change table.Transaction
 	assert.NilError(t, change.Set(table.ConfigHead, config.Head{Version: 2}))
 	assert.NilError(t, change.Set(table.TeamKey("frames"), config.Team{Share: 1, Limit: 3}))
-	assert.NilError(t, x.rows.Transact(change))
-	assert.NilError(t, e.watcher.Poll(context.Background()))
-	e.rounds(&now, 10)
-	assert.Equal(t, x.polls[table.PrefixTeamAllotment], 2)
+	assert.NilError(t, tbl.rows.Transact(change))
+	assert.NilError(t, entry.watcher.Poll(context.Background()))
+	entry.rounds(&now, 10)
+	assert.Equal(t, tbl.polls[table.PrefixTeamAllotment], 2)
 }
 
 // rounds makes n rounds of the allotments' driver, 100 ms apart.
--- a/io/platform/allot_test.go
+++ b/io/platform/allot_test.go
@@ -38,13 +38,13 @@
 }
 
 // step makes a round of the entry's drivers and offers it work.
-func (e *allotEntry) step(now time.Time, r *rand.Rand, n *int) {
+func (e *allotEntry) step(now time.Time, r *rand.Rand, nextID *int) {
 	_ = e.watcher.Poll(context.Background())
 	e.allotments.Round(context.Background())
 	l := e.allotments.Limiter()
 	for range r.IntN(3) {
-		*n++
-		key := core.RequestKey{Team: "frames", ID: core.RequestID(fmt.Sprint(*n))}
+		*nextID++
+		key := core.RequestKey{Team: "frames", ID: core.RequestID(fmt.Sprint(*nextID))}
 		if l.Acquire(now, key, now.Add(20*time.Second)) {
 			e.running = append(e.running, key)
 		} else {
@@ -60,8 +60,8 @@
 const allotLimit = 5
 
 // runAllotments returns the most that ran at once, and the parts left at the end.
-func runAllotments(t *testing.T, seed uint64, lostIsDone bool) (most int, left core.Slots) {
-	x := &lossyTable{rand: rand.New(rand.NewPCG(seed, 9)), reliable: true}
+func runAllotments(t *testing.T, seed uint64, assumeLostApplied bool) (maxRunning int, remaining core.Slots) {
+	tbl := &lossyTable{rand: rand.New(rand.NewPCG(seed, 9)), reliable: true}
 	now, started := changeStart, 0
 	stopping := false
 	clock := func() time.Time {
@@ -72,48 +72,48 @@
 		return now
 	}
 	team := config.SetTeam{Author: "ana", Team: "frames", Value: config.Team{Share: 1, Limit: allotLimit}}
-	_, err := Apply(context.Background(), x, team, "c1", now)
+	_, err := Apply(context.Background(), tbl, team, "c1", now)
 	assert.NilError(t, err)
-	a, b := newAllotEntry(x, "za", "a#1000", clock), newAllotEntry(x, "zb", "b#1000", clock)
+	a, b := newAllotEntry(tbl, "za", "a#1000", clock), newAllotEntry(tbl, "zb", "b#1000", clock)
 	// b's daemon dies with work running; its successor learns it from the list.
-	successor := newAllotEntry(x, "zb", "b#2000", clock)
+	successor := newAllotEntry(tbl, "zb", "b#2000", clock)
 	successor.live.live = []Liveness{{Name: "b", Zone: "zb", Started: time.UnixMilli(2000)}}
-	a.allotments.assumeLostApplied, b.allotments.assumeLostApplied, successor.allotments.assumeLostApplied = lostIsDone, lostIsDone, lostIsDone
+	a.allotments.assumeLostApplied, b.allotments.assumeLostApplied, successor.allotments.assumeLostApplied = assumeLostApplied, assumeLostApplied, assumeLostApplied
 	steps := func(n int, entries ...*allotEntry) {
 		for range n {
 			now = now.Add(250 * time.Millisecond)
 			for _, e := range entries {
-				e.step(now, x.rand, &started)
-				most = max(most, len(a.running)+len(b.running)+len(successor.running))
+				e.step(now, tbl.rand, &started)
+				maxRunning = max(maxRunning, len(a.running)+len(b.running)+len(successor.running))
 			}
 		}
 	}
-	x.reliable = false
+	tbl.reliable = false
 	steps(200, a, b)
 	steps(80, a, successor)
 	b.running = nil
 	steps(200, a, successor)
-	x.reliable, stopping = true, true
+	tbl.reliable, stopping = true, true
 	for _, e := range []*allotEntry{a, successor} {
 		for _, key := range e.running {
 			e.allotments.Limiter().Release(key)
 		}
 		now = now.Add(time.Minute)
 		e.allotments.Round(context.Background())
-		patience := 3 * time.Second
-		if lostIsDone {
-			patience = 20 * time.Millisecond
+		timeout := 3 * time.Second
+		if assumeLostApplied {
+			timeout = 20 * time.Millisecond
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		e.allotments.Release(ctx)
 		cancel()
-		if !lostIsDone && !e.allotments.released() {
+		if !assumeLostApplied && !e.allotments.released() {
 			t.Logf("seed %d: not released: %+v pending %d", seed, e.allotments.Dump(), len(e.allotments.pending))
 		}
 	}
 	var row limit.TeamRow
-	assert.NilError(t, x.rows.Read(table.TeamAllotmentKey("frames")).Decode(&row))
-	return most, row.Sum()
+	assert.NilError(t, tbl.rows.Read(table.TeamAllotmentKey("frames")).Decode(&row))
+	return maxRunning, row.Sum()
 }
 
 // A team would run more than its limit if a driver took a lost answer for a success.
@@ -122,18 +122,18 @@
 // both stop and hand back all.
 func TestAllotments(t *testing.T) {
 	const seeds = 60
-	for _, lostIsDone := range []bool{false, true} {
-		broken, worst := 0, 0
+	for _, assumeLostApplied := range []bool{false, true} {
+		exceeded, maxRunning := 0, 0
 		for seed := range uint64(seeds) {
-			most, left := runAllotments(t, seed, lostIsDone)
-			assert.Check(t, lostIsDone || most <= allotLimit, "seed %d: %d run, limit %d", seed, most, allotLimit)
-			assert.Check(t, lostIsDone || left == 0, "seed %d: parts of %d left", seed, left)
-			worst = max(worst, most)
-			if most > allotLimit {
-				broken++
+			running, remaining := runAllotments(t, seed, assumeLostApplied)
+			assert.Check(t, assumeLostApplied || running <= allotLimit, "seed %d: %d run, limit %d", seed, running, allotLimit)
+			assert.Check(t, assumeLostApplied || remaining == 0, "seed %d: parts of %d left", seed, remaining)
+			maxRunning = max(maxRunning, running)
+			if running > allotLimit {
+				exceeded++
 			}
 		}
-		t.Logf("lost answers taken for success %t: %d of %d seeds above the limit of %d, at most %d ran", lostIsDone, broken, seeds, allotLimit, worst)
-		assert.Check(t, lostIsDone == (broken > 0))
+		t.Logf("lost answers taken for success %t: %d of %d seeds above the limit of %d, at most %d ran", assumeLostApplied, exceeded, seeds, allotLimit, maxRunning)
+		assert.Check(t, assumeLostApplied == (exceeded > 0))
 	}
 }
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -46,10 +46,10 @@
 }
 
 func (t *lossyTable) Transact(_ context.Context, tx table.Transaction) error {
-	if between := t.beforeWrite; between != nil && t.chance(40) {
+	if hook := t.beforeWrite; hook != nil && t.chance(40) {
 		t.beforeWrite = nil
-		between()
-		t.beforeWrite = between
+		hook()
+		t.beforeWrite = hook
 	}
 	if t.chance(10) {
 		return table.ErrUnreachable
@@ -71,20 +71,20 @@
 	refused      map[core.ChangeID]bool
 }
 
-func (x *racingOperators) set(id core.ChangeID, n core.Slots) {
-	x.sent[id] = n
+func (o *racingOperators) set(id core.ChangeID, n core.Slots) {
+	o.sent[id] = n
 	c := config.SetTeam{Author: string(id), Team: "frames", Value: config.Team{Share: 1, Limit: n}}
 	for range 20 {
-		a := applier{table: x.t, change: c, id: id, now: changeStart, ignoreRecord: x.ignoreRecord}
+		a := applier{table: o.t, change: c, id: id, now: changeStart, ignoreRecord: o.ignoreRecord}
 		_, err := a.run(context.Background())
 		switch core.ErrorCode(err) {
 		case core.CodeConflict:
-			x.refused[id] = true
+			o.refused[id] = true
 			return
 		case core.CodeChangeUnknown, core.CodePlatformDown:
 			continue
 		}
-		x.done[id] = err == nil
+		o.done[id] = err == nil
 		return
 	}
 }
@@ -96,56 +96,56 @@
 // its own write for that of another operator and reports a refusal that is false.
 func TestApplyTakesEffectOnce(t *testing.T) {
 	const seeds = 500
-	for _, forgetful := range []bool{false, true} {
-		twice, races, settled := 0, 0, 0
+	for _, ignoreRecord := range []bool{false, true} {
+		wrongSeeds, races, done := 0, 0, 0
 		for seed := range uint64(seeds) {
-			x := &racingOperators{
-				t: &lossyTable{rand: rand.New(rand.NewPCG(seed, 3))}, ignoreRecord: forgetful,
+			o := &racingOperators{
+				t: &lossyTable{rand: rand.New(rand.NewPCG(seed, 3))}, ignoreRecord: ignoreRecord,
 				sent: map[core.ChangeID]core.Slots{}, done: map[core.ChangeID]bool{}, refused: map[core.ChangeID]bool{},
 			}
 			n := core.Slots(0)
-			x.t.beforeWrite = func() { n++; x.set(core.ChangeID(fmt.Sprint("bo", n)), 100+n) }
+			o.t.beforeWrite = func() { n++; o.set(core.ChangeID(fmt.Sprint("bo", n)), 100+n) }
 			for i := range 10 {
-				x.set(core.ChangeID(fmt.Sprint("ana", i)), core.Slots(i+1))
+				o.set(core.ChangeID(fmt.Sprint("ana", i)), core.Slots(i+1))
 			}
 			count := map[core.ChangeID]int{}
-			for _, row := range x.t.rows.Scan(table.PrefixAudit) {
+			for _, row := range o.t.rows.Scan(table.PrefixAudit) {
 				var audit config.AuditRecord
 				assert.NilError(t, row.Decode(&audit))
 				count[audit.Change]++
 			}
-			wrong := 0
-			for id := range x.sent {
+			wrongChanges := 0
+			for id := range o.sent {
 				switch {
-				case count[id] > 1, x.done[id] && count[id] != 1, x.refused[id] && count[id] != 0:
-					wrong++
+				case count[id] > 1, o.done[id] && count[id] != 1, o.refused[id] && count[id] != 0:
+					wrongChanges++
 				}
-				if x.refused[id] {
+				if o.refused[id] {
 					races++
 				}
 			}
-			settled += len(x.done)
-			if wrong > 0 {
-				assert.Check(t, forgetful, "seed %d: %d changes taken twice or told wrongly", seed, wrong)
-				twice++
+			done += len(o.done)
+			if wrongChanges > 0 {
+				assert.Check(t, ignoreRecord, "seed %d: %d changes taken twice or told wrongly", seed, wrongChanges)
+				wrongSeeds++
 			}
 		}
-		t.Logf("record of the change id off %t: %d of %d seeds wrong, %d changes done, %d lost a race", forgetful, twice, seeds, settled, races)
-		assert.Check(t, twice > 0 == forgetful)
+		t.Logf("record of the change id off %t: %d of %d seeds wrong, %d changes done, %d lost a race", ignoreRecord, wrongSeeds, seeds, done, races)
+		assert.Check(t, wrongSeeds > 0 == ignoreRecord)
 	}
 }
 
 // The command of the operator who comes second names who won and what stands now.
 func TestConflictNamesTheWinner(t *testing.T) {
-	x := &lossyTable{reliable: true}
+	tbl := &lossyTable{reliable: true}
 	team := func(author string, n core.Slots) config.Change {
 		return config.SetTeam{Author: author, Team: "frames", Value: config.Team{Share: 1, Limit: n}}
 	}
-	a := applier{table: x, change: team("ana", 5), id: "a1", now: changeStart}
+	a := applier{table: tbl, change: team("ana", 5), id: "a1", now: changeStart}
 	rows, err := a.read(context.Background())
 	assert.NilError(t, err)
 	assert.NilError(t, a.checkBase(context.Background(), rows))
-	applied, err := Apply(context.Background(), x, team("bo", 7), "b1", changeStart)
+	applied, err := Apply(context.Background(), tbl, team("bo", 7), "b1", changeStart)
 	assert.NilError(t, err)
 	assert.Equal(t, applied.Version, core.Version(1))
 	_, err = a.run(context.Background())
--- a/io/platform/controller_look.go
+++ b/io/platform/controller_look.go
@@ -34,10 +34,10 @@
 	})
 	end := now.Add(c.interval())
 	var err error
-	for left := maxChecksPerTick; err == nil && left > 0 && len(due) > 0 && c.Now().Before(end); {
+	for remaining := maxChecksPerTick; err == nil && remaining > 0 && len(due) > 0 && c.Now().Before(end); {
 		var n int
-		n, err = c.checkBatch(ctx, due[:min(left, maxChecksPerCall, len(due))], end)
-		due, left = due[n:], left-n
+		n, err = c.checkBatch(ctx, due[:min(remaining, maxChecksPerCall, len(due))], end)
+		due, remaining = due[n:], remaining-n
 	}
 	for _, rest := range due {
 		if suspects[rest.VM.Ref.VM] {
@@ -53,7 +53,7 @@
 	if err := c.renewLeaseIfDue(ctx); err != nil {
 		return 0, err
 	}
-	seen := c.checkAll(ctx, batch)
+	observations := c.checkAll(ctx, batch)
 	for i, due := range batch {
 		if i > 0 && !c.Now().Before(end) {
 			return i, nil
@@ -61,10 +61,10 @@
 		if err := c.renewLeaseIfDue(ctx); err != nil {
 			return i, err
 		}
-		if err := c.advance(ctx, due.VM, seen[i]); err != nil {
+		if err := c.advance(ctx, due.VM, observations[i]); err != nil {
 			return i, err
 		}
-		if due.Suspect && c.isSuspicionOpen(due.VM, seen[i]) {
+		if due.Suspect && c.isSuspicionOpen(due.VM, observations[i]) {
 			c.Suspect(due.VM.Ref.VM)
 		}
 	}
@@ -73,12 +73,12 @@
 
 // isSuspicionOpen reports whether the suspicion against vm is still neither refuted nor
 // recorded: the platform's answer was lost, or the change of the row was.
-func (c *Controller) isSuspicionOpen(vm *fleet.VMRow, seen *maintenance.Observation) bool {
-	if seen != nil && seen.Up {
+func (c *Controller) isSuspicionOpen(vm *fleet.VMRow, observed *maintenance.Observation) bool {
+	if observed != nil && observed.Up {
 		return false
 	}
-	now, ok := c.rows().VM(vm.Key())
-	return ok && now.VM.State == fleet.Serving
+	current, ok := c.rows().VM(vm.Key())
+	return ok && current.VM.State == fleet.Serving
 }
 
 // checkAll is look for many VMs in one call. A VM that the answer leaves out stays
@@ -86,46 +86,46 @@
 // down, a partial or lost answer would take a fleet that works out of service.
 func (c *Controller) checkAll(ctx context.Context, batch []maintenance.DueCheck) []*maintenance.Observation {
 	now := c.Now()
-	asks := make([]CheckRequest, len(batch))
-	places := make(map[core.VMID]int, len(batch))
+	requests := make([]CheckRequest, len(batch))
+	indexes := make(map[core.VMID]int, len(batch))
 	for i, due := range batch {
-		asks[i].VM, places[due.VM.Ref.VM] = due.VM.Ref.VM, i
+		requests[i].VM, indexes[due.VM.Ref.VM] = due.VM.Ref.VM, i
 		if until, ok := c.Driver.HoldUntil(now, *due.VM); ok {
-			asks[i].Drain = &DrainRequest{Until: until, Fence: due.VM.Row.Version}
+			requests[i].Drain = &DrainRequest{Until: until, Fence: due.VM.Row.Version}
 		}
 	}
-	seen := make([]*maintenance.Observation, len(batch))
-	looks, err := c.VMs.CheckVMs(ctx, c.Zone, asks)
+	observations := make([]*maintenance.Observation, len(batch))
+	results, err := c.VMs.CheckVMs(ctx, c.Zone, requests)
 	if err != nil {
-		c.Log.Debug().Err(err).Int("vms", len(asks)).Msg("VMs not looked at")
-		return seen
+		c.Log.Debug().Err(err).Int("vms", len(requests)).Msg("VMs not looked at")
+		return observations
 	}
-	for _, l := range looks {
-		i, asked := places[l.VM]
-		if !asked {
+	for _, result := range results {
+		i, requested := indexes[result.VM]
+		if !requested {
 			continue
 		}
-		seen[i] = &maintenance.Observation{Up: l.Up, Running: l.Running}
-		if drain := asks[i].Drain; drain != nil && l.Drained {
-			seen[i].RefusesUntil = drain.Until
+		observations[i] = &maintenance.Observation{Up: result.Up, Running: result.Running}
+		if drain := requests[i].Drain; drain != nil && result.Drained {
+			observations[i].RefusesUntil = drain.Until
 		}
 	}
-	return seen
+	return observations
 }
 
 // checkVM tells the VM to refuse new work or to take it again, and then asks what
 // runs there: in this order, nothing can start after the answer was taken.
 func (c *Controller) checkVM(ctx context.Context, vm *fleet.VMRow) *maintenance.Observation {
-	var refuses time.Time
+	var refusesUntil time.Time
 	if until, ok := c.Driver.HoldUntil(c.Now(), *vm); ok {
 		err := c.VMs.Drain(ctx, vm.Ref, DrainRequest{Until: until, Fence: vm.Row.Version})
 		if err == nil {
-			refuses = until
+			refusesUntil = until
 		}
 	}
 	status, err := c.VMs.Status(ctx, vm.Ref)
 	if err != nil {
 		return nil
 	}
-	return &maintenance.Observation{Up: status.Up, Running: status.Running, RefusesUntil: refuses}
+	return &maintenance.Observation{Up: status.Up, Running: status.Running, RefusesUntil: refusesUntil}
 }
--- a/io/platform/controller_return_test.go
+++ b/io/platform/controller_return_test.go
@@ -79,16 +79,16 @@
 	return live, nil
 }
 
-func (z *slowZone) CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error) {
+func (z *slowZone) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
 	z.spendCall()
 	if !z.otherTicking {
-		z.checked += len(asks)
+		z.checked += len(requests)
 	}
-	looks, err := z.session.CheckVMs(ctx, zone, asks)
+	results, err := z.session.CheckVMs(ctx, zone, requests)
 	if z.alterReply != nil {
-		return z.alterReply(looks)
+		return z.alterReply(results)
 	}
-	return looks, err
+	return results, err
 }
 
 func (z *slowZone) Status(ctx context.Context, vm fleet.Ref) (VMStatus, error) {
@@ -100,9 +100,9 @@
 // tick lets the first controller work and returns how long it took.
 func (z *slowZone) tick() time.Duration {
 	z.checked = 0
-	began := z.world.Now
+	startedAt := z.world.Now
 	assert.NilError(z.t, z.controllers[0].Tick(z.t.Context()))
-	took := z.world.Now.Sub(began)
+	took := z.world.Now.Sub(startedAt)
 	assert.Assert(z.t, z.checked <= maxChecksPerTick, "%d VMs looked at in a tick", z.checked)
 	z.world.Advance(testStep)
 	return took
@@ -137,7 +137,7 @@
 
 	const downFor = 15 * time.Minute
 	z.world.FailAll(z.world.Machines(), downFor)
-	back := z.world.Now.Add(downFor)
+	returnAt := z.world.Now.Add(downFor)
 	ticks, longest := 0, time.Duration(0)
 	for ; z.count(fleet.Failed) < all; ticks++ {
 		longest = max(longest, z.tick())
@@ -146,24 +146,24 @@
 	t.Logf("%d ticks until all are recorded, the longest %s", ticks, longest)
 
 	// Out for long, each VM is looked at once a minute.
-	looked, minutes := 0, 0
-	for ; z.world.Now.Add(2 * time.Minute).Before(back); minutes++ {
-		looked = 0
-		for end := z.world.Now.Add(time.Minute); z.world.Now.Before(end); looked += z.checked {
+	checks, minutes := 0, 0
+	for ; z.world.Now.Add(2 * time.Minute).Before(returnAt); minutes++ {
+		checks = 0
+		for end := z.world.Now.Add(time.Minute); z.world.Now.Before(end); checks += z.checked {
 			z.tick()
 		}
 	}
-	t.Logf("%d looks in the last of %d minutes out", looked, minutes)
-	assert.Assert(t, looked < all+all/4, "%d looks at %d VMs in a minute", looked, all)
+	t.Logf("%d looks in the last of %d minutes out", checks, minutes)
+	assert.Assert(t, checks < all+all/4, "%d looks at %d VMs in a minute", checks, all)
 
-	for z.world.Now.Before(back) {
+	for z.world.Now.Before(returnAt) {
 		z.tick()
 	}
 	for ticks = 0; z.count(fleet.Serving) < all; ticks++ {
 		longest = max(longest, z.tick())
 		assert.Assert(t, ticks < 40, "%d of %d serve", z.count(fleet.Serving), all)
 	}
-	t.Logf("%d ticks and %s until all serve, the longest %s", ticks, z.world.Now.Sub(back), longest)
+	t.Logf("%d ticks and %s until all serve, the longest %s", ticks, z.world.Now.Sub(returnAt), longest)
 	assert.Equal(t, z.singleChecks, 0, "VMs looked at one by one")
 	assert.Assert(t, longest < 2*testStep)
 	assert.Equal(t, z.lease().Epoch, core.Epoch(1), "the second entry never took the lease")
@@ -190,10 +190,10 @@
 
 func (onePerPoolPlanner) Plan(_ time.Time, v maintenance.View) []maintenance.Command {
 	var commands []maintenance.Command
-	seen := make(map[core.PoolID]bool)
+	chosen := make(map[core.PoolID]bool)
 	for _, vm := range v.VMs {
-		if vm.VM.State == fleet.Serving && !seen[vm.VM.Pool] && v.Pools[vm.VM.Pool].Pool.Headroom() > 0 {
-			seen[vm.VM.Pool] = true
+		if vm.VM.State == fleet.Serving && !chosen[vm.VM.Pool] && v.Pools[vm.VM.Pool].Pool.Headroom() > 0 {
+			chosen[vm.VM.Pool] = true
 			commands = append(commands, maintenance.TakeOut{VM: vm.Ref, Permit: fleet.Permit{Change: core.ChangeID(vm.Ref.VM)}})
 		}
 	}
@@ -205,32 +205,32 @@
 // names others. What it leaves out is unknown and stays as it is; what it has counts,
 // and the rest follows with the next answer.
 func TestPartialCheckReply(t *testing.T) {
-	for name, answers := range map[string]func([]CheckResult) ([]CheckResult, error){
+	for name, alterReply := range map[string]func([]CheckResult) ([]CheckResult, error){
 		"lost":    func([]CheckResult) ([]CheckResult, error) { return nil, table.ErrUnreachable },
-		"partial": func(looks []CheckResult) ([]CheckResult, error) { return looks[:len(looks)/2], nil },
+		"partial": func(results []CheckResult) ([]CheckResult, error) { return results[:len(results)/2], nil },
 		"others":  func([]CheckResult) ([]CheckResult, error) { return []CheckResult{{VM: "vm99999"}}, nil },
 	} {
 		z := newSlowZone(t, time.Millisecond)
 		all := len(z.world.Machines())
 		z.tick()
-		lost := z.world.Machines()[:100]
-		z.world.FailAll(lost, time.Hour)
+		failing := z.world.Machines()[:100]
+		z.world.FailAll(failing, time.Hour)
 		for _, m := range z.world.Machines()[:200] {
 			z.controllers[0].Suspect(m.Ref.VM)
 		}
-		z.alterReply = answers
+		z.alterReply = alterReply
 		z.tick()
 		failed := z.count(fleet.Failed)
 		assert.Equal(t, z.count(fleet.Serving), all-failed, name)
 		if name == "partial" {
-			assert.Assert(t, failed > 0 && failed < len(lost), "%d", failed)
+			assert.Assert(t, failed > 0 && failed < len(failing), "%d", failed)
 		} else {
 			assert.Equal(t, failed, 0, name)
 		}
 		z.alterReply = nil
 		z.tick()
-		assert.Equal(t, z.count(fleet.Failed), len(lost), name)
-		assert.Equal(t, z.count(fleet.Serving), all-len(lost), name)
+		assert.Equal(t, z.count(fleet.Failed), len(failing), name)
+		assert.Equal(t, z.count(fleet.Serving), all-len(failing), name)
 	}
 }
 
@@ -246,12 +246,12 @@
 	z.controllers[0].Planner = nil
 	z.tick()
 	assert.Equal(t, z.count(fleet.Draining), len(z.world.Pools()))
-	z.alterReply = func(looks []CheckResult) ([]CheckResult, error) {
+	z.alterReply = func(results []CheckResult) ([]CheckResult, error) {
 		z.world.Advance(testTiming.HoldDuration)
-		for _, l := range looks {
+		for _, l := range results {
 			z.world.Dispatch(fleet.Ref{Zone: "z0", VM: l.VM}, time.Hour)
 		}
-		return looks, nil
+		return results, nil
 	}
 	z.tick()
 	assert.Equal(t, z.count(fleet.Stopped)+z.count(fleet.Verifying), 0)
@@ -265,19 +265,19 @@
 	z := newSlowZone(t, time.Millisecond)
 	z.otherTickAt = z.world.Now.AddDate(1, 0, 0)
 	z.tick()
-	lost := z.world.Machines()[700:702]
-	z.world.FailAll(lost[:1], time.Hour)
-	z.controllers[0].Suspect(lost[0].Ref.VM)
-	z.alterReply = func(looks []CheckResult) ([]CheckResult, error) {
+	failing := z.world.Machines()[700:702]
+	z.world.FailAll(failing[:1], time.Hour)
+	z.controllers[0].Suspect(failing[0].Ref.VM)
+	z.alterReply = func(results []CheckResult) ([]CheckResult, error) {
 		z.faults.tableDown = 1
-		return looks, nil
+		return results, nil
 	}
 	assert.ErrorIs(t, z.controllers[0].Tick(t.Context()), table.ErrUnreachable)
 	z.alterReply, z.faults.tableDown = nil, 0
 	z.tick()
 	assert.Equal(t, z.count(fleet.Failed), 1, "after a tick that ended early")
 
-	z.world.FailAll(lost[1:], time.Hour)
+	z.world.FailAll(failing[1:], time.Hour)
 	z.world.Advance(leaseIntervals * testStep)
 	assert.NilError(t, z.controllers[1].Tick(t.Context()))
 	assert.Equal(t, z.count(fleet.Failed), 2, "at another controller")
--- a/io/platform/controller_step.go
+++ b/io/platform/controller_step.go
@@ -14,10 +14,10 @@
 
 // advance takes a VM as many steps further as it can go now. seen is what a look at
 // it just showed.
-func (c *Controller) advance(ctx context.Context, vm *fleet.VMRow, seen *maintenance.Observation) error {
+func (c *Controller) advance(ctx context.Context, vm *fleet.VMRow, observed *maintenance.Observation) error {
 	for range maxStepsPerTick {
-		err := c.step(ctx, vm, seen)
-		c.checks.RecordCheck(c.Now(), vm.Ref.VM, seen)
+		err := c.step(ctx, vm, observed)
+		c.checks.RecordCheck(c.Now(), vm.Ref.VM, observed)
 		if err != nil {
 			return err
 		}
@@ -25,7 +25,7 @@
 		if !ok || !needsImmediateStep(vm, next) {
 			return nil
 		}
-		vm, seen = next, c.checkVM(ctx, next)
+		vm, observed = next, c.checkVM(ctx, next)
 	}
 	return nil
 }
@@ -40,11 +40,11 @@
 
 // step takes one VM a step further. A refusal by the rules or a lost race ends
 // this VM's step only; an unreachable table ends the tick.
-func (c *Controller) step(ctx context.Context, vm *fleet.VMRow, seen *maintenance.Observation) error {
-	if seen != nil {
-		seen.Leaving = c.leaving[vm.Ref.VM]
+func (c *Controller) step(ctx context.Context, vm *fleet.VMRow, observed *maintenance.Observation) error {
+	if observed != nil {
+		observed.Leaving = c.leaving[vm.Ref.VM]
 	}
-	next, err := c.Driver.Next(c.Now(), *vm, c.rows().Pools(), seen)
+	next, err := c.Driver.Next(c.Now(), *vm, c.rows().Pools(), observed)
 	if err != nil {
 		return c.handleError(ctx, vm.Ref, err)
 	}
@@ -66,14 +66,14 @@
 // this process may have been paused since the decision, and another controller
 // may return the VM into service once the deadline has passed.
 func (c *Controller) reboot(ctx context.Context, vm *fleet.VMRow, notAfter time.Time) bool {
-	left := notAfter.Sub(c.Now())
+	remaining := notAfter.Sub(c.Now())
 	if c.skipDeadlineCheck {
-		left = DefaultTimeout
+		remaining = DefaultTimeout
 	}
-	if left <= 0 {
+	if remaining <= 0 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	if err := c.VMs.Reboot(ctx, vm.Ref, RebootRequest{NotAfter: notAfter, Fence: vm.Row.Version}); err != nil {
 		c.Log.Warn().Err(err).Str("vm", vm.Ref.String()).Msg("reboot not taken")
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -16,35 +16,35 @@
 // sessionTotals is what came out of some sessions.
 type sessionTotals struct{ breaches, cutOff, finished, halted, stops, moves int }
 
-func runSessions(t *testing.T, seeds uint64, f faults, alter func(*session)) sessionTotals {
+func runSessions(t *testing.T, seeds uint64, f faults, setup func(*session)) sessionTotals {
 	t.Helper()
-	var v sessionTotals
+	var totals sessionTotals
 	for seed := range seeds {
 		s := newSession(t, seed, f)
-		if alter != nil {
-			alter(s)
+		if setup != nil {
+			setup(s)
 		}
 		w := s.run()
-		v.stops += s.world.Stops
-		v.moves += s.moves
+		totals.stops += s.world.Stops
+		totals.moves += s.moves
 		if len(s.world.Breaches) > 0 {
-			v.breaches++
+			totals.breaches++
 		}
 		if len(s.world.CutOff) > 0 {
-			v.cutOff++
+			totals.cutOff++
 		}
 		switch w.Status {
 		case maintenance.Finished:
-			v.finished++
+			totals.finished++
 		case maintenance.Halted:
-			v.halted++
+			totals.halted++
 		}
 		assert.NilError(t, s.checkPools(), "seed %d", seed)
-		if alter == nil {
+		if setup == nil {
 			assert.Assert(t, len(s.world.Breaches)+len(s.world.CutOff) == 0, "seed %d: %v %v", seed, s.world.Breaches, s.world.CutOff)
 		}
 	}
-	return v
+	return totals
 }
 
 var allFaults = faults{
@@ -60,17 +60,17 @@
 // hold: what the World saw of planned stops shows no breach and nothing cut off.
 func TestSessions(t *testing.T) {
 	const seeds = 60
-	v := runSessions(t, seeds, allFaults, nil)
-	t.Logf("%+v of %d sessions", v, seeds)
-	assert.Assert(t, v.finished > seeds/2, "the maintenance must also get done: %+v", v)
+	totals := runSessions(t, seeds, allFaults, nil)
+	t.Logf("%+v of %d sessions", totals, seeds)
+	assert.Assert(t, totals.finished > seeds/2, "the maintenance must also get done: %+v", totals)
 }
 
 // Without the VM's own refusal, the cut-off entry's work is there at the reboot.
 func TestSessionsWithoutRefusal(t *testing.T) {
 	const seeds = 10
-	v := runSessions(t, seeds, allFaults, func(s *session) { s.ignoreDrain = true })
-	t.Logf("VM takes work while it drains: %+v of %d sessions", v, seeds)
-	assert.Assert(t, v.cutOff > 0)
+	totals := runSessions(t, seeds, allFaults, func(s *session) { s.ignoreDrain = true })
+	t.Logf("VM takes work while it drains: %+v of %d sessions", totals, seeds)
+	assert.Assert(t, totals.cutOff > 0)
 }
 
 // A watcher's entry stops sending work to a leaving VM whichever source tells it
--- a/io/platform/fleet.go
+++ b/io/platform/fleet.go
@@ -93,8 +93,8 @@
 func (w *FleetWatcher) Unreachable(vm core.VMID) { w.handle(fleet.Unreachable{VM: vm}) }
 
 // Accepted tells that a VM took work that was sent at asked.
-func (w *FleetWatcher) Accepted(vm core.VMID, asked time.Time) {
-	w.handle(fleet.Accepted{VM: vm, SentAt: asked})
+func (w *FleetWatcher) Accepted(vm core.VMID, sentAt time.Time) {
+	w.handle(fleet.Accepted{VM: vm, SentAt: sentAt})
 }
 
 // pollRows also hands on what the controller's polls and writes have changed.
@@ -135,9 +135,9 @@
 	due := w.members.Probes(w.Now())
 	w.mu.Unlock()
 	for _, vm := range due {
-		asked := w.Now()
+		sentAt := w.Now()
 		if w.Probe(ctx, vm) {
-			w.handle(fleet.Accepted{VM: vm.Ref.VM, SentAt: asked})
+			w.handle(fleet.Accepted{VM: vm.Ref.VM, SentAt: sentAt})
 		}
 	}
 }
--- a/io/platform/fleet_cache.go
+++ b/io/platform/fleet_cache.go
@@ -51,16 +51,16 @@
 // A poll's answer may be older than a write of this daemon that was applied while
 // it was under way. Taken in, it would undo the write until the next poll, and a
 // controller would decide on it. The versions of a key never fall, so they tell.
-func (c *rowCache[T]) update(row table.Row, kind rowCodec[T]) (*T, bool) {
+func (c *rowCache[T]) update(row table.Row, codec rowCodec[T]) (*T, bool) {
 	if c.rows == nil {
 		c.rows, c.undecodable = make(map[table.Key]*T), make(map[table.Key]error)
 	}
-	if held, ok := c.rows[row.Key]; ok && row.Version != 0 && row.Version <= kind.version(held) {
+	if cached, ok := c.rows[row.Key]; ok && row.Version != 0 && row.Version <= codec.version(cached) {
 		return nil, false
 	}
 	delete(c.rows, row.Key)
 	delete(c.undecodable, row.Key)
-	v, err := kind.decode(row)
+	v, err := codec.decode(row)
 	if err != nil {
 		c.undecodable[row.Key] = err
 		return nil, true
--- a/io/platform/fleet_client.go
+++ b/io/platform/fleet_client.go
@@ -113,8 +113,8 @@
 }
 
 // CheckVMs implements VMControl.
-func (c *Client) CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error) {
-	body, err := json.Marshal(BulkCheckRequest{VMs: asks})
+func (c *Client) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
+	body, err := json.Marshal(BulkCheckRequest{VMs: requests})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode looks")
 	}
@@ -129,14 +129,14 @@
 	return reply.VMs, nil
 }
 
-func (c *Client) postVM(ctx context.Context, vm fleet.Ref, verb string, request any) error {
+func (c *Client) postVM(ctx context.Context, vm fleet.Ref, path string, request any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return errors.Wrap(err, "encode VM request")
 	}
-	data, status, err := c.do(ctx, http.MethodPost, c.vmURL(vm)+verb, body)
+	data, status, err := c.do(ctx, http.MethodPost, c.vmURL(vm)+path, body)
 	if err == nil && status == http.StatusConflict {
-		return errors.Wrapf(table.ErrConflict, "VM %s: %s", vm, verb)
+		return errors.Wrapf(table.ErrConflict, "VM %s: %s", vm, path)
 	}
 	return c.expectOK(data, status, err)
 }
--- a/io/platform/fleet_client_test.go
+++ b/io/platform/fleet_client_test.go
@@ -19,31 +19,31 @@
 // The controller takes a VM for failed only by the platform's word. A platform
 // that doesn't know the path, or breaks off, must not take a fleet down.
 func TestVMControlReplies(t *testing.T) {
-	status, body, got := http.StatusOK, `{"up":true,"running":3}`, ""
+	status, body, request := http.StatusOK, `{"up":true,"running":3}`, ""
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
-		got = r.Method + " " + r.URL.Path + " " + string(data)
+		request = r.Method + " " + r.URL.Path + " " + string(data)
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
 	}))
 	defer s.Close()
 	c, ctx, vm := NewClient(s.URL), context.Background(), fleet.Ref{Zone: "z", VM: "v"}
 
-	seen, err := c.Status(ctx, vm)
+	got, err := c.Status(ctx, vm)
 	assert.NilError(t, err)
-	assert.Equal(t, seen, VMStatus{Up: true, Running: 3})
+	assert.Equal(t, got, VMStatus{Up: true, Running: 3})
 	at := time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 	assert.NilError(t, c.Reboot(ctx, vm, RebootRequest{NotAfter: at, Fence: 7}))
-	assert.Equal(t, got, `POST /vms/z/v/reboot {"not_after":"2026-01-05T00:00:00Z","fence":7}`)
+	assert.Equal(t, request, `POST /vms/z/v/reboot {"not_after":"2026-01-05T00:00:00Z","fence":7}`)
 	assert.NilError(t, c.Drain(ctx, vm, DrainRequest{Until: at, Fence: 8}))
-	assert.Equal(t, got, `POST /vms/z/v/drain {"until":"2026-01-05T00:00:00Z","fence":8}`)
+	assert.Equal(t, request, `POST /vms/z/v/drain {"until":"2026-01-05T00:00:00Z","fence":8}`)
 
 	status, body = http.StatusConflict, ""
 	assert.Assert(t, errors.Is(c.Reboot(ctx, vm, RebootRequest{}), table.ErrConflict))
 	status = http.StatusGone
-	seen, err = c.Status(ctx, vm)
+	got, err = c.Status(ctx, vm)
 	assert.NilError(t, err)
-	assert.Assert(t, !seen.Up)
+	assert.Assert(t, !got.Up)
 	for _, status = range []int{http.StatusNotFound, http.StatusInternalServerError} {
 		_, err = c.Status(ctx, vm)
 		assert.Assert(t, err != nil, "status %d says nothing of the VM", status)
@@ -79,28 +79,28 @@
 // is none: from a platform that doesn't know the path, or cut off on its way. Each
 // is an error, and nothing is known of any VM.
 func TestCheckVMsReplies(t *testing.T) {
-	status, body, got := http.StatusOK, `{"vms":[{"vm":"a","up":true,"running":3,"drained":true}]}`, ""
+	status, body, request := http.StatusOK, `{"vms":[{"vm":"a","up":true,"running":3,"drained":true}]}`, ""
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
-		got = r.Method + " " + r.URL.Path + " " + string(data)
+		request = r.Method + " " + r.URL.Path + " " + string(data)
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
 	}))
 	defer s.Close()
 	c, at := NewClient(s.URL), time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
-	asks := []CheckRequest{{VM: "a", Drain: &DrainRequest{Until: at, Fence: 7}}, {VM: "b"}}
+	requests := []CheckRequest{{VM: "a", Drain: &DrainRequest{Until: at, Fence: 7}}, {VM: "b"}}
 
-	looks, err := c.CheckVMs(t.Context(), "z", asks)
+	results, err := c.CheckVMs(t.Context(), "z", requests)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, looks, []CheckResult{{VM: "a", VMStatus: VMStatus{Up: true, Running: 3}, Drained: true}})
-	assert.Equal(t, got, `POST /vms/z/looks {"vms":[{"vm":"a","drain":{"until":"2026-01-05T00:00:00Z","fence":7}},{"vm":"b"}]}`)
+	assert.DeepEqual(t, results, []CheckResult{{VM: "a", VMStatus: VMStatus{Up: true, Running: 3}, Drained: true}})
+	assert.Equal(t, request, `POST /vms/z/looks {"vms":[{"vm":"a","drain":{"until":"2026-01-05T00:00:00Z","fence":7}},{"vm":"b"}]}`)
 
 	body = body[:len(body)/2]
-	looks, err = c.CheckVMs(t.Context(), "z", asks)
-	assert.Assert(t, err != nil && looks == nil, "a cut answer")
+	results, err = c.CheckVMs(t.Context(), "z", requests)
+	assert.Assert(t, err != nil && results == nil, "a cut answer")
 	for _, status = range []int{http.StatusGone, http.StatusNotFound, http.StatusInternalServerError} {
-		looks, err = c.CheckVMs(t.Context(), "z", asks)
-		assert.Assert(t, err != nil && looks == nil, "status %d says nothing of the VMs", status)
+		results, err = c.CheckVMs(t.Context(), "z", requests)
+		assert.Assert(t, err != nil && results == nil, "status %d says nothing of the VMs", status)
 	}
 }
 
--- a/io/platform/session_test.go
+++ b/io/platform/session_test.go
@@ -151,16 +151,16 @@
 			s.world.Dispatch(m.Ref, time.Duration(s.rand.IntN(20))*time.Second)
 		}
 	}
-	l := listSnapshot{at: s.world.Now}
+	snapshot := listSnapshot{at: s.world.Now}
 	for _, c := range s.controllers {
-		l.vms = append(l.vms, Liveness{Name: c.Self.Name(), Zone: c.Zone, Started: c.Self.Started()})
+		snapshot.vms = append(snapshot.vms, Liveness{Name: c.Self.Name(), Zone: c.Zone, Started: c.Self.Started()})
 	}
 	for _, m := range s.world.Machines() {
 		if m.Up || m.Planned {
-			l.vms = append(l.vms, Liveness{Name: string(m.Ref.VM), Zone: m.Ref.Zone})
+			snapshot.vms = append(snapshot.vms, Liveness{Name: string(m.Ref.VM), Zone: m.Ref.Zone})
 		}
 	}
-	s.listHistory = append(s.listHistory, l)
+	s.listHistory = append(s.listHistory, snapshot)
 }
 
 // operate lets an operator move a VM with its place, in a race with drains, and
@@ -288,20 +288,20 @@
 }
 
 // CheckVMs asks one VM after the other, so that pauses fall between any two.
-func (s *session) CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error) {
-	var looks []CheckResult
-	for _, ask := range asks {
-		vm, left := fleet.Ref{Zone: zone, VM: ask.VM}, s.rand.Float64()
-		if left < s.faults.omittedVMs/2 {
+func (s *session) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
+	var results []CheckResult
+	for _, request := range requests {
+		vm, roll := fleet.Ref{Zone: zone, VM: request.VM}, s.rand.Float64()
+		if roll < s.faults.omittedVMs/2 {
 			continue
 		}
-		l := CheckResult{VM: ask.VM}
-		if ask.Drain != nil {
-			l.Drained = s.Drain(ctx, vm, *ask.Drain) == nil
+		result := CheckResult{VM: request.VM}
+		if request.Drain != nil {
+			result.Drained = s.Drain(ctx, vm, *request.Drain) == nil
 		}
-		l.VMStatus, _ = s.Status(ctx, vm)
-		if left >= s.faults.omittedVMs {
-			looks = append(looks, l)
+		result.VMStatus, _ = s.Status(ctx, vm)
+		if roll >= s.faults.omittedVMs {
+			results = append(results, result)
 		}
 	}
 	s.pause()
@@ -309,7 +309,7 @@
 	if s.rand.Float64() < s.faults.lostAnswers {
 		return nil, table.ErrUnreachable
 	}
-	return looks, nil
+	return results, nil
 }
 
 func (s *session) Reboot(_ context.Context, vm fleet.Ref, r RebootRequest) error {
--- a/io/platform/standin/live.go
+++ b/io/platform/standin/live.go
@@ -34,29 +34,29 @@
 }
 
 func (s *Server) postLive(w http.ResponseWriter, r *http.Request) {
-	var posts []LiveReport
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&posts); err != nil {
+	var reports []LiveReport
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&reports); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range posts {
-		s.updateLive(p)
+	for _, report := range reports {
+		s.updateLive(report)
 	}
 }
 
 // updateLive takes in a post. The caller holds the mutex.
-func (s *Server) updateLive(p LiveReport) {
+func (s *Server) updateLive(report LiveReport) {
 	if s.live == nil {
 		s.live = make(map[string]*liveVM)
 	}
-	key := liveKey(p.Zone, p.Name)
-	if p.Gone {
+	key := liveKey(report.Zone, report.Name)
+	if report.Gone {
 		delete(s.live, key)
 		return
 	}
-	s.live[key] = &liveVM{Liveness: p.Liveness, control: p.Control, expiresAt: s.now().Add(LiveTimeout)}
+	s.live[key] = &liveVM{Liveness: report.Liveness, control: report.Control, expiresAt: s.now().Add(LiveTimeout)}
 }
 
 func (s *Server) getLive(w http.ResponseWriter, r *http.Request) {
--- a/io/platform/standin/looks.go
+++ b/io/platform/standin/looks.go
@@ -30,8 +30,8 @@
 
 // checkVMs passes orders on to many VMs and asks each for its state.
 func (s *Server) checkVMs(w http.ResponseWriter, r *http.Request) {
-	var asks platform.BulkCheckRequest
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&asks); err != nil {
+	var bulk platform.BulkCheckRequest
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&bulk); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -41,47 +41,47 @@
 	var g supervisor.Group
 	var mu sync.Mutex
 	reply := platform.BulkCheckReply{VMs: []platform.CheckResult{}}
-	next := make(chan platform.CheckRequest)
+	requests := make(chan platform.CheckRequest)
 	for range maxConcurrentChecks {
 		g.Go(func() {
-			for ask := range next {
-				if look, ok := s.checkVM(ctx, zone, ask); ok {
+			for check := range requests {
+				if result, ok := s.checkVM(ctx, zone, check); ok {
 					mu.Lock()
-					reply.VMs = append(reply.VMs, look)
+					reply.VMs = append(reply.VMs, result)
 					mu.Unlock()
 				}
 			}
 		})
 	}
-	for _, ask := range asks.VMs {
-		next <- ask
+	for _, check := range bulk.VMs {
+		requests <- check
 	}
-	close(next)
+	close(requests)
 	g.Wait()
 	writeJSON(w, reply)
 }
 
 // checkVM returns false for a VM that the platform doesn't know, or of which it has
 // no answer in time.
-func (s *Server) checkVM(ctx context.Context, zone core.ZoneID, ask platform.CheckRequest) (platform.CheckResult, bool) {
+func (s *Server) checkVM(ctx context.Context, zone core.ZoneID, check platform.CheckRequest) (platform.CheckResult, bool) {
 	s.mu.Lock()
-	vm := s.live[liveKey(zone, string(ask.VM))]
+	vm := s.live[liveKey(zone, string(check.VM))]
 	s.mu.Unlock()
 	if vm == nil || vm.control == "" {
 		return platform.CheckResult{}, false
 	}
-	look := platform.CheckResult{VM: ask.VM}
-	if ask.Drain != nil {
-		look.Drained = callVM(ctx, http.MethodPost, vm.control+"/control/drain", ask.Drain, nil) == nil
+	result := platform.CheckResult{VM: check.VM}
+	if check.Drain != nil {
+		result.Drained = callVM(ctx, http.MethodPost, vm.control+"/control/drain", check.Drain, nil) == nil
 	}
 	var state VMState
 	err := callVM(ctx, http.MethodGet, vm.control+"/control/state", nil, &state)
 	if ctx.Err() != nil {
-		return look, false
+		return result, false
 	}
 	// A VM that doesn't answer is not up.
-	look.Up, look.Running = err == nil && state.Up, int(state.Running)
-	return look, true
+	result.Up, result.Running = err == nil && state.Up, int(state.Running)
+	return result, true
 }
 
 // callVM sends request to a VM and decodes its reply, if one is wanted.
--- a/io/platform/standin/looks_test.go
+++ b/io/platform/standin/looks_test.go
@@ -20,9 +20,9 @@
 // orders first and counts then, tells for each VM whether it took its order, says
 // that a VM which doesn't answer is down, and leaves out one that it doesn't know.
 func TestCheckVMs(t *testing.T) {
-	var calls []string
+	var paths []string
 	vm := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		calls = append(calls, r.URL.Path)
+		paths = append(paths, r.URL.Path)
 		_, _ = io.WriteString(w, `{"up":true,"running":2}`)
 	}))
 	defer vm.Close()
@@ -43,15 +43,15 @@
 	h := httptest.NewServer(s.Handler())
 	defer h.Close()
 	drain := &platform.DrainRequest{Until: time.Now().Add(time.Minute), Fence: 3}
-	looks, err := platform.NewClient(h.URL).CheckVMs(t.Context(), "z", []platform.CheckRequest{
+	results, err := platform.NewClient(h.URL).CheckVMs(t.Context(), "z", []platform.CheckRequest{
 		{VM: "drains", Drain: drain}, {VM: "refuses", Drain: drain}, {VM: "dead", Drain: drain}, {VM: "unknown"},
 	})
 	assert.NilError(t, err)
-	slices.SortFunc(looks, func(a, b platform.CheckResult) int { return strings.Compare(string(a.VM), string(b.VM)) })
-	assert.DeepEqual(t, looks, []platform.CheckResult{
+	slices.SortFunc(results, func(a, b platform.CheckResult) int { return strings.Compare(string(a.VM), string(b.VM)) })
+	assert.DeepEqual(t, results, []platform.CheckResult{
 		{VM: core.VMID("dead")},
 		{VM: "drains", VMStatus: platform.VMStatus{Up: true, Running: 2}, Drained: true},
 		{VM: "refuses", VMStatus: platform.VMStatus{Up: true}},
 	})
-	assert.DeepEqual(t, calls, []string{"/control/drain", "/control/state"})
+	assert.DeepEqual(t, paths, []string{"/control/drain", "/control/state"})
 }
--- a/io/platform/watch.go
+++ b/io/platform/watch.go
@@ -51,7 +51,7 @@
 // Poll makes one round: the head, what changed if it moved, and the record of
 // withdrawals that entries were told while the table was down.
 func (w *ConfigWatcher) Poll(ctx context.Context) error {
-	sent := w.Now()
+	sentAt := w.Now()
 	row, err := w.Table.Read(ctx, table.ConfigHead)
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 			return err
 		}
 	}
-	if err := w.Config.FromTable(d, sent); err != nil {
+	if err := w.Config.FromTable(d, sentAt); err != nil {
 		return err
 	}
 	return w.recordWithdrawals(ctx)
@@ -97,31 +97,31 @@
 // recordWithdrawals writes withdrawals to the table that entries were told while it was down.
 // All entries that know one use the same change id, so it takes effect once.
 func (w *ConfigWatcher) recordWithdrawals(ctx context.Context) error {
-	for _, x := range w.Config.Unrecorded() {
-		row, err := w.Table.Read(ctx, table.KeyDigestKey(x.Digest))
+	for _, withdrawal := range w.Config.Unrecorded() {
+		row, err := w.Table.Read(ctx, table.KeyDigestKey(withdrawal.Digest))
 		if err != nil {
 			return err
 		}
-		if err := w.recordWithdrawal(ctx, x, row); err != nil {
+		if err := w.recordWithdrawal(ctx, withdrawal, row); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *ConfigWatcher) recordWithdrawal(ctx context.Context, x key.Withdrawal, row table.Row) error {
-	k := config.Key{Team: x.Team}
+func (w *ConfigWatcher) recordWithdrawal(ctx context.Context, withdrawal key.Withdrawal, row table.Row) error {
+	k := config.Key{Team: withdrawal.Team}
 	if err := row.Decode(&k); err != nil || k.Withdrawn || k.Team == "" {
 		// Recorded by now, and read with the next poll; or of no known team, which no
 		// request can use.
 		return err
 	}
-	author := x.Author
+	author := withdrawal.Author
 	if author == "" {
 		author = unnamedOperator
 	}
-	change := config.WithdrawKey{Author: author, Team: k.Team, Digest: x.Digest, Reason: x.Reason}
-	_, err := Apply(ctx, w.Table, change, core.ChangeID("withdraw-"+string(x.Digest)), w.Now())
+	change := config.WithdrawKey{Author: author, Team: k.Team, Digest: withdrawal.Digest, Reason: withdrawal.Reason}
+	_, err := Apply(ctx, w.Table, change, core.ChangeID("withdraw-"+string(withdrawal.Digest)), w.Now())
 	return err
 }
 
--- a/io/platform/watch_state.go
+++ b/io/platform/watch_state.go
@@ -54,17 +54,17 @@
 }
 
 // CheckKey is key.Ring's Check.
-func (c *Configuration) CheckKey(now time.Time, team core.TeamID, d core.KeyDigest) (core.Code, bool) {
+func (c *Configuration) CheckKey(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.ring.Check(now, team, d)
+	return c.ring.Check(now, team, digest)
 }
 
 // KeyTeam returns the team that a key belongs to, if its digest is known.
-func (c *Configuration) KeyTeam(d core.KeyDigest) (core.TeamID, bool) {
+func (c *Configuration) KeyTeam(digest core.KeyDigest) (core.TeamID, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.ring.Team(d)
+	return c.ring.Team(digest)
 }
 
 // KeysFreshUntil returns until when the key list is trusted.
@@ -76,8 +76,8 @@
 
 // Withdraw puts withdrawals in force here.
 func (c *Configuration) Withdraw(withdrawals ...key.Withdrawal) {
-	ended := c.update(func() []core.KeyDigest { return c.ring.Withdraw(withdrawals...) })
-	c.notify(ended, false)
+	withdrawnKeys := c.update(func() []core.KeyDigest { return c.ring.Withdraw(withdrawals...) })
+	c.notify(withdrawnKeys, false)
 }
 
 // Unrecorded returns the withdrawals that weren't read from the table yet.
@@ -96,40 +96,40 @@
 
 // FromTable takes in rows read from the table. Complete tells that the view then
 // holds all that the table held at sent.
-func (c *Configuration) FromTable(d config.Delta, sent time.Time) error {
-	var failed error
+func (c *Configuration) FromTable(delta config.Delta, sentAt time.Time) error {
+	var applyErr error
 	changed := false
-	ended := c.update(func() []core.KeyDigest {
-		news, err := c.view.Apply(d, config.FromTable)
-		failed, changed = err, len(news) > 0
-		ended := c.ring.Apply(news)
-		if err == nil && c.view.Version() >= d.Version {
-			c.ring.Complete(sent)
+	withdrawnKeys := c.update(func() []core.KeyDigest {
+		changedRows, err := c.view.Apply(delta, config.FromTable)
+		applyErr, changed = err, len(changedRows) > 0
+		withdrawnKeys := c.ring.Apply(changedRows)
+		if err == nil && c.view.Version() >= delta.Version {
+			c.ring.Complete(sentAt)
 		}
-		return ended
+		return withdrawnKeys
 	})
-	c.notify(ended, changed)
-	return failed
+	c.notify(withdrawnKeys, changed)
+	return applyErr
 }
 
 // FromPeer takes in what an entry of zone told in answer to, or with, a message
 // that left its sender at sent. Zero sent counts as no contact.
-func (c *Configuration) FromPeer(d config.Delta, s key.Summary, zone core.ZoneID, sent time.Time) error {
-	var failed error
+func (c *Configuration) FromPeer(delta config.Delta, summary key.Summary, zone core.ZoneID, sentAt time.Time) error {
+	var applyErr error
 	changed := false
-	ended := c.update(func() []core.KeyDigest {
-		news, err := c.view.Apply(d, config.FromPeer)
-		failed, changed = err, len(news) > 0
-		ended := c.ring.Apply(news)
-		caughtUp := err == nil && c.view.Version() >= d.Version
-		ended = append(ended, c.ring.Merge(s, caughtUp, c.Skew)...)
-		if caughtUp && s.Joined && !sent.IsZero() {
-			c.ring.RecordZoneContact(zone, sent)
+	withdrawnKeys := c.update(func() []core.KeyDigest {
+		changedRows, err := c.view.Apply(delta, config.FromPeer)
+		applyErr, changed = err, len(changedRows) > 0
+		withdrawnKeys := c.ring.Apply(changedRows)
+		caughtUp := err == nil && c.view.Version() >= delta.Version
+		withdrawnKeys = append(withdrawnKeys, c.ring.Merge(summary, caughtUp, c.Skew)...)
+		if caughtUp && summary.Joined && !sentAt.IsZero() {
+			c.ring.RecordZoneContact(zone, sentAt)
 		}
-		return ended
+		return withdrawnKeys
 	})
-	c.notify(ended, changed)
-	return failed
+	c.notify(withdrawnKeys, changed)
+	return applyErr
 }
 
 // update runs f under the lock, with the ring's settings in place.
@@ -142,9 +142,9 @@
 	return f()
 }
 
-func (c *Configuration) notify(ended []core.KeyDigest, changed bool) {
-	if len(ended) > 0 && c.OnWithdrawn != nil {
-		c.OnWithdrawn(ended)
+func (c *Configuration) notify(withdrawnKeys []core.KeyDigest, changed bool) {
+	if len(withdrawnKeys) > 0 && c.OnWithdrawn != nil {
+		c.OnWithdrawn(withdrawnKeys)
 	}
 	if changed && c.OnChange != nil {
 		c.OnChange()
