--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -186,21 +186,21 @@
 	sentAt := a.Now()
 	// The team's rows are read last: whatever move the zone's rows show, the team's
 	// are as new.
-	zone, zoneSince, err := a.Table.Changes(ctx, table.PrefixZoneAllotment(a.Ledger.Zone), a.zoneRowsRevision)
+	zone, zoneRevision, err := a.Table.Changes(ctx, table.PrefixZoneAllotment(a.Ledger.Zone), a.zoneRowsRevision)
 	if err != nil {
 		return nil
 	}
 	if len(zone) == 0 && a.polled && sentAt.Before(a.teamRowsPolledAt.Add(idleTeamRowsInterval)) && !a.needsTeamRows() {
-		a.zoneRowsRevision = zoneSince
+		a.zoneRowsRevision = zoneRevision
 		return nil
 	}
-	teams, teamSince, err := a.Table.Changes(ctx, table.PrefixTeamAllotment, a.teamRowsRevision)
+	teams, teamRevision, err := a.Table.Changes(ctx, table.PrefixTeamAllotment, a.teamRowsRevision)
 	if err != nil {
 		return nil
 	}
 	a.teamRowsPolledAt = sentAt
 	e := limit.Polled{Sent: sentAt, First: !a.polled, Rows: append(zone, teams...)}
-	a.zoneRowsRevision, a.teamRowsRevision, a.polled = zoneSince, teamSince, true
+	a.zoneRowsRevision, a.teamRowsRevision, a.polled = zoneRevision, teamRevision, true
 	return []limit.Event{e}
 }
 
--- a/io/platform/config_watcher.go
+++ b/io/platform/config_watcher.go
@@ -75,11 +75,11 @@
 // readChanges reads the rows that changed since the last reading. The keys are read
 // last, so that they are at least as new as the head among the other rows.
 func (w *ConfigWatcher) readChanges(ctx context.Context, d config.Delta) (config.Delta, error) {
-	rows, sinceConfig, err := w.Table.Changes(ctx, table.PrefixConfig, w.configRevision)
+	rows, configRevision, err := w.Table.Changes(ctx, table.PrefixConfig, w.configRevision)
 	if err != nil {
 		return d, err
 	}
-	keys, sinceKey, err := w.Table.Changes(ctx, table.PrefixKey, w.keyRevision)
+	keys, keyRevision, err := w.Table.Changes(ctx, table.PrefixKey, w.keyRevision)
 	if err != nil {
 		return d, err
 	}
@@ -90,7 +90,7 @@
 		}
 	}
 	d.Rows = append(rows, keys...)
-	w.configRevision, w.keyRevision, w.baseVersion, w.loaded = sinceConfig, sinceKey, d.Version, true
+	w.configRevision, w.keyRevision, w.baseVersion, w.loaded = configRevision, keyRevision, d.Version, true
 	return d, nil
 }
 
--- a/io/platform/controller.go
+++ b/io/platform/controller.go
@@ -147,7 +147,7 @@
 	if err != nil || !due {
 		return
 	}
-	gone := make(map[core.VMID]bool)
+	unlisted := make(map[core.VMID]bool)
 	c.leaving = make(map[core.VMID]bool)
 	listed := make(map[core.VMID]bool, len(live))
 	for _, l := range live {
@@ -162,10 +162,10 @@
 	}
 	for _, vm := range c.rows().VMs() {
 		if !listed[vm.Ref.VM] {
-			gone[vm.Ref.VM] = true
+			unlisted[vm.Ref.VM] = true
 		}
 	}
-	c.listed, c.unlisted = listed, gone
+	c.listed, c.unlisted = listed, unlisted
 }
 
 func (c *Controller) takeSuspects() map[core.VMID]bool {
--- a/io/platform/controller_late_reboot_test.go
+++ b/io/platform/controller_late_reboot_test.go
@@ -42,9 +42,9 @@
 // first, the platform's look at fence and deadline stops both.
 func TestLateReboot(t *testing.T) {
 	for _, c := range []struct {
-		name, point          string
-		noDeadline, unfenced bool
-		cut                  int
+		name, point                 string
+		skipDeadlineCheck, unfenced bool
+		cut                         int
 	}{
 		{"decided, all safeguards", "decided", false, false, 0},
 		{"decided, platform takes late requests", "decided", false, true, 0},
@@ -56,7 +56,7 @@
 		s := newSession(t, 1, faults{})
 		s.world.Unfenced = c.unfenced
 		for _, controller := range s.controllers {
-			controller.skipDeadlineCheck = c.noDeadline
+			controller.skipDeadlineCheck = c.skipDeadlineCheck
 		}
 		paused := false
 		s.pauseWhen = func(point string, vm fleet.Ref) bool {
--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -29,12 +29,12 @@
 	if err != nil {
 		return false, err
 	}
-	l, err := maintenance.DecodeLease(row)
+	lease, err := maintenance.DecodeLease(row)
 	if err != nil {
 		return false, err
 	}
 	now := c.Now()
-	switch c.leasePolicy.Next(now, l, c.Self, c.entries(ctx), takeoverDelayIntervals*c.interval()) {
+	switch c.leasePolicy.Next(now, lease, c.Self, c.entries(ctx), takeoverDelayIntervals*c.interval()) {
 	case maintenance.LeaseAcquire:
 		return c.acquire(ctx, row)
 	case maintenance.LeaseRelease:
@@ -85,10 +85,10 @@
 	return held, err
 }
 
-func (c *Controller) setHoldsLease(holds bool) {
+func (c *Controller) setHoldsLease(held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.Holds = holds
+	c.state.Holds = held
 }
 
 // entries returns the zone's entries that the live list has, none if it can't be
@@ -99,9 +99,9 @@
 		return nil
 	}
 	var entries []core.EntryID
-	for _, l := range live {
-		if !l.Started.IsZero() && !l.Leaving {
-			entries = append(entries, core.NewEntryID(l.Name, l.Started))
+	for _, vm := range live {
+		if !vm.Started.IsZero() && !vm.Leaving {
+			entries = append(entries, core.NewEntryID(vm.Name, vm.Started))
 		}
 	}
 	return entries
