--- a/io/platform/allot_limiter.go
+++ b/io/platform/allot_limiter.go
@@ -6,7 +6,7 @@
 	"lavenderpond/core"
 )
 
-// limiter is the limit.Limiter of an Allotments.
+// limiter implements limit.Limiter for Allotments.
 type limiter struct{ a *Allotments }
 
 // Acquire implements limit.Limiter.
--- a/io/platform/allot_limits.go
+++ b/io/platform/allot_limits.go
@@ -9,22 +9,23 @@
 	"lavenderpond/core/table"
 )
 
-// limitsRefreshInterval is the time between two readings of all teams' limits while nothing
-// shows that one changed: a row may come with a change that the view is complete up
-// to already.
+// limitsRefreshInterval is the time between two reports of all teams' limits while
+// nothing indicates that one changed. A limit can change without such a sign: a row may
+// arrive late, with a change up to which the view already counts as complete.
 const limitsRefreshInterval = time.Second
 
-// limitsReport is what the ledger was told of the limits in force. The zero value has
-// told nothing.
+// limitsReport describes the limits last reported to the ledger. The zero value means
+// that none were reported.
 type limitsReport struct {
 	head       table.Row
 	reportedAt time.Time
-	// until is when the next exception ends, and limits may change with no new row.
+	// validUntil is when the next exception ends, so that limits may change without a
+	// new row. It is zero if there is no exception.
 	validUntil time.Time
 }
 
-// configurationEvents returns the attested zones and the limits that may have changed: all, or
-// only those of teams that are new to the ledger.
+// configurationEvents returns the attestations of zones and the limits that may have
+// changed: those of all teams, or only those of teams that are new to the ledger.
 func (a *Allotments) configurationEvents() []limit.Event {
 	now := a.Now()
 	events := make([]limit.Event, 0, len(a.Config.Zones)+1)
@@ -57,8 +58,9 @@
 	return l, true
 }
 
-// mayBeOutdated reports whether the limits in force may not be those that were told. While
-// the view has rows of a change but not all of it, any of them may come at any time.
+// mayBeOutdated reports whether the limits in force may differ from those reported. If
+// the head is empty, the view has some rows of a change but not all of them, and the
+// others may arrive at any time.
 func (t *limitsReport) mayBeOutdated(now time.Time, v *config.View) bool {
 	if t.head.Version == 0 || v.Head().Version != t.head.Version {
 		return true
@@ -66,7 +68,7 @@
 	return !now.Before(t.reportedAt.Add(limitsRefreshInterval)) || !t.validUntil.IsZero() && !now.Before(t.validUntil)
 }
 
-// nextExceptionEnd returns when the first exception ends, or zero.
+// nextExceptionEnd returns when the first exception ends, or zero if there is none.
 func nextExceptionEnd(now time.Time, v *config.View) time.Time {
 	var end time.Time
 	for _, e := range v.Exceptions(now) {
--- a/io/platform/allot_limits_test.go
+++ b/io/platform/allot_limits_test.go
@@ -16,10 +16,10 @@
 	"lavenderpond/core/table"
 )
 
-// A team would go on starting up to its former limit if a lowering did not reach the
-// ledger. Limits and defaults change, exceptions begin and end, teams are new, and
-// peers tell rows with a gap before them, in any order; after each round the ledger
-// has the limits that a look at every team in the view gives.
+// If a reduced limit didn't reach the ledger, a team would continue to start requests up to
+// its old limit. In random order, limits and defaults change, exceptions begin and end,
+// teams are added, and a peer sends rows that leave a gap before them. After each round, the
+// ledger must have the limits that the view has for every team.
 func TestLedgerLimitsMatchConfiguration(t *testing.T) {
 	const seeds, rounds = 20, 400
 	compared := 0
@@ -43,7 +43,7 @@
 	t.Logf("%d seeds, %d limits compared", seeds, compared)
 }
 
-// configChanger is one entry whose configuration changes.
+// configChanger changes the configuration of one entry at random.
 type configChanger struct {
 	t           *testing.T
 	rand        *rand.Rand
@@ -77,12 +77,12 @@
 }
 
 func (w *configChanger) apply(now time.Time, c config.Change) {
-	// A change that isn't accepted, as of a team that is not there, changes nothing.
+	// A change that is refused, such as one of a team that doesn't exist, changes nothing.
 	_, _ = Apply(context.Background(), w.table, c, core.ChangeID(fmt.Sprint("c", w.changeCount)), now)
 }
 
-// tellWithGap tells the newest rows as a peer would that believes this entry to know more than
-// it does: rows are taken, but the view isn't complete up to them.
+// tellWithGap delivers the latest rows like a peer that overestimates what this entry
+// knows: the rows are applied, but the view isn't complete up to them.
 func (w *configChanger) tellWithGap(team core.TeamID) {
 	head := w.table.rows.Read(table.ConfigHead)
 	var h config.Head
@@ -94,8 +94,8 @@
 	_ = w.entry.allotments.Config.FromPeer(config.Delta{Base: h.Version, Version: h.Version, Rows: rows}, key.Summary{}, "zb", time.Time{})
 }
 
-// BenchmarkRound measures a second of the driver of an entry that holds a part of each
-// team's limit and runs nothing.
+// BenchmarkRound measures one second of rounds at an entry that holds an allotment of each
+// team's limit and runs no requests.
 func BenchmarkRound(b *testing.B) {
 	for _, teams := range []int{6, 60, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
@@ -129,7 +129,8 @@
 	}
 }
 
-// recordingTable notes the rows that polls brought.
+// recordingTable records the keys of the rows that polls returned, and counts the polls of
+// each prefix.
 type recordingTable struct {
 	*lossyTable
 	seen  map[table.Key]bool
@@ -145,9 +146,10 @@
 	return rows, revision, err
 }
 
-// Each entry would read what moves in seven zones, more than the 10 KB a second that it
-// has for control. Another zone takes a part and leaves a mark; this zone's entry reads
-// the team's row, which holds both, and not the other zone's.
+// If each entry read the allotment changes of all seven zones, it would exceed the 10 KB per
+// second that it may use for control. Another zone takes an allotment and sets a demand
+// mark. This zone's entry must read the team row, which contains both, but not the rows of
+// the other zone.
 func TestPollReadsOwnZoneRows(t *testing.T) {
 	tbl := &recordingTable{lossyTable: &lossyTable{reliable: true}, seen: make(map[table.Key]bool), polls: make(map[string]int)}
 	now := changeStart
@@ -172,10 +174,10 @@
 	assert.Assert(t, tbl.seen[table.TeamAllotmentKey("frames")])
 	assert.Assert(t, tbl.seen[table.ZoneAllotmentKey("frames", "za")])
 	assert.Assert(t, !tbl.seen[table.ZoneAllotmentKey("frames", "zb")])
-	// The mark was heard: the idle part was given back.
+	// The demand mark was noticed: the unused allotment was given back.
 	assert.Equal(t, entry.allotments.Dump()[0].Part, core.Slots(0))
 
-	// A minute without news, then one in which a request waits.
+	// One minute without changes, then one minute in which a request waits.
 	for _, polls := range []int{20, 60} {
 		clear(tbl.polls)
 		for range 60 {
@@ -202,7 +204,7 @@
 	assert.Equal(t, tbl.polls[table.PrefixTeamAllotment], 2)
 }
 
-// rounds makes n rounds of the allotments' driver, 100 ms apart.
+// rounds runs n rounds, 100 ms apart.
 func (e *allotEntry) rounds(now *time.Time, n int) {
 	for range n {
 		*now = now.Add(100 * time.Millisecond)
--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -18,94 +18,99 @@
 const (
 	// DefaultAllotInterval is the time between two rounds.
 	DefaultAllotInterval = 100 * time.Millisecond
-	// allotPollInterval is the time between two polls of changed allotment rows.
+	// allotPollInterval is the time between two polls of the allotment rows for changes.
 	allotPollInterval = time.Second
-	// idleTeamRowsInterval is the time between two polls of the teams' rows while nothing
-	// moves in the zone and nobody waits. A mark of another zone is heard that late.
+	// idleTeamRowsInterval is the time between two polls of the team rows while the
+	// zone's rows don't change and no request waits. A demand mark set by another zone
+	// is noticed with this delay.
 	idleTeamRowsInterval = 3 * time.Second
-	// endedEntriesInterval is the time between two looks at the list of live VMs.
+	// endedEntriesInterval is the time between two reads of the live list.
 	endedEntriesInterval = 5 * time.Second
-	// maxListLag is longer than the platform's list ever lags: an entry that started
-	// before and isn't listed was listed once, and has gone for good.
+	// maxListLag is longer than the live list ever lags. An entry that started longer ago
+	// than this and isn't listed must have been listed before, so it is gone for good.
 	maxListLag = 10 * time.Minute
-	// maxPassesPerRound bounds how many answers are handled in one round.
+	// maxPassesPerRound bounds the passes in one round. A pass executes the pending
+	// commands and passes their results to the ledger, which may issue new commands.
 	maxPassesPerRound = 8
-	// maxConcurrentRequests bounds the table requests under way at once.
+	// maxConcurrentRequests bounds the table requests in flight.
 	maxConcurrentRequests = 4
 )
 
-// Allotments drives an entry's Ledger: it carries out moves of allotments and makes
-// the Ledger safe for concurrent use.
+// Allotments drives an entry's limit.Ledger. It executes the ledger's commands against
+// the table and makes the ledger safe for concurrent use.
 type Allotments struct {
 	Table  Table
 	Live   LiveList
 	Config *Configuration
 	Now    func() time.Time
 	Log    zerolog.Logger
-	// Entries returns the entries of this zone as their rows name them, sorted. If nil,
-	// none is known.
+	// Entries returns the entries of this zone according to their rows, sorted. If it is
+	// nil, no entry is known.
 	Entries func() []core.EntryID
-	// Interval between rounds; 0 means DefaultAllotInterval.
+	// Interval is the time between rounds; 0 means DefaultAllotInterval.
 	Interval time.Duration
-	// OnChange is called without the lock after a move settled: work may start now.
+	// OnChange is called without the lock after each pass, because a settled move may
+	// allow waiting requests to start.
 	OnChange func()
 
 	// Ledger is guarded by mu once Child runs.
 	Ledger limit.Ledger
 	mu     sync.Mutex
 
-	// The fields below belong to the driver's goroutine.
+	// driver serializes rounds and guards the fields below.
 	driver sync.Mutex
 	// The revisions up to which the zone's and the teams' rows were read.
 	zoneRowsRevision, teamRowsRevision table.Revision
-	// teamRowsPolledAt is when the poll left that last read the teams' rows.
+	// teamRowsPolledAt is when the last poll that read the team rows was sent.
 	teamRowsPolledAt time.Time
 	rowsPolledAt     time.Time
 	polled           bool
 	endedCheckedAt   time.Time
 	reportedLimits   limitsReport
 	previouslyListed map[string]bool
-	// pending are the commands that wait for the next round.
+	// pending holds the commands left for the next round.
 	pending []limit.Command
 
-	// Switched on in tests only: a lost answer is taken for a success; commands are sent
-	// one after the other, so that a seed gives the same run.
+	// Test hooks. assumeLostApplied treats a lost answer as a success. sequential sends
+	// commands one at a time, so that a run can be reproduced from its seed.
 	assumeLostApplied, sequential bool
 }
 
-// Limiter returns the ledger for the dispatch of requests, safe for concurrent use.
+// Limiter returns a limit.Limiter that is backed by the ledger and safe for concurrent
+// use.
 func (a *Allotments) Limiter() limit.Limiter { return limiter{a} }
 
-// Dump returns the ledger's state by team.
+// Dump returns the ledger's state for each team.
 func (a *Allotments) Dump() []limit.TeamDump {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.Ledger.Dump()
 }
 
-// NextInitialAllotments is the ledger's.
+// NextInitialAllotments calls the ledger's method of the same name.
 func (a *Allotments) NextInitialAllotments(teams []core.TeamID, n int) []core.TeamID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.Ledger.NextInitialAllotments(teams, n)
 }
 
-// Child returns the driver's part of the daemon's tree.
+// Child returns the supervised goroutine that runs the rounds.
 func (a *Allotments) Child() supervisor.Child {
 	return supervisor.Child{Name: "allotments", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, a.interval(), a.Round)
 	}}
 }
 
-// Round tells the ledger what is new and carries out what it asks for.
+// Round reports changes to the ledger and executes the resulting commands.
 func (a *Allotments) Round(ctx context.Context) {
 	a.driver.Lock()
 	defer a.driver.Unlock()
 	a.process(ctx, a.collectEvents(ctx)...)
 }
 
-// process hands events to the ledger and carries out all that follows. No command may be
-// dropped: the ledger waits for the answer to each.
+// process passes events to the ledger and executes the resulting commands. Commands
+// must not be dropped, because the ledger waits for the result of each. Those that
+// remain after the last pass stay in pending.
 func (a *Allotments) process(ctx context.Context, events ...limit.Event) {
 	a.pending = append(a.pending, a.handle(events...)...)
 	for range maxPassesPerRound {
@@ -121,8 +126,8 @@
 	}
 }
 
-// Release gives back what doesn't run, and returns once all moves are settled or
-// ctx ends. What still runs stays counted until its leases end.
+// Release gives back the slots that aren't in use. It returns once all moves are settled
+// or ctx ends. Slots of running requests stay counted until their leases end.
 func (a *Allotments) Release(ctx context.Context) {
 	a.driver.Lock()
 	a.process(ctx, limit.Stop{})
@@ -155,7 +160,8 @@
 	return commands
 }
 
-// collectEvents gathers the limits in force, attestations, changed rows and dead entries.
+// collectEvents returns the limits in force, attestations, changed rows and ended
+// entries, each at its own interval.
 func (a *Allotments) collectEvents(ctx context.Context) []limit.Event {
 	events := append(a.configurationEvents(), limit.Tick{})
 	now := a.Now()
@@ -194,6 +200,8 @@
 		a.zoneRowsRevision = zoneRevision
 		return nil
 	}
+	// The team rows are read last, so that they are at least as new as any move that the
+	// zone rows show.
 	teams, teamRevision, err := a.Table.Changes(ctx, table.PrefixTeamAllotment, a.teamRowsRevision)
 	if err != nil {
 		return nil
@@ -210,7 +218,7 @@
 	return a.Ledger.NeedsTeamRows(a.Now())
 }
 
-// execute sends the commands to the table and returns the answers.
+// execute sends the commands to the table and returns their results.
 func (a *Allotments) execute(ctx context.Context, commands []limit.Command) []limit.Event {
 	events := make([]limit.Event, len(commands))
 	for start := 0; start < len(commands); start += maxConcurrentRequests {
@@ -247,7 +255,8 @@
 	}
 }
 
-// readRows returns nil if the table can't be reached; the ledger asks again.
+// readRows returns nil if the table can't be reached. The ledger then requests the rows
+// again.
 func (a *Allotments) readRows(ctx context.Context, team core.TeamID) limit.Event {
 	e := limit.RowsRead{Sent: a.Now(), Team: team}
 	var err error
@@ -273,8 +282,9 @@
 	}
 }
 
-// findEnded returns the entries of this zone that hold allotments and have ended, by
-// the platform's list: their name is listed with a later start, or not any more.
+// findEnded returns an event for each entry of this zone that holds allotments and has
+// ended according to the live list: the list has its name with a later start, or
+// doesn't have it any more.
 func (a *Allotments) findEnded(ctx context.Context) []limit.Event {
 	live, err := a.Live.Live(ctx, a.Ledger.Zone)
 	if err != nil {
--- a/io/platform/allotments_test.go
+++ b/io/platform/allotments_test.go
@@ -15,12 +15,12 @@
 	"lavenderpond/core/table"
 )
 
-// fakeLive is the platform's list of one zone's entries.
+// fakeLive is the live list of one zone's entries.
 type fakeLive struct{ live []Liveness }
 
 func (f *fakeLive) Live(context.Context, core.ZoneID) ([]Liveness, error) { return f.live, nil }
 
-// allotEntry is an entry with its real drivers over a lossy table.
+// allotEntry is an entry with its real ConfigWatcher and Allotments over a lossy table.
 type allotEntry struct {
 	allotments *Allotments
 	watcher    *ConfigWatcher
@@ -37,7 +37,7 @@
 	return e
 }
 
-// step makes a round of the entry's drivers and offers it work.
+// step runs a round of the entry's loops, then starts and ends requests at random.
 func (e *allotEntry) step(now time.Time, r *rand.Rand, nextID *int) {
 	_ = e.watcher.Poll(context.Background())
 	e.allotments.Round(context.Background())
@@ -59,14 +59,15 @@
 
 const allotLimit = 5
 
-// runAllotments returns the most that ran at once, and the parts left at the end.
+// runAllotments returns the largest number of requests that ran at the same time, and the
+// slots that were still allotted at the end.
 func runAllotments(t *testing.T, seed uint64, assumeLostApplied bool) (maxRunning int, remaining core.Slots) {
 	tbl := &lossyTable{rand: rand.New(rand.NewPCG(seed, 9)), reliable: true}
 	now, started := changeStart, 0
 	stopping := false
 	clock := func() time.Time {
 		if stopping {
-			// Time passes with each look at the clock, so that waits end.
+			// Each reading of the clock advances it, so that waits end.
 			now = now.Add(5 * time.Millisecond)
 		}
 		return now
@@ -75,7 +76,7 @@
 	_, err := Apply(context.Background(), tbl, team, "c1", now)
 	assert.NilError(t, err)
 	a, b := newAllotEntry(tbl, "za", "a#1000", clock), newAllotEntry(tbl, "zb", "b#1000", clock)
-	// b's daemon dies with work running; its successor learns it from the list.
+	// The daemon of b stops while requests run. Its successor learns that from the list.
 	successor := newAllotEntry(tbl, "zb", "b#2000", clock)
 	successor.live.live = []Liveness{{Name: "b", Zone: "zb", Started: time.UnixMilli(2000)}}
 	a.allotments.assumeLostApplied, b.allotments.assumeLostApplied, successor.allotments.assumeLostApplied = assumeLostApplied, assumeLostApplied, assumeLostApplied
@@ -116,10 +117,10 @@
 	return maxRunning, row.Sum()
 }
 
-// A team would run more than its limit if a driver took a lost answer for a success.
-// Two entries run their real drivers over a table that loses answers and is down at
-// times. One is replaced, its part comes back after its last lease, and at the end
-// both stop and hand back all.
+// If a lost answer were taken for a success, a team could run more requests than its limit.
+// Two entries run their real loops over a table that loses answers and is down at times. One
+// entry is replaced, and its allotment becomes free after its last lease. At the end, both
+// entries stop and give back all slots.
 func TestAllotments(t *testing.T) {
 	const seeds = 60
 	for _, assumeLostApplied := range []bool{false, true} {
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -11,40 +11,41 @@
 	"lavenderpond/core/table"
 )
 
-// maxAttempts bounds how often a change is planned again after other changes moved
-// the head row, or sent again after a lost answer.
+// maxAttempts bounds the attempts to apply a change. A change is planned again if other
+// changes moved the head row, and sent again if an answer was lost.
 const maxAttempts = 10
 
-// ApplyResult says how a change took effect.
+// ApplyResult describes how a change took effect.
 type ApplyResult struct {
-	// Version is the configuration version that holds the change.
+	// Version is the configuration version that contains the change.
 	Version core.Version `json:"version"`
-	// Before is true if the change id had taken effect earlier.
+	// Before is true if the change had already taken effect earlier under its change id.
 	Before bool `json:"before,omitempty"`
 }
 
-// Apply carries out c in t under the change id, at most once however often it is
-// called. Its errors are core.Errors: CodeConflict names the change that won,
-// CodePlatformDown says that nothing was written, and CodeChangeUnknown that c may
-// have taken effect and should be repeated under the same id.
+// Apply applies c to t under the change id. The change takes effect at most once, however
+// often Apply is called. Errors are core.Errors: CodeConflict names the change that took
+// effect first, CodePlatformDown means that nothing was written, and CodeChangeUnknown
+// means that c may have taken effect and should be repeated under the same id.
 func Apply(ctx context.Context, t Table, c config.Change, id core.ChangeID, now time.Time) (ApplyResult, error) {
 	a := applier{table: t, change: c, id: id, now: now}
 	return a.run(ctx)
 }
 
+// applier applies one change for Apply.
 type applier struct {
 	table  Table
 	change config.Change
 	id     core.ChangeID
 	now    time.Time
-	// baseVersion is the row's version when the command first read it.
+	// baseVersion is the version of the row to change when it was first read, and
+	// baseHeadVersion that of the configuration's head. Both are valid if haveBase is true.
 	baseVersion     core.Version
 	baseHeadVersion core.Version
 	haveBase        bool
-	// outcomeUnknown is true once an answer was lost: the change may have taken effect.
+	// outcomeUnknown is true once an answer was lost. The change may have taken effect.
 	outcomeUnknown bool
-	// ignoreRecord is switched on in tests only: the record of the change id
-	// is neither read nor checked.
+	// Test hook: the record of the change id is neither read nor checked.
 	ignoreRecord bool
 }
 
@@ -61,16 +62,17 @@
 	return ApplyResult{}, a.finalError(err)
 }
 
-// try makes one round: read, settle, plan, write. It returns done false if the
-// round is worth repeating.
+// try makes one attempt: it reads the rows, checks whether the change already took
+// effect, plans the change and writes it. The second result is false if another attempt
+// may succeed.
 func (a *applier) try(ctx context.Context) (ApplyResult, bool, error) {
 	rows, err := a.read(ctx)
 	if err != nil {
 		return ApplyResult{}, false, err
 	}
-	// The record of the change id is read before anything is planned: after a lost
-	// answer it alone tells whether the write took effect, and a second write would
-	// undo what another operator did in between.
+	// The record of the change id is checked before the change is planned. After a lost
+	// answer, only the record shows whether the write took effect, and a second write
+	// would undo what another operator changed in between.
 	if a.ignoreRecord {
 		rows[table.ChangeKey(a.id)] = table.Row{}
 	}
@@ -114,9 +116,9 @@
 	return rows, nil
 }
 
-// checkBase refuses the change if another operator changed the row after this
-// command first read it: exactly one of two racing changes wins. Withdrawals are
-// exempt, since they hold in any order.
+// checkBase returns an error if another operator changed the row after this command first
+// read it, so that exactly one of two racing changes succeeds. Withdrawals are exempt,
+// because they hold in any order.
 func (a *applier) checkBase(ctx context.Context, rows config.Rows) error {
 	version := rows[a.change.Key()].Version
 	if !a.haveBase {
@@ -130,7 +132,7 @@
 		a.change.Key(), a.conflictingChange(ctx, headVersion(rows)))
 }
 
-// conflictingChange names the change that changed the row since baseHead.
+// conflictingChange describes the last change of the row after baseHeadVersion.
 func (a *applier) conflictingChange(ctx context.Context, head core.Version) string {
 	for v := head; v > a.baseHeadVersion; v-- {
 		row, err := a.table.Read(ctx, table.AuditKey(v))
@@ -143,6 +145,7 @@
 	return "another change"
 }
 
+// finalError returns the error to report after the last attempt failed with err.
 func (a *applier) finalError(err error) error {
 	if a.outcomeUnknown {
 		return core.Errorf(core.CodeChangeUnknown, "change %s may have taken effect: repeat it under the same change id (%v)", a.id, err)
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -16,8 +16,9 @@
 
 var changeStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// lossyTable loses answers of writes, is down at times, and lets another operator in
-// before writes.
+// lossyTable loses answers to writes, is unreachable at times, and calls beforeWrite before
+// some writes, which lets another operator write first. If reliable is set, it does none of
+// these.
 type lossyTable struct {
 	rows        table.Memory
 	rand        *rand.Rand
@@ -61,8 +62,8 @@
 	return err
 }
 
-// racingOperators is two operators who set one team's limit, each repeating a change under
-// its id until the outcome is certain.
+// racingOperators are two operators who set one team's limit. Each repeats a change under
+// its id until its outcome is certain.
 type racingOperators struct {
 	t            *lossyTable
 	ignoreRecord bool
@@ -89,11 +90,11 @@
 	}
 }
 
-// Two operators change one key at once, answers are lost after the write took effect,
-// and the commands repeat themselves. Each change takes effect at most once, what is
-// told as done was written, and what is refused was not: compared with the audit
-// records. Without the record of the change id, a command whose answer was lost takes
-// its own write for that of another operator and reports a refusal that is false.
+// Two operators change one key at the same time, answers are lost after the write took
+// effect, and the operators repeat their changes. According to the audit records, each
+// change must take effect at most once, a change reported as done must have been written,
+// and a refused one must not. If the record of the change id is ignored, a command whose
+// answer was lost mistakes its own write for another operator's and reports a false refusal.
 func TestApplyTakesEffectOnce(t *testing.T) {
 	const seeds = 500
 	for _, ignoreRecord := range []bool{false, true} {
@@ -135,7 +136,8 @@
 	}
 }
 
-// The command of the operator who comes second names who won and what stands now.
+// The operator whose change comes second must learn which change came first and what the row
+// contains now.
 func TestConflictNamesTheWinner(t *testing.T) {
 	tbl := &lossyTable{reliable: true}
 	team := func(author string, n core.Slots) config.Change {
--- a/io/platform/client.go
+++ b/io/platform/client.go
@@ -16,7 +16,7 @@
 	"lavenderpond/core/table"
 )
 
-// The platform's HTTP paths and the statuses that carry a meaning of their own.
+// The platform's HTTP paths, and the status codes that have a specific meaning.
 const (
 	PathRows     = "/table/rows"
 	PathTransact = "/table/transact"
@@ -26,7 +26,7 @@
 	StatusConflict = http.StatusConflict
 )
 
-// maxReply bounds what is read from the platform, in bytes.
+// maxReply is the maximum size of a reply that is read from the platform, in bytes.
 const maxReply = 64 << 20
 
 // RowsReply is the reply to a read, scan or changes request.
@@ -35,16 +35,16 @@
 	Revision table.Revision `json:"revision"`
 }
 
-// Client speaks to the platform's service at BaseURL. It is safe for concurrent
-// use. A nil HTTP uses a client with Timeout.
+// Client accesses the platform's service at BaseURL. If HTTP is nil, a client with
+// DefaultTimeout is used. A Client is safe for concurrent use.
 type Client struct {
 	BaseURL string
 	HTTP    *http.Client
-	// Zone, if set, is stated in every request, for the platform's logs.
+	// Zone, if set, is sent with every request, for the platform's logs.
 	Zone core.ZoneID
 }
 
-// ZoneHeader names the zone that a request to the platform comes from.
+// ZoneHeader is the HTTP header that names the zone a request to the platform comes from.
 const ZoneHeader = "Lavenderpond-Zone"
 
 var (
@@ -53,8 +53,8 @@
 	_ LiveList = (*Client)(nil)
 )
 
-// DefaultTimeout bounds one request to the platform. A slow table must not hold
-// up the loops that renew rights, which fall back on their peers.
+// DefaultTimeout bounds one request to the platform. A slow table must not block the
+// loops that renew ownership, which fall back on their peers.
 const DefaultTimeout = 2 * time.Second
 
 // NewClient returns a client of the platform's service at baseURL.
@@ -95,7 +95,7 @@
 	_, status, err := c.do(ctx, http.MethodPost, c.BaseURL+PathTransact, body)
 	switch {
 	case err != nil:
-		// The request may have been sent: only the table's own refusal proves that
+		// The request may have been sent. Only a refusal by the table itself proves that
 		// nothing was written.
 		return errors.Wrap(table.ErrOutcomeUnknown, err.Error())
 	case status == StatusConflict:
--- a/io/platform/config_watcher.go
+++ b/io/platform/config_watcher.go
@@ -13,31 +13,31 @@
 	"lavenderpond/io/supervisor"
 )
 
-// DefaultHeadInterval is the time between two polls of the configuration's head.
+// DefaultHeadInterval is the time between two polls of the configuration's head row.
 const DefaultHeadInterval = 2 * time.Second
 
-// unnamedOperator is the author of the record of a withdrawal that an operator gave to
-// entries while the table was down, without a name.
+// unnamedOperator is the author that is recorded for a withdrawal that an operator sent
+// to entries without a name while the table was down.
 const unnamedOperator = "operator, told to an entry"
 
-// ConfigWatcher keeps a Configuration up to date with the table: it polls the head row,
-// and reads what changed only if the head moved.
+// ConfigWatcher keeps a Configuration up to date with the table. It polls the head row,
+// and reads the changed rows only if the head moved.
 type ConfigWatcher struct {
 	Table  Table
 	Config *Configuration
 	Now    func() time.Time
 	Log    zerolog.Logger
-	// Interval between polls; 0 means DefaultHeadInterval.
+	// Interval is the time between polls; 0 means DefaultHeadInterval.
 	Interval time.Duration
 
-	// since are the revisions up to which the rows were read, base the configuration
-	// version that they hold.
+	// configRevision and keyRevision are the revisions up to which the rows were read.
+	// baseVersion is the configuration version that these rows contain.
 	configRevision, keyRevision table.Revision
 	baseVersion                 core.Version
 	loaded                      bool
 }
 
-// Child returns the watcher's part of the daemon's tree.
+// Child returns the supervised goroutine that polls.
 func (w *ConfigWatcher) Child() supervisor.Child {
 	return supervisor.Child{Name: "watcher", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, w.interval(), func(ctx context.Context) {
@@ -48,8 +48,8 @@
 	}}
 }
 
-// Poll makes one round: the head, what changed if it moved, and the record of
-// withdrawals that entries were told while the table was down.
+// Poll reads the head row and, if it moved, the changed rows. It then writes to the table
+// the withdrawals that entries received while the table was down.
 func (w *ConfigWatcher) Poll(ctx context.Context) error {
 	sentAt := w.Now()
 	row, err := w.Table.Read(ctx, table.ConfigHead)
@@ -72,8 +72,8 @@
 	return w.recordWithdrawals(ctx)
 }
 
-// readChanges reads the rows that changed since the last reading. The keys are read
-// last, so that they are at least as new as the head among the other rows.
+// readChanges reads the rows that changed since the last call. The keys are read last, so
+// that they are at least as new as the head among the other rows.
 func (w *ConfigWatcher) readChanges(ctx context.Context, d config.Delta) (config.Delta, error) {
 	rows, configRevision, err := w.Table.Changes(ctx, table.PrefixConfig, w.configRevision)
 	if err != nil {
@@ -94,8 +94,9 @@
 	return d, nil
 }
 
-// recordWithdrawals writes withdrawals to the table that entries were told while it was down.
-// All entries that know one use the same change id, so it takes effect once.
+// recordWithdrawals writes to the table the withdrawals that entries received while it
+// was down. All entries that know a withdrawal use the same change id, so that it takes
+// effect once.
 func (w *ConfigWatcher) recordWithdrawals(ctx context.Context) error {
 	for _, withdrawal := range w.Config.Unrecorded() {
 		row, err := w.Table.Read(ctx, table.KeyDigestKey(withdrawal.Digest))
@@ -112,8 +113,8 @@
 func (w *ConfigWatcher) recordWithdrawal(ctx context.Context, withdrawal key.Withdrawal, row table.Row) error {
 	k := config.Key{Team: withdrawal.Team}
 	if err := row.Decode(&k); err != nil || k.Withdrawn || k.Team == "" {
-		// Recorded by now, and read with the next poll; or of no known team, which no
-		// request can use.
+		// The withdrawal is recorded by now and read with the next poll, or the key is of
+		// no known team, so that no request can use it.
 		return err
 	}
 	author := withdrawal.Author
--- a/io/platform/configuration.go
+++ b/io/platform/configuration.go
@@ -9,21 +9,21 @@
 	"lavenderpond/core/key"
 )
 
-// Configuration holds an entry's view of the configuration and its key ring, for
-// all its goroutines. Set the fields before use.
+// Configuration holds an entry's view of the configuration and its key ring, and makes
+// both safe for concurrent use. Set the exported fields before use.
 type Configuration struct {
 	Zone  core.ZoneID
 	Zones []core.ZoneID
-	// MaxKeyStaleness is key.Ring's Trust.
+	// MaxKeyStaleness is the MaxStaleness of the key.Ring.
 	MaxKeyStaleness time.Duration
 	// Started is when this run of the entry began.
 	Started time.Time
-	// Skew is the most by which the clocks of two machines differ.
+	// Skew is the maximum difference between the clocks of two machines.
 	Skew time.Duration
-	// OnWithdrawn is told of keys that ended, so that what is queued with them is
-	// refused at once. It is called without the lock.
+	// OnWithdrawn receives the keys that were withdrawn, so that queued requests that use
+	// them are refused at once. It is called without the lock.
 	OnWithdrawn func([]core.KeyDigest)
-	// OnChange is called without the lock when the view changed.
+	// OnChange is called without the lock after the view changed.
 	OnChange func()
 
 	mu             sync.RWMutex
@@ -32,7 +32,7 @@
 	ringConfigured bool
 }
 
-// View calls f with the view; f must not keep it.
+// View calls f with the view. f must not retain it.
 func (c *Configuration) View(f func(v *config.View)) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -46,14 +46,15 @@
 	return c.view.Version()
 }
 
-// DeltaSince returns what a peer lacks whose view is complete up to since.
+// DeltaSince returns what is missing from the view of a peer that is complete up to
+// since.
 func (c *Configuration) DeltaSince(since core.Version) config.Delta {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.view.DeltaSince(since)
 }
 
-// CheckKey is key.Ring's Check.
+// CheckKey calls Check of the key ring.
 func (c *Configuration) CheckKey(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -67,35 +68,36 @@
 	return c.ring.Team(digest)
 }
 
-// KeysFreshUntil returns until when the key list is trusted.
+// KeysFreshUntil returns until when the key ring is fresh.
 func (c *Configuration) KeysFreshUntil() time.Time {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.ring.FreshUntil()
 }
 
-// Withdraw puts withdrawals in force here.
+// Withdraw puts withdrawals into force at this entry.
 func (c *Configuration) Withdraw(withdrawals ...key.Withdrawal) {
 	withdrawnKeys := c.update(func() []core.KeyDigest { return c.ring.Withdraw(withdrawals...) })
 	c.notify(withdrawnKeys, false)
 }
 
-// Unrecorded returns the withdrawals that weren't read from the table yet.
+// Unrecorded returns the withdrawals that haven't been read from the table yet.
 func (c *Configuration) Unrecorded() []key.Withdrawal {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.ring.Unrecorded()
 }
 
-// Summary returns what to tell peers of the key ring.
+// Summary returns the summary of the key ring that is sent to peers.
 func (c *Configuration) Summary() key.Summary {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.ring.Summary()
 }
 
-// FromTable takes in rows read from the table. Complete tells that the view then
-// holds all that the table held at sent.
+// FromTable applies rows that were read from the table by a request sent at sentAt. If
+// this completes the view up to the delta's version, the key ring is complete as of
+// sentAt.
 func (c *Configuration) FromTable(delta config.Delta, sentAt time.Time) error {
 	var applyErr error
 	changed := false
@@ -112,8 +114,9 @@
 	return applyErr
 }
 
-// FromPeer takes in what an entry of zone told in answer to, or with, a message
-// that left its sender at sent. Zero sent counts as no contact.
+// FromPeer applies what an entry of zone sent with a message or in reply to one. sentAt
+// is when the message left its sender. If it is zero, the exchange doesn't count as a
+// contact with the zone.
 func (c *Configuration) FromPeer(delta config.Delta, summary key.Summary, zone core.ZoneID, sentAt time.Time) error {
 	var applyErr error
 	changed := false
@@ -132,7 +135,8 @@
 	return applyErr
 }
 
-// update runs f under the lock, with the ring's settings in place.
+// update calls f with the lock held, and before the first call copies the settings to the
+// key ring.
 func (c *Configuration) update(f func() []core.KeyDigest) []core.KeyDigest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,6 +146,7 @@
 	return f()
 }
 
+// notify calls OnWithdrawn and OnChange as needed. The caller must not hold the lock.
 func (c *Configuration) notify(withdrawnKeys []core.KeyDigest, changed bool) {
 	if len(withdrawnKeys) > 0 && c.OnWithdrawn != nil {
 		c.OnWithdrawn(withdrawnKeys)
--- a/io/platform/controller.go
+++ b/io/platform/controller.go
@@ -17,18 +17,20 @@
 // Defaults of Controller.
 const (
 	DefaultControlInterval = 5 * time.Second
-	// maxStepsPerTick bounds the steps of one VM in a tick. A stop and its reboot
-	// belong into one: by the next tick the reboot's deadline may have passed.
+	// maxStepsPerTick bounds the steps of one VM in a tick. A stop and its reboot must
+	// happen in the same tick: by the next one, the reboot's deadline may have passed.
 	maxStepsPerTick = 3
-	// controllerListBytesPerSecond bounds what is read of the live list, in bytes a second. The
-	// daemon's SharedList reads it that often anyway, so that it costs nothing more.
+	// controllerListBytesPerSecond bounds the controller's reads of the live list. The
+	// daemon's SharedList reads the list at this rate anyway, so they cause no
+	// additional traffic.
 	controllerListBytesPerSecond = sharedListBytesPerSecond
 )
 
-// Controller carries out a zone's maintenance. Every entry of the zone runs one;
-// the lease row lets one of them work. Two at once, or one that was paused for
-// any time, do no harm: each transaction checks the rows that it relies on, and
-// each reboot carries the deadline before which the VM can't serve again.
+// Controller carries out a zone's maintenance. Every entry of the zone runs one, and the
+// lease row lets one of them work. Two that work at the same time, or one that resumes
+// after a pause of any length, do no harm: each transaction checks the rows that it
+// depends on, and each reboot request carries a deadline before which the VM can't
+// return to service.
 type Controller struct {
 	Zone  core.ZoneID
 	Self  core.EntryID
@@ -37,12 +39,12 @@
 	VMs   VMControl
 	Now   func() time.Time
 	Log   zerolog.Logger
-	// Planner chooses the VMs to take out; nil means spread.Planner.
+	// Planner chooses the VMs to take out of service; nil means spread.Planner.
 	Planner maintenance.Planner
 	Driver  maintenance.Driver
-	// Rows are shared with the FleetWatcher; nil means rows of its own.
+	// Rows are shared with the FleetWatcher; nil means that the Controller has its own.
 	Rows *FleetRows
-	// Interval between ticks; 0 means DefaultControlInterval.
+	// Interval is the time between ticks; 0 means DefaultControlInterval.
 	Interval time.Duration
 
 	mu       sync.Mutex
@@ -51,35 +53,37 @@
 
 	ownRows    FleetRows
 	listPoller listPoller
-	// listed, leaving and gone are what the live list last said.
+	// listed and leaving are the VMs on the live list as last read, and those that it marks
+	// as leaving. unlisted are the VMs that have a row but weren't on the list.
 	listed, leaving, unlisted map[core.VMID]bool
 	checks                    maintenance.CheckScheduler
-	// renewAt is when the lease is to be renewed.
+	// renewAt is when the lease is due for renewal.
 	renewAt     time.Time
 	leasePolicy maintenance.LeasePolicy
-	// Test-only: switches the check of a reboot's deadline off.
+	// Test hook: disables the check of a reboot's deadline.
 	skipDeadlineCheck bool
 }
 
-// ControllerState is what a dump shows of a Controller.
+// ControllerState is the state of a Controller that a dump shows.
 type ControllerState struct {
 	Holds     bool                 `json:"holds"`
 	Wave      maintenance.Wave     `json:"wave"`
 	Progress  maintenance.Progress `json:"progress"`
 	LastTick  time.Time            `json:"last_tick,omitzero"`
 	LastError string               `json:"last_error,omitempty"`
-	// BadRows counts rows that can't be decoded; their VMs and pools are left alone.
+	// BadRows is the number of rows that can't be decoded. Their VMs and pools are left
+	// alone.
 	BadRows int `json:"bad_rows"`
 }
 
-// Child returns the controller's part of the daemon's tree.
+// Child returns the supervised goroutine that runs the ticks.
 func (c *Controller) Child() supervisor.Child {
 	return supervisor.Child{Name: "controller", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, c.interval(), func(ctx context.Context) { c.run(ctx) })
 	}}
 }
 
-// Suspect makes the next tick look at vm, which refused a connection.
+// Suspect makes the next tick check vm, which refused a connection.
 func (c *Controller) Suspect(vm core.VMID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +93,7 @@
 	c.suspects[vm] = true
 }
 
-// State returns what the controller last did.
+// State returns the controller's state as of its latest tick.
 func (c *Controller) State() ControllerState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +113,9 @@
 	}
 }
 
-// Tick acquires or renews the lease, takes every VM that is out a step further,
-// and takes out the VMs that the planner chooses.
+// Tick acquires or renews the lease, advances every VM that is out of service, and takes
+// the VMs that the planner chooses out of service. It does nothing else while another
+// entry holds the lease.
 func (c *Controller) Tick(ctx context.Context) error {
 	held, err := c.ensureLease(ctx)
 	if err != nil || !held {
@@ -121,7 +126,7 @@
 	}
 	rest, err := c.checkDueVMs(ctx)
 	if err != nil || slices.ContainsFunc(rest, func(d maintenance.DueCheck) bool { return d.Suspect }) {
-		// A stop that is planned now might come on top of failures not yet recorded.
+		// A stop that is planned now could add to failures that aren't recorded yet.
 		return err
 	}
 	return c.plan(ctx)
@@ -136,11 +141,11 @@
 	return c.Rows
 }
 
-// pollList reads the live list if it is due, and notes the VMs that are listed
-// as leaving, and those that aren't listed. The latter stay gone until they are: the
-// look that follows may be lost, and a controller that has just taken over hasn't seen
-// a list on which they were. One that the list is late to show costs a look. A list
-// that can't be read changes nothing.
+// pollList reads the live list if it is due, and records which VMs are leaving and which
+// are missing from it. A missing VM is checked until it is listed again, because the
+// status check that follows may be lost, and because a controller that has just taken
+// over hasn't seen an earlier list that had the VM. A VM that the list shows late costs
+// one status check. If the list can't be read, nothing changes.
 func (c *Controller) pollList(ctx context.Context) {
 	c.listPoller.BytesPerSecond = controllerListBytesPerSecond
 	live, due, err := c.listPoller.poll(ctx, c.Now(), c.Live, c.Zone)
@@ -157,7 +162,7 @@
 			c.leaving[id] = true
 		}
 		if !c.listed[id] {
-			c.checks.MarkDue(id) // It may be back.
+			c.checks.MarkDue(id) // The VM may be back.
 		}
 	}
 	for _, vm := range c.rows().VMs() {
--- a/io/platform/controller_check.go
+++ b/io/platform/controller_check.go
@@ -9,19 +9,19 @@
 	"lavenderpond/core/maintenance"
 )
 
-// Bounds of a tick's looks at VMs.
+// Bounds of a tick's status checks.
 const (
-	// maxChecksPerTick bounds the VMs that are looked at in a tick; the others come first
-	// in the next one. A zone of 1,430 VMs that returns as a whole would else keep a
-	// controller from its planning and its network for minutes.
+	// maxChecksPerTick bounds the VMs that are checked in a tick; the others come first in
+	// the next one. Otherwise, a zone of 1,430 VMs that returns all at once would keep the
+	// controller from planning, and occupy its network, for minutes.
 	maxChecksPerTick = 256
 	// maxChecksPerCall bounds the VMs of one call, so that the platform can answer it
 	// within a request's timeout.
 	maxChecksPerCall = 128
 )
 
-// checkDueVMs looks at the VMs that are due and takes each as far as it can go now. It
-// returns those that it didn't come to: a tick is bounded in VMs and in time.
+// checkDueVMs checks the VMs that are due and advances each as far as is possible now. It
+// returns the VMs that it didn't reach, because a tick is bounded in VMs and in time.
 func (c *Controller) checkDueVMs(ctx context.Context) ([]maintenance.DueCheck, error) {
 	c.pollList(ctx)
 	suspects := c.takeSuspects()
@@ -47,8 +47,8 @@
 	return due, err
 }
 
-// checkBatch looks at VMs in one call, and takes them further until end, but one
-// at least. It returns how many it came to.
+// checkBatch checks VMs in one call and then advances them until end, but at least one of
+// them. It returns how many VMs it handled.
 func (c *Controller) checkBatch(ctx context.Context, batch []maintenance.DueCheck, end time.Time) (int, error) {
 	if err := c.renewLeaseIfDue(ctx); err != nil {
 		return 0, err
@@ -71,8 +71,8 @@
 	return len(batch), nil
 }
 
-// isSuspicionOpen reports whether the suspicion against vm is still neither refuted nor
-// recorded: the platform's answer was lost, or the change of the row was.
+// isSuspicionOpen reports whether the suspicion against vm is neither refuted nor
+// recorded in its row, because the platform's answer or the change of the row was lost.
 func (c *Controller) isSuspicionOpen(vm *fleet.VMRow, observed *maintenance.Observation) bool {
 	if observed != nil && observed.Up {
 		return false
@@ -81,9 +81,10 @@
 	return ok && current.VM.State == fleet.Serving
 }
 
-// checkAll is look for many VMs in one call. A VM that the answer leaves out stays
-// nil: the platform didn't answer for it, which says nothing of the VM. Taken for
-// down, a partial or lost answer would take a fleet that works out of service.
+// checkAll does for many VMs in one call what checkVM does for one. If the answer omits
+// a VM, its observation is nil: the platform didn't answer for it, which says nothing
+// about the VM. If such a VM counted as down, a partial or lost answer would take a
+// working fleet out of service.
 func (c *Controller) checkAll(ctx context.Context, batch []maintenance.DueCheck) []*maintenance.Observation {
 	now := c.Now()
 	requests := make([]CheckRequest, len(batch))
@@ -113,8 +114,9 @@
 	return observations
 }
 
-// checkVM tells the VM to refuse new work or to take it again, and then asks what
-// runs there: in this order, nothing can start after the answer was taken.
+// checkVM tells the VM to refuse new work or to accept it again, and then queries what
+// runs there. In this order, nothing can start on a VM that refuses work after the query
+// was answered.
 func (c *Controller) checkVM(ctx context.Context, vm *fleet.VMRow) *maintenance.Observation {
 	var refusesUntil time.Time
 	if until, ok := c.Driver.HoldUntil(c.Now(), *vm); ok {
--- a/io/platform/controller_late_reboot_test.go
+++ b/io/platform/controller_late_reboot_test.go
@@ -10,8 +10,8 @@
 	"lavenderpond/core/fleet"
 )
 
-// now is the controllers' clock. The second look after a VM's status is the one
-// right before a reboot is sent.
+// now is the controllers' clock. Its second reading after a status query is the one right
+// before a reboot is sent.
 func (s *session) now() time.Time {
 	s.clockReadsSinceStatus++
 	if s.clockReadsSinceStatus == 2 {
@@ -20,8 +20,8 @@
 	return s.world.Now
 }
 
-// pauseAt pauses the controller for ten minutes if the test asks for it, while
-// the other one goes on, and then gives vm a task.
+// pauseAt pauses the controller for ten minutes if the test asks for it at this point. The
+// other controller continues meanwhile. At the end, vm gets a task.
 func (s *session) pauseAt(point string, vm fleet.Ref) {
 	if s.pauseWhen == nil || s.paused || vm.VM == "" || !s.pauseWhen(point, vm) {
 		return
@@ -35,11 +35,11 @@
 	s.world.Dispatch(vm, time.Minute)
 }
 
-// A request that runs on a VM is cut off by a reboot that was decided ten minutes
-// before. A controller is paused between its decision and the request, or the
-// request is under way for so long. Another controller meanwhile reboots the VM
-// and returns it into service. The clock right before the request stops the
-// first, the platform's look at fence and deadline stops both.
+// A reboot that was decided ten minutes ago must not cut off a request that runs on the VM
+// now. A controller is paused between the decision and the request, or the request takes
+// that long to arrive. Meanwhile, another controller reboots the VM and returns it to
+// service. Reading the clock right before the request prevents the first case. The
+// platform's check of the fence and the deadline prevents both.
 func TestLateReboot(t *testing.T) {
 	for _, c := range []struct {
 		name, point                 string
--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// leaseIntervals is how many intervals a lease outlasts its renewal.
+	// leaseIntervals is how many control intervals a lease lasts after its renewal.
 	leaseIntervals = 4
-	// takeoverDelayIntervals is how many intervals another entry has to take a free lease
-	// before the relay does: it looks once in each.
+	// takeoverDelayIntervals is how many control intervals the relay leaves a free lease to
+	// the other entries, each of which reads the lease once per interval.
 	takeoverDelayIntervals = 2
 )
 
-// errLeaseLost ends a tick of a controller that was paused for long.
+// errLeaseLost ends the tick of a controller that lost its lease during a long pause.
 var errLeaseLost = errors.New("another entry is the zone's controller now")
 
-// ensureLease takes or renews the lease at the start of a tick, or leaves it to another
-// entry. It returns false if this entry doesn't hold it.
+// ensureLease acquires, renews or releases the lease at the start of a tick, or leaves it
+// to another entry. It reports whether this entry holds the lease.
 func (c *Controller) ensureLease(ctx context.Context) (bool, error) {
 	row, err := c.Table.Read(ctx, maintenance.LeaseKey(c.Zone))
 	if err != nil {
@@ -50,11 +50,12 @@
 	return false, nil
 }
 
-// renewLeaseIfDue renews the lease if that is due, or returns errLeaseLost.
+// renewLeaseIfDue renews the lease if that is due. It returns errLeaseLost if another
+// entry holds it.
 //
-// With slow calls a tick may outlast the lease. Another entry would then start and
-// do the same work again, while each is in the other's way: every second one of
-// their transactions fails.
+// With slow calls, a tick may outlast the lease. The controller of another entry would
+// then start and do the same work again, and the two would hinder each other: every
+// second one of their transactions fails.
 func (c *Controller) renewLeaseIfDue(ctx context.Context) error {
 	if c.Now().Before(c.renewAt) {
 		return nil
@@ -70,7 +71,8 @@
 	return err
 }
 
-// acquire takes or renews the lease, whose row was just read.
+// acquire acquires or renews the lease. row is the lease row as just read. It reports
+// whether this entry holds the lease.
 func (c *Controller) acquire(ctx context.Context, row table.Row) (bool, error) {
 	now := c.Now()
 	c.renewAt = now.Add(c.interval())
@@ -91,8 +93,9 @@
 	c.state.Holds = held
 }
 
-// entries returns the zone's entries that the live list has, none if it can't be
-// read: this entry then counts as the only one, and the zone has a controller.
+// entries returns the zone's entries on the live list, except those that are leaving. If
+// the list can't be read, it returns none. This entry then counts as the only one, so
+// that the zone has a controller.
 func (c *Controller) entries(ctx context.Context) []core.EntryID {
 	live, err := c.Live.Live(ctx, c.Zone)
 	if err != nil {
--- a/io/platform/controller_step.go
+++ b/io/platform/controller_step.go
@@ -12,8 +12,8 @@
 	"lavenderpond/core/table"
 )
 
-// advance takes a VM as many steps further as it can go now. seen is what a look at
-// it just showed.
+// advance takes as many steps with a VM as are possible now. observed is the result of
+// the VM's latest status check.
 func (c *Controller) advance(ctx context.Context, vm *fleet.VMRow, observed *maintenance.Observation) error {
 	for range maxStepsPerTick {
 		err := c.step(ctx, vm, observed)
@@ -30,16 +30,16 @@
 	return nil
 }
 
-// needsImmediateStep reports whether a VM needs its next step in the same tick: the reboot
-// after a stop has a deadline, and a VM whose permit was withdrawn refuses work
-// until it is told otherwise. Other VMs wait for a look with many others.
+// needsImmediateStep reports whether a VM needs its next step in the same tick. The
+// reboot after a stop has a deadline, and a VM whose permit was withdrawn refuses work
+// until it is told to accept it again. Other VMs wait for the next bulk status check.
 func needsImmediateStep(vm, next *fleet.VMRow) bool {
 	withdrawn := next.VM.State == fleet.Serving && vm.VM.State != fleet.Verifying
 	return next.Row.Version != vm.Row.Version && (next.VM.State == fleet.Stopped || withdrawn)
 }
 
-// step takes one VM a step further. A refusal by the rules or a lost race ends
-// this VM's step only; an unreachable table ends the tick.
+// step advances one VM by one step. A refusal by the rules or a lost race ends only this
+// VM's step, whereas an unreachable table ends the tick.
 func (c *Controller) step(ctx context.Context, vm *fleet.VMRow, observed *maintenance.Observation) error {
 	if observed != nil {
 		observed.Leaving = c.leaving[vm.Ref.VM]
@@ -61,10 +61,10 @@
 	return nil
 }
 
-// reboot asks for a reboot if its deadline has not passed. The clock is read
-// right before the request is written, and the request ends at the deadline:
-// this process may have been paused since the decision, and another controller
-// may return the VM into service once the deadline has passed.
+// reboot requests a reboot if its deadline has not passed. The clock is read right before
+// the request is written, and the request times out at the deadline: this process may
+// have been paused since the decision, and another controller may return the VM to
+// service once the deadline has passed.
 func (c *Controller) reboot(ctx context.Context, vm *fleet.VMRow, notAfter time.Time) bool {
 	remaining := notAfter.Sub(c.Now())
 	if c.skipDeadlineCheck {
@@ -82,8 +82,8 @@
 	return true
 }
 
-// plan carries out the planner's commands, as many as fit into an interval: the
-// next tick plans the rest anew.
+// plan executes the planner's commands, as many as fit into an interval. The next tick
+// plans the rest again.
 func (c *Controller) plan(ctx context.Context) error {
 	row, err := c.Table.Read(ctx, maintenance.WaveKey(c.Zone))
 	if err != nil {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// execute builds the command's transaction on the rows as they are now: the
-// commands before it have changed them.
+// execute builds the command's transaction from the current rows, because the commands
+// before it have changed them.
 func (c *Controller) execute(ctx context.Context, wave maintenance.WaveRow, command maintenance.Command) error {
 	t, err := c.Driver.Transaction(c.Now(), c.view(wave), wave, command)
 	if err == nil && len(t.Writes) > 0 {
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// handleError decides what an error means for the tick. A lost answer needs no memory:
-// the rows tell whether the change took effect, and the next step starts there.
+// handleError decides whether an error ends the tick. A lost answer needs no state of its
+// own: the rows show whether the change took effect, and the next step starts from them.
 func (c *Controller) handleError(ctx context.Context, vm fleet.Ref, err error) error {
 	var refusal *core.Error
 	switch {
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -13,7 +13,7 @@
 	"lavenderpond/core/route"
 )
 
-// sessionTotals is what came out of some sessions.
+// sessionTotals sums up the results of some sessions.
 type sessionTotals struct{ breaches, cutOff, finished, halted, stops, moves int }
 
 func runSessions(t *testing.T, seeds uint64, f faults, setup func(*session)) sessionTotals {
@@ -52,12 +52,12 @@
 	vms: sim.Faults{PerVMDay: 0.5},
 }
 
-// A pool's callers lose more VMs than its budget allows, or a running request is
-// cut off. Two controllers work at once, each is paused between any decision and
-// its effect, answers are lost after the write took effect, the table fails, the
-// list lags, a rack fails within the wave, an operator moves VMs, and one entry dispatches on the view
-// that it had at the start. Rows, the VM's own refusal and the reboot's deadline
-// hold: what the World saw of planned stops shows no breach and nothing cut off.
+// Planned stops must not exceed a pool's budget or cut off running requests under any of
+// these faults: two controllers work at the same time, each is paused between a decision and
+// its effect, answers are lost after the write took effect, the table fails, the live list
+// lags, a rack fails during the wave, an operator moves VMs, and one entry dispatches by the
+// view that it had at the start. The rows, the VM's own refusal and the reboot's deadline
+// prevent both.
 func TestSessions(t *testing.T) {
 	const seeds = 60
 	totals := runSessions(t, seeds, allFaults, nil)
@@ -65,7 +65,8 @@
 	assert.Assert(t, totals.finished > seeds/2, "the maintenance must also get done: %+v", totals)
 }
 
-// Without the VM's own refusal, the cut-off entry's work is there at the reboot.
+// If VMs don't refuse work, requests from the entry with the stale view run at the time of a
+// reboot and are cut off.
 func TestSessionsWithoutRefusal(t *testing.T) {
 	const seeds = 10
 	totals := runSessions(t, seeds, allFaults, func(s *session) { s.ignoreDrain = true })
@@ -73,8 +74,8 @@
 	assert.Assert(t, totals.cutOff > 0)
 }
 
-// A watcher's entry stops sending work to a leaving VM whichever source tells it
-// first, while the others fail; and the table's outage leaves its view as it is.
+// An entry must stop sending work to a leaving VM as soon as one source reports it, while
+// the other sources fail. An outage of the table must leave the view unchanged.
 func TestFleetWatcher(t *testing.T) {
 	s := newSession(t, 1, faults{})
 	s.advance()
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -16,16 +16,17 @@
 	"lavenderpond/core/table"
 )
 
-// slowZone is a zone of the two-year size. Each call to the platform takes delay on
-// the injected clock; the other controller ticks meanwhile when its time comes.
+// slowZone is a zone with 1,430 VMs. Each call to the platform takes delay on the injected
+// clock, and the other controller ticks during the calls, once per interval.
 type slowZone struct {
 	*session
 	delay        time.Duration
 	otherTickAt  time.Time
 	otherTicking bool
-	// checked counts the VMs looked at in a tick, single those asked for one by one.
+	// checked counts the VMs checked in bulk during a tick, singleChecks those checked one
+	// by one.
 	checked, singleChecks int
-	// answers, if set, alters the answer about many VMs.
+	// alterReply, if set, replaces the reply to a bulk status check.
 	alterReply func([]CheckResult) ([]CheckResult, error)
 }
 
@@ -42,7 +43,7 @@
 	return z
 }
 
-// spendCall takes the time of a call.
+// spendCall advances the clock by the duration of a call.
 func (z *slowZone) spendCall() {
 	z.world.Advance(z.delay)
 	if z.otherTicking || z.world.Now.Before(z.otherTickAt) {
@@ -68,7 +69,7 @@
 	return z.session.Transact(ctx, tx)
 }
 
-// Live lists the VMs that are up, without a lag.
+// Live lists the VMs that are up. It doesn't lag.
 func (z *slowZone) Live(context.Context, core.ZoneID) ([]Liveness, error) {
 	var live []Liveness
 	for _, m := range z.world.Machines() {
@@ -97,7 +98,7 @@
 	return z.session.Status(ctx, vm)
 }
 
-// tick lets the first controller work and returns how long it took.
+// tick runs a tick of the first controller and returns how long it took.
 func (z *slowZone) tick() time.Duration {
 	z.checked = 0
 	startedAt := z.world.Now
@@ -124,11 +125,12 @@
 	return l
 }
 
-// A zone of 1,430 VMs is lost, and later returns as a whole. Looked at one by one,
-// each of them would make the controller's tick longer than its lease: the second
-// entry starts to do the same, their transactions fail in turn, and callers wait for
-// the zone's VMs. Looks in bulk, bounded in a tick, with the lease renewed between
-// them, keep one controller at work; all VMs are recorded, and later serve again.
+// A zone of 1,430 VMs fails and later returns as a whole. If each VM were checked by a call
+// of its own, the controller's tick would outlast its lease: the second entry would start to
+// do the same work, the transactions of the two would fail in turn, and callers would wait
+// for the zone's VMs. With bulk checks that are bounded per tick, and a lease that is
+// renewed between them, one controller must record all VMs as failed and later return all of
+// them to service.
 func TestZoneReturns(t *testing.T) {
 	z := newSlowZone(t, 7*time.Millisecond)
 	all := len(z.world.Machines())
@@ -145,7 +147,7 @@
 	}
 	t.Logf("%d ticks until all are recorded, the longest %s", ticks, longest)
 
-	// Out for long, each VM is looked at once a minute.
+	// A VM that has been out for long is checked once a minute.
 	checks, minutes := 0, 0
 	for ; z.world.Now.Add(2 * time.Minute).Before(returnAt); minutes++ {
 		checks = 0
@@ -169,9 +171,9 @@
 	assert.Equal(t, z.lease().Epoch, core.Epoch(1), "the second entry never took the lease")
 }
 
-// The same with calls that take nearly as long as they may: a tick outlasts the
-// lease by its planning alone, whatever bounds its looks. The lease is renewed
-// within the tick, so that the second entry stays out of the way.
+// With calls that take nearly as long as the request timeout, planning alone makes a tick
+// outlast the lease, whatever bounds its status checks. The lease must be renewed within the
+// tick, so that the second entry doesn't take it.
 func TestLeaseKeptInLongTick(t *testing.T) {
 	z := newSlowZone(t, DefaultTimeout-100*time.Millisecond)
 	z.controllers[0].Planner = onePerPoolPlanner{}
@@ -185,7 +187,7 @@
 	assert.Equal(t, z.lease().Epoch, core.Epoch(1))
 }
 
-// onePerPoolPlanner takes a VM out of each pool, if it may.
+// onePerPoolPlanner takes a VM out of each pool whose budget has headroom.
 type onePerPoolPlanner struct{}
 
 func (onePerPoolPlanner) Plan(_ time.Time, v maintenance.View) []maintenance.Command {
@@ -200,10 +202,10 @@
 	return commands
 }
 
-// VMs that serve callers would be recorded as failed, and their pools' budgets be
-// spent, by an answer about many VMs that is lost, or cut to a part of them, or that
-// names others. What it leaves out is unknown and stays as it is; what it has counts,
-// and the rest follows with the next answer.
+// The reply to a bulk status check is lost, omits some of the VMs, or names other VMs. VMs
+// that serve callers must not be recorded as failed because of that, which would use up
+// their pools' budgets. A VM that the reply omits is unknown and stays as it is, one that it
+// contains is processed, and the rest follows with the next reply.
 func TestPartialCheckReply(t *testing.T) {
 	for name, alterReply := range map[string]func([]CheckResult) ([]CheckResult, error){
 		"lost":    func([]CheckResult) ([]CheckResult, error) { return nil, table.ErrUnreachable },
@@ -234,10 +236,10 @@
 	}
 }
 
-// A VM is stopped with callers' work on it, because an answer about many VMs is late:
-// it was idle and refused work when it was asked, its hold lapsed on the answer's way,
-// and an entry that is cut off gave it a task. The clock is read after the answer, and
-// what was held only until then counts as not held.
+// The reply to a bulk status check is late. A VM was idle and refused work when it was
+// queried, its hold expired while the reply was on its way, and an entry with a stale view
+// then gave it a task. The VM must not be stopped: the clock is read after the reply, and a
+// hold that has expired by then doesn't count.
 func TestLateCheckReply(t *testing.T) {
 	z := newSlowZone(t, time.Millisecond)
 	z.otherTickAt = z.world.Now.AddDate(1, 0, 0)
@@ -258,9 +260,9 @@
 	assert.Equal(t, len(z.world.CutOff), 0)
 }
 
-// A VM fails and its budget goes on as if it served: the one suspicion against it is
-// lost when the tick ends early, since the table can't be reached, or when another
-// entry takes over that hasn't seen a list on which the VM was.
+// If the only suspicion against a failed VM were lost, its pool's budget would be used as if
+// the VM served. The suspicion must outlive a tick that ends early because the table is
+// unreachable, and a takeover by an entry that never read a list with the VM on it.
 func TestSuspicionNotLost(t *testing.T) {
 	z := newSlowZone(t, time.Millisecond)
 	z.otherTickAt = z.world.Now.AddDate(1, 0, 0)
--- a/io/platform/fleet_rows.go
+++ b/io/platform/fleet_rows.go
@@ -11,26 +11,26 @@
 	"lavenderpond/core/table"
 )
 
-// FleetRows is a daemon's one set of decoded rows: those of its zone's VMs, and
-// those of all pools. The FleetWatcher and the Controller follow the table
-// together, since a second set cost a controller 4.3 MB in a zone of 1,430 VMs
-// (docs/CAPACITY.md). Its zero value works. It is safe for concurrent use.
+// FleetRows is a daemon's only set of decoded rows: those of its zone's VMs, and those of
+// all pools. The FleetWatcher and the Controller share it, because a second set cost a
+// controller 4.3 MB in a zone of 1,430 VMs (docs/CAPACITY.md). The zero value is ready to
+// use. A FleetRows is safe for concurrent use.
 type FleetRows struct {
-	// pollMu lets one poll be under way at a time: of two whose answers cross, the
-	// older one would set the revision back, or undo the newer one's deletions.
+	// pollMu allows one poll at a time. If the answers of two polls crossed, the older one
+	// would set the revision back, or undo the deletions of the newer one.
 	pollMu sync.Mutex
 
 	mu    sync.Mutex
 	vms   rowCache[fleet.VMRow]
 	pools rowCache[fleet.PoolRow]
-	// sortedVMs and byID are views of the rows, built anew once a row has changed.
+	// sortedVMs and poolsByID are derived from the rows and rebuilt after a row has changed.
 	sortedVMs []*fleet.VMRow
 	poolsByID map[core.PoolID]fleet.PoolRow
-	// unreported are the VM rows that changed since TakeChanged, by the newest.
+	// unreported holds the latest state of the VM rows that changed since TakeChanged.
 	unreported map[table.Key]*fleet.VMRow
 }
 
-// Poll fetches what changed in zone's VMs and in the pools.
+// Poll reads the changes of zone's VMs and of the pools.
 func (r *FleetRows) Poll(ctx context.Context, t Table, zone core.ZoneID) error {
 	r.pollMu.Lock()
 	defer r.pollMu.Unlock()
@@ -40,7 +40,7 @@
 	return r.pollPools(ctx, t)
 }
 
-// pollVMs doesn't hold the lock while it waits for the table.
+// pollVMs doesn't hold mu while it waits for the table.
 func (r *FleetRows) pollVMs(ctx context.Context, t Table, prefix string) error {
 	changed, revision, err := t.Changes(ctx, prefix, r.vms.revision)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Apply takes over the writes of t, which took effect: its checks tell the
-// versions that they were made on.
+// Apply applies the writes of t, which took effect. The new versions follow from the
+// versions that t checked.
 func (r *FleetRows) Apply(t table.Transaction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// TakeChanged returns the VM rows that changed since the last call, deleted ones
-// without a version. There is one caller, the FleetWatcher.
+// TakeChanged returns the VM rows that changed since the last call. Deleted rows have no
+// version. Only the FleetWatcher calls it.
 func (r *FleetRows) TakeChanged() []*fleet.VMRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +121,8 @@
 	return *pool, true
 }
 
-// VMs returns the zone's VMs by name. Neither slice nor rows may be changed.
+// VMs returns the zone's VMs, sorted by name. The caller must modify neither the slice
+// nor the rows.
 func (r *FleetRows) VMs() []*fleet.VMRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +137,7 @@
 	return r.sortedVMs
 }
 
-// Pools returns the pools. The map must not be changed.
+// Pools returns the pools by id. The caller must not modify the map.
 func (r *FleetRows) Pools() map[core.PoolID]fleet.PoolRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,7 +151,7 @@
 	return r.poolsByID
 }
 
-// Undecodable returns how many rows can't be decoded.
+// Undecodable returns the number of rows that can't be decoded.
 func (r *FleetRows) Undecodable() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/platform/fleet_rows_test.go
+++ b/io/platform/fleet_rows_test.go
@@ -11,7 +11,7 @@
 	"lavenderpond/core/table"
 )
 
-// slowTable answers a poll with what stood there before during was called.
+// slowTable reads the reply to a poll before it calls duringPoll, and returns it afterwards.
 type slowTable struct {
 	Table
 	duringPoll func()
@@ -26,10 +26,10 @@
 	return rows, revision, err
 }
 
-// A controller decides on a row that it has itself replaced: a VM that it just
-// withdrew looks cordoned again, and its pool short of one. The watcher's poll is
-// under way while the controller writes; the answer is from before the write and
-// arrives after it. Versions tell which one is newer.
+// A controller must not decide on a row that it has already replaced: a VM whose permit it
+// just withdrew would look cordoned again, and its pool would seem to be short of one VM. The
+// controller writes while the watcher's poll is under way, so that the poll's answer is older
+// than the write and arrives after it. The versions show which row is newer.
 func TestFleetRowsKeepWriteOverOldAnswer(t *testing.T) {
 	s := newSession(t, 1, faults{})
 	key := s.world.Machines()[0].Ref.Key()
@@ -61,9 +61,9 @@
 	assert.Equal(t, again, vm, "the same version again is no change")
 }
 
-// Callers' work goes to a VM for as long as the table is down, although this very
-// entry took the VM out of service: its controller wrote the row, and then the
-// table went. The watcher hands on what the shared rows know, also without a poll.
+// An entry's controller takes a VM out of service, and then the table becomes unreachable.
+// The entry's watcher must stop sending work to the VM nevertheless: it processes the changes
+// in the shared rows even if its poll fails.
 func TestWatcherSeesControllerWrites(t *testing.T) {
 	s := newSession(t, 1, faults{})
 	rows := &FleetRows{}
--- a/io/platform/fleet_watcher.go
+++ b/io/platform/fleet_watcher.go
@@ -11,30 +11,31 @@
 	"lavenderpond/io/supervisor"
 )
 
-// DefaultWatchInterval is how often a FleetWatcher polls. It is part of how long
-// a leaving VM may still get new work.
+// DefaultWatchInterval is the time between two polls of a FleetWatcher. It is part of the
+// time for which a leaving VM may still get new work.
 const DefaultWatchInterval = time.Second
 
-// watcherListBytesPerSecond bounds what a watcher reads of the live list, in bytes a second.
+// watcherListBytesPerSecond bounds a FleetWatcher's reads of the live list.
 const watcherListBytesPerSecond = 3000
 
-// FleetWatcher keeps an entry's view of its zone's VMs and of the pools, from
-// the table, the live list and what connections show. While the table or the
-// list can't be reached, the view stays as it is. It is safe for concurrent use.
+// FleetWatcher maintains an entry's view of its zone's VMs and of the pools. Its sources
+// are the table, the live list and the outcome of connections. While the table or the
+// list can't be reached, the view stays as it is. A FleetWatcher is safe for concurrent
+// use.
 type FleetWatcher struct {
 	Zone  core.ZoneID
 	Table Table
 	Live  LiveList
 	Now   func() time.Time
-	// Interval between polls; 0 means DefaultWatchInterval.
+	// Interval is the time between polls; 0 means DefaultWatchInterval.
 	Interval time.Duration
-	// Probe asks a VM that refused or was unreachable whether it takes work again.
-	// Without it, such a VM waits until it was verified by the controller.
+	// Probe asks a VM that refused work or was unreachable whether it accepts work again.
+	// If Probe is nil, such a VM gets no work until the controller has verified it.
 	Probe func(ctx context.Context, vm fleet.VMRow) bool
-	// OnChange gets the targets whenever they may have changed.
+	// OnChange receives the targets whenever they may have changed.
 	OnChange func(targets []route.Target)
 
-	// Rows are shared with the Controller; nil means rows of its own.
+	// Rows are shared with the Controller; nil means that the FleetWatcher has its own.
 	Rows *FleetRows
 
 	ownRows    FleetRows
@@ -43,7 +44,7 @@
 	listPoller listPoller
 }
 
-// Child returns the watcher's part of the daemon's tree.
+// Child returns the supervised goroutine that polls.
 func (w *FleetWatcher) Child() supervisor.Child {
 	interval := w.Interval
 	if interval == 0 {
@@ -54,8 +55,7 @@
 	}}
 }
 
-// Poll fetches once from each source. It returns the first error, after all
-// sources were tried.
+// Poll reads each source once. It tries all sources and returns the first error.
 func (w *FleetWatcher) Poll(ctx context.Context) error {
 	errRows := w.pollRows(ctx)
 	errList := w.pollList(ctx)
@@ -73,7 +73,7 @@
 	return w.members.Targets()
 }
 
-// VM returns what the VM's row said when it was last read.
+// VM returns the VM's row as last read.
 func (w *FleetWatcher) VM(vm core.VMID) (fleet.VMRow, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,18 +86,19 @@
 	return row.Pool, ok
 }
 
-// Refused tells that a VM answered that it is leaving.
+// Refused reports that a VM refused work because it is leaving.
 func (w *FleetWatcher) Refused(vm core.VMID) { w.handle(fleet.Refused{VM: vm}) }
 
-// Unreachable tells that no connection to a VM could be made.
+// Unreachable reports that no connection to a VM could be made.
 func (w *FleetWatcher) Unreachable(vm core.VMID) { w.handle(fleet.Unreachable{VM: vm}) }
 
-// Accepted tells that a VM took work that was sent at asked.
+// Accepted reports that a VM accepted work that was sent at sentAt.
 func (w *FleetWatcher) Accepted(vm core.VMID, sentAt time.Time) {
 	w.handle(fleet.Accepted{VM: vm, SentAt: sentAt})
 }
 
-// pollRows also hands on what the controller's polls and writes have changed.
+// pollRows polls the rows and processes all changes since the last call, including those
+// from the controller's polls and writes. It processes them even if its own poll fails.
 func (w *FleetWatcher) pollRows(ctx context.Context) error {
 	err := w.rows().Poll(ctx, w.Table, w.Zone)
 	if changed := w.rows().TakeChanged(); len(changed) > 0 {
--- a/io/platform/list_poller.go
+++ b/io/platform/list_poller.go
@@ -7,13 +7,13 @@
 	"lavenderpond/core"
 )
 
-// listEntryBytes is about what a VM takes in the live list.
+// listEntryBytes is the approximate size of a VM's record in the live list.
 const listEntryBytes = 48
 
-// listPoller spaces the polls of a zone's live list, which comes whole each time,
-// so that it takes no more than BytesPerSecond: a zone of 1,430 VMs has a list
-// of 70 KB, and a daemon 10 KB a second for all its control. Rows and connections
-// find a leaving VM sooner than a list that is read less often.
+// listPoller spaces the polls of a zone's live list, which is always sent whole, so that
+// they read no more than BytesPerSecond. A zone of 1,430 VMs has a list of 70 KB, and a
+// daemon may use 10 KB per second for all its control traffic. Rows and connections show
+// a leaving VM sooner than a list that is read less often.
 type listPoller struct {
 	BytesPerSecond int
 	nextPoll       time.Time
--- a/io/platform/platform.go
+++ b/io/platform/platform.go
@@ -1,5 +1,7 @@
-// Package platform speaks to the platform: its transactional table, its object
-// store and its list of live VMs, over HTTP with JSON.
+// Package platform accesses the cloud platform: its transactional table, its object
+// store, its list of live VMs and its control of VMs, over HTTP with JSON. It also
+// contains the loops that keep a daemon in step with the platform: ConfigWatcher,
+// FleetWatcher, Controller and Allotments.
 package platform
 
 import (
@@ -12,45 +14,47 @@
 	"lavenderpond/core/table"
 )
 
-// Table is the platform's transactional table. Errors are table.ErrConflict,
+// Table is the platform's transactional table. Its errors are table.ErrConflict,
 // table.ErrOutcomeUnknown and table.ErrUnreachable, possibly wrapped.
 type Table interface {
-	// Read returns the row of key, with Version 0 if there is none.
+	// Read returns the row under key. Its Version is 0 if there is no such row.
 	Read(ctx context.Context, key table.Key) (table.Row, error)
-	// Scan returns the rows under prefix and the revision they were read at.
+	// Scan returns the rows under prefix and the revision at which they were read.
 	Scan(ctx context.Context, prefix string) ([]table.Row, table.Revision, error)
-	// Changes returns the rows under prefix that changed after since, deleted ones
-	// with Version 0, and the revision to ask from next time.
+	// Changes returns the rows under prefix that changed after since, and the revision to
+	// pass to the next call. Deleted rows have Version 0.
 	Changes(ctx context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error)
 	// Transact applies t as a whole or not at all.
 	Transact(ctx context.Context, t table.Transaction) error
 }
 
-// ErrObjectNotFound is the object store's own word that it has no object of the name. It is
-// no outage: asking again doesn't help.
+// ErrObjectNotFound means that the object store answered that it has no object of the
+// given name. It isn't an outage, so a retry doesn't help.
 var ErrObjectNotFound = errors.New("object store: no such object")
 
 // Objects is the platform's object store. The monitor reads it.
 type Objects interface {
-	// Put stores data under name, replacing what was there.
+	// Put stores data under name and replaces an existing object.
 	Put(ctx context.Context, name string, data []byte) error
-	// Get returns the object, ErrNoObject if the store has none of that name, or
-	// table.ErrUnreachable if it can't be reached. Both errors may be wrapped.
+	// Get returns the object. It returns ErrObjectNotFound if the store has no object of
+	// that name, or table.ErrUnreachable if the store can't be reached, possibly wrapped.
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
-// Liveness is what the platform's list says of one VM, target or entry.
+// Liveness is the record of one VM in the platform's live list. The VM runs a target or
+// an entry.
 type Liveness struct {
 	Name    string      `json:"name"`
 	Zone    core.ZoneID `json:"zone"`
 	Leaving bool        `json:"leaving,omitempty"`
-	// Started tells runs of an entry's daemon apart; zero for targets.
+	// Started distinguishes successive runs of an entry's daemon. It is zero for targets.
 	Started time.Time `json:"started,omitzero"`
 }
 
-// LiveList is the platform's list of live and leaving VMs. It lags.
+// LiveList is the platform's list of VMs that are live or leaving. The list lags behind
+// the actual state.
 type LiveList interface {
-	// Live returns the VMs of zone that are live or leaving. A VM that was listed
-	// and no longer is has gone for good.
+	// Live returns the VMs of zone that are live or leaving. A VM that was listed before
+	// and is missing now is gone for good.
 	Live(ctx context.Context, zone core.ZoneID) ([]Liveness, error)
 }
--- a/io/platform/row_cache.go
+++ b/io/platform/row_cache.go
@@ -8,13 +8,14 @@
 	"lavenderpond/core/table"
 )
 
-// rowCodec tells how rows of a kind are decoded.
+// rowCodec decodes the rows of one kind and returns their versions.
 type rowCodec[T any] struct {
 	decode  func(table.Row) (T, error)
 	version func(*T) core.Version
 }
 
-// The decoded rows leave out the JSON: transactions need only key and version.
+// The codecs drop a row's JSON once it is decoded, because transactions need only its
+// key and version.
 var (
 	vmRowCodec = rowCodec[fleet.VMRow]{
 		decode: func(row table.Row) (fleet.VMRow, error) {
@@ -34,23 +35,26 @@
 	}
 )
 
-// rowCache follows the rows under a prefix by their changes, so that a poll
-// costs what changed and not what stands there. A row that can't be decoded is
-// left out, so that one bad row doesn't stop a zone's maintenance.
+// rowCache holds the decoded rows under a prefix and follows their changes, so that the
+// cost of a poll depends on the number of changes and not on the number of rows. A row
+// that can't be decoded is left out, so that one bad row doesn't stop a zone's
+// maintenance.
 type rowCache[T any] struct {
 	prefix   string
 	revision table.Revision
-	// rows are replaced when they change, and never changed themselves.
+	// A row in rows is replaced when it changes, and never modified.
 	rows map[table.Key]*T
-	// undecodable holds the rows that could not be decoded.
+	// undecodable holds the errors of the rows that could not be decoded.
 	undecodable map[table.Key]error
 }
 
-// put takes in a row and returns it decoded, or false if that changes nothing.
+// update stores a row and returns it decoded, or nil if it can't be decoded. It returns
+// false if the row changes nothing.
 //
-// A poll's answer may be older than a write of this daemon that was applied while
-// it was under way. Taken in, it would undo the write until the next poll, and a
-// controller would decide on it. The versions of a key never fall, so they tell.
+// A poll's answer may be older than a write by this daemon that was applied during the
+// poll. Storing the old row would undo the write until the next poll, and a controller
+// would base decisions on it. The versions of a key never decrease, so they show which
+// row is newer.
 func (c *rowCache[T]) update(row table.Row, codec rowCodec[T]) (*T, bool) {
 	if c.rows == nil {
 		c.rows, c.undecodable = make(map[table.Key]*T), make(map[table.Key]error)
--- a/io/platform/session_test.go
+++ b/io/platform/session_test.go
@@ -25,35 +25,35 @@
 
 const testStep = 5 * time.Second
 
-// faults are what a session goes through. Shares are per call.
+// faults are the faults that a session simulates. Fractions are per call.
 type faults struct {
 	lostAnswers, tableDown float64
-	// omittedVMs is the share of VMs that an answer about many leaves out, half of
-	// them after their order took effect.
+	// omittedVMs is the fraction of VMs that the reply to a bulk status check omits, half of
+	// them after their drain order took effect.
 	omittedVMs float64
-	// pauses is the share of calls before which the caller is paused for up to
-	// two minutes, while the fleet and the other controllers go on.
+	// pauses is the fraction of calls before which the caller is paused for up to two
+	// minutes, while the fleet and the other controllers continue.
 	pauses float64
 	// listLag is how old the live list is.
 	listLag time.Duration
-	// staleEntry keeps dispatching on the view that it had at the start.
+	// staleEntry makes one entry dispatch by the view that it had at the start.
 	staleEntry bool
-	// rackFails takes a rack down in the session.
+	// rackFails makes a rack fail during the session.
 	rackFails bool
-	// moves is the share of steps in which an operator moves a VM.
+	// moves is the fraction of steps in which an operator moves a VM.
 	moves float64
 	vms   sim.Faults
 }
 
-// maxUnseen is how long a failure may stay unknown to the stop that it should
-// prevent: the list lags, the lease's holder may be paused, and so may the one
-// that asks for the reboot.
+// maxUnseen is how long a failure may stay unknown to the planned stop that it should
+// prevent: the live list lags, the holder of the lease may be paused, and so may the
+// controller that sends the reboot.
 func (f faults) maxUnseen() time.Duration {
 	return f.listLag + leaseIntervals*testStep + testTiming.RebootWindow + 3*testStep
 }
 
-// session is one zone with two controllers and three entries, over a World.
-// Controllers reach the World only through fakes that fail and pause.
+// session is one zone with two controllers and three entries, on top of a sim.World.
+// Controllers access the World only through methods of the session, which fail and pause.
 type session struct {
 	t           *testing.T
 	faults      faults
@@ -62,16 +62,17 @@
 	controllers []*Controller
 	views       []map[fleet.Ref]fleet.State
 	listHistory []listSnapshot
-	// active is the controller that ticks; the other one goes on while it is paused.
+	// active is the controller that ticks. The other one continues while it is paused.
 	active int
 	paused bool
-	// ignoreDrain VMs take work while they drain.
+	// ignoreDrain makes VMs accept work while they drain.
 	ignoreDrain bool
-	// pauseWhen pauses the first controller once, for ten minutes, at a certain point.
+	// pauseWhen selects the point at which the first controller is paused once, for ten
+	// minutes.
 	pauseWhen             func(point string, vm fleet.Ref) bool
 	clockReadsSinceStatus int
 	lastStatusVM          fleet.Ref
-	// moving holds the VMs that an operator moves, by the pool they come from.
+	// moving holds the VMs that an operator moves, with the pool that they come from.
 	moving map[fleet.Ref]core.PoolID
 	moves  int
 }
@@ -110,7 +111,7 @@
 	return s
 }
 
-// run goes through up to four hours and returns when the maintenance ended.
+// run simulates up to four hours. It returns when the maintenance has ended.
 func (s *session) run() maintenance.Wave {
 	for n := range 4 * 720 {
 		if s.faults.rackFails && n == 60 {
@@ -133,7 +134,7 @@
 	return row.Wave
 }
 
-// advance moves the world on and lets each entry dispatch by its own view.
+// advance advances the World by one step and lets each entry dispatch by its own view.
 func (s *session) advance() {
 	s.world.Advance(testStep)
 	s.operate()
@@ -163,9 +164,9 @@
 	s.listHistory = append(s.listHistory, snapshot)
 }
 
-// operate lets an operator move a VM with its place, in a race with drains, and
-// keeps the true sizes of the pools: a place leaves with the VM and counts in the
-// new pool once the VM serves there.
+// operate lets an operator move a VM together with its place in the pool, in a race with
+// drains, and keeps track of the actual sizes of the pools: the place leaves the old pool with
+// the VM and counts in the new pool once the VM serves there.
 func (s *session) operate() {
 	for ref, from := range s.moving {
 		vm := s.world.Row(ref).VM
@@ -195,7 +196,7 @@
 	}
 }
 
-// checkPools compares the pools' counts with the VMs' rows: each VM is in one.
+// checkPools compares the pools' member counts with the VMs' rows. Each VM is in one pool.
 func (s *session) checkPools() error {
 	members := make(map[core.PoolID]int)
 	for _, m := range s.world.Machines() {
@@ -209,8 +210,8 @@
 	return nil
 }
 
-// pause stands between a controller's decision and its effect: for a while, the
-// world and the other controllers go on.
+// pause is called between a controller's decision and its effect. At random, it lets the
+// World and the other controller continue for a while.
 func (s *session) pause() {
 	if s.paused || s.rand.Float64() >= s.faults.pauses {
 		return
@@ -223,8 +224,8 @@
 	s.paused = false
 }
 
-// tick lets a controller work. Errors are lost answers and an unreachable table,
-// which the next tick has to cope with.
+// tick runs a tick of controller i. It ignores errors, which come from lost answers and an
+// unreachable table, and which the next tick must handle.
 func (s *session) tick(i int) {
 	before := s.active
 	s.active = i
@@ -287,7 +288,7 @@
 	return status, nil
 }
 
-// CheckVMs asks one VM after the other, so that pauses fall between any two.
+// CheckVMs checks one VM after the other, so that pauses happen between any two.
 func (s *session) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
 	var results []CheckResult
 	for _, request := range requests {
@@ -316,7 +317,7 @@
 	s.pause()
 	s.pauseAt("sent", vm)
 	if s.faults.staleEntry && s.rand.IntN(4) == 0 {
-		// The cut-off entry's task crosses the reboot.
+		// The task of the entry with the stale view crosses the reboot.
 		s.world.Dispatch(vm, 10*time.Second)
 	}
 	err := s.world.Reboot(vm, r.NotAfter, r.Fence)
--- a/io/platform/shared_list.go
+++ b/io/platform/shared_list.go
@@ -8,23 +8,23 @@
 	"lavenderpond/core"
 )
 
-// Pace of a SharedList.
+// Limits on the reads of a SharedList.
 const (
-	// sharedListBytesPerSecond is what reading the list may cost a daemon, in bytes a second.
+	// sharedListBytesPerSecond bounds what a daemon reads of a zone's list.
 	sharedListBytesPerSecond = 4 << 10
-	// sharedListEntryBytes is about what a line of the list costs on the wire.
+	// sharedListEntryBytes is the approximate size of a VM's record on the wire.
 	sharedListEntryBytes = 55
 	sharedListMinAge     = time.Second
-	// sharedListMaxAge keeps the list younger than the waits of those who judge by it:
-	// an entry that was never seen must be missing for 30 s to count as ended.
+	// sharedListMaxAge keeps the list younger than the waits of its readers: an entry that
+	// was never seen must be missing for 30 s to count as ended.
 	sharedListMaxAge = 15 * time.Second
 )
 
-// SharedList wraps a LiveList for all of a daemon's readers: it reads a zone's list
-// once for all of them, and a large one less often. Four readers, the fastest once
-// a second, cost an entry 72 KB/s in a zone of 1,430 VMs (docs/CAPACITY.md). A list
-// that can't be renewed is an error: an old one proves no one's end. LiveList and
-// Now must be set. It is safe for concurrent use.
+// SharedList caches a LiveList for all of a daemon's readers. It reads a zone's list once
+// for all of them, and reads a large list less often: four readers, the fastest of which
+// read once a second, cost an entry 72 KB/s in a zone of 1,430 VMs (docs/CAPACITY.md). If
+// a list can't be renewed, Live returns an error, because an old list doesn't prove that
+// a VM has ended. LiveList and Now must be set. A SharedList is safe for concurrent use.
 type SharedList struct {
 	LiveList LiveList
 	Now      func() time.Time
@@ -41,7 +41,7 @@
 
 var _ LiveList = (*SharedList)(nil)
 
-// Live implements LiveList. The caller must not change what it returns.
+// Live implements LiveList. The caller must not modify the result.
 func (s *SharedList) Live(ctx context.Context, zone core.ZoneID) ([]Liveness, error) {
 	z := s.zone(zone)
 	z.mu.Lock()
--- a/io/platform/shared_list_test.go
+++ b/io/platform/shared_list_test.go
@@ -25,9 +25,9 @@
 	return make([]Liveness, c.size), nil
 }
 
-// TestSharedListPaces: four readers ask ten times a second for a minute. A small
-// zone's list is read once a second, a large one's at the stated rate; a list that
-// can't be renewed is refused instead of served old.
+// Four readers read the list ten times a second for a minute. A small zone's list must be
+// fetched once a second, and a large one's at the configured rate. A list that can't be
+// renewed must be refused and not served from the cache.
 func TestSharedListPollRate(t *testing.T) {
 	for size, reads := range map[int]int{17: 60, 150: 29, 1430: 4} {
 		source := &countingList{size: size}
--- a/io/platform/standin/checks.go
+++ b/io/platform/standin/checks.go
@@ -16,19 +16,19 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Bounds of an answer about many VMs.
+// Bounds of a bulk status check.
 const (
-	// bulkCheckTimeout is how long the answer waits for VMs. Those that did not answer by
-	// then are left out.
+	// bulkCheckTimeout is how long the reply waits for VMs. VMs that haven't answered by
+	// then are omitted.
 	bulkCheckTimeout = time.Second
-	// maxConcurrentChecks bounds the VMs that are asked at the same time.
+	// maxConcurrentChecks bounds the VMs that are queried at the same time.
 	maxConcurrentChecks = 16
 )
 
-// errRefused says that a VM refused an order.
+// errRefused means that a VM refused an order.
 var errRefused = errors.New("the VM refused")
 
-// checkVMs passes orders on to many VMs and asks each for its state.
+// checkVMs forwards orders to many VMs and queries the status of each.
 func (s *Server) checkVMs(w http.ResponseWriter, r *http.Request) {
 	var bulk platform.BulkCheckRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&bulk); err != nil {
@@ -61,8 +61,8 @@
 	writeJSON(w, reply)
 }
 
-// checkVM returns false for a VM that the platform doesn't know, or of which it has
-// no answer in time.
+// checkVM returns false if the platform doesn't know the VM, or if the VM doesn't answer
+// in time.
 func (s *Server) checkVM(ctx context.Context, zone core.ZoneID, check platform.CheckRequest) (platform.CheckResult, bool) {
 	s.mu.Lock()
 	vm := s.live[liveKey(zone, string(check.VM))]
@@ -84,7 +84,7 @@
 	return result, true
 }
 
-// callVM sends request to a VM and decodes its reply, if one is wanted.
+// callVM sends request to a VM and decodes its reply into reply, unless that is nil.
 func callVM(ctx context.Context, method, url string, request, reply any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
--- a/io/platform/standin/checks_test.go
+++ b/io/platform/standin/checks_test.go
@@ -15,10 +15,10 @@
 	"lavenderpond/io/platform"
 )
 
-// A controller takes a VM for idle although a task started on it after its tasks
-// were counted, or for refusing work although it didn't take the order. The stand-in
-// orders first and counts then, tells for each VM whether it took its order, says
-// that a VM which doesn't answer is down, and leaves out one that it doesn't know.
+// A controller must not count a VM as idle if a task started on it after its tasks were
+// counted, or as refusing work if it didn't accept the order. The stand-in must forward the
+// order before it counts the tasks, report for each VM whether it accepted its order, report
+// a VM that doesn't answer as down, and omit a VM that it doesn't know.
 func TestCheckVMs(t *testing.T) {
 	var paths []string
 	vm := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/io/platform/standin/entries.go
+++ b/io/platform/standin/entries.go
@@ -15,21 +15,22 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Probing of entries: the platform knows by itself which entry VMs run.
+// Probing of entries. It stands in for the platform's own knowledge of which entry VMs
+// run.
 const (
 	probeInterval = 500 * time.Millisecond
 	probeTimeout  = 300 * time.Millisecond
 )
 
-// entryRow is what the stand-in reads of an entry's row.
+// entryRow is the part of an entry's row that the stand-in reads.
 type entryRow struct {
 	Entry core.EntryID `json:"entry"`
 	Zone  core.ZoneID  `json:"zone"`
 	Peer  string       `json:"peer"`
 }
 
-// WatchEntries keeps the entries whose process runs on the live list until ctx
-// ends. A frozen process counts as live: its VM is.
+// WatchEntries keeps the entries with a running process on the live list until ctx ends. A
+// frozen process counts as live, because its VM is.
 func (s *Server) WatchEntries(ctx context.Context) error {
 	return supervisor.Every(ctx, probeInterval, s.probeEntries)
 }
@@ -57,7 +58,7 @@
 	if err == nil {
 		_ = conn.Close()
 	}
-	// A VM that is slow to answer is still there: what isn't listed counts as gone
+	// A VM that is slow to answer still exists, and a VM that isn't listed counts as gone
 	// for good.
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/platform/standin/faults.go
+++ b/io/platform/standin/faults.go
@@ -10,20 +10,22 @@
 	"lavenderpond/io/platform"
 )
 
-// Faults says how the stand-in's table and object store misbehave.
+// Faults describes how the stand-in's table and object store fail.
 type Faults struct {
-	// DownUntil: requests are refused before then and change nothing.
+	// DownUntil is the end of an outage. Until then, requests are refused and change
+	// nothing.
 	DownUntil time.Time `json:"down_until,omitzero"`
-	// SlowUntil: each request takes Delay longer before then.
+	// SlowUntil is the end of a slowdown. Until then, each request is delayed by Delay.
 	SlowUntil time.Time     `json:"slow_until,omitzero"`
 	Delay     time.Duration `json:"delay,omitempty"`
 	// LoseAnswers is how many transactions take effect without an answer.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// CutZones are refused by the zone in platform.ZoneHeader: a partition.
+	// CutZones are the zones whose requests are refused, according to platform.ZoneHeader.
+	// This simulates a partition.
 	CutZones []core.ZoneID `json:"cut_zones,omitempty"`
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults in force.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +41,7 @@
 	s.SetFaults(f)
 }
 
-// withFaults wraps a handler with the faults in force.
+// withFaults wraps a handler so that the faults in force apply to it.
 func (s *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		f := s.takeFaults(r)
@@ -62,7 +64,8 @@
 	}
 }
 
-// takeFaults returns the faults that hit this request; a lost answer is used up.
+// takeFaults returns the faults that apply to this request, and counts down the lost
+// answers.
 func (s *Server) takeFaults(r *http.Request) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/platform/standin/live.go
+++ b/io/platform/standin/live.go
@@ -12,24 +12,23 @@
 	"lavenderpond/io/platform"
 )
 
-// LiveTimeout is how old the live list is at most before a VM that stopped saying
-// that it is there drops out.
+// LiveTimeout is how long a VM stays on the live list after its last report.
 const LiveTimeout = 3 * time.Second
 
-// liveVM is what a VM last said of itself.
+// liveVM is the last report of a VM.
 type liveVM struct {
 	platform.Liveness
-	// control is the URL at which the VM takes reboots; empty for entries.
+	// control is the base URL at which the VM takes orders; empty for entries.
 	control   string
 	expiresAt time.Time
 }
 
-// LiveReport is what a VM, or what stands in for it, says of itself. It repeats it
-// more often than LiveLag.
+// LiveReport is the report that a VM, or a program that stands in for it, sends about
+// itself. It is repeated more often than LiveTimeout.
 type LiveReport struct {
 	platform.Liveness
 	Control string `json:"control,omitempty"`
-	// Gone takes the VM off the list at once.
+	// Gone removes the VM from the list at once.
 	Gone bool `json:"gone,omitempty"`
 }
 
@@ -46,7 +45,7 @@
 	}
 }
 
-// updateLive takes in a post. The caller holds the mutex.
+// updateLive applies a report to the live list. The caller holds the mutex.
 func (s *Server) updateLive(report LiveReport) {
 	if s.live == nil {
 		s.live = make(map[string]*liveVM)
@@ -73,22 +72,22 @@
 	writeJSON(w, list)
 }
 
-// reboot passes the order on to the VM.
+// reboot forwards the order to the VM.
 func (s *Server) reboot(w http.ResponseWriter, r *http.Request) {
 	s.forwardToVM(w, r, http.MethodPost, "/control/reboot")
 }
 
-// drain passes the order on to the VM.
+// drain forwards the order to the VM.
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
 	s.forwardToVM(w, r, http.MethodPost, "/control/drain")
 }
 
-// getVM asks the VM for its state; a VM that doesn't answer is not up.
+// getVM queries the VM's status. A VM that doesn't answer is not up.
 func (s *Server) getVM(w http.ResponseWriter, r *http.Request) {
 	s.forwardToVM(w, r, http.MethodGet, "/control/state")
 }
 
-// VMState is what the platform says of a target VM.
+// VMState is the status of a target VM that the platform returns.
 type VMState struct {
 	Up      bool       `json:"up"`
 	Running core.Slots `json:"running"`
--- a/io/platform/standin/server.go
+++ b/io/platform/standin/server.go
@@ -1,6 +1,6 @@
-// Package standin is a small stand-in for the platform: its table, object
-// store, list of live VMs and reboots, in memory, over HTTP. It can be told to
-// be slow, down, or to lose answers after a write took effect.
+// Package standin is a small in-memory stand-in for the platform. It serves the table,
+// the object store, the list of live VMs and the control of VMs over HTTP. It can be made
+// to be slow, to be down, or to lose answers after a write took effect.
 package standin
 
 import (
@@ -17,13 +17,13 @@
 	"lavenderpond/io/platform"
 )
 
-// maxBody bounds a request to the stand-in, in bytes.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 16 << 20
 
-// Server is the stand-in. Its zero value works with the wall clock. It is safe
-// for concurrent use.
+// Server is the stand-in. The zero value is ready to use, with the wall clock. A Server
+// is safe for concurrent use.
 type Server struct {
-	// Now is the clock; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 
 	mu      sync.Mutex
@@ -35,7 +35,8 @@
 	writes  int64
 }
 
-// Handler returns the HTTP interface of the platform and of the faults.
+// Handler returns the HTTP interface of the platform and the stand-in's own routes, which
+// set faults, report live VMs and return request counts.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.PathRows, s.withFaults(s.getRows))
--- a/io/platform/vm_control.go
+++ b/io/platform/vm_control.go
@@ -14,60 +14,61 @@
 	"lavenderpond/core/table"
 )
 
-// PathVMs is the HTTP path of the platform's control of VMs. Below it stand
+// PathVMs is the HTTP path of the platform's VM control. The requests below it are
 //
-//	GET  {zone}/{vm}         the VMStatus; 410 if there is no such VM any more
-//	POST {zone}/looks        with Looks: the VMLooks of many VMs
-//	POST {zone}/{vm}/drain   with a DrainRequest; 409 if its fence is too low
-//	POST {zone}/{vm}/reboot  with a RebootRequest; 409 also once NotAfter has passed
+//	GET  {zone}/{vm}         returns the VMStatus; 410 if the VM no longer exists
+//	POST {zone}/looks        takes a BulkCheckRequest and returns a BulkCheckReply
+//	POST {zone}/{vm}/drain   takes a DrainRequest; 409 if its fence is too low
+//	POST {zone}/{vm}/reboot  takes a RebootRequest; 409 also once NotAfter has passed
 const PathVMs = "/vms/"
 
-// VMStatus is what the platform says of a VM now.
+// VMStatus is the current status of a VM according to the platform.
 type VMStatus struct {
 	Up bool `json:"up"`
 	// Running is how many tasks run on the VM.
 	Running int `json:"running"`
 }
 
-// DrainRequest makes a VM refuse new work, with "leaving", until Until. What
-// runs there goes on. It outlives a reboot; a time that has passed ends it.
+// DrainRequest makes a VM refuse new work, with "leaving", until Until. Tasks that run
+// there continue. The order survives a reboot; a time that has passed ends it.
 type DrainRequest struct {
 	Until time.Time `json:"until"`
-	// Fence is the version of the VM's row that the request follows from. The
-	// platform keeps the highest and answers 409 to a lower one: a late request of
-	// a controller that was paused would take a VM out that serves again.
+	// Fence is the version of the VM's row on which the request is based. The platform
+	// keeps the highest one and answers 409 to a lower one. Otherwise, a late request by a
+	// controller that was paused would take a VM out that serves again.
 	Fence core.Version `json:"fence"`
 }
 
-// RebootRequest reboots a VM. The platform refuses it after NotAfter, and with a
-// Fence that is too low.
+// RebootRequest reboots a VM. The platform refuses it after NotAfter, or if its Fence is
+// too low.
 type RebootRequest struct {
 	NotAfter time.Time    `json:"not_after"`
 	Fence    core.Version `json:"fence"`
 }
 
-// CheckRequest asks for the state of VM, after it got the order of Drain, if there
-// is one: in this order nothing can start on a VM that refuses work after its tasks
-// were counted.
+// CheckRequest asks for the status of VM after the VM got the Drain order, if there is
+// one. In this order, nothing can start on a VM that refuses work after its tasks were
+// counted.
 type CheckRequest struct {
 	VM    core.VMID     `json:"vm"`
 	Drain *DrainRequest `json:"drain,omitempty"`
 }
 
-// CheckResult answers a LookRequest.
+// CheckResult is the answer to a CheckRequest.
 type CheckResult struct {
 	VM core.VMID `json:"vm"`
 	VMStatus
-	// Drained says that the VM took the order of Drain.
+	// Drained is true if the VM accepted the Drain order.
 	Drained bool `json:"drained,omitempty"`
 }
 
-// BulkCheckRequest is the body of a request for the state of many VMs.
+// BulkCheckRequest is the body of a request for the status of many VMs.
 type BulkCheckRequest struct {
 	VMs []CheckRequest `json:"vms"`
 }
 
-// BulkCheckReply is the reply to Looks. Nothing is known of a VM that isn't in it.
+// BulkCheckReply is the reply to a BulkCheckRequest. Nothing is known about a VM that it
+// omits.
 type BulkCheckReply struct {
 	VMs []CheckResult `json:"vms"`
 }
@@ -76,14 +77,14 @@
 type VMControl interface {
 	// Drain makes vm refuse new work until the given time.
 	Drain(ctx context.Context, vm fleet.Ref, r DrainRequest) error
-	// Reboot reboots vm unless it is too late. Nil means that it was taken.
+	// Reboot reboots vm unless it is too late. Nil means that the request was accepted.
 	Reboot(ctx context.Context, vm fleet.Ref, r RebootRequest) error
-	// Status returns what vm is doing. A VM that is gone is not up; of one that the
-	// platform doesn't know nothing is known, and that is an error.
+	// Status returns the current status of vm. A VM that is gone is not up. A VM that the
+	// platform doesn't know is an error, because nothing is known about it.
 	Status(ctx context.Context, vm fleet.Ref) (VMStatus, error)
-	// CheckVMs does for many VMs of zone in one call what Drain and Status do for one. Of
-	// VMs that its answer leaves out nothing is known, and after an error of none; an
-	// order may have taken effect all the same.
+	// CheckVMs does for many VMs of zone in one call what Drain and Status do for one.
+	// Nothing is known about VMs that the result omits, nor about any VM after an error. A
+	// Drain order may have taken effect even so.
 	CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error)
 }
 
--- a/io/platform/vm_control_test.go
+++ b/io/platform/vm_control_test.go
@@ -16,8 +16,8 @@
 	"lavenderpond/core/table"
 )
 
-// The controller takes a VM for failed only by the platform's word. A platform
-// that doesn't know the path, or breaks off, must not take a fleet down.
+// The controller counts a VM as failed only if the platform says so. A platform that doesn't
+// know the path, or breaks off its reply, must not take a fleet out of service.
 func TestVMControlReplies(t *testing.T) {
 	status, body, request := http.StatusOK, `{"up":true,"running":3}`, ""
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,8 +60,8 @@
 	return make([]Liveness, l.vms), nil
 }
 
-// A large zone's list is read less often: polled every second, it would take a
-// daemon's network several times over. A small zone's is read on every poll.
+// A large zone's list must be read less often: if it were read every second, it would exceed
+// a daemon's network budget several times over. A small zone's list is read in every poll.
 func TestListPoller(t *testing.T) {
 	for vms, want := range map[int]int{17: 60, 1430: 3} {
 		l, now := &pollCounter{vms: vms}, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
@@ -75,9 +75,9 @@
 	}
 }
 
-// A controller would take VMs out of service by an answer about many of them that
-// is none: from a platform that doesn't know the path, or cut off on its way. Each
-// is an error, and nothing is known of any VM.
+// A reply that doesn't come from the status check, because the platform doesn't know the
+// path, or that is cut off must be an error that says nothing about any VM. Otherwise a
+// controller would take VMs out of service because of it.
 func TestCheckVMsReplies(t *testing.T) {
 	status, body, request := http.StatusOK, `{"vms":[{"vm":"a","up":true,"running":3,"drained":true}]}`, ""
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -104,9 +104,9 @@
 	}
 }
 
-// A monitor or operator asks for an object. The store's own 404 says that there is
-// none; any other refusal is an outage and worth another try. With both the same, one
-// lost audit record looked like a platform that is down.
+// The store's own 404 means that there is no such object. Any other refusal is an outage
+// that is worth a retry. If both were the same error, one lost audit record would look like a
+// platform outage to a monitor or operator.
 func TestGetMissingObject(t *testing.T) {
 	status := http.StatusNotFound
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
