--- a/io/platform/allot_limits_test.go
+++ b/io/platform/allot_limits_test.go
@@ -34,7 +34,7 @@
 			for _, d := range w.entry.allotments.Dump() {
 				w.entry.allotments.Config.View(func(v *config.View) {
 					team, _ := v.Team(now, d.Team)
-					assert.Assert(t, team.Limit == d.Limit, "seed %d at %s: %s has %d, not %d", seed, now, d.Team, d.Limit, team.Limit)
+					assert.Assert(t, team.Limit == d.Limit, "seed %d at %s: limit of %s is %d, want %d", seed, now, d.Team, d.Limit, team.Limit)
 				})
 				compared++
 			}
--- a/io/platform/allotments_test.go
+++ b/io/platform/allotments_test.go
@@ -109,7 +109,7 @@
 		e.allotments.Release(ctx)
 		cancel()
 		if !assumeLostApplied && !e.allotments.released() {
-			t.Logf("seed %d: not released: %+v pending %d", seed, e.allotments.Dump(), len(e.allotments.pending))
+			t.Logf("seed %d: slots not released: %+v, %d commands pending", seed, e.allotments.Dump(), len(e.allotments.pending))
 		}
 	}
 	var row limit.TeamRow
@@ -127,14 +127,14 @@
 		exceeded, maxRunning := 0, 0
 		for seed := range uint64(seeds) {
 			running, remaining := runAllotments(t, seed, assumeLostApplied)
-			assert.Check(t, assumeLostApplied || running <= allotLimit, "seed %d: %d run, limit %d", seed, running, allotLimit)
-			assert.Check(t, assumeLostApplied || remaining == 0, "seed %d: parts of %d left", seed, remaining)
+			assert.Check(t, assumeLostApplied || running <= allotLimit, "seed %d: %d requests run, limit %d", seed, running, allotLimit)
+			assert.Check(t, assumeLostApplied || remaining == 0, "seed %d: %d slots still allotted", seed, remaining)
 			maxRunning = max(maxRunning, running)
 			if running > allotLimit {
 				exceeded++
 			}
 		}
-		t.Logf("lost answers taken for success %t: %d of %d seeds above the limit of %d, at most %d ran", assumeLostApplied, exceeded, seeds, allotLimit, maxRunning)
+		t.Logf("assume lost answers applied %t: %d of %d seeds above the limit of %d, at most %d requests ran", assumeLostApplied, exceeded, seeds, allotLimit, maxRunning)
 		assert.Check(t, assumeLostApplied == (exceeded > 0))
 	}
 }
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -127,11 +127,11 @@
 			}
 			done += len(o.done)
 			if wrongChanges > 0 {
-				assert.Check(t, ignoreRecord, "seed %d: %d changes taken twice or told wrongly", seed, wrongChanges)
+				assert.Check(t, ignoreRecord, "seed %d: %d changes took effect twice or were reported wrongly", seed, wrongChanges)
 				wrongSeeds++
 			}
 		}
-		t.Logf("record of the change id off %t: %d of %d seeds wrong, %d changes done, %d lost a race", ignoreRecord, wrongSeeds, seeds, done, races)
+		t.Logf("ignore the record of the change id %t: %d of %d seeds wrong, %d changes done, %d refused after a race", ignoreRecord, wrongSeeds, seeds, done, races)
 		assert.Check(t, wrongSeeds > 0 == ignoreRecord)
 	}
 }
--- a/io/platform/config_watcher.go
+++ b/io/platform/config_watcher.go
@@ -42,7 +42,7 @@
 	return supervisor.Child{Name: "watcher", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, w.interval(), func(ctx context.Context) {
 			if err := w.Poll(ctx); err != nil {
-				w.Log.Debug().Err(err).Msg("configuration not polled")
+				w.Log.Debug().Err(err).Msg("failed to poll the configuration")
 			}
 		})
 	}}
--- a/io/platform/controller_check.go
+++ b/io/platform/controller_check.go
@@ -98,7 +98,7 @@
 	observations := make([]*maintenance.Observation, len(batch))
 	results, err := c.VMs.CheckVMs(ctx, c.Zone, requests)
 	if err != nil {
-		c.Log.Debug().Err(err).Int("vms", len(requests)).Msg("VMs not looked at")
+		c.Log.Debug().Err(err).Int("vms", len(requests)).Msg("status check of VMs failed")
 		return observations
 	}
 	for _, result := range results {
--- a/io/platform/controller_late_reboot_test.go
+++ b/io/platform/controller_late_reboot_test.go
@@ -47,11 +47,11 @@
 		cut                         int
 	}{
 		{"decided, all safeguards", "decided", false, false, 0},
-		{"decided, platform takes late requests", "decided", false, true, 0},
-		{"decided, clock not looked at", "decided", true, false, 0},
+		{"decided, platform accepts late requests", "decided", false, true, 0},
+		{"decided, clock not checked", "decided", true, false, 0},
 		{"decided, neither", "decided", true, true, 1},
 		{"sent, all safeguards", "sent", false, false, 0},
-		{"sent, platform takes late requests", "sent", false, true, 1},
+		{"sent, platform accepts late requests", "sent", false, true, 1},
 	} {
 		s := newSession(t, 1, faults{})
 		s.world.Unfenced = c.unfenced
--- a/io/platform/controller_step.go
+++ b/io/platform/controller_step.go
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	if err := c.VMs.Reboot(ctx, vm.Ref, RebootRequest{NotAfter: notAfter, Fence: vm.Row.Version}); err != nil {
-		c.Log.Warn().Err(err).Str("vm", vm.Ref.String()).Msg("reboot not taken")
+		c.Log.Warn().Err(err).Str("vm", vm.Ref.String()).Msg("reboot not accepted")
 		return false
 	}
 	return true
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -62,7 +62,7 @@
 	const seeds = 60
 	totals := runSessions(t, seeds, allFaults, nil)
 	t.Logf("%+v of %d sessions", totals, seeds)
-	assert.Assert(t, totals.finished > seeds/2, "the maintenance must also get done: %+v", totals)
+	assert.Assert(t, totals.finished > seeds/2, "too few sessions finished the maintenance: %+v", totals)
 }
 
 // If VMs don't refuse work, requests from the entry with the stale view run at the time of a
@@ -70,7 +70,7 @@
 func TestSessionsWithoutRefusal(t *testing.T) {
 	const seeds = 10
 	totals := runSessions(t, seeds, allFaults, func(s *session) { s.ignoreDrain = true })
-	t.Logf("VM takes work while it drains: %+v of %d sessions", totals, seeds)
+	t.Logf("VMs accept work while they drain: %+v of %d sessions", totals, seeds)
 	assert.Assert(t, totals.cutOff > 0)
 }
 
@@ -96,7 +96,7 @@
 	s.advance()
 	s.faults.tableDown = 1
 	assert.Assert(t, w.Poll(ctx) != nil)
-	assert.Equal(t, len(w.Targets()), all-1, "one is back by its probe, one is no longer listed")
+	assert.Equal(t, len(w.Targets()), all-1, "one VM accepted a probe, another is no longer listed")
 	_, known := w.VM("vm00002")
 	assert.Assert(t, known, "an unreachable table must not empty the view")
 	pool, ok := w.Pool("pool000")
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -104,7 +104,7 @@
 	startedAt := z.world.Now
 	assert.NilError(z.t, z.controllers[0].Tick(z.t.Context()))
 	took := z.world.Now.Sub(startedAt)
-	assert.Assert(z.t, z.checked <= maxChecksPerTick, "%d VMs looked at in a tick", z.checked)
+	assert.Assert(z.t, z.checked <= maxChecksPerTick, "%d VMs checked in a tick", z.checked)
 	z.world.Advance(testStep)
 	return took
 }
@@ -143,9 +143,9 @@
 	ticks, longest := 0, time.Duration(0)
 	for ; z.count(fleet.Failed) < all; ticks++ {
 		longest = max(longest, z.tick())
-		assert.Assert(t, ticks < 40, "%d of %d recorded", z.count(fleet.Failed), all)
+		assert.Assert(t, ticks < 40, "%d of %d recorded as failed", z.count(fleet.Failed), all)
 	}
-	t.Logf("%d ticks until all are recorded, the longest %s", ticks, longest)
+	t.Logf("%d ticks until all VMs are recorded as failed, the longest %s", ticks, longest)
 
 	// A VM that has been out for long is checked once a minute.
 	checks, minutes := 0, 0
@@ -155,20 +155,20 @@
 			z.tick()
 		}
 	}
-	t.Logf("%d looks in the last of %d minutes out", checks, minutes)
-	assert.Assert(t, checks < all+all/4, "%d looks at %d VMs in a minute", checks, all)
+	t.Logf("%d status checks in the last of %d minutes out of service", checks, minutes)
+	assert.Assert(t, checks < all+all/4, "%d status checks of %d VMs in a minute", checks, all)
 
 	for z.world.Now.Before(returnAt) {
 		z.tick()
 	}
 	for ticks = 0; z.count(fleet.Serving) < all; ticks++ {
 		longest = max(longest, z.tick())
-		assert.Assert(t, ticks < 40, "%d of %d serve", z.count(fleet.Serving), all)
+		assert.Assert(t, ticks < 40, "%d of %d VMs serve", z.count(fleet.Serving), all)
 	}
-	t.Logf("%d ticks and %s until all serve, the longest %s", ticks, z.world.Now.Sub(returnAt), longest)
-	assert.Equal(t, z.singleChecks, 0, "VMs looked at one by one")
+	t.Logf("%d ticks and %s until all VMs serve, the longest %s", ticks, z.world.Now.Sub(returnAt), longest)
+	assert.Equal(t, z.singleChecks, 0, "VMs checked one by one")
 	assert.Assert(t, longest < 2*testStep)
-	assert.Equal(t, z.lease().Epoch, core.Epoch(1), "the second entry never took the lease")
+	assert.Equal(t, z.lease().Epoch, core.Epoch(1), "the second entry must not take the lease")
 }
 
 // With calls that take nearly as long as the request timeout, planning alone makes a tick
@@ -225,7 +225,7 @@
 		failed := z.count(fleet.Failed)
 		assert.Equal(t, z.count(fleet.Serving), all-failed, name)
 		if name == "partial" {
-			assert.Assert(t, failed > 0 && failed < len(failing), "%d", failed)
+			assert.Assert(t, failed > 0 && failed < len(failing), "%d recorded as failed", failed)
 		} else {
 			assert.Equal(t, failed, 0, name)
 		}
@@ -282,5 +282,5 @@
 	z.world.FailAll(failing[1:], time.Hour)
 	z.world.Advance(leaseIntervals * testStep)
 	assert.NilError(t, z.controllers[1].Tick(t.Context()))
-	assert.Equal(t, z.count(fleet.Failed), 2, "at another controller")
+	assert.Equal(t, z.count(fleet.Failed), 2, "after a takeover by another controller")
 }
--- a/io/platform/fleet_rows_test.go
+++ b/io/platform/fleet_rows_test.go
@@ -58,7 +58,7 @@
 
 	assert.NilError(t, rows.Poll(ctx, s, "z0"))
 	again, _ := rows.VM(key)
-	assert.Equal(t, again, vm, "the same version again is no change")
+	assert.Equal(t, again, vm, "a row with the same version must not replace the cached one")
 }
 
 // An entry's controller takes a VM out of service, and then the table becomes unreachable.
@@ -76,5 +76,5 @@
 	assert.NilError(t, c.Tick(t.Context()))
 	s.faults.tableDown = 1
 	assert.ErrorIs(t, w.Poll(t.Context()), table.ErrUnreachable)
-	assert.Equal(t, len(w.Targets()), all-1, "the wave began with one VM")
+	assert.Equal(t, len(w.Targets()), all-1, "the wave takes one VM out first")
 }
--- a/io/platform/vm_control.go
+++ b/io/platform/vm_control.go
@@ -117,7 +117,7 @@
 func (c *Client) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
 	body, err := json.Marshal(BulkCheckRequest{VMs: requests})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode looks")
+		return nil, errors.Wrap(err, "encode status check")
 	}
 	data, status, err := c.do(ctx, http.MethodPost, c.BaseURL+PathVMs+url.PathEscape(string(zone))+"/looks", body)
 	if err := c.expectOK(data, status, err); err != nil {
@@ -125,7 +125,7 @@
 	}
 	var reply BulkCheckReply
 	if err := json.Unmarshal(data, &reply); err != nil {
-		return nil, errors.Wrap(err, "decode looks")
+		return nil, errors.Wrap(err, "decode status check")
 	}
 	return reply.VMs, nil
 }
--- a/io/platform/vm_control_test.go
+++ b/io/platform/vm_control_test.go
@@ -46,7 +46,7 @@
 	assert.Assert(t, !got.Up)
 	for _, status = range []int{http.StatusNotFound, http.StatusInternalServerError} {
 		_, err = c.Status(ctx, vm)
-		assert.Assert(t, err != nil, "status %d says nothing of the VM", status)
+		assert.Assert(t, err != nil, "status %d says nothing about the VM", status)
 	}
 	status, body = http.StatusOK, `{"up":tr`
 	_, err = c.Status(ctx, vm)
@@ -97,10 +97,10 @@
 
 	body = body[:len(body)/2]
 	results, err = c.CheckVMs(t.Context(), "z", requests)
-	assert.Assert(t, err != nil && results == nil, "a cut answer")
+	assert.Assert(t, err != nil && results == nil, "truncated reply")
 	for _, status = range []int{http.StatusGone, http.StatusNotFound, http.StatusInternalServerError} {
 		results, err = c.CheckVMs(t.Context(), "z", requests)
-		assert.Assert(t, err != nil && results == nil, "status %d says nothing of the VMs", status)
+		assert.Assert(t, err != nil && results == nil, "status %d says nothing about the VMs", status)
 	}
 }
 
