--- a/io/platform/allot_limits_test.go
+++ b/io/platform/allot_limits_test.go
@@ -72,7 +72,7 @@
 	case 5, 6:
 		assert.NilError(w.t, w.entry.watcher.Poll(context.Background()))
 	case 7:
-		w.tellWithGap(team)
+		w.receiveWithGap(team)
 	}
 }
 
@@ -81,9 +81,9 @@
 	_, _ = Apply(context.Background(), w.table, c, core.ChangeID(fmt.Sprint("c", w.changeCount)), now)
 }
 
-// tellWithGap delivers the latest rows like a peer that overestimates what this entry
+// receiveWithGap delivers the latest rows like a peer that overestimates what this entry
 // knows: the rows are applied, but the view isn't complete up to them.
-func (w *configChanger) tellWithGap(team core.TeamID) {
+func (w *configChanger) receiveWithGap(team core.TeamID) {
 	head := w.table.rows.Read(table.ConfigHead)
 	var h config.Head
 	assert.NilError(w.t, head.Decode(&h))
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -43,8 +43,8 @@
 	return z
 }
 
-// spendCall advances the clock by the duration of a call.
-func (z *slowZone) spendCall() {
+// simulateCall advances the clock by the duration of a call.
+func (z *slowZone) simulateCall() {
 	z.world.Advance(z.delay)
 	if z.otherTicking || z.world.Now.Before(z.otherTickAt) {
 		return
@@ -55,17 +55,17 @@
 }
 
 func (z *slowZone) Read(ctx context.Context, key table.Key) (table.Row, error) {
-	z.spendCall()
+	z.simulateCall()
 	return z.session.Read(ctx, key)
 }
 
 func (z *slowZone) Changes(ctx context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
-	z.spendCall()
+	z.simulateCall()
 	return z.session.Changes(ctx, prefix, since)
 }
 
 func (z *slowZone) Transact(ctx context.Context, tx table.Transaction) error {
-	z.spendCall()
+	z.simulateCall()
 	return z.session.Transact(ctx, tx)
 }
 
@@ -81,7 +81,7 @@
 }
 
 func (z *slowZone) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
-	z.spendCall()
+	z.simulateCall()
 	if !z.otherTicking {
 		z.checked += len(requests)
 	}
@@ -93,7 +93,7 @@
 }
 
 func (z *slowZone) Status(ctx context.Context, vm fleet.Ref) (VMStatus, error) {
-	z.spendCall()
+	z.simulateCall()
 	z.singleChecks++
 	return z.session.Status(ctx, vm)
 }
@@ -250,8 +250,8 @@
 	assert.Equal(t, z.count(fleet.Draining), len(z.world.Pools()))
 	z.alterReply = func(results []CheckResult) ([]CheckResult, error) {
 		z.world.Advance(testTiming.HoldDuration)
-		for _, l := range results {
-			z.world.Dispatch(fleet.Ref{Zone: "z0", VM: l.VM}, time.Hour)
+		for _, result := range results {
+			z.world.Dispatch(fleet.Ref{Zone: "z0", VM: result.VM}, time.Hour)
 		}
 		return results, nil
 	}
--- a/io/platform/fleet_rows.go
+++ b/io/platform/fleet_rows.go
@@ -81,9 +81,9 @@
 			row.Version = t.Checks[i].Version + 1
 		}
 		switch {
-		case r.vms.contains(w.Key):
+		case r.vms.covers(w.Key):
 			r.updateVM(row)
-		case r.pools.contains(w.Key):
+		case r.pools.covers(w.Key):
 			r.updatePool(row)
 		}
 	}
--- a/io/platform/row_cache.go
+++ b/io/platform/row_cache.go
@@ -75,6 +75,6 @@
 	return &v, true
 }
 
-func (c *rowCache[T]) contains(key table.Key) bool {
+func (c *rowCache[T]) covers(key table.Key) bool {
 	return c.prefix != "" && strings.HasPrefix(string(key), c.prefix)
 }
--- a/io/platform/shared_list.go
+++ b/io/platform/shared_list.go
@@ -14,10 +14,10 @@
 	sharedListBytesPerSecond = 4 << 10
 	// sharedListEntryBytes is the approximate size of a VM's record on the wire.
 	sharedListEntryBytes = 55
-	sharedListMinAge     = time.Second
-	// sharedListMaxAge keeps the list younger than the waits of its readers: an entry that
+	sharedListMinTTL     = time.Second
+	// sharedListMaxTTL keeps the list younger than the waits of its readers: an entry that
 	// was never seen must be missing for 30 s to count as ended.
-	sharedListMaxAge = 15 * time.Second
+	sharedListMaxTTL = 15 * time.Second
 )
 
 // SharedList caches a LiveList for all of a daemon's readers. It reads a zone's list once
@@ -54,8 +54,8 @@
 	if err != nil {
 		return nil, err
 	}
-	pace := time.Duration(len(list)*sharedListEntryBytes) * time.Second / sharedListBytesPerSecond
-	z.list, z.validUntil = list, now.Add(min(max(pace, sharedListMinAge), sharedListMaxAge))
+	ttl := time.Duration(len(list)*sharedListEntryBytes) * time.Second / sharedListBytesPerSecond
+	z.list, z.validUntil = list, now.Add(min(max(ttl, sharedListMinTTL), sharedListMaxTTL))
 	return list, nil
 }
 
--- a/io/platform/shared_list_test.go
+++ b/io/platform/shared_list_test.go
@@ -43,7 +43,7 @@
 		}
 		assert.Equal(t, source.reads, reads, "size %d", size)
 		source.down = true
-		now = now.Add(sharedListMaxAge)
+		now = now.Add(sharedListMaxTTL)
 		_, err := s.Live(t.Context(), "zone_a")
 		assert.ErrorIs(t, err, table.ErrUnreachable)
 	}
--- a/io/platform/vm_control.go
+++ b/io/platform/vm_control.go
@@ -85,7 +85,7 @@
 	// CheckVMs does for many VMs of zone in one call what Drain and Status do for one.
 	// Nothing is known about VMs that the result omits, nor about any VM after an error. A
 	// Drain order may have taken effect even so.
-	CheckVMs(ctx context.Context, zone core.ZoneID, asks []CheckRequest) ([]CheckResult, error)
+	CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error)
 }
 
 var _ VMControl = (*Client)(nil)
