--- a/io/platform/allot_limits.go
+++ b/io/platform/allot_limits.go
@@ -24,8 +24,9 @@
 	validUntil time.Time
 }
 
-// configurationEvents returns the attestations of zones and the limits that may have
-// changed: those of all teams, or only those of teams that are new to the ledger.
+// configurationEvents returns for each zone whether it is attested to be down, and the
+// limits that may have changed: those of all teams, or only those of teams that are new to
+// the ledger.
 func (a *Allotments) configurationEvents() []limit.Event {
 	now := a.Now()
 	events := make([]limit.Event, 0, len(a.Config.Zones)+1)
--- a/io/platform/allot_limits_test.go
+++ b/io/platform/allot_limits_test.go
@@ -190,7 +190,8 @@
 		assert.Equal(t, tbl.polls[table.PrefixTeamAllotment], polls)
 	}
 
-	// After a changed limit nothing of the team starts until the rows were read again.
+	// After a limit changed, no request of the team starts until the rows are read again, so
+	// that the team rows are read in the next poll.
 	entry.rounds(&now, 30)
 	for clear(tbl.polls); tbl.polls[table.PrefixTeamAllotment] == 0; {
 		entry.rounds(&now, 1)
--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -57,7 +57,7 @@
 	Ledger limit.Ledger
 	mu     sync.Mutex
 
-	// driver serializes rounds and guards the fields below.
+	// driver serializes rounds and guards the fields below, up to pending.
 	driver sync.Mutex
 	// The revisions up to which the zone's and the teams' rows were read.
 	zoneRowsRevision, teamRowsRevision table.Revision
@@ -190,8 +190,6 @@
 		return nil
 	}
 	sentAt := a.Now()
-	// The team's rows are read last: whatever move the zone's rows show, the team's
-	// are as new.
 	zone, zoneRevision, err := a.Table.Changes(ctx, table.PrefixZoneAllotment(a.Ledger.Zone), a.zoneRowsRevision)
 	if err != nil {
 		return nil
--- a/io/platform/controller.go
+++ b/io/platform/controller.go
@@ -16,6 +16,7 @@
 
 // Defaults of Controller.
 const (
+	// DefaultControlInterval is the time between two ticks.
 	DefaultControlInterval = 5 * time.Second
 	// maxStepsPerTick bounds the steps of one VM in a tick. A stop and its reboot must
 	// happen in the same tick: by the next one, the reboot's deadline may have passed.
--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -19,7 +19,8 @@
 	takeoverDelayIntervals = 2
 )
 
-// errLeaseLost ends the tick of a controller that lost its lease during a long pause.
+// errLeaseLost ends the tick of a controller that lost its lease, for example during a long
+// pause.
 var errLeaseLost = errors.New("another entry is the zone's controller now")
 
 // ensureLease acquires, renews or releases the lease at the start of a tick, or leaves it
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -172,8 +172,8 @@
 }
 
 // With calls that take nearly as long as the request timeout, planning alone makes a tick
-// outlast the lease, whatever bounds its status checks. The lease must be renewed within the
-// tick, so that the second entry doesn't take it.
+// outlast the lease, regardless of the bounds on its status checks. The lease must be renewed
+// within the tick, so that the second entry doesn't take it.
 func TestLeaseKeptInLongTick(t *testing.T) {
 	z := newSlowZone(t, DefaultTimeout-100*time.Millisecond)
 	z.controllers[0].Planner = onePerPoolPlanner{}
@@ -261,8 +261,8 @@
 }
 
 // If the only suspicion against a failed VM were lost, its pool's budget would be used as if
-// the VM served. The suspicion must outlive a tick that ends early because the table is
-// unreachable, and a takeover by an entry that never read a list with the VM on it.
+// the VM served. The VM must be recorded as failed even if a tick ends early because the
+// table is unreachable, or if an entry takes over that never read a list with the VM on it.
 func TestSuspicionNotLost(t *testing.T) {
 	z := newSlowZone(t, time.Millisecond)
 	z.otherTickAt = z.world.Now.AddDate(1, 0, 0)
--- a/io/platform/fleet_rows.go
+++ b/io/platform/fleet_rows.go
@@ -30,7 +30,7 @@
 	unreported map[table.Key]*fleet.VMRow
 }
 
-// Poll reads the changes of zone's VMs and of the pools.
+// Poll reads the changes to zone's VMs and to the pools.
 func (r *FleetRows) Poll(ctx context.Context, t Table, zone core.ZoneID) error {
 	r.pollMu.Lock()
 	defer r.pollMu.Unlock()
--- a/io/platform/row_cache.go
+++ b/io/platform/row_cache.go
@@ -75,6 +75,7 @@
 	return &v, true
 }
 
+// covers reports whether key is under the cache's prefix.
 func (c *rowCache[T]) covers(key table.Key) bool {
 	return c.prefix != "" && strings.HasPrefix(string(key), c.prefix)
 }
--- a/io/platform/session_test.go
+++ b/io/platform/session_test.go
@@ -60,6 +60,7 @@
 	rand        *rand.Rand
 	world       *sim.World
 	controllers []*Controller
+	// views holds for each entry the states of the VMs by which it dispatches.
 	views       []map[fleet.Ref]fleet.State
 	listHistory []listSnapshot
 	// active is the controller that ticks. The other one continues while it is paused.
--- a/io/platform/shared_list.go
+++ b/io/platform/shared_list.go
@@ -15,7 +15,7 @@
 	// sharedListEntryBytes is the approximate size of a VM's record on the wire.
 	sharedListEntryBytes = 55
 	sharedListMinTTL     = time.Second
-	// sharedListMaxTTL keeps the list younger than the waits of its readers: an entry that
+	// sharedListMaxTTL keeps the list younger than the waits of its readers. An entry that
 	// was never seen must be missing for 30 s to count as ended.
 	sharedListMaxTTL = 15 * time.Second
 )
--- a/io/platform/standin/entries.go
+++ b/io/platform/standin/entries.go
@@ -53,7 +53,7 @@
 	d := net.Dialer{Timeout: probeTimeout}
 	conn, err := d.DialContext(ctx, "tcp", e.Peer)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return // nothing listens there: the process has ended
+		return // Nothing listens there, so the process has ended.
 	}
 	if err == nil {
 		_ = conn.Close()
--- a/io/platform/standin/live.go
+++ b/io/platform/standin/live.go
@@ -87,7 +87,7 @@
 	s.forwardToVM(w, r, http.MethodGet, "/control/state")
 }
 
-// VMState is the status of a target VM that the platform returns.
+// VMState is the status of a target VM. The platform returns it as the VM reports it.
 type VMState struct {
 	Up      bool       `json:"up"`
 	Running core.Slots `json:"running"`
--- a/io/platform/vm_control.go
+++ b/io/platform/vm_control.go
@@ -29,13 +29,13 @@
 	Running int `json:"running"`
 }
 
-// DrainRequest makes a VM refuse new work, with "leaving", until Until. Tasks that run
-// there continue. The order survives a reboot; a time that has passed ends it.
+// DrainRequest makes a VM refuse new work, with the answer "leaving", until Until. Tasks
+// that run there continue. The order survives a reboot; a time that has passed ends it.
 type DrainRequest struct {
 	Until time.Time `json:"until"`
 	// Fence is the version of the VM's row on which the request is based. The platform
 	// keeps the highest one and answers 409 to a lower one. Otherwise, a late request by a
-	// controller that was paused would take a VM out that serves again.
+	// controller that was paused would stop work on a VM that has returned to service.
 	Fence core.Version `json:"fence"`
 }
 
