--- a/io/operator/lists.go
+++ b/io/operator/lists.go
@@ -241,7 +241,7 @@
 // auditMessage returns the record of version v as ListAudit sends it.
 func (s *Server) auditMessage(ctx context.Context, v core.Version) (*pb.AuditRecord, error) {
 	a, err := s.findAuditRecord(ctx, v)
-	if errors.Is(err, platform.ErrNoObject) {
+	if errors.Is(err, platform.ErrObjectNotFound) {
 		return &pb.AuditRecord{Version: uint64(v), Kind: KindRecordMissing}, nil
 	}
 	return &pb.AuditRecord{
--- a/io/operator/withdraw.go
+++ b/io/operator/withdraw.go
@@ -47,14 +47,14 @@
 }
 
 // recordWithdrawal writes the withdrawal to the table.
-func (s *Server) recordWithdrawal(ctx context.Context, w key.Withdrawal, m *pb.WithdrawRequest) (platform.Applied, error) {
+func (s *Server) recordWithdrawal(ctx context.Context, w key.Withdrawal, m *pb.WithdrawRequest) (platform.ApplyResult, error) {
 	if w.Team == "" {
 		row, err := s.Table.Read(ctx, table.KeyDigestKey(w.Digest))
 		if err != nil {
-			return platform.Applied{}, err
+			return platform.ApplyResult{}, err
 		}
 		if w.Team = teamOfKeyRow(row); w.Team == "" {
-			return platform.Applied{}, core.Errorf(core.CodeNotFound, "no key with this digest is known; name its team to record the withdrawal")
+			return platform.ApplyResult{}, core.Errorf(core.CodeNotFound, "no key with this digest is known; name its team to record the withdrawal")
 		}
 	}
 	c := config.WithdrawKey{Author: w.Author, Team: w.Team, Digest: w.Digest, Reason: w.Reason}
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -11,95 +11,97 @@
 	"lavenderpond/core/table"
 )
 
-// maxTries bounds how often a change is planned again after other changes moved
-// the head row, or sent again after a lost answer.
-const maxTries = 10
+// maxAttempts bounds the attempts to apply a change. A change is planned again if other
+// changes moved the head row, and sent again if an answer was lost.
+const maxAttempts = 10
 
-// Applied says how a change took effect.
-type Applied struct {
-	// Version is the configuration version that holds the change.
+// ApplyResult describes how a change took effect.
+type ApplyResult struct {
+	// Version is the configuration version that contains the change.
 	Version core.Version `json:"version"`
-	// Before is true if the change id had taken effect earlier.
+	// Before is true if the change had already taken effect earlier under its change id.
 	Before bool `json:"before,omitempty"`
 }
 
-// Apply carries out c in t under the change id, at most once however often it is
-// called. Its errors are core.Errors: CodeConflict names the change that won,
-// CodePlatformDown says that nothing was written, and CodeChangeUnknown that c may
-// have taken effect and should be repeated under the same id.
-func Apply(ctx context.Context, t Table, c config.Change, id core.ChangeID, now time.Time) (Applied, error) {
+// Apply applies c to t under the change id. The change takes effect at most once, however
+// often Apply is called. Errors are core.Errors: CodeConflict names the change that took
+// effect first, CodePlatformDown means that nothing was written, and CodeChangeUnknown
+// means that c may have taken effect and should be repeated under the same id.
+func Apply(ctx context.Context, t Table, c config.Change, id core.ChangeID, now time.Time) (ApplyResult, error) {
 	a := applier{table: t, change: c, id: id, now: now}
 	return a.run(ctx)
 }
 
+// applier applies one change for Apply.
 type applier struct {
 	table  Table
 	change config.Change
 	id     core.ChangeID
 	now    time.Time
-	// base is the row's version when the command first read it.
-	base     core.Version
-	baseHead core.Version
-	haveBase bool
-	// sent is true once an answer was lost: the change may have taken effect.
-	sent bool
-	// forgetful is switched on in tests only: the record of the change id
-	// is neither read nor checked.
-	forgetful bool
+	// baseVersion is the version of the row to change when it was first read, and
+	// baseHeadVersion that of the configuration's head. Both are valid if haveBase is true.
+	baseVersion     core.Version
+	baseHeadVersion core.Version
+	haveBase        bool
+	// outcomeUnknown is true once an answer was lost. The change may have taken effect.
+	outcomeUnknown bool
+	// Test hook: the record of the change id is neither read nor checked.
+	ignoreRecord bool
 }
 
-func (a *applier) run(ctx context.Context) (Applied, error) {
+func (a *applier) run(ctx context.Context) (ApplyResult, error) {
 	var err error
-	for range maxTries {
+	for range maxAttempts {
 		var done bool
-		var applied Applied
+		var applied ApplyResult
 		applied, done, err = a.try(ctx)
 		if done {
 			return applied, err
 		}
 	}
-	return Applied{}, a.giveUp(err)
+	return ApplyResult{}, a.finalError(err)
 }
 
-// try makes one round: read, settle, plan, write. It returns done false if the
-// round is worth repeating.
-func (a *applier) try(ctx context.Context) (Applied, bool, error) {
+// try makes one attempt: it reads the rows, checks whether the change already took
+// effect, plans the change and writes it. The second result is false if another attempt
+// may succeed.
+func (a *applier) try(ctx context.Context) (ApplyResult, bool, error) {
 	rows, err := a.read(ctx)
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
-	// The record of the change id is read before anything is planned: after a lost
-	// answer it alone tells whether the write took effect, and a second write would
-	// undo what another operator did in between.
-	if a.forgetful {
+	// The record of the change id is checked before the change is planned. After a lost
+	// answer, only the record shows whether the write took effect, and a second write
+	// would undo what another operator changed in between.
+	if a.ignoreRecord {
 		rows[table.ChangeKey(a.id)] = table.Row{}
 	}
 	record, applied, err := config.Applied(a.change, a.id, rows)
 	if err != nil {
-		return Applied{}, true, err
+		return ApplyResult{}, true, err
 	}
 	if applied {
-		return Applied{Version: record.Version, Before: !a.sent}, true, nil
+		return ApplyResult{Version: record.Version, Before: !a.outcomeUnknown}, true, nil
 	}
 	if err := a.checkBase(ctx, rows); err != nil {
-		return Applied{}, true, err
+		return ApplyResult{}, true, err
 	}
 	plan, err := config.Plan(a.change, a.id, a.now, rows)
 	if err != nil {
-		return Applied{}, true, err
+		return ApplyResult{}, true, err
 	}
-	if a.forgetful {
+	if a.ignoreRecord {
 		plan.Checks = plan.Checks[1:]
 	}
 	err = a.table.Transact(ctx, plan)
 	switch {
 	case err == nil:
-		return Applied{Version: headVersion(rows) + 1}, true, nil
+		return ApplyResult{Version: headVersion(rows) + 1}, true, nil
 	case errors.Is(err, table.ErrConflict), errors.Is(err, table.ErrUnreachable):
 	default:
-		a.sent = true
+		a.outcomeUnknown = true
 	}
-	return Applied{}, false, err
+	return ApplyResult{}, false, err
 }
 
 func (a *applier) read(ctx context.Context) (config.Rows, error) {
@@ -114,25 +116,25 @@
 	return rows, nil
 }
 
-// checkBase refuses the change if another operator changed the row after this
-// command first read it: exactly one of two racing changes wins. Withdrawals are
-// exempt, since they hold in any order.
+// checkBase returns an error if another operator changed the row after this command first
+// read it, so that exactly one of two racing changes succeeds. Withdrawals are exempt,
+// because they hold in any order.
 func (a *applier) checkBase(ctx context.Context, rows config.Rows) error {
 	version := rows[a.change.Key()].Version
 	if !a.haveBase {
-		a.haveBase, a.base, a.baseHead = true, version, headVersion(rows)
+		a.haveBase, a.baseVersion, a.baseHeadVersion = true, version, headVersion(rows)
 		return nil
 	}
-	if _, ok := a.change.(config.WithdrawKey); ok || version == a.base {
+	if _, ok := a.change.(config.WithdrawKey); ok || version == a.baseVersion {
 		return nil
 	}
 	return core.Errorf(core.CodeConflict, "%s was changed first, by %s; read it again and repeat under a new change id",
-		a.change.Key(), a.winner(ctx, headVersion(rows)))
+		a.change.Key(), a.conflictingChange(ctx, headVersion(rows)))
 }
 
-// winner names the change that changed the row since baseHead.
-func (a *applier) winner(ctx context.Context, head core.Version) string {
-	for v := head; v > a.baseHead; v-- {
+// conflictingChange describes the last change of the row after baseHeadVersion.
+func (a *applier) conflictingChange(ctx context.Context, head core.Version) string {
+	for v := head; v > a.baseHeadVersion; v-- {
 		row, err := a.table.Read(ctx, table.AuditKey(v))
 		var audit config.AuditRecord
 		if err != nil || row.Decode(&audit) != nil || audit.Key != a.change.Key() {
@@ -143,8 +145,9 @@
 	return "another change"
 }
 
-func (a *applier) giveUp(err error) error {
-	if a.sent {
+// finalError returns the error to report after the last attempt failed with err.
+func (a *applier) finalError(err error) error {
+	if a.outcomeUnknown {
 		return core.Errorf(core.CodeChangeUnknown, "change %s may have taken effect: repeat it under the same change id (%v)", a.id, err)
 	}
 	if errors.Is(err, table.ErrConflict) {
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -16,16 +16,17 @@
 
 var changeStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// lossyTable loses answers of writes, is down at times, and lets another operator in
-// before writes.
+// lossyTable loses answers to writes, is unreachable at times, and calls beforeWrite before
+// some writes, which lets another operator write first. If reliable is set, it does none of
+// these.
 type lossyTable struct {
-	rows    table.Memory
-	r       *rand.Rand
-	between func()
-	calm    bool
+	rows        table.Memory
+	rand        *rand.Rand
+	beforeWrite func()
+	reliable    bool
 }
 
-func (t *lossyTable) chance(percent int) bool { return !t.calm && t.r.IntN(100) < percent }
+func (t *lossyTable) chance(percent int) bool { return !t.reliable && t.rand.IntN(100) < percent }
 
 func (t *lossyTable) Read(_ context.Context, key table.Key) (table.Row, error) {
 	if t.chance(10) {
@@ -46,10 +47,10 @@
 }
 
 func (t *lossyTable) Transact(_ context.Context, tx table.Transaction) error {
-	if between := t.between; between != nil && t.chance(40) {
-		t.between = nil
-		between()
-		t.between = between
+	if hook := t.beforeWrite; hook != nil && t.chance(40) {
+		t.beforeWrite = nil
+		hook()
+		t.beforeWrite = hook
 	}
 	if t.chance(10) {
 		return table.ErrUnreachable
@@ -61,91 +62,92 @@
 	return err
 }
 
-// racing is two operators who set one team's limit, each repeating a change under
-// its id until the outcome is certain.
-type racing struct {
-	t         *lossyTable
-	forgetful bool
-	sent      map[core.ChangeID]core.Slots
-	done      map[core.ChangeID]bool
-	refused   map[core.ChangeID]bool
+// racingOperators are two operators who set one team's limit. Each repeats a change under
+// its id until its outcome is certain.
+type racingOperators struct {
+	t            *lossyTable
+	ignoreRecord bool
+	sent         map[core.ChangeID]core.Slots
+	done         map[core.ChangeID]bool
+	refused      map[core.ChangeID]bool
 }
 
-func (x *racing) set(id core.ChangeID, n core.Slots) {
-	x.sent[id] = n
+func (o *racingOperators) set(id core.ChangeID, n core.Slots) {
+	o.sent[id] = n
 	c := config.SetTeam{Author: string(id), Team: "frames", Value: config.Team{Share: 1, Limit: n}}
 	for range 20 {
-		a := applier{table: x.t, change: c, id: id, now: changeStart, forgetful: x.forgetful}
+		a := applier{table: o.t, change: c, id: id, now: changeStart, ignoreRecord: o.ignoreRecord}
 		_, err := a.run(context.Background())
 		switch core.ErrorCode(err) {
 		case core.CodeConflict:
-			x.refused[id] = true
+			o.refused[id] = true
 			return
 		case core.CodeChangeUnknown, core.CodePlatformDown:
 			continue
 		}
-		x.done[id] = err == nil
+		o.done[id] = err == nil
 		return
 	}
 }
 
-// Two operators change one key at once, answers are lost after the write took effect,
-// and the commands repeat themselves. Each change takes effect at most once, what is
-// told as done was written, and what is refused was not: compared with the audit
-// records. Without the record of the change id, a command whose answer was lost takes
-// its own write for that of another operator and reports a refusal that is false.
-func TestApplyOnce(t *testing.T) {
+// Two operators change one key at the same time, answers are lost after the write took
+// effect, and the operators repeat their changes. According to the audit records, each
+// change must take effect at most once, a change reported as done must have been written,
+// and a refused one must not. If the record of the change id is ignored, a command whose
+// answer was lost mistakes its own write for another operator's and reports a false refusal.
+func TestApplyTakesEffectOnce(t *testing.T) {
 	const seeds = 500
-	for _, forgetful := range []bool{false, true} {
-		twice, races, settled := 0, 0, 0
+	for _, ignoreRecord := range []bool{false, true} {
+		wrongSeeds, races, done := 0, 0, 0
 		for seed := range uint64(seeds) {
-			x := &racing{
-				t: &lossyTable{r: rand.New(rand.NewPCG(seed, 3))}, forgetful: forgetful,
+			o := &racingOperators{
+				t: &lossyTable{rand: rand.New(rand.NewPCG(seed, 3))}, ignoreRecord: ignoreRecord,
 				sent: map[core.ChangeID]core.Slots{}, done: map[core.ChangeID]bool{}, refused: map[core.ChangeID]bool{},
 			}
 			n := core.Slots(0)
-			x.t.between = func() { n++; x.set(core.ChangeID(fmt.Sprint("bo", n)), 100+n) }
+			o.t.beforeWrite = func() { n++; o.set(core.ChangeID(fmt.Sprint("bo", n)), 100+n) }
 			for i := range 10 {
-				x.set(core.ChangeID(fmt.Sprint("ana", i)), core.Slots(i+1))
+				o.set(core.ChangeID(fmt.Sprint("ana", i)), core.Slots(i+1))
 			}
 			count := map[core.ChangeID]int{}
-			for _, row := range x.t.rows.Scan(table.PrefixAudit) {
+			for _, row := range o.t.rows.Scan(table.PrefixAudit) {
 				var audit config.AuditRecord
 				assert.NilError(t, row.Decode(&audit))
 				count[audit.Change]++
 			}
-			wrong := 0
-			for id := range x.sent {
+			wrongChanges := 0
+			for id := range o.sent {
 				switch {
-				case count[id] > 1, x.done[id] && count[id] != 1, x.refused[id] && count[id] != 0:
-					wrong++
+				case count[id] > 1, o.done[id] && count[id] != 1, o.refused[id] && count[id] != 0:
+					wrongChanges++
 				}
-				if x.refused[id] {
+				if o.refused[id] {
 					races++
 				}
 			}
-			settled += len(x.done)
-			if wrong > 0 {
-				assert.Check(t, forgetful, "seed %d: %d changes taken twice or told wrongly", seed, wrong)
-				twice++
+			done += len(o.done)
+			if wrongChanges > 0 {
+				assert.Check(t, ignoreRecord, "seed %d: %d changes took effect twice or were reported wrongly", seed, wrongChanges)
+				wrongSeeds++
 			}
 		}
-		t.Logf("record of the change id off %t: %d of %d seeds wrong, %d changes done, %d lost a race", forgetful, twice, seeds, settled, races)
-		assert.Check(t, twice > 0 == forgetful)
+		t.Logf("ignore the record of the change id %t: %d of %d seeds wrong, %d changes done, %d refused after a race", ignoreRecord, wrongSeeds, seeds, done, races)
+		assert.Check(t, wrongSeeds > 0 == ignoreRecord)
 	}
 }
 
-// The command of the operator who comes second names who won and what stands now.
+// The operator whose change comes second must learn which change came first and what the row
+// contains now.
 func TestConflictNamesTheWinner(t *testing.T) {
-	x := &lossyTable{calm: true}
+	tbl := &lossyTable{reliable: true}
 	team := func(author string, n core.Slots) config.Change {
 		return config.SetTeam{Author: author, Team: "frames", Value: config.Team{Share: 1, Limit: n}}
 	}
-	a := applier{table: x, change: team("ana", 5), id: "a1", now: changeStart}
+	a := applier{table: tbl, change: team("ana", 5), id: "a1", now: changeStart}
 	rows, err := a.read(context.Background())
 	assert.NilError(t, err)
 	assert.NilError(t, a.checkBase(context.Background(), rows))
-	applied, err := Apply(context.Background(), x, team("bo", 7), "b1", changeStart)
+	applied, err := Apply(context.Background(), tbl, team("bo", 7), "b1", changeStart)
 	assert.NilError(t, err)
 	assert.Equal(t, applied.Version, core.Version(1))
 	_, err = a.run(context.Background())
--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// leaseIntervals is how many intervals a lease outlasts its renewal.
+	// leaseIntervals is how many control intervals a lease lasts after its renewal.
 	leaseIntervals = 4
-	// patienceIntervals is how many intervals another entry has to take a free lease
-	// before the relay does: it looks once in each.
-	patienceIntervals = 2
+	// takeoverDelayIntervals is how many control intervals the relay leaves a free lease to
+	// the other entries, each of which reads the lease once per interval.
+	takeoverDelayIntervals = 2
 )
 
-// errLeaseLost ends a tick of a controller that was paused for long.
+// errLeaseLost ends the tick of a controller that lost its lease, for example during a long
+// pause.
 var errLeaseLost = errors.New("another entry is the zone's controller now")
 
-// choose takes or renews the lease at the start of a tick, or leaves it to another
-// entry. It returns false if this entry doesn't hold it.
-func (c *Controller) choose(ctx context.Context) (bool, error) {
+// ensureLease acquires, renews or releases the lease at the start of a tick, or leaves it
+// to another entry. It reports whether this entry holds the lease.
+func (c *Controller) ensureLease(ctx context.Context) (bool, error) {
 	row, err := c.Table.Read(ctx, maintenance.LeaseKey(c.Zone))
 	if err != nil {
 		return false, err
 	}
-	l, err := maintenance.DecodeLease(row)
+	lease, err := maintenance.DecodeLease(row)
 	if err != nil {
 		return false, err
 	}
 	now := c.Now()
-	switch c.choice.Next(now, l, c.Self, c.entries(ctx), patienceIntervals*c.interval()) {
+	switch c.leasePolicy.Next(now, lease, c.Self, c.entries(ctx), takeoverDelayIntervals*c.interval()) {
 	case maintenance.LeaseAcquire:
 		return c.acquire(ctx, row)
 	case maintenance.LeaseRelease:
-		c.setHolds(false)
+		c.setHoldsLease(false)
 		t, err := maintenance.Release(now, row)
 		if err != nil {
 			return false, err
@@ -46,16 +47,17 @@
 		return false, c.Table.Transact(ctx, t)
 	case maintenance.LeaseNoAction:
 	}
-	c.setHolds(false)
+	c.setHoldsLease(false)
 	return false, nil
 }
 
-// keepLease renews the lease if that is due, or returns errLeaseLost.
+// renewLeaseIfDue renews the lease if that is due. It returns errLeaseLost if another
+// entry holds it.
 //
-// With slow calls a tick may outlast the lease. Another entry would then start and
-// do the same work again, while each is in the other's way: every second one of
-// their transactions fails.
-func (c *Controller) keepLease(ctx context.Context) error {
+// With slow calls, a tick may outlast the lease. The controller of another entry would
+// then start and do the same work again, and the two would hinder each other: every
+// second one of their transactions fails.
+func (c *Controller) renewLeaseIfDue(ctx context.Context) error {
 	if c.Now().Before(c.renewAt) {
 		return nil
 	}
@@ -70,7 +72,8 @@
 	return err
 }
 
-// acquire takes or renews the lease, whose row was just read.
+// acquire acquires or renews the lease. row is the lease row as just read. It reports
+// whether this entry holds the lease.
 func (c *Controller) acquire(ctx context.Context, row table.Row) (bool, error) {
 	now := c.Now()
 	c.renewAt = now.Add(c.interval())
@@ -81,27 +84,28 @@
 	if errors.Is(err, table.ErrConflict) {
 		held, err = false, nil
 	}
-	c.setHolds(held && err == nil)
+	c.setHoldsLease(held && err == nil)
 	return held, err
 }
 
-func (c *Controller) setHolds(holds bool) {
+func (c *Controller) setHoldsLease(held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.Holds = holds
+	c.state.Holds = held
 }
 
-// entries returns the zone's entries that the live list has, none if it can't be
-// read: this entry then counts as the only one, and the zone has a controller.
+// entries returns the zone's entries on the live list, except those that are leaving. If
+// the list can't be read, it returns none. This entry then counts as the only one, so
+// that the zone has a controller.
 func (c *Controller) entries(ctx context.Context) []core.EntryID {
 	live, err := c.Live.Live(ctx, c.Zone)
 	if err != nil {
 		return nil
 	}
 	var entries []core.EntryID
-	for _, l := range live {
-		if !l.Started.IsZero() && !l.Leaving {
-			entries = append(entries, core.NewEntryID(l.Name, l.Started))
+	for _, vm := range live {
+		if !vm.Started.IsZero() && !vm.Leaving {
+			entries = append(entries, core.NewEntryID(vm.Name, vm.Started))
 		}
 	}
 	return entries
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -13,68 +13,69 @@
 	"lavenderpond/core/route"
 )
 
-// verdict is what came out of some sessions.
-type verdict struct{ breaches, cutOff, finished, halted, stops, moves int }
+// sessionTotals sums up the results of some sessions.
+type sessionTotals struct{ breaches, cutOff, finished, halted, stops, moves int }
 
-func runSessions(t *testing.T, seeds uint64, f faults, alter func(*session)) verdict {
+func runSessions(t *testing.T, seeds uint64, f faults, setup func(*session)) sessionTotals {
 	t.Helper()
-	var v verdict
+	var totals sessionTotals
 	for seed := range seeds {
 		s := newSession(t, seed, f)
-		if alter != nil {
-			alter(s)
+		if setup != nil {
+			setup(s)
 		}
 		w := s.run()
-		v.stops += s.world.Stops
-		v.moves += s.moves
+		totals.stops += s.world.Stops
+		totals.moves += s.moves
 		if len(s.world.Breaches) > 0 {
-			v.breaches++
+			totals.breaches++
 		}
 		if len(s.world.CutOff) > 0 {
-			v.cutOff++
+			totals.cutOff++
 		}
 		switch w.Status {
 		case maintenance.Finished:
-			v.finished++
+			totals.finished++
 		case maintenance.Halted:
-			v.halted++
+			totals.halted++
 		}
 		assert.NilError(t, s.checkPools(), "seed %d", seed)
-		if alter == nil {
+		if setup == nil {
 			assert.Assert(t, len(s.world.Breaches)+len(s.world.CutOff) == 0, "seed %d: %v %v", seed, s.world.Breaches, s.world.CutOff)
 		}
 	}
-	return v
+	return totals
 }
 
-var hard = faults{
-	lostAnswers: 0.05, tableDown: 0.03, partialLooks: 0.05, pauses: 0.01, listLag: 20 * time.Second, staleEntry: true, rackFails: true, moves: 0.02,
+var allFaults = faults{
+	lostAnswers: 0.05, tableDown: 0.03, omittedVMs: 0.05, pauses: 0.01, listLag: 20 * time.Second, staleEntry: true, rackFails: true, moves: 0.02,
 	vms: sim.Faults{PerVMDay: 0.5},
 }
 
-// A pool's callers lose more VMs than its budget allows, or a running request is
-// cut off. Two controllers work at once, each is paused between any decision and
-// its effect, answers are lost after the write took effect, the table fails, the
-// list lags, a rack fails within the wave, an operator moves VMs, and one entry dispatches on the view
-// that it had at the start. Rows, the VM's own refusal and the reboot's deadline
-// hold: what the World saw of planned stops shows no breach and nothing cut off.
+// Planned stops must not exceed a pool's budget or cut off running requests under any of
+// these faults: two controllers work at the same time, each is paused between a decision and
+// its effect, answers are lost after the write took effect, the table fails, the live list
+// lags, a rack fails during the wave, an operator moves VMs, and one entry dispatches by the
+// view that it had at the start. The rows, the VM's own refusal and the reboot's deadline
+// prevent both.
 func TestSessions(t *testing.T) {
 	const seeds = 60
-	v := runSessions(t, seeds, hard, nil)
-	t.Logf("%+v of %d sessions", v, seeds)
-	assert.Assert(t, v.finished > seeds/2, "the maintenance must also get done: %+v", v)
+	totals := runSessions(t, seeds, allFaults, nil)
+	t.Logf("%+v of %d sessions", totals, seeds)
+	assert.Assert(t, totals.finished > seeds/2, "too few sessions finished the maintenance: %+v", totals)
 }
 
-// Without the VM's own refusal, the cut-off entry's work is there at the reboot.
+// If VMs don't refuse work, requests from the entry with the stale view run at the time of a
+// reboot and are cut off.
 func TestSessionsWithoutRefusal(t *testing.T) {
 	const seeds = 10
-	v := runSessions(t, seeds, hard, func(s *session) { s.deaf = true })
-	t.Logf("VM takes work while it drains: %+v of %d sessions", v, seeds)
-	assert.Assert(t, v.cutOff > 0)
+	totals := runSessions(t, seeds, allFaults, func(s *session) { s.ignoreDrain = true })
+	t.Logf("VMs accept work while they drain: %+v of %d sessions", totals, seeds)
+	assert.Assert(t, totals.cutOff > 0)
 }
 
-// A watcher's entry stops sending work to a leaving VM whichever source tells it
-// first, while the others fail; and the table's outage leaves its view as it is.
+// An entry must stop sending work to a leaving VM as soon as one source reports it, while
+// the other sources fail. An outage of the table must leave the view unchanged.
 func TestFleetWatcher(t *testing.T) {
 	s := newSession(t, 1, faults{})
 	s.advance()
@@ -95,7 +96,7 @@
 	s.advance()
 	s.faults.tableDown = 1
 	assert.Assert(t, w.Poll(ctx) != nil)
-	assert.Equal(t, len(w.Targets()), all-1, "one is back by its probe, one is no longer listed")
+	assert.Equal(t, len(w.Targets()), all-1, "one VM accepted a probe, another is no longer listed")
 	_, known := w.VM("vm00002")
 	assert.Assert(t, known, "an unreachable table must not empty the view")
 	pool, ok := w.Pool("pool000")
--- a/io/platform/fleet_rows.go
+++ b/io/platform/fleet_rows.go
@@ -11,66 +11,66 @@
 	"lavenderpond/core/table"
 )
 
-// FleetRows is a daemon's one set of decoded rows: those of its zone's VMs, and
-// those of all pools. The FleetWatcher and the Controller follow the table
-// together, since a second set cost a controller 4.3 MB in a zone of 1,430 VMs
-// (docs/CAPACITY.md). Its zero value works. It is safe for concurrent use.
+// FleetRows is a daemon's only set of decoded rows: those of its zone's VMs, and those of
+// all pools. The FleetWatcher and the Controller share it, because a second set cost a
+// controller 4.3 MB in a zone of 1,430 VMs (docs/CAPACITY.md). The zero value is ready to
+// use. A FleetRows is safe for concurrent use.
 type FleetRows struct {
-	// polling lets one poll be under way at a time: of two whose answers cross, the
-	// older one would set the revision back, or undo the newer one's deletions.
-	polling sync.Mutex
+	// pollMu allows one poll at a time. If the answers of two polls crossed, the older one
+	// would set the revision back, or undo the deletions of the newer one.
+	pollMu sync.Mutex
 
 	mu    sync.Mutex
 	vms   rowCache[fleet.VMRow]
 	pools rowCache[fleet.PoolRow]
-	// sorted and byID are views of the rows, built anew once a row has changed.
-	sorted []*fleet.VMRow
-	byID   map[core.PoolID]fleet.PoolRow
-	// untold are the VM rows that changed since TakeChanged, by the newest.
-	untold map[table.Key]*fleet.VMRow
+	// sortedVMs and poolsByID are derived from the rows and rebuilt after a row has changed.
+	sortedVMs []*fleet.VMRow
+	poolsByID map[core.PoolID]fleet.PoolRow
+	// unreported holds the latest state of the VM rows that changed since TakeChanged.
+	unreported map[table.Key]*fleet.VMRow
 }
 
-// Poll fetches what changed in zone's VMs and in the pools.
+// Poll reads the changes to zone's VMs and to the pools.
 func (r *FleetRows) Poll(ctx context.Context, t Table, zone core.ZoneID) error {
-	r.polling.Lock()
-	defer r.polling.Unlock()
+	r.pollMu.Lock()
+	defer r.pollMu.Unlock()
 	if err := r.pollVMs(ctx, t, table.PrefixVM+string(zone)+"/"); err != nil {
 		return err
 	}
 	return r.pollPools(ctx, t)
 }
 
-// pollVMs doesn't hold the lock while it waits for the table.
+// pollVMs doesn't hold mu while it waits for the table.
 func (r *FleetRows) pollVMs(ctx context.Context, t Table, prefix string) error {
-	changed, revision, err := t.Changes(ctx, prefix, r.vms.since)
+	changed, revision, err := t.Changes(ctx, prefix, r.vms.revision)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.vms.prefix, r.vms.since = prefix, revision
+	r.vms.prefix, r.vms.revision = prefix, revision
 	for _, row := range changed {
-		r.putVM(row)
+		r.updateVM(row)
 	}
 	return nil
 }
 
 func (r *FleetRows) pollPools(ctx context.Context, t Table) error {
-	changed, revision, err := t.Changes(ctx, table.PrefixPool, r.pools.since)
+	changed, revision, err := t.Changes(ctx, table.PrefixPool, r.pools.revision)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pools.prefix, r.pools.since = table.PrefixPool, revision
+	r.pools.prefix, r.pools.revision = table.PrefixPool, revision
 	for _, row := range changed {
-		r.putPool(row)
+		r.updatePool(row)
 	}
 	return nil
 }
 
-// Apply takes over the writes of t, which took effect: its checks tell the
-// versions that they were made on.
+// Apply applies the writes of t, which took effect. The new versions follow from the
+// versions that t checked.
 func (r *FleetRows) Apply(t table.Transaction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,24 +81,24 @@
 			row.Version = t.Checks[i].Version + 1
 		}
 		switch {
-		case r.vms.holds(w.Key):
-			r.putVM(row)
-		case r.pools.holds(w.Key):
-			r.putPool(row)
+		case r.vms.covers(w.Key):
+			r.updateVM(row)
+		case r.pools.covers(w.Key):
+			r.updatePool(row)
 		}
 	}
 }
 
-// TakeChanged returns the VM rows that changed since the last call, deleted ones
-// without a version. There is one caller, the FleetWatcher.
+// TakeChanged returns the VM rows that changed since the last call. Deleted rows have no
+// version. Only the FleetWatcher calls it.
 func (r *FleetRows) TakeChanged() []*fleet.VMRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed := make([]*fleet.VMRow, 0, len(r.untold))
-	for _, vm := range r.untold {
+	changed := make([]*fleet.VMRow, 0, len(r.unreported))
+	for _, vm := range r.unreported {
 		changed = append(changed, vm)
 	}
-	clear(r.untold)
+	clear(r.unreported)
 	return changed
 }
 
@@ -121,59 +121,60 @@
 	return *pool, true
 }
 
-// VMs returns the zone's VMs by name. Neither slice nor rows may be changed.
+// VMs returns the zone's VMs, sorted by name. The caller must modify neither the slice
+// nor the rows.
 func (r *FleetRows) VMs() []*fleet.VMRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.sorted != nil {
-		return r.sorted
+	if r.sortedVMs != nil {
+		return r.sortedVMs
 	}
-	r.sorted = make([]*fleet.VMRow, 0, len(r.vms.rows))
+	r.sortedVMs = make([]*fleet.VMRow, 0, len(r.vms.rows))
 	for _, vm := range r.vms.rows {
-		r.sorted = append(r.sorted, vm)
+		r.sortedVMs = append(r.sortedVMs, vm)
 	}
-	slices.SortFunc(r.sorted, func(a, b *fleet.VMRow) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
-	return r.sorted
+	slices.SortFunc(r.sortedVMs, func(a, b *fleet.VMRow) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
+	return r.sortedVMs
 }
 
-// Pools returns the pools. The map must not be changed.
+// Pools returns the pools by id. The caller must not modify the map.
 func (r *FleetRows) Pools() map[core.PoolID]fleet.PoolRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.byID != nil {
-		return r.byID
+	if r.poolsByID != nil {
+		return r.poolsByID
 	}
-	r.byID = make(map[core.PoolID]fleet.PoolRow, len(r.pools.rows))
+	r.poolsByID = make(map[core.PoolID]fleet.PoolRow, len(r.pools.rows))
 	for _, pool := range r.pools.rows {
-		r.byID[pool.ID] = *pool
+		r.poolsByID[pool.ID] = *pool
 	}
-	return r.byID
+	return r.poolsByID
 }
 
-// Bad returns how many rows can't be decoded.
-func (r *FleetRows) Bad() int {
+// Undecodable returns the number of rows that can't be decoded.
+func (r *FleetRows) Undecodable() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.vms.bad) + len(r.pools.bad)
+	return len(r.vms.undecodable) + len(r.pools.undecodable)
 }
 
-func (r *FleetRows) putVM(row table.Row) {
-	vm, ok := r.vms.put(row, vmRows)
+func (r *FleetRows) updateVM(row table.Row) {
+	vm, ok := r.vms.update(row, vmRowCodec)
 	if !ok {
 		return
 	}
-	r.sorted = nil
+	r.sortedVMs = nil
 	if vm == nil {
 		return // A row that can't be decoded changes nothing in the watcher's view.
 	}
-	if r.untold == nil {
-		r.untold = make(map[table.Key]*fleet.VMRow)
+	if r.unreported == nil {
+		r.unreported = make(map[table.Key]*fleet.VMRow)
 	}
-	r.untold[row.Key] = vm
+	r.unreported[row.Key] = vm
 }
 
-func (r *FleetRows) putPool(row table.Row) {
-	if _, ok := r.pools.put(row, poolRows); ok {
-		r.byID = nil
+func (r *FleetRows) updatePool(row table.Row) {
+	if _, ok := r.pools.update(row, poolRowCodec); ok {
+		r.poolsByID = nil
 	}
 }
--- a/io/platform/fleet_rows_test.go
+++ b/io/platform/fleet_rows_test.go
@@ -11,25 +11,25 @@
 	"lavenderpond/core/table"
 )
 
-// slowTable answers a poll with what stood there before during was called.
+// slowTable reads the reply to a poll before it calls duringPoll, and returns it afterwards.
 type slowTable struct {
 	Table
-	during func()
+	duringPoll func()
 }
 
 func (s *slowTable) Changes(ctx context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
 	rows, revision, err := s.Table.Changes(ctx, prefix, since)
-	if s.during != nil {
-		s.during()
-		s.during = nil
+	if s.duringPoll != nil {
+		s.duringPoll()
+		s.duringPoll = nil
 	}
 	return rows, revision, err
 }
 
-// A controller decides on a row that it has itself replaced: a VM that it just
-// withdrew looks cordoned again, and its pool short of one. The watcher's poll is
-// under way while the controller writes; the answer is from before the write and
-// arrives after it. Versions tell which one is newer.
+// A controller must not decide on a row that it has already replaced: a VM whose permit it
+// just withdrew would look cordoned again, and its pool would seem to be short of one VM. The
+// controller writes while the watcher's poll is under way, so that the poll's answer is older
+// than the write and arrives after it. The versions show which row is newer.
 func TestFleetRowsKeepWriteOverOldAnswer(t *testing.T) {
 	s := newSession(t, 1, faults{})
 	key := s.world.Machines()[0].Ref.Key()
@@ -45,7 +45,7 @@
 	write(func(vm fleet.VMRow, pool fleet.PoolRow) (table.Transaction, error) {
 		return fleet.Rules{}.Permit(s.world.Now, vm, pool, fleet.Permit{Change: "own"})
 	})
-	slow.during = func() {
+	slow.duringPoll = func() {
 		write(func(vm fleet.VMRow, pool fleet.PoolRow) (table.Transaction, error) {
 			return fleet.Rules{}.Withdraw(s.world.Now, vm, pool)
 		})
@@ -58,13 +58,13 @@
 
 	assert.NilError(t, rows.Poll(ctx, s, "z0"))
 	again, _ := rows.VM(key)
-	assert.Equal(t, again, vm, "the same version again is no change")
+	assert.Equal(t, again, vm, "a row with the same version must not replace the cached one")
 }
 
-// Callers' work goes to a VM for as long as the table is down, although this very
-// entry took the VM out of service: its controller wrote the row, and then the
-// table went. The watcher hands on what the shared rows know, also without a poll.
-func TestWatcherSeesControllersWrite(t *testing.T) {
+// An entry's controller takes a VM out of service, and then the table becomes unreachable.
+// The entry's watcher must stop sending work to the VM nevertheless: it processes the changes
+// in the shared rows even if its poll fails.
+func TestWatcherSeesControllerWrites(t *testing.T) {
 	s := newSession(t, 1, faults{})
 	rows := &FleetRows{}
 	w := &FleetWatcher{Zone: "z0", Table: s, Live: s, Now: func() time.Time { return s.world.Now }, Rows: rows}
@@ -76,5 +76,5 @@
 	assert.NilError(t, c.Tick(t.Context()))
 	s.faults.tableDown = 1
 	assert.ErrorIs(t, w.Poll(t.Context()), table.ErrUnreachable)
-	assert.Equal(t, len(w.Targets()), all-1, "the wave began with one VM")
+	assert.Equal(t, len(w.Targets()), all-1, "the wave takes one VM out first")
 }
--- a/io/platform/session_test.go
+++ b/io/platform/session_test.go
@@ -25,58 +25,60 @@
 
 const testStep = 5 * time.Second
 
-// faults are what a session goes through. Shares are per call.
+// faults are the faults that a session simulates. Fractions are per call.
 type faults struct {
 	lostAnswers, tableDown float64
-	// partialLooks is the share of VMs that an answer about many leaves out, half of
-	// them after their order took effect.
-	partialLooks float64
-	// pauses is the share of calls before which the caller is paused for up to
-	// two minutes, while the fleet and the other controllers go on.
+	// omittedVMs is the fraction of VMs that the reply to a bulk status check omits, half of
+	// them after their drain order took effect.
+	omittedVMs float64
+	// pauses is the fraction of calls before which the caller is paused for up to two
+	// minutes, while the fleet and the other controllers continue.
 	pauses float64
 	// listLag is how old the live list is.
 	listLag time.Duration
-	// staleEntry keeps dispatching on the view that it had at the start.
+	// staleEntry makes one entry dispatch by the view that it had at the start.
 	staleEntry bool
-	// rackFails takes a rack down in the session.
+	// rackFails makes a rack fail during the session.
 	rackFails bool
-	// moves is the share of steps in which an operator moves a VM.
+	// moves is the fraction of steps in which an operator moves a VM.
 	moves float64
 	vms   sim.Faults
 }
 
-// unseen is how long a failure may stay unknown to the stop that it should
-// prevent: the list lags, the lease's holder may be paused, and so may the one
-// that asks for the reboot.
-func (f faults) unseen() time.Duration {
+// maxUnseen is how long a failure may stay unknown to the planned stop that it should
+// prevent: the live list lags, the holder of the lease may be paused, and so may the
+// controller that sends the reboot.
+func (f faults) maxUnseen() time.Duration {
 	return f.listLag + leaseIntervals*testStep + testTiming.RebootWindow + 3*testStep
 }
 
-// session is one zone with two controllers and three entries, over a World.
-// Controllers reach the World only through fakes that fail and pause.
+// session is one zone with two controllers and three entries, on top of a sim.World.
+// Controllers access the World only through methods of the session, which fail and pause.
 type session struct {
 	t           *testing.T
 	faults      faults
 	rand        *rand.Rand
 	world       *sim.World
 	controllers []*Controller
+	// views holds for each entry the states of the VMs by which it dispatches.
 	views       []map[fleet.Ref]fleet.State
-	lists       []listing
-	// active is the controller that ticks; the other one goes on while it is paused.
+	listHistory []listSnapshot
+	// active is the controller that ticks. The other one continues while it is paused.
 	active int
 	paused bool
-	// deaf VMs take work while they drain.
-	deaf bool
-	// pauseIn pauses the first controller once, for ten minutes, at a certain point.
-	pauseIn  func(point string, vm fleet.Ref) bool
-	sinceSaw int
-	saw      fleet.Ref
-	// moving holds the VMs that an operator moves, by the pool they come from.
+	// ignoreDrain makes VMs accept work while they drain.
+	ignoreDrain bool
+	// pauseWhen selects the point at which the first controller is paused once, for ten
+	// minutes.
+	pauseWhen             func(point string, vm fleet.Ref) bool
+	clockReadsSinceStatus int
+	lastStatusVM          fleet.Ref
+	// moving holds the VMs that an operator moves, with the pool that they come from.
 	moving map[fleet.Ref]core.PoolID
 	moves  int
 }
 
-type listing struct {
+type listSnapshot struct {
 	at  time.Time
 	vms []Liveness
 }
@@ -84,7 +86,7 @@
 func newSession(t *testing.T, seed uint64, f faults) *session {
 	size := sim.Size{Name: "test", Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 6, RackVMs: 4, MaxUnavailable: 2}
 	w := sim.NewWorld(seed, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC), size, size.MaxUnavailable)
-	w.RebootTime, w.Unseen, w.Faults = 30*time.Second, f.unseen(), f.vms
+	w.RebootTime, w.Unseen, w.Faults = 30*time.Second, f.maxUnseen(), f.vms
 	s := &session{t: t, faults: f, rand: rand.New(rand.NewPCG(seed, 4)), world: w, views: make([]map[fleet.Ref]fleet.State, 3), moving: make(map[fleet.Ref]core.PoolID)}
 	for i := range 2 {
 		s.controllers = append(s.controllers, &Controller{
@@ -110,7 +112,7 @@
 	return s
 }
 
-// run goes through up to four hours and returns when the maintenance ended.
+// run simulates up to four hours. It returns when the maintenance has ended.
 func (s *session) run() maintenance.Wave {
 	for n := range 4 * 720 {
 		if s.faults.rackFails && n == 60 {
@@ -133,7 +135,7 @@
 	return row.Wave
 }
 
-// advance moves the world on and lets each entry dispatch by its own view.
+// advance advances the World by one step and lets each entry dispatch by its own view.
 func (s *session) advance() {
 	s.world.Advance(testStep)
 	s.operate()
@@ -151,21 +153,21 @@
 			s.world.Dispatch(m.Ref, time.Duration(s.rand.IntN(20))*time.Second)
 		}
 	}
-	l := listing{at: s.world.Now}
+	snapshot := listSnapshot{at: s.world.Now}
 	for _, c := range s.controllers {
-		l.vms = append(l.vms, Liveness{Name: c.Self.Name(), Zone: c.Zone, Started: c.Self.Started()})
+		snapshot.vms = append(snapshot.vms, Liveness{Name: c.Self.Name(), Zone: c.Zone, Started: c.Self.Started()})
 	}
 	for _, m := range s.world.Machines() {
 		if m.Up || m.Planned {
-			l.vms = append(l.vms, Liveness{Name: string(m.Ref.VM), Zone: m.Ref.Zone})
+			snapshot.vms = append(snapshot.vms, Liveness{Name: string(m.Ref.VM), Zone: m.Ref.Zone})
 		}
 	}
-	s.lists = append(s.lists, l)
+	s.listHistory = append(s.listHistory, snapshot)
 }
 
-// operate lets an operator move a VM with its place, in a race with drains, and
-// keeps the true sizes of the pools: a place leaves with the VM and counts in the
-// new pool once the VM serves there.
+// operate lets an operator move a VM together with its place in the pool, in a race with
+// drains, and keeps track of the actual sizes of the pools: the place leaves the old pool with
+// the VM and counts in the new pool once the VM serves there.
 func (s *session) operate() {
 	for ref, from := range s.moving {
 		vm := s.world.Row(ref).VM
@@ -195,7 +197,7 @@
 	}
 }
 
-// checkPools compares the pools' counts with the VMs' rows: each VM is in one.
+// checkPools compares the pools' member counts with the VMs' rows. Each VM is in one pool.
 func (s *session) checkPools() error {
 	members := make(map[core.PoolID]int)
 	for _, m := range s.world.Machines() {
@@ -209,8 +211,8 @@
 	return nil
 }
 
-// pause stands between a controller's decision and its effect: for a while, the
-// world and the other controllers go on.
+// pause is called between a controller's decision and its effect. At random, it lets the
+// World and the other controller continue for a while.
 func (s *session) pause() {
 	if s.paused || s.rand.Float64() >= s.faults.pauses {
 		return
@@ -223,8 +225,8 @@
 	s.paused = false
 }
 
-// tick lets a controller work. Errors are lost answers and an unreachable table,
-// which the next tick has to cope with.
+// tick runs a tick of controller i. It ignores errors, which come from lost answers and an
+// unreachable table, and which the next tick must handle.
 func (s *session) tick(i int) {
 	before := s.active
 	s.active = i
@@ -246,7 +248,7 @@
 }
 
 func (s *session) Transact(_ context.Context, tx table.Transaction) error {
-	s.saw = fleet.Ref{}
+	s.lastStatusVM = fleet.Ref{}
 	s.pause()
 	if err := s.down(); err != nil {
 		return err
@@ -266,15 +268,15 @@
 }
 
 func (s *session) Live(context.Context, core.ZoneID) ([]Liveness, error) {
-	i, _ := slices.BinarySearchFunc(s.lists, s.world.Now.Add(-s.faults.listLag), func(l listing, at time.Time) int {
+	i, _ := slices.BinarySearchFunc(s.listHistory, s.world.Now.Add(-s.faults.listLag), func(l listSnapshot, at time.Time) int {
 		return l.at.Compare(at)
 	})
-	return s.lists[min(i, len(s.lists)-1)].vms, nil
+	return s.listHistory[min(i, len(s.listHistory)-1)].vms, nil
 }
 
 func (s *session) Drain(_ context.Context, vm fleet.Ref, r DrainRequest) error {
 	s.pause()
-	if s.deaf {
+	if s.ignoreDrain {
 		return nil
 	}
 	return s.world.Drain(vm, r.Until, r.Fence)
@@ -283,40 +285,40 @@
 func (s *session) Status(_ context.Context, vm fleet.Ref) (VMStatus, error) {
 	status := VMStatus{Up: s.world.Machine(vm).Up, Running: s.world.Running(vm)}
 	s.pause()
-	s.saw, s.sinceSaw = vm, 0
+	s.lastStatusVM, s.clockReadsSinceStatus = vm, 0
 	return status, nil
 }
 
-// Look asks one VM after the other, so that pauses fall between any two.
-func (s *session) Look(ctx context.Context, zone core.ZoneID, asks []LookRequest) ([]VMLook, error) {
-	var looks []VMLook
-	for _, ask := range asks {
-		vm, left := fleet.Ref{Zone: zone, VM: ask.VM}, s.rand.Float64()
-		if left < s.faults.partialLooks/2 {
+// CheckVMs checks one VM after the other, so that pauses happen between any two.
+func (s *session) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
+	var results []CheckResult
+	for _, request := range requests {
+		vm, roll := fleet.Ref{Zone: zone, VM: request.VM}, s.rand.Float64()
+		if roll < s.faults.omittedVMs/2 {
 			continue
 		}
-		l := VMLook{VM: ask.VM}
-		if ask.Drain != nil {
-			l.Drained = s.Drain(ctx, vm, *ask.Drain) == nil
+		result := CheckResult{VM: request.VM}
+		if request.Drain != nil {
+			result.Drained = s.Drain(ctx, vm, *request.Drain) == nil
 		}
-		l.VMStatus, _ = s.Status(ctx, vm)
-		if left >= s.faults.partialLooks {
-			looks = append(looks, l)
+		result.VMStatus, _ = s.Status(ctx, vm)
+		if roll >= s.faults.omittedVMs {
+			results = append(results, result)
 		}
 	}
 	s.pause()
-	s.saw = fleet.Ref{}
+	s.lastStatusVM = fleet.Ref{}
 	if s.rand.Float64() < s.faults.lostAnswers {
 		return nil, table.ErrUnreachable
 	}
-	return looks, nil
+	return results, nil
 }
 
 func (s *session) Reboot(_ context.Context, vm fleet.Ref, r RebootRequest) error {
 	s.pause()
 	s.pauseAt("sent", vm)
 	if s.faults.staleEntry && s.rand.IntN(4) == 0 {
-		// The cut-off entry's task crosses the reboot.
+		// The task of the entry with the stale view crosses the reboot.
 		s.world.Dispatch(vm, 10*time.Second)
 	}
 	err := s.world.Reboot(vm, r.NotAfter, r.Fence)
--- a/io/platform/standin/entries.go
+++ b/io/platform/standin/entries.go
@@ -15,21 +15,22 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Probing of entries: the platform knows by itself which entry VMs run.
+// Probing of entries. It stands in for the platform's own knowledge of which entry VMs
+// run.
 const (
 	probeInterval = 500 * time.Millisecond
 	probeTimeout  = 300 * time.Millisecond
 )
 
-// entryRow is what the stand-in reads of an entry's row.
+// entryRow is the part of an entry's row that the stand-in reads.
 type entryRow struct {
 	Entry core.EntryID `json:"entry"`
 	Zone  core.ZoneID  `json:"zone"`
 	Peer  string       `json:"peer"`
 }
 
-// WatchEntries keeps the entries whose process runs on the live list until ctx
-// ends. A frozen process counts as live: its VM is.
+// WatchEntries keeps the entries with a running process on the live list until ctx ends. A
+// frozen process counts as live, because its VM is.
 func (s *Server) WatchEntries(ctx context.Context) error {
 	return supervisor.Every(ctx, probeInterval, s.probeEntries)
 }
@@ -52,14 +53,14 @@
 	d := net.Dialer{Timeout: probeTimeout}
 	conn, err := d.DialContext(ctx, "tcp", e.Peer)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return // nothing listens there: the process has ended
+		return // Nothing listens there, so the process has ended.
 	}
 	if err == nil {
 		_ = conn.Close()
 	}
-	// A VM that is slow to answer is still there: what isn't listed counts as gone
+	// A VM that is slow to answer still exists, and a VM that isn't listed counts as gone
 	// for good.
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list(LivePost{Liveness: platform.Liveness{Name: e.Entry.Name(), Zone: e.Zone, Started: e.Entry.Started()}})
+	s.updateLive(LiveReport{Liveness: platform.Liveness{Name: e.Entry.Name(), Zone: e.Zone, Started: e.Entry.Started()}})
 }
--- a/io/platform/standin/live.go
+++ b/io/platform/standin/live.go
@@ -12,60 +12,59 @@
 	"lavenderpond/io/platform"
 )
 
-// LiveLag is how old the live list is at most before a VM that stopped saying
-// that it is there drops out.
-const LiveLag = 3 * time.Second
+// LiveTimeout is how long a VM stays on the live list after its last report.
+const LiveTimeout = 3 * time.Second
 
-// liveVM is what a VM last said of itself.
+// liveVM is the last report of a VM.
 type liveVM struct {
 	platform.Liveness
-	// control is the URL at which the VM takes reboots; empty for entries.
-	control string
-	until   time.Time
+	// control is the base URL at which the VM takes orders; empty for entries.
+	control   string
+	expiresAt time.Time
 }
 
-// LivePost is what a VM, or what stands in for it, says of itself. It repeats it
-// more often than LiveLag.
-type LivePost struct {
+// LiveReport is the report that a VM, or a program that stands in for it, sends about
+// itself. It is repeated more often than LiveTimeout.
+type LiveReport struct {
 	platform.Liveness
 	Control string `json:"control,omitempty"`
-	// Gone takes the VM off the list at once.
+	// Gone removes the VM from the list at once.
 	Gone bool `json:"gone,omitempty"`
 }
 
 func (s *Server) postLive(w http.ResponseWriter, r *http.Request) {
-	var posts []LivePost
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&posts); err != nil {
+	var reports []LiveReport
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&reports); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range posts {
-		s.list(p)
+	for _, report := range reports {
+		s.updateLive(report)
 	}
 }
 
-// list takes in a post. The caller holds the mutex.
-func (s *Server) list(p LivePost) {
+// updateLive applies a report to the live list. The caller holds the mutex.
+func (s *Server) updateLive(report LiveReport) {
 	if s.live == nil {
 		s.live = make(map[string]*liveVM)
 	}
-	key := liveKey(p.Zone, p.Name)
-	if p.Gone {
+	key := liveKey(report.Zone, report.Name)
+	if report.Gone {
 		delete(s.live, key)
 		return
 	}
-	s.live[key] = &liveVM{Liveness: p.Liveness, control: p.Control, until: s.now().Add(LiveLag)}
+	s.live[key] = &liveVM{Liveness: report.Liveness, control: report.Control, expiresAt: s.now().Add(LiveTimeout)}
 }
 
 func (s *Server) getLive(w http.ResponseWriter, r *http.Request) {
-	zone := zoneOf(r)
+	zone := zoneParam(r)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := []platform.Liveness{}
 	for key, vm := range s.live {
-		if inZone(key, zone) && s.now().Before(vm.until) {
+		if inZone(key, zone) && s.now().Before(vm.expiresAt) {
 			list = append(list, vm.Liveness)
 		}
 	}
@@ -73,28 +72,28 @@
 	writeJSON(w, list)
 }
 
-// reboot passes the order on to the VM.
+// reboot forwards the order to the VM.
 func (s *Server) reboot(w http.ResponseWriter, r *http.Request) {
-	s.toVM(w, r, http.MethodPost, "/control/reboot")
+	s.forwardToVM(w, r, http.MethodPost, "/control/reboot")
 }
 
-// drain passes the order on to the VM.
+// drain forwards the order to the VM.
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
-	s.toVM(w, r, http.MethodPost, "/control/drain")
+	s.forwardToVM(w, r, http.MethodPost, "/control/drain")
 }
 
-// getVM asks the VM for its state; a VM that doesn't answer is not up.
+// getVM queries the VM's status. A VM that doesn't answer is not up.
 func (s *Server) getVM(w http.ResponseWriter, r *http.Request) {
-	s.toVM(w, r, http.MethodGet, "/control/state")
+	s.forwardToVM(w, r, http.MethodGet, "/control/state")
 }
 
-// VMState is what the platform says of a target VM.
+// VMState is the status of a target VM. The platform returns it as the VM reports it.
 type VMState struct {
 	Up      bool       `json:"up"`
 	Running core.Slots `json:"running"`
 }
 
-func (s *Server) toVM(w http.ResponseWriter, r *http.Request, method, path string) {
+func (s *Server) forwardToVM(w http.ResponseWriter, r *http.Request, method, path string) {
 	s.mu.Lock()
 	vm := s.live[liveKey(core.ZoneID(r.PathValue("zone")), r.PathValue("vm"))]
 	s.mu.Unlock()
--- a/io/platform/standin/server.go
+++ b/io/platform/standin/server.go
@@ -1,6 +1,6 @@
-// Package standin is a small stand-in for the platform: its table, object
-// store, list of live VMs and reboots, in memory, over HTTP. It can be told to
-// be slow, down, or to lose answers after a write took effect.
+// Package standin is a small in-memory stand-in for the platform. It serves the table,
+// the object store, the list of live VMs and the control of VMs over HTTP. It can be made
+// to be slow, to be down, or to lose answers after a write took effect.
 package standin
 
 import (
@@ -17,13 +17,13 @@
 	"lavenderpond/io/platform"
 )
 
-// maxBody bounds a request to the stand-in, in bytes.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 16 << 20
 
-// Server is the stand-in. Its zero value works with the wall clock. It is safe
-// for concurrent use.
+// Server is the stand-in. The zero value is ready to use, with the wall clock. A Server
+// is safe for concurrent use.
 type Server struct {
-	// Now is the clock; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 
 	mu      sync.Mutex
@@ -35,13 +35,14 @@
 	writes  int64
 }
 
-// Handler returns the HTTP interface of the platform and of the faults.
+// Handler returns the HTTP interface of the platform and the stand-in's own routes, which
+// set faults, report live VMs and return request counts.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+platform.PathRows, s.faulty(s.getRows))
-	mux.HandleFunc("POST "+platform.PathTransact, s.faulty(s.transact))
-	mux.HandleFunc("PUT "+platform.PathObjects+"{name}", s.faulty(s.putObject))
-	mux.HandleFunc("GET "+platform.PathObjects+"{name}", s.faulty(s.getObject))
+	mux.HandleFunc("GET "+platform.PathRows, s.withFaults(s.getRows))
+	mux.HandleFunc("POST "+platform.PathTransact, s.withFaults(s.transact))
+	mux.HandleFunc("PUT "+platform.PathObjects+"{name}", s.withFaults(s.putObject))
+	mux.HandleFunc("GET "+platform.PathObjects+"{name}", s.withFaults(s.getObject))
 	mux.HandleFunc("GET "+platform.PathLive, s.getLive)
 	mux.HandleFunc("POST /standin/live", s.postLive)
 	mux.HandleFunc("POST /standin/faults", s.postFaults)
@@ -49,7 +50,7 @@
 	mux.HandleFunc("POST /vms/{zone}/{vm}/reboot", s.reboot)
 	mux.HandleFunc("POST /vms/{zone}/{vm}/drain", s.drain)
 	mux.HandleFunc("GET /vms/{zone}/{vm}", s.getVM)
-	mux.HandleFunc("POST /vms/{zone}/looks", s.looks)
+	mux.HandleFunc("POST /vms/{zone}/looks", s.checkVMs)
 	return mux
 }
 
@@ -137,7 +138,7 @@
 	}{s.reads, s.writes})
 }
 
-func zoneOf(r *http.Request) core.ZoneID { return core.ZoneID(r.URL.Query().Get("zone")) }
+func zoneParam(r *http.Request) core.ZoneID { return core.ZoneID(r.URL.Query().Get("zone")) }
 
 func liveKey(zone core.ZoneID, name string) string { return string(zone) + "/" + name }
 
