--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -38,17 +38,17 @@
 		})
 	})
 	for _, kind := range []string{"holder", "forwarded", "idempotent"} {
-		b.Run(kind, func(b *testing.B) { measure(b, f.caller(kind)) })
+		b.Run(kind, func(b *testing.B) { measure(b, f.submitter(kind)) })
 	}
 }
 
-// caller returns a function that submits a request whose holder is the entry that
+// submitter returns a function that submits a request whose holder is the entry that
 // is asked, or another one.
-func (f *testFleet) caller(kind string) func(n int64) bool {
+func (f *testFleet) submitter(kind string) func(n int64) bool {
 	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	var clients []*caller.Client
 	for _, e := range f.entries {
-		clients = append(clients, caller.NewClient(h, "http://"+e.daemon.callers.Addr().String(), "lyra", teamKey))
+		clients = append(clients, caller.NewClient(h, "http://"+e.daemon.callerListener.Addr().String(), "lyra", teamKey))
 	}
 	return func(n int64) bool {
 		now := time.Now()
@@ -73,36 +73,38 @@
 // measure runs do from parallel callers and reports percentiles and failures.
 func measure(b *testing.B, do func(n int64) bool) {
 	var mu sync.Mutex
-	var times []time.Duration
+	var allLatencies []time.Duration
 	var failed atomic.Int64
 	b.SetParallelism(2)
-	used := processorTime(b)
+	cpu := cpuTime(b)
 	b.RunParallel(func(p *testing.PB) {
-		var own []time.Duration
+		var latencies []time.Duration
 		for p.Next() {
 			begin := time.Now()
 			if !do(benchNumber.Add(1)) {
 				failed.Add(1)
 			}
-			own = append(own, time.Since(begin))
+			latencies = append(latencies, time.Since(begin))
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		times = append(times, own...)
+		allLatencies = append(allLatencies, latencies...)
 	})
-	used = processorTime(b) - used
-	slices.Sort(times)
-	at := func(q float64) float64 { return float64(times[int(q*float64(len(times)-1))].Microseconds()) / 1000 }
-	b.ReportMetric(at(0.5), "p50-ms")
-	b.ReportMetric(at(0.99), "p99-ms")
-	b.ReportMetric(float64(len(times))/b.Elapsed().Seconds(), "req/s")
-	b.ReportMetric(float64(used.Microseconds())/float64(len(times)), "cpu-µs/req")
+	cpu = cpuTime(b) - cpu
+	slices.Sort(allLatencies)
+	percentile := func(q float64) float64 {
+		return float64(allLatencies[int(q*float64(len(allLatencies)-1))].Microseconds()) / 1000
+	}
+	b.ReportMetric(percentile(0.5), "p50-ms")
+	b.ReportMetric(percentile(0.99), "p99-ms")
+	b.ReportMetric(float64(len(allLatencies))/b.Elapsed().Seconds(), "req/s")
+	b.ReportMetric(float64(cpu.Microseconds())/float64(len(allLatencies)), "cpu-µs/req")
 	b.ReportMetric(float64(failed.Load()), "failed")
 }
 
-// processorTime returns what the process has used, in user and system mode: on a busy
+// cpuTime returns what the process has used, in user and system mode: on a busy
 // machine it tells more than latency does.
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/io/entry/budgets.go
+++ b/io/entry/budgets.go
@@ -8,16 +8,16 @@
 	"lavenderpond/io/supervisor"
 )
 
-// budgetsInterval is the time between two comparisons of pools' budgets with the
+// budgetSyncInterval is the time between two comparisons of pools' budgets with the
 // configuration in force. One that finds nothing costs no message.
-const budgetsInterval = 5 * time.Second
+const budgetSyncInterval = 5 * time.Second
 
-// keepBudgets carries exceptions and defaults over into the pools' rows while this
+// syncBudgets carries exceptions and defaults over into the pools' rows while this
 // entry is its zone's controller.
-func (d *Daemon) keepBudgets(ctx context.Context) error {
+func (d *Daemon) syncBudgets(ctx context.Context) error {
 	sync := operator.BudgetSync{Table: d.platform, View: d.config.View, Pool: d.fleet.Pool}
-	return supervisor.Every(ctx, budgetsInterval, func(ctx context.Context) {
-		if !d.control.State().Holds {
+	return supervisor.Every(ctx, budgetSyncInterval, func(ctx context.Context) {
+		if !d.controller.State().Holds {
 			return
 		}
 		if err := sync.Round(ctx, d.now()); err != nil {
--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -21,7 +21,7 @@
 
 var (
 	_ home.Configuration = (*configuration)(nil)
-	_ Gate               = (*configuration)(nil)
+	_ Authorizer         = (*configuration)(nil)
 )
 
 // Pool implements home.Configuration.
@@ -39,8 +39,8 @@
 	return c.CheckKey(now, team, digest)
 }
 
-// Admit implements Gate.
-func (c *configuration) Admit(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
+// Authorize implements Gate.
+func (c *configuration) Authorize(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
 	known := false
 	c.View(func(v *config.View) { _, known = v.Team(now, team) })
 	if !known {
@@ -69,8 +69,8 @@
 	return bound
 }
 
-// loaded says whether the configuration was read once, here or at a peer.
-func (c *configuration) loaded() bool { return !c.KeysTrustedUntil().IsZero() }
+// isLoaded says whether the configuration was read once, here or at a peer.
+func (c *configuration) isLoaded() bool { return !c.KeysTrustedUntil().IsZero() }
 
 // buildConfig connects the configuration to the queue and to what waits.
 func (d *Daemon) buildConfig(queue *fair.Queue) {
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -33,19 +33,19 @@
 	tickInterval      = 20 * time.Millisecond
 	directoryInterval = 2 * time.Second
 	metricsInterval   = time.Second
-	// announceStep is the pause between two tries to state this entry's address.
-	announceStep = 500 * time.Millisecond
+	// announceRetryInterval is the pause between two tries to state this entry's address.
+	announceRetryInterval = 500 * time.Millisecond
 )
 
-// settlePatience bounds how long a stop waits for mirrored starts to reach a target.
+// settleTimeout bounds how long a stop waits for mirrored starts to reach a target.
 // Ids of this entry's shards wait as long; what is handed over unsettled ends as
 // outcome_unknown although it never ran.
-const settlePatience = 15 * time.Second
+const settleTimeout = 15 * time.Second
 
-// targetConnections is how many of a VM's connections one entry uses at most: one
+// maxConnectionsPerVM is how many of a VM's connections one entry uses at most: one
 // for each of its 8 slots, and two for questions. Six entries of a zone stay within
 // a VM's 64.
-const targetConnections = 10
+const maxConnectionsPerVM = 10
 
 // Daemon is one run of an entry.
 type Daemon struct {
@@ -55,22 +55,22 @@
 	started  time.Time
 	now      func() time.Time
 
-	platform  *platform.Client
-	live      *platform.SharedList
-	peers     *netrpc.Pool
-	directory Directory
-	config    *configuration
-	shards    *peer.ShardKeeper
-	limits    *platform.Allotments
-	fleet     *platform.FleetWatcher
-	control   *platform.Controller
-	requests  *Requests
-	front     *Front
-	metrics   metrics.Registry
+	platform   *platform.Client
+	liveList   *platform.SharedList
+	peers      *netrpc.Pool
+	directory  Directory
+	config     *configuration
+	shards     *peer.ShardKeeper
+	allotments *platform.Allotments
+	fleet      *platform.FleetWatcher
+	controller *platform.Controller
+	requests   *Requests
+	front      *Front
+	metrics    metrics.Registry
 
-	callers  net.Listener
-	peerings net.Listener
-	stopping atomic.Bool
+	callerListener net.Listener
+	peerListener   net.Listener
+	stopping       atomic.Bool
 
 	// aborted ends when a stop may not take any longer.
 	aborted context.Context
@@ -88,7 +88,7 @@
 		HTTP:    &http.Client{Timeout: settings.Platform.Timeout},
 		Zone:    settings.Entry.Zone,
 	}
-	d.live = &platform.SharedList{LiveList: d.platform, Now: d.now}
+	d.liveList = &platform.SharedList{LiveList: d.platform, Now: d.now}
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
@@ -100,16 +100,16 @@
 // claims any right.
 func (d *Daemon) listen() error {
 	var err error
-	d.callers, err = net.Listen("tcp", d.settings.Entry.CallerListen.String())
+	d.callerListener, err = net.Listen("tcp", d.settings.Entry.CallerListen.String())
 	if err != nil {
 		return errors.Wrap(err, "caller_listen")
 	}
-	d.peerings, err = net.Listen("tcp", d.settings.Entry.PeerListen.String())
+	d.peerListener, err = net.Listen("tcp", d.settings.Entry.PeerListen.String())
 	if err != nil {
 		return errors.Wrap(err, "peer_listen")
 	}
 	if d.settings.Entry.AdvertisePeer.Port() == 0 {
-		d.settings.Entry.AdvertisePeer = d.peerings.Addr().(*net.TCPAddr).AddrPort()
+		d.settings.Entry.AdvertisePeer = d.peerListener.Addr().(*net.TCPAddr).AddrPort()
 	}
 	return nil
 }
@@ -125,13 +125,13 @@
 	h.Params.SkewBound = d.settings.Entry.SkewBound
 	d.requests = NewRequests(h)
 	d.requests.Now = d.now
-	d.requests.Targets = target.NewClient(targetConnections, int64(d.settings.Entry.MaxBody))
+	d.requests.Targets = target.NewClient(maxConnectionsPerVM, int64(d.settings.Entry.MaxBody))
 	d.buildConfig(queue)
-	d.buildRights(h)
+	d.buildLeases(h)
 	d.buildFleet(router)
 	d.front = &Front{
 		Zone: d.settings.Entry.Zone, Zones: d.settings.Entry.Zones, Now: d.now,
-		Holders: d.shards, Gate: d.config, Requests: d.requests, Directory: &d.directory, Peers: d.peers,
+		Leases: d.shards, Authorizer: d.config, Requests: d.requests, Directory: &d.directory, Peers: d.peers,
 	}
 }
 
@@ -142,40 +142,40 @@
 	rows := &platform.FleetRows{}
 	d.fleet = &platform.FleetWatcher{
 		Rows: rows,
-		Zone: zone, Table: d.platform, Live: d.live, Now: d.now, Interval: d.settings.Platform.PollInterval,
+		Zone: zone, Table: d.platform, Live: d.liveList, Now: d.now, Interval: d.settings.Platform.PollInterval,
 		Probe: d.probe,
 		OnChange: func(targets []route.Target) {
 			pools := d.routePools()
 			entries := len(d.shards.Dump().Live)
-			d.requests.Locked(func(*home.Home) {
+			d.requests.WithLock(func(*home.Home) {
 				router.Entries = entries
 				router.Update(d.now(), targets, pools)
 			})
 			d.requests.Handle(home.Changed{})
 		},
 	}
-	d.control = &platform.Controller{
+	d.controller = &platform.Controller{
 		Rows: rows,
-		Zone: zone, Self: d.id, Table: d.platform, Live: d.live, VMs: d.platform, Now: d.now, Log: d.log,
+		Zone: zone, Self: d.id, Table: d.platform, Live: d.liveList, VMs: d.platform, Now: d.now, Log: d.log,
 	}
 	d.requests.Address = func(vm core.VMID) (string, bool) {
 		row, ok := d.fleet.VM(vm)
 		return row.VM.Address, ok
 	}
-	d.requests.Seen = d.seen
+	d.requests.OnDispatchEnded = d.observeDispatch
 }
 
-// seen passes on what a dispatch showed of a VM's state.
-func (d *Daemon) seen(vm core.VMID, asked time.Time, end home.End) {
+// observeDispatch passes on what a dispatch showed of a VM's state.
+func (d *Daemon) observeDispatch(vm core.VMID, sentAt time.Time, end home.End) {
 	notStarted, ok := end.(home.NotStarted)
 	switch {
 	case !ok:
-		d.fleet.Answered(vm, asked)
+		d.fleet.Answered(vm, sentAt)
 	case notStarted.Reason == home.Leaving:
 		d.fleet.Refused(vm)
 	case notStarted.Reason == home.Unreachable:
 		d.fleet.Unreachable(vm)
-		d.control.Suspect(vm)
+		d.controller.Suspect(vm)
 	}
 }
 
@@ -183,12 +183,12 @@
 // the entry's rights are handed over.
 func (d *Daemon) Run(ctx context.Context) error {
 	// The parts go on during the graceful stop: running requests need them.
-	parts, stopParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopParts()
+	children, stopChildren := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopChildren()
 	var g supervisor.Group
-	g.Go(func() { _ = d.tree().Run(parts) })
+	g.Go(func() { _ = d.supervisorTree().Run(children) })
 	err := d.serveCallers(ctx)
-	stopParts()
+	stopChildren()
 	g.Wait()
 	d.requests.Close()
 	d.peers.Close()
@@ -204,7 +204,7 @@
 		d.stopGracefully()
 		stopServing()
 	})
-	err := d.http().Serve(serving, d.callers, d.settings.Entry.StopGrace)
+	err := d.newHTTPServer().Serve(serving, d.callerListener, d.settings.Entry.StopGrace)
 	if ctx.Err() == nil {
 		return errors.Wrap(err, "callers' listener ended")
 	}
@@ -220,20 +220,20 @@
 	defer cancel()
 	d.front.SetHandingOver(true)
 	d.requests.Handle(home.Stopping{})
-	settling, settled := context.WithTimeout(ctx, settlePatience)
-	d.requests.Settle(settling)
-	settled()
-	d.releaseRights(ctx)
+	settleCtx, cancelSettle := context.WithTimeout(ctx, settleTimeout)
+	d.requests.Settle(settleCtx)
+	cancelSettle()
+	d.releaseLeases(ctx)
 	d.front.SetHandingOver(false)
 	if left := d.requests.Drain(ctx); left > 0 {
 		d.log.Warn().Int("unfinished", left).Msg("stop_grace is over; what runs is left to its leases")
 	}
-	for d.front.Forwarded() > 0 && supervisor.Sleep(ctx, drainStep) {
+	for d.front.Forwarded() > 0 && supervisor.Sleep(ctx, drainPollInterval) {
 	}
-	d.limits.Release(ctx)
+	d.allotments.Release(ctx)
 }
 
-func (d *Daemon) http() *HTTP {
+func (d *Daemon) newHTTPServer() *HTTPServer {
 	mux := http.NewServeMux()
 	mux.Handle((&caller.Server{
 		Front: d.front, MaxBody: d.settings.Entry.MaxBody, SkewBound: d.settings.Entry.SkewBound,
@@ -242,7 +242,7 @@
 	mux.Handle((&operator.Server{
 		Table: d.platform, Backend: backend{d}, KeyDigest: d.settings.Keys.OperatorKeyDigest, Entry: d.id, Log: d.log,
 	}).Handler())
-	return &HTTP{Mux: mux, Metrics: d.metrics, Ready: d.ready, Aborted: d.aborted}
+	return &HTTPServer{Mux: mux, Metrics: d.metrics, Ready: d.ready, Aborted: d.aborted}
 }
 
 // Abort makes a stop that is under way, or the next one, end at once: what runs is
@@ -251,32 +251,32 @@
 
 // ready says whether callers should be sent here.
 func (d *Daemon) ready() bool {
-	return !d.stopping.Load() && d.config.loaded() && len(d.shards.Dump().Shards) > 0
+	return !d.stopping.Load() && d.config.isLoaded() && len(d.shards.Dump().Shards) > 0
 }
 
 // Unfinished returns how many requests have no final answer yet.
 func (d *Daemon) Unfinished() int {
 	n := 0
-	d.requests.Locked(func(h *home.Home) { n = h.Unfinished() })
+	d.requests.WithLock(func(h *home.Home) { n = h.Unfinished() })
 	return n
 }
 
-// tree is the daemon's supervisor tree.
-func (d *Daemon) tree() *supervisor.Node {
-	peering := supervisor.Node{Name: "peers", Log: d.log, Children: d.peerChildren()}
-	table := supervisor.Node{Name: "platform", Log: d.log, Children: []supervisor.Child{
-		d.config.watcher.Child(), d.fleet.Child(), d.control.Child(), d.limits.Child(),
+// supervisorTree is the daemon's supervisor tree.
+func (d *Daemon) supervisorTree() *supervisor.Node {
+	peers := supervisor.Node{Name: "peers", Log: d.log, Children: d.peerChildren()}
+	platformNode := supervisor.Node{Name: "platform", Log: d.log, Children: []supervisor.Child{
+		d.config.watcher.Child(), d.fleet.Child(), d.controller.Child(), d.allotments.Child(),
 		(&operator.Exporter{Table: d.platform, Objects: d.platform, Log: d.log}).Child(),
-		{Name: "budgets", Run: d.keepBudgets},
-		{Name: "first_parts", Run: d.keepParts},
-		{Name: "directory", Run: d.keepDirectory},
+		{Name: "budgets", Run: d.syncBudgets},
+		{Name: "first_parts", Run: d.requestInitialAllotments},
+		{Name: "directory", Run: d.maintainDirectory},
 	}}
 	local := supervisor.Node{Name: "local", Log: d.log, Children: []supervisor.Child{
 		{Name: "tick", Run: d.tick},
-		{Name: "metrics", Run: d.measure},
+		{Name: "metrics", Run: d.collectMetrics},
 	}}
 	return &supervisor.Node{Name: "daemon", Log: d.log, Children: []supervisor.Child{
-		peering.AsChild(), table.AsChild(), local.AsChild(),
+		peers.AsChild(), platformNode.AsChild(), local.AsChild(),
 	}}
 }
 
@@ -284,8 +284,8 @@
 	return supervisor.Every(ctx, tickInterval, func(context.Context) { d.requests.Handle(home.Tick{}) })
 }
 
-// keepDirectory states this entry's address and learns the others'.
-func (d *Daemon) keepDirectory(ctx context.Context) error {
+// maintainDirectory states this entry's address and learns the others'.
+func (d *Daemon) maintainDirectory(ctx context.Context) error {
 	self := Address{
 		Entry: d.id, Zone: d.settings.Entry.Zone,
 		Peer: d.settings.Entry.AdvertisePeer, Caller: d.settings.Entry.CallerListen,
@@ -296,7 +296,7 @@
 		if !announced {
 			err := d.directory.Announce(ctx, d.platform, self)
 			announced = err == nil
-			pause = announceStep
+			pause = announceRetryInterval
 		}
 		if err := d.directory.Refresh(ctx, d.platform); err != nil {
 			d.log.Debug().Err(err).Msg("directory not refreshed")
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -24,8 +24,8 @@
 	"lavenderpond/io/target/standin"
 )
 
-func (f *testFleet) service(i int) lavenderpondv1connect.CallerServiceClient {
-	return lavenderpondv1connect.NewCallerServiceClient(http.DefaultClient, "http://"+f.entries[i].daemon.callers.Addr().String())
+func (f *testFleet) callerClient(i int) lavenderpondv1connect.CallerServiceClient {
+	return lavenderpondv1connect.NewCallerServiceClient(http.DefaultClient, "http://"+f.entries[i].daemon.callerListener.Addr().String())
 }
 
 // send sends a message with a key and returns the answer.
@@ -33,7 +33,7 @@
 	f.t.Helper()
 	r := connect.NewRequest(m)
 	r.Header().Set("Authorization", "Bearer "+key)
-	resp, err := f.service(i).Submit(f.ctx, r)
+	resp, err := f.callerClient(i).Submit(f.ctx, r)
 	assert.NilError(f.t, err)
 	return resp.Msg
 }
@@ -41,7 +41,7 @@
 // TestRefusalsAreTrue: each kind of bad input gets its own numbered code at once,
 // says "not run", and the targets' record shows that it did not run. A second
 // attempt that is refused by an entry without its record says "unknown".
-func TestRefusalsAreTrue(t *testing.T) {
+func TestRefusedRequestsDoNotRun(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 2)
 	f.awaitServing()
 	length := func(n uint64) *uint64 { return &n }
@@ -81,14 +81,14 @@
 
 // TestKeysDecide: a caller with a wrong key, or none, runs nothing. An entry without
 // the checks of the front and the home would run both.
-func TestKeysDecide(t *testing.T) {
+func TestInvalidKeysAreRefused(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 1, safeguardsOff{keys: off})
+		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 1, safeguardsOff{keyChecks: off})
 		f.awaitServing()
 		for n, key := range []string{"wrong", ""} {
 			id := fmt.Sprintf("key-%d", n)
 			a := f.send(0, &pb.SubmitRequest{
-				Team: "lyra", Id: id, Attempt: 1, Queue: "frames", Deadline: timestamppb.New(time.Now().Add(patience)), Body: []byte("{}"),
+				Team: "lyra", Id: id, Attempt: 1, Queue: "frames", Deadline: timestamppb.New(time.Now().Add(testTimeout)), Body: []byte("{}"),
 			}, key)
 			assert.Equal(t, a.CodeName == core.CodeBadKey.String(), !off, "%s", a)
 			assert.Equal(t, f.startsOf(core.RequestID(id)) == 0, !off)
@@ -100,9 +100,9 @@
 // its answer. The caller gets its own whole answer, which the entry asks the same
 // target for, and never another's or a part. Nothing is started twice. Unchecked,
 // other tasks' answers and halves are handed on as whole.
-func TestAnswersWholeOrUnknown(t *testing.T) {
+func TestAnswersCompleteOrUnknown(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2}, 3, safeguardsOff{answerCheck: off})
+		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2}, 3, safeguardsOff{answerChecks: off})
 		f.awaitServing()
 		faults := []standin.Faults{{LoseAnswers: 8}, {CutAnswers: 8}, {CrossAnswers: 8}}
 		for i, vm := range f.vms {
@@ -139,7 +139,7 @@
 // TestPlannedStopCutsNothingOff: an entry is told to stop while requests run and
 // wait at it, its own callers' and forwarded ones. All of them get their whole
 // answer: what runs is finished, what waits goes on to the next holder.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+func TestGracefulStopFinishesRequests(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 1)
 	f.awaitServing()
 	var g supervisor.Group
@@ -171,7 +171,7 @@
 // TestPlannedStopKeepsUnwaited: callers submit without waiting, more than the zone's
 // one target has slots for, and the entry that took them is told to stop. What it
 // had queued goes on to the next holder; each caller fetches its answer there.
-func TestPlannedStopKeepsUnwaited(t *testing.T) {
+func TestGracefulStopKeepsNoWaitRequests(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 1)
 	f.awaitServing()
 	const requests = 60
@@ -190,7 +190,7 @@
 		f.await(id, func() bool {
 			r := connect.NewRequest(&pb.FetchRequest{Team: "lyra", Id: id})
 			r.Header().Set("Authorization", "Bearer "+teamKey)
-			resp, err := f.service(1).Fetch(f.ctx, r)
+			resp, err := f.callerClient(1).Fetch(f.ctx, r)
 			return err == nil && resp.Msg.Outcome == pb.Outcome_OUTCOME_DONE
 		})
 		assert.Equal(t, f.startsOf(core.RequestID(id)), 1)
@@ -203,9 +203,9 @@
 // It refuses the next one, which goes to another target; from then on it is sent
 // nothing, although its row and the live list know nothing yet. The task finishes.
 // Where the refusal isn't passed on, the target stays one that work is sent to.
-func TestLeavingTargetGetsNothingNew(t *testing.T) {
+func TestLeavingTargetReceivesNoNewTasks(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 2, safeguardsOff{leaving: off})
+		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 2, safeguardsOff{leavingRefusals: off})
 		f.awaitServing()
 		var g supervisor.Group
 		for n := range 16 {
@@ -250,13 +250,13 @@
 // TestUpperLimitAcrossEntries: eight times the limit is submitted through three
 // entries of two zones, with a cut of the limit in between. The targets' record
 // never shows more than the limit at once, but for entries that ignore allotments.
-func TestUpperLimitAcrossEntries(t *testing.T) {
+func TestTeamLimitAcrossEntries(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 2, safeguardsOff{allotments: off})
 		f.awaitServing()
 		f.apply(config.SetTeam{Author: "test", Team: "lyra", Value: config.Team{Share: 1, Limit: 5}})
 		version := f.version()
-		f.await("the limit in force", func() bool { return f.allHave(version) && f.parts() <= 5 })
+		f.await("the limit in force", func() bool { return f.allHaveVersion(version) && f.totalAllotment() <= 5 })
 		mark := len(f.starts.Starts())
 		body := `{"run_ms":40}`
 		if off {
@@ -270,7 +270,7 @@
 			})
 		}
 		g.Wait()
-		most := overlap(f.starts.Starts()[mark:])
+		most := maxConcurrent(f.starts.Starts()[mark:])
 		t.Logf("allotments off %t: %d at once, limit 5", off, most)
 		assert.Equal(t, most > 5, off)
 	}
@@ -285,7 +285,7 @@
 	return head.Version
 }
 
-func (f *testFleet) allHave(version core.Version) bool {
+func (f *testFleet) allHaveVersion(version core.Version) bool {
 	for _, e := range f.entries {
 		if e.daemon.config.Version() < version {
 			return false
@@ -294,19 +294,19 @@
 	return true
 }
 
-// parts returns the sum of the entries' allotments.
-func (f *testFleet) parts() core.Slots {
+// totalAllotment returns the sum of the entries' allotments.
+func (f *testFleet) totalAllotment() core.Slots {
 	var sum core.Slots
 	for _, e := range f.entries {
-		for _, d := range e.daemon.limits.Dump() {
+		for _, d := range e.daemon.allotments.Dump() {
 			sum += d.Part
 		}
 	}
 	return sum
 }
 
-// overlap returns the most starts that ran at one moment.
-func overlap(starts []standin.Start) int {
+// maxConcurrent returns the most starts that ran at one moment.
+func maxConcurrent(starts []standin.Start) int {
 	most := 0
 	for _, s := range starts {
 		n := 0
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -27,9 +27,9 @@
 	"lavenderpond/io/target/standin"
 )
 
-// patience bounds how long a test waits for a state. It decides nothing about a
+// testTimeout bounds how long a test waits for a state. It decides nothing about a
 // pass: a test that needs it all fails for lack of progress.
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 const (
 	teamKey     = "lp_test_team"
@@ -56,15 +56,15 @@
 // safeguardsOff are safeguards that a test switches off, to see what it asserts fail.
 type safeguardsOff struct {
 	// holders: every entry takes itself for the holder of every id.
-	holders bool
+	shardLeases bool
 	// allotments: every start is allowed, whatever the team's limit.
 	allotments bool
 	// answerCheck: answers pass the checks for the task and the length.
-	answerCheck bool
+	answerChecks bool
 	// keys: every key is good for every team.
-	keys bool
+	keyChecks bool
 	// leaving: a target's refusal isn't passed on.
-	leaving bool
+	leavingRefusals bool
 }
 
 // testEntry is one running daemon.
@@ -168,7 +168,7 @@
 // await waits until check returns true.
 func (f *testFleet) await(what string, check func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !check() {
 		if time.Now().After(deadline) {
 			f.t.Fatalf("gave up waiting for %s", what)
@@ -180,7 +180,7 @@
 // awaitServing waits until every entry is ready and answers a request.
 func (f *testFleet) awaitServing() {
 	f.t.Helper()
-	f.await("rights in sync and parts of the limit held", f.settled)
+	f.await("rights in sync and parts of the limit held", f.isSettled)
 	for i, e := range f.entries {
 		f.await("entry ready", e.daemon.ready)
 		n := 0
@@ -192,10 +192,10 @@
 	}
 }
 
-// settled says whether every shard is in sync and every entry holds a part.
-func (f *testFleet) settled() bool {
+// isSettled says whether every shard is in sync and every entry holds a part.
+func (f *testFleet) isSettled() bool {
 	for _, e := range f.entries {
-		limits := e.daemon.limits.Dump()
+		limits := e.daemon.allotments.Dump()
 		if len(limits) == 0 || limits[0].Part == 0 {
 			return false
 		}
@@ -213,7 +213,7 @@
 // answer without outcome.
 func (f *testFleet) submit(i int, id core.RequestID, attempt core.Attempt, body string) *pb.Answer {
 	now := time.Now()
-	c := caller.NewClient(http.DefaultClient, "http://"+f.entries[i].daemon.callers.Addr().String(), "lyra", teamKey)
+	c := caller.NewClient(http.DefaultClient, "http://"+f.entries[i].daemon.callerListener.Addr().String(), "lyra", teamKey)
 	a, err := c.Submit(f.ctx, core.Request{
 		Key: core.RequestKey{ID: id}, Attempt: attempt, Queue: "frames",
 		Deadline: now.Add(30 * time.Second).Truncate(time.Minute).Add(time.Minute), Body: []byte(body),
@@ -240,7 +240,7 @@
 // each entry takes itself for the holder, both entries of a zone run it.
 func TestFleetServesAndDedups(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, safeguardsOff{holders: off})
+		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, safeguardsOff{shardLeases: off})
 		f.awaitServing()
 		var g supervisor.Group
 		var mu sync.Mutex
--- a/io/entry/front_test.go
+++ b/io/entry/front_test.go
@@ -20,21 +20,21 @@
 	"lavenderpond/io/supervisor"
 )
 
-// nobody is Holders of a zone in which no one may decide.
-type nobody struct{}
+// noHolder is Holders of a zone in which no one may decide.
+type noHolder struct{}
 
-func (nobody) Decide(now time.Time, _ core.RequestKey, _, _ time.Time) shard.Verdict {
+func (noHolder) Decide(now time.Time, _ core.RequestKey, _, _ time.Time) shard.Verdict {
 	return shard.Wait{ComeBackAt: now.Add(time.Second)}
 }
 
-// openGate admits everybody.
-type openGate struct{}
+// allowAll admits everybody.
+type allowAll struct{}
 
-func (openGate) Admit(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
+func (allowAll) Authorize(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
 
-// addressOfListener returns the address of a listener that breaks off every
+// listenerAddress returns the address of a listener that breaks off every
 // connection, or that is closed and refuses them.
-func addressOfListener(t *testing.T, refuses bool) netip.AddrPort {
+func listenerAddress(t *testing.T, refuses bool) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -64,7 +64,7 @@
 // left, a first attempt did not run, and the caller is told so; a second one may
 // follow an attempt that ran. If a message left and no answer came back, the home
 // may have it: then nothing but "unknown" is true, whichever attempt it is.
-func TestCutOffHome(t *testing.T) {
+func TestUnreachableHomeZone(t *testing.T) {
 	cases := []struct {
 		name    string
 		refuses bool
@@ -83,18 +83,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := &Front{
 				Zone: "zone_a", Zones: []core.ZoneID{"zone_a", "zone_b"}, Now: time.Now,
-				Holders: nobody{}, Gate: openGate{}, Directory: &Directory{}, Peers: &netrpc.Pool{},
+				Leases: noHolder{}, Authorizer: allowAll{}, Directory: &Directory{}, Peers: &netrpc.Pool{},
 			}
 			defer f.Peers.Close()
 			f.Directory.entries = map[table.Key]Address{
-				table.EntryKey("zone_b", "b1"): {Entry: "b1#1", Zone: "zone_b", Peer: addressOfListener(t, c.refuses)},
+				table.EntryKey("zone_b", "b1"): {Entry: "b1#1", Zone: "zone_b", Peer: listenerAddress(t, c.refuses)},
 			}
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			submit := func(attempt core.Attempt) core.Answer {
-				return withoutTimes(f.Submit(ctx, core.Request{
+				return stripTimes(f.Submit(ctx, core.Request{
 					Key:     core.RequestKey{Team: "lyra", ID: core.RequestID(c.home + "~1")},
-					Attempt: attempt, Deadline: time.Now().Add(patience),
+					Attempt: attempt, Deadline: time.Now().Add(testTimeout),
 				}, false))
 			}
 			assert.DeepEqual(t, submit(c.attempt), c.want)
@@ -106,8 +106,8 @@
 	}
 }
 
-// withoutTimes leaves out what differs from run to run.
-func withoutTimes(a core.Answer) core.Answer {
+// stripTimes leaves out what differs from run to run.
+func stripTimes(a core.Answer) core.Answer {
 	switch a := a.(type) {
 	case core.NotRun:
 		return core.NotRun{Code: a.Code}
@@ -118,13 +118,13 @@
 	}
 }
 
-// scripted are Holders that give one verdict after the other, and the last for good.
-type scripted struct {
+// scriptedLeases are Holders that give one verdict after the other, and the last for good.
+type scriptedLeases struct {
 	mu       sync.Mutex
 	verdicts []shard.Verdict
 }
 
-func (s *scripted) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
+func (s *scriptedLeases) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.verdicts[0]
@@ -134,27 +134,27 @@
 	return v
 }
 
-// looksOfSearch is how often a search looks at a steppedClock, three times a try.
-const looksOfSearch = 30
+// clockReadsPerSearch is how often a search looks at a steppedClock, three times a try.
+const clockReadsPerSearch = 30
 
 // steppedClock is a clock that moves on with each look, so that a search ends after
 // a number of looks and not by the machine's pace.
 type steppedClock struct {
-	began time.Time
-	looks atomic.Int64
+	start time.Time
+	reads atomic.Int64
 }
 
 func (c *steppedClock) now() time.Time {
-	return c.began.Add(time.Duration(c.looks.Add(1)) * searchFor / looksOfSearch)
+	return c.start.Add(time.Duration(c.reads.Add(1)) * holderSearchTimeout / clockReadsPerSearch)
 }
 
-// newZoneFront returns the front of an entry of zone_a that listens for peers.
-func newZoneFront(t *testing.T, verdicts ...shard.Verdict) (*Front, netip.AddrPort) {
+// newTestFront returns the front of an entry of zone_a that listens for peers.
+func newTestFront(t *testing.T, verdicts ...shard.Verdict) (*Front, netip.AddrPort) {
 	t.Helper()
-	clock := steppedClock{began: time.Now()}
+	clock := steppedClock{start: time.Now()}
 	f := &Front{
-		Zone: "zone_a", Zones: []core.ZoneID{"zone_a"}, Now: clock.now, Holders: &scripted{verdicts: verdicts},
-		Gate: openGate{}, Requests: NewRequests(&home.Home{}), Directory: &Directory{}, Peers: &netrpc.Pool{},
+		Zone: "zone_a", Zones: []core.ZoneID{"zone_a"}, Now: clock.now, Leases: &scriptedLeases{verdicts: verdicts},
+		Authorizer: allowAll{}, Requests: NewRequests(&home.Home{}), Directory: &Directory{}, Peers: &netrpc.Pool{},
 	}
 	f.Requests.Now = time.Now
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -176,11 +176,11 @@
 // still takes a1 for the holder, a2 knows of its right two looks later than a1 does,
 // and a1 never decides again. The call has to reach a2; before, the entries passed it
 // back and forth until it stayed at a1, which refused it with no_holder.
-func TestMovedRightIsFound(t *testing.T) {
+func TestMovedLeaseIsFound(t *testing.T) {
 	toA1, toA2 := shard.NotHolder{Holder: "a1#1"}, shard.NotHolder{Holder: "a2#1"}
-	a1, addressOfA1 := newZoneFront(t, toA2)
-	a2, addressOfA2 := newZoneFront(t, toA1, toA1, shard.Run{})
-	a3, _ := newZoneFront(t, toA1, toA1, toA2)
+	a1, addressOfA1 := newTestFront(t, toA2)
+	a2, addressOfA2 := newTestFront(t, toA1, toA1, shard.Run{})
+	a3, _ := newTestFront(t, toA1, toA1, toA2)
 	addresses := map[table.Key]Address{
 		table.EntryKey("zone_a", "a1"): {Entry: "a1#1", Zone: "zone_a", Peer: addressOfA1},
 		table.EntryKey("zone_a", "a2"): {Entry: "a2#1", Zone: "zone_a", Peer: addressOfA2},
@@ -188,7 +188,7 @@
 	for _, f := range []*Front{a1, a2, a3} {
 		f.Directory.entries = addresses
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	answer := a3.Fetch(ctx, core.RequestKey{Team: "lyra", ID: "moved"}, "")
 	// The word of a2's home: it has no record of the id.
@@ -198,12 +198,12 @@
 // TestHandOverIsWaitedFor: an entry that stops can't write its rights over for a
 // while, since the table is slow. A caller's search there lasts as long as the
 // hand-over does, and ends with a refusal once the entry has given that up.
-func TestHandOverIsWaitedFor(t *testing.T) {
-	verdicts := make([]shard.Verdict, 3*looksOfSearch)
+func TestSearchWaitsForHandOver(t *testing.T) {
+	verdicts := make([]shard.Verdict, 3*clockReadsPerSearch)
 	for i := range verdicts {
 		verdicts[i] = shard.Wait{}
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	key := core.RequestKey{Team: "lyra", ID: "waits"}
 	deadline := time.Now().Add(time.Hour)
@@ -211,22 +211,22 @@
 		return f.Submit(ctx, core.Request{Key: key, Attempt: 1, Deadline: deadline}, false)
 	}
 
-	f, _ := newZoneFront(t, append(verdicts, shard.Refuse{Code: core.CodeDeadlinePassed})...)
-	f.Requests.Locked(func(h *home.Home) { h.Leases = refusing{} })
+	f, _ := newTestFront(t, append(verdicts, shard.Refuse{Code: core.CodeDeadlinePassed})...)
+	f.Requests.WithLock(func(h *home.Home) { h.Leases = refusingLeases{} })
 	f.SetHandingOver(true)
 	assert.Equal(t, core.CodeOf(submit(f)), core.CodeDeadlinePassed)
 
-	f, _ = newZoneFront(t, verdicts...)
+	f, _ = newTestFront(t, verdicts...)
 	assert.Equal(t, core.CodeOf(submit(f)), core.CodeNoHolder)
 }
 
-// refusing are the Rights of a home that refuses every id.
-type refusing struct{}
+// refusingLeases are the Rights of a home that refuses every id.
+type refusingLeases struct{}
 
-func (refusing) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
+func (refusingLeases) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
 	return shard.Refuse{Code: core.CodeDeadlinePassed}
 }
 
-func (refusing) LeaseExpiry(time.Time, core.RequestKey) time.Time { return time.Time{} }
+func (refusingLeases) LeaseExpiry(time.Time, core.RequestKey) time.Time { return time.Time{} }
 
-func (refusing) Start(time.Time, shard.Start) bool { return false }
+func (refusingLeases) Start(time.Time, shard.Start) bool { return false }
--- a/io/entry/http.go
+++ b/io/entry/http.go
@@ -16,10 +16,10 @@
 // Deadlines of the HTTP server. A caller that sends slowly, or nothing, must not
 // hold a connection for ever.
 const (
-	headerTimeout = 5 * time.Second
-	bodyTimeout   = 15 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 16 << 10
+	headerTimeout  = 5 * time.Second
+	bodyTimeout    = 15 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 16 << 10
 )
 
 // Paths besides the connect services.
@@ -28,8 +28,8 @@
 	pathMetrics = "/metrics"
 )
 
-// HTTP serves callers, operators, metrics and readiness on one listener.
-type HTTP struct {
+// HTTPServer serves callers, operators, metrics and readiness on one listener.
+type HTTPServer struct {
 	Mux     *http.ServeMux
 	Metrics metrics.Registry
 	// Ready says whether the balancer should send callers here.
@@ -42,19 +42,19 @@
 
 // Serve serves l until ctx ends, and then until the requests that are there
 // have been answered or patience is over.
-func (h *HTTP) Serve(ctx context.Context, l net.Listener, patience time.Duration) error {
+func (h *HTTPServer) Serve(ctx context.Context, l net.Listener, grace time.Duration) error {
 	h.Mux.HandleFunc("GET "+pathReady, h.ready)
 	h.Mux.HandleFunc("GET "+pathMetrics, h.metrics)
 	h.server = &http.Server{
-		Handler:           readDeadline(h.Mux),
+		Handler:           withReadDeadline(h.Mux),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	var g supervisor.Group
 	g.Go(func() {
 		<-ctx.Done()
-		ctx, cancel := context.WithTimeout(h.aborted(), patience)
+		ctx, cancel := context.WithTimeout(h.abortContext(), grace)
 		defer cancel()
 		_ = h.server.Shutdown(ctx)
 		_ = h.server.Close()
@@ -67,14 +67,14 @@
 	return errors.Wrap(err, "serve callers")
 }
 
-func (h *HTTP) aborted() context.Context {
+func (h *HTTPServer) abortContext() context.Context {
 	if h.Aborted == nil {
 		return context.Background()
 	}
 	return h.Aborted
 }
 
-func (h *HTTP) ready(w http.ResponseWriter, _ *http.Request) {
+func (h *HTTPServer) ready(w http.ResponseWriter, _ *http.Request) {
 	if h.Ready == nil || h.Ready() {
 		_, _ = io.WriteString(w, "ready\n")
 		return
@@ -82,18 +82,18 @@
 	http.Error(w, "not ready", http.StatusServiceUnavailable)
 }
 
-func (h *HTTP) metrics(w http.ResponseWriter, _ *http.Request) {
+func (h *HTTPServer) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	metrics.WriteJSONOnce(h.Metrics, w)
 }
 
-// readDeadline bounds the reading of a request's body, and only that: the
+// withReadDeadline bounds the reading of a request's body, and only that: the
 // server's own read timeout would also cut off callers that wait for an answer.
-func readDeadline(next http.Handler) http.Handler {
+func withReadDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rc := http.NewResponseController(w)
 		_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
-		r.Body = &deadlineBody{ReadCloser: r.Body, done: func() { _ = rc.SetReadDeadline(time.Time{}) }}
+		r.Body = &deadlineBody{ReadCloser: r.Body, onEOF: func() { _ = rc.SetReadDeadline(time.Time{}) }}
 		next.ServeHTTP(w, r)
 	})
 }
@@ -101,14 +101,14 @@
 // deadlineBody lifts the read deadline once the body is read.
 type deadlineBody struct {
 	io.ReadCloser
-	done func()
+	onEOF func()
 }
 
 // Read implements io.Reader.
 func (b *deadlineBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.done()
+		b.onEOF()
 	}
 	return n, err
 }
--- a/io/entry/rights.go
+++ b/io/entry/leases.go
@@ -13,40 +13,40 @@
 
 var (
 	_ home.ShardLeases = (*peer.ShardKeeper)(nil)
-	_ Holders          = (*peer.ShardKeeper)(nil)
+	_ LeaseDecider     = (*peer.ShardKeeper)(nil)
 )
 
-// buildRights connects the rights to decide and to run with home.
-func (d *Daemon) buildRights(h *home.Home) {
+// buildLeases connects the rights to decide and to run with home.
+func (d *Daemon) buildLeases(h *home.Home) {
 	s := d.settings.Entry
 	d.shards = peer.NewShardKeeper(peer.ShardConfig{
 		Params: shard.Params{
 			Zone: s.Zone, Self: d.id, Shards: s.Shards, Skew: s.SkewBound, MaxLifetime: s.MaxLifetime,
 		},
-		Table: d.platform, Live: d.live, Peers: d.peers, Address: d.addressOf, Now: d.now, Log: d.log,
+		Table: d.platform, Live: d.liveList, Peers: d.peers, Address: d.entryAddress, Now: d.now, Log: d.log,
 		OnAllowed:   func(c shard.StartAllowed) { d.requests.Handle(home.StartAllowed{Key: c.Key}) },
 		OnDenied:    func(c shard.StartDenied) { d.requests.Handle(home.StartDenied{Key: c.Key, Verdict: c.Verdict}) },
-		OnInherited: d.inherited,
+		OnInherited: d.handleInherited,
 		OnLost:      func(c shard.Lost) { d.requests.Handle(home.HandedOver{Shard: c.Shard, Shards: s.Shards}) },
 	})
-	d.limits = &platform.Allotments{
-		Table: d.platform, Live: d.live, Config: d.config.Configuration, Now: d.now, Log: d.log,
+	d.allotments = &platform.Allotments{
+		Table: d.platform, Live: d.liveList, Config: d.config.Configuration, Now: d.now, Log: d.log,
 		Entries:  d.zoneEntries,
 		OnChange: func() { d.requests.Handle(home.Changed{}) },
 	}
-	d.limits.Ledger.Self, d.limits.Ledger.Zone = d.id, s.Zone
+	d.allotments.Ledger.Self, d.allotments.Ledger.Zone = d.id, s.Zone
 	// A deadline may lie the skew bound further ahead than the greatest lifetime,
 	// and the lease is counted one bound longer.
-	d.limits.Ledger.MaxLifetime, d.limits.Ledger.Skew = s.MaxLifetime+4*s.SkewBound, s.SkewBound
-	h.Leases, h.Limiter, h.Config = d.shards, d.limits.Limiter(), d.config
+	d.allotments.Ledger.MaxLifetime, d.allotments.Ledger.Skew = s.MaxLifetime+4*s.SkewBound, s.SkewBound
+	h.Leases, h.Limiter, h.Config = d.shards, d.allotments.Limiter(), d.config
 }
 
-func (d *Daemon) addressOf(id core.EntryID) (string, bool) {
+func (d *Daemon) entryAddress(id core.EntryID) (string, bool) {
 	a, ok := d.directory.Find(d.settings.Entry.Zone, id)
 	return a.Peer.String(), ok
 }
 
-func (d *Daemon) inherited(c shard.Inherited) {
+func (d *Daemon) handleInherited(c shard.Inherited) {
 	for _, s := range c.Starts {
 		d.requests.Handle(home.Inherited{Start: s})
 	}
@@ -57,17 +57,17 @@
 // ids unanswered that ran nowhere. With no other entry left in the zone there is
 // nobody to wait for.
 const (
-	releasePatience = 20 * time.Second
-	alonePatience   = time.Second
+	releaseTimeout          = 20 * time.Second
+	soleEntryReleaseTimeout = time.Second
 )
 
-// releaseRights hands every shard over to its successor.
-func (d *Daemon) releaseRights(ctx context.Context) {
-	patience := releasePatience
+// releaseLeases hands every shard over to its successor.
+func (d *Daemon) releaseLeases(ctx context.Context) {
+	timeout := releaseTimeout
 	if len(d.shards.Dump().Live) <= 1 {
-		patience = alonePatience
+		timeout = soleEntryReleaseTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := d.shards.Release(ctx); err != nil {
 		d.log.Warn().Err(err).Msg("rights not handed over")
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -10,14 +10,14 @@
 	"lavenderpond/io/supervisor"
 )
 
-// measure copies the state's figures into the registry, once a second.
-func (d *Daemon) measure(ctx context.Context) error {
+// collectMetrics copies the state's figures into the registry, once a second.
+func (d *Daemon) collectMetrics(ctx context.Context) error {
 	gauge := func(name string, value int64) {
 		metrics.GetOrRegisterGauge(name, d.metrics).Update(value)
 	}
 	return supervisor.Every(ctx, metricsInterval, func(context.Context) {
 		var dump home.Dump
-		d.requests.Locked(func(h *home.Home) { dump = h.Dump() })
+		d.requests.WithLock(func(h *home.Home) { dump = h.Dump() })
 		gauge("requests_submitted", dump.Counts.Submitted)
 		gauge("requests_dispatched", dump.Counts.Dispatched)
 		gauge("requests_records", int64(dump.Records))
--- a/io/entry/peers.go
+++ b/io/entry/peers.go
@@ -31,7 +31,7 @@
 			return err
 		}
 	}
-	return s.Serve(ctx, d.peerings)
+	return s.Serve(ctx, d.peerListener)
 }
 
 // probe asks a VM that refused work whether it takes work again.
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -13,8 +13,8 @@
 	"lavenderpond/io/target"
 )
 
-// drainStep is how often Drain looks whether work is left.
-const drainStep = 10 * time.Millisecond
+// drainPollInterval is how often Drain looks whether work is left.
+const drainPollInterval = 10 * time.Millisecond
 
 // Requests drives a home.Home: it hands in events one by one and carries out the
 // commands. It is safe for concurrent use.
@@ -24,14 +24,14 @@
 	// Targets sends work to target VMs, at the address that Address gives.
 	Targets *target.Client
 	Address func(vm core.VMID) (string, bool)
-	// Seen is told how each dispatch sent at asked ended, as evidence of a VM's state.
-	Seen func(vm core.VMID, asked time.Time, end home.End)
-
-	mu      sync.Mutex
-	home    *home.Home
-	waiters map[home.Waiter]chan core.Answer
-	last    home.Waiter
-	calls   supervisor.Workers
+	// OnDispatchEnded is told how each dispatch sent at asked ended, as evidence of a VM's state.
+	OnDispatchEnded func(vm core.VMID, sentAt time.Time, end home.End)
+
+	mu         sync.Mutex
+	home       *home.Home
+	waiters    map[home.Waiter]chan core.Answer
+	lastWaiter home.Waiter
+	calls      supervisor.Workers
 	// ctx ends when the daemon gives up what still runs.
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -47,19 +47,19 @@
 
 // Submit hands in an attempt and waits for its answer.
 func (r *Requests) Submit(ctx context.Context, req core.Request, noWait bool) core.Answer {
-	return r.await(ctx, req.Key, func(w home.Waiter) home.Event {
+	return r.awaitReply(ctx, req.Key, func(w home.Waiter) home.Event {
 		return home.Submit{Request: req, Waiter: w, NoWait: noWait}
 	})
 }
 
 // Fetch returns the answer of a request, or Pending.
 func (r *Requests) Fetch(ctx context.Context, key core.RequestKey) core.Answer {
-	return r.await(ctx, key, func(w home.Waiter) home.Event { return home.Fetch{Key: key, Waiter: w} })
+	return r.awaitReply(ctx, key, func(w home.Waiter) home.Event { return home.Fetch{Key: key, Waiter: w} })
 }
 
 // Cancel gives a request up and returns what became of it.
 func (r *Requests) Cancel(ctx context.Context, key core.RequestKey) core.Answer {
-	return r.await(ctx, key, func(w home.Waiter) home.Event { return home.Cancel{Key: key, Waiter: w} })
+	return r.awaitReply(ctx, key, func(w home.Waiter) home.Event { return home.Cancel{Key: key, Waiter: w} })
 }
 
 // Handle hands in an event.
@@ -72,12 +72,12 @@
 		reply.to <- reply.answer
 	}
 	for _, c := range commands {
-		r.carryOut(c)
+		r.execute(c)
 	}
 }
 
-// Locked calls f while no event is handled.
-func (r *Requests) Locked(f func(h *home.Home)) {
+// WithLock calls f while no event is handled.
+func (r *Requests) WithLock(f func(h *home.Home)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.home)
@@ -86,20 +86,20 @@
 // Settle returns when no request is between its mirrored start and its target, or
 // when ctx ends.
 func (r *Requests) Settle(ctx context.Context) {
-	r.awaitNone(ctx, func(h *home.Home) int { return h.Unsettled(r.Now()) })
+	r.waitForZero(ctx, func(h *home.Home) int { return h.Unsettled(r.Now()) })
 }
 
 // Drain returns when no request runs any more, or when ctx ends; it returns how
 // many were left then.
-func (r *Requests) Drain(ctx context.Context) int { return r.awaitNone(ctx, (*home.Home).Unfinished) }
+func (r *Requests) Drain(ctx context.Context) int { return r.waitForZero(ctx, (*home.Home).Unfinished) }
 
-// awaitNone returns when count is 0, or when ctx ends, and the last count.
-func (r *Requests) awaitNone(ctx context.Context, count func(*home.Home) int) int {
+// waitForZero returns when count is 0, or when ctx ends, and the last count.
+func (r *Requests) waitForZero(ctx context.Context, count func(*home.Home) int) int {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	left := 0
-	_ = supervisor.Every(ctx, drainStep, func(context.Context) {
-		r.Locked(func(h *home.Home) { left = count(h) })
+	_ = supervisor.Every(ctx, drainPollInterval, func(context.Context) {
+		r.WithLock(func(h *home.Home) { left = count(h) })
 		if left == 0 {
 			cancel()
 		}
@@ -139,13 +139,13 @@
 	return replies
 }
 
-// await hands in the event that event makes and waits for the reply. A caller
+// awaitReply hands in the event that event makes and waits for the reply. A caller
 // that goes away leaves its request as it is.
-func (r *Requests) await(ctx context.Context, key core.RequestKey, event func(home.Waiter) home.Event) core.Answer {
+func (r *Requests) awaitReply(ctx context.Context, key core.RequestKey, event func(home.Waiter) home.Event) core.Answer {
 	reply := make(chan core.Answer, 1)
 	r.mu.Lock()
-	r.last++
-	w := r.last
+	r.lastWaiter++
+	w := r.lastWaiter
 	r.waiters[w] = reply
 	r.mu.Unlock()
 	r.Handle(event(w))
@@ -161,31 +161,31 @@
 	}
 }
 
-func (r *Requests) carryOut(c home.Command) {
+func (r *Requests) execute(c home.Command) {
 	switch c := c.(type) {
 	case home.Dispatch:
-		r.calls.Go(func() { r.start(c) })
+		r.calls.Go(func() { r.startTask(c) })
 	case home.AskTarget:
-		r.calls.Go(func() { r.ask(c) })
+		r.calls.Go(func() { r.askTarget(c) })
 	case home.StopTask:
 		r.calls.Go(func() { r.stopTask(c) })
 	case home.Reply:
 	}
 }
 
-func (r *Requests) start(d home.Dispatch) {
-	asked := r.Now()
+func (r *Requests) startTask(d home.Dispatch) {
+	sentAt := r.Now()
 	end := home.End(home.NotStarted{Reason: home.Unreachable})
 	if address, ok := r.Address(d.VM); ok {
 		end = r.Targets.Start(r.ctx, address, d)
 	}
-	if r.Seen != nil {
-		r.Seen(d.VM, asked, end)
+	if r.OnDispatchEnded != nil {
+		r.OnDispatchEnded(d.VM, sentAt, end)
 	}
 	r.Handle(home.Ended{Key: d.Request.Key, Number: d.Number, End: end})
 }
 
-func (r *Requests) ask(c home.AskTarget) {
+func (r *Requests) askTarget(c home.AskTarget) {
 	finding := home.Finding(home.FoundNothing{})
 	if address, ok := r.Address(c.VM); ok {
 		finding = r.Targets.Ask(r.ctx, address, c.Key)
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -41,7 +41,7 @@
 		KeysFreshAt: d.config.KeysTrustedUntil().Add(-d.settings.Keys.CutOffBound),
 		Shards:      d.shards.Holding(),
 	}
-	d.requests.Locked(func(h *home.Home) { s.Teams = teamLoads(h.Loads()) })
+	d.requests.WithLock(func(h *home.Home) { s.Teams = teamLoads(h.Loads()) })
 	return s
 }
 
@@ -56,17 +56,17 @@
 // Fleet implements operator.Backend.
 func (b backend) Fleet(ctx context.Context) []operator.EntryStatus {
 	list := []operator.EntryStatus{b.status()}
-	others := b.others()
+	others := b.otherMembers()
 	replies := make([]operator.EntryStatus, len(others))
 	var g supervisor.Group
 	for i, m := range others {
-		g.Go(func() { replies[i] = b.ask(ctx, m) })
+		g.Go(func() { replies[i] = b.fetchStatus(ctx, m) })
 	}
 	g.Wait()
 	return append(list, replies...)
 }
 
-func (b backend) ask(ctx context.Context, m peer.Member) operator.EntryStatus {
+func (b backend) fetchStatus(ctx context.Context, m peer.Member) operator.EntryStatus {
 	if m.Entry == "" {
 		return operator.EntryStatus{Zone: m.Zone}
 	}
@@ -79,9 +79,9 @@
 	return reply
 }
 
-// others returns the other entries of the fleet. A zone of which no entry is
+// otherMembers returns the other entries of the fleet. A zone of which no entry is
 // known has one member without an Entry: an operator must see that it is missing.
-func (b backend) others() []peer.Member {
+func (b backend) otherMembers() []peer.Member {
 	var others []peer.Member
 	for _, zone := range b.settings.Entry.Zones {
 		members := b.members(zone)
@@ -103,18 +103,18 @@
 		w.Team, _ = b.config.KeyTeam(w.Digest)
 	}
 	b.config.Withdraw(w)
-	others := b.others()
+	others := b.otherMembers()
 	confirmations := make([]operator.Confirmation, len(others))
 	var g supervisor.Group
 	for i, m := range others {
-		g.Go(func() { confirmations[i] = b.withdrawAt(ctx, m, w) })
+		g.Go(func() { confirmations[i] = b.withdrawFrom(ctx, m, w) })
 	}
 	g.Wait()
 	own := operator.Confirmation{Entry: b.id, Zone: b.settings.Entry.Zone, Confirmed: true}
 	return append([]operator.Confirmation{own}, confirmations...)
 }
 
-func (b backend) withdrawAt(ctx context.Context, m peer.Member, w key.Withdrawal) operator.Confirmation {
+func (b backend) withdrawFrom(ctx context.Context, m peer.Member, w key.Withdrawal) operator.Confirmation {
 	c := operator.Confirmation{Entry: m.Entry, Zone: m.Zone}
 	if m.Entry == "" {
 		c.Detail = "no entry of this zone is known here"
@@ -131,33 +131,33 @@
 // View implements operator.Backend.
 func (b backend) View() config.Delta { return b.config.DeltaSince(0) }
 
-// state is what a dump shows. It holds no key and no request's body.
-type state struct {
-	Entry      core.EntryID     `json:"entry"`
-	Zone       core.ZoneID      `json:"zone"`
-	Started    time.Time        `json:"started"`
-	Now        time.Time        `json:"now"`
-	Stopping   bool             `json:"stopping"`
-	Version    core.Version     `json:"config_version"`
-	KeysUntil  time.Time        `json:"keys_trusted_until"`
-	Requests   home.Dump        `json:"requests"`
-	Shards     any              `json:"shards"`
-	Limits     any              `json:"limits"`
-	Targets    any              `json:"targets"`
-	Control    any              `json:"maintenance"`
-	Directory  []Address        `json:"directory"`
-	Unrecorded []key.Withdrawal `json:"withdrawals_unrecorded"`
+// stateDump is what a dump shows. It holds no key and no request's body.
+type stateDump struct {
+	Entry          core.EntryID     `json:"entry"`
+	Zone           core.ZoneID      `json:"zone"`
+	Started        time.Time        `json:"started"`
+	Now            time.Time        `json:"now"`
+	Stopping       bool             `json:"stopping"`
+	Version        core.Version     `json:"config_version"`
+	KeysFreshUntil time.Time        `json:"keys_trusted_until"`
+	Requests       home.Dump        `json:"requests"`
+	Shards         any              `json:"shards"`
+	Limits         any              `json:"limits"`
+	Targets        any              `json:"targets"`
+	Control        any              `json:"maintenance"`
+	Directory      []Address        `json:"directory"`
+	Unrecorded     []key.Withdrawal `json:"withdrawals_unrecorded"`
 }
 
 // Dump implements operator.Backend.
 func (b backend) Dump() any {
-	s := state{
+	s := stateDump{
 		Entry: b.id, Zone: b.settings.Entry.Zone, Started: b.started, Now: b.now(), Stopping: b.stopping.Load(),
-		Version: b.config.Version(), KeysUntil: b.config.KeysTrustedUntil(), Shards: b.shards.Dump(),
-		Limits: b.limits.Dump(), Targets: b.fleet.Targets(), Control: b.control.State(),
+		Version: b.config.Version(), KeysFreshUntil: b.config.KeysTrustedUntil(), Shards: b.shards.Dump(),
+		Limits: b.allotments.Dump(), Targets: b.fleet.Targets(), Control: b.controller.State(),
 		Unrecorded: b.config.Unrecorded(),
 	}
-	b.requests.Locked(func(h *home.Home) { s.Requests = h.Dump() })
+	b.requests.WithLock(func(h *home.Home) { s.Requests = h.Dump() })
 	for _, zone := range b.settings.Entry.Zones {
 		s.Directory = append(s.Directory, b.directory.Zone(zone)...)
 	}
--- a/io/entry/unsafe_test.go
+++ b/io/entry/unsafe_test.go
@@ -16,25 +16,25 @@
 
 // apply switches safeguards of a daemon off, before it runs.
 func (o safeguardsOff) apply(d *Daemon) {
-	if o.holders {
-		d.front.Holders = anyHolder{}
-		d.requests.home.Leases = anyHolder{}
+	if o.shardLeases {
+		d.front.Leases = alwaysHolder{}
+		d.requests.home.Leases = alwaysHolder{}
 	}
 	if o.allotments {
 		d.requests.home.Limiter = noLimit{d.requests.home.Limiter}
 	}
-	if o.keys {
-		d.front.Gate = openGate{}
+	if o.keyChecks {
+		d.front.Authorizer = allowAll{}
 		d.requests.home.Config = anyKey{d.requests.home.Config}
 	}
-	if o.leaving {
-		d.requests.Seen = func(core.VMID, time.Time, home.End) {}
+	if o.leavingRefusals {
+		d.requests.OnDispatchEnded = func(core.VMID, time.Time, home.End) {}
 	}
 }
 
 // handler returns a VM's handler, whose answers pass every check if the test says so.
 func (o safeguardsOff) handler(vm *standin.VM) http.Handler {
-	if !o.answerCheck {
+	if !o.answerChecks {
 		return vm.Handler()
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -55,19 +55,21 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// anyHolder lets an entry decide about every id, without a mirror.
-type anyHolder struct{}
+// alwaysHolder lets an entry decide about every id, without a mirror.
+type alwaysHolder struct{}
 
 // Decide implements Holders and home.ShardLeases.
-func (anyHolder) Decide(now time.Time, _ core.RequestKey, _, deadline time.Time) shard.Verdict {
+func (alwaysHolder) Decide(now time.Time, _ core.RequestKey, _, deadline time.Time) shard.Verdict {
 	return shard.Run{StartBy: deadline}
 }
 
 // LeaseExpiry implements home.ShardLeases.
-func (anyHolder) LeaseExpiry(now time.Time, _ core.RequestKey) time.Time { return now.Add(time.Hour) }
+func (alwaysHolder) LeaseExpiry(now time.Time, _ core.RequestKey) time.Time {
+	return now.Add(time.Hour)
+}
 
 // Start implements home.ShardLeases.
-func (anyHolder) Start(time.Time, shard.Start) bool { return true }
+func (alwaysHolder) Start(time.Time, shard.Start) bool { return true }
 
 // anyKey takes every key.
 type anyKey struct{ home.Configuration }
--- a/io/ini/parse.go
+++ b/io/ini/parse.go
@@ -23,17 +23,17 @@
 func Parse(file string, data []byte) (Settings, error) {
 	text := strings.TrimPrefix(string(data), "\ufeff")
 	x := indexLines(file, text)
-	f, err := inilib.LoadSources(loadOptions, []byte(strings.Join(x.kept, "\n")))
+	f, err := inilib.LoadSources(loadOptions, []byte(strings.Join(x.acceptedLines, "\n")))
 	if err != nil {
-		x.refuse(1, "file", err.Error(), "an INI file")
+		x.addProblem(1, "file", err.Error(), "an INI file")
 		return Settings{}, x.problems
 	}
-	x.checkNames()
+	x.rejectUnknown()
 	var s Settings
-	for _, st := range settings {
-		x.take(&s, st, f)
+	for _, st := range settingTable {
+		x.applySetting(&s, st, f)
 	}
-	x.checkTogether(&s)
+	x.checkCombinations(&s)
 	if len(x.problems) > 0 {
 		sort.SliceStable(x.problems, func(i, j int) bool { return x.problems[i].Line < x.problems[j].Line })
 		return Settings{}, x.problems
@@ -41,43 +41,43 @@
 	return s, nil
 }
 
-// checkNames refuses unknown sections and keys: a misspelt key would otherwise
+// rejectUnknown refuses unknown sections and keys: a misspelt key would otherwise
 // leave its default in force unseen.
-func (x *lineIndex) checkNames() {
+func (x *lineIndex) rejectUnknown() {
 	known := map[string][]string{}
-	for _, st := range settings {
+	for _, st := range settingTable {
 		known[st.section] = append(known[st.section], st.key)
 	}
 	for section, n := range x.sections {
 		if known[section] == nil {
-			x.refuse(n, section, "["+section+"]", "one of the sections "+sectionNames())
+			x.addProblem(n, section, "["+section+"]", "one of the sections "+sectionNames())
 		}
 	}
 	for at, n := range x.keys {
 		if _, ok := findSetting(at); !ok && known[at.section] != nil {
-			x.refuse(n, at.String(), at.key, "one of "+strings.Join(known[at.section], ", "))
+			x.addProblem(n, at.String(), at.key, "one of "+strings.Join(known[at.section], ", "))
 		}
 	}
 	sort.Slice(x.problems, func(i, j int) bool { return x.problems[i].Key < x.problems[j].Key })
 }
 
-func (x *lineIndex) take(s *Settings, st setting, f *inilib.File) {
-	n := x.keys[st.place]
+func (x *lineIndex) applySetting(s *Settings, st setting, f *inilib.File) {
+	n := x.keys[st.keyPath]
 	switch {
 	case n != 0:
 		v := f.Section(st.section).Key(st.key).Value()
-		if !st.kind.set(s, v) {
-			x.refuse(n, st.String(), v, st.kind.allowed)
+		if !st.valueKind.parse(s, v) {
+			x.addProblem(n, st.String(), v, st.valueKind.allowed)
 		}
-	case st.required && !x.refused(st.place):
-		x.refuse(0, st.String(), "", st.kind.allowed+"; the key is required")
-	case st.fallback != "":
-		st.kind.set(s, st.fallback)
+	case st.required && !x.hasProblem(st.keyPath):
+		x.addProblem(0, st.String(), "", st.valueKind.allowed+"; the key is required")
+	case st.defaultValue != "":
+		st.valueKind.parse(s, st.defaultValue)
 	}
 }
 
-// refused reports whether the key has a line that was refused already.
-func (x *lineIndex) refused(at place) bool {
+// hasProblem reports whether the key has a line that was refused already.
+func (x *lineIndex) hasProblem(at keyPath) bool {
 	for _, p := range x.problems {
 		if p.Key == at.String() {
 			return true
@@ -86,16 +86,16 @@
 	return false
 }
 
-// checkTogether checks settings against each other.
-func (x *lineIndex) checkTogether(s *Settings) {
+// checkCombinations checks settings against each other.
+func (x *lineIndex) checkCombinations(s *Settings) {
 	if !s.Entry.AdvertisePeer.IsValid() && s.Entry.PeerListen.IsValid() {
 		s.Entry.AdvertisePeer = s.Entry.PeerListen
 		if !isDialable(s.Entry.PeerListen) {
-			at := place{"entry", "advertise_peer"}
-			x.refuse(x.keys[at], at.String(), "", "an address that others can connect to, since peer_listen is none")
+			at := keyPath{"entry", "advertise_peer"}
+			x.addProblem(x.keys[at], at.String(), "", "an address that others can connect to, since peer_listen is none")
 		}
 	}
-	at := place{"entry", "zone"}
+	at := keyPath{"entry", "zone"}
 	if len(x.problems) > 0 || x.keys[at] == 0 {
 		return
 	}
@@ -104,12 +104,12 @@
 			return
 		}
 	}
-	x.refuse(x.keys[at], at.String(), string(s.Entry.Zone), "one of the zones in entry.zones")
+	x.addProblem(x.keys[at], at.String(), string(s.Entry.Zone), "one of the zones in entry.zones")
 }
 
 func sectionNames() string {
-	names := make([]string, len(sectionHelp))
-	for i, h := range sectionHelp {
+	names := make([]string, len(sections))
+	for i, h := range sections {
 		names[i] = "[" + h.name + "]"
 	}
 	return strings.Join(names, " ")
--- a/io/ini/problem.go
+++ b/io/ini/problem.go
@@ -40,12 +40,12 @@
 	return core.Errorf(core.CodeInvalidSetting, "%d problems in the settings", len(ps))
 }
 
-// maxRead bounds how much of a wrong value an error repeats, in bytes.
-const maxRead = 80
+// maxShownValue bounds how much of a wrong value an error repeats, in bytes.
+const maxShownValue = 80
 
-func clip(v string) string {
-	if len(v) <= maxRead {
+func truncate(v string) string {
+	if len(v) <= maxShownValue {
 		return v
 	}
-	return strings.ToValidUTF8(v[:maxRead], "") + "..."
+	return strings.ToValidUTF8(v[:maxShownValue], "") + "..."
 }
--- a/io/ini/setting.go
+++ b/io/ini/setting.go
@@ -12,19 +12,19 @@
 
 // setting is one line of the table of settings.
 type setting struct {
-	place
-	// fallback is the value of a key that isn't given; see required.
-	fallback string
+	keyPath
+	// defaultValue is the value of a key that isn't given; see required.
+	defaultValue string
 	// required keys must be given.
 	required bool
 	// example is the value in the sample of a key without a fallback.
-	example string
-	help    string
-	kind    kind
+	example   string
+	help      string
+	valueKind valueKind
 }
 
-// sectionHelp tells what each section is for, in the order of the pages.
-var sectionHelp = []struct{ name, help string }{
+// sections tells what each section is for, in the order of the pages.
+var sections = []struct{ name, help string }{
 	{"entry", "Who this entry is and whom it speaks to."},
 	{"platform", "The platform's table, object store and list of live VMs."},
 	{"keys", "Who may operate, and how long keys are trusted without contact."},
@@ -32,57 +32,57 @@
 	{"queue", "Bounds of waiting work."},
 }
 
-// settings is the table that the reader, the sample and docs/SETTINGS.md share.
-var settings = []setting{
-	{place{"entry", "name"}, "", true, "entry_a1", "The entry's name, unique in its zone.",
+// settingTable is the table that the reader, the sample and docs/SETTINGS.md share.
+var settingTable = []setting{
+	{keyPath{"entry", "name"}, "", true, "entry_a1", "The entry's name, unique in its zone.",
 		idKind(func(s *Settings) *string { return &s.Entry.Name })},
-	{place{"entry", "zone"}, "", true, "zone_a", "The availability zone that the entry stands in.",
+	{keyPath{"entry", "zone"}, "", true, "zone_a", "The availability zone that the entry stands in.",
 		idKind(func(s *Settings) *core.ZoneID { return &s.Entry.Zone })},
-	{place{"entry", "zones"}, "", true, "zone_a, zone_b, zone_c", "All zones. The list and its order must be the same on every entry.",
-		zonesKind(func(s *Settings) *[]core.ZoneID { return &s.Entry.Zones })},
-	{place{"entry", "caller_listen"}, "", true, "127.0.0.1:7001", "Takes callers and operators (connect over HTTP), metrics and health.",
+	{keyPath{"entry", "zones"}, "", true, "zone_a, zone_b, zone_c", "All zones. The list and its order must be the same on every entry.",
+		zoneListKind(func(s *Settings) *[]core.ZoneID { return &s.Entry.Zones })},
+	{keyPath{"entry", "caller_listen"}, "", true, "127.0.0.1:7001", "Takes callers and operators (connect over HTTP), metrics and health.",
 		addressKind(func(s *Settings) *netip.AddrPort { return &s.Entry.CallerListen })},
-	{place{"entry", "peer_listen"}, "", true, "127.0.0.1:7101", "Takes messages of other entries.",
+	{keyPath{"entry", "peer_listen"}, "", true, "127.0.0.1:7101", "Takes messages of other entries.",
 		addressKind(func(s *Settings) *netip.AddrPort { return &s.Entry.PeerListen })},
-	{place{"entry", "advertise_peer"}, "", false, "127.0.0.1:7101", "Where other entries reach peer_listen. Not given: peer_listen itself.",
-		dialableKind(func(s *Settings) *netip.AddrPort { return &s.Entry.AdvertisePeer })},
-	{place{"entry", "peers"}, "", false, "", "Peer addresses to try first, until the table tells the others.",
-		addressesKind(func(s *Settings) *[]netip.AddrPort { return &s.Entry.Peers })},
-	{place{"entry", "shards"}, "16", false, "", "Shards per zone. Must be the same on every entry.",
+	{keyPath{"entry", "advertise_peer"}, "", false, "127.0.0.1:7101", "Where other entries reach peer_listen. Not given: peer_listen itself.",
+		dialableAddressKind(func(s *Settings) *netip.AddrPort { return &s.Entry.AdvertisePeer })},
+	{keyPath{"entry", "peers"}, "", false, "", "Peer addresses to try first, until the table tells the others.",
+		addressListKind(func(s *Settings) *[]netip.AddrPort { return &s.Entry.Peers })},
+	{keyPath{"entry", "shards"}, "16", false, "", "Shards per zone. Must be the same on every entry.",
 		numberKind(1, 4096, func(s *Settings) *core.ShardIndex { return &s.Entry.Shards })},
-	{place{"entry", "max_lifetime"}, "10m", false, "", "The furthest that a request's deadline may lie ahead; bounds what is remembered of ids.",
+	{keyPath{"entry", "max_lifetime"}, "10m", false, "", "The furthest that a request's deadline may lie ahead; bounds what is remembered of ids.",
 		durationKind(time.Second, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Entry.MaxLifetime })},
-	{place{"entry", "skew_bound"}, "250ms", false, "", "The most by which two clocks of the fleet differ. Must be the same on every entry.",
+	{keyPath{"entry", "skew_bound"}, "250ms", false, "", "The most by which two clocks of the fleet differ. Must be the same on every entry.",
 		durationKind(time.Millisecond, 10*time.Second, func(s *Settings) *time.Duration { return &s.Entry.SkewBound })},
-	{place{"entry", "stop_grace"}, "30s", false, "", "How long running work may take to end after SIGTERM.",
+	{keyPath{"entry", "stop_grace"}, "30s", false, "", "How long running work may take to end after SIGTERM.",
 		durationKind(0, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Entry.StopGrace })},
-	{place{"entry", "max_body"}, "1048576", false, "", "The largest body of a request, in bytes.",
+	{keyPath{"entry", "max_body"}, "1048576", false, "", "The largest body of a request, in bytes.",
 		numberKind(1, 64<<20, func(s *Settings) *int { return &s.Entry.MaxBody })},
-	{place{"platform", "url"}, "", true, "http://127.0.0.1:7900", "Where the platform's service answers.",
+	{keyPath{"platform", "url"}, "", true, "http://127.0.0.1:7900", "Where the platform's service answers.",
 		urlKind(func(s *Settings) *string { return &s.Platform.URL })},
-	{place{"platform", "poll_interval"}, "1s", false, "", "How often the entry asks the table for changes.",
+	{keyPath{"platform", "poll_interval"}, "1s", false, "", "How often the entry asks the table for changes.",
 		durationKind(10*time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.Platform.PollInterval })},
-	{place{"platform", "timeout"}, "2s", false, "", "How long one call to the platform may take.",
+	{keyPath{"platform", "timeout"}, "2s", false, "", "How long one call to the platform may take.",
 		durationKind(10*time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.Platform.Timeout })},
-	{place{"keys", operatorKeyDigest}, "", true, sampleDigest, "Digest of the operator key: printf %s KEY | sha256sum.",
+	{keyPath{"keys", operatorKeyDigestKey}, "", true, sampleDigest, "Digest of the operator key: printf %s KEY | sha256sum.",
 		digestKind(func(s *Settings) *core.KeyDigest { return &s.Keys.OperatorKeyDigest })},
-	{place{"keys", "cut_off_bound"}, "10s", false, "", "How long a zone that is cut off from the table and all else trusts its key list. Then it refuses with keys_stale.",
+	{keyPath{"keys", "cut_off_bound"}, "10s", false, "", "How long a zone that is cut off from the table and all else trusts its key list. Then it refuses with keys_stale.",
 		durationKind(time.Second, key.MaxStalenessLimit, func(s *Settings) *time.Duration { return &s.Keys.CutOffBound })},
-	{place{"log", "level"}, "info", false, "", "The least level that is logged.",
+	{keyPath{"log", "level"}, "info", false, "", "The least level that is logged.",
 		levelKind(func(s *Settings) *zerolog.Level { return &s.Log.Level })},
-	{place{"queue", "max_queued"}, "10000", false, "", "The most requests that wait at this entry, over all queues.",
+	{keyPath{"queue", "max_queued"}, "10000", false, "", "The most requests that wait at this entry, over all queues.",
 		numberKind(1, 1000000, func(s *Settings) *int { return &s.Queue.MaxQueued })},
 }
 
-// operatorKeyDigest is the key whose value is never repeated in errors.
-const operatorKeyDigest = "operator_key_digest"
+// operatorKeyDigestKey is the key whose value is never repeated in errors.
+const operatorKeyDigestKey = "operator_key_digest"
 
 // sampleDigest is the digest of the operator key "sample-operator-key".
 const sampleDigest = "ec7f5c63259fcf6ec3486f6a6ffda30fd2b9698858ec2c62182e361bdfb9abdd"
 
-func findSetting(at place) (setting, bool) {
-	for _, st := range settings {
-		if st.place == at {
+func findSetting(at keyPath) (setting, bool) {
+	for _, st := range settingTable {
+		if st.keyPath == at {
 			return st, true
 		}
 	}
--- a/io/ini/settings_test.go
+++ b/io/ini/settings_test.go
@@ -21,8 +21,8 @@
 	return p
 }
 
-// TestPages holds the embedded sample and the operators' page equal to the table.
-func TestPages(t *testing.T) {
+// TestGeneratedFiles holds the embedded sample and the operators' page equal to the table.
+func TestGeneratedFiles(t *testing.T) {
 	golden.Assert(t, renderSample(), abs(t, "sample.ini"))
 	golden.Assert(t, renderPage(), abs(t, "../../docs/SETTINGS.md"))
 }
@@ -72,13 +72,13 @@
 			checkProblems(t, err)
 			return
 		}
-		assert.Assert(t, isID(s.Entry.Name) && s.Entry.Shards > 0 && isDialable(s.Entry.AdvertisePeer))
+		assert.Assert(t, isValidID(s.Entry.Name) && s.Entry.Shards > 0 && isDialable(s.Entry.AdvertisePeer))
 		lib, err := inilib.LoadSources(loadOptions, data)
 		assert.NilError(t, err)
 		x := indexLines("fuzz.ini", string(data))
 		for _, section := range lib.Sections() {
 			for _, key := range section.Keys() {
-				at := place{section.Name(), key.Name()}
+				at := keyPath{section.Name(), key.Name()}
 				_, known := findSetting(at)
 				assert.Assert(t, known && x.keys[at] > 0, "%v", at)
 			}
@@ -100,17 +100,17 @@
 	var b strings.Builder
 	b.WriteString("# Settings of lavenderpondd. Lines with a leading # are comments; the values\n" +
 		"# behind them are the defaults. Written by `go test ./io/ini -update`.\n")
-	for _, h := range sectionHelp {
+	for _, h := range sections {
 		fmt.Fprintf(&b, "\n# %s\n[%s]\n", h.help, h.name)
-		for _, st := range settings {
+		for _, st := range settingTable {
 			if st.section != h.name {
 				continue
 			}
-			fmt.Fprintf(&b, "\n# %s\n# Allowed: %s.\n", st.help, st.kind.allowed)
+			fmt.Fprintf(&b, "\n# %s\n# Allowed: %s.\n", st.help, st.valueKind.allowed)
 			if st.required {
 				fmt.Fprintf(&b, "%s = %s\n", st.key, st.example)
 			} else {
-				fmt.Fprintln(&b, strings.TrimSpace("#"+st.key+" = "+st.fallback+st.example))
+				fmt.Fprintln(&b, strings.TrimSpace("#"+st.key+" = "+st.defaultValue+st.example))
 			}
 		}
 	}
@@ -122,19 +122,19 @@
 	b.WriteString("# Settings\n\nOf the daemon `lavenderpondd`, in INI. Written from the table in `io/ini` by `go test ./io/ini -update`.\n" +
 		"`lavenderpond config sample` prints a commented file; `lavenderpond config check FILE` checks one.\n" +
 		"Unknown sections and keys, duplicates, quotes and comments behind a value are errors; all are reported at once.\n")
-	for _, h := range sectionHelp {
+	for _, h := range sections {
 		fmt.Fprintf(&b, "\n## [%s]\n\n%s\n\n| key | default | allowed | meaning |\n|---|---|---|---|\n", h.name, h.help)
-		for _, st := range settings {
+		for _, st := range settingTable {
 			if st.section != h.name {
 				continue
 			}
 			fallback := "none"
 			if st.required {
 				fallback = "required"
-			} else if st.fallback != "" {
-				fallback = "`" + st.fallback + "`"
+			} else if st.defaultValue != "" {
+				fallback = "`" + st.defaultValue + "`"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", st.key, fallback, st.kind.allowed, st.help)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", st.key, fallback, st.valueKind.allowed, st.help)
 		}
 	}
 	return b.String()
--- a/io/ini/kind.go
+++ b/io/ini/value_kind.go
@@ -14,35 +14,35 @@
 	"lavenderpond/core"
 )
 
-// kind is what a setting's value may be, and how it is taken over.
-type kind struct {
+// valueKind is what a setting's value may be, and how it is taken over.
+type valueKind struct {
 	allowed string
-	// set parses v into s; it returns false for what isn't allowed.
-	set func(s *Settings, v string) bool
+	// parse parses v into s; it returns false for what isn't allowed.
+	parse func(s *Settings, v string) bool
 }
 
 // maxNameLen is the longest name of an entry or zone, in bytes.
 const maxNameLen = 63
 
-// isID reports whether s can stand in the keys of rows and in request ids, which
+// isValidID reports whether s can stand in the keys of rows and in request ids, which
 // are parted by "/", "#" and "~".
-func isID(s string) bool {
+func isValidID(s string) bool {
 	return s != "" && len(s) <= maxNameLen &&
 		strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_") == ""
 }
 
-func idKind[T ~string](field func(*Settings) *T) kind {
-	return kind{"letters, digits, '.', '-' and '_', at most 63 of them", func(s *Settings, v string) bool {
+func idKind[T ~string](field func(*Settings) *T) valueKind {
+	return valueKind{"letters, digits, '.', '-' and '_', at most 63 of them", func(s *Settings, v string) bool {
 		*field(s) = T(v)
-		return isID(v)
+		return isValidID(v)
 	}}
 }
 
-func zonesKind(field func(*Settings) *[]core.ZoneID) kind {
-	return kind{"names of zones, separated by commas, each once", func(s *Settings, v string) bool {
+func zoneListKind(field func(*Settings) *[]core.ZoneID) valueKind {
+	return valueKind{"names of zones, separated by commas, each once", func(s *Settings, v string) bool {
 		seen := map[string]bool{}
 		for _, name := range splitList(v) {
-			if !isID(name) || seen[name] {
+			if !isValidID(name) || seen[name] {
 				return false
 			}
 			seen[name] = true
@@ -52,25 +52,25 @@
 	}}
 }
 
-func addressKind(field func(*Settings) *netip.AddrPort) kind {
-	return kind{"an IP number and a port, as in 10.0.0.1:7001; no host name", func(s *Settings, v string) bool {
+func addressKind(field func(*Settings) *netip.AddrPort) valueKind {
+	return valueKind{"an IP number and a port, as in 10.0.0.1:7001; no host name", func(s *Settings, v string) bool {
 		a, err := netip.ParseAddrPort(v)
 		*field(s) = a
 		return err == nil
 	}}
 }
 
-// dialableKind is for addresses that other entries connect to.
-func dialableKind(field func(*Settings) *netip.AddrPort) kind {
+// dialableAddressKind is for addresses that other entries connect to.
+func dialableAddressKind(field func(*Settings) *netip.AddrPort) valueKind {
 	k := addressKind(field)
-	return kind{"an IP number and a port that others can connect to; not 0.0.0.0, no host name",
-		func(s *Settings, v string) bool { return k.set(s, v) && isDialable(*field(s)) }}
+	return valueKind{"an IP number and a port that others can connect to; not 0.0.0.0, no host name",
+		func(s *Settings, v string) bool { return k.parse(s, v) && isDialable(*field(s)) }}
 }
 
 func isDialable(a netip.AddrPort) bool { return !a.Addr().IsUnspecified() && a.Port() != 0 }
 
-func addressesKind(field func(*Settings) *[]netip.AddrPort) kind {
-	return kind{"IP numbers with ports, separated by commas, or nothing", func(s *Settings, v string) bool {
+func addressListKind(field func(*Settings) *[]netip.AddrPort) valueKind {
+	return valueKind{"IP numbers with ports, separated by commas, or nothing", func(s *Settings, v string) bool {
 		for _, part := range splitList(v) {
 			a, err := netip.ParseAddrPort(part)
 			if err != nil || !isDialable(a) {
@@ -82,16 +82,16 @@
 	}}
 }
 
-func durationKind(low, high time.Duration, field func(*Settings) *time.Duration) kind {
-	return kind{fmt.Sprintf("a time from %v to %v, as in 250ms, 10s or 5m", low, high), func(s *Settings, v string) bool {
+func durationKind(low, high time.Duration, field func(*Settings) *time.Duration) valueKind {
+	return valueKind{fmt.Sprintf("a time from %v to %v, as in 250ms, 10s or 5m", low, high), func(s *Settings, v string) bool {
 		d, err := time.ParseDuration(v)
 		*field(s) = d
 		return err == nil && d >= low && d <= high
 	}}
 }
 
-func numberKind[T ~int | ~uint32](low, high int, field func(*Settings) *T) kind {
-	return kind{fmt.Sprintf("a whole number from %d to %d", low, high), func(s *Settings, v string) bool {
+func numberKind[T ~int | ~uint32](low, high int, field func(*Settings) *T) valueKind {
+	return valueKind{fmt.Sprintf("a whole number from %d to %d", low, high), func(s *Settings, v string) bool {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < low || n > high {
 			return false
@@ -101,8 +101,8 @@
 	}}
 }
 
-func urlKind(field func(*Settings) *string) kind {
-	return kind{"http:// or https://, an IP number and a port, as in http://10.0.0.9:8080", func(s *Settings, v string) bool {
+func urlKind(field func(*Settings) *string) valueKind {
+	return valueKind{"http:// or https://, an IP number and a port, as in http://10.0.0.9:8080", func(s *Settings, v string) bool {
 		u, err := url.Parse(v)
 		if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.User != nil || u.RawQuery != "" {
 			return false
@@ -113,8 +113,8 @@
 	}}
 }
 
-func digestKind(field func(*Settings) *core.KeyDigest) kind {
-	return kind{"the SHA-256 of the operator key in 64 lower-case hex digits", func(s *Settings, v string) bool {
+func digestKind(field func(*Settings) *core.KeyDigest) valueKind {
+	return valueKind{"the SHA-256 of the operator key in 64 lower-case hex digits", func(s *Settings, v string) bool {
 		raw, err := hex.DecodeString(v)
 		*field(s) = core.KeyDigest(v)
 		return err == nil && len(raw) == 32 && v == strings.ToLower(v)
@@ -124,12 +124,12 @@
 // logLevels are the values of log.level.
 var logLevels = []zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel, zerolog.ErrorLevel}
 
-func levelKind(field func(*Settings) *zerolog.Level) kind {
+func levelKind(field func(*Settings) *zerolog.Level) valueKind {
 	names := make([]string, len(logLevels))
 	for i, l := range logLevels {
 		names[i] = l.String()
 	}
-	return kind{"one of " + strings.Join(names, ", "), func(s *Settings, v string) bool {
+	return valueKind{"one of " + strings.Join(names, ", "), func(s *Settings, v string) bool {
 		for i, name := range names {
 			if name == v {
 				*field(s) = logLevels[i]
--- a/io/supervisor/supervisor.go
+++ b/io/supervisor/supervisor.go
@@ -14,8 +14,8 @@
 
 // Restart delays grow linearly per failure in a row, up to a cap.
 const (
-	restartStep = 250 * time.Millisecond
-	restartMax  = 5 * time.Second
+	restartDelayStep = 250 * time.Millisecond
+	maxRestartDelay  = 5 * time.Second
 )
 
 // Group starts goroutines and waits for them. Its zero value works. It is the
@@ -60,7 +60,7 @@
 
 func (n *Node) supervise(ctx context.Context, c Child) {
 	for failures := 1; ; failures++ {
-		err := runSafely(ctx, c)
+		err := runRecovering(ctx, c)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
@@ -72,12 +72,12 @@
 }
 
 func restartDelay(failures int) time.Duration {
-	return min(time.Duration(failures)*restartStep, restartMax)
+	return min(time.Duration(failures)*restartDelayStep, maxRestartDelay)
 }
 
-// runSafely turns a panic of c into an error: one faulty child must not take
+// runRecovering turns a panic of c into an error: one faulty child must not take
 // down the requests that the daemon's other children serve.
-func runSafely(ctx context.Context, c Child) (err error) {
+func runRecovering(ctx context.Context, c Child) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = errors.Errorf("panic: %v\n%s", p, debug.Stack())
--- a/io/supervisor/workers.go
+++ b/io/supervisor/workers.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// idleWorkers bounds the goroutines that Workers keeps for further work.
-const idleWorkers = 512
+// maxIdleWorkers bounds the goroutines that Workers keeps for further work.
+const maxIdleWorkers = 512
 
 // Workers is a Group for many short functions: a goroutine that is done takes the
 // next function. A new goroutine begins with a small stack, and each dispatch of a
@@ -22,7 +22,7 @@
 		next <- f
 		return
 	}
-	w.group.Go(func() { w.work(f) })
+	w.group.Go(func() { w.runWorker(f) })
 }
 
 // Wait blocks until every function has returned, those included that they started.
@@ -39,7 +39,7 @@
 	w.group.Wait()
 }
 
-func (w *Workers) work(f func()) {
+func (w *Workers) runWorker(f func()) {
 	next := make(chan func(), 1)
 	for f != nil {
 		f()
@@ -66,7 +66,7 @@
 func (w *Workers) putIdle(next chan func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closed || len(w.idle) >= idleWorkers {
+	if w.closed || len(w.idle) >= maxIdleWorkers {
 		return false
 	}
 	w.idle = append(w.idle, next)
--- a/io/supervisor/workers_test.go
+++ b/io/supervisor/workers_test.go
@@ -23,7 +23,7 @@
 
 // TestWorkersTakeTheNextFunction: functions come one after the other. One goroutine
 // runs them all, and ends with Wait.
-func TestWorkersTakeTheNextFunction(t *testing.T) {
+func TestWorkersReuseGoroutines(t *testing.T) {
 	var w Workers
 	ran := 0
 	w.Go(func() { ran++ })
@@ -39,8 +39,8 @@
 
 // TestWorkersNeverWait: many functions that wait for one another come at once, more
 // than goroutines are kept. Each has its own, as in a Group, and few stay.
-func TestWorkersNeverWait(t *testing.T) {
-	const n = 4 * idleWorkers
+func TestWorkersNeverQueue(t *testing.T) {
+	const n = 4 * maxIdleWorkers
 	var w Workers
 	all := make(chan struct{})
 	var arrived atomic.Int64
@@ -53,7 +53,7 @@
 		})
 	}
 	<-all
-	awaitIdle(&w, idleWorkers)
+	awaitIdle(&w, maxIdleWorkers)
 	w.Wait()
 }
 
