--- a/io/ini/line_index.go
+++ b/io/ini/line_index.go
@@ -4,34 +4,36 @@
 	"strings"
 )
 
-// keyPath is where a key stands in a file.
+// keyPath identifies a key by its section and name.
 type keyPath struct{ section, key string }
 
 func (p keyPath) String() string { return p.section + "." + p.key }
 
-// lineIndex tells the lines of sections and keys, which ini.v1 doesn't keep.
+// lineIndex records the line numbers of sections and keys, which ini.v1 doesn't
+// provide, and collects the problems of a file.
 type lineIndex struct {
-	file     string
+	file string
+	// sections and keys are the lines on which they first appear, counted from 1.
 	sections map[string]int
 	keys     map[keyPath]int
 	problems Problems
-	// acceptedLines are the lines that were not refused, for ini.v1.
+	// acceptedLines are the lines without a problem, which are passed on to ini.v1.
 	acceptedLines []string
 }
 
-// rejectedSection stands for a section whose header was refused, so that its keys are
-// not reported one by one.
+// rejectedSection is the name of the current section after an invalid header. Keys in
+// such a section are not reported, since the header already is.
 const rejectedSection = "?"
 
-// indexLines walks over the lines of data. It refuses what ini.v1 would take in
-// silence: keys outside of a section, duplicates, quoted names and values, and
-// values of several lines.
+// indexLines indexes the lines of data. It reports what ini.v1 would silently accept:
+// keys outside of a section, duplicate keys, quoted names and values, and values that
+// continue on the next line.
 func indexLines(file, data string) *lineIndex {
 	x := &lineIndex{file: file, sections: map[string]int{}, keys: map[keyPath]int{}}
 	section := ""
 	for i, line := range strings.Split(data, "\n") {
 		line = strings.TrimSpace(line)
-		refused := len(x.problems)
+		problemsBefore := len(x.problems)
 		switch {
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[':
@@ -39,13 +41,14 @@
 		default:
 			x.addKey(i+1, section, line)
 		}
-		if len(x.problems) == refused {
+		if len(x.problems) == problemsBefore {
 			x.acceptedLines = append(x.acceptedLines, line)
 		}
 	}
 	return x
 }
 
+// addSection records the section header on line n and returns the section's name.
 func (x *lineIndex) addSection(n int, line string) string {
 	name, rest, closed := strings.Cut(line[1:], "]")
 	if !closed || rest != "" || !isSnakeCase(name) {
@@ -79,13 +82,15 @@
 	}
 }
 
+// addProblem reports that line n has the text read where allowed is allowed. Line 0
+// stands for a key that is missing.
 func (x *lineIndex) addProblem(n int, key, read, allowed string) {
 	x.problems = append(x.problems, Problem{x.file, n, truncate(key), truncate(redact(key, read)), allowed})
 }
 
-// redact keeps credentials out of errors and thus out of logs: an operator who
-// writes the key itself in place of its digest, or a password into a URL, gets
-// an error that doesn't repeat it.
+// redact returns read as it may appear in errors, and thus in logs. It hides
+// credentials: an operator may have written the operator key itself in place of its
+// digest, or a password in a URL.
 func redact(key, read string) string {
 	if strings.Contains(key+read, operatorKeyDigestKey) || strings.Contains(read, "@") {
 		return "(" + itoa(len(read)) + " characters, not shown)"
@@ -93,7 +98,7 @@
 	return read
 }
 
-// isSnakeCase reports whether s is in snake case.
+// isSnakeCase reports whether s consists of lower-case letters, digits and underscores.
 func isSnakeCase(s string) bool {
 	return s != "" && strings.Trim(s, "abcdefghijklmnopqrstuvwxyz0123456789_") == ""
 }
--- a/io/ini/parse.go
+++ b/io/ini/parse.go
@@ -7,9 +7,8 @@
 	inilib "gopkg.in/ini.v1"
 )
 
-// loadOptions make ini.v1 read keys and values as they stand: no multi-line
-// values, no inline comments, no unquoting. What it would skip, indexLines
-// refuses.
+// loadOptions make ini.v1 read keys and values literally: no multi-line values, no
+// inline comments, no unquoting. Lines that it would skip are reported by indexLines.
 var loadOptions = inilib.LoadOptions{
 	IgnoreContinuation:      true,
 	IgnoreInlineComment:     true,
@@ -18,8 +17,8 @@
 	SkipUnrecognizableLines: true,
 }
 
-// Parse reads settings from data; file is its name in errors. The error is a
-// Problems with every mistake.
+// Parse reads settings from data. The name file appears in errors. The error is a
+// Problems that lists every mistake.
 func Parse(file string, data []byte) (Settings, error) {
 	text := strings.TrimPrefix(string(data), "\ufeff")
 	x := indexLines(file, text)
@@ -41,8 +40,8 @@
 	return s, nil
 }
 
-// rejectUnknown refuses unknown sections and keys: a misspelt key would otherwise
-// leave its default in force unseen.
+// rejectUnknown reports unknown sections and keys. Otherwise a misspelt key would go
+// unnoticed, and the setting would keep its default.
 func (x *lineIndex) rejectUnknown() {
 	known := map[string][]string{}
 	for _, st := range settingTable {
@@ -61,6 +60,8 @@
 	sort.Slice(x.problems, func(i, j int) bool { return x.problems[i].Key < x.problems[j].Key })
 }
 
+// applySetting stores the value that f has for st in s, or the default value if f has
+// none.
 func (x *lineIndex) applySetting(s *Settings, st setting, f *inilib.File) {
 	n := x.keys[st.keyPath]
 	switch {
@@ -76,7 +77,7 @@
 	}
 }
 
-// hasProblem reports whether the key has a line that was refused already.
+// hasProblem reports whether a problem with the key has been reported.
 func (x *lineIndex) hasProblem(at keyPath) bool {
 	for _, p := range x.problems {
 		if p.Key == at.String() {
@@ -86,7 +87,8 @@
 	return false
 }
 
-// checkCombinations checks settings against each other.
+// checkCombinations checks settings that depend on each other: advertise_peer defaults
+// to peer_listen, and zone must be one of zones.
 func (x *lineIndex) checkCombinations(s *Settings) {
 	if !s.Entry.AdvertisePeer.IsValid() && s.Entry.PeerListen.IsValid() {
 		s.Entry.AdvertisePeer = s.Entry.PeerListen
--- a/io/ini/problem.go
+++ b/io/ini/problem.go
@@ -10,20 +10,24 @@
 // Problem is one mistake in a settings file.
 type Problem struct {
 	File string
-	// Line is 0 for a key that is missing from the file.
+	// Line is counted from 1. It is 0 for a key that is missing from the file.
 	Line int
-	// Key is "section.key", or "section" for an unknown section.
-	Key     string
-	Read    string
+	// Key is "section.key" for a setting. Otherwise it is the name or header of a
+	// section, a key outside of all sections, "line" for a line that is not INI
+	// syntax, or "file" for a file that can't be parsed.
+	Key string
+	// Read is the text in the file, truncated, and redacted if it may be a credential.
+	Read string
+	// Allowed describes what the file should have instead.
 	Allowed string
 }
 
-// String returns the problem as one line for a person.
+// String returns the problem as one line of text.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d: %s: read %q, allowed is %s", p.File, p.Line, p.Key, p.Read, p.Allowed)
 }
 
-// Problems are all mistakes in a settings file, by line.
+// Problems are all mistakes in a settings file, sorted by line.
 type Problems []Problem
 
 // Error implements error, with one line for each problem.
@@ -35,12 +39,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap gives the problems their numbered code.
+// Unwrap returns an error that carries the code CodeInvalidSetting; see core.ErrorCode.
 func (ps Problems) Unwrap() error {
 	return core.Errorf(core.CodeInvalidSetting, "%d problems in the settings", len(ps))
 }
 
-// maxShownValue bounds how much of a wrong value an error repeats, in bytes.
+// maxShownValue is the maximum length of a wrong value in an error, in bytes.
 const maxShownValue = 80
 
 func truncate(v string) string {
--- a/io/ini/setting.go
+++ b/io/ini/setting.go
@@ -10,20 +10,22 @@
 	"lavenderpond/core/key"
 )
 
-// setting is one line of the table of settings.
+// setting is an entry of settingTable.
 type setting struct {
 	keyPath
-	// defaultValue is the value of a key that isn't given; see required.
+	// defaultValue is used if the file doesn't have the key. It is empty for required
+	// keys and for optional keys without a fixed default.
 	defaultValue string
-	// required keys must be given.
+	// required reports whether the file must have the key.
 	required bool
-	// example is the value in the sample of a key without a fallback.
+	// example is shown in the sample for a key without a default value.
 	example   string
 	help      string
 	valueKind valueKind
 }
 
-// sections tells what each section is for, in the order of the pages.
+// sections are the sections and their descriptions, in the order in which the sample
+// and docs/SETTINGS.md list them.
 var sections = []struct{ name, help string }{
 	{"entry", "Who this entry is and whom it speaks to."},
 	{"platform", "The platform's table, object store and list of live VMs."},
@@ -32,7 +34,8 @@
 	{"queue", "Bounds of waiting work."},
 }
 
-// settingTable is the table that the reader, the sample and docs/SETTINGS.md share.
+// settingTable defines all settings. The parser, the sample and docs/SETTINGS.md are
+// derived from it.
 var settingTable = []setting{
 	{keyPath{"entry", "name"}, "", true, "entry_a1", "The entry's name, unique in its zone.",
 		idKind(func(s *Settings) *string { return &s.Entry.Name })},
@@ -74,10 +77,10 @@
 		numberKind(1, 1000000, func(s *Settings) *int { return &s.Queue.MaxQueued })},
 }
 
-// operatorKeyDigestKey is the key whose value is never repeated in errors.
+// operatorKeyDigestKey is the key whose value is never shown in errors; see redact.
 const operatorKeyDigestKey = "operator_key_digest"
 
-// sampleDigest is the digest of the operator key "sample-operator-key".
+// sampleDigest is the digest of "sample-operator-key", the operator key of the sample.
 const sampleDigest = "ec7f5c63259fcf6ec3486f6a6ffda30fd2b9698858ec2c62182e361bdfb9abdd"
 
 func findSetting(at keyPath) (setting, bool) {
--- a/io/ini/settings.go
+++ b/io/ini/settings.go
@@ -1,11 +1,12 @@
 // Package ini reads the settings of the daemon lavenderpondd from an INI file.
 //
-// Every setting is a line of one table, which the reader, the commented sample
-// and docs/SETTINGS.md share. A mistake is refused at start-up, with all others.
+// All settings are defined in one table, from which the parser, the commented sample
+// and docs/SETTINGS.md are derived. All mistakes in a file are reported together, and
+// the daemon doesn't start with any of them.
 package ini
 
 import (
-	_ "embed" // for sample
+	_ "embed" // for the variable sample
 	"net/netip"
 	"os"
 	"time"
@@ -15,7 +16,7 @@
 	"lavenderpond/core"
 )
 
-// Settings is what one daemon is told at its start.
+// Settings are the contents of a settings file.
 type Settings struct {
 	Entry    Entry
 	Platform Platform
@@ -24,68 +25,74 @@
 	Queue    Queue
 }
 
-// Entry is the section [entry]: who the daemon is and whom it speaks to.
+// Entry is the section [entry]: the daemon's identity, its addresses and its limits.
 type Entry struct {
 	Name string
 	Zone core.ZoneID
-	// Zones are all zones of the fleet, in the same order on every entry: the
-	// order decides which zone a request id belongs to.
+	// Zones are all availability zones of the fleet. Their order must be the same on
+	// every entry, because it determines the home zone of a request id.
 	Zones []core.ZoneID
-	// CallerListen takes callers, operators, metrics and health over HTTP.
+	// CallerListen is the address for callers, operators, metrics and health checks,
+	// all over HTTP.
 	CallerListen netip.AddrPort
-	// PeerListen takes the messages of other entries.
+	// PeerListen is the address for messages from other entries.
 	PeerListen netip.AddrPort
 	// AdvertisePeer is the address at which other entries reach PeerListen.
 	AdvertisePeer netip.AddrPort
-	// Peers are tried first, until the table tells the others.
+	// Peers are the entries to contact until the addresses in the table are known.
 	Peers []netip.AddrPort
 	// Shards is the number of shards per zone, the same on every entry.
 	Shards core.ShardIndex
-	// MaxLifetime is the furthest that a request's deadline may lie ahead.
+	// MaxLifetime is the maximum time between a request's arrival and its deadline.
 	MaxLifetime time.Duration
-	// SkewBound is the most by which two clocks of the fleet differ.
+	// SkewBound is the maximum difference between any two clocks of the fleet.
 	SkewBound time.Duration
-	// StopGrace is how long running work may take to end at a graceful stop.
+	// StopGrace is the time that running requests have to finish at a graceful stop.
 	StopGrace time.Duration
-	// MaxBody is the largest body of a request, in bytes.
+	// MaxBody is the maximum size of a request's body, in bytes.
 	MaxBody int
 }
 
-// Platform is the section [platform]: where the platform's service is.
+// Platform is the section [platform]: access to the platform's table, object store
+// and list of live VMs.
 type Platform struct {
-	URL          string
+	URL string
+	// PollInterval is the time between two reads of the table's changes.
 	PollInterval time.Duration
-	Timeout      time.Duration
+	// Timeout is the time limit of one call to the platform.
+	Timeout time.Duration
 }
 
-// Keys is the section [keys].
+// Keys is the section [keys]: the operator key and the trust in cached team keys.
 type Keys struct {
 	// OperatorKeyDigest is the digest of the operator key; see core.Digest.
 	OperatorKeyDigest core.KeyDigest
-	// CutOffBound is how long an entry trusts its key list with no contact to the
-	// table or to any entry that has it.
+	// CutOffBound is the maximum staleness of the key list: how long an entry accepts
+	// keys without contact to the table or to an entry that has such contact.
 	CutOffBound time.Duration
 }
 
-// Log is the section [log].
+// Log is the section [log]: the JSON log on standard error.
 type Log struct {
+	// Level is the lowest level that is logged.
 	Level zerolog.Level
 }
 
-// Queue is the section [queue].
+// Queue is the section [queue]: limits on queued requests.
 type Queue struct {
-	// MaxQueued is the most requests that wait at this entry, over all queues.
+	// MaxQueued is the maximum number of requests that wait at this entry, in all
+	// queues together.
 	MaxQueued int
 }
 
 //go:embed sample.ini
 var sample string
 
-// Sample returns a commented settings file that loads.
+// Sample returns a commented settings file that Parse accepts.
 func Sample() string { return sample }
 
-// Load reads the settings file at path. Its error is a Problems if the file
-// could be read.
+// Load reads the settings file at path. If the file can be read but has mistakes, the
+// error is a Problems.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/io/ini/settings_test.go
+++ b/io/ini/settings_test.go
@@ -21,7 +21,7 @@
 	return p
 }
 
-// TestGeneratedFiles holds the embedded sample and the operators' page equal to the table.
+// TestGeneratedFiles checks that the sample and docs/SETTINGS.md match settingTable.
 func TestGeneratedFiles(t *testing.T) {
 	golden.Assert(t, renderSample(), abs(t, "sample.ini"))
 	golden.Assert(t, renderPage(), abs(t, "../../docs/SETTINGS.md"))
@@ -34,8 +34,8 @@
 	golden.Assert(t, fmt.Sprintf("%+v\n", s), "sample_settings.txt")
 }
 
-// TestRefusals reads each file of testdata/refused; the golden file beside it has
-// the whole error text.
+// TestRefusals loads each file in testdata/refused and compares the error text with
+// the golden file next to it. No error may show the operator key.
 func TestRefusals(t *testing.T) {
 	files, err := filepath.Glob("testdata/refused/*.ini")
 	assert.NilError(t, err)
@@ -55,9 +55,10 @@
 	assert.Equal(t, core.ErrorCode(err), core.CodeInvalidSetting)
 }
 
-// FuzzParse holds, for any input: no panic; an error names a code, and each of
-// its problems what is allowed; what is accepted has every key of ini.v1's own
-// reading known and indexed, so that nothing is taken from an unseen line.
+// FuzzParse checks three properties for any input. Parse doesn't panic. An error has a
+// code, and each of its problems says what is allowed. If the input is accepted, every
+// key that ini.v1 finds in it is a known setting and is indexed, so no value comes from
+// a line that was not checked.
 func FuzzParse(f *testing.F) {
 	files, _ := filepath.Glob("testdata/refused/*.ini")
 	for _, file := range files {
--- a/io/ini/value_kind.go
+++ b/io/ini/value_kind.go
@@ -14,18 +14,20 @@
 	"lavenderpond/core"
 )
 
-// valueKind is what a setting's value may be, and how it is taken over.
+// valueKind describes and parses the values of a setting.
 type valueKind struct {
+	// allowed describes the allowed values, for error messages and documentation.
 	allowed string
-	// parse parses v into s; it returns false for what isn't allowed.
+	// parse stores the value v in s. It returns false if v is not allowed. In that
+	// case s may have changed too.
 	parse func(s *Settings, v string) bool
 }
 
-// maxNameLen is the longest name of an entry or zone, in bytes.
+// maxNameLen is the maximum length of the name of an entry or zone, in bytes.
 const maxNameLen = 63
 
-// isValidID reports whether s can stand in the keys of rows and in request ids, which
-// are parted by "/", "#" and "~".
+// isValidID reports whether s can be the name of an entry or zone. Such names are parts
+// of row keys and request ids, whose separators are "/", "#" and "~".
 func isValidID(s string) bool {
 	return s != "" && len(s) <= maxNameLen &&
 		strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_") == ""
@@ -60,7 +62,7 @@
 	}}
 }
 
-// dialableAddressKind is for addresses that other entries connect to.
+// dialableAddressKind is the kind of an address that other entries connect to.
 func dialableAddressKind(field func(*Settings) *netip.AddrPort) valueKind {
 	k := addressKind(field)
 	return valueKind{"an IP number and a port that others can connect to; not 0.0.0.0, no host name",
@@ -121,7 +123,7 @@
 	}}
 }
 
-// logLevels are the values of log.level.
+// logLevels are the allowed values of log.level.
 var logLevels = []zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel, zerolog.ErrorLevel}
 
 func levelKind(field func(*Settings) *zerolog.Level) valueKind {
@@ -140,7 +142,7 @@
 	}}
 }
 
-// splitList splits a comma list; an empty value has no parts.
+// splitList splits a comma-separated list. It returns nil for an empty value.
 func splitList(v string) []string {
 	if strings.TrimSpace(v) == "" {
 		return nil
--- a/io/supervisor/supervisor.go
+++ b/io/supervisor/supervisor.go
@@ -1,5 +1,5 @@
-// Package supervisor runs the daemon's goroutines as a tree: every node starts
-// its children through a group and restarts a child that fails or panics.
+// Package supervisor runs the daemon's goroutines as a supervision tree. Each node
+// starts its children in a Group and restarts a child that fails or panics.
 package supervisor
 
 import (
@@ -12,40 +12,42 @@
 	"github.com/rs/zerolog"
 )
 
-// Restart delays grow linearly per failure in a row, up to a cap.
+// The delay before a restart grows linearly with the number of failures of a child,
+// up to maxRestartDelay.
 const (
 	restartDelayStep = 250 * time.Millisecond
 	maxRestartDelay  = 5 * time.Second
 )
 
-// Group starts goroutines and waits for them. Its zero value works. It is the
-// only place in lavenderpond that uses the go statement.
+// Group starts goroutines and waits for them. Its zero value is ready to use. It is
+// the only type in lavenderpond that starts goroutines.
 type Group struct {
 	wg sync.WaitGroup
 }
 
-// Go runs f on a goroutine of the group.
+// Go runs f in a new goroutine of the group.
 func (g *Group) Go(f func()) { g.wg.Go(f) }
 
 // Wait blocks until every goroutine of the group has returned.
 func (g *Group) Wait() { g.wg.Wait() }
 
-// Child is a part of the daemon that runs until ctx ends.
+// Child is a supervised part of the daemon that runs until its context ends.
 type Child struct {
 	Name string
-	// Run returns nil when its work is over, or an error to be restarted.
+	// Run returns nil when its work is finished. If it returns an error or panics,
+	// it is called again after a delay.
 	Run func(ctx context.Context) error
 }
 
-// Node supervises children. Its zero value works, without logging.
+// Node supervises its children. If Log is not set, it does not log.
 type Node struct {
 	Name     string
 	Log      zerolog.Logger
 	Children []Child
 }
 
-// Run starts all children and returns when each has ended. It is itself a
-// Child's Run, so that nodes form a tree.
+// Run starts all children and returns when every one has finished. It has the
+// signature of Child.Run, so nodes can be nested; see AsChild.
 func (n *Node) Run(ctx context.Context) error {
 	var g Group
 	for _, c := range n.Children {
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// AsChild returns the node as a child of another.
+// AsChild returns the node as a child for another node.
 func (n *Node) AsChild() Child { return Child{Name: n.Name, Run: n.Run} }
 
 func (n *Node) supervise(ctx context.Context, c Child) {
@@ -75,8 +77,8 @@
 	return min(time.Duration(failures)*restartDelayStep, maxRestartDelay)
 }
 
-// runRecovering turns a panic of c into an error: one faulty child must not take
-// down the requests that the daemon's other children serve.
+// runRecovering runs c and returns a panic as an error. A fault in one child must not
+// end the process and with it the requests that the other children serve.
 func runRecovering(ctx context.Context, c Child) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -86,7 +88,7 @@
 	return c.Run(ctx)
 }
 
-// Sleep waits for d; it returns false at once when ctx ends.
+// Sleep waits for d and returns true. If ctx ends first, it returns false at once.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -98,7 +100,8 @@
 	}
 }
 
-// Every calls f now and then every d until ctx ends.
+// Every calls f immediately and then again after each pause of d, until ctx ends. It
+// always returns nil, so it can end a Child's Run.
 func Every(ctx context.Context, d time.Duration, f func(ctx context.Context)) error {
 	for {
 		f(ctx)
--- a/io/supervisor/supervisor_test.go
+++ b/io/supervisor/supervisor_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNodeRestartsFailedChildren: one child panics and one fails, twice each. Both
-// are restarted until they end well, and the node returns only then; a child that
-// is done is left alone.
+// TestNodeRestartsFailedChildren runs one child that panics twice and one that fails
+// twice. Both are restarted until they succeed, and only then does the node return. A
+// child that has finished is not restarted.
 func TestNodeRestartsFailedChildren(t *testing.T) {
 	var panics, failures, done int
 	n := Node{Name: "test", Children: []Child{
--- a/io/supervisor/workers.go
+++ b/io/supervisor/workers.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// maxIdleWorkers bounds the goroutines that Workers keeps for further work.
+// maxIdleWorkers is the maximum number of idle goroutines that Workers keeps for reuse.
 const maxIdleWorkers = 512
 
-// Workers is a Group for many short functions: a goroutine that is done takes the
-// next function. A new goroutine begins with a small stack, and each dispatch of a
-// request grew it anew, copying it each time. Its zero value works.
+// Workers is a Group for many short functions. It reuses goroutines, because a new
+// goroutine starts with a small stack, and every dispatch of a request would have to
+// grow and copy it again. Its zero value is ready to use.
 type Workers struct {
 	group Group
 
@@ -16,7 +16,7 @@
 	closed bool
 }
 
-// Go runs f on a goroutine of the group. It never waits for one.
+// Go runs f in an idle goroutine, or in a new one if none is idle. It never blocks.
 func (w *Workers) Go(f func()) {
 	if next := w.takeIdle(); next != nil {
 		next <- f
@@ -25,8 +25,9 @@
 	w.group.Go(func() { w.runWorker(f) })
 }
 
-// Wait blocks until every function has returned, those included that they started.
-// From then on Go works as a Group's.
+// Wait blocks until every function has returned, including functions that were
+// started by other functions in the meantime. From the call of Wait on, Workers keeps
+// no idle goroutines, and Go starts a new goroutine for each function.
 func (w *Workers) Wait() {
 	w.mu.Lock()
 	w.closed = true
@@ -39,6 +40,7 @@
 	w.group.Wait()
 }
 
+// runWorker runs f and then the functions that Go assigns to this goroutine.
 func (w *Workers) runWorker(f func()) {
 	next := make(chan func(), 1)
 	for f != nil {
@@ -50,7 +52,8 @@
 	}
 }
 
-// takeIdle returns the way to a goroutine without work, or nil.
+// takeIdle removes an idle goroutine from the list and returns the channel on which
+// it receives its next function. It returns nil if no goroutine is idle.
 func (w *Workers) takeIdle() chan func() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,6 +66,8 @@
 	return next
 }
 
+// putIdle adds a goroutine to the idle list. It returns false if the goroutine has to
+// exit instead.
 func (w *Workers) putIdle(next chan func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/io/supervisor/workers_test.go
+++ b/io/supervisor/workers_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// awaitIdle returns the goroutines without work once there are n of them.
+// awaitIdle waits until exactly n goroutines are idle and returns their channels.
 func awaitIdle(w *Workers, n int) []chan func() {
 	for {
 		w.mu.Lock()
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestWorkersTakeTheNextFunction: functions come one after the other. One goroutine
-// runs them all, and ends with Wait.
+// TestWorkersReuseGoroutines starts functions one after the other. A single goroutine
+// runs all of them and exits when Wait is called.
 func TestWorkersReuseGoroutines(t *testing.T) {
 	var w Workers
 	ran := 0
@@ -37,8 +37,9 @@
 	assert.Equal(t, len(w.idle), 0)
 }
 
-// TestWorkersNeverWait: many functions that wait for one another come at once, more
-// than goroutines are kept. Each has its own, as in a Group, and few stay.
+// TestWorkersNeverQueue starts more functions at once than goroutines are kept idle,
+// and each function waits for all others. Every function gets its own goroutine, as in
+// a Group, so that they don't deadlock. Only maxIdleWorkers goroutines stay idle.
 func TestWorkersNeverQueue(t *testing.T) {
 	const n = 4 * maxIdleWorkers
 	var w Workers
@@ -57,8 +58,9 @@
 	w.Wait()
 }
 
-// TestWorkersWaitForAll: a function starts another one while Wait waits already, as a
-// dispatch starts a question about its lost answer. Wait returns after both.
+// TestWorkersWaitForAll starts a function from another one while Wait is already
+// blocked, as a dispatch whose answer was lost starts a query of the target. Wait
+// returns only after both have finished.
 func TestWorkersWaitForAll(t *testing.T) {
 	var w Workers
 	var ran atomic.Bool
