--- a/io/entry/allotments.go
+++ b/io/entry/allotments.go
@@ -9,21 +9,23 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Pace of the first parts of teams' limits.
+// Pacing of the requests for initial allotments.
 const (
 	initialAllotmentInterval = time.Second
-	// initialAllotmentsPerRound bounds how many teams are asked for in one round: 42 entries that
-	// start at once make 210 of the several hundred writes a second that the table
-	// takes, for about 20 s with 620 teams. A single new entry takes two minutes.
+	// initialAllotmentsPerRound is the maximum number of teams per round. When 42
+	// entries start at once, they make 210 writes/s of the several hundred that the
+	// table can take, for about 20 s with 620 teams. A single new entry needs two
+	// minutes.
 	initialAllotmentsPerRound = 5
-	// initialAllotmentDelay is the wait after a start, until the rows of entries that started at
-	// the same time were read: whoever is first takes parts for all of its zone.
+	// initialAllotmentDelay is the delay after the start of the entry. It gives the
+	// directory time to learn of entries that start at the same time, because the
+	// first entry to act takes allotments for all entries of its zone.
 	initialAllotmentDelay = directoryInterval + time.Second
 )
 
-// requestInitialAllotments asks for a part of the limit of every team that this entry holds none
-// of. Without it an entry that never ran a team's work has to refuse it for as long
-// as the table is down, although the team runs nothing.
+// requestInitialAllotments requests an allotment for every team for which this entry
+// holds none. Otherwise an entry that has never run a team's requests would have to
+// refuse them while the table is down, even if the team runs nothing at all.
 func (d *Daemon) requestInitialAllotments(ctx context.Context) error {
 	return supervisor.Every(ctx, initialAllotmentInterval, func(context.Context) {
 		if d.now().Before(d.started.Add(initialAllotmentDelay)) {
@@ -35,7 +37,8 @@
 	})
 }
 
-// zoneEntries returns the entries of the own zone that stated an address, by name.
+// zoneEntries returns the entries of this zone that are in the directory, sorted by
+// name.
 func (d *Daemon) zoneEntries() []core.EntryID {
 	var entries []core.EntryID
 	for _, a := range d.directory.Zone(d.settings.Entry.Zone) {
--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -17,9 +17,9 @@
 	"lavenderpond/io/target"
 )
 
-// BenchmarkPath compares, in one run, requests through an entry with the same
-// targets called directly: at the holder, through an entry that forwards, and
-// idempotent ones, which need no mirror.
+// BenchmarkPath compares, in one run, direct calls to the targets with requests through
+// an entry: submitted at the holder, submitted at an entry that forwards them to the
+// holder, and idempotent requests, whose starts are not mirrored.
 //
 //	go test ./io/entry -run '^$' -bench Path -benchtime 3s
 func BenchmarkPath(b *testing.B) {
@@ -42,8 +42,9 @@
 	}
 }
 
-// submitter returns a function that submits a request whose holder is the entry that
-// is asked, or another one.
+// submitter returns a function that submits request number n. With the kind "forwarded"
+// it submits to the entry that does not hold the request's shard, otherwise to the
+// holder.
 func (f *testFleet) submitter(kind string) func(n int64) bool {
 	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	var clients []*caller.Client
@@ -70,7 +71,8 @@
 
 var benchNumber atomic.Int64
 
-// measure runs do from parallel callers and reports percentiles and failures.
+// measure calls do from parallel goroutines and reports the latency percentiles, the
+// throughput, the CPU time per request and the number of failures.
 func measure(b *testing.B, do func(n int64) bool) {
 	var mu sync.Mutex
 	var allLatencies []time.Duration
@@ -102,8 +104,8 @@
 	b.ReportMetric(float64(failed.Load()), "failed")
 }
 
-// cpuTime returns what the process has used, in user and system mode: on a busy
-// machine it tells more than latency does.
+// cpuTime returns the process's user and system CPU time. On a busy machine it is more
+// meaningful than latency.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
--- a/io/entry/budgets.go
+++ b/io/entry/budgets.go
@@ -8,12 +8,13 @@
 	"lavenderpond/io/supervisor"
 )
 
-// budgetSyncInterval is the time between two comparisons of pools' budgets with the
-// configuration in force. One that finds nothing costs no message.
+// budgetSyncInterval is the time between two comparisons of the pools' disruption
+// budgets with the effective configuration. A comparison that finds no difference sends
+// no messages.
 const budgetSyncInterval = 5 * time.Second
 
-// syncBudgets carries exceptions and defaults over into the pools' rows while this
-// entry is its zone's controller.
+// syncBudgets writes configured exceptions and defaults to the pools' rows while this
+// entry is the controller of its zone.
 func (d *Daemon) syncBudgets(ctx context.Context) error {
 	sync := operator.BudgetSync{Table: d.platform, View: d.config.View, Pool: d.fleet.Pool}
 	return supervisor.Every(ctx, budgetSyncInterval, func(ctx context.Context) {
--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -12,7 +12,7 @@
 	"lavenderpond/io/platform"
 )
 
-// configuration answers the questions of home and front from the entry's view.
+// configuration provides the entry's view of the configuration to Home and Front.
 type configuration struct {
 	*platform.Configuration
 	watcher *platform.Watcher
@@ -49,6 +49,7 @@
 	return c.CheckKey(now, team, digest)
 }
 
+// share returns the scheduling share of a team. An unknown team has a share of 1.
 func (c *configuration) share(now time.Time, team core.TeamID) int {
 	share := 1
 	c.View(func(v *config.View) {
@@ -59,6 +60,7 @@
 	return share
 }
 
+// maxQueued returns the maximum length of a queue. It is 0 for an unknown queue.
 func (c *configuration) maxQueued(now time.Time, q core.QueueID) int {
 	bound := 0
 	c.View(func(v *config.View) {
@@ -69,10 +71,12 @@
 	return bound
 }
 
-// isLoaded says whether the configuration was read once, here or at a peer.
+// isLoaded reports whether the configuration has been read at least once, from the table
+// or from a peer.
 func (c *configuration) isLoaded() bool { return !c.KeysTrustedUntil().IsZero() }
 
-// buildConfig connects the configuration to the queue and to what waits.
+// buildConfig creates the configuration and connects it to the queue and to the waiting
+// requests.
 func (d *Daemon) buildConfig(queue *fair.Queue) {
 	s := d.settings
 	c := &configuration{Configuration: &platform.Configuration{
@@ -108,8 +112,8 @@
 	return members
 }
 
-// routePools tells the router what pools lend, and how many of their targets may
-// be ejected: what is left of the availability budget.
+// routePools returns the pools' settings for the router: whether they lend idle targets,
+// and how many targets may be ejected, which is the rest of the disruption budget.
 func (d *Daemon) routePools() []route.Pool {
 	var pools []route.Pool
 	d.config.View(func(v *config.View) {
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -28,23 +28,23 @@
 	"lavenderpond/io/target"
 )
 
-// Intervals of the daemon's own loops.
+// Intervals of the daemon's periodic work.
 const (
 	tickInterval      = 20 * time.Millisecond
 	directoryInterval = 2 * time.Second
 	metricsInterval   = time.Second
-	// announceRetryInterval is the pause between two tries to state this entry's address.
+	// announceRetryInterval is the pause after a try to announce this entry's address.
 	announceRetryInterval = 500 * time.Millisecond
 )
 
-// settleTimeout bounds how long a stop waits for mirrored starts to reach a target.
-// Ids of this entry's shards wait as long; what is handed over unsettled ends as
-// outcome_unknown although it never ran.
+// settleTimeout is how long a graceful stop waits for mirrored starts to reach a target.
+// Calls about ids in this entry's shards are delayed meanwhile. A start that is handed
+// over before it has reached a target ends as outcome_unknown although it never ran.
 const settleTimeout = 15 * time.Second
 
-// maxConnectionsPerVM is how many of a VM's connections one entry uses at most: one
-// for each of its 8 slots, and two for questions. Six entries of a zone stay within
-// a VM's 64.
+// maxConnectionsPerVM is the maximum number of connections from one entry to a target
+// VM: one for each of the VM's 8 slots, and two for queries. With six entries in a zone,
+// a VM has at most 60 connections, of the 64 that it accepts.
 const maxConnectionsPerVM = 10
 
 // Daemon is one run of an entry.
@@ -72,12 +72,12 @@
 	peerListener   net.Listener
 	stopping       atomic.Bool
 
-	// aborted ends when a stop may not take any longer.
+	// aborted ends when Abort is called.
 	aborted context.Context
 	abort   context.CancelFunc
 }
 
-// New binds the daemon's addresses and puts its parts together.
+// New binds the daemon's addresses and creates its parts. Run starts them.
 func New(settings ini.Settings, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{settings: settings, log: log, now: time.Now, peers: &netrpc.Pool{}, metrics: metrics.NewRegistry()}
 	d.started = d.now()
@@ -96,8 +96,8 @@
 	return d, nil
 }
 
-// listen binds first: a second daemon under the same name must fail before it
-// claims any right.
+// listen binds the daemon's addresses. New does this first, so that a second daemon with
+// the same settings fails before it acquires any lease.
 func (d *Daemon) listen() error {
 	var err error
 	d.callerListener, err = net.Listen("tcp", d.settings.Entry.CallerListen.String())
@@ -135,8 +135,9 @@
 	}
 }
 
-// buildFleet connects the zone's targets to the router, and what connections
-// show back to the fleet watcher.
+// buildFleet creates the fleet watcher and the maintenance controller of the zone. The
+// watcher passes the zone's targets to the router and learns from the results of
+// dispatches.
 func (d *Daemon) buildFleet(router *least.Router) {
 	zone := d.settings.Entry.Zone
 	rows := &platform.FleetRows{}
@@ -165,7 +166,8 @@
 	d.requests.OnDispatchEnded = d.observeDispatch
 }
 
-// observeDispatch passes on what a dispatch showed of a VM's state.
+// observeDispatch passes the evidence that a dispatch gives of a VM's state to the fleet
+// watcher and the controller.
 func (d *Daemon) observeDispatch(vm core.VMID, sentAt time.Time, end home.End) {
 	notStarted, ok := end.(home.NotStarted)
 	switch {
@@ -179,10 +181,11 @@
 	}
 }
 
-// Run serves until ctx ends, then stops gracefully: what runs is finished and
-// the entry's rights are handed over.
+// Run serves until ctx ends. Then it stops gracefully: it finishes running requests and
+// hands over the entry's shards.
 func (d *Daemon) Run(ctx context.Context) error {
-	// The parts go on during the graceful stop: running requests need them.
+	// The children keep running during the graceful stop, because running requests
+	// need them.
 	children, stopChildren := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopChildren()
 	var g supervisor.Group
@@ -195,7 +198,8 @@
 	return err
 }
 
-// serveCallers returns when the graceful stop is over.
+// serveCallers serves callers and operators. After ctx ends, it returns when the graceful
+// stop is complete.
 func (d *Daemon) serveCallers(ctx context.Context) error {
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	var g supervisor.Group
@@ -212,8 +216,8 @@
 	return err
 }
 
-// stopGracefully hands over what waits and what this entry may decide, and waits
-// for what runs.
+// stopGracefully hands over this entry's shards, so that waiting requests go on to their
+// next holders, and waits for running requests to finish.
 func (d *Daemon) stopGracefully() {
 	d.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(d.aborted, d.settings.Entry.StopGrace)
@@ -245,23 +249,24 @@
 	return &HTTPServer{Mux: mux, Metrics: d.metrics, Ready: d.ready, Aborted: d.aborted}
 }
 
-// Abort makes a stop that is under way, or the next one, end at once: what runs is
-// left to its leases and what is held to the take-over rule.
+// Abort makes the current graceful stop, or the next one, end at once. Running tasks then
+// end with their leases at the latest, and shards that are not handed over are taken over
+// by other entries.
 func (d *Daemon) Abort() { d.abort() }
 
-// ready says whether callers should be sent here.
+// ready reports whether a load balancer should send callers to this entry.
 func (d *Daemon) ready() bool {
 	return !d.stopping.Load() && d.config.isLoaded() && len(d.shards.Dump().Shards) > 0
 }
 
-// Unfinished returns how many requests have no final answer yet.
+// Unfinished returns the number of requests without a final answer.
 func (d *Daemon) Unfinished() int {
 	n := 0
 	d.requests.WithLock(func(h *home.Home) { n = h.Unfinished() })
 	return n
 }
 
-// supervisorTree is the daemon's supervisor tree.
+// supervisorTree returns the daemon's supervision tree.
 func (d *Daemon) supervisorTree() *supervisor.Node {
 	peers := supervisor.Node{Name: "peers", Log: d.log, Children: d.peerChildren()}
 	platformNode := supervisor.Node{Name: "platform", Log: d.log, Children: []supervisor.Child{
@@ -284,7 +289,7 @@
 	return supervisor.Every(ctx, tickInterval, func(context.Context) { d.requests.Handle(home.Tick{}) })
 }
 
-// maintainDirectory states this entry's address and learns the others'.
+// maintainDirectory announces this entry's address and keeps the directory up to date.
 func (d *Daemon) maintainDirectory(ctx context.Context) error {
 	self := Address{
 		Entry: d.id, Zone: d.settings.Entry.Zone,
--- a/io/entry/directory.go
+++ b/io/entry/directory.go
@@ -13,25 +13,26 @@
 	"lavenderpond/io/platform"
 )
 
-// Address is the row in which an entry states where it can be reached.
+// Address is the table row in which an entry announces its addresses.
 type Address struct {
-	Entry  core.EntryID   `json:"entry"`
-	Zone   core.ZoneID    `json:"zone"`
+	Entry core.EntryID `json:"entry"`
+	Zone  core.ZoneID  `json:"zone"`
+	// Peer is where other entries connect, Caller where callers and operators do.
 	Peer   netip.AddrPort `json:"peer"`
 	Caller netip.AddrPort `json:"caller"`
 }
 
-// Directory knows the addresses of the fleet's entries from their rows. Rows of
-// entries that are gone stay until the name is used again; they are only
-// addresses, and say nothing about who lives. Its zero value is empty. It is safe
-// for concurrent use.
+// Directory caches the addresses that the fleet's entries have announced in the table.
+// The row of an entry that has ended stays until another run uses the same name, so an
+// address in the directory does not mean that the entry is live. The zero value is an
+// empty directory. It is safe for concurrent use.
 type Directory struct {
 	mu       sync.Mutex
 	entries  map[table.Key]Address
 	revision table.Revision
 }
 
-// Announce writes self's row, once per start of the daemon.
+// Announce writes the row of this entry. The daemon does so once per start.
 func (d *Directory) Announce(ctx context.Context, t platform.Table, self Address) error {
 	key := table.EntryKey(self.Zone, self.Entry.Name())
 	row, err := t.Read(ctx, key)
@@ -46,7 +47,7 @@
 	return t.Transact(ctx, tx)
 }
 
-// Refresh reads the rows that changed since the last time.
+// Refresh reads the rows that have changed since the previous call.
 func (d *Directory) Refresh(ctx context.Context, t platform.Table) error {
 	d.mu.Lock()
 	since := d.revision
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// Zone returns the addresses of a zone's entries, by name.
+// Zone returns the addresses of a zone's entries, sorted by name.
 func (d *Directory) Zone(zone core.ZoneID) []Address {
 	prefix := string(table.EntryKey(zone, ""))
 	d.mu.Lock()
@@ -87,7 +88,8 @@
 	return list
 }
 
-// Find returns the address of one run of an entry.
+// Find returns the addresses of the entry id. It returns false if the row under the
+// entry's name is missing or belongs to another run of the entry.
 func (d *Directory) Find(zone core.ZoneID, id core.EntryID) (Address, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -24,11 +24,12 @@
 	"lavenderpond/io/target/standin"
 )
 
+// callerClient returns a client of the caller service of entry i.
 func (f *testFleet) callerClient(i int) lavenderpondv1connect.CallerServiceClient {
 	return lavenderpondv1connect.NewCallerServiceClient(http.DefaultClient, "http://"+f.entries[i].daemon.callerListener.Addr().String())
 }
 
-// send sends a message with a key and returns the answer.
+// send submits a message to entry i with the given key and returns the answer.
 func (f *testFleet) send(i int, m *pb.SubmitRequest, key string) *pb.Answer {
 	f.t.Helper()
 	r := connect.NewRequest(m)
@@ -38,9 +39,9 @@
 	return resp.Msg
 }
 
-// TestRefusalsAreTrue: each kind of bad input gets its own numbered code at once,
-// says "not run", and the targets' record shows that it did not run. A second
-// attempt that is refused by an entry without its record says "unknown".
+// TestRefusedRequestsDoNotRun submits each kind of invalid request. Each is refused at once
+// with its own code and the outcome "not run", and no target starts it. If an entry without
+// a record of the id refuses a second attempt, the outcome is "unknown".
 func TestRefusedRequestsDoNotRun(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 2)
 	f.awaitServing()
@@ -79,8 +80,8 @@
 	assert.Equal(t, f.send(0, again, teamKey).Outcome, pb.Outcome_OUTCOME_UNKNOWN)
 }
 
-// TestKeysDecide: a caller with a wrong key, or none, runs nothing. An entry without
-// the checks of the front and the home would run both.
+// TestInvalidKeysAreRefused submits requests with a wrong key and without a key. Neither
+// runs. With the key checks of Front and Home disabled, both run.
 func TestInvalidKeysAreRefused(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 1, safeguardsOff{keyChecks: off})
@@ -96,10 +97,10 @@
 	}
 }
 
-// TestAnswersWholeOrUnknown: targets run every request, then lose, cut or cross
-// its answer. The caller gets its own whole answer, which the entry asks the same
-// target for, and never another's or a part. Nothing is started twice. Unchecked,
-// other tasks' answers and halves are handed on as whole.
+// TestAnswersCompleteOrUnknown has targets that run every request but lose its answer,
+// truncate it or swap it with another one. The entry asks the same target again, and the
+// caller gets its own complete answer or "unknown". No request is started twice. With the
+// checks of answers disabled, callers get truncated answers and answers to other requests.
 func TestAnswersCompleteOrUnknown(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2}, 3, safeguardsOff{answerChecks: off})
@@ -136,9 +137,9 @@
 	}
 }
 
-// TestPlannedStopCutsNothingOff: an entry is told to stop while requests run and
-// wait at it, its own callers' and forwarded ones. All of them get their whole
-// answer: what runs is finished, what waits goes on to the next holder.
+// TestGracefulStopFinishesRequests stops an entry while requests are running and waiting at
+// it, from its own callers and forwarded by other entries. All callers get their complete
+// answer: running requests finish, and waiting ones go to the next holder.
 func TestGracefulStopFinishesRequests(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 1)
 	f.awaitServing()
@@ -148,7 +149,8 @@
 	const requests = 40
 	for n := range requests {
 		g.Go(func() {
-			// Ids of zone_a, by all three entries; its one VM has 8 slots, so most wait.
+			// All ids belong to zone_a, whose only VM has 8 slots, so most requests wait.
+			// They are submitted through all three entries.
 			id := core.RequestID(fmt.Sprintf("zone_a~stop-%d", n))
 			a := f.submit(n%3, id, 1, `{"run_ms":150}`)
 			mu.Lock()
@@ -168,9 +170,9 @@
 	}
 }
 
-// TestPlannedStopKeepsUnwaited: callers submit without waiting, more than the zone's
-// one target has slots for, and the entry that took them is told to stop. What it
-// had queued goes on to the next holder; each caller fetches its answer there.
+// TestGracefulStopKeepsNoWaitRequests submits more requests than the zone's only target has
+// slots for, without waiting for their answers, and then stops the entry that accepted
+// them. Its queued requests go to the next holder, and callers can fetch every answer there.
 func TestGracefulStopKeepsNoWaitRequests(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 1)
 	f.awaitServing()
@@ -199,10 +201,11 @@
 	stopping.ended <- nil // for the fleet's own end
 }
 
-// TestLeavingTargetGetsNothingNew: a target begins to leave while it runs a task.
-// It refuses the next one, which goes to another target; from then on it is sent
-// nothing, although its row and the live list know nothing yet. The task finishes.
-// Where the refusal isn't passed on, the target stays one that work is sent to.
+// TestLeavingTargetReceivesNoNewTasks has a target that starts to leave while it runs
+// tasks. It refuses the next task, which runs on another target. From then on it is sent
+// no tasks, although its row and the live list don't show yet that it is leaving. Its
+// running tasks finish. If the fleet watcher isn't told of refusals, the target remains in
+// use.
 func TestLeavingTargetReceivesNoNewTasks(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 2, safeguardsOff{leavingRefusals: off})
@@ -219,7 +222,7 @@
 		before := f.startsAt(f.vms[0].ID)
 		g.Wait()
 		for n := range 20 {
-			// More at once than the other target has slots.
+			// These are more than the other target has slots.
 			g.Go(func() {
 				a := f.submit(0, core.RequestID(fmt.Sprintf("new-%d", n)), 1, `{"run_ms":100}`)
 				assert.Check(t, a.Outcome == pb.Outcome_OUTCOME_DONE, "%s", a)
@@ -237,6 +240,7 @@
 	}
 }
 
+// startsAt returns how many tasks the target vm has started.
 func (f *testFleet) startsAt(vm core.VMID) int {
 	n := 0
 	for _, s := range f.starts.Starts() {
@@ -247,9 +251,9 @@
 	return n
 }
 
-// TestUpperLimitAcrossEntries: eight times the limit is submitted through three
-// entries of two zones, with a cut of the limit in between. The targets' record
-// never shows more than the limit at once, but for entries that ignore allotments.
+// TestTeamLimitAcrossEntries lowers a team's limit and then submits eight times as many
+// requests through three entries of two zones. The targets never run more than the limit
+// at the same time, unless the entries ignore their allotments.
 func TestTeamLimitAcrossEntries(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 2, safeguardsOff{allotments: off})
@@ -285,6 +289,8 @@
 	return head.Version
 }
 
+// allHaveVersion reports whether all entries have at least the given version of the
+// configuration.
 func (f *testFleet) allHaveVersion(version core.Version) bool {
 	for _, e := range f.entries {
 		if e.daemon.config.Version() < version {
@@ -294,7 +300,7 @@
 	return true
 }
 
-// totalAllotment returns the sum of the entries' allotments.
+// totalAllotment returns the sum of all entries' allotments.
 func (f *testFleet) totalAllotment() core.Slots {
 	var sum core.Slots
 	for _, e := range f.entries {
@@ -305,7 +311,7 @@
 	return sum
 }
 
-// maxConcurrent returns the most starts that ran at one moment.
+// maxConcurrent returns the maximum number of tasks that ran at the same time.
 func maxConcurrent(starts []standin.Start) int {
 	most := 0
 	for _, s := range starts {
@@ -320,9 +326,9 @@
 	return most
 }
 
-// TestServesWithoutTable: the table goes down for good while requests come. The
-// entries go on serving with what they hold, and a new id through each of them is
-// answered. Nothing is refused for lack of the table.
+// TestServesWithoutTable takes the table down for the rest of the test. The entries
+// continue to serve new ids with the leases, allotments and configuration that they have,
+// and refuse nothing.
 func TestServesWithoutTable(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 2)
 	f.awaitServing()
@@ -335,8 +341,8 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestDumpHoldsNoSecrets: an operator dumps an entry that holds a waiting request.
-// The dump shows the request, and neither its body nor any key.
+// TestDumpHoldsNoSecrets dumps an entry that has an unfinished request. The dump shows the
+// request, but neither its body nor any key.
 func TestDumpHoldsNoSecrets(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 1}, 1)
 	f.awaitServing()
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -27,8 +27,8 @@
 	"lavenderpond/io/target/standin"
 )
 
-// testTimeout bounds how long a test waits for a state. It decides nothing about a
-// pass: a test that needs it all fails for lack of progress.
+// testTimeout is how long a test waits for an expected state. It is much longer than
+// needed, so a test that exceeds it has stopped making progress.
 const testTimeout = 60 * time.Second
 
 const (
@@ -36,8 +36,8 @@
 	operatorKey = "lp_test_operator"
 )
 
-// testFleet is a small fleet in one process: the platform's stand-in, targets
-// with one record of all starts, and entries.
+// testFleet is a small fleet in one process: a stand-in for the platform, target VMs that
+// share one log of all starts, and entries.
 type testFleet struct {
 	t        testing.TB
 	platform platformstandin.Server
@@ -45,7 +45,7 @@
 	client   *platform.Client
 	starts   standin.StartLog
 	vms      []*standin.VM
-	// addresses are those of vms.
+	// addresses are the addresses of vms, in the same order.
 	addresses []string
 	entries   []*testEntry
 	ctx       context.Context
@@ -53,17 +53,19 @@
 	off       safeguardsOff
 }
 
-// safeguardsOff are safeguards that a test switches off, to see what it asserts fail.
+// safeguardsOff selects safeguards that a test disables. With a safeguard disabled, the
+// fault that it prevents must occur, which shows that the test can detect it.
 type safeguardsOff struct {
-	// holders: every entry takes itself for the holder of every id.
+	// shardLeases: every entry considers itself the holder of every shard.
 	shardLeases bool
-	// allotments: every start is allowed, whatever the team's limit.
+	// allotments: every start is allowed, regardless of the team's limit.
 	allotments bool
-	// answerCheck: answers pass the checks for the task and the length.
+	// answerChecks: every answer passes the checks of its task and length.
 	answerChecks bool
-	// keys: every key is good for every team.
+	// keyChecks: every key is valid for every team.
 	keyChecks bool
-	// leaving: a target's refusal isn't passed on.
+	// leavingRefusals: the fleet watcher isn't told that a target refused a task
+	// because it is leaving.
 	leavingRefusals bool
 }
 
@@ -79,7 +81,7 @@
 	return newUnsafeFleet(t, zones, vmsPerZone, safeguardsOff{})
 }
 
-// newUnsafeFleet starts a fleet with safeguards switched off.
+// newUnsafeFleet starts a fleet with the given safeguards disabled.
 func newUnsafeFleet(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int, off safeguardsOff) *testFleet {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -165,7 +167,7 @@
 	return e
 }
 
-// await waits until check returns true.
+// await waits until check returns true. The test fails after testTimeout.
 func (f *testFleet) await(what string, check func() bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(testTimeout)
@@ -192,7 +194,8 @@
 	}
 }
 
-// isSettled says whether every shard is in sync and every entry holds a part.
+// isSettled reports whether every shard has a holder and, if the zone has a second entry,
+// a successor in sync, and whether every entry has an allotment.
 func (f *testFleet) isSettled() bool {
 	for _, e := range f.entries {
 		limits := e.daemon.allotments.Dump()
@@ -209,8 +212,8 @@
 	return true
 }
 
-// submit sends one attempt to entry number i. A connection that broke gives an
-// answer without outcome.
+// submit submits one attempt to entry i and waits for the answer. If the call fails, the
+// answer has no outcome and Detail is the error.
 func (f *testFleet) submit(i int, id core.RequestID, attempt core.Attempt, body string) *pb.Answer {
 	now := time.Now()
 	c := caller.NewClient(http.DefaultClient, "http://"+f.entries[i].daemon.callerListener.Addr().String(), "lyra", teamKey)
@@ -224,7 +227,7 @@
 	return a
 }
 
-// startsOf counts the starts of an id at all targets.
+// startsOf returns how many times the targets have started the request id.
 func (f *testFleet) startsOf(id core.RequestID) int {
 	n := 0
 	for _, s := range f.starts.Starts() {
@@ -235,9 +238,9 @@
 	return n
 }
 
-// TestFleetServesAndDedups: the same id goes to every entry of two zones at once.
-// All callers get the same whole answer, and the target's record shows one start. Where
-// each entry takes itself for the holder, both entries of a zone run it.
+// TestFleetServesAndDedups submits the same id to every entry of two zones at once. All
+// callers get the same complete answer, and the targets' log shows one start. With shard
+// leases disabled, both entries of a zone start the request.
 func TestFleetServesAndDedups(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, safeguardsOff{shardLeases: off})
@@ -272,7 +275,7 @@
 	}
 }
 
-// platformDown are faults of a table that is down for the rest of a test.
+// platformDown returns the faults of a platform that is down for the rest of the test.
 func platformDown() platformstandin.Faults {
 	return platformstandin.Faults{DownUntil: time.Now().Add(time.Hour)}
 }
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -15,34 +15,38 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Bounds of forwarding.
+// Time limits of forwarding.
 const (
-	// holderSearchTimeout is how long a call looks for a holder before it is refused, counted
-	// anew while an entry is known to hand its rights over.
+	// holderSearchTimeout is how long a call searches for the shard's holder before it
+	// is refused. It starts again whenever an entry replies that it is handing over
+	// its shards.
 	holderSearchTimeout = 1500 * time.Millisecond
-	// holderSearchInterval is the pause between two looks.
+	// holderSearchInterval is the pause between two tries of the search.
 	holderSearchInterval = 20 * time.Millisecond
-	// replyGrace is how long after a request's deadline its final answer may take
-	// to come back from the home.
+	// replyGrace is how long after a request's deadline its final answer may arrive
+	// from the home entry.
 	replyGrace = 3 * time.Second
-	// defaultCallTimeout bounds calls that have no deadline of their own.
+	// defaultCallTimeout is the time limit of calls without a deadline of their own.
 	defaultCallTimeout = 5 * time.Second
 )
 
-// LeaseDecider tells who decides about an id of the own zone.
+// LeaseDecider decides, by the shard leases, whether this entry may answer a request of
+// its zone or which entry holds the request's shard. It is implemented by
+// peer.ShardKeeper.
 type LeaseDecider interface {
 	Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict
 }
 
-// Authorizer checks a request against the configuration and the keys of this entry.
+// Authorizer checks callers' teams and keys against this entry's configuration.
 type Authorizer interface {
-	// Authorize returns the refusal of a request whose team or key isn't good.
+	// Authorize reports whether the team exists and the key is valid for it. If not,
+	// it returns the code with which the call is refused.
 	Authorize(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool)
 }
 
-// Front brings callers' calls to the home of their ids: to this entry's own
-// Requests, to the holder in this zone, or to an entry of another zone. All
-// fields must be set.
+// Front routes calls to the home of their request id, the entry that holds the id's
+// shard. That is this entry's own Requests, another entry of this zone, or an entry of
+// the id's home zone. All exported fields must be set.
 type Front struct {
 	Zone       core.ZoneID
 	Zones      []core.ZoneID
@@ -53,6 +57,8 @@
 	Directory  *Directory
 	Peers      *netrpc.Pool
 
+	// forwarded counts the calls of peers and the requests of followNoWait that are in
+	// progress.
 	forwarded   atomic.Int64
 	handingOver atomic.Bool
 }
@@ -76,7 +82,8 @@
 	return f.authorizeAndHandle(ctx, peer.ForwardArgs{Kind: peer.ForwardCancel, Request: req})
 }
 
-// authorizeAndHandle checks the key, so that no other entry works for a caller without rights.
+// authorizeAndHandle handles a call from a caller. It checks the key first, so that
+// unauthorized calls are never forwarded.
 func (f *Front) authorizeAndHandle(ctx context.Context, args peer.ForwardArgs) core.Answer {
 	if code, ok := f.Authorizer.Authorize(f.Now(), args.Request.Key.Team, args.Request.KeyDigest); !ok {
 		return core.RefusalAnswer(args.Request.Attempt, core.NotRun{Code: code})
@@ -85,6 +92,7 @@
 	return f.Handle(ctx, args)
 }
 
+// giveUpAt returns the time after which no entry needs to work on a call any longer.
 func (f *Front) giveUpAt(args peer.ForwardArgs) time.Time {
 	if args.Kind == peer.ForwardSubmit && !args.NoWait {
 		return args.Request.Deadline.Add(replyGrace)
@@ -92,8 +100,8 @@
 	return f.Now().Add(defaultCallTimeout)
 }
 
-// HandleForwarded is the handler of calls that peers forward. They are counted, so
-// that a planned stop doesn't cut them off.
+// HandleForwarded handles a call that a peer has forwarded. Such calls are counted, so
+// that a graceful stop waits for them.
 func (f *Front) HandleForwarded(ctx context.Context, args peer.ForwardArgs) (core.Answer, error) {
 	f.forwarded.Add(1)
 	defer f.forwarded.Add(-1)
@@ -103,13 +111,14 @@
 	return f.Handle(ctx, args), nil
 }
 
-// SetHandingOver says whether this entry hands its rights over just now.
+// SetHandingOver sets whether this entry is handing over its shards.
 func (f *Front) SetHandingOver(on bool) { f.handingOver.Store(on) }
 
-// Forwarded returns how many calls of peers are under way here.
+// Forwarded returns the number of calls that a graceful stop has to wait for: forwarded
+// calls from peers, and requests without a waiting caller that this entry follows.
 func (f *Front) Forwarded() int64 { return f.forwarded.Load() }
 
-// Handle brings a call one step nearer to its home.
+// Handle sends a call to the id's home zone, or to the holder if this is the home zone.
 func (f *Front) Handle(ctx context.Context, args peer.ForwardArgs) core.Answer {
 	home := args.Request.Key.Home(f.Zones)
 	if home != f.Zone {
@@ -118,11 +127,11 @@
 	return f.sendToHolder(ctx, args)
 }
 
-// sendToHolder looks for the holder of the id, for a short while: rights move within
-// milliseconds when an entry stops, and within seconds when one dies. Only the first
-// entry of the home zone looks. Were a call passed on from one supposed holder to
-// the next, it could end at a former holder whose view can't help it, and be refused
-// although the new holder serves.
+// sendToHolder searches for the holder of the id's shard and gives it the call. It
+// retries for a short time, because shards move within milliseconds when an entry stops,
+// and within seconds when one crashes. Only the first entry of the home zone searches.
+// If supposed holders passed a call on to each other, it could end at a former holder
+// with outdated rows and be refused although the new holder is serving.
 func (f *Front) sendToHolder(ctx context.Context, args peer.ForwardArgs) core.Answer {
 	sent := false
 	until := f.searchDeadline(args)
@@ -141,7 +150,7 @@
 	}
 }
 
-// searchDeadline returns when a search that begins now ends.
+// searchDeadline returns the end of a search that starts now.
 func (f *Front) searchDeadline(args peer.ForwardArgs) time.Time {
 	until := f.Now().Add(holderSearchTimeout)
 	if until.After(args.GiveUpAt) {
@@ -150,7 +159,7 @@
 	return until
 }
 
-// tryHolder hands the call to the holder that is known now.
+// tryHolder gives the call to the holder that this entry currently knows.
 func (f *Front) tryHolder(ctx context.Context, args peer.ForwardArgs) (core.Answer, error) {
 	verdict := f.decide(args)
 	if v, ok := verdict.(shard.NotHolder); ok {
@@ -159,12 +168,13 @@
 	return f.handleAsHolder(ctx, args, verdict)
 }
 
+// decide returns this entry's verdict on the id of a call.
 func (f *Front) decide(args peer.ForwardArgs) shard.Verdict {
 	return f.Leases.Decide(f.Now(), args.Request.Key, args.Request.FirstSent, f.decisionDeadline(args))
 }
 
-// handleAsHolder answers the call if this entry may decide about its id. The errors are
-// peer.ErrNotHolder and peer.ErrHandingOver.
+// handleAsHolder answers the call if verdict says that this entry may decide about its
+// id. Otherwise it returns peer.ErrNotHolder or peer.ErrHandingOver.
 func (f *Front) handleAsHolder(ctx context.Context, args peer.ForwardArgs, verdict shard.Verdict) (core.Answer, error) {
 	switch verdict.(type) {
 	case shard.Wait, shard.NotHolder:
@@ -174,17 +184,18 @@
 	answer := f.handleLocally(ctx, args)
 	switch core.CodeOf(answer) {
 	case core.CodeEntryStopping:
-		// A planned stop cuts nobody off: the call goes on to the next holder.
+		// The call is not refused during a graceful stop. It is sent to the next
+		// holder instead.
 		return nil, peer.ErrHandingOver
 	case core.CodeNoHolder:
-		// The right moved between the two questions.
+		// The shard moved between decide and the Home's own check.
 		return nil, f.notHolderError()
 	default:
 		return answer, nil
 	}
 }
 
-// notHolderError returns why this entry doesn't decide.
+// notHolderError returns the reason why this entry can't decide about an id.
 func (f *Front) notHolderError() error {
 	if f.handingOver.Load() {
 		return peer.ErrHandingOver
@@ -192,8 +203,9 @@
 	return peer.ErrNotHolder
 }
 
-// decisionDeadline returns the deadline by which Decide judges a call. Calls about an
-// id that may be recorded already are never refused by their times.
+// decisionDeadline returns the deadline that is passed to Decide. Fetch and Cancel
+// concern ids that may already have a record, so they get a later deadline and are never
+// refused because of the request's times.
 func (f *Front) decisionDeadline(args peer.ForwardArgs) time.Time {
 	if args.Kind == peer.ForwardSubmit {
 		return args.Request.Deadline
@@ -201,6 +213,7 @@
 	return f.Now().Add(defaultCallTimeout)
 }
 
+// handleLocally answers the call from this entry's own Requests.
 func (f *Front) handleLocally(ctx context.Context, args peer.ForwardArgs) core.Answer {
 	switch args.Kind {
 	case peer.ForwardFetch:
@@ -216,9 +229,10 @@
 	}
 }
 
-// followNoWait stays with a request whose caller doesn't wait. When this entry hands the
-// id over before the request was sent, it takes it to the next holder: nobody else
-// is left who would, and the caller would fetch an answer that never comes.
+// followNoWait waits in the background for the answer to a request whose caller doesn't
+// wait. If this entry hands over the id's shard before the request is dispatched, it
+// submits the request to the next holder. Nobody else would do so, and the caller could
+// never fetch an answer.
 func (f *Front) followNoWait(args peer.ForwardArgs) {
 	f.forwarded.Add(1)
 	f.Requests.Go(func(ctx context.Context) {
@@ -233,7 +247,8 @@
 	})
 }
 
-// needsNewHolder says that the request has still to be brought to a holder.
+// needsNewHolder reports whether the answer means that the request still has to be
+// submitted to a holder.
 func needsNewHolder(a core.Answer) bool {
 	switch core.CodeOf(a) {
 	case core.CodeEntryStopping, core.CodeNoHolder, core.CodeHomeUnreachable:
@@ -243,6 +258,7 @@
 	}
 }
 
+// forwardToEntry forwards a call to the entry id of this zone.
 func (f *Front) forwardToEntry(ctx context.Context, id core.EntryID, args peer.ForwardArgs) (core.Answer, error) {
 	a, ok := f.Directory.Find(f.Zone, id)
 	if !ok {
@@ -252,12 +268,14 @@
 	return peer.ForwardTo(ctx, f.Peers, a.Peer.String(), args)
 }
 
-// forwardToZone sends a call to an entry of its home zone, and to the next one if no
-// answer came back: an entry that stops or dies must not cost the caller its
-// answer. Two copies of a call meet at the id's record and run once.
+// forwardToZone forwards a call to an entry of its home zone. If no answer comes back,
+// it tries the next entry, so that the caller still gets an answer when one entry stops
+// or crashes. This is safe because both copies of the call reach the same record of the
+// id, and the request runs only once.
 func (f *Front) forwardToZone(ctx context.Context, zone core.ZoneID, args peer.ForwardArgs) core.Answer {
 	if args.Stage != peer.FromCaller {
-		// The sender's settings name other zones than ours.
+		// Another entry forwarded the call to the wrong zone. Its setting of the
+		// zones must differ from this entry's.
 		return f.failedForwardAnswer(args, false, core.CodeZoneUnreachable)
 	}
 	args.Stage = peer.ToHomeZone
@@ -278,8 +296,9 @@
 	return f.failedForwardAnswer(args, sent, core.CodeZoneUnreachable)
 }
 
-// failedForwardAnswer answers a call that did not come back. Only a first attempt that was sent
-// nowhere is known not to have run.
+// failedForwardAnswer returns the answer to a call that no holder answered. The request
+// is known not to have run only if this is the first attempt and no message was sent;
+// sent reports whether one may have been. Otherwise the outcome is unknown.
 func (f *Front) failedForwardAnswer(args peer.ForwardArgs, sent bool, code core.Code) core.Answer {
 	comeBack := f.Now().Add(holderSearchTimeout)
 	if sent || args.Kind != peer.ForwardSubmit {
--- a/io/entry/front_test.go
+++ b/io/entry/front_test.go
@@ -27,13 +27,13 @@
 	return shard.Wait{ComeBackAt: now.Add(time.Second)}
 }
 
-// allowAll admits everybody.
+// allowAll is an Authorizer that accepts every caller.
 type allowAll struct{}
 
 func (allowAll) Authorize(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
 
-// listenerAddress returns the address of a listener that breaks off every
-// connection, or that is closed and refuses them.
+// listenerAddress returns an address that refuses connections, or one that accepts
+// connections and closes them at once.
 func listenerAddress(t *testing.T, refuses bool) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,10 +60,11 @@
 	return address
 }
 
-// TestCutOffHome: a caller's entry can't reach the id's home zone. If no message
-// left, a first attempt did not run, and the caller is told so; a second one may
-// follow an attempt that ran. If a message left and no answer came back, the home
-// may have it: then nothing but "unknown" is true, whichever attempt it is.
+// TestUnreachableHomeZone submits requests to an entry that can't reach the id's home
+// zone. If no message was sent, the answer to a first attempt is "not run", but a second
+// attempt may follow one that ran, so its answer is "unknown". If a message was sent and
+// no answer came back, the home entry may have received it, and the answer to every
+// attempt is "unknown".
 func TestUnreachableHomeZone(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -99,14 +100,14 @@
 			}
 			assert.DeepEqual(t, submit(c.attempt), c.want)
 			if unknown, ok := c.want.(core.OutcomeUnknown); ok && c.refuses {
-				// With the attempt's number lost on the way it is taken for a first one.
+				// An attempt whose number was lost is treated as a first attempt.
 				assert.DeepEqual(t, submit(0), core.Answer(core.NotRun(unknown)))
 			}
 		})
 	}
 }
 
-// stripTimes leaves out what differs from run to run.
+// stripTimes removes the times and details, which differ from run to run.
 func stripTimes(a core.Answer) core.Answer {
 	switch a := a.(type) {
 	case core.NotRun:
@@ -134,11 +135,12 @@
 	return v
 }
 
-// clockReadsPerSearch is how often a search looks at a steppedClock, three times a try.
+// clockReadsPerSearch is how often a search reads a steppedClock before it times out. Each
+// try reads the clock three times.
 const clockReadsPerSearch = 30
 
-// steppedClock is a clock that moves on with each look, so that a search ends after
-// a number of looks and not by the machine's pace.
+// steppedClock is a clock that advances whenever it is read, so that a search ends after
+// a fixed number of tries, independent of the machine's speed.
 type steppedClock struct {
 	start time.Time
 	reads atomic.Int64
@@ -172,10 +174,10 @@
 	return f, l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// TestMovedRightIsFound: an id's right moved from a1 to a2. The caller's entry a3
-// still takes a1 for the holder, a2 knows of its right two looks later than a1 does,
-// and a1 never decides again. The call has to reach a2; before, the entries passed it
-// back and forth until it stayed at a1, which refused it with no_holder.
+// TestMovedLeaseIsFound moves a shard lease from a1 to a2. The caller's entry a3 still
+// considers a1 the holder, and a2 learns of its lease two decisions after a1 has lost it.
+// The call must reach a2. If each entry forwarded the call to its supposed holder, a1 and
+// a2 would pass it back and forth until a1 refused it with no_holder.
 func TestMovedLeaseIsFound(t *testing.T) {
 	toA1, toA2 := shard.NotHolder{Holder: "a1#1"}, shard.NotHolder{Holder: "a2#1"}
 	a1, addressOfA1 := newTestFront(t, toA2)
@@ -191,13 +193,14 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	answer := a3.Fetch(ctx, core.RequestKey{Team: "lyra", ID: "moved"}, "")
-	// The word of a2's home: it has no record of the id.
+	// This is the answer of a2's Home, which has no record of the id.
 	assert.Equal(t, core.CodeOf(answer), core.CodeNotFound)
 }
 
-// TestHandOverIsWaitedFor: an entry that stops can't write its rights over for a
-// while, since the table is slow. A caller's search there lasts as long as the
-// hand-over does, and ends with a refusal once the entry has given that up.
+// TestSearchWaitsForHandOver submits a request to an entry that is stopping and can't hand
+// over its shards for a while, because the table is slow. The search for a holder
+// continues as long as the hand-over does. Once the entry no longer hands over, the search
+// ends with a refusal.
 func TestSearchWaitsForHandOver(t *testing.T) {
 	verdicts := make([]shard.Verdict, 3*clockReadsPerSearch)
 	for i := range verdicts {
@@ -220,7 +223,7 @@
 	assert.Equal(t, core.CodeOf(submit(f)), core.CodeNoHolder)
 }
 
-// refusingLeases are the Rights of a home that refuses every id.
+// refusingLeases are the ShardLeases of a Home that refuses every id.
 type refusingLeases struct{}
 
 func (refusingLeases) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
--- a/io/entry/http.go
+++ b/io/entry/http.go
@@ -13,8 +13,8 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Deadlines of the HTTP server. A caller that sends slowly, or nothing, must not
-// hold a connection for ever.
+// Limits of the HTTP server. They keep a caller that sends slowly, or nothing at all,
+// from holding a connection forever.
 const (
 	headerTimeout  = 5 * time.Second
 	bodyTimeout    = 15 * time.Second
@@ -22,7 +22,7 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// Paths besides the connect services.
+// Paths that are served in addition to the Connect services.
 const (
 	pathReady   = "/ready"
 	pathMetrics = "/metrics"
@@ -32,16 +32,17 @@
 type HTTPServer struct {
 	Mux     *http.ServeMux
 	Metrics metrics.Registry
-	// Ready says whether the balancer should send callers here.
+	// Ready reports whether a load balancer should send callers to this entry. If it
+	// is nil, the entry is always ready.
 	Ready func() bool
-	// Aborted, if set, ends the patience of a stop early.
+	// Aborted, if set, ends the grace period of Serve early.
 	Aborted context.Context
 
 	server *http.Server
 }
 
-// Serve serves l until ctx ends, and then until the requests that are there
-// have been answered or patience is over.
+// Serve serves connections of l until ctx ends. Then it accepts no new connections and
+// returns when the open requests have been answered, but after grace at the latest.
 func (h *HTTPServer) Serve(ctx context.Context, l net.Listener, grace time.Duration) error {
 	h.Mux.HandleFunc("GET "+pathReady, h.ready)
 	h.Mux.HandleFunc("GET "+pathMetrics, h.metrics)
@@ -87,8 +88,8 @@
 	metrics.WriteJSONOnce(h.Metrics, w)
 }
 
-// withReadDeadline bounds the reading of a request's body, and only that: the
-// server's own read timeout would also cut off callers that wait for an answer.
+// withReadDeadline limits the time for reading a request's body. http.Server.ReadTimeout
+// does not fit, because it would also disconnect callers that wait for an answer.
 func withReadDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rc := http.NewResponseController(w)
@@ -98,7 +99,7 @@
 	})
 }
 
-// deadlineBody lifts the read deadline once the body is read.
+// deadlineBody is a request body that calls onEOF once it has been read completely.
 type deadlineBody struct {
 	io.ReadCloser
 	onEOF func()
--- a/io/entry/leases.go
+++ b/io/entry/leases.go
@@ -16,7 +16,8 @@
 	_ LeaseDecider     = (*peer.ShardKeeper)(nil)
 )
 
-// buildLeases connects the rights to decide and to run with home.
+// buildLeases creates the shard leases and the allotments and connects both to h. The
+// leases permit this entry to decide about requests, the allotments to run them.
 func (d *Daemon) buildLeases(h *home.Home) {
 	s := d.settings.Entry
 	d.shards = peer.NewShardKeeper(peer.ShardConfig{
@@ -35,8 +36,8 @@
 		OnChange: func() { d.requests.Handle(home.Changed{}) },
 	}
 	d.allotments.Ledger.Self, d.allotments.Ledger.Zone = d.id, s.Zone
-	// A deadline may lie the skew bound further ahead than the greatest lifetime,
-	// and the lease is counted one bound longer.
+	// A deadline may exceed MaxLifetime by the skew bound, and the lease is counted one
+	// skew bound longer.
 	d.allotments.Ledger.MaxLifetime, d.allotments.Ledger.Skew = s.MaxLifetime+4*s.SkewBound, s.SkewBound
 	h.Leases, h.Limiter, h.Config = d.shards, d.allotments.Limiter(), d.config
 }
@@ -52,16 +53,16 @@
 	}
 }
 
-// Bounds of the handing over of rights at a stop. A successor that has just started
-// needs some seconds until it knows every start; handing over without would leave
-// ids unanswered that ran nowhere. With no other entry left in the zone there is
-// nobody to wait for.
+// Time limits of the hand-over of shards at a graceful stop. A successor that has just
+// started needs some seconds until every start is mirrored to it. After an earlier
+// hand-over, ids that never ran would stay unanswered. If this is the only live entry of
+// the zone, there is no successor to wait for.
 const (
 	releaseTimeout          = 20 * time.Second
 	soleEntryReleaseTimeout = time.Second
 )
 
-// releaseLeases hands every shard over to its successor.
+// releaseLeases hands every shard over to its successor, within the time limit.
 func (d *Daemon) releaseLeases(ctx context.Context) {
 	timeout := releaseTimeout
 	if len(d.shards.Dump().Live) <= 1 {
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -10,7 +10,7 @@
 	"lavenderpond/io/supervisor"
 )
 
-// collectMetrics copies the state's figures into the registry, once a second.
+// collectMetrics updates the gauges in the metrics registry every metricsInterval.
 func (d *Daemon) collectMetrics(ctx context.Context) error {
 	gauge := func(name string, value int64) {
 		metrics.GetOrRegisterGauge(name, d.metrics).Update(value)
--- a/io/entry/peers.go
+++ b/io/entry/peers.go
@@ -9,7 +9,8 @@
 	"lavenderpond/io/supervisor"
 )
 
-// peerChildren serves peers and keeps what is agreed among them.
+// peerChildren returns the children that serve other entries and that exchange the
+// configuration and the shard leases with them.
 func (d *Daemon) peerChildren() []supervisor.Child {
 	return []supervisor.Child{
 		{Name: "server", Run: d.servePeers},
@@ -34,7 +35,7 @@
 	return s.Serve(ctx, d.peerListener)
 }
 
-// probe asks a VM that refused work whether it takes work again.
+// probe reports whether a VM that refused tasks accepts tasks again.
 func (d *Daemon) probe(ctx context.Context, vm fleet.VMRow) bool {
 	return d.requests.Targets.Accepts(ctx, vm.VM.Address)
 }
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -1,5 +1,6 @@
-// Package entry puts the parts of the daemon together: the decisions of core
-// behind a mutex, the peers they speak to, and the tree that runs them.
+// Package entry assembles the daemon lavenderpondd, which runs on entry VMs. It drives
+// the state machines of core, connects them to peers, the platform and target VMs, and
+// runs everything in a supervision tree.
 package entry
 
 import (
@@ -13,31 +14,36 @@
 	"lavenderpond/io/target"
 )
 
-// drainPollInterval is how often Drain looks whether work is left.
+// drainPollInterval is the time between two checks of whether a graceful stop has to
+// wait any longer.
 const drainPollInterval = 10 * time.Millisecond
 
-// Requests drives a home.Home: it hands in events one by one and carries out the
-// commands. It is safe for concurrent use.
+// Requests drives a home.Home: it passes events to it one at a time and executes the
+// resulting commands. It is safe for concurrent use.
 type Requests struct {
 	// Now is the clock.
 	Now func() time.Time
-	// Targets sends work to target VMs, at the address that Address gives.
+	// Targets is the client for target VMs.
 	Targets *target.Client
+	// Address returns the address of a target VM, or false if it is unknown.
 	Address func(vm core.VMID) (string, bool)
-	// OnDispatchEnded is told how each dispatch sent at asked ended, as evidence of a VM's state.
+	// OnDispatchEnded, if set, is called with the result of each dispatch and the time
+	// at which it was sent. The result is evidence of the VM's state.
 	OnDispatchEnded func(vm core.VMID, sentAt time.Time, end home.End)
 
+	// mu guards home, waiters and lastWaiter.
 	mu         sync.Mutex
 	home       *home.Home
 	waiters    map[home.Waiter]chan core.Answer
 	lastWaiter home.Waiter
-	calls      supervisor.Workers
-	// ctx ends when the daemon gives up what still runs.
+	// calls are the goroutines that call targets, and those started with Go.
+	calls supervisor.Workers
+	// ctx ends when Close is called.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// NewRequests returns a driver of h. The other fields must be set before use.
+// NewRequests returns a driver for h. Now, Targets and Address must be set before use.
 func NewRequests(h *home.Home) *Requests {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Requests{
@@ -45,24 +51,26 @@
 	}
 }
 
-// Submit hands in an attempt and waits for its answer.
+// Submit submits an attempt of a request and waits for the answer. With noWait, the
+// answer to an accepted request is Pending.
 func (r *Requests) Submit(ctx context.Context, req core.Request, noWait bool) core.Answer {
 	return r.awaitReply(ctx, req.Key, func(w home.Waiter) home.Event {
 		return home.Submit{Request: req, Waiter: w, NoWait: noWait}
 	})
 }
 
-// Fetch returns the answer of a request, or Pending.
+// Fetch returns the answer of a request that was submitted earlier, or Pending.
 func (r *Requests) Fetch(ctx context.Context, key core.RequestKey) core.Answer {
 	return r.awaitReply(ctx, key, func(w home.Waiter) home.Event { return home.Fetch{Key: key, Waiter: w} })
 }
 
-// Cancel gives a request up and returns what became of it.
+// Cancel cancels a request and returns its outcome.
 func (r *Requests) Cancel(ctx context.Context, key core.RequestKey) core.Answer {
 	return r.awaitReply(ctx, key, func(w home.Waiter) home.Event { return home.Cancel{Key: key, Waiter: w} })
 }
 
-// Handle hands in an event.
+// Handle passes an event to the Home and executes the resulting commands. Calls to
+// targets run in the background.
 func (r *Requests) Handle(e home.Event) {
 	r.mu.Lock()
 	commands := r.home.Handle(r.Now(), e)
@@ -76,24 +84,24 @@
 	}
 }
 
-// WithLock calls f while no event is handled.
+// WithLock calls f with the Home while no event is being handled.
 func (r *Requests) WithLock(f func(h *home.Home)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.home)
 }
 
-// Settle returns when no request is between its mirrored start and its target, or
-// when ctx ends.
+// Settle waits until no request has a start that may be mirrored but has not reached a
+// target, or until ctx ends.
 func (r *Requests) Settle(ctx context.Context) {
 	r.waitForZero(ctx, func(h *home.Home) int { return h.Unsettled(r.Now()) })
 }
 
-// Drain returns when no request runs any more, or when ctx ends; it returns how
-// many were left then.
+// Drain waits until every request has its final answer, or until ctx ends. It returns
+// the number of requests that are unfinished.
 func (r *Requests) Drain(ctx context.Context) int { return r.waitForZero(ctx, (*home.Home).Unfinished) }
 
-// waitForZero returns when count is 0, or when ctx ends, and the last count.
+// waitForZero polls count until it returns 0 or ctx ends. It returns the last count.
 func (r *Requests) waitForZero(ctx context.Context, count func(*home.Home) int) int {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -107,23 +115,26 @@
 	return left
 }
 
-// Go runs f on a goroutine that Close waits for; ctx ends with Close.
+// Go runs f in the background. Its context ends when Close is called, and Close waits
+// for f to return.
 func (r *Requests) Go(f func(ctx context.Context)) {
 	r.calls.Go(func() { f(r.ctx) })
 }
 
-// Close gives up all calls to targets and waits for them.
+// Close cancels all calls to targets and waits for them to return.
 func (r *Requests) Close() {
 	r.cancel()
 	r.calls.Wait()
 }
 
-// pendingReply is an answer on its way to a waiting caller.
+// pendingReply is an answer that has to be sent to a waiting caller.
 type pendingReply struct {
 	to     chan core.Answer
 	answer core.Answer
 }
 
+// takeReplies removes the waiters that commands reply to and returns their replies. The
+// caller holds mu.
 func (r *Requests) takeReplies(commands []home.Command) []pendingReply {
 	var replies []pendingReply
 	for _, c := range commands {
@@ -139,8 +150,8 @@
 	return replies
 }
 
-// awaitReply hands in the event that event makes and waits for the reply. A caller
-// that goes away leaves its request as it is.
+// awaitReply handles the event that event creates for a new waiter, and waits for the
+// reply. If ctx ends first, the caller has disconnected; its request continues.
 func (r *Requests) awaitReply(ctx context.Context, key core.RequestKey, event func(home.Waiter) home.Event) core.Answer {
 	reply := make(chan core.Answer, 1)
 	r.mu.Lock()
@@ -161,6 +172,8 @@
 	}
 }
 
+// execute starts a command's call to a target in the background. Replies are sent by
+// Handle.
 func (r *Requests) execute(c home.Command) {
 	switch c := c.(type) {
 	case home.Dispatch:
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -13,18 +13,19 @@
 	"lavenderpond/io/supervisor"
 )
 
-// statusTimeout bounds the question to one other entry.
+// statusTimeout is the time limit for the status query to one other entry.
 const statusTimeout = time.Second
 
-// backend answers the operators' service.
+// backend implements operator.Backend for the operators' service.
 type backend struct{ *Daemon }
 
 var _ operator.Backend = backend{}
 
-// StatusName is the name under which a StatusReceiver is registered.
+// StatusName is the net/rpc service name of StatusReceiver.
 const StatusName = "Status"
 
-// StatusReceiver answers peers that gather the fleet's status for an operator.
+// StatusReceiver is the net/rpc service from which peers query this entry's status when
+// an operator asks for the status of the fleet.
 type StatusReceiver struct{ daemon *Daemon }
 
 // Get returns this entry's status.
@@ -37,7 +38,8 @@
 	s := operator.EntryStatus{
 		Entry: d.id, Zone: d.settings.Entry.Zone, Reachable: true,
 		Version: d.config.Version(),
-		// The trust counts from the evidence.
+		// KeysTrustedUntil is CutOffBound after the last evidence that the key list
+		// was up to date.
 		KeysFreshAt: d.config.KeysTrustedUntil().Add(-d.settings.Keys.CutOffBound),
 		Shards:      d.shards.Holding(),
 	}
@@ -66,6 +68,8 @@
 	return append(list, replies...)
 }
 
+// fetchStatus queries the status of another entry. If the entry does not answer, the
+// result has Reachable unset.
 func (b backend) fetchStatus(ctx context.Context, m peer.Member) operator.EntryStatus {
 	if m.Entry == "" {
 		return operator.EntryStatus{Zone: m.Zone}
@@ -79,8 +83,9 @@
 	return reply
 }
 
-// otherMembers returns the other entries of the fleet. A zone of which no entry is
-// known has one member without an Entry: an operator must see that it is missing.
+// otherMembers returns the other entries of the fleet. For another zone without any
+// known entry it returns one member with an empty Entry, so that the zone is reported to
+// the operator as unreachable instead of being left out.
 func (b backend) otherMembers() []peer.Member {
 	var others []peer.Member
 	for _, zone := range b.settings.Entry.Zones {
@@ -114,6 +119,7 @@
 	return append([]operator.Confirmation{own}, confirmations...)
 }
 
+// withdrawFrom tells another entry to refuse a withdrawn key.
 func (b backend) withdrawFrom(ctx context.Context, m peer.Member, w key.Withdrawal) operator.Confirmation {
 	c := operator.Confirmation{Entry: m.Entry, Zone: m.Zone}
 	if m.Entry == "" {
@@ -131,7 +137,8 @@
 // View implements operator.Backend.
 func (b backend) View() config.Delta { return b.config.DeltaSince(0) }
 
-// stateDump is what a dump shows. It holds no key and no request's body.
+// stateDump is the entry's state as an operator's dump shows it. It contains no keys and
+// no request bodies.
 type stateDump struct {
 	Entry          core.EntryID     `json:"entry"`
 	Zone           core.ZoneID      `json:"zone"`
--- a/io/entry/unsafe_test.go
+++ b/io/entry/unsafe_test.go
@@ -14,7 +14,7 @@
 	"lavenderpond/io/target/standin"
 )
 
-// apply switches safeguards of a daemon off, before it runs.
+// apply disables the safeguards in a daemon that has not been started yet.
 func (o safeguardsOff) apply(d *Daemon) {
 	if o.shardLeases {
 		d.front.Leases = alwaysHolder{}
@@ -32,7 +32,8 @@
 	}
 }
 
-// handler returns a VM's handler, whose answers pass every check if the test says so.
+// handler returns the HTTP handler of a VM. If answerChecks is set, all of its answers
+// pass the entry's checks.
 func (o safeguardsOff) handler(vm *standin.VM) http.Handler {
 	if !o.answerChecks {
 		return vm.Handler()
@@ -42,7 +43,8 @@
 	})
 }
 
-// forgedWriter names the task that was asked for, and states the length that comes.
+// forgedWriter sets the headers that identify the task and the answer's length to match
+// the request and the body, whatever the body is.
 type forgedWriter struct {
 	http.ResponseWriter
 	task string
@@ -55,7 +57,7 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// alwaysHolder lets an entry decide about every id, without a mirror.
+// alwaysHolder lets an entry decide about every id, without mirroring starts.
 type alwaysHolder struct{}
 
 // Decide implements Holders and home.ShardLeases.
@@ -71,13 +73,13 @@
 // Start implements home.ShardLeases.
 func (alwaysHolder) Start(time.Time, shard.Start) bool { return true }
 
-// anyKey takes every key.
+// anyKey is a home.Configuration that accepts every key.
 type anyKey struct{ home.Configuration }
 
 // KeyGood implements home.Configuration.
 func (anyKey) KeyGood(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
 
-// noLimit allows every start.
+// noLimit is a limit.Limiter that allows every start.
 type noLimit struct{ limit.Limiter }
 
 // Acquire implements limit.Limiter.
