--- a/io/entry/front_test.go
+++ b/io/entry/front_test.go
@@ -20,7 +20,7 @@
 	"lavenderpond/io/supervisor"
 )
 
-// noHolder is Holders of a zone in which no one may decide.
+// noHolder is the LeaseDecider of a zone in which no entry may decide.
 type noHolder struct{}
 
 func (noHolder) Decide(now time.Time, _ core.RequestKey, _, _ time.Time) shard.Verdict {
@@ -119,7 +119,8 @@
 	}
 }
 
-// scriptedLeases are Holders that give one verdict after the other, and the last for good.
+// scriptedLeases is a LeaseDecider that returns one verdict after the other and then
+// repeats the last one.
 type scriptedLeases struct {
 	mu       sync.Mutex
 	verdicts []shard.Verdict
