--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -210,7 +210,7 @@
 	})
 	err := d.newHTTPServer().Serve(serving, d.callerListener, d.settings.Entry.StopGrace)
 	if ctx.Err() == nil {
-		return errors.Wrap(err, "callers' listener ended")
+		return errors.Wrap(err, "listener for callers ended unexpectedly")
 	}
 	g.Wait()
 	return err
@@ -230,7 +230,7 @@
 	d.releaseLeases(ctx)
 	d.front.SetHandingOver(false)
 	if left := d.requests.Drain(ctx); left > 0 {
-		d.log.Warn().Int("unfinished", left).Msg("stop_grace is over; what runs is left to its leases")
+		d.log.Warn().Int("unfinished", left).Msg("stop_grace is over; unfinished tasks run until their leases end")
 	}
 	for d.front.Forwarded() > 0 && supervisor.Sleep(ctx, drainPollInterval) {
 	}
@@ -304,7 +304,7 @@
 			pause = announceRetryInterval
 		}
 		if err := d.directory.Refresh(ctx, d.platform); err != nil {
-			d.log.Debug().Err(err).Msg("directory not refreshed")
+			d.log.Debug().Err(err).Msg("directory refresh failed")
 		}
 		if !supervisor.Sleep(ctx, pause) {
 			return nil
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -128,7 +128,7 @@
 			})
 		}
 		g.Wait()
-		t.Logf("answers checked %t: of 40 done, %d are another's and %d are cut", !off, crossed.Load(), cut.Load())
+		t.Logf("answer checks enabled: %t; of 40 requests, %d got the answer to another request and %d a truncated one", !off, crossed.Load(), cut.Load())
 		assert.Equal(t, crossed.Load() > 0, off)
 		assert.Equal(t, cut.Load() > 0, off)
 		for n := range 40 {
@@ -231,12 +231,12 @@
 		g.Wait()
 		assert.Equal(t, f.startsAt(f.vms[0].ID), before)
 		if off {
-			assert.Equal(t, len(f.entries[0].daemon.fleet.Targets()), 2, "the test can't fail")
+			assert.Equal(t, len(f.entries[0].daemon.fleet.Targets()), 2, "the target isn't in use although nothing reported its refusals")
 			continue
 		}
 		assert.Equal(t, len(f.entries[0].daemon.fleet.Targets()), 1)
 		f.vms[0].SetFaults(standin.Faults{})
-		f.await("the target to be found working again", func() bool { return len(f.entries[0].daemon.fleet.Targets()) == 2 })
+		f.await("the target to be in use again", func() bool { return len(f.entries[0].daemon.fleet.Targets()) == 2 })
 	}
 }
 
@@ -275,7 +275,7 @@
 		}
 		g.Wait()
 		most := maxConcurrent(f.starts.Starts()[mark:])
-		t.Logf("allotments off %t: %d at once, limit 5", off, most)
+		t.Logf("allotments disabled: %t; at most %d at the same time, limit 5", off, most)
 		assert.Equal(t, most > 5, off)
 	}
 }
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -182,7 +182,7 @@
 // awaitServing waits until every entry is ready and answers a request.
 func (f *testFleet) awaitServing() {
 	f.t.Helper()
-	f.await("rights in sync and parts of the limit held", f.isSettled)
+	f.await("shards in sync and initial allotments held", f.isSettled)
 	for i, e := range f.entries {
 		f.await("entry ready", e.daemon.ready)
 		n := 0
@@ -270,7 +270,7 @@
 				doubles++
 			}
 		}
-		t.Logf("holders off %t: %d of 20 ids started twice", off, doubles)
+		t.Logf("shard leases disabled: %t; %d of 20 ids started twice", off, doubles)
 		assert.Equal(t, doubles > 0, off)
 	}
 }
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -262,7 +262,7 @@
 func (f *Front) forwardToEntry(ctx context.Context, id core.EntryID, args peer.ForwardArgs) (core.Answer, error) {
 	a, ok := f.Directory.Find(f.Zone, id)
 	if !ok {
-		return nil, errors.Wrapf(netrpc.ErrNotSent, "no address of %s", id)
+		return nil, errors.Wrapf(netrpc.ErrNotSent, "no address known for entry %s", id)
 	}
 	args.Stage = peer.ToHolder
 	return peer.ForwardTo(ctx, f.Peers, a.Peer.String(), args)
--- a/io/entry/leases.go
+++ b/io/entry/leases.go
@@ -71,6 +71,6 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := d.shards.Release(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("rights not handed over")
+		d.log.Warn().Err(err).Msg("hand-over of shards incomplete")
 	}
 }
--- a/io/ini/settings_test.go
+++ b/io/ini/settings_test.go
@@ -44,7 +44,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			_, err := Load(file)
 			assert.Equal(t, core.ErrorCode(err), core.CodeInvalidSetting)
-			assert.Assert(t, !strings.Contains(err.Error(), "sample-operator-key"), "a key in an error")
+			assert.Assert(t, !strings.Contains(err.Error(), "sample-operator-key"), "the error shows the operator key")
 			golden.Assert(t, err.Error()+"\n", strings.TrimPrefix(file, "testdata/")+".txt")
 		})
 	}
--- a/io/supervisor/supervisor.go
+++ b/io/supervisor/supervisor.go
@@ -66,7 +66,7 @@
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		n.Log.Error().Str("node", n.Name).Str("child", c.Name).Err(err).Int("failures", failures).Msg("child restarts")
+		n.Log.Error().Str("node", n.Name).Str("child", c.Name).Err(err).Int("failures", failures).Msg("child failed; restarting")
 		if !Sleep(ctx, restartDelay(failures)) {
 			return
 		}
