--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-var benchNumber atomic.Int64
+var requestCounter atomic.Int64
 
 // measure calls do from parallel goroutines and reports the latency percentiles, the
 // throughput, the CPU time per request and the number of failures.
@@ -83,7 +83,7 @@
 		var latencies []time.Duration
 		for p.Next() {
 			begin := time.Now()
-			if !do(benchNumber.Add(1)) {
+			if !do(requestCounter.Add(1)) {
 				failed.Add(1)
 			}
 			latencies = append(latencies, time.Since(begin))
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -186,10 +186,10 @@
 func (d *Daemon) Run(ctx context.Context) error {
 	// The children keep running during the graceful stop, because running requests
 	// need them.
-	children, stopChildren := context.WithCancel(context.WithoutCancel(ctx))
+	childrenCtx, stopChildren := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopChildren()
 	var g supervisor.Group
-	g.Go(func() { _ = d.supervisorTree().Run(children) })
+	g.Go(func() { _ = d.supervisorTree().Run(childrenCtx) })
 	err := d.serveCallers(ctx)
 	stopChildren()
 	g.Wait()
@@ -201,14 +201,14 @@
 // serveCallers serves callers and operators. After ctx ends, it returns when the graceful
 // stop is complete.
 func (d *Daemon) serveCallers(ctx context.Context) error {
-	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
+	servingCtx, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	var g supervisor.Group
 	g.Go(func() {
 		<-ctx.Done()
 		d.stopGracefully()
 		stopServing()
 	})
-	err := d.newHTTPServer().Serve(serving, d.callerListener, d.settings.Entry.StopGrace)
+	err := d.newHTTPServer().Serve(servingCtx, d.callerListener, d.settings.Entry.StopGrace)
 	if ctx.Err() == nil {
 		return errors.Wrap(err, "listener for callers ended unexpectedly")
 	}
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -84,7 +84,7 @@
 // runs. With the key checks of Front and Home disabled, both run.
 func TestInvalidKeysAreRefused(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 1, safeguardsOff{keyChecks: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 1, disabledSafeguards{keyChecks: off})
 		f.awaitServing()
 		for n, key := range []string{"wrong", ""} {
 			id := fmt.Sprintf("key-%d", n)
@@ -103,7 +103,7 @@
 // checks of answers disabled, callers get truncated answers and answers to other requests.
 func TestAnswersCompleteOrUnknown(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2}, 3, safeguardsOff{answerChecks: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2}, 3, disabledSafeguards{answerChecks: off})
 		f.awaitServing()
 		faults := []standin.Faults{{LoseAnswers: 8}, {CutAnswers: 8}, {CrossAnswers: 8}}
 		for i, vm := range f.vms {
@@ -208,7 +208,7 @@
 // use.
 func TestLeavingTargetReceivesNoNewTasks(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 2, safeguardsOff{leavingRefusals: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 2, disabledSafeguards{leavingRefusals: off})
 		f.awaitServing()
 		var g supervisor.Group
 		for n := range 16 {
@@ -256,7 +256,7 @@
 // at the same time, unless the entries ignore their allotments.
 func TestTeamLimitAcrossEntries(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 2, safeguardsOff{allotments: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 2, disabledSafeguards{allotments: off})
 		f.awaitServing()
 		f.apply(config.SetTeam{Author: "test", Team: "lyra", Value: config.Team{Share: 1, Limit: 5}})
 		version := f.version()
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -50,12 +50,12 @@
 	entries   []*testEntry
 	ctx       context.Context
 	group     supervisor.Group
-	off       safeguardsOff
+	disabled  disabledSafeguards
 }
 
-// safeguardsOff selects safeguards that a test disables. With a safeguard disabled, the
+// disabledSafeguards selects safeguards that a test disables. With a safeguard disabled, the
 // fault that it prevents must occur, which shows that the test can detect it.
-type safeguardsOff struct {
+type disabledSafeguards struct {
 	// shardLeases: every entry considers itself the holder of every shard.
 	shardLeases bool
 	// allotments: every start is allowed, regardless of the team's limit.
@@ -78,14 +78,14 @@
 
 func newTestFleet(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int) *testFleet {
 	t.Helper()
-	return newUnsafeFleet(t, zones, vmsPerZone, safeguardsOff{})
+	return newFleetWithout(t, zones, vmsPerZone, disabledSafeguards{})
 }
 
-// newUnsafeFleet starts a fleet with the given safeguards disabled.
-func newUnsafeFleet(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int, off safeguardsOff) *testFleet {
+// newFleetWithout starts a fleet with the given safeguards disabled.
+func newFleetWithout(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int, off disabledSafeguards) *testFleet {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &testFleet{t: t, ctx: ctx, off: off}
+	f := &testFleet{t: t, ctx: ctx, disabled: off}
 	srv := httptest.NewServer(f.platform.Handler())
 	f.url = srv.URL
 	f.client = platform.NewClient(srv.URL)
@@ -134,7 +134,7 @@
 func (f *testFleet) addVMs(zone core.ZoneID, n int) {
 	for i := range n {
 		vm := &standin.VM{ID: core.VMID(fmt.Sprintf("vm_%s_%d", zone, i)), Slots: 8, Log: &f.starts}
-		srv := httptest.NewServer(f.off.handler(vm))
+		srv := httptest.NewServer(f.disabled.handler(vm))
 		f.t.Cleanup(srv.Close)
 		f.vms = append(f.vms, vm)
 		f.addresses = append(f.addresses, strings.TrimPrefix(srv.URL, "http://"))
@@ -159,7 +159,7 @@
 	s.Keys.OperatorKeyDigest = core.Digest(operatorKey)
 	d, err := New(s, zerolog.Nop())
 	assert.NilError(f.t, err)
-	f.off.apply(d)
+	f.disabled.apply(d)
 	ctx, stop := context.WithCancel(f.ctx)
 	e := &testEntry{daemon: d, stop: stop, ended: make(chan error, 1)}
 	f.group.Go(func() { e.ended <- d.Run(ctx) })
@@ -243,7 +243,7 @@
 // leases disabled, both entries of a zone start the request.
 func TestFleetServesAndDedups(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, safeguardsOff{shardLeases: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, disabledSafeguards{shardLeases: off})
 		f.awaitServing()
 		var g supervisor.Group
 		var mu sync.Mutex
--- a/io/entry/unsafe_test.go
+++ b/io/entry/safeguards_test.go
@@ -15,7 +15,7 @@
 )
 
 // apply disables the safeguards in a daemon that has not been started yet.
-func (o safeguardsOff) apply(d *Daemon) {
+func (o disabledSafeguards) apply(d *Daemon) {
 	if o.shardLeases {
 		d.front.Leases = alwaysHolder{}
 		d.requests.home.Leases = alwaysHolder{}
@@ -34,7 +34,7 @@
 
 // handler returns the HTTP handler of a VM. If answerChecks is set, all of its answers
 // pass the entry's checks.
-func (o safeguardsOff) handler(vm *standin.VM) http.Handler {
+func (o disabledSafeguards) handler(vm *standin.VM) http.Handler {
 	if !o.answerChecks {
 		return vm.Handler()
 	}
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -112,15 +112,15 @@
 	confirmations := make([]operator.Confirmation, len(others))
 	var g supervisor.Group
 	for i, m := range others {
-		g.Go(func() { confirmations[i] = b.withdrawFrom(ctx, m, w) })
+		g.Go(func() { confirmations[i] = b.sendWithdrawal(ctx, m, w) })
 	}
 	g.Wait()
 	own := operator.Confirmation{Entry: b.id, Zone: b.settings.Entry.Zone, Confirmed: true}
 	return append([]operator.Confirmation{own}, confirmations...)
 }
 
-// withdrawFrom tells another entry to refuse a withdrawn key.
-func (b backend) withdrawFrom(ctx context.Context, m peer.Member, w key.Withdrawal) operator.Confirmation {
+// sendWithdrawal tells another entry to refuse a withdrawn key.
+func (b backend) sendWithdrawal(ctx context.Context, m peer.Member, w key.Withdrawal) operator.Confirmation {
 	c := operator.Confirmation{Entry: m.Entry, Zone: m.Zone}
 	if m.Entry == "" {
 		c.Detail = "no entry of this zone is known here"
@@ -149,9 +149,9 @@
 	KeysFreshUntil time.Time        `json:"keys_trusted_until"`
 	Requests       home.Dump        `json:"requests"`
 	Shards         any              `json:"shards"`
-	Limits         any              `json:"limits"`
+	Allotments     any              `json:"limits"`
 	Targets        any              `json:"targets"`
-	Control        any              `json:"maintenance"`
+	Maintenance    any              `json:"maintenance"`
 	Directory      []Address        `json:"directory"`
 	Unrecorded     []key.Withdrawal `json:"withdrawals_unrecorded"`
 }
@@ -161,7 +161,7 @@
 	s := stateDump{
 		Entry: b.id, Zone: b.settings.Entry.Zone, Started: b.started, Now: b.now(), Stopping: b.stopping.Load(),
 		Version: b.config.Version(), KeysFreshUntil: b.config.KeysTrustedUntil(), Shards: b.shards.Dump(),
-		Limits: b.allotments.Dump(), Targets: b.fleet.Targets(), Control: b.controller.State(),
+		Allotments: b.allotments.Dump(), Targets: b.fleet.Targets(), Maintenance: b.controller.State(),
 		Unrecorded: b.config.Unrecorded(),
 	}
 	b.requests.WithLock(func(h *home.Home) { s.Requests = h.Dump() })
