--- a/io/ini/line_index.go
+++ b/io/ini/line_index.go
@@ -63,22 +63,22 @@
 
 func (x *lineIndex) addKey(n int, section, line string) {
 	name, value, found := strings.Cut(line, "=")
-	at := keyPath{section, strings.TrimSpace(name)}
+	path := keyPath{section, strings.TrimSpace(name)}
 	value = strings.TrimSpace(value)
 	switch {
-	case !found || !isSnakeCase(at.key):
+	case !found || !isSnakeCase(path.key):
 		x.addProblem(n, "line", line, "'key = value', '[section]' or a comment that starts with '#'")
 	case section == "":
-		x.addProblem(n, at.key, line, "only keys below a [section]")
+		x.addProblem(n, path.key, line, "only keys below a [section]")
 	case section == rejectedSection:
-	case x.keys[at] != 0:
-		x.addProblem(n, at.String(), value, "one line for each key, and it stands on line "+itoa(x.keys[at]))
+	case x.keys[path] != 0:
+		x.addProblem(n, path.String(), value, "one line for each key, and it stands on line "+itoa(x.keys[path]))
 	case strings.ContainsAny(value, "\"`'"):
-		x.addProblem(n, at.String(), value, "a value without quotes")
+		x.addProblem(n, path.String(), value, "a value without quotes")
 	case strings.ContainsAny(value, "#;\\"):
-		x.addProblem(n, at.String(), value, "a value without #, ; and backslash; comments have their own line")
+		x.addProblem(n, path.String(), value, "a value without #, ; and backslash; comments have their own line")
 	default:
-		x.keys[at] = n
+		x.keys[path] = n
 	}
 }
 
--- a/io/ini/parse.go
+++ b/io/ini/parse.go
@@ -52,9 +52,9 @@
 			x.addProblem(n, section, "["+section+"]", "one of the sections "+sectionNames())
 		}
 	}
-	for at, n := range x.keys {
-		if _, ok := findSetting(at); !ok && known[at.section] != nil {
-			x.addProblem(n, at.String(), at.key, "one of "+strings.Join(known[at.section], ", "))
+	for path, n := range x.keys {
+		if _, ok := findSetting(path); !ok && known[path.section] != nil {
+			x.addProblem(n, path.String(), path.key, "one of "+strings.Join(known[path.section], ", "))
 		}
 	}
 	sort.Slice(x.problems, func(i, j int) bool { return x.problems[i].Key < x.problems[j].Key })
@@ -78,9 +78,9 @@
 }
 
 // hasProblem reports whether a problem with the key has been reported.
-func (x *lineIndex) hasProblem(at keyPath) bool {
+func (x *lineIndex) hasProblem(path keyPath) bool {
 	for _, p := range x.problems {
-		if p.Key == at.String() {
+		if p.Key == path.String() {
 			return true
 		}
 	}
@@ -93,12 +93,12 @@
 	if !s.Entry.AdvertisePeer.IsValid() && s.Entry.PeerListen.IsValid() {
 		s.Entry.AdvertisePeer = s.Entry.PeerListen
 		if !isDialable(s.Entry.PeerListen) {
-			at := keyPath{"entry", "advertise_peer"}
-			x.addProblem(x.keys[at], at.String(), "", "an address that others can connect to, since peer_listen is none")
+			path := keyPath{"entry", "advertise_peer"}
+			x.addProblem(x.keys[path], path.String(), "", "an address that others can connect to, since peer_listen is none")
 		}
 	}
-	at := keyPath{"entry", "zone"}
-	if len(x.problems) > 0 || x.keys[at] == 0 {
+	path := keyPath{"entry", "zone"}
+	if len(x.problems) > 0 || x.keys[path] == 0 {
 		return
 	}
 	for _, z := range s.Entry.Zones {
@@ -106,13 +106,13 @@
 			return
 		}
 	}
-	x.addProblem(x.keys[at], at.String(), string(s.Entry.Zone), "one of the zones in entry.zones")
+	x.addProblem(x.keys[path], path.String(), string(s.Entry.Zone), "one of the zones in entry.zones")
 }
 
 func sectionNames() string {
 	names := make([]string, len(sections))
-	for i, h := range sections {
-		names[i] = "[" + h.name + "]"
+	for i, section := range sections {
+		names[i] = "[" + section.name + "]"
 	}
 	return strings.Join(names, " ")
 }
--- a/io/ini/setting.go
+++ b/io/ini/setting.go
@@ -83,9 +83,9 @@
 // sampleDigest is the digest of "sample-operator-key", the operator key of the sample.
 const sampleDigest = "ec7f5c63259fcf6ec3486f6a6ffda30fd2b9698858ec2c62182e361bdfb9abdd"
 
-func findSetting(at keyPath) (setting, bool) {
+func findSetting(path keyPath) (setting, bool) {
 	for _, st := range settingTable {
-		if st.keyPath == at {
+		if st.keyPath == path {
 			return st, true
 		}
 	}
--- a/io/ini/settings_test.go
+++ b/io/ini/settings_test.go
@@ -79,9 +79,9 @@
 		x := indexLines("fuzz.ini", string(data))
 		for _, section := range lib.Sections() {
 			for _, key := range section.Keys() {
-				at := keyPath{section.Name(), key.Name()}
-				_, known := findSetting(at)
-				assert.Assert(t, known && x.keys[at] > 0, "%v", at)
+				path := keyPath{section.Name(), key.Name()}
+				_, known := findSetting(path)
+				assert.Assert(t, known && x.keys[path] > 0, "%v", path)
 			}
 		}
 	})
@@ -101,10 +101,10 @@
 	var b strings.Builder
 	b.WriteString("# Settings of lavenderpondd. Lines with a leading # are comments; the values\n" +
 		"# behind them are the defaults. Written by `go test ./io/ini -update`.\n")
-	for _, h := range sections {
-		fmt.Fprintf(&b, "\n# %s\n[%s]\n", h.help, h.name)
+	for _, section := range sections {
+		fmt.Fprintf(&b, "\n# %s\n[%s]\n", section.help, section.name)
 		for _, st := range settingTable {
-			if st.section != h.name {
+			if st.section != section.name {
 				continue
 			}
 			fmt.Fprintf(&b, "\n# %s\n# Allowed: %s.\n", st.help, st.valueKind.allowed)
@@ -123,10 +123,10 @@
 	b.WriteString("# Settings\n\nOf the daemon `lavenderpondd`, in INI. Written from the table in `io/ini` by `go test ./io/ini -update`.\n" +
 		"`lavenderpond config sample` prints a commented file; `lavenderpond config check FILE` checks one.\n" +
 		"Unknown sections and keys, duplicates, quotes and comments behind a value are errors; all are reported at once.\n")
-	for _, h := range sections {
-		fmt.Fprintf(&b, "\n## [%s]\n\n%s\n\n| key | default | allowed | meaning |\n|---|---|---|---|\n", h.name, h.help)
+	for _, section := range sections {
+		fmt.Fprintf(&b, "\n## [%s]\n\n%s\n\n| key | default | allowed | meaning |\n|---|---|---|---|\n", section.name, section.help)
 		for _, st := range settingTable {
-			if st.section != h.name {
+			if st.section != section.name {
 				continue
 			}
 			fallback := "none"
