--- a/io/entry/allotments.go
+++ b/io/entry/allotments.go
@@ -47,6 +47,7 @@
 	return entries
 }
 
+// teams returns the teams in the configuration.
 func (d *Daemon) teams() []core.TeamID {
 	var teams []core.TeamID
 	d.config.View(func(v *config.View) { teams = v.Teams() })
--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// requestCounter numbers the requests of all sub-benchmarks, so that ids are unique.
 var requestCounter atomic.Int64
 
 // measure calls do from parallel goroutines and reports the latency percentiles, the
--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -39,7 +39,7 @@
 	return c.CheckKey(now, team, digest)
 }
 
-// Authorize implements Gate.
+// Authorize implements Authorizer.
 func (c *configuration) Authorize(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
 	known := false
 	c.View(func(v *config.View) { _, known = v.Team(now, team) })
@@ -100,10 +100,12 @@
 	queue.MaxQueued = func(q core.QueueID) int { return c.maxQueued(d.now(), q) }
 }
 
+// member returns this entry as a peer of others.
 func (d *Daemon) member() peer.Member {
 	return peer.Member{Entry: d.id, Zone: d.settings.Entry.Zone, Address: d.settings.Entry.AdvertisePeer.String()}
 }
 
+// members returns the entries of a zone that are in the directory.
 func (d *Daemon) members(zone core.ZoneID) []peer.Member {
 	var members []peer.Member
 	for _, a := range d.directory.Zone(zone) {
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -70,7 +70,8 @@
 
 	callerListener net.Listener
 	peerListener   net.Listener
-	stopping       atomic.Bool
+	// stopping is set when a graceful stop begins.
+	stopping atomic.Bool
 
 	// aborted ends when Abort is called.
 	aborted context.Context
@@ -114,6 +115,7 @@
 	return nil
 }
 
+// build creates the parts of the daemon and connects them.
 func (d *Daemon) build() {
 	seed := rand.New(rand.NewPCG(uint64(d.started.UnixNano()), 1))
 	router := &least.Router{Rand: rand.New(rand.NewPCG(seed.Uint64(), 2))}
@@ -237,6 +239,7 @@
 	d.allotments.Release(ctx)
 }
 
+// newHTTPServer returns the server for callers, operators, metrics and readiness.
 func (d *Daemon) newHTTPServer() *HTTPServer {
 	mux := http.NewServeMux()
 	mux.Handle((&caller.Server{
@@ -249,9 +252,9 @@
 	return &HTTPServer{Mux: mux, Metrics: d.metrics, Ready: d.ready, Aborted: d.aborted}
 }
 
-// Abort makes the current graceful stop, or the next one, end at once. Running tasks then
-// end with their leases at the latest, and shards that are not handed over are taken over
-// by other entries.
+// Abort makes the current graceful stop, or the next one, end at once. Running tasks may
+// continue until their leases end. Shards that have not been handed over are taken over
+// by other entries after this entry has ended.
 func (d *Daemon) Abort() { d.abort() }
 
 // ready reports whether a load balancer should send callers to this entry.
@@ -285,6 +288,7 @@
 	}}
 }
 
+// tick sends the Home a Tick every tickInterval.
 func (d *Daemon) tick(ctx context.Context) error {
 	return supervisor.Every(ctx, tickInterval, func(context.Context) { d.requests.Handle(home.Tick{}) })
 }
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -64,8 +64,8 @@
 	answerChecks bool
 	// keyChecks: every key is valid for every team.
 	keyChecks bool
-	// leavingRefusals: the fleet watcher isn't told that a target refused a task
-	// because it is leaving.
+	// leavingRefusals: results of dispatches aren't reported, so the fleet watcher
+	// doesn't learn that a target is leaving.
 	leavingRefusals bool
 }
 
@@ -76,6 +76,8 @@
 	ended  chan error
 }
 
+// newTestFleet starts a fleet with the given number of entries in each zone. It does not
+// wait until they serve; see awaitServing. The fleet stops when the test ends.
 func newTestFleet(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int) *testFleet {
 	t.Helper()
 	return newFleetWithout(t, zones, vmsPerZone, disabledSafeguards{})
@@ -118,12 +120,14 @@
 	return f
 }
 
+// apply changes the configuration in the table.
 func (f *testFleet) apply(c config.Change) {
 	f.t.Helper()
 	_, err := platform.Apply(f.ctx, f.client, c, core.ChangeID(core.Digest(fmt.Sprintf("%T-%v", c, c))), time.Now())
 	assert.NilError(f.t, err)
 }
 
+// configure creates the team "lyra", its key, and a pool and a queue named "frames".
 func (f *testFleet) configure() {
 	f.apply(config.SetTeam{Author: "test", Team: "lyra", Value: config.Team{Share: 1, Limit: 100}})
 	f.apply(config.SetPool{Author: "test", Pool: "frames", Value: config.Pool{MaxUnavailable: 2}})
@@ -131,6 +135,7 @@
 	f.apply(config.GrantKey{Author: "test", Team: "lyra", Digest: core.Digest(teamKey)})
 }
 
+// addVMs starts n target VMs and writes their rows to the table.
 func (f *testFleet) addVMs(zone core.ZoneID, n int) {
 	for i := range n {
 		vm := &standin.VM{ID: core.VMID(fmt.Sprintf("vm_%s_%d", zone, i)), Slots: 8, Log: &f.starts}
@@ -146,6 +151,7 @@
 	}
 }
 
+// startEntry starts an entry with free ports on the loopback address.
 func (f *testFleet) startEntry(name string, zone core.ZoneID, zones []core.ZoneID) *testEntry {
 	f.t.Helper()
 	s, err := ini.Parse("sample.ini", []byte(ini.Sample()))
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -59,7 +59,8 @@
 
 	// forwarded counts the calls of peers and the requests of followNoWait that are in
 	// progress.
-	forwarded   atomic.Int64
+	forwarded atomic.Int64
+	// handingOver reports whether this entry is handing over its shards.
 	handingOver atomic.Bool
 }
 
@@ -173,8 +174,9 @@
 	return f.Leases.Decide(f.Now(), args.Request.Key, args.Request.FirstSent, f.decisionDeadline(args))
 }
 
-// handleAsHolder answers the call if verdict says that this entry may decide about its
-// id. Otherwise it returns peer.ErrNotHolder or peer.ErrHandingOver.
+// handleAsHolder answers the call from this entry's own Requests. If the verdict is Wait
+// or NotHolder, or if the shard moves meanwhile, it returns peer.ErrNotHolder or
+// peer.ErrHandingOver instead.
 func (f *Front) handleAsHolder(ctx context.Context, args peer.ForwardArgs, verdict shard.Verdict) (core.Answer, error) {
 	switch verdict.(type) {
 	case shard.Wait, shard.NotHolder:
@@ -195,7 +197,7 @@
 	}
 }
 
-// notHolderError returns the reason why this entry can't decide about an id.
+// notHolderError returns the error for a call that this entry may not decide about.
 func (f *Front) notHolderError() error {
 	if f.handingOver.Load() {
 		return peer.ErrHandingOver
@@ -258,7 +260,7 @@
 	}
 }
 
-// forwardToEntry forwards a call to the entry id of this zone.
+// forwardToEntry forwards a call to the entry of this zone with the given id.
 func (f *Front) forwardToEntry(ctx context.Context, id core.EntryID, args peer.ForwardArgs) (core.Answer, error) {
 	a, ok := f.Directory.Find(f.Zone, id)
 	if !ok {
--- a/io/entry/front_test.go
+++ b/io/entry/front_test.go
@@ -100,7 +100,7 @@
 			}
 			assert.DeepEqual(t, submit(c.attempt), c.want)
 			if unknown, ok := c.want.(core.OutcomeUnknown); ok && c.refuses {
-				// An attempt whose number was lost is treated as a first attempt.
+				// A request whose attempt number was lost counts as a first attempt.
 				assert.DeepEqual(t, submit(0), core.Answer(core.NotRun(unknown)))
 			}
 		})
@@ -151,7 +151,8 @@
 	return c.start.Add(time.Duration(c.reads.Add(1)) * holderSearchTimeout / clockReadsPerSearch)
 }
 
-// newTestFront returns the front of an entry of zone_a that listens for peers.
+// newTestFront returns the Front of an entry of zone_a and the address on which it serves
+// calls from peers.
 func newTestFront(t *testing.T, verdicts ...shard.Verdict) (*Front, netip.AddrPort) {
 	t.Helper()
 	clock := steppedClock{start: time.Now()}
--- a/io/entry/http.go
+++ b/io/entry/http.go
@@ -41,8 +41,8 @@
 	server *http.Server
 }
 
-// Serve serves connections of l until ctx ends. Then it accepts no new connections and
-// returns when the open requests have been answered, but after grace at the latest.
+// Serve serves HTTP requests on l until ctx ends. Then it closes l and returns once all
+// requests in progress have been answered, or when the grace period is over.
 func (h *HTTPServer) Serve(ctx context.Context, l net.Listener, grace time.Duration) error {
 	h.Mux.HandleFunc("GET "+pathReady, h.ready)
 	h.Mux.HandleFunc("GET "+pathMetrics, h.metrics)
--- a/io/entry/leases.go
+++ b/io/entry/leases.go
@@ -42,11 +42,13 @@
 	h.Leases, h.Limiter, h.Config = d.shards, d.allotments.Limiter(), d.config
 }
 
+// entryAddress returns the peer address of another entry of this zone.
 func (d *Daemon) entryAddress(id core.EntryID) (string, bool) {
 	a, ok := d.directory.Find(d.settings.Entry.Zone, id)
 	return a.Peer.String(), ok
 }
 
+// handleInherited passes the known starts of a shard's former holder to the Home.
 func (d *Daemon) handleInherited(c shard.Inherited) {
 	for _, s := range c.Starts {
 		d.requests.Handle(home.Inherited{Start: s})
@@ -54,15 +56,16 @@
 }
 
 // Time limits of the hand-over of shards at a graceful stop. A successor that has just
-// started needs some seconds until every start is mirrored to it. After an earlier
-// hand-over, ids that never ran would stay unanswered. If this is the only live entry of
-// the zone, there is no successor to wait for.
+// started needs some seconds until it knows every start. If the shards were handed over
+// before that, ids that never ran anywhere would stay unanswered. If this is the only
+// live entry of the zone, there is no successor to wait for.
 const (
 	releaseTimeout          = 20 * time.Second
 	soleEntryReleaseTimeout = time.Second
 )
 
-// releaseLeases hands every shard over to its successor, within the time limit.
+// releaseLeases hands every shard over to its successor, as far as the time limit
+// permits.
 func (d *Daemon) releaseLeases(ctx context.Context) {
 	timeout := releaseTimeout
 	if len(d.shards.Dump().Live) <= 1 {
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -121,7 +121,8 @@
 	r.calls.Go(func() { f(r.ctx) })
 }
 
-// Close cancels all calls to targets and waits for them to return.
+// Close cancels all calls to targets and the contexts of functions started with Go, and
+// waits for all of them to return.
 func (r *Requests) Close() {
 	r.cancel()
 	r.calls.Wait()
@@ -186,6 +187,7 @@
 	}
 }
 
+// startTask sends a dispatch to its target and passes the result on.
 func (r *Requests) startTask(d home.Dispatch) {
 	sentAt := r.Now()
 	end := home.End(home.NotStarted{Reason: home.Unreachable})
@@ -198,6 +200,7 @@
 	r.Handle(home.Ended{Key: d.Request.Key, Number: d.Number, End: end})
 }
 
+// askTarget asks a target about the outcome of a task.
 func (r *Requests) askTarget(c home.AskTarget) {
 	finding := home.Finding(home.FoundNothing{})
 	if address, ok := r.Address(c.VM); ok {
@@ -206,6 +209,7 @@
 	r.Handle(home.Asked{Key: c.Key, Finding: finding})
 }
 
+// stopTask tells a target to stop a task.
 func (r *Requests) stopTask(c home.StopTask) {
 	if address, ok := r.Address(c.VM); ok {
 		r.Targets.Stop(r.ctx, address, c.Key)
--- a/io/entry/safeguards_test.go
+++ b/io/entry/safeguards_test.go
@@ -60,7 +60,7 @@
 // alwaysHolder lets an entry decide about every id, without mirroring starts.
 type alwaysHolder struct{}
 
-// Decide implements Holders and home.ShardLeases.
+// Decide implements LeaseDecider and home.ShardLeases.
 func (alwaysHolder) Decide(now time.Time, _ core.RequestKey, _, deadline time.Time) shard.Verdict {
 	return shard.Run{StartBy: deadline}
 }
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -34,6 +34,7 @@
 	return nil
 }
 
+// status returns this entry's status.
 func (d *Daemon) status() operator.EntryStatus {
 	s := operator.EntryStatus{
 		Entry: d.id, Zone: d.settings.Entry.Zone, Reachable: true,
--- a/io/ini/line_index.go
+++ b/io/ini/line_index.go
@@ -22,7 +22,7 @@
 }
 
 // rejectedSection is the name of the current section after an invalid header. Keys in
-// such a section are not reported, since the header already is.
+// such a section are not reported, because the header already is.
 const rejectedSection = "?"
 
 // indexLines indexes the lines of data. It reports what ini.v1 would silently accept:
@@ -61,6 +61,7 @@
 	return name
 }
 
+// addKey records the key on line n, or reports what is wrong with the line.
 func (x *lineIndex) addKey(n int, section, line string) {
 	name, value, found := strings.Cut(line, "=")
 	path := keyPath{section, strings.TrimSpace(name)}
@@ -82,8 +83,8 @@
 	}
 }
 
-// addProblem reports that line n has the text read where allowed is allowed. Line 0
-// stands for a key that is missing.
+// addProblem records that line n has the text read, and what is allowed instead. For a
+// missing key, n is 0.
 func (x *lineIndex) addProblem(n int, key, read, allowed string) {
 	x.problems = append(x.problems, Problem{x.file, n, truncate(key), truncate(redact(key, read)), allowed})
 }
--- a/io/ini/problem.go
+++ b/io/ini/problem.go
@@ -47,6 +47,7 @@
 // maxShownValue is the maximum length of a wrong value in an error, in bytes.
 const maxShownValue = 80
 
+// truncate shortens v to maxShownValue bytes, without splitting a UTF-8 character.
 func truncate(v string) string {
 	if len(v) <= maxShownValue {
 		return v
--- a/io/ini/value_kind.go
+++ b/io/ini/value_kind.go
@@ -69,6 +69,7 @@
 		func(s *Settings, v string) bool { return k.parse(s, v) && isDialable(*field(s)) }}
 }
 
+// isDialable reports whether a is a concrete address and port.
 func isDialable(a netip.AddrPort) bool { return !a.Addr().IsUnspecified() && a.Port() != 0 }
 
 func addressListKind(field func(*Settings) *[]netip.AddrPort) valueKind {
--- a/io/supervisor/supervisor.go
+++ b/io/supervisor/supervisor.go
@@ -60,6 +60,7 @@
 // AsChild returns the node as a child for another node.
 func (n *Node) AsChild() Child { return Child{Name: n.Name, Run: n.Run} }
 
+// supervise runs c until it finishes without an error or ctx ends.
 func (n *Node) supervise(ctx context.Context, c Child) {
 	for failures := 1; ; failures++ {
 		err := runRecovering(ctx, c)
--- a/io/supervisor/workers.go
+++ b/io/supervisor/workers.go
@@ -11,8 +11,10 @@
 type Workers struct {
 	group Group
 
-	mu     sync.Mutex
-	idle   []chan func()
+	mu sync.Mutex
+	// idle are the channels on which idle goroutines receive their next function.
+	idle []chan func()
+	// closed is set by Wait.
 	closed bool
 }
 
