--- a/io/ini/settings_test.go
+++ b/io/ini/settings_test.go
@@ -129,13 +129,13 @@
 			if st.section != section.name {
 				continue
 			}
-			fallback := "none"
+			defaultText := "none"
 			if st.required {
-				fallback = "required"
+				defaultText = "required"
 			} else if st.defaultValue != "" {
-				fallback = "`" + st.defaultValue + "`"
+				defaultText = "`" + st.defaultValue + "`"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", st.key, fallback, st.valueKind.allowed, st.help)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", st.key, defaultText, st.valueKind.allowed, st.help)
 		}
 	}
 	return b.String()
