--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -164,7 +164,7 @@
 	g.Wait()
 	assert.DeepEqual(t, outcomes, map[string]int{"OUTCOME_DONE done": requests})
 	assert.NilError(t, <-stopping.ended)
-	stopping.ended <- nil // for the fleet's own end
+	stopping.ended <- nil // received again when the fleet is stopped
 	for n := range requests {
 		assert.Equal(t, f.startsOf(core.RequestID(fmt.Sprintf("zone_a~stop-%d", n))), 1)
 	}
@@ -198,7 +198,7 @@
 		assert.Equal(t, f.startsOf(core.RequestID(id)), 1)
 	}
 	assert.NilError(t, <-stopping.ended)
-	stopping.ended <- nil // for the fleet's own end
+	stopping.ended <- nil // received again when the fleet is stopped
 }
 
 // TestLeavingTargetReceivesNoNewTasks has a target that starts to leave while it runs
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -204,8 +204,8 @@
 // a successor in sync, and whether every entry has an allotment.
 func (f *testFleet) isSettled() bool {
 	for _, e := range f.entries {
-		limits := e.daemon.allotments.Dump()
-		if len(limits) == 0 || limits[0].Part == 0 {
+		allotments := e.daemon.allotments.Dump()
+		if len(allotments) == 0 || allotments[0].Part == 0 {
 			return false
 		}
 		dump := e.daemon.shards.Dump()
