--- a/io/entry/budgets.go
+++ b/io/entry/budgets.go
@@ -8,20 +8,21 @@
 	"lavenderpond/io/supervisor"
 )
 
-// budgetsInterval is the time between two comparisons of pools' budgets with the
-// configuration in force. One that finds nothing costs no message.
-const budgetsInterval = 5 * time.Second
+// budgetSyncInterval is the time between two comparisons of the pools' disruption
+// budgets with the effective configuration. A comparison that finds no difference sends
+// no messages.
+const budgetSyncInterval = 5 * time.Second
 
-// keepBudgets carries exceptions and defaults over into the pools' rows while this
-// entry is its zone's controller.
-func (d *Daemon) keepBudgets(ctx context.Context) error {
+// syncBudgets writes configured exceptions and defaults to the pools' rows while this
+// entry is the controller of its zone.
+func (d *Daemon) syncBudgets(ctx context.Context) error {
 	sync := operator.BudgetSync{Table: d.platform, View: d.config.View, Pool: d.fleet.Pool}
-	return supervisor.Every(ctx, budgetsInterval, func(ctx context.Context) {
-		if !d.control.State().Holds {
+	return supervisor.Every(ctx, budgetSyncInterval, func(ctx context.Context) {
+		if !d.controller.State().Holds {
 			return
 		}
 		if err := sync.Round(ctx, d.now()); err != nil {
-			d.log.Debug().Err(err).Msg("budgets not carried over")
+			d.log.Debug().Err(err).Msg("sync of pool budgets failed")
 		}
 	})
 }
--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -12,7 +12,7 @@
 	"lavenderpond/io/platform"
 )
 
-// configuration answers the questions of home and front from the entry's view.
+// configuration provides the entry's view of the configuration to Home and Front.
 type configuration struct {
 	*platform.Configuration
 	watcher *platform.ConfigWatcher
@@ -21,7 +21,7 @@
 
 var (
 	_ home.Configuration = (*configuration)(nil)
-	_ Gate               = (*configuration)(nil)
+	_ Authorizer         = (*configuration)(nil)
 )
 
 // Pool implements home.Configuration.
@@ -39,8 +39,8 @@
 	return c.CheckKey(now, team, digest)
 }
 
-// Admit implements Gate.
-func (c *configuration) Admit(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
+// Authorize implements Authorizer.
+func (c *configuration) Authorize(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
 	known := false
 	c.View(func(v *config.View) { _, known = v.Team(now, team) })
 	if !known {
@@ -49,6 +49,7 @@
 	return c.CheckKey(now, team, digest)
 }
 
+// share returns the scheduling share of a team. An unknown team has a share of 1.
 func (c *configuration) share(now time.Time, team core.TeamID) int {
 	share := 1
 	c.View(func(v *config.View) {
@@ -59,6 +60,7 @@
 	return share
 }
 
+// maxQueued returns the maximum length of a queue. It is 0 for an unknown queue.
 func (c *configuration) maxQueued(now time.Time, q core.QueueID) int {
 	bound := 0
 	c.View(func(v *config.View) {
@@ -69,10 +71,12 @@
 	return bound
 }
 
-// loaded says whether the configuration was read once, here or at a peer.
-func (c *configuration) loaded() bool { return !c.KeysFreshUntil().IsZero() }
+// isLoaded reports whether the configuration has been read at least once, from the table
+// or from a peer.
+func (c *configuration) isLoaded() bool { return !c.KeysFreshUntil().IsZero() }
 
-// buildConfig connects the configuration to the queue and to what waits.
+// buildConfig creates the configuration and connects it to the queue and to the waiting
+// requests.
 func (d *Daemon) buildConfig(queue *fair.Queue) {
 	s := d.settings
 	c := &configuration{Configuration: &platform.Configuration{
@@ -96,10 +100,12 @@
 	queue.MaxQueued = func(q core.QueueID) int { return c.maxQueued(d.now(), q) }
 }
 
+// member returns this entry as a peer of others.
 func (d *Daemon) member() peer.Member {
 	return peer.Member{Entry: d.id, Zone: d.settings.Entry.Zone, Address: d.settings.Entry.AdvertisePeer.String()}
 }
 
+// members returns the entries of a zone that are in the directory.
 func (d *Daemon) members(zone core.ZoneID) []peer.Member {
 	var members []peer.Member
 	for _, a := range d.directory.Zone(zone) {
@@ -108,8 +114,8 @@
 	return members
 }
 
-// routePools tells the router what pools lend, and how many of their targets may
-// be ejected: what is left of the availability budget.
+// routePools returns the pools' settings for the router: whether they lend idle targets,
+// and how many targets may be ejected, which is the rest of the disruption budget.
 func (d *Daemon) routePools() []route.Pool {
 	var pools []route.Pool
 	d.config.View(func(v *config.View) {
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -24,24 +24,25 @@
 	"lavenderpond/io/target/standin"
 )
 
-func (f *testFleet) service(i int) lavenderpondv1connect.CallerServiceClient {
-	return lavenderpondv1connect.NewCallerServiceClient(http.DefaultClient, "http://"+f.entries[i].daemon.callers.Addr().String())
+// callerClient returns a client of the caller service of entry i.
+func (f *testFleet) callerClient(i int) lavenderpondv1connect.CallerServiceClient {
+	return lavenderpondv1connect.NewCallerServiceClient(http.DefaultClient, "http://"+f.entries[i].daemon.callerListener.Addr().String())
 }
 
-// send sends a message with a key and returns the answer.
+// send submits a message to entry i with the given key and returns the answer.
 func (f *testFleet) send(i int, m *pb.SubmitRequest, key string) *pb.Answer {
 	f.t.Helper()
 	r := connect.NewRequest(m)
 	r.Header().Set("Authorization", "Bearer "+key)
-	resp, err := f.service(i).Submit(f.ctx, r)
+	resp, err := f.callerClient(i).Submit(f.ctx, r)
 	assert.NilError(f.t, err)
 	return resp.Msg
 }
 
-// TestRefusalsAreTrue: each kind of bad input gets its own numbered code at once,
-// says "not run", and the targets' record shows that it did not run. A second
-// attempt that is refused by an entry without its record says "unknown".
-func TestRefusalsAreTrue(t *testing.T) {
+// TestRefusedRequestsDoNotRun submits each kind of invalid request. Each is refused at once
+// with its own code and the outcome "not run", and no target starts it. If an entry without
+// a record of the id refuses a second attempt, the outcome is "unknown".
+func TestRefusedRequestsDoNotRun(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 2)
 	f.awaitServing()
 	length := func(n uint64) *uint64 { return &n }
@@ -79,16 +80,16 @@
 	assert.Equal(t, f.send(0, again, teamKey).Outcome, pb.Outcome_OUTCOME_UNKNOWN)
 }
 
-// TestKeysDecide: a caller with a wrong key, or none, runs nothing. An entry without
-// the checks of the front and the home would run both.
-func TestKeysDecide(t *testing.T) {
+// TestInvalidKeysAreRefused submits requests with a wrong key and without a key. Neither
+// runs. With the key checks of Front and Home disabled, both run.
+func TestInvalidKeysAreRefused(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 1, safeguardsOff{keys: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 1, disabledSafeguards{keyChecks: off})
 		f.awaitServing()
 		for n, key := range []string{"wrong", ""} {
 			id := fmt.Sprintf("key-%d", n)
 			a := f.send(0, &pb.SubmitRequest{
-				Team: "lyra", Id: id, Attempt: 1, Queue: "frames", Deadline: timestamppb.New(time.Now().Add(patience)), Body: []byte("{}"),
+				Team: "lyra", Id: id, Attempt: 1, Queue: "frames", Deadline: timestamppb.New(time.Now().Add(testTimeout)), Body: []byte("{}"),
 			}, key)
 			assert.Equal(t, a.CodeName == core.CodeBadKey.String(), !off, "%s", a)
 			assert.Equal(t, f.startsOf(core.RequestID(id)) == 0, !off)
@@ -96,13 +97,13 @@
 	}
 }
 
-// TestAnswersWholeOrUnknown: targets run every request, then lose, cut or cross
-// its answer. The caller gets its own whole answer, which the entry asks the same
-// target for, and never another's or a part. Nothing is started twice. Unchecked,
-// other tasks' answers and halves are handed on as whole.
-func TestAnswersWholeOrUnknown(t *testing.T) {
+// TestAnswersCompleteOrUnknown has targets that run every request but lose its answer,
+// truncate it or swap it with another one. The entry asks the same target again, and the
+// caller gets its own complete answer or "unknown". No request is started twice. With the
+// checks of answers disabled, callers get truncated answers and answers to other requests.
+func TestAnswersCompleteOrUnknown(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2}, 3, safeguardsOff{answerCheck: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2}, 3, disabledSafeguards{answerChecks: off})
 		f.awaitServing()
 		faults := []standin.Faults{{LoseAnswers: 8}, {CutAnswers: 8}, {CrossAnswers: 8}}
 		for i, vm := range f.vms {
@@ -127,7 +128,7 @@
 			})
 		}
 		g.Wait()
-		t.Logf("answers checked %t: of 40 done, %d are another's and %d are cut", !off, crossed.Load(), cut.Load())
+		t.Logf("answer checks enabled: %t; of 40 requests, %d got the answer to another request and %d a truncated one", !off, crossed.Load(), cut.Load())
 		assert.Equal(t, crossed.Load() > 0, off)
 		assert.Equal(t, cut.Load() > 0, off)
 		for n := range 40 {
@@ -136,10 +137,10 @@
 	}
 }
 
-// TestPlannedStopCutsNothingOff: an entry is told to stop while requests run and
-// wait at it, its own callers' and forwarded ones. All of them get their whole
-// answer: what runs is finished, what waits goes on to the next holder.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+// TestGracefulStopFinishesRequests stops an entry while requests are running and waiting at
+// it, from its own callers and forwarded by other entries. All callers get their complete
+// answer: running requests finish, and waiting ones go to the next holder.
+func TestGracefulStopFinishesRequests(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 1)
 	f.awaitServing()
 	var g supervisor.Group
@@ -148,7 +149,8 @@
 	const requests = 40
 	for n := range requests {
 		g.Go(func() {
-			// Ids of zone_a, by all three entries; its one VM has 8 slots, so most wait.
+			// All ids belong to zone_a, whose only VM has 8 slots, so most requests wait.
+			// They are submitted through all three entries.
 			id := core.RequestID(fmt.Sprintf("zone_a~stop-%d", n))
 			a := f.submit(n%3, id, 1, `{"run_ms":150}`)
 			mu.Lock()
@@ -162,16 +164,16 @@
 	g.Wait()
 	assert.DeepEqual(t, outcomes, map[string]int{"OUTCOME_DONE done": requests})
 	assert.NilError(t, <-stopping.ended)
-	stopping.ended <- nil // for the fleet's own end
+	stopping.ended <- nil // received again when the fleet is stopped
 	for n := range requests {
 		assert.Equal(t, f.startsOf(core.RequestID(fmt.Sprintf("zone_a~stop-%d", n))), 1)
 	}
 }
 
-// TestPlannedStopKeepsUnwaited: callers submit without waiting, more than the zone's
-// one target has slots for, and the entry that took them is told to stop. What it
-// had queued goes on to the next holder; each caller fetches its answer there.
-func TestPlannedStopKeepsUnwaited(t *testing.T) {
+// TestGracefulStopKeepsNoWaitRequests submits more requests than the zone's only target has
+// slots for, without waiting for their answers, and then stops the entry that accepted
+// them. Its queued requests go to the next holder, and callers can fetch every answer there.
+func TestGracefulStopKeepsNoWaitRequests(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 1)
 	f.awaitServing()
 	const requests = 60
@@ -190,22 +192,23 @@
 		f.await(id, func() bool {
 			r := connect.NewRequest(&pb.FetchRequest{Team: "lyra", Id: id})
 			r.Header().Set("Authorization", "Bearer "+teamKey)
-			resp, err := f.service(1).Fetch(f.ctx, r)
+			resp, err := f.callerClient(1).Fetch(f.ctx, r)
 			return err == nil && resp.Msg.Outcome == pb.Outcome_OUTCOME_DONE
 		})
 		assert.Equal(t, f.startsOf(core.RequestID(id)), 1)
 	}
 	assert.NilError(t, <-stopping.ended)
-	stopping.ended <- nil // for the fleet's own end
+	stopping.ended <- nil // received again when the fleet is stopped
 }
 
-// TestLeavingTargetGetsNothingNew: a target begins to leave while it runs a task.
-// It refuses the next one, which goes to another target; from then on it is sent
-// nothing, although its row and the live list know nothing yet. The task finishes.
-// Where the refusal isn't passed on, the target stays one that work is sent to.
-func TestLeavingTargetGetsNothingNew(t *testing.T) {
+// TestLeavingTargetReceivesNoNewTasks has a target that starts to leave while it runs
+// tasks. It refuses the next task, which runs on another target. From then on it is sent
+// no tasks, although its row and the live list don't show yet that it is leaving. Its
+// running tasks finish. If the fleet watcher isn't told of refusals, the target remains in
+// use.
+func TestLeavingTargetReceivesNoNewTasks(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 1}, 2, safeguardsOff{leaving: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 2, disabledSafeguards{leavingRefusals: off})
 		f.awaitServing()
 		var g supervisor.Group
 		for n := range 16 {
@@ -219,7 +222,7 @@
 		before := f.startsAt(f.vms[0].ID)
 		g.Wait()
 		for n := range 20 {
-			// More at once than the other target has slots.
+			// These are more than the other target has slots.
 			g.Go(func() {
 				a := f.submit(0, core.RequestID(fmt.Sprintf("new-%d", n)), 1, `{"run_ms":100}`)
 				assert.Check(t, a.Outcome == pb.Outcome_OUTCOME_DONE, "%s", a)
@@ -228,15 +231,16 @@
 		g.Wait()
 		assert.Equal(t, f.startsAt(f.vms[0].ID), before)
 		if off {
-			assert.Equal(t, len(f.entries[0].daemon.fleet.Targets()), 2, "the test can't fail")
+			assert.Equal(t, len(f.entries[0].daemon.fleet.Targets()), 2, "the target isn't in use although nothing reported its refusals")
 			continue
 		}
 		assert.Equal(t, len(f.entries[0].daemon.fleet.Targets()), 1)
 		f.vms[0].SetFaults(standin.Faults{})
-		f.await("the target to be found working again", func() bool { return len(f.entries[0].daemon.fleet.Targets()) == 2 })
+		f.await("the target to be in use again", func() bool { return len(f.entries[0].daemon.fleet.Targets()) == 2 })
 	}
 }
 
+// startsAt returns how many tasks the target vm has started.
 func (f *testFleet) startsAt(vm core.VMID) int {
 	n := 0
 	for _, s := range f.starts.Starts() {
@@ -247,16 +251,16 @@
 	return n
 }
 
-// TestUpperLimitAcrossEntries: eight times the limit is submitted through three
-// entries of two zones, with a cut of the limit in between. The targets' record
-// never shows more than the limit at once, but for entries that ignore allotments.
-func TestUpperLimitAcrossEntries(t *testing.T) {
+// TestTeamLimitAcrossEntries lowers a team's limit and then submits eight times as many
+// requests through three entries of two zones. The targets never run more than the limit
+// at the same time, unless the entries ignore their allotments.
+func TestTeamLimitAcrossEntries(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 2, safeguardsOff{allotments: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 2, disabledSafeguards{allotments: off})
 		f.awaitServing()
 		f.apply(config.SetTeam{Author: "test", Team: "lyra", Value: config.Team{Share: 1, Limit: 5}})
 		version := f.version()
-		f.await("the limit in force", func() bool { return f.allHave(version) && f.parts() <= 5 })
+		f.await("the limit in force", func() bool { return f.allHaveVersion(version) && f.totalAllotment() <= 5 })
 		mark := len(f.starts.Starts())
 		body := `{"run_ms":40}`
 		if off {
@@ -270,8 +274,8 @@
 			})
 		}
 		g.Wait()
-		most := overlap(f.starts.Starts()[mark:])
-		t.Logf("allotments off %t: %d at once, limit 5", off, most)
+		most := maxConcurrent(f.starts.Starts()[mark:])
+		t.Logf("allotments disabled: %t; at most %d at the same time, limit 5", off, most)
 		assert.Equal(t, most > 5, off)
 	}
 }
@@ -285,7 +289,9 @@
 	return head.Version
 }
 
-func (f *testFleet) allHave(version core.Version) bool {
+// allHaveVersion reports whether all entries have at least the given version of the
+// configuration.
+func (f *testFleet) allHaveVersion(version core.Version) bool {
 	for _, e := range f.entries {
 		if e.daemon.config.Version() < version {
 			return false
@@ -294,19 +300,19 @@
 	return true
 }
 
-// parts returns the sum of the entries' allotments.
-func (f *testFleet) parts() core.Slots {
+// totalAllotment returns the sum of all entries' allotments.
+func (f *testFleet) totalAllotment() core.Slots {
 	var sum core.Slots
 	for _, e := range f.entries {
-		for _, d := range e.daemon.limits.Dump() {
+		for _, d := range e.daemon.allotments.Dump() {
 			sum += d.Part
 		}
 	}
 	return sum
 }
 
-// overlap returns the most starts that ran at one moment.
-func overlap(starts []standin.Start) int {
+// maxConcurrent returns the maximum number of tasks that ran at the same time.
+func maxConcurrent(starts []standin.Start) int {
 	most := 0
 	for _, s := range starts {
 		n := 0
@@ -320,9 +326,9 @@
 	return most
 }
 
-// TestServesWithoutTable: the table goes down for good while requests come. The
-// entries go on serving with what they hold, and a new id through each of them is
-// answered. Nothing is refused for lack of the table.
+// TestServesWithoutTable takes the table down for the rest of the test. The entries
+// continue to serve new ids with the leases, allotments and configuration that they have,
+// and refuse nothing.
 func TestServesWithoutTable(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 2)
 	f.awaitServing()
@@ -335,8 +341,8 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestDumpHoldsNoSecrets: an operator dumps an entry that holds a waiting request.
-// The dump shows the request, and neither its body nor any key.
+// TestDumpHoldsNoSecrets dumps an entry that has an unfinished request. The dump shows the
+// request, but neither its body nor any key.
 func TestDumpHoldsNoSecrets(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 1}, 1)
 	f.awaitServing()
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -27,17 +27,17 @@
 	"lavenderpond/io/target/standin"
 )
 
-// patience bounds how long a test waits for a state. It decides nothing about a
-// pass: a test that needs it all fails for lack of progress.
-const patience = 60 * time.Second
+// testTimeout is how long a test waits for an expected state. It is much longer than
+// needed, so a test that exceeds it has stopped making progress.
+const testTimeout = 60 * time.Second
 
 const (
 	teamKey     = "lp_test_team"
 	operatorKey = "lp_test_operator"
 )
 
-// testFleet is a small fleet in one process: the platform's stand-in, targets
-// with one record of all starts, and entries.
+// testFleet is a small fleet in one process: a stand-in for the platform, target VMs that
+// share one log of all starts, and entries.
 type testFleet struct {
 	t        testing.TB
 	platform platformstandin.Server
@@ -45,26 +45,28 @@
 	client   *platform.Client
 	starts   standin.StartLog
 	vms      []*standin.VM
-	// addresses are those of vms.
+	// addresses are the addresses of vms, in the same order.
 	addresses []string
 	entries   []*testEntry
 	ctx       context.Context
 	group     supervisor.Group
-	off       safeguardsOff
+	disabled  disabledSafeguards
 }
 
-// safeguardsOff are safeguards that a test switches off, to see what it asserts fail.
-type safeguardsOff struct {
-	// holders: every entry takes itself for the holder of every id.
-	holders bool
-	// allotments: every start is allowed, whatever the team's limit.
+// disabledSafeguards selects safeguards that a test disables. With a safeguard disabled, the
+// fault that it prevents must occur, which shows that the test can detect it.
+type disabledSafeguards struct {
+	// shardLeases: every entry considers itself the holder of every shard.
+	shardLeases bool
+	// allotments: every start is allowed, regardless of the team's limit.
 	allotments bool
-	// answerCheck: answers pass the checks for the task and the length.
-	answerCheck bool
-	// keys: every key is good for every team.
-	keys bool
-	// leaving: a target's refusal isn't passed on.
-	leaving bool
+	// answerChecks: every answer passes the checks of its task and length.
+	answerChecks bool
+	// keyChecks: every key is valid for every team.
+	keyChecks bool
+	// leavingRefusals: results of dispatches aren't reported, so the fleet watcher
+	// doesn't learn that a target is leaving.
+	leavingRefusals bool
 }
 
 // testEntry is one running daemon.
@@ -74,16 +76,18 @@
 	ended  chan error
 }
 
+// newTestFleet starts a fleet with the given number of entries in each zone. It does not
+// wait until they serve; see awaitServing. The fleet stops when the test ends.
 func newTestFleet(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int) *testFleet {
 	t.Helper()
-	return newUnsafeFleet(t, zones, vmsPerZone, safeguardsOff{})
+	return newFleetWithout(t, zones, vmsPerZone, disabledSafeguards{})
 }
 
-// newUnsafeFleet starts a fleet with safeguards switched off.
-func newUnsafeFleet(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int, off safeguardsOff) *testFleet {
+// newFleetWithout starts a fleet with the given safeguards disabled.
+func newFleetWithout(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int, off disabledSafeguards) *testFleet {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &testFleet{t: t, ctx: ctx, off: off}
+	f := &testFleet{t: t, ctx: ctx, disabled: off}
 	srv := httptest.NewServer(f.platform.Handler())
 	f.url = srv.URL
 	f.client = platform.NewClient(srv.URL)
@@ -116,12 +120,14 @@
 	return f
 }
 
+// apply changes the configuration in the table.
 func (f *testFleet) apply(c config.Change) {
 	f.t.Helper()
 	_, err := platform.Apply(f.ctx, f.client, c, core.ChangeID(core.Digest(fmt.Sprintf("%T-%v", c, c))), time.Now())
 	assert.NilError(f.t, err)
 }
 
+// configure creates the team "lyra", its key, and a pool and a queue named "frames".
 func (f *testFleet) configure() {
 	f.apply(config.SetTeam{Author: "test", Team: "lyra", Value: config.Team{Share: 1, Limit: 100}})
 	f.apply(config.SetPool{Author: "test", Pool: "frames", Value: config.Pool{MaxUnavailable: 2}})
@@ -129,10 +135,11 @@
 	f.apply(config.GrantKey{Author: "test", Team: "lyra", Digest: core.Digest(teamKey)})
 }
 
+// addVMs starts n target VMs and writes their rows to the table.
 func (f *testFleet) addVMs(zone core.ZoneID, n int) {
 	for i := range n {
 		vm := &standin.VM{ID: core.VMID(fmt.Sprintf("vm_%s_%d", zone, i)), Slots: 8, Log: &f.starts}
-		srv := httptest.NewServer(f.off.handler(vm))
+		srv := httptest.NewServer(f.disabled.handler(vm))
 		f.t.Cleanup(srv.Close)
 		f.vms = append(f.vms, vm)
 		f.addresses = append(f.addresses, strings.TrimPrefix(srv.URL, "http://"))
@@ -144,6 +151,7 @@
 	}
 }
 
+// startEntry starts an entry with free ports on the loopback address.
 func (f *testFleet) startEntry(name string, zone core.ZoneID, zones []core.ZoneID) *testEntry {
 	f.t.Helper()
 	s, err := ini.Parse("sample.ini", []byte(ini.Sample()))
@@ -157,7 +165,7 @@
 	s.Keys.OperatorKeyDigest = core.Digest(operatorKey)
 	d, err := New(s, zerolog.Nop())
 	assert.NilError(f.t, err)
-	f.off.apply(d)
+	f.disabled.apply(d)
 	ctx, stop := context.WithCancel(f.ctx)
 	e := &testEntry{daemon: d, stop: stop, ended: make(chan error, 1)}
 	f.group.Go(func() { e.ended <- d.Run(ctx) })
@@ -165,10 +173,10 @@
 	return e
 }
 
-// await waits until check returns true.
+// await waits until check returns true. The test fails after testTimeout.
 func (f *testFleet) await(what string, check func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !check() {
 		if time.Now().After(deadline) {
 			f.t.Fatalf("gave up waiting for %s", what)
@@ -180,7 +188,7 @@
 // awaitServing waits until every entry is ready and answers a request.
 func (f *testFleet) awaitServing() {
 	f.t.Helper()
-	f.await("rights in sync and parts of the limit held", f.settled)
+	f.await("shards in sync and initial allotments held", f.isSettled)
 	for i, e := range f.entries {
 		f.await("entry ready", e.daemon.ready)
 		n := 0
@@ -192,11 +200,12 @@
 	}
 }
 
-// settled says whether every shard is in sync and every entry holds a part.
-func (f *testFleet) settled() bool {
+// isSettled reports whether every shard has a holder and, if the zone has a second entry,
+// a successor in sync, and whether every entry has an allotment.
+func (f *testFleet) isSettled() bool {
 	for _, e := range f.entries {
-		limits := e.daemon.limits.Dump()
-		if len(limits) == 0 || limits[0].Part == 0 {
+		allotments := e.daemon.allotments.Dump()
+		if len(allotments) == 0 || allotments[0].Part == 0 {
 			return false
 		}
 		dump := e.daemon.shards.Dump()
@@ -209,11 +218,11 @@
 	return true
 }
 
-// submit sends one attempt to entry number i. A connection that broke gives an
-// answer without outcome.
+// submit submits one attempt to entry i and waits for the answer. If the call fails, the
+// answer has no outcome and Detail is the error.
 func (f *testFleet) submit(i int, id core.RequestID, attempt core.Attempt, body string) *pb.Answer {
 	now := time.Now()
-	c := caller.NewClient(http.DefaultClient, "http://"+f.entries[i].daemon.callers.Addr().String(), "lyra", teamKey)
+	c := caller.NewClient(http.DefaultClient, "http://"+f.entries[i].daemon.callerListener.Addr().String(), "lyra", teamKey)
 	a, err := c.Submit(f.ctx, core.Request{
 		Key: core.RequestKey{ID: id}, Attempt: attempt, Queue: "frames",
 		Deadline: now.Add(30 * time.Second).Truncate(time.Minute).Add(time.Minute), Body: []byte(body),
@@ -224,7 +233,7 @@
 	return a
 }
 
-// startsOf counts the starts of an id at all targets.
+// startsOf returns how many times the targets have started the request id.
 func (f *testFleet) startsOf(id core.RequestID) int {
 	n := 0
 	for _, s := range f.starts.Starts() {
@@ -235,12 +244,12 @@
 	return n
 }
 
-// TestFleetServesAndDedups: the same id goes to every entry of two zones at once.
-// All callers get the same whole answer, and the target's record shows one start. Where
-// each entry takes itself for the holder, both entries of a zone run it.
+// TestFleetServesAndDedups submits the same id to every entry of two zones at once. All
+// callers get the same complete answer, and the targets' log shows one start. With shard
+// leases disabled, both entries of a zone start the request.
 func TestFleetServesAndDedups(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newUnsafeFleet(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, safeguardsOff{holders: off})
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, disabledSafeguards{shardLeases: off})
 		f.awaitServing()
 		var g supervisor.Group
 		var mu sync.Mutex
@@ -267,12 +276,12 @@
 				doubles++
 			}
 		}
-		t.Logf("holders off %t: %d of 20 ids started twice", off, doubles)
+		t.Logf("shard leases disabled: %t; %d of 20 ids started twice", off, doubles)
 		assert.Equal(t, doubles > 0, off)
 	}
 }
 
-// platformDown are faults of a table that is down for the rest of a test.
+// platformDown returns the faults of a platform that is down for the rest of the test.
 func platformDown() platformstandin.Faults {
 	return platformstandin.Faults{DownUntil: time.Now().Add(time.Hour)}
 }
--- a/io/entry/front_test.go
+++ b/io/entry/front_test.go
@@ -20,21 +20,21 @@
 	"lavenderpond/io/supervisor"
 )
 
-// nobody is Holders of a zone in which no one may decide.
-type nobody struct{}
+// noHolder is the LeaseDecider of a zone in which no entry may decide.
+type noHolder struct{}
 
-func (nobody) Decide(now time.Time, _ core.RequestKey, _, _ time.Time) shard.Verdict {
+func (noHolder) Decide(now time.Time, _ core.RequestKey, _, _ time.Time) shard.Verdict {
 	return shard.Wait{ComeBackAt: now.Add(time.Second)}
 }
 
-// openGate admits everybody.
-type openGate struct{}
+// allowAll is an Authorizer that accepts every caller.
+type allowAll struct{}
 
-func (openGate) Admit(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
+func (allowAll) Authorize(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
 
-// addressOfListener returns the address of a listener that breaks off every
-// connection, or that is closed and refuses them.
-func addressOfListener(t *testing.T, refuses bool) netip.AddrPort {
+// listenerAddress returns an address that refuses connections, or one that accepts
+// connections and closes them at once.
+func listenerAddress(t *testing.T, refuses bool) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -60,11 +60,12 @@
 	return address
 }
 
-// TestCutOffHome: a caller's entry can't reach the id's home zone. If no message
-// left, a first attempt did not run, and the caller is told so; a second one may
-// follow an attempt that ran. If a message left and no answer came back, the home
-// may have it: then nothing but "unknown" is true, whichever attempt it is.
-func TestCutOffHome(t *testing.T) {
+// TestUnreachableHomeZone submits requests to an entry that can't reach the id's home
+// zone. If no message was sent, the answer to a first attempt is "not run", but a second
+// attempt may follow one that ran, so its answer is "unknown". If a message was sent and
+// no answer came back, the home entry may have received it, and the answer to every
+// attempt is "unknown".
+func TestUnreachableHomeZone(t *testing.T) {
 	cases := []struct {
 		name    string
 		refuses bool
@@ -83,31 +84,31 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := &Front{
 				Zone: "zone_a", Zones: []core.ZoneID{"zone_a", "zone_b"}, Now: time.Now,
-				Holders: nobody{}, Gate: openGate{}, Directory: &Directory{}, Peers: &netrpc.Pool{},
+				Leases: noHolder{}, Authorizer: allowAll{}, Directory: &Directory{}, Peers: &netrpc.Pool{},
 			}
 			defer f.Peers.Close()
 			f.Directory.entries = map[table.Key]Address{
-				table.EntryKey("zone_b", "b1"): {Entry: "b1#1", Zone: "zone_b", Peer: addressOfListener(t, c.refuses)},
+				table.EntryKey("zone_b", "b1"): {Entry: "b1#1", Zone: "zone_b", Peer: listenerAddress(t, c.refuses)},
 			}
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			submit := func(attempt core.Attempt) core.Answer {
-				return withoutTimes(f.Submit(ctx, core.Request{
+				return stripTimes(f.Submit(ctx, core.Request{
 					Key:     core.RequestKey{Team: "lyra", ID: core.RequestID(c.home + "~1")},
-					Attempt: attempt, Deadline: time.Now().Add(patience),
+					Attempt: attempt, Deadline: time.Now().Add(testTimeout),
 				}, false))
 			}
 			assert.DeepEqual(t, submit(c.attempt), c.want)
 			if unknown, ok := c.want.(core.OutcomeUnknown); ok && c.refuses {
-				// With the attempt's number lost on the way it is taken for a first one.
+				// A request whose attempt number was lost counts as a first attempt.
 				assert.DeepEqual(t, submit(0), core.Answer(core.NotRun(unknown)))
 			}
 		})
 	}
 }
 
-// withoutTimes leaves out what differs from run to run.
-func withoutTimes(a core.Answer) core.Answer {
+// stripTimes removes the times and details, which differ from run to run.
+func stripTimes(a core.Answer) core.Answer {
 	switch a := a.(type) {
 	case core.NotRun:
 		return core.NotRun{Code: a.Code}
@@ -118,13 +119,14 @@
 	}
 }
 
-// scripted are Holders that give one verdict after the other, and the last for good.
-type scripted struct {
+// scriptedLeases is a LeaseDecider that returns one verdict after the other and then
+// repeats the last one.
+type scriptedLeases struct {
 	mu       sync.Mutex
 	verdicts []shard.Verdict
 }
 
-func (s *scripted) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
+func (s *scriptedLeases) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.verdicts[0]
@@ -134,27 +136,29 @@
 	return v
 }
 
-// looksOfSearch is how often a search looks at a steppedClock, three times a try.
-const looksOfSearch = 30
+// clockReadsPerSearch is how often a search reads a steppedClock before it times out. Each
+// try reads the clock three times.
+const clockReadsPerSearch = 30
 
-// steppedClock is a clock that moves on with each look, so that a search ends after
-// a number of looks and not by the machine's pace.
+// steppedClock is a clock that advances whenever it is read, so that a search ends after
+// a fixed number of tries, independent of the machine's speed.
 type steppedClock struct {
-	began time.Time
-	looks atomic.Int64
+	start time.Time
+	reads atomic.Int64
 }
 
 func (c *steppedClock) now() time.Time {
-	return c.began.Add(time.Duration(c.looks.Add(1)) * searchFor / looksOfSearch)
+	return c.start.Add(time.Duration(c.reads.Add(1)) * holderSearchTimeout / clockReadsPerSearch)
 }
 
-// newZoneFront returns the front of an entry of zone_a that listens for peers.
-func newZoneFront(t *testing.T, verdicts ...shard.Verdict) (*Front, netip.AddrPort) {
+// newTestFront returns the Front of an entry of zone_a and the address on which it serves
+// calls from peers.
+func newTestFront(t *testing.T, verdicts ...shard.Verdict) (*Front, netip.AddrPort) {
 	t.Helper()
-	clock := steppedClock{began: time.Now()}
+	clock := steppedClock{start: time.Now()}
 	f := &Front{
-		Zone: "zone_a", Zones: []core.ZoneID{"zone_a"}, Now: clock.now, Holders: &scripted{verdicts: verdicts},
-		Gate: openGate{}, Requests: NewRequests(&home.Home{}), Directory: &Directory{}, Peers: &netrpc.Pool{},
+		Zone: "zone_a", Zones: []core.ZoneID{"zone_a"}, Now: clock.now, Leases: &scriptedLeases{verdicts: verdicts},
+		Authorizer: allowAll{}, Requests: NewRequests(&home.Home{}), Directory: &Directory{}, Peers: &netrpc.Pool{},
 	}
 	f.Requests.Now = time.Now
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -172,15 +176,15 @@
 	return f, l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// TestMovedRightIsFound: an id's right moved from a1 to a2. The caller's entry a3
-// still takes a1 for the holder, a2 knows of its right two looks later than a1 does,
-// and a1 never decides again. The call has to reach a2; before, the entries passed it
-// back and forth until it stayed at a1, which refused it with no_holder.
-func TestMovedRightIsFound(t *testing.T) {
+// TestMovedLeaseIsFound moves a shard lease from a1 to a2. The caller's entry a3 still
+// considers a1 the holder, and a2 learns of its lease two decisions after a1 has lost it.
+// The call must reach a2. If each entry forwarded the call to its supposed holder, a1 and
+// a2 would pass it back and forth until a1 refused it with no_holder.
+func TestMovedLeaseIsFound(t *testing.T) {
 	toA1, toA2 := shard.NotHolder{Holder: "a1#1"}, shard.NotHolder{Holder: "a2#1"}
-	a1, addressOfA1 := newZoneFront(t, toA2)
-	a2, addressOfA2 := newZoneFront(t, toA1, toA1, shard.Run{})
-	a3, _ := newZoneFront(t, toA1, toA1, toA2)
+	a1, addressOfA1 := newTestFront(t, toA2)
+	a2, addressOfA2 := newTestFront(t, toA1, toA1, shard.Run{})
+	a3, _ := newTestFront(t, toA1, toA1, toA2)
 	addresses := map[table.Key]Address{
 		table.EntryKey("zone_a", "a1"): {Entry: "a1#1", Zone: "zone_a", Peer: addressOfA1},
 		table.EntryKey("zone_a", "a2"): {Entry: "a2#1", Zone: "zone_a", Peer: addressOfA2},
@@ -188,22 +192,23 @@
 	for _, f := range []*Front{a1, a2, a3} {
 		f.Directory.entries = addresses
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	answer := a3.Fetch(ctx, core.RequestKey{Team: "lyra", ID: "moved"}, "")
-	// The word of a2's home: it has no record of the id.
+	// This is the answer of a2's Home, which has no record of the id.
 	assert.Equal(t, core.CodeOf(answer), core.CodeNotFound)
 }
 
-// TestHandOverIsWaitedFor: an entry that stops can't write its rights over for a
-// while, since the table is slow. A caller's search there lasts as long as the
-// hand-over does, and ends with a refusal once the entry has given that up.
-func TestHandOverIsWaitedFor(t *testing.T) {
-	verdicts := make([]shard.Verdict, 3*looksOfSearch)
+// TestSearchWaitsForHandOver submits a request to an entry that is stopping and can't hand
+// over its shards for a while, because the table is slow. The search for a holder
+// continues as long as the hand-over does. Once the entry no longer hands over, the search
+// ends with a refusal.
+func TestSearchWaitsForHandOver(t *testing.T) {
+	verdicts := make([]shard.Verdict, 3*clockReadsPerSearch)
 	for i := range verdicts {
 		verdicts[i] = shard.Wait{}
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	key := core.RequestKey{Team: "lyra", ID: "waits"}
 	deadline := time.Now().Add(time.Hour)
@@ -211,22 +216,22 @@
 		return f.Submit(ctx, core.Request{Key: key, Attempt: 1, Deadline: deadline}, false)
 	}
 
-	f, _ := newZoneFront(t, append(verdicts, shard.Refuse{Code: core.CodeDeadlinePassed})...)
-	f.Requests.Locked(func(h *home.Home) { h.Leases = refusing{} })
+	f, _ := newTestFront(t, append(verdicts, shard.Refuse{Code: core.CodeDeadlinePassed})...)
+	f.Requests.WithLock(func(h *home.Home) { h.Leases = refusingLeases{} })
 	f.SetHandingOver(true)
 	assert.Equal(t, core.CodeOf(submit(f)), core.CodeDeadlinePassed)
 
-	f, _ = newZoneFront(t, verdicts...)
+	f, _ = newTestFront(t, verdicts...)
 	assert.Equal(t, core.CodeOf(submit(f)), core.CodeNoHolder)
 }
 
-// refusing are the Rights of a home that refuses every id.
-type refusing struct{}
+// refusingLeases are the ShardLeases of a Home that refuses every id.
+type refusingLeases struct{}
 
-func (refusing) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
+func (refusingLeases) Decide(time.Time, core.RequestKey, time.Time, time.Time) shard.Verdict {
 	return shard.Refuse{Code: core.CodeDeadlinePassed}
 }
 
-func (refusing) LeaseExpiry(time.Time, core.RequestKey) time.Time { return time.Time{} }
+func (refusingLeases) LeaseExpiry(time.Time, core.RequestKey) time.Time { return time.Time{} }
 
-func (refusing) Start(time.Time, shard.Start) bool { return false }
+func (refusingLeases) Start(time.Time, shard.Start) bool { return false }
--- a/io/entry/http.go
+++ b/io/entry/http.go
@@ -13,48 +13,49 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Deadlines of the HTTP server. A caller that sends slowly, or nothing, must not
-// hold a connection for ever.
+// Limits of the HTTP server. They keep a caller that sends slowly, or nothing at all,
+// from holding a connection forever.
 const (
-	headerTimeout = 5 * time.Second
-	bodyTimeout   = 15 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 16 << 10
+	headerTimeout  = 5 * time.Second
+	bodyTimeout    = 15 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 16 << 10
 )
 
-// Paths besides the connect services.
+// Paths that are served in addition to the Connect services.
 const (
 	pathReady   = "/ready"
 	pathMetrics = "/metrics"
 )
 
-// HTTP serves callers, operators, metrics and readiness on one listener.
-type HTTP struct {
+// HTTPServer serves callers, operators, metrics and readiness on one listener.
+type HTTPServer struct {
 	Mux     *http.ServeMux
 	Metrics metrics.Registry
-	// Ready says whether the balancer should send callers here.
+	// Ready reports whether a load balancer should send callers to this entry. If it
+	// is nil, the entry is always ready.
 	Ready func() bool
-	// Aborted, if set, ends the patience of a stop early.
+	// Aborted, if set, ends the grace period of Serve early.
 	Aborted context.Context
 
 	server *http.Server
 }
 
-// Serve serves l until ctx ends, and then until the requests that are there
-// have been answered or patience is over.
-func (h *HTTP) Serve(ctx context.Context, l net.Listener, patience time.Duration) error {
+// Serve serves HTTP requests on l until ctx ends. Then it closes l and returns once all
+// requests in progress have been answered, or when the grace period is over.
+func (h *HTTPServer) Serve(ctx context.Context, l net.Listener, grace time.Duration) error {
 	h.Mux.HandleFunc("GET "+pathReady, h.ready)
 	h.Mux.HandleFunc("GET "+pathMetrics, h.metrics)
 	h.server = &http.Server{
-		Handler:           readDeadline(h.Mux),
+		Handler:           withReadDeadline(h.Mux),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	var g supervisor.Group
 	g.Go(func() {
 		<-ctx.Done()
-		ctx, cancel := context.WithTimeout(h.aborted(), patience)
+		ctx, cancel := context.WithTimeout(h.abortContext(), grace)
 		defer cancel()
 		_ = h.server.Shutdown(ctx)
 		_ = h.server.Close()
@@ -67,14 +68,14 @@
 	return errors.Wrap(err, "serve callers")
 }
 
-func (h *HTTP) aborted() context.Context {
+func (h *HTTPServer) abortContext() context.Context {
 	if h.Aborted == nil {
 		return context.Background()
 	}
 	return h.Aborted
 }
 
-func (h *HTTP) ready(w http.ResponseWriter, _ *http.Request) {
+func (h *HTTPServer) ready(w http.ResponseWriter, _ *http.Request) {
 	if h.Ready == nil || h.Ready() {
 		_, _ = io.WriteString(w, "ready\n")
 		return
@@ -82,33 +83,33 @@
 	http.Error(w, "not ready", http.StatusServiceUnavailable)
 }
 
-func (h *HTTP) metrics(w http.ResponseWriter, _ *http.Request) {
+func (h *HTTPServer) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	metrics.WriteJSONOnce(h.Metrics, w)
 }
 
-// readDeadline bounds the reading of a request's body, and only that: the
-// server's own read timeout would also cut off callers that wait for an answer.
-func readDeadline(next http.Handler) http.Handler {
+// withReadDeadline limits the time for reading a request's body. http.Server.ReadTimeout
+// does not fit, because it would also disconnect callers that wait for an answer.
+func withReadDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rc := http.NewResponseController(w)
 		_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
-		r.Body = &deadlineBody{ReadCloser: r.Body, done: func() { _ = rc.SetReadDeadline(time.Time{}) }}
+		r.Body = &deadlineBody{ReadCloser: r.Body, onEOF: func() { _ = rc.SetReadDeadline(time.Time{}) }}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// deadlineBody lifts the read deadline once the body is read.
+// deadlineBody is a request body that calls onEOF once it has been read completely.
 type deadlineBody struct {
 	io.ReadCloser
-	done func()
+	onEOF func()
 }
 
 // Read implements io.Reader.
 func (b *deadlineBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.done()
+		b.onEOF()
 	}
 	return n, err
 }
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -1,5 +1,6 @@
-// Package entry puts the parts of the daemon together: the decisions of core
-// behind a mutex, the peers they speak to, and the tree that runs them.
+// Package entry assembles the daemon lavenderpondd, which runs on entry VMs. It drives
+// the state machines of core, connects them to peers, the platform and target VMs, and
+// runs everything in a supervision tree.
 package entry
 
 import (
@@ -13,31 +14,36 @@
 	"lavenderpond/io/target"
 )
 
-// drainStep is how often Drain looks whether work is left.
-const drainStep = 10 * time.Millisecond
+// drainPollInterval is the time between two checks of whether a graceful stop has to
+// wait any longer.
+const drainPollInterval = 10 * time.Millisecond
 
-// Requests drives a home.Home: it hands in events one by one and carries out the
-// commands. It is safe for concurrent use.
+// Requests drives a home.Home: it passes events to it one at a time and executes the
+// resulting commands. It is safe for concurrent use.
 type Requests struct {
 	// Now is the clock.
 	Now func() time.Time
-	// Targets sends work to target VMs, at the address that Address gives.
+	// Targets is the client for target VMs.
 	Targets *target.Client
+	// Address returns the address of a target VM, or false if it is unknown.
 	Address func(vm core.VMID) (string, bool)
-	// Seen is told how each dispatch sent at asked ended, as evidence of a VM's state.
-	Seen func(vm core.VMID, asked time.Time, end home.End)
-
-	mu      sync.Mutex
-	home    *home.Home
-	waiters map[home.Waiter]chan core.Answer
-	last    home.Waiter
-	calls   supervisor.Workers
-	// ctx ends when the daemon gives up what still runs.
+	// OnDispatchEnded, if set, is called with the result of each dispatch and the time
+	// at which it was sent. The result is evidence of the VM's state.
+	OnDispatchEnded func(vm core.VMID, sentAt time.Time, end home.End)
+
+	// mu guards home, waiters and lastWaiter.
+	mu         sync.Mutex
+	home       *home.Home
+	waiters    map[home.Waiter]chan core.Answer
+	lastWaiter home.Waiter
+	// calls are the goroutines that call targets, and those started with Go.
+	calls supervisor.Workers
+	// ctx ends when Close is called.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// NewRequests returns a driver of h. The other fields must be set before use.
+// NewRequests returns a driver for h. Now, Targets and Address must be set before use.
 func NewRequests(h *home.Home) *Requests {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Requests{
@@ -45,24 +51,26 @@
 	}
 }
 
-// Submit hands in an attempt and waits for its answer.
+// Submit submits an attempt of a request and waits for the answer. With noWait, the
+// answer to an accepted request is Pending.
 func (r *Requests) Submit(ctx context.Context, req core.Request, noWait bool) core.Answer {
-	return r.await(ctx, req.Key, func(w home.Waiter) home.Event {
+	return r.awaitReply(ctx, req.Key, func(w home.Waiter) home.Event {
 		return home.Submit{Request: req, Waiter: w, NoWait: noWait}
 	})
 }
 
-// Fetch returns the answer of a request, or Pending.
+// Fetch returns the answer of a request that was submitted earlier, or Pending.
 func (r *Requests) Fetch(ctx context.Context, key core.RequestKey) core.Answer {
-	return r.await(ctx, key, func(w home.Waiter) home.Event { return home.Fetch{Key: key, Waiter: w} })
+	return r.awaitReply(ctx, key, func(w home.Waiter) home.Event { return home.Fetch{Key: key, Waiter: w} })
 }
 
-// Cancel gives a request up and returns what became of it.
+// Cancel cancels a request and returns its outcome.
 func (r *Requests) Cancel(ctx context.Context, key core.RequestKey) core.Answer {
-	return r.await(ctx, key, func(w home.Waiter) home.Event { return home.Cancel{Key: key, Waiter: w} })
+	return r.awaitReply(ctx, key, func(w home.Waiter) home.Event { return home.Cancel{Key: key, Waiter: w} })
 }
 
-// Handle hands in an event.
+// Handle passes an event to the Home and executes the resulting commands. Calls to
+// targets run in the background.
 func (r *Requests) Handle(e home.Event) {
 	r.mu.Lock()
 	commands := r.home.Handle(r.Now(), e)
@@ -72,34 +80,34 @@
 		reply.to <- reply.answer
 	}
 	for _, c := range commands {
-		r.carryOut(c)
+		r.execute(c)
 	}
 }
 
-// Locked calls f while no event is handled.
-func (r *Requests) Locked(f func(h *home.Home)) {
+// WithLock calls f with the Home while no event is being handled.
+func (r *Requests) WithLock(f func(h *home.Home)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.home)
 }
 
-// Settle returns when no request is between its mirrored start and its target, or
-// when ctx ends.
+// Settle waits until no request has a start that may be mirrored but has not reached a
+// target, or until ctx ends.
 func (r *Requests) Settle(ctx context.Context) {
-	r.awaitNone(ctx, func(h *home.Home) int { return h.Unsettled(r.Now()) })
+	r.waitForZero(ctx, func(h *home.Home) int { return h.Unsettled(r.Now()) })
 }
 
-// Drain returns when no request runs any more, or when ctx ends; it returns how
-// many were left then.
-func (r *Requests) Drain(ctx context.Context) int { return r.awaitNone(ctx, (*home.Home).Unfinished) }
+// Drain waits until every request has its final answer, or until ctx ends. It returns
+// the number of requests that are unfinished.
+func (r *Requests) Drain(ctx context.Context) int { return r.waitForZero(ctx, (*home.Home).Unfinished) }
 
-// awaitNone returns when count is 0, or when ctx ends, and the last count.
-func (r *Requests) awaitNone(ctx context.Context, count func(*home.Home) int) int {
+// waitForZero polls count until it returns 0 or ctx ends. It returns the last count.
+func (r *Requests) waitForZero(ctx context.Context, count func(*home.Home) int) int {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	left := 0
-	_ = supervisor.Every(ctx, drainStep, func(context.Context) {
-		r.Locked(func(h *home.Home) { left = count(h) })
+	_ = supervisor.Every(ctx, drainPollInterval, func(context.Context) {
+		r.WithLock(func(h *home.Home) { left = count(h) })
 		if left == 0 {
 			cancel()
 		}
@@ -107,23 +115,27 @@
 	return left
 }
 
-// Go runs f on a goroutine that Close waits for; ctx ends with Close.
+// Go runs f in the background. Its context ends when Close is called, and Close waits
+// for f to return.
 func (r *Requests) Go(f func(ctx context.Context)) {
 	r.calls.Go(func() { f(r.ctx) })
 }
 
-// Close gives up all calls to targets and waits for them.
+// Close cancels all calls to targets and the contexts of functions started with Go, and
+// waits for all of them to return.
 func (r *Requests) Close() {
 	r.cancel()
 	r.calls.Wait()
 }
 
-// pendingReply is an answer on its way to a waiting caller.
+// pendingReply is an answer that has to be sent to a waiting caller.
 type pendingReply struct {
 	to     chan core.Answer
 	answer core.Answer
 }
 
+// takeReplies removes the waiters that commands reply to and returns their replies. The
+// caller holds mu.
 func (r *Requests) takeReplies(commands []home.Command) []pendingReply {
 	var replies []pendingReply
 	for _, c := range commands {
@@ -139,13 +151,13 @@
 	return replies
 }
 
-// await hands in the event that event makes and waits for the reply. A caller
-// that goes away leaves its request as it is.
-func (r *Requests) await(ctx context.Context, key core.RequestKey, event func(home.Waiter) home.Event) core.Answer {
+// awaitReply handles the event that event creates for a new waiter, and waits for the
+// reply. If ctx ends first, the caller has disconnected; its request continues.
+func (r *Requests) awaitReply(ctx context.Context, key core.RequestKey, event func(home.Waiter) home.Event) core.Answer {
 	reply := make(chan core.Answer, 1)
 	r.mu.Lock()
-	r.last++
-	w := r.last
+	r.lastWaiter++
+	w := r.lastWaiter
 	r.waiters[w] = reply
 	r.mu.Unlock()
 	r.Handle(event(w))
@@ -161,31 +173,35 @@
 	}
 }
 
-func (r *Requests) carryOut(c home.Command) {
+// execute starts a command's call to a target in the background. Replies are sent by
+// Handle.
+func (r *Requests) execute(c home.Command) {
 	switch c := c.(type) {
 	case home.Dispatch:
-		r.calls.Go(func() { r.start(c) })
+		r.calls.Go(func() { r.startTask(c) })
 	case home.AskTarget:
-		r.calls.Go(func() { r.ask(c) })
+		r.calls.Go(func() { r.askTarget(c) })
 	case home.StopTask:
 		r.calls.Go(func() { r.stopTask(c) })
 	case home.Reply:
 	}
 }
 
-func (r *Requests) start(d home.Dispatch) {
-	asked := r.Now()
+// startTask sends a dispatch to its target and passes the result on.
+func (r *Requests) startTask(d home.Dispatch) {
+	sentAt := r.Now()
 	end := home.End(home.NotStarted{Reason: home.Unreachable})
 	if address, ok := r.Address(d.VM); ok {
 		end = r.Targets.Start(r.ctx, address, d)
 	}
-	if r.Seen != nil {
-		r.Seen(d.VM, asked, end)
+	if r.OnDispatchEnded != nil {
+		r.OnDispatchEnded(d.VM, sentAt, end)
 	}
 	r.Handle(home.Ended{Key: d.Request.Key, Number: d.Number, End: end})
 }
 
-func (r *Requests) ask(c home.AskTarget) {
+// askTarget asks a target about the outcome of a task.
+func (r *Requests) askTarget(c home.AskTarget) {
 	finding := home.Finding(home.FoundNothing{})
 	if address, ok := r.Address(c.VM); ok {
 		finding = r.Targets.Ask(r.ctx, address, c.Key)
@@ -193,6 +209,7 @@
 	r.Handle(home.Asked{Key: c.Key, Finding: finding})
 }
 
+// stopTask tells a target to stop a task.
 func (r *Requests) stopTask(c home.StopTask) {
 	if address, ok := r.Address(c.VM); ok {
 		r.Targets.Stop(r.ctx, address, c.Key)
--- a/io/entry/unsafe_test.go
+++ b/io/entry/safeguards_test.go
@@ -14,27 +14,28 @@
 	"lavenderpond/io/target/standin"
 )
 
-// apply switches safeguards of a daemon off, before it runs.
-func (o safeguardsOff) apply(d *Daemon) {
-	if o.holders {
-		d.front.Holders = anyHolder{}
-		d.requests.home.Leases = anyHolder{}
+// apply disables the safeguards in a daemon that has not been started yet.
+func (o disabledSafeguards) apply(d *Daemon) {
+	if o.shardLeases {
+		d.front.Leases = alwaysHolder{}
+		d.requests.home.Leases = alwaysHolder{}
 	}
 	if o.allotments {
 		d.requests.home.Limiter = noLimit{d.requests.home.Limiter}
 	}
-	if o.keys {
-		d.front.Gate = openGate{}
+	if o.keyChecks {
+		d.front.Authorizer = allowAll{}
 		d.requests.home.Config = anyKey{d.requests.home.Config}
 	}
-	if o.leaving {
-		d.requests.Seen = func(core.VMID, time.Time, home.End) {}
+	if o.leavingRefusals {
+		d.requests.OnDispatchEnded = func(core.VMID, time.Time, home.End) {}
 	}
 }
 
-// handler returns a VM's handler, whose answers pass every check if the test says so.
-func (o safeguardsOff) handler(vm *standin.VM) http.Handler {
-	if !o.answerCheck {
+// handler returns the HTTP handler of a VM. If answerChecks is set, all of its answers
+// pass the entry's checks.
+func (o disabledSafeguards) handler(vm *standin.VM) http.Handler {
+	if !o.answerChecks {
 		return vm.Handler()
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +43,8 @@
 	})
 }
 
-// forgedWriter names the task that was asked for, and states the length that comes.
+// forgedWriter sets the headers that identify the task and the answer's length to match
+// the request and the body, whatever the body is.
 type forgedWriter struct {
 	http.ResponseWriter
 	task string
@@ -55,27 +57,29 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// anyHolder lets an entry decide about every id, without a mirror.
-type anyHolder struct{}
+// alwaysHolder lets an entry decide about every id, without mirroring starts.
+type alwaysHolder struct{}
 
-// Decide implements Holders and home.ShardLeases.
-func (anyHolder) Decide(now time.Time, _ core.RequestKey, _, deadline time.Time) shard.Verdict {
+// Decide implements LeaseDecider and home.ShardLeases.
+func (alwaysHolder) Decide(now time.Time, _ core.RequestKey, _, deadline time.Time) shard.Verdict {
 	return shard.Run{StartBy: deadline}
 }
 
 // LeaseExpiry implements home.ShardLeases.
-func (anyHolder) LeaseExpiry(now time.Time, _ core.RequestKey) time.Time { return now.Add(time.Hour) }
+func (alwaysHolder) LeaseExpiry(now time.Time, _ core.RequestKey) time.Time {
+	return now.Add(time.Hour)
+}
 
 // Start implements home.ShardLeases.
-func (anyHolder) Start(time.Time, shard.Start) bool { return true }
+func (alwaysHolder) Start(time.Time, shard.Start) bool { return true }
 
-// anyKey takes every key.
+// anyKey is a home.Configuration that accepts every key.
 type anyKey struct{ home.Configuration }
 
 // KeyGood implements home.Configuration.
 func (anyKey) KeyGood(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
 
-// noLimit allows every start.
+// noLimit is a limit.Limiter that allows every start.
 type noLimit struct{ limit.Limiter }
 
 // Acquire implements limit.Limiter.
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -13,18 +13,19 @@
 	"lavenderpond/io/supervisor"
 )
 
-// statusTimeout bounds the question to one other entry.
+// statusTimeout is the time limit for the status query to one other entry.
 const statusTimeout = time.Second
 
-// backend answers the operators' service.
+// backend implements operator.Backend for the operators' service.
 type backend struct{ *Daemon }
 
 var _ operator.Backend = backend{}
 
-// StatusName is the name under which a StatusReceiver is registered.
+// StatusName is the net/rpc service name of StatusReceiver.
 const StatusName = "Status"
 
-// StatusReceiver answers peers that gather the fleet's status for an operator.
+// StatusReceiver is the net/rpc service from which peers query this entry's status when
+// an operator asks for the status of the fleet.
 type StatusReceiver struct{ daemon *Daemon }
 
 // Get returns this entry's status.
@@ -33,15 +34,17 @@
 	return nil
 }
 
+// status returns this entry's status.
 func (d *Daemon) status() operator.EntryStatus {
 	s := operator.EntryStatus{
 		Entry: d.id, Zone: d.settings.Entry.Zone, Reachable: true,
 		Version: d.config.Version(),
-		// The trust counts from the evidence.
+		// KeysTrustedUntil is CutOffBound after the last evidence that the key list
+		// was up to date.
 		KeysFreshAt: d.config.KeysFreshUntil().Add(-d.settings.Keys.CutOffBound),
 		Shards:      d.shards.HeldCount(),
 	}
-	d.requests.Locked(func(h *home.Home) { s.Teams = teamLoads(h.Loads()) })
+	d.requests.WithLock(func(h *home.Home) { s.Teams = teamLoads(h.Loads()) })
 	return s
 }
 
@@ -56,17 +59,19 @@
 // Fleet implements operator.Backend.
 func (b backend) Fleet(ctx context.Context) []operator.EntryStatus {
 	list := []operator.EntryStatus{b.status()}
-	others := b.others()
+	others := b.otherMembers()
 	replies := make([]operator.EntryStatus, len(others))
 	var g supervisor.Group
 	for i, m := range others {
-		g.Go(func() { replies[i] = b.ask(ctx, m) })
+		g.Go(func() { replies[i] = b.fetchStatus(ctx, m) })
 	}
 	g.Wait()
 	return append(list, replies...)
 }
 
-func (b backend) ask(ctx context.Context, m peer.Member) operator.EntryStatus {
+// fetchStatus queries the status of another entry. If the entry does not answer, the
+// result has Reachable unset.
+func (b backend) fetchStatus(ctx context.Context, m peer.Member) operator.EntryStatus {
 	if m.Entry == "" {
 		return operator.EntryStatus{Zone: m.Zone}
 	}
@@ -79,9 +84,10 @@
 	return reply
 }
 
-// others returns the other entries of the fleet. A zone of which no entry is
-// known has one member without an Entry: an operator must see that it is missing.
-func (b backend) others() []peer.Member {
+// otherMembers returns the other entries of the fleet. For another zone without any
+// known entry it returns one member with an empty Entry, so that the zone is reported to
+// the operator as unreachable instead of being left out.
+func (b backend) otherMembers() []peer.Member {
 	var others []peer.Member
 	for _, zone := range b.settings.Entry.Zones {
 		members := b.members(zone)
@@ -103,18 +109,19 @@
 		w.Team, _ = b.config.KeyTeam(w.Digest)
 	}
 	b.config.Withdraw(w)
-	others := b.others()
+	others := b.otherMembers()
 	confirmations := make([]operator.Confirmation, len(others))
 	var g supervisor.Group
 	for i, m := range others {
-		g.Go(func() { confirmations[i] = b.withdrawAt(ctx, m, w) })
+		g.Go(func() { confirmations[i] = b.sendWithdrawal(ctx, m, w) })
 	}
 	g.Wait()
 	own := operator.Confirmation{Entry: b.id, Zone: b.settings.Entry.Zone, Confirmed: true}
 	return append([]operator.Confirmation{own}, confirmations...)
 }
 
-func (b backend) withdrawAt(ctx context.Context, m peer.Member, w key.Withdrawal) operator.Confirmation {
+// sendWithdrawal tells another entry to refuse a withdrawn key.
+func (b backend) sendWithdrawal(ctx context.Context, m peer.Member, w key.Withdrawal) operator.Confirmation {
 	c := operator.Confirmation{Entry: m.Entry, Zone: m.Zone}
 	if m.Entry == "" {
 		c.Detail = "no entry of this zone is known here"
@@ -131,33 +138,34 @@
 // View implements operator.Backend.
 func (b backend) View() config.Delta { return b.config.DeltaSince(0) }
 
-// state is what a dump shows. It holds no key and no request's body.
-type state struct {
-	Entry      core.EntryID     `json:"entry"`
-	Zone       core.ZoneID      `json:"zone"`
-	Started    time.Time        `json:"started"`
-	Now        time.Time        `json:"now"`
-	Stopping   bool             `json:"stopping"`
-	Version    core.Version     `json:"config_version"`
-	KeysUntil  time.Time        `json:"keys_trusted_until"`
-	Requests   home.Dump        `json:"requests"`
-	Shards     any              `json:"shards"`
-	Limits     any              `json:"limits"`
-	Targets    any              `json:"targets"`
-	Control    any              `json:"maintenance"`
-	Directory  []Address        `json:"directory"`
-	Unrecorded []key.Withdrawal `json:"withdrawals_unrecorded"`
+// stateDump is the entry's state as an operator's dump shows it. It contains no keys and
+// no request bodies.
+type stateDump struct {
+	Entry          core.EntryID     `json:"entry"`
+	Zone           core.ZoneID      `json:"zone"`
+	Started        time.Time        `json:"started"`
+	Now            time.Time        `json:"now"`
+	Stopping       bool             `json:"stopping"`
+	Version        core.Version     `json:"config_version"`
+	KeysFreshUntil time.Time        `json:"keys_trusted_until"`
+	Requests       home.Dump        `json:"requests"`
+	Shards         any              `json:"shards"`
+	Allotments     any              `json:"limits"`
+	Targets        any              `json:"targets"`
+	Maintenance    any              `json:"maintenance"`
+	Directory      []Address        `json:"directory"`
+	Unrecorded     []key.Withdrawal `json:"withdrawals_unrecorded"`
 }
 
 // Dump implements operator.Backend.
 func (b backend) Dump() any {
-	s := state{
+	s := stateDump{
 		Entry: b.id, Zone: b.settings.Entry.Zone, Started: b.started, Now: b.now(), Stopping: b.stopping.Load(),
-		Version: b.config.Version(), KeysUntil: b.config.KeysFreshUntil(), Shards: b.shards.Dump(),
-		Limits: b.limits.Dump(), Targets: b.fleet.Targets(), Control: b.control.State(),
+		Version: b.config.Version(), KeysFreshUntil: b.config.KeysFreshUntil(), Shards: b.shards.Dump(),
+		Allotments: b.allotments.Dump(), Targets: b.fleet.Targets(), Maintenance: b.controller.State(),
 		Unrecorded: b.config.Unrecorded(),
 	}
-	b.requests.Locked(func(h *home.Home) { s.Requests = h.Dump() })
+	b.requests.WithLock(func(h *home.Home) { s.Requests = h.Dump() })
 	for _, zone := range b.settings.Entry.Zones {
 		s.Directory = append(s.Directory, b.directory.Zone(zone)...)
 	}
--- a/io/ini/settings_test.go
+++ b/io/ini/settings_test.go
@@ -21,8 +21,8 @@
 	return p
 }
 
-// TestPages holds the embedded sample and the operators' page equal to the table.
-func TestPages(t *testing.T) {
+// TestGeneratedFiles checks that the sample and docs/SETTINGS.md match settingTable.
+func TestGeneratedFiles(t *testing.T) {
 	golden.Assert(t, renderSample(), abs(t, "sample.ini"))
 	golden.Assert(t, renderPage(), abs(t, "../../docs/SETTINGS.md"))
 }
@@ -34,8 +34,8 @@
 	golden.Assert(t, fmt.Sprintf("%+v\n", s), "sample_settings.txt")
 }
 
-// TestRefusals reads each file of testdata/refused; the golden file beside it has
-// the whole error text.
+// TestRefusals loads each file in testdata/refused and compares the error text with
+// the golden file next to it. No error may show the operator key.
 func TestRefusals(t *testing.T) {
 	files, err := filepath.Glob("testdata/refused/*.ini")
 	assert.NilError(t, err)
@@ -44,7 +44,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			_, err := Load(file)
 			assert.Equal(t, core.ErrorCode(err), core.CodeInvalidSetting)
-			assert.Assert(t, !strings.Contains(err.Error(), "sample-operator-key"), "a key in an error")
+			assert.Assert(t, !strings.Contains(err.Error(), "sample-operator-key"), "the error shows the operator key")
 			golden.Assert(t, err.Error()+"\n", strings.TrimPrefix(file, "testdata/")+".txt")
 		})
 	}
@@ -55,9 +55,10 @@
 	assert.Equal(t, core.ErrorCode(err), core.CodeInvalidSetting)
 }
 
-// FuzzParse holds, for any input: no panic; an error names a code, and each of
-// its problems what is allowed; what is accepted has every key of ini.v1's own
-// reading known and indexed, so that nothing is taken from an unseen line.
+// FuzzParse checks three properties for any input. Parse doesn't panic. An error has a
+// code, and each of its problems says what is allowed. If the input is accepted, every
+// key that ini.v1 finds in it is a known setting and is indexed, so no value comes from
+// a line that was not checked.
 func FuzzParse(f *testing.F) {
 	files, _ := filepath.Glob("testdata/refused/*.ini")
 	for _, file := range files {
@@ -72,15 +73,15 @@
 			checkProblems(t, err)
 			return
 		}
-		assert.Assert(t, isID(s.Entry.Name) && s.Entry.Shards > 0 && isDialable(s.Entry.AdvertisePeer))
+		assert.Assert(t, isValidID(s.Entry.Name) && s.Entry.Shards > 0 && isDialable(s.Entry.AdvertisePeer))
 		lib, err := inilib.LoadSources(loadOptions, data)
 		assert.NilError(t, err)
 		x := indexLines("fuzz.ini", string(data))
 		for _, section := range lib.Sections() {
 			for _, key := range section.Keys() {
-				at := place{section.Name(), key.Name()}
-				_, known := findSetting(at)
-				assert.Assert(t, known && x.keys[at] > 0, "%v", at)
+				path := keyPath{section.Name(), key.Name()}
+				_, known := findSetting(path)
+				assert.Assert(t, known && x.keys[path] > 0, "%v", path)
 			}
 		}
 	})
@@ -100,17 +101,17 @@
 	var b strings.Builder
 	b.WriteString("# Settings of lavenderpondd. Lines with a leading # are comments; the values\n" +
 		"# behind them are the defaults. Written by `go test ./io/ini -update`.\n")
-	for _, h := range sectionHelp {
-		fmt.Fprintf(&b, "\n# %s\n[%s]\n", h.help, h.name)
-		for _, st := range settings {
-			if st.section != h.name {
+	for _, section := range sections {
+		fmt.Fprintf(&b, "\n# %s\n[%s]\n", section.help, section.name)
+		for _, st := range settingTable {
+			if st.section != section.name {
 				continue
 			}
-			fmt.Fprintf(&b, "\n# %s\n# Allowed: %s.\n", st.help, st.kind.allowed)
+			fmt.Fprintf(&b, "\n# %s\n# Allowed: %s.\n", st.help, st.valueKind.allowed)
 			if st.required {
 				fmt.Fprintf(&b, "%s = %s\n", st.key, st.example)
 			} else {
-				fmt.Fprintln(&b, strings.TrimSpace("#"+st.key+" = "+st.fallback+st.example))
+				fmt.Fprintln(&b, strings.TrimSpace("#"+st.key+" = "+st.defaultValue+st.example))
 			}
 		}
 	}
@@ -122,19 +123,19 @@
 	b.WriteString("# Settings\n\nOf the daemon `lavenderpondd`, in INI. Written from the table in `io/ini` by `go test ./io/ini -update`.\n" +
 		"`lavenderpond config sample` prints a commented file; `lavenderpond config check FILE` checks one.\n" +
 		"Unknown sections and keys, duplicates, quotes and comments behind a value are errors; all are reported at once.\n")
-	for _, h := range sectionHelp {
-		fmt.Fprintf(&b, "\n## [%s]\n\n%s\n\n| key | default | allowed | meaning |\n|---|---|---|---|\n", h.name, h.help)
-		for _, st := range settings {
-			if st.section != h.name {
+	for _, section := range sections {
+		fmt.Fprintf(&b, "\n## [%s]\n\n%s\n\n| key | default | allowed | meaning |\n|---|---|---|---|\n", section.name, section.help)
+		for _, st := range settingTable {
+			if st.section != section.name {
 				continue
 			}
-			fallback := "none"
+			defaultText := "none"
 			if st.required {
-				fallback = "required"
-			} else if st.fallback != "" {
-				fallback = "`" + st.fallback + "`"
+				defaultText = "required"
+			} else if st.defaultValue != "" {
+				defaultText = "`" + st.defaultValue + "`"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", st.key, fallback, st.kind.allowed, st.help)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", st.key, defaultText, st.valueKind.allowed, st.help)
 		}
 	}
 	return b.String()
--- a/io/supervisor/workers_test.go
+++ b/io/supervisor/workers_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// awaitIdle returns the goroutines without work once there are n of them.
+// awaitIdle waits until exactly n goroutines are idle and returns their channels.
 func awaitIdle(w *Workers, n int) []chan func() {
 	for {
 		w.mu.Lock()
@@ -21,9 +21,9 @@
 	}
 }
 
-// TestWorkersTakeTheNextFunction: functions come one after the other. One goroutine
-// runs them all, and ends with Wait.
-func TestWorkersTakeTheNextFunction(t *testing.T) {
+// TestWorkersReuseGoroutines starts functions one after the other. A single goroutine
+// runs all of them and exits when Wait is called.
+func TestWorkersReuseGoroutines(t *testing.T) {
 	var w Workers
 	ran := 0
 	w.Go(func() { ran++ })
@@ -37,10 +37,11 @@
 	assert.Equal(t, len(w.idle), 0)
 }
 
-// TestWorkersNeverWait: many functions that wait for one another come at once, more
-// than goroutines are kept. Each has its own, as in a Group, and few stay.
-func TestWorkersNeverWait(t *testing.T) {
-	const n = 4 * idleWorkers
+// TestWorkersNeverQueue starts more functions at once than goroutines are kept idle,
+// and each function waits for all others. Every function gets its own goroutine, as in
+// a Group, so that they don't deadlock. Only maxIdleWorkers goroutines stay idle.
+func TestWorkersNeverQueue(t *testing.T) {
+	const n = 4 * maxIdleWorkers
 	var w Workers
 	all := make(chan struct{})
 	var arrived atomic.Int64
@@ -53,12 +54,13 @@
 		})
 	}
 	<-all
-	awaitIdle(&w, idleWorkers)
+	awaitIdle(&w, maxIdleWorkers)
 	w.Wait()
 }
 
-// TestWorkersWaitForAll: a function starts another one while Wait waits already, as a
-// dispatch starts a question about its lost answer. Wait returns after both.
+// TestWorkersWaitForAll starts a function from another one while Wait is already
+// blocked, as a dispatch whose answer was lost starts a query of the target. Wait
+// returns only after both have finished.
 func TestWorkersWaitForAll(t *testing.T) {
 	var w Workers
 	var ran atomic.Bool
