--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -46,17 +46,17 @@
 func (h *callerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := bootNow()
 	call := platform.DecodeCall(r)
-	conf := h.view.configuration()
-	if conf == nil {
+	config := h.view.configuration()
+	if config == nil {
 		h.deny(w, call, "", platform.DeniedUnavailable, "no configuration yet")
 		return
 	}
-	q, rest := conf.Route(call.Host, call.Path)
+	q, rest := config.Route(call.Host, call.Path)
 	if q == nil {
 		h.deny(w, call, "", platform.DeniedNoQueue, "no such queue")
 		return
 	}
-	account, ok := conf.AccountForKey(call.Key)
+	account, ok := config.AccountForKey(call.Key)
 	if !ok && !q.Public {
 		h.deny(w, call, rest, platform.DeniedUnknownKey, "unknown key")
 		return
@@ -77,7 +77,7 @@
 	if decision == contact.Probe && call.Method != platform.CallSubmit {
 		timeout = min(timeout, probeTimeout+replyMargin)
 	}
-	rc := routedCall{call: call, queue: q, account: account, id: job.ID(rest), deadline: started.Add(timeout - replyMargin), conf: conf, decision: decision}
+	rc := routedCall{call: call, queue: q, account: account, id: job.ID(rest), deadline: started.Add(timeout - replyMargin), config: config, decision: decision}
 	h.serve(r.Context(), w, r, rc)
 	h.elapsed("call_"+call.Method.String(), bootNow().Sub(started))
 }
@@ -89,7 +89,7 @@
 	account  job.AccountName
 	id       job.ID
 	deadline time.Time
-	conf     *job.Configuration
+	config   *job.Configuration
 	decision contact.Decision
 }
 
@@ -122,7 +122,7 @@
 }
 
 func (h *callerHandler) submit(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
-	body, err := platform.DecodeJob(r.Body, c.conf.Limits.BodyBytes)
+	body, err := platform.DecodeJob(r.Body, c.config.Limits.BodyBytes)
 	if errors.Is(err, platform.ErrBodyTooLarge) {
 		h.deny(w, c.call, string(c.id), platform.DeniedTooLarge, err.Error())
 		return
@@ -186,7 +186,7 @@
 	h.count("accepted_" + c.call.Method.String())
 	h.log.Info().Str("event", "call_accepted").Str("method", c.call.Method.String()).Str("job", string(c.id)).
 		Str("queue", string(c.queue.Name)).Str("account", string(c.account)).
-		Int64("configuration", int64(c.conf.Version)).Send()
+		Int64("configuration", int64(c.config.Version)).Send()
 	platform.WriteAccepted(w)
 }
 
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -175,7 +175,7 @@
 		{RowKey: renewalKey, Version: c.renewal},
 	}}
 	backlog := c.backlog()
-	value, err := encodeRow(renewalRow{Life: c.tenure.life, Batch: c.batch, Counted: backlog != nil, Backlog: backlog, Entries: c.entryCount()})
+	value, err := encodeRow(renewalRow{RunID: c.tenure.runID, Batch: c.batch, Counted: backlog != nil, Backlog: backlog, Entries: c.entryCount()})
 	if err != nil {
 		return tx, err
 	}
@@ -255,14 +255,14 @@
 func (c *committer) resolveConflict(firstSent, sent time.Time, conflict *platform.ConflictError) error {
 	owner, renewal := conflict.Row(ownerKey), conflict.Row(renewalKey)
 	if owner == nil || owner.Version != c.tenure.fence || renewal == nil {
-		return errDeposed
+		return errOwnershipLost
 	}
 	r, err := decodeRow[renewalRow](renewal)
 	if err != nil {
 		return err
 	}
-	if r.Life != c.tenure.life || r.Batch != c.batch {
-		return errors.Wrapf(errDeposed, "the renewal row holds batch %d of process run %s, not batch %d", r.Batch, r.Life, c.batch)
+	if r.RunID != c.tenure.runID || r.Batch != c.batch {
+		return errors.Wrapf(errOwnershipLost, "the renewal row holds batch %d of process run %s, not batch %d", r.Batch, r.RunID, c.batch)
 	}
 	c.recordStored(firstSent, sent, renewal.Version)
 	return nil
--- a/io/node/dump.go
+++ b/io/node/dump.go
@@ -13,7 +13,7 @@
 type processDump struct {
 	Node          string            `json:"node"`
 	Zone          string            `json:"zone"`
-	Life          string            `json:"life"`
+	RunID         string            `json:"life"`
 	Ready         bool              `json:"ready"`
 	Configuration job.ConfigVersion `json:"configuration,omitempty"`
 	Evacuated     []job.ZoneName    `json:"evacuated"`
@@ -26,17 +26,17 @@
 
 // ownerDump is the additional state of the process that is the owner.
 type ownerDump struct {
-	Fence        platform.Version      `json:"fence"`
-	TenureNumber int64                 `json:"turn"`
-	MayStart     bool                  `json:"may_start"`
-	MayOrder     bool                  `json:"may_order"`
-	Waiting      map[job.QueueName]int `json:"waiting"`
-	Relays       map[string][]string   `json:"relays"`
+	Fence            platform.Version      `json:"fence"`
+	TenureNumber     int64                 `json:"turn"`
+	MayStartTasks    bool                  `json:"may_start"`
+	MayOrderMachines bool                  `json:"may_order"`
+	Backlog          map[job.QueueName]int `json:"waiting"`
+	Relays           map[string][]string   `json:"relays"`
 }
 
 func (n *Node) dump(now time.Time) processDump {
 	d := processDump{
-		Node: n.settings.Node, Zone: n.settings.Zone, Life: n.election.life, Ready: n.ready(),
+		Node: n.settings.Node, Zone: n.settings.Zone, RunID: n.election.runID, Ready: n.ready(),
 		Evacuated: n.view.evacuations(), ViewAgeMS: n.view.age(now).Milliseconds(), TableAgeMS: n.health.sinceLastAnswer().Milliseconds(),
 	}
 	if c := n.view.configuration(); c != nil {
@@ -50,8 +50,8 @@
 
 func (o *owner) dump(now time.Time) *ownerDump {
 	return &ownerDump{
-		Fence: o.tenure.fence, TenureNumber: o.tenure.number, MayStart: o.mayStartTasks(now), MayOrder: o.tenure.mayOrderMachines(now),
-		Waiting: o.backlog.get(), Relays: o.relays.addresses(),
+		Fence: o.tenure.fence, TenureNumber: o.tenure.number, MayStartTasks: o.mayStartTasks(now), MayOrderMachines: o.tenure.mayOrderMachines(now),
+		Backlog: o.backlog.get(), Relays: o.relays.addresses(),
 	}
 }
 
--- a/io/node/election.go
+++ b/io/node/election.go
@@ -39,7 +39,7 @@
 type election struct {
 	table *platform.Table
 	node  string
-	life  string
+	runID string
 	log   zerolog.Logger
 	// lowCapacity is set on an entry VM with too little CPU capacity for a large fleet.
 	lowCapacity bool
@@ -124,7 +124,7 @@
 	}
 	observation.Owner, observation.Renewal = uint64(rows.ownerVersion), uint64(rows.renewalVersion)
 	observation.Vacant = rows.owner.Vacant
-	observation.PreviousRun = rows.owner.Node == e.node && rows.owner.Life != e.life
+	observation.PreviousRun = rows.owner.Node == e.node && rows.owner.RunID != e.runID
 	return observation, rows, nil
 }
 
@@ -145,11 +145,11 @@
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
 	number := rows.owner.TenureNumber + 1
-	owner, err := encodeRow(ownerRow{Node: e.node, Life: e.life, TenureNumber: number})
+	owner, err := encodeRow(ownerRow{Node: e.node, RunID: e.runID, TenureNumber: number})
 	if err != nil {
 		return nil, 0, err
 	}
-	renewal, err := encodeRow(renewalRow{Life: e.life, Entries: int(e.entries.Load())})
+	renewal, err := encodeRow(renewalRow{RunID: e.runID, Entries: int(e.entries.Load())})
 	if err != nil {
 		return nil, 0, err
 	}
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	t := &tenure{life: e.life, fence: version, number: number}
+	t := &tenure{runID: e.runID, fence: version, number: number}
 	t.confirm(sent, sent)
 	return t, version, nil
 }
@@ -178,7 +178,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if rows.owner.Life != e.life || rows.owner.TenureNumber != number || rows.renewalVersion != rows.ownerVersion {
+	if rows.owner.RunID != e.runID || rows.owner.TenureNumber != number || rows.renewalVersion != rows.ownerVersion {
 		return 0, errors.New("another process took over")
 	}
 	return rows.ownerVersion, nil
@@ -186,7 +186,7 @@
 
 // vacate marks the owner row as vacant, so that another process takes over at once.
 func (e *election) vacate(t *tenure) {
-	value, err := encodeRow(ownerRow{Node: e.node, Life: e.life, TenureNumber: t.number, Vacant: true})
+	value, err := encodeRow(ownerRow{Node: e.node, RunID: e.runID, TenureNumber: t.number, Vacant: true})
 	tx := platform.Transaction{
 		Conditions: []platform.Condition{{RowKey: ownerKey, Version: t.fence}},
 		Writes:     []platform.Write{{RowKey: ownerKey, Value: value}},
--- a/io/node/event.go
+++ b/io/node/event.go
@@ -48,9 +48,9 @@
 		machines    []job.Machine
 		requestedAt time.Time
 	}
-	// upkeepAnswered and moveAnswered carry the answers to orders for machine maintenance
+	// maintainAnswered and moveAnswered carry the answers to orders for machine maintenance
 	// and for moving a machine to another pool.
-	upkeepAnswered struct {
+	maintainAnswered struct {
 		order   schedule.Maintain
 		outcome schedule.Outcome
 		refusal job.MachineRefusal
@@ -60,8 +60,8 @@
 		outcome schedule.Outcome
 		refusal job.MachineRefusal
 	}
-	// approvalsReceived carries the VMs that are approved for a step, with their tickets.
-	approvalsReceived struct {
+	// approvalAnswered carries the VMs that are approved for a step, with their tickets.
+	approvalAnswered struct {
 		step      job.StepID
 		approvals platform.Approvals
 	}
@@ -69,15 +69,15 @@
 	reconfigured struct{}
 )
 
-func (jobRowsChanged) event()    {}
-func (vmRowsChanged) event()     {}
-func (directoryRead) event()     {}
-func (savesStored) event()       {}
-func (startAnswered) event()     {}
-func (stopAnswered) event()      {}
-func (holdAnswered) event()      {}
-func (machinesListed) event()    {}
-func (upkeepAnswered) event()    {}
-func (moveAnswered) event()      {}
-func (approvalsReceived) event() {}
-func (reconfigured) event()      {}
+func (jobRowsChanged) event()   {}
+func (vmRowsChanged) event()    {}
+func (directoryRead) event()    {}
+func (savesStored) event()      {}
+func (startAnswered) event()    {}
+func (stopAnswered) event()     {}
+func (holdAnswered) event()     {}
+func (machinesListed) event()   {}
+func (maintainAnswered) event() {}
+func (moveAnswered) event()     {}
+func (approvalAnswered) event() {}
+func (reconfigured) event()     {}
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -75,7 +75,7 @@
 // route returns the sender for orders to a VM. Relays are used only by an owner that has
 // recently confirmed its ownership. An owner that is slow or cut off from the table
 // decides on stale data, and a healthy relay would carry out the resulting orders.
-func (r *orderRouter) route(now time.Time, id job.VMID) vmOrderSender {
+func (r *orderRouter) route(now time.Time, id job.VMID) orderSender {
 	direct := directSender{r.client(id)}
 	if !r.owner.tenure.mayOrderMachines(now) {
 		return direct
@@ -85,12 +85,12 @@
 	if relay == "" {
 		return direct
 	}
-	return relayedSender{relays: r.owner.relays, relay: relay, vm: id, address: address, direct: direct}
+	return relaySender{relays: r.owner.relays, relay: relay, vm: id, address: address, direct: direct}
 }
 
 // holdRoute returns the sender for a hold. A status check goes to the VM directly: it
 // follows up an order without an answer, and the relay may be the reason for that.
-func (r *orderRouter) holdRoute(now time.Time, c schedule.Hold) vmOrderSender {
+func (r *orderRouter) holdRoute(now time.Time, c schedule.Hold) orderSender {
 	if c.Probe {
 		return directSender{r.client(c.VM)}
 	}
@@ -155,7 +155,7 @@
 	return schedule.Unanswered
 }
 
-func (o *owner) start(ctx context.Context, vm vmOrderSender, c schedule.Start) {
+func (o *owner) start(ctx context.Context, vm orderSender, c schedule.Start) {
 	// Ownership and zone are checked again right before the order is sent, because this
 	// process may have been suspended since the scheduler decided.
 	if !o.mayStartTasks(bootNow()) || !o.node.view.zoneOpen(c.Zone) {
@@ -183,7 +183,7 @@
 	}
 }
 
-func (o *owner) hold(ctx context.Context, vm vmOrderSender, c schedule.Hold) {
+func (o *owner) hold(ctx context.Context, vm orderSender, c schedule.Hold) {
 	if !o.tenure.mayExtendLeases(bootNow()) {
 		o.send(ctx, holdAnswered{order: c, outcome: schedule.NotDone})
 		return
@@ -195,11 +195,11 @@
 func (o *owner) requestApprovals(ctx context.Context, c schedule.RequestTickets) {
 	callCtx, cancel := context.WithTimeout(ctx, approvalTimeout)
 	defer cancel()
-	a, err := o.node.advice.Approve(callCtx, c.Step, c.VMs)
+	a, err := o.node.approvals.Approve(callCtx, c.Step, c.VMs)
 	if err != nil {
 		o.log.Warn().Err(err).Str("event", "advice_failed").Str("job", string(c.Step.Job)).Send()
 	}
-	o.send(ctx, approvalsReceived{c.Step, a})
+	o.send(ctx, approvalAnswered{c.Step, a})
 }
 
 func (o *owner) orderIssuer() job.OrderIssuer {
@@ -210,7 +210,7 @@
 	outcome, refusal := o.orderMachine(ctx, "upkeep_ordered", c.Machine, func(ctx context.Context) (job.MachineRefusal, error) {
 		return o.node.machines.Maintain(ctx, o.orderIssuer(), c.Machine, c.Wave)
 	})
-	o.send(ctx, upkeepAnswered{c, outcome, refusal})
+	o.send(ctx, maintainAnswered{c, outcome, refusal})
 }
 
 func (o *owner) moveMachine(ctx context.Context, c schedule.Move) {
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -98,12 +98,12 @@
 // restore creates a scheduler from the state that previous owners left.
 func (o *owner) restore(state storedState) {
 	now := bootNow()
-	var previousOrders []schedule.MachineOrder
+	var formerOrders []schedule.MachineOrder
 	orders := decodeRows[schedule.MachineOrder](state.orders, o.log)
 	for _, id := range slices.Sorted(maps.Keys(orders)) {
-		previousOrders = append(previousOrders, orders[id])
+		formerOrders = append(formerOrders, orders[id])
 	}
-	o.scheduler = o.newScheduler(previousOrders)
+	o.scheduler = o.newScheduler(formerOrders)
 	o.maintainedByWave = map[string][]job.MachineID{}
 	for key, w := range decodeRows[waveRow](state.waves, o.log) {
 		o.maintainedByWave[key] = w.Done
@@ -124,11 +124,11 @@
 }
 
 // newScheduler returns a scheduler for this tenure.
-func (o *owner) newScheduler(previousOrders []schedule.MachineOrder) *schedule.Scheduler {
+func (o *owner) newScheduler(formerOrders []schedule.MachineOrder) *schedule.Scheduler {
 	b := o.node.settings.Bounds
 	return schedule.New(schedule.Settings{
 		OrderIssuer:  o.node.settings.Node,
-		FormerOrders: previousOrders,
+		FormerOrders: formerOrders,
 		Fence:        job.Fence(o.tenure.fence),
 		AttemptBase:  job.Attempt(o.tenure.number * attemptsPerTenure),
 		TookOver:     o.tookOver,
--- a/io/node/membership.go
+++ b/io/node/membership.go
@@ -33,8 +33,8 @@
 	Cores   float64 `json:"cores"`
 	// LinkMbps is the bandwidth of the VM's network link in Mbit/s; 0 if it isn't known.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
-	// Life identifies one run of the entry VM's process.
-	Life string `json:"life"`
+	// RunID identifies one run of the entry VM's process.
+	RunID string `json:"life"`
 }
 
 func memberKey(node string) platform.RowKey {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -36,8 +36,8 @@
 	// headerTimeout and idleTimeout bound slow and idle callers.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 30 * time.Second
-	// lifeIDBytes is the length in bytes of the random ID of a process's run.
-	lifeIDBytes = 6
+	// runIDBytes is the length in bytes of the random ID of a process's run.
+	runIDBytes = 6
 )
 
 // Node is the process on an entry VM. Use New to create it.
@@ -46,7 +46,7 @@
 	log           zerolog.Logger
 	table         *platform.Table
 	machines      *platform.Machines
-	advice        *platform.ApprovalService
+	approvals     *platform.ApprovalService
 	view          *operatorView
 	callers       *callerHandler
 	election      *election
@@ -59,8 +59,8 @@
 
 // New creates a process. Run starts it.
 func New(s platform.Settings, log zerolog.Logger) (*Node, error) {
-	life := make([]byte, lifeIDBytes)
-	if _, err := rand.Read(life); err != nil {
+	runID := make([]byte, runIDBytes)
+	if _, err := rand.Read(runID); err != nil {
 		return nil, errors.Wrap(err, "generate process run ID")
 	}
 	n := &Node{
@@ -69,7 +69,7 @@
 		machines: platform.NewMachines(s.MachinesAddress),
 	}
 	if s.ApprovalAddress != "" {
-		n.advice = platform.NewApprovalService(s.ApprovalAddress)
+		n.approvals = platform.NewApprovalService(s.ApprovalAddress)
 	}
 	n.health.log = log
 	n.decisions = &decisionLog{log: log, count: n.metrics.count, elapsed: n.metrics.elapsed}
@@ -82,7 +82,7 @@
 		},
 	}
 	n.election = &election{
-		table: n.table, node: s.Node, life: hex.EncodeToString(life), log: log, serve: n.serve,
+		table: n.table, node: s.Node, runID: hex.EncodeToString(runID), log: log, serve: n.serve,
 		lowCapacity: s.Cores > 0 && s.Cores < lowCapacityCores, health: &n.health, readsPerSecond: s.TableReadsPerSecond,
 	}
 	return n, nil
@@ -148,7 +148,7 @@
 		return nil
 	}
 	m := membership{table: n.table, node: n.settings.Node, log: n.log, row: memberRow{
-		Zone: n.settings.Zone, Address: n.settings.PeerAddress, Cores: n.settings.Cores, LinkMbps: n.settings.LinkMbps, Life: n.election.life,
+		Zone: n.settings.Zone, Address: n.settings.PeerAddress, Cores: n.settings.Cores, LinkMbps: n.settings.LinkMbps, RunID: n.election.runID,
 	}}
 	return []supervisor.Child{
 		{Name: "relay", Run: func(context.Context) error { return (&Relay{}).run(serveCtx, n.settings.PeerAddress) }},
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -59,7 +59,7 @@
 
 func newCommitter(table *platform.Table) *committer {
 	return &committer{
-		table: table, tenure: &tenure{life: "me", fence: 10}, log: zerolog.Nop(), renewal: 10,
+		table: table, tenure: &tenure{runID: "me", fence: 10}, log: zerolog.Nop(), renewal: 10,
 		backlog: func() map[job.QueueName]int { return nil }, recordLatency: func(time.Duration) {}, health: &tableHealth{},
 	}
 }
@@ -87,7 +87,7 @@
 
 // Guards against a deposed owner that continues. After another process has taken over, the
 // previous owner's writes fail regardless of its clock, and it must stop.
-func TestDeposedOwnerStops(t *testing.T) {
+func TestFormerOwnerStops(t *testing.T) {
 	for name, rows := range map[string]string{
 		"other owner":   conflictAnswer(30, `{"life":"me","batch":1}`),
 		"other renewal": conflictAnswer(10, `{"life":"other","batch":1}`),
@@ -95,7 +95,7 @@
 	} {
 		_, table := newFakeTable(t, respondWith(http.StatusPreconditionFailed, rows))
 		err := newCommitter(table).store(t.Context(), nil)
-		assert.Assert(t, errors.Is(err, errDeposed), "%s: %v", name, err)
+		assert.Assert(t, errors.Is(err, errOwnershipLost), "%s: %v", name, err)
 	}
 }
 
@@ -170,13 +170,13 @@
 }
 
 func newCallerHandler(health *tableHealth) *callerHandler {
-	conf := &job.Configuration{
+	config := &job.Configuration{
 		Version: 1,
 		Queues:  []job.Queue{{Name: "q", Host: "h.example", Prefix: "/q/"}, {Name: "open", Host: "h.example", Prefix: "/open/", Public: true}},
 	}
-	conf.Index()
+	config.Index()
 	return &callerHandler{
-		view: &operatorView{conf: conf}, health: health, log: zerolog.Nop(),
+		view: &operatorView{config: config}, health: health, log: zerolog.Nop(),
 		count: func(string) {}, elapsed: func(string, time.Duration) {},
 	}
 }
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -39,13 +39,13 @@
 	// health records the table's answers.
 	health *tableHealth
 
-	mu    sync.Mutex
-	conf  *job.Configuration
-	waves map[int64]job.Wave
+	mu     sync.Mutex
+	config *job.Configuration
+	waves  map[int64]job.Wave
 	// evacuated holds the availability zones in which no task may start.
 	evacuated map[job.ZoneName]struct{}
-	// generation counts the changes.
-	generation uint64
+	// changes counts the changes.
+	changes uint64
 	// asOf is the time up to which all changes are known: the view includes everything
 	// that was acknowledged before.
 	asOf time.Time
@@ -55,7 +55,7 @@
 func (v *operatorView) configuration() *job.Configuration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.conf
+	return v.config
 }
 
 func (v *operatorView) allWaves() []job.Wave {
@@ -87,7 +87,7 @@
 func (v *operatorView) changeCount() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.generation
+	return v.changes
 }
 
 // age returns the time since asOf.
@@ -157,17 +157,17 @@
 	if !v.applyChange(c) {
 		return false
 	}
-	v.generation++
+	v.changes++
 	return true
 }
 
 func (v *operatorView) applyChange(c platform.OperatorChange) bool {
 	switch c := c.(type) {
 	case platform.ConfigurationChange:
-		if v.conf != nil && c.Version <= v.conf.Version {
+		if v.config != nil && c.Version <= v.config.Version {
 			return false
 		}
-		v.conf = c.Configuration
+		v.config = c.Configuration
 		v.log.Info().Str("event", "configuration_in_force").Int64("version", int64(c.Version)).
 			Int("queues", len(c.Queues)).Int("accounts", len(c.Accounts)).Send()
 		return true
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -88,7 +88,7 @@
 	o.workers.Wait()
 	o.router.close()
 	err := context.Cause(ctx)
-	if n.stopping() && !errors.Is(err, errDeposed) {
+	if n.stopping() && !errors.Is(err, errOwnershipLost) {
 		n.election.vacate(t)
 	}
 	return err
@@ -142,7 +142,7 @@
 func (o *owner) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var pacer cyclePacer
+	var pacer roundPacer
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -154,13 +154,13 @@
 		supervisor.Sleep(ctx, pacer.pause(bootNow()))
 		o.drainEvents()
 		started := bootNow()
-		o.runCycle(ctx, started)
-		pacer.recordCycle(started, bootNow())
+		o.runRound(ctx, started)
+		pacer.recordRound(started, bootNow())
 	}
 }
 
-// runCycle runs the scheduler on all events handled so far and executes its commands.
-func (o *owner) runCycle(ctx context.Context, now time.Time) {
+// runRound runs the scheduler on all events handled so far and executes its commands.
+func (o *owner) runRound(ctx context.Context, now time.Time) {
 	if o.node.view.changeCount() != o.viewChanges {
 		o.reconfigure(now)
 	}
@@ -168,7 +168,7 @@
 	o.scheduler.SetRights(schedule.Rights{
 		OrderMachines: o.tenure.mayOrderMachines(now), StartTasks: o.mayStartTasks(now), ExtendLeases: o.tenure.mayExtendLeases(now),
 	})
-	o.relays.wanted.Store(o.scheduler.VMCount() >= minVMsForRelays)
+	o.relays.enabled.Store(o.scheduler.VMCount() >= minVMsForRelays)
 	o.scheduler.Tick(now)
 	o.scheduler.Assign(now, time.Now())
 	o.backlog.set(o.scheduler.Backlog(now))
@@ -206,11 +206,11 @@
 		s.HoldAnswered(now, e.order, e.outcome, e.report)
 	case machinesListed:
 		s.MachinesListed(e.requestedAt, e.machines)
-	case upkeepAnswered:
+	case maintainAnswered:
 		s.MaintainAnswered(now, e.order, e.outcome, e.refusal)
 	case moveAnswered:
 		s.MoveAnswered(now, e.order, e.outcome, e.refusal)
-	case approvalsReceived:
+	case approvalAnswered:
 		s.ApprovalAnswered(now, e.step, e.approvals.Tickets, e.approvals.ValidPeriod)
 	case reconfigured:
 		// The next cycle checks the view.
--- a/io/node/pacer.go
+++ b/io/node/pacer.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// cyclePauseFactor is the pause before the next cycle in multiples of the last cycle's
+	// roundPauseFactor is the pause before the next cycle in multiples of the last cycle's
 	// duration. A cycle examines the whole fleet whatever triggered it. With 350 VMs and
 	// 500 waiting jobs it takes 1 ms, and 1,500 answers a second would each trigger one.
 	// The further the owner fell behind, the more jobs waited and the longer the cycles
 	// took. With the pause, cycles take at most a fifth of a CPU, and answers are handled
 	// together.
-	cyclePauseFactor = 4
-	// minCyclePause lets answers accumulate. A cycle for each of them would sort the same
+	roundPauseFactor = 4
+	// minRoundPause lets answers accumulate. A cycle for each of them would sort the same
 	// VMs and jobs thousands of times a second.
-	minCyclePause = 4 * time.Millisecond
-	// maxCyclePause bounds the pause after a cycle during which the process was suspended.
-	maxCyclePause = 30 * time.Millisecond
+	minRoundPause = 4 * time.Millisecond
+	// maxRoundPause bounds the pause after a cycle during which the process was suspended.
+	maxRoundPause = 30 * time.Millisecond
 )
 
-// cyclePacer spaces the owner's scheduling cycles. The zero value allows the first one
+// roundPacer spaces the owner's scheduling cycles. The zero value allows the first one
 // immediately.
-type cyclePacer struct{ notBefore time.Time }
+type roundPacer struct{ notBefore time.Time }
 
-// recordCycle records when a cycle started and ended.
-func (p *cyclePacer) recordCycle(started, ended time.Time) {
-	p.notBefore = ended.Add(min(max(cyclePauseFactor*ended.Sub(started), minCyclePause), maxCyclePause))
+// recordRound records when a cycle started and ended.
+func (p *roundPacer) recordRound(started, ended time.Time) {
+	p.notBefore = ended.Add(min(max(roundPauseFactor*ended.Sub(started), minRoundPause), maxRoundPause))
 }
 
 // pause returns how long the next cycle has to wait.
-func (p *cyclePacer) pause(now time.Time) time.Duration { return max(0, p.notBefore.Sub(now)) }
+func (p *roundPacer) pause(now time.Time) time.Duration { return max(0, p.notBefore.Sub(now)) }
--- a/io/node/readback.go
+++ b/io/node/readback.go
@@ -84,5 +84,5 @@
 		c.log.Error().Err(err).Msg("renewal row could not be decoded")
 		return false
 	}
-	return r.Life == c.tenure.life && r.Batch == c.batch
+	return r.RunID == c.tenure.runID && r.Batch == c.batch
 }
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -74,13 +74,13 @@
 	for i, a := range addresses {
 		relays.members[fmt.Sprintf("entry-%d", i)] = memberRow{Zone: "a", Address: a, Cores: float64(len(addresses) - i)}
 	}
-	relays.wanted.Store(true)
+	relays.enabled.Store(true)
 	relays.chooseRelays(t.Context())
 	return relays
 }
 
-func (s *relaySet) senderFor(address string) relayedSender {
-	return relayedSender{
+func (s *relaySet) senderFor(address string) relaySender {
+	return relaySender{
 		relays: s, relay: s.relayFor("a", "vm-1"), vm: "vm-1", address: address,
 		direct: directSender{platform.NewVM("vm-1", address)},
 	}
@@ -108,7 +108,7 @@
 		assert.DeepEqual(t, r, wantReport)
 		assert.Equal(t, orders.Load(), int64(2), "%s: one order each", name)
 	}
-	assert.Equal(t, len(relays.ready["a"]), 1)
+	assert.Equal(t, len(relays.relays["a"]), 1)
 }
 
 // Guards against losing rows of a VM's task lists on the way. Tasks that the lists lack
@@ -130,7 +130,7 @@
 	stopped := freeAddress(t)
 	relays := relaySetWith(t, stopped)
 	assert.Equal(t, relays.relayFor("a", "vm-1"), "", "a member that doesn't answer is not selected")
-	relays.ready = map[string][]relay.Candidate{"a": {{Address: stopped}}}
+	relays.relays = map[string][]relay.Candidate{"a": {{Address: stopped}}}
 	_, out := relays.senderFor(address).Start(t.Context(), testStartOrder)
 	assert.Equal(t, out, schedule.Answered, "the owner sends the order directly")
 	assert.Equal(t, orders.Load(), int64(1))
@@ -146,7 +146,7 @@
 	defer l.Close() //nolint:errcheck // It accepts connections and never answers.
 	healthy := startRelay(t)
 	relays := relaySetWith(t, healthy)
-	relays.ready = map[string][]relay.Candidate{"a": {{Address: l.Addr().String()}}}
+	relays.relays = map[string][]relay.Candidate{"a": {{Address: l.Addr().String()}}}
 	relays.members["frozen"] = memberRow{Zone: "a", Address: l.Addr().String(), Cores: 8}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -168,11 +168,11 @@
 	_, direct := o.router.route(now, "vm-1").(directSender)
 	assert.Assert(t, direct)
 	o.tenure.confirm(now, now)
-	_, relayed := o.router.route(now, "vm-1").(relayedSender)
+	_, relayed := o.router.route(now, "vm-1").(relaySender)
 	assert.Assert(t, relayed)
 	_, direct = o.router.holdRoute(now, schedule.Hold{VM: "vm-1", Probe: true}).(directSender)
 	assert.Assert(t, direct)
-	relays.wanted.Store(false)
+	relays.enabled.Store(false)
 	_, direct = o.router.route(now, "vm-1").(directSender)
 	assert.Assert(t, direct, "relays are not used for a small fleet")
 }
@@ -183,7 +183,7 @@
 	first, second := startRelay(t), startRelay(t)
 	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
 	defer relays.pool.Close()
-	relays.wanted.Store(true)
+	relays.enabled.Store(true)
 	row := func(node, address string) platform.Row {
 		value, err := encodeRow(memberRow{Zone: "a", Address: address, Cores: 1})
 		assert.NilError(t, err)
@@ -191,13 +191,13 @@
 	}
 	relays.applyRows([]platform.Row{{RowKey: memberKey("bad"), Value: []byte("{")}, row("one", first), row("self", "127.0.0.1:1")}, true)
 	relays.chooseRelays(t.Context())
-	assert.DeepEqual(t, addresses(relays.ready["a"]), []string{first})
+	assert.DeepEqual(t, addresses(relays.relays["a"]), []string{first})
 	relays.applyRows([]platform.Row{row("two", second)}, false)
 	relays.chooseRelays(t.Context())
-	assert.DeepEqual(t, addresses(relays.ready["a"]), []string{first, second})
+	assert.DeepEqual(t, addresses(relays.relays["a"]), []string{first, second})
 	relays.applyRows([]platform.Row{{RowKey: memberKey("one"), Removed: true}, {RowKey: memberKey("two"), Removed: true}}, false)
 	relays.chooseRelays(t.Context())
-	assert.Equal(t, len(relays.ready["a"]), 0)
+	assert.Equal(t, len(relays.relays["a"]), 0)
 	assert.Equal(t, relays.relayFor("a", "vm-1"), "")
 }
 
@@ -244,7 +244,7 @@
 	}
 	var caller supervisor.Group
 	caller.Go(func() {
-		sender := relayedSender{relays: relays, relay: relayAddress, vm: "vm-1", address: address, direct: directSender{platform.NewVM("vm-1", address)}}
+		sender := relaySender{relays: relays, relay: relayAddress, vm: "vm-1", address: address, direct: directSender{platform.NewVM("vm-1", address)}}
 		sender.Hold(ctx, job.HoldOrder{Wait: time.Minute})
 	})
 	<-entered
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -43,8 +43,8 @@
 	ownAddress string
 	log        zerolog.Logger
 	pool       netrpc.Pool
-	// wanted is set while the fleet is large enough for relays.
-	wanted atomic.Bool
+	// enabled is set while the fleet is large enough for relays.
+	enabled atomic.Bool
 	// membersChanged signals that the list of members has changed.
 	membersChanged chan struct{}
 
@@ -54,7 +54,7 @@
 	// failedUntil holds the time until which a failed address isn't tried. ready holds the
 	// relays in use, by zone.
 	failedUntil map[string]time.Time
-	ready       map[string][]relay.Candidate
+	relays      map[string][]relay.Candidate
 	// unreachableUntil holds the time until which a zone of which no member has answered
 	// isn't tried.
 	unreachableUntil map[string]time.Time
@@ -123,9 +123,9 @@
 	var g supervisor.Group
 	for zone, candidates := range s.candidates(bootNow()) {
 		g.Go(func() {
-			ready := s.selectAnswering(ctx, candidates)
-			s.setReady(zone, ready)
-			if len(candidates) > 0 && len(ready) == 0 {
+			relays := s.selectAnswering(ctx, candidates)
+			s.setRelays(zone, relays)
+			if len(candidates) > 0 && len(relays) == 0 {
 				s.markZoneUnreachable(zone)
 			}
 		})
@@ -168,7 +168,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string][]relay.Candidate{}
-	for zone := range s.ready {
+	for zone := range s.relays {
 		// A zone that has lost all of its members gets an empty list of relays.
 		out[zone] = nil
 	}
@@ -192,7 +192,7 @@
 // isAlive reports whether a member answers. A member that is already a relay isn't pinged.
 func (s *relaySet) isAlive(ctx context.Context, address string) bool {
 	s.mu.Lock()
-	for _, list := range s.ready {
+	for _, list := range s.relays {
 		if slices.ContainsFunc(list, func(m relay.Candidate) bool { return m.Address == address }) {
 			s.mu.Unlock()
 			return true
@@ -209,20 +209,20 @@
 	return true
 }
 
-// setReady sets the relays of a zone.
-func (s *relaySet) setReady(zone string, ready []relay.Candidate) {
+// setRelays sets the relays of a zone.
+func (s *relaySet) setRelays(zone string, relays []relay.Candidate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootNow()
 	// A relay may have failed since it was checked.
-	ready = slices.DeleteFunc(ready, func(m relay.Candidate) bool { return now.Before(s.failedUntil[m.Address]) })
-	if s.ready == nil {
-		s.ready = map[string][]relay.Candidate{}
+	relays = slices.DeleteFunc(relays, func(m relay.Candidate) bool { return now.Before(s.failedUntil[m.Address]) })
+	if s.relays == nil {
+		s.relays = map[string][]relay.Candidate{}
 	}
-	if !slices.Equal(s.ready[zone], ready) {
-		s.log.Info().Str("event", "relays_chosen").Str("zone", zone).Strs("relays", addresses(ready)).Send()
+	if !slices.Equal(s.relays[zone], relays) {
+		s.log.Info().Str("event", "relays_chosen").Str("zone", zone).Strs("relays", addresses(relays)).Send()
 	}
-	s.ready[zone] = ready
+	s.relays[zone] = relays
 }
 
 // addresses returns the addresses of the candidates in order.
@@ -246,7 +246,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string][]string{}
-	for zone, list := range s.ready {
+	for zone, list := range s.relays {
 		out[zone] = addresses(list)
 	}
 	return out
@@ -256,8 +256,8 @@
 func (s *relaySet) markFailed(address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for zone, list := range s.ready {
-		s.ready[zone] = slices.DeleteFunc(slices.Clone(list), func(m relay.Candidate) bool { return m.Address == address })
+	for zone, list := range s.relays {
+		s.relays[zone] = slices.DeleteFunc(slices.Clone(list), func(m relay.Candidate) bool { return m.Address == address })
 	}
 	now := bootNow()
 	if now.Before(s.failedUntil[address]) {
@@ -273,10 +273,10 @@
 
 // relayFor returns the address of the relay for a VM, or an empty string if there is none.
 func (s *relaySet) relayFor(zone string, id job.VMID) string {
-	if !s.wanted.Load() {
+	if !s.enabled.Load() {
 		return ""
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return relay.Select(s.ready[zone], id)
+	return relay.Select(s.relays[zone], id)
 }
--- a/io/node/rows.go
+++ b/io/node/rows.go
@@ -82,8 +82,8 @@
 // ownerRow identifies the process that owns the fleet's jobs and VMs.
 type ownerRow struct {
 	Node string `json:"node"`
-	// Life identifies one run of the node's process.
-	Life string `json:"life"`
+	// RunID identifies one run of the node's process.
+	RunID string `json:"life"`
 	// TenureNumber counts the takeovers. Attempts are numbered from it.
 	TenureNumber int64 `json:"turn"`
 	// Vacant is set when the owner has given up its ownership.
@@ -92,7 +92,7 @@
 
 // renewalRow changes with each of the owner's transactions.
 type renewalRow struct {
-	Life  string `json:"life"`
+	RunID string `json:"life"`
 	Batch int64  `json:"batch"`
 	// Counted is set once the owner has counted the backlog. A new owner renews its
 	// ownership before it has read the jobs.
--- a/io/node/tenure.go
+++ b/io/node/tenure.go
@@ -10,13 +10,13 @@
 	"lavenderpond/platform"
 )
 
-// errDeposed means that another process owns the jobs and VMs.
-var errDeposed = errors.New("another process is the owner now")
+// errOwnershipLost means that another process owns the jobs and VMs.
+var errOwnershipLost = errors.New("another process is the owner now")
 
 // tenure is the period in which this process is the owner. fence is the version of the
 // owner row that the takeover wrote, and number counts the takeovers.
 type tenure struct {
-	life   string
+	runID  string
 	fence  platform.Version
 	number int64
 
--- a/io/node/vmsender.go
+++ b/io/node/vmsender.go
@@ -12,8 +12,8 @@
 	"lavenderpond/platform"
 )
 
-// vmOrderSender sends the frequent orders to one VM.
-type vmOrderSender interface {
+// orderSender sends the frequent orders to one VM.
+type orderSender interface {
 	Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome)
 	Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome)
 }
@@ -40,8 +40,8 @@
 // relayGrace is how much longer than the relay the owner waits for the VM's answer.
 const relayGrace = 100 * time.Millisecond
 
-// relayedSender sends orders to a VM by a relay on another entry VM.
-type relayedSender struct {
+// relaySender sends orders to a VM by a relay on another entry VM.
+type relaySender struct {
 	relays  *relaySet
 	relay   string
 	vm      job.VMID
@@ -50,7 +50,7 @@
 }
 
 // Start implements vmOrderSender.
-func (s relayedSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
+func (s relaySender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
 	r, outcome, sent := s.call(ctx, orderTimeout, "Start", StartArgs{VM: s.vm, Address: s.address, Order: o})
 	if !sent {
 		return s.direct.Start(ctx, o)
@@ -59,7 +59,7 @@
 }
 
 // Hold implements vmOrderSender.
-func (s relayedSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
+func (s relaySender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
 	r, outcome, sent := s.call(ctx, o.Wait+holdGrace, "Hold", HoldArgs{VM: s.vm, Address: s.address, Order: o})
 	if !sent {
 		return s.direct.Hold(ctx, o)
@@ -68,7 +68,7 @@
 }
 
 // call calls the relay. sent is false if the relay certainly hasn't acted on the call.
-func (s relayedSender) call(ctx context.Context, timeout time.Duration, method string, args any) (r job.Report, outcome schedule.Outcome, sent bool) {
+func (s relaySender) call(ctx context.Context, timeout time.Duration, method string, args any) (r job.Report, outcome schedule.Outcome, sent bool) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout+relayGrace)
 	defer cancel()
 	var reply OrderReply
