--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -102,8 +102,8 @@
 }
 
 func (h *callerHandler) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
-	// The work continues when the caller disconnects. Otherwise a submission that is half
-	// done would end with an unknown outcome for no reason.
+	// The work continues when the caller disconnects. Otherwise a submission in progress
+	// would end with an unknown outcome for no reason.
 	ctx = context.WithoutCancel(ctx)
 	switch {
 	case c.call.Method == platform.CallFetch && c.id == "":
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -16,10 +16,11 @@
 
 const (
 	// renewalInterval is how often the owner renews its ownership when it has nothing to
-	// store. Three renewals fit into the period for which a confirmation is valid.
+	// store. Three renewals fit into the period after a confirmation in which the owner may
+	// order machines.
 	renewalInterval = 250 * time.Millisecond
-	// batchDelay is how long saves are collected into one transaction. Transactions are
-	// priced, and the table takes 300 of them a second.
+	// batchDelay is how long saves are collected into one transaction. The platform bills
+	// each transaction, and the table takes 300 of them a second.
 	batchDelay = 12 * time.Millisecond
 	// maxBatchRows keeps a transaction, including its conditions and the renewal, below
 	// the table's limit on rows.
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// logUnstored logs how many saves are left unstored when the owner ends. inFlight are the
+// logUnstored logs how many saves are left unstored when the tenure ends. inFlight are the
 // saves of the transaction that failed.
 func (c *committer) logUnstored(inFlight []schedule.Command) {
 	c.mu.Lock()
@@ -106,7 +107,7 @@
 	c.mu.Unlock()
 	if n >= maxBatchRows || !c.tenure.mayOrderMachines(bootNow()) {
 		// A renewal that took many attempts is already old when its answer arrives, so the
-		// next one is due at once.
+		// next one is due immediately.
 		return
 	}
 	if n == 0 {
@@ -166,7 +167,7 @@
 }
 
 // transaction builds the transaction that stores the saves. Its conditions require the
-// owner's row and the last renewal to be unchanged. The first condition keeps a deposed
+// owner's row and the last renewal to be unchanged. The first condition keeps a former
 // owner from writing. The second keeps an earlier transaction whose answer was lost from
 // being applied after this one and undoing it.
 func (c *committer) transaction(saves []schedule.Command) (platform.Transaction, error) {
--- a/io/node/election.go
+++ b/io/node/election.go
@@ -35,7 +35,7 @@
 	vacateTimeout = 1500 * time.Millisecond
 )
 
-// election watches the owner and makes this process the owner when there is none.
+// election polls the owner's rows and makes this process the owner when there is none.
 type election struct {
 	table *platform.Table
 	node  string
@@ -184,7 +184,7 @@
 	return rows.ownerVersion, nil
 }
 
-// vacate marks the owner row as vacant, so that another process takes over at once.
+// vacate marks the owner row as vacant, so that another process takes over right away.
 func (e *election) vacate(t *tenure) {
 	value, err := encodeRow(ownerRow{Node: e.node, RunID: e.runID, TenureNumber: t.number, Vacant: true})
 	tx := platform.Transaction{
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -51,7 +51,7 @@
 	vm      *platform.VM
 }
 
-// orderRouter selects how orders reach VMs: directly or by a relay.
+// orderRouter selects how orders are sent to VMs: directly or by a relay.
 type orderRouter struct {
 	owner *owner
 	// clients is used by the owner's event loop only.
@@ -74,7 +74,7 @@
 
 // route returns the sender for orders to a VM. Relays are used only by an owner that has
 // recently confirmed its ownership. An owner that is slow or cut off from the table
-// decides on stale data, and a healthy relay would carry out the resulting orders.
+// decides on stale data, and a healthy relay would deliver the resulting orders.
 func (r *orderRouter) route(now time.Time, id job.VMID) orderSender {
 	direct := directSender{r.client(id)}
 	if !r.owner.tenure.mayOrderMachines(now) {
@@ -88,8 +88,8 @@
 	return relaySender{relays: r.owner.relays, relay: relay, vm: id, address: address, direct: direct}
 }
 
-// holdRoute returns the sender for a hold. A status check goes to the VM directly: it
-// follows up an order without an answer, and the relay may be the reason for that.
+// holdRoute returns the sender for a hold. A probe goes to the VM directly: it follows up
+// an order without an answer, and the relay may be the reason for that.
 func (r *orderRouter) holdRoute(now time.Time, c schedule.Hold) orderSender {
 	if c.Probe {
 		return directSender{r.client(c.VM)}
--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -17,15 +17,15 @@
 	// about 4 ms.
 	minCallTimeout = 300 * time.Millisecond
 	// freshContactAge is how recently the table must have answered for a submission to be
-	// sent at once. Otherwise the table is first asked for the job.
+	// sent immediately. Otherwise the job is first looked up in the table.
 	freshContactAge = 100 * time.Millisecond
 	// lookupTimeout bounds the lookup before a submission. If the table's typical latency
 	// exceeds lookupMaxLatency, the lookup would cost more than it saves.
 	lookupTimeout    = 250 * time.Millisecond
 	lookupMaxLatency = 50 * time.Millisecond
-	// probeTimeout bounds a call that probes whether the table is available again. Its
-	// caller can go to another entry VM meanwhile. The bound covers an answer of a slow
-	// table.
+	// probeTimeout bounds a call that probes whether the table is available again. It is
+	// short because the caller could go to another entry VM meanwhile, and long enough for
+	// an answer of a slow table.
 	probeTimeout = 400 * time.Millisecond
 	// callRetryDelay is the pause before a call is retried.
 	callRetryDelay = 40 * time.Millisecond
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -22,14 +22,14 @@
 // link, more reads starve one another and the renewals of the ownership.
 const maxConcurrentReads = 8
 
-// storedState is the state that previous owners left in the table.
+// storedState is the state that former owners left in the table.
 type storedState struct {
 	jobs, progress, waves, vms, orders []platform.Row
 	// jobFeedVersion is the version from which the feed of jobs continues.
 	jobFeedVersion platform.Version
 }
 
-// load reads what previous owners left. It retries until it succeeds or the ownership is
+// load reads the state that former owners left. It retries until it succeeds or the ownership is
 // lost.
 func (o *owner) load(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -95,7 +95,7 @@
 	return slices.Concat(parts[:]...), slices.Min(versions[:]), nil
 }
 
-// restore creates a scheduler from the state that previous owners left.
+// restore creates a scheduler from the state that former owners left.
 func (o *owner) restore(state storedState) {
 	now := bootNow()
 	var formerOrders []schedule.MachineOrder
--- a/io/node/membership.go
+++ b/io/node/membership.go
@@ -41,7 +41,7 @@
 	return platform.RowKey{Table: memberTable, Part: memberPart, Key: node}
 }
 
-// membership keeps this process's row in the table while it can relay orders.
+// membership keeps this process's member row in the table while it can relay orders.
 type membership struct {
 	table *platform.Table
 	node  string
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -1,5 +1,5 @@
 // Package node implements the process that runs on each entry VM of a deployment. It
-// serves callers from the platform's table. One of all these processes is the owner, which
+// serves callers from the platform's table. One of these processes is the owner, which
 // runs the callers' jobs on the VMs.
 package node
 
@@ -40,7 +40,7 @@
 	runIDBytes = 6
 )
 
-// Node is the process on an entry VM. Use New to create it.
+// Node is the process on an entry VM. Use New to create one.
 type Node struct {
 	settings      platform.Settings
 	log           zerolog.Logger
@@ -57,7 +57,7 @@
 	stopRequested atomic.Bool
 }
 
-// New creates a process. Run starts it.
+// New creates a Node. Run starts it.
 func New(s platform.Settings, log zerolog.Logger) (*Node, error) {
 	runID := make([]byte, runIDBytes)
 	if _, err := rand.Read(runID); err != nil {
@@ -97,7 +97,7 @@
 		select {
 		case o.events <- reconfigured{}:
 		default:
-			// The event queue is full. The next cycle checks the view anyway.
+			// The event queue is full. The next round checks the view anyway.
 			n.log.Warn().Str("event", "owner_behind").Send()
 		}
 	}
@@ -141,8 +141,9 @@
 	return err
 }
 
-// relayChildren returns the children that relay orders for the owner. The membership row
-// is removed as soon as this process is to stop; orders are accepted until its end.
+// relayChildren returns the children that make this process a relay for the owner's orders.
+// The member row is removed as soon as ctx ends, and orders are accepted until serveCtx
+// ends.
 func (n *Node) relayChildren(ctx, serveCtx context.Context) []supervisor.Child {
 	if n.settings.PeerAddress == "" {
 		return nil
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -85,8 +85,8 @@
 	assert.Assert(t, c.tenure.mayStartTasks(bootNow()))
 }
 
-// Guards against a deposed owner that continues. After another process has taken over, the
-// previous owner's writes fail regardless of its clock, and it must stop.
+// Guards against a former owner that continues. After another process has taken over, the
+// former owner's writes fail regardless of its clock, and it must stop.
 func TestFormerOwnerStops(t *testing.T) {
 	for name, rows := range map[string]string{
 		"other owner":   conflictAnswer(30, `{"life":"me","batch":1}`),
@@ -293,7 +293,7 @@
 
 // Guards against reporting an unknown outcome, after which a caller can't retry, for a
 // call that arrives shortly before the caller's timeout. Nothing was sent, so the caller
-// is told that the call was not carried out.
+// is told that nothing was stored.
 func TestCallWithoutTimeIsRefused(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
@@ -364,7 +364,7 @@
 }
 
 // Guards against retrying a job that doesn't fit into a row, and then reporting an unknown
-// outcome. It is denied at once with the reason.
+// outcome. It is denied immediately with the reason.
 func TestTooLargeJobIsRefused(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -16,11 +16,10 @@
 )
 
 const (
-	// feedWait is how long a feed waits for a change. A connection that went silent is
-	// noticed after feedWait plus feedGrace, within the two seconds in which a
-	// configuration must be in force. The polls of the owner's rows notice sooner that an
-	// entry VM is cut off from the table, so feeds can wait longer, which matters because
-	// calls are priced.
+	// feedWait is how long a feed waits for a change. A stalled connection is noticed after
+	// feedWait plus feedGrace, within the two seconds in which a configuration must be in
+	// force. The polls of the owner's rows notice sooner that an entry VM is cut off from
+	// the table, so feeds can wait longer, which saves calls that the platform bills.
 	feedWait  = 1200 * time.Millisecond
 	feedGrace = 600 * time.Millisecond
 	// feedRetryDelay is the pause after a failed read.
@@ -46,8 +45,8 @@
 	evacuated map[job.ZoneName]struct{}
 	// changes counts the changes.
 	changes uint64
-	// asOf is the time up to which all changes are known: the view includes everything
-	// that was acknowledged before.
+	// asOf is the time up to which all changes are known: the view includes every write
+	// that the table acknowledged before it.
 	asOf time.Time
 }
 
--- a/io/node/operator_test.go
+++ b/io/node/operator_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against task starts by an owner with fresh ownership whose feed of the operators'
-// rows is silent. It would miss recent evacuations.
+// rows gets no answers. It would miss recent evacuations.
 func TestStaleOperatorViewStartsNothing(t *testing.T) {
 	n := &Node{view: &operatorView{log: zerolog.Nop(), health: &tableHealth{}}}
 	n.settings.Bounds.EvacuationMax = 5 * time.Second
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -41,7 +41,7 @@
 	backlog        backlogCount
 	// viewChanges is the change count of the operators' view that the scheduler has seen.
 	viewChanges uint64
-	// maintainedByWave holds the machines that previous owners saw return from
+	// maintainedByWave holds the machines that former owners saw return from
 	// maintenance, by the key of the wave.
 	maintainedByWave map[string][]job.MachineID
 }
@@ -72,9 +72,9 @@
 	run(o.committer.run)
 	run(func(ctx context.Context) error { return o.relays.follow(ctx, n.table) })
 	run(o.relays.run)
-	// The directory and the machines are read concurrently with the state that previous
-	// owners left. No task starts before both are known, and jobs that may be running on a
-	// VM that is gone wait for them.
+	// The VM directory and the list of machines are read concurrently with the state that
+	// former owners left. No task starts before both are known, and jobs that may be
+	// running on a VM that is gone wait for them.
 	run(o.followVMs)
 	run(o.followMachines)
 	if err := o.load(ctx); err != nil {
@@ -138,7 +138,7 @@
 	return job.ID(key[:max(0, len(key)-len(jobSuffix))]), false
 }
 
-// loop handles events and runs scheduling cycles until ctx ends.
+// loop handles events and runs scheduling rounds until ctx ends.
 func (o *owner) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -213,7 +213,7 @@
 	case approvalAnswered:
 		s.ApprovalAnswered(now, e.step, e.approvals.Tickets, e.approvals.ValidPeriod)
 	case reconfigured:
-		// The next cycle checks the view.
+		// The next round checks the view.
 	}
 }
 
@@ -229,13 +229,13 @@
 	}
 }
 
-// evacuationMargin covers a start that was decided on an old view. On its way to the VM,
-// it may still be carried out within this time.
+// evacuationMargin covers a start order that was decided on an outdated view and is in
+// flight: the VM may still execute it within this time.
 const evacuationMargin = time.Second
 
-// mayStartTasks reports whether tasks may be started. The view must be fresh too: an owner
-// that renews its ownership while its feed of the operators' rows is silent would start
-// tasks in a zone that has been evacuated since.
+// mayStartTasks reports whether tasks may be started. The operators' view must be fresh
+// too: an owner that renews its ownership while its feed of the operators' rows gets no
+// answers would start tasks in a zone that has been evacuated since.
 func (o *owner) mayStartTasks(now time.Time) bool {
 	maxAge := o.node.settings.Bounds.EvacuationMax
 	current := maxAge == 0 || o.node.view.age(now) < maxAge-evacuationMargin
--- a/io/node/pacer_test.go
+++ b/io/node/pacer_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against cycles that use all of the owner's CPU time. Answers of hundreds of VMs
-// arrive one by one, and a cycle after each examines the whole fleet. The owner would fall
-// behind, jobs would accumulate and cycles would take longer still, so that jobs wait tens
+// Guards against rounds that use all of the owner's CPU time. Answers of hundreds of VMs
+// arrive one by one, and a round after each examines the whole fleet. The owner would fall
+// behind, jobs would accumulate and rounds would take longer still, so that jobs wait tens
 // of seconds on an empty fleet.
 func TestRoundsTakeABoundedShare(t *testing.T) {
 	const roundTime = 2 * time.Millisecond
@@ -26,7 +26,7 @@
 	assert.Assert(t, rounds > 50, "%d cycles", rounds)
 }
 
-// Checks that a process that was suspended during a cycle continues soon after it resumes.
+// Checks that a process that was suspended during a round continues soon after it resumes.
 func TestPauseAfterStalledRoundIsBounded(t *testing.T) {
 	var p roundPacer
 	now := bootNow()
--- a/io/node/readback_test.go
+++ b/io/node/readback_test.go
@@ -23,7 +23,7 @@
 }
 
 // Guards against waiting for a lost answer while all task starts wait. The table applies
-// the transaction, a read shows the batch, and the owner continues at once.
+// the transaction, a read shows the batch, and the owner continues right away.
 func TestLostAnswerIsDetectedSoon(t *testing.T) {
 	f, table := newFakeTable(t, answerLate, renewalAnswer(t, `{"life":"me","batch":1}`, 21))
 	c := newCommitter(table)
@@ -38,7 +38,7 @@
 }
 
 // Guards against waiting for a transaction that is in flight for seconds while the table
-// answers reads at once. It is sent again after the first read; whichever arrives first is
+// answers reads immediately. It is sent again after the first read; whichever arrives first is
 // applied.
 func TestLateTransactionIsSentAgainSoon(t *testing.T) {
 	f, table := newFakeTable(t,
--- a/io/node/relay.go
+++ b/io/node/relay.go
@@ -42,9 +42,10 @@
 	Report  job.Report
 }
 
-// Relay carries out the owner's orders on the VMs of its zone. It is a net/rpc receiver.
-// It makes no decisions and keeps no state: a VM refuses orders of a previous owner by
-// their fence and late starts by their deadline, whichever process carries them.
+// Relay forwards the owner's orders to the VMs of its zone. It is a net/rpc receiver. It
+// makes no decisions and keeps no state but its connections: a VM refuses orders of a
+// former owner by their fence and late starts by their deadline, whichever process sends
+// them.
 type Relay struct {
 	// lifetime ends with the process, so that an order that waits at a VM doesn't delay
 	// shutdown.
@@ -60,7 +61,7 @@
 	lastUsed time.Time
 }
 
-// Start sends a start order to a VM.
+// Start forwards a start order to a VM.
 func (x *Relay) Start(args StartArgs, reply *OrderReply) error {
 	ctx, cancel := context.WithTimeout(x.lifetime, orderTimeout)
 	defer cancel()
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// Hold sends a hold order to a VM.
+// Hold forwards a hold order to a VM.
 func (x *Relay) Hold(args HoldArgs, reply *OrderReply) error {
 	ctx, cancel := context.WithTimeout(x.lifetime, args.Order.Wait+holdGrace)
 	defer cancel()
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -138,7 +138,7 @@
 }
 
 // Guards against an owner that waits for a frozen relay until its orders' deadlines, and
-// against a start that is ordered twice, because the frozen relay may still carry it out.
+// against a start that is ordered twice, because the frozen relay may still forward it.
 func TestFrozenRelayIsAbandoned(t *testing.T) {
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -158,7 +158,7 @@
 	assert.Equal(t, relays.relayFor("a", "vm-1"), healthy)
 }
 
-// Guards against relays that carry out orders of an owner whose knowledge is outdated.
+// Guards against relays that forward orders of an owner whose knowledge is outdated.
 func TestOwnerWithoutFreshOwnershipSendsDirectly(t *testing.T) {
 	relays := relaySetWith(t, startRelay(t))
 	o := &owner{tenure: &tenure{}, relays: relays, scheduler: schedule.New(schedule.Settings{})}
@@ -253,7 +253,7 @@
 	caller.Wait()
 }
 
-// Guards against a relay that carries out orders of an owner whose tenure has ended.
+// Guards against a relay that forwards orders of an owner whose tenure has ended.
 func TestEndedOwnerSendsNothingByRelay(t *testing.T) {
 	address, orders := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7}`))
 	relays := relaySetWith(t, startRelay(t))
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -27,17 +27,17 @@
 	// relayPingTimeout bounds the ping that checks whether a member can become a relay.
 	relayPingTimeout = 300 * time.Millisecond
 	// relayProbeInterval is how often a relay with outstanding answers is probed. Four
-	// probes without an answer end its calls.
+	// probes in a row without an answer end its calls.
 	relayProbeInterval = 100 * time.Millisecond
 	// relayRetryDelay is how long a failed relay isn't tried again.
 	relayRetryDelay = 3 * time.Second
-	// zoneRetryDelay is the same for a zone of which no member has answered. Such a zone
-	// is cut off, and each of its members would be tried in turn.
+	// zoneRetryDelay is how long a zone of which no member has answered isn't tried again.
+	// Such a zone is cut off, and each of its members would be tried in turn.
 	zoneRetryDelay = time.Second
 )
 
-// relaySet selects the entry VMs that relay orders for the owner. The zero value has no
-// relays, so that the owner sends all orders itself.
+// relaySet selects the relays: the entry VMs that forward the owner's orders. The zero
+// value has no relays, so that the owner sends all orders itself.
 type relaySet struct {
 	// ownAddress is the address at which this process accepts orders as a relay.
 	ownAddress string
@@ -51,7 +51,7 @@
 	mu sync.Mutex
 	// members holds the rows of entry VMs, by name.
 	members map[string]memberRow
-	// failedUntil holds the time until which a failed address isn't tried. ready holds the
+	// failedUntil holds the time until which a failed address isn't tried. relays holds the
 	// relays in use, by zone.
 	failedUntil map[string]time.Time
 	relays      map[string][]relay.Candidate
--- a/io/node/rows.go
+++ b/io/node/rows.go
@@ -108,8 +108,8 @@
 	Done []job.MachineID `json:"done"`
 }
 
-// compressionThreshold is the size in bytes from which a row is compressed: half of what
-// the table accepts on all deployments so far.
+// compressionThreshold is the size in bytes from which a row is compressed: half of the
+// 64 KiB that a row may have on the known deployments.
 const compressionThreshold = 32 << 10
 
 // gzipMagic is the prefix of compressed rows. Uncompressed ones begin with a brace.
--- a/io/node/vmsender.go
+++ b/io/node/vmsender.go
@@ -37,7 +37,7 @@
 	return r, outcomeFromError(err)
 }
 
-// relayGrace is how much longer than the relay the owner waits for the VM's answer.
+// relayGrace is how much longer the owner waits for the VM's answer than the relay does.
 const relayGrace = 100 * time.Millisecond
 
 // relaySender sends orders to a VM by a relay on another entry VM.
