--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -16,9 +16,9 @@
 	// minCallTimeout is the shortest wait for one answer of the table, which answers in
 	// about 4 ms.
 	minCallTimeout = 300 * time.Millisecond
-	// freshContactAge is how recently the table must have answered for a submission to be
+	// maxAnswerAge is how recently the table must have answered for a submission to be
 	// sent immediately. Otherwise the job is first looked up in the table.
-	freshContactAge = 100 * time.Millisecond
+	maxAnswerAge = 100 * time.Millisecond
 	// lookupTimeout bounds the lookup before a submission. If the table's typical latency
 	// exceeds lookupMaxLatency, the lookup would cost more than it saves.
 	lookupTimeout    = 250 * time.Millisecond
@@ -119,7 +119,7 @@
 // zone was cut off. After a lookup without an answer nothing has been written, and the
 // caller can go elsewhere.
 func (s *jobStore) lookupBeforeSubmit(ctx context.Context, id job.ID, decision contact.Decision) (known bool, err error) {
-	if decision == contact.Call && (s.health.sinceLastAnswer() < freshContactAge || s.latency.slowerThan(lookupMaxLatency)) {
+	if decision == contact.Call && (s.health.sinceLastAnswer() < maxAnswerAge || s.latency.slowerThan(lookupMaxLatency)) {
 		return false, nil
 	}
 	timeout := lookupTimeout
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -123,7 +123,7 @@
 	var g supervisor.Group
 	for zone, candidates := range s.candidates(bootNow()) {
 		g.Go(func() {
-			relays := s.selectAnswering(ctx, candidates)
+			relays := s.selectAlive(ctx, candidates)
 			s.setRelays(zone, relays)
 			if len(candidates) > 0 && len(relays) == 0 {
 				s.markZoneUnreachable(zone)
@@ -144,8 +144,8 @@
 	s.log.Info().Str("event", "zone_without_relays").Str("zone", zone).Send()
 }
 
-// selectAnswering returns the first candidates that answer, as many as a zone needs.
-func (s *relaySet) selectAnswering(ctx context.Context, candidates []relay.Candidate) []relay.Candidate {
+// selectAlive returns the first candidates that answer, as many as a zone needs.
+func (s *relaySet) selectAlive(ctx context.Context, candidates []relay.Candidate) []relay.Candidate {
 	candidates = candidates[:min(len(candidates), 2*relay.CountNeeded(candidates))]
 	alive := make([]bool, len(candidates))
 	var g supervisor.Group
