--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -263,7 +263,7 @@
 		return err
 	}
 	if r.RunID != c.tenure.runID || r.Batch != c.batch {
-		return errors.Wrapf(errOwnershipLost, "the renewal row holds batch %d of process run %s, not batch %d", r.Batch, r.RunID, c.batch)
+		return errors.Wrapf(errOwnershipLost, "the renewal row holds batch %d of run %s, not batch %d", r.Batch, r.RunID, c.batch)
 	}
 	c.recordStored(firstSent, sent, renewal.Version)
 	return nil
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -103,7 +103,7 @@
 		c.latency.observe(timeout, false)
 	}
 	assert.Assert(t, busyUntil <= 600*time.Millisecond, "answered after %v", busyUntil)
-	assert.Assert(t, c.attemptTimeout(0) > slow, "the next first attempt waits long enough")
+	assert.Assert(t, c.attemptTimeout(0) > slow, "the first attempt of the next transaction waits long enough")
 }
 
 // Guards against task ends that are lost at a planned stop. An owner that stops while the
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -61,7 +61,7 @@
 func New(s platform.Settings, log zerolog.Logger) (*Node, error) {
 	runID := make([]byte, runIDBytes)
 	if _, err := rand.Read(runID); err != nil {
-		return nil, errors.Wrap(err, "generate process run ID")
+		return nil, errors.Wrap(err, "generate run ID")
 	}
 	n := &Node{
 		settings: s, log: log, metrics: newProcessMetrics(),
--- a/io/node/pacer_test.go
+++ b/io/node/pacer_test.go
@@ -22,8 +22,8 @@
 		p.recordRound(now, now.Add(roundTime))
 		now = now.Add(roundTime)
 	}
-	assert.Assert(t, time.Duration(rounds)*roundTime <= time.Second/4, "%d cycles", rounds)
-	assert.Assert(t, rounds > 50, "%d cycles", rounds)
+	assert.Assert(t, time.Duration(rounds)*roundTime <= time.Second/4, "%d rounds", rounds)
+	assert.Assert(t, rounds > 50, "%d rounds", rounds)
 }
 
 // Checks that a process that was suspended during a round continues soon after it resumes.
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -106,7 +106,7 @@
 		wantReport, want := directSender{platform.NewVM("vm-1", address)}.Start(t.Context(), testStartOrder)
 		assert.Equal(t, out, want, name)
 		assert.DeepEqual(t, r, wantReport)
-		assert.Equal(t, orders.Load(), int64(2), "%s: one order each", name)
+		assert.Equal(t, orders.Load(), int64(2), "%s: want one order through the relay and one sent directly", name)
 	}
 	assert.Equal(t, len(relays.relays["a"]), 1)
 }
@@ -151,7 +151,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	_, out := relays.senderFor(address).Hold(ctx, job.HoldOrder{Wait: time.Minute})
-	assert.Equal(t, out, schedule.Unanswered, "the relay may still carry the hold out")
+	assert.Equal(t, out, schedule.Unanswered, "the relay may still forward the hold")
 	assert.NilError(t, ctx.Err(), "the relay is abandoned long before the hold's own timeout")
 	assert.Equal(t, orders.Load(), int64(0))
 	relays.chooseRelays(t.Context())
