--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -143,7 +143,7 @@
 
 // Guards against telling a caller that a submission never runs when it may be stored
 // later. The table doesn't answer the first attempt and refuses the later ones.
-func TestUnansweredSubmissionIsNeverRefused(t *testing.T) {
+func TestUnansweredSubmissionHasUnknownOutcome(t *testing.T) {
 	_, table := newFakeTable(t, dropAnswer, respondWith(http.StatusServiceUnavailable, ""))
 	s := newJobStore(table)
 	err := s.submit(t.Context(), bootNow().Add(700*time.Millisecond), testJob(), contact.Call)
@@ -225,7 +225,7 @@
 // Guards against a caller that keeps its connection to a process whose zone is cut off,
 // and is denied at each retry. It is told to reconnect. Callers that are denied because of
 // what they sent keep their connections.
-func TestCallerRefusedWithoutTableReconnects(t *testing.T) {
+func TestCallerDeniedWithoutTableReconnects(t *testing.T) {
 	health := healthWithLastAnswer(time.Second)
 	assert.Equal(t, health.decide(jobPart("0123456789abcdef")), contact.Probe)
 	handler := newCallerHandler(health)
@@ -294,7 +294,7 @@
 // Guards against reporting an unknown outcome, after which a caller can't retry, for a
 // call that arrives shortly before the caller's timeout. Nothing was sent, so the caller
 // is told that nothing was stored.
-func TestCallWithoutTimeIsRefused(t *testing.T) {
+func TestCallWithoutTimeIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
 	err := s.submit(t.Context(), bootNow().Add(-time.Millisecond), testJob(), contact.Call)
@@ -322,7 +322,7 @@
 // submits a job there, and the entry VM hasn't noticed yet. It looks the job up before it
 // writes, gets no answer and denies the call. Nothing of the job is in flight, and the
 // caller may go elsewhere.
-func TestSubmissionIntoAPartitionIsRefused(t *testing.T) {
+func TestSubmissionIntoAPartitionIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	s := newJobStore(table)
 	s.health = healthWithLastAnswer(300 * time.Millisecond)
@@ -365,7 +365,7 @@
 
 // Guards against retrying a job that doesn't fit into a row, and then reporting an unknown
 // outcome. It is denied immediately with the reason.
-func TestTooLargeJobIsRefused(t *testing.T) {
+func TestTooLargeJobIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
 	s.rowBytes = 10
