--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -196,7 +196,7 @@
 }
 
 // store applies one transaction and retries it as often as necessary. It returns
-// errDeposed once the ownership is lost. If ctx ends before the transaction is known to be
+// errOwnershipLost once the ownership is lost. If ctx ends before the transaction is known to be
 // stored, it returns the cause.
 func (c *committer) store(ctx context.Context, saves []schedule.Command) error {
 	c.batch++
--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -112,12 +112,13 @@
 // errTableSilent means that the table didn't answer a lookup.
 var errTableSilent = errors.New("the table does not answer")
 
-// lookupBeforeSubmit checks whether the table has the job already and, unless the table
-// has answered recently, whether it is reachable. A submission that is sent into a network
-// partition can't be refused any more, because it may be applied later, and its caller
-// can't retry elsewhere. Without the lookup, 44 of 3,400 jobs were lost that way when a
-// zone was cut off. After a lookup without an answer nothing has been written, and the
-// caller can go elsewhere.
+// lookupBeforeSubmit reports whether the table has the job already, and so checks that the
+// table is reachable. Unless the call is a probe, it looks nothing up if the table has
+// answered recently or is slow. A submission that is sent into a network partition can't
+// be denied as not stored any more, because it may be applied later, and its caller can't
+// retry elsewhere. Without the lookup, 44 of 3,400 jobs were lost that way when a zone was
+// cut off. After a lookup without an answer nothing has been written, and the caller can
+// go elsewhere.
 func (s *jobStore) lookupBeforeSubmit(ctx context.Context, id job.ID, decision contact.Decision) (known bool, err error) {
 	if decision == contact.Call && (s.health.sinceLastAnswer() < maxAnswerAge || s.latency.slowerThan(lookupMaxLatency)) {
 		return false, nil
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// readinessSlack bounds, together with the poll interval of the owner's rows, the time
-	// since the table's last answer while this process still reports that it is ready. The
-	// load balancer checks once a second and reacts to two misses, so each additional
-	// tenth of a second extends the time in which callers are denied here. The bound
-	// covers an answer of a slow table. While the whole table is unreachable no entry VM
-	// is ready, and callers stay where they are.
+	// readinessSlack is how much longer than the poll interval of the owner's rows the
+	// table may leave this process without an answer before it reports that it isn't
+	// ready. It covers an answer of a slow table. The load balancer checks once a second
+	// and reacts to two misses, so each additional tenth of a second extends the time in
+	// which callers are denied here. While the whole table is unreachable no entry VM is
+	// ready, and callers stay where they are.
 	readinessSlack = 450 * time.Millisecond
 	// drainDuration is how long callers are still served after the stop signal. The load
 	// balancer stops sending callers after two misses of a second each.
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -189,9 +189,9 @@
 	return w
 }
 
-// Guards against sending submissions to a table that has stopped answering. They couldn't
-// be refused any more, whereas a caller that is denied before goes to another entry VM.
-// Only occasional probes check whether the table is available again.
+// Guards against sending submissions to a table that has stopped answering. Their outcome
+// would be unknown, whereas a caller that is denied before goes to another entry VM. Only
+// occasional probes check whether the table is available again.
 func TestNothingIsSentToASilentTable(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	handler := newCallerHandler(healthWithLastAnswer(time.Second))
@@ -344,7 +344,7 @@
 	assert.Equal(t, len(f.requests), 1)
 }
 
-// Guards against refusing a job of 3,000 steps, which is within the limit of the body but
+// Guards against denying a job of 3,000 steps, which is within the limit of the body but
 // four times as large as a row. It is stored compressed, and the owner reads it
 // completely.
 func TestLargeJobIsStoredWhole(t *testing.T) {
