--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -57,7 +57,7 @@
 // permanently, or the deadline passes. maybeApplied reports whether an attempt without an
 // answer may have been applied.
 func (s *jobStore) withRetries(ctx context.Context, deadline time.Time, part string, call func(ctx context.Context) error) (maybeApplied bool, err error) {
-	refuseAt := bootNow().Add(refusalTimeout)
+	giveUpAt := bootNow().Add(refusalTimeout)
 	for timeout := s.latency.timeout(minCallTimeout); ; timeout *= 2 {
 		now := bootNow()
 		if !now.Before(deadline) && !maybeApplied {
@@ -80,7 +80,7 @@
 		}
 		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
 		switch {
-		case refused && !maybeApplied && bootNow().After(refuseAt):
+		case refused && !maybeApplied && bootNow().After(giveUpAt):
 			return false, errors.Wrap(errNotStored, err.Error())
 		case refused:
 		case errors.Is(err, platform.ErrNoAnswer):
