--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -137,8 +137,8 @@
 	case errors.Is(err, platform.ErrNoAnswer):
 		return false, errors.Wrap(errNotStored, errTableSilent.Error())
 	case err != nil:
-		// A refusal shows that the table is reachable.
-		return false, nil //nolint:nilerr // The submission itself is refused then and retried.
+		// The lookup was refused or not sent, which leaves nothing in flight.
+		return false, nil //nolint:nilerr // The submission is sent anyway. If it is refused too, it is retried.
 	}
 	return len(snapshot.Rows) > 0, nil
 }
