--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -16,16 +16,16 @@
 	// minCallTimeout is the shortest wait for one answer of the table, which answers in
 	// about 4 ms.
 	minCallTimeout = 300 * time.Millisecond
-	// freshContactAge is how recently the table must have answered for a submission to be
-	// sent at once. Otherwise the table is first asked for the job.
-	freshContactAge = 100 * time.Millisecond
+	// maxAnswerAge is how recently the table must have answered for a submission to be
+	// sent immediately. Otherwise the job is first looked up in the table.
+	maxAnswerAge = 100 * time.Millisecond
 	// lookupTimeout bounds the lookup before a submission. If the table's typical latency
 	// exceeds lookupMaxLatency, the lookup would cost more than it saves.
 	lookupTimeout    = 250 * time.Millisecond
 	lookupMaxLatency = 50 * time.Millisecond
-	// probeTimeout bounds a call that probes whether the table is available again. Its
-	// caller can go to another entry VM meanwhile. The bound covers an answer of a slow
-	// table.
+	// probeTimeout bounds a call that probes whether the table is available again. It is
+	// short because the caller could go to another entry VM meanwhile, and long enough for
+	// an answer of a slow table.
 	probeTimeout = 400 * time.Millisecond
 	// callRetryDelay is the pause before a call is retried.
 	callRetryDelay = 40 * time.Millisecond
@@ -57,7 +57,7 @@
 // permanently, or the deadline passes. maybeApplied reports whether an attempt without an
 // answer may have been applied.
 func (s *jobStore) withRetries(ctx context.Context, deadline time.Time, part string, call func(ctx context.Context) error) (maybeApplied bool, err error) {
-	refuseAt := bootNow().Add(refusalTimeout)
+	giveUpAt := bootNow().Add(refusalTimeout)
 	for timeout := s.latency.timeout(minCallTimeout); ; timeout *= 2 {
 		now := bootNow()
 		if !now.Before(deadline) && !maybeApplied {
@@ -80,7 +80,7 @@
 		}
 		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
 		switch {
-		case refused && !maybeApplied && bootNow().After(refuseAt):
+		case refused && !maybeApplied && bootNow().After(giveUpAt):
 			return false, errors.Wrap(errNotStored, err.Error())
 		case refused:
 		case errors.Is(err, platform.ErrNoAnswer):
@@ -112,14 +112,15 @@
 // errTableSilent means that the table didn't answer a lookup.
 var errTableSilent = errors.New("the table does not answer")
 
-// lookupBeforeSubmit checks whether the table has the job already and, unless the table
-// has answered recently, whether it is reachable. A submission that is sent into a network
-// partition can't be refused any more, because it may be applied later, and its caller
-// can't retry elsewhere. Without the lookup, 44 of 3,400 jobs were lost that way when a
-// zone was cut off. After a lookup without an answer nothing has been written, and the
-// caller can go elsewhere.
+// lookupBeforeSubmit reports whether the table has the job already, and so checks that the
+// table is reachable. Unless the call is a probe, it looks nothing up if the table has
+// answered recently or is slow. A submission that is sent into a network partition can't
+// be denied as not stored any more, because it may be applied later, and its caller can't
+// retry elsewhere. Without the lookup, 44 of 3,400 jobs were lost that way when a zone was
+// cut off. After a lookup without an answer nothing has been written, and the caller can
+// go elsewhere.
 func (s *jobStore) lookupBeforeSubmit(ctx context.Context, id job.ID, decision contact.Decision) (known bool, err error) {
-	if decision == contact.Call && (s.health.sinceLastAnswer() < freshContactAge || s.latency.slowerThan(lookupMaxLatency)) {
+	if decision == contact.Call && (s.health.sinceLastAnswer() < maxAnswerAge || s.latency.slowerThan(lookupMaxLatency)) {
 		return false, nil
 	}
 	timeout := lookupTimeout
@@ -136,8 +137,8 @@
 	case errors.Is(err, platform.ErrNoAnswer):
 		return false, errors.Wrap(errNotStored, errTableSilent.Error())
 	case err != nil:
-		// A refusal shows that the table is reachable.
-		return false, nil //nolint:nilerr // The submission itself is refused then and retried.
+		// The lookup was refused or not sent, which leaves nothing in flight.
+		return false, nil //nolint:nilerr // The submission is sent anyway. If it is refused too, it is retried.
 	}
 	return len(snapshot.Rows) > 0, nil
 }
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -22,14 +22,14 @@
 // link, more reads starve one another and the renewals of the ownership.
 const maxConcurrentReads = 8
 
-// storedState is the state that previous owners left in the table.
+// storedState is the state that former owners left in the table.
 type storedState struct {
 	jobs, progress, waves, vms, orders []platform.Row
 	// jobFeedVersion is the version from which the feed of jobs continues.
 	jobFeedVersion platform.Version
 }
 
-// load reads what previous owners left. It retries until it succeeds or the ownership is
+// load reads the state that former owners left. It retries until it succeeds or the ownership is
 // lost.
 func (o *owner) load(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -95,15 +95,15 @@
 	return slices.Concat(parts[:]...), slices.Min(versions[:]), nil
 }
 
-// restore creates a scheduler from the state that previous owners left.
+// restore creates a scheduler from the state that former owners left.
 func (o *owner) restore(state storedState) {
 	now := bootNow()
-	var previousOrders []schedule.MachineOrder
+	var formerOrders []schedule.MachineOrder
 	orders := decodeRows[schedule.MachineOrder](state.orders, o.log)
 	for _, id := range slices.Sorted(maps.Keys(orders)) {
-		previousOrders = append(previousOrders, orders[id])
+		formerOrders = append(formerOrders, orders[id])
 	}
-	o.scheduler = o.newScheduler(previousOrders)
+	o.scheduler = o.newScheduler(formerOrders)
 	o.maintainedByWave = map[string][]job.MachineID{}
 	for key, w := range decodeRows[waveRow](state.waves, o.log) {
 		o.maintainedByWave[key] = w.Done
@@ -124,11 +124,11 @@
 }
 
 // newScheduler returns a scheduler for this tenure.
-func (o *owner) newScheduler(previousOrders []schedule.MachineOrder) *schedule.Scheduler {
+func (o *owner) newScheduler(formerOrders []schedule.MachineOrder) *schedule.Scheduler {
 	b := o.node.settings.Bounds
 	return schedule.New(schedule.Settings{
 		OrderIssuer:  o.node.settings.Node,
-		FormerOrders: previousOrders,
+		FormerOrders: formerOrders,
 		Fence:        job.Fence(o.tenure.fence),
 		AttemptBase:  job.Attempt(o.tenure.number * attemptsPerTenure),
 		TookOver:     o.tookOver,
--- a/io/node/membership.go
+++ b/io/node/membership.go
@@ -33,15 +33,15 @@
 	Cores   float64 `json:"cores"`
 	// LinkMbps is the bandwidth of the VM's network link in Mbit/s; 0 if it isn't known.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
-	// Life identifies one run of the entry VM's process.
-	Life string `json:"life"`
+	// RunID identifies one run of the entry VM's process.
+	RunID string `json:"life"`
 }
 
 func memberKey(node string) platform.RowKey {
 	return platform.RowKey{Table: memberTable, Part: memberPart, Key: node}
 }
 
-// membership keeps this process's row in the table while it can relay orders.
+// membership keeps this process's member row in the table while it can relay orders.
 type membership struct {
 	table *platform.Table
 	node  string
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -1,5 +1,5 @@
 // Package node implements the process that runs on each entry VM of a deployment. It
-// serves callers from the platform's table. One of all these processes is the owner, which
+// serves callers from the platform's table. One of these processes is the owner, which
 // runs the callers' jobs on the VMs.
 package node
 
@@ -20,12 +20,12 @@
 )
 
 const (
-	// readinessSlack bounds, together with the poll interval of the owner's rows, the time
-	// since the table's last answer while this process still reports that it is ready. The
-	// load balancer checks once a second and reacts to two misses, so each additional
-	// tenth of a second extends the time in which callers are denied here. The bound
-	// covers an answer of a slow table. While the whole table is unreachable no entry VM
-	// is ready, and callers stay where they are.
+	// readinessSlack is how much longer than the poll interval of the owner's rows the
+	// table may leave this process without an answer before it reports that it isn't
+	// ready. It covers an answer of a slow table. The load balancer checks once a second
+	// and reacts to two misses, so each additional tenth of a second extends the time in
+	// which callers are denied here. While the whole table is unreachable no entry VM is
+	// ready, and callers stay where they are.
 	readinessSlack = 450 * time.Millisecond
 	// drainDuration is how long callers are still served after the stop signal. The load
 	// balancer stops sending callers after two misses of a second each.
@@ -36,17 +36,17 @@
 	// headerTimeout and idleTimeout bound slow and idle callers.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 30 * time.Second
-	// lifeIDBytes is the length in bytes of the random ID of a process's run.
-	lifeIDBytes = 6
+	// runIDBytes is the length in bytes of the random ID of a process's run.
+	runIDBytes = 6
 )
 
-// Node is the process on an entry VM. Use New to create it.
+// Node is the process on an entry VM. Use New to create one.
 type Node struct {
 	settings      platform.Settings
 	log           zerolog.Logger
 	table         *platform.Table
 	machines      *platform.Machines
-	advice        *platform.ApprovalService
+	approvals     *platform.ApprovalService
 	view          *operatorView
 	callers       *callerHandler
 	election      *election
@@ -57,11 +57,11 @@
 	stopRequested atomic.Bool
 }
 
-// New creates a process. Run starts it.
+// New creates a Node. Run starts it.
 func New(s platform.Settings, log zerolog.Logger) (*Node, error) {
-	life := make([]byte, lifeIDBytes)
-	if _, err := rand.Read(life); err != nil {
-		return nil, errors.Wrap(err, "generate process run ID")
+	runID := make([]byte, runIDBytes)
+	if _, err := rand.Read(runID); err != nil {
+		return nil, errors.Wrap(err, "generate run ID")
 	}
 	n := &Node{
 		settings: s, log: log, metrics: newProcessMetrics(),
@@ -69,7 +69,7 @@
 		machines: platform.NewMachines(s.MachinesAddress),
 	}
 	if s.ApprovalAddress != "" {
-		n.advice = platform.NewApprovalService(s.ApprovalAddress)
+		n.approvals = platform.NewApprovalService(s.ApprovalAddress)
 	}
 	n.health.log = log
 	n.decisions = &decisionLog{log: log, count: n.metrics.count, elapsed: n.metrics.elapsed}
@@ -82,7 +82,7 @@
 		},
 	}
 	n.election = &election{
-		table: n.table, node: s.Node, life: hex.EncodeToString(life), log: log, serve: n.serve,
+		table: n.table, node: s.Node, runID: hex.EncodeToString(runID), log: log, serve: n.serve,
 		lowCapacity: s.Cores > 0 && s.Cores < lowCapacityCores, health: &n.health, readsPerSecond: s.TableReadsPerSecond,
 	}
 	return n, nil
@@ -97,7 +97,7 @@
 		select {
 		case o.events <- reconfigured{}:
 		default:
-			// The event queue is full. The next cycle checks the view anyway.
+			// The event queue is full. The next round checks the view anyway.
 			n.log.Warn().Str("event", "owner_behind").Send()
 		}
 	}
@@ -141,14 +141,15 @@
 	return err
 }
 
-// relayChildren returns the children that relay orders for the owner. The membership row
-// is removed as soon as this process is to stop; orders are accepted until its end.
+// relayChildren returns the children that make this process a relay for the owner's orders.
+// The member row is removed as soon as ctx ends, and orders are accepted until serveCtx
+// ends.
 func (n *Node) relayChildren(ctx, serveCtx context.Context) []supervisor.Child {
 	if n.settings.PeerAddress == "" {
 		return nil
 	}
 	m := membership{table: n.table, node: n.settings.Node, log: n.log, row: memberRow{
-		Zone: n.settings.Zone, Address: n.settings.PeerAddress, Cores: n.settings.Cores, LinkMbps: n.settings.LinkMbps, Life: n.election.life,
+		Zone: n.settings.Zone, Address: n.settings.PeerAddress, Cores: n.settings.Cores, LinkMbps: n.settings.LinkMbps, RunID: n.election.runID,
 	}}
 	return []supervisor.Child{
 		{Name: "relay", Run: func(context.Context) error { return (&Relay{}).run(serveCtx, n.settings.PeerAddress) }},
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -59,7 +59,7 @@
 
 func newCommitter(table *platform.Table) *committer {
 	return &committer{
-		table: table, tenure: &tenure{life: "me", fence: 10}, log: zerolog.Nop(), renewal: 10,
+		table: table, tenure: &tenure{runID: "me", fence: 10}, log: zerolog.Nop(), renewal: 10,
 		backlog: func() map[job.QueueName]int { return nil }, recordLatency: func(time.Duration) {}, health: &tableHealth{},
 	}
 }
@@ -85,9 +85,9 @@
 	assert.Assert(t, c.tenure.mayStartTasks(bootNow()))
 }
 
-// Guards against a deposed owner that continues. After another process has taken over, the
-// previous owner's writes fail regardless of its clock, and it must stop.
-func TestDeposedOwnerStops(t *testing.T) {
+// Guards against a former owner that continues. After another process has taken over, the
+// former owner's writes fail regardless of its clock, and it must stop.
+func TestFormerOwnerStops(t *testing.T) {
 	for name, rows := range map[string]string{
 		"other owner":   conflictAnswer(30, `{"life":"me","batch":1}`),
 		"other renewal": conflictAnswer(10, `{"life":"other","batch":1}`),
@@ -95,7 +95,7 @@
 	} {
 		_, table := newFakeTable(t, respondWith(http.StatusPreconditionFailed, rows))
 		err := newCommitter(table).store(t.Context(), nil)
-		assert.Assert(t, errors.Is(err, errDeposed), "%s: %v", name, err)
+		assert.Assert(t, errors.Is(err, errOwnershipLost), "%s: %v", name, err)
 	}
 }
 
@@ -143,7 +143,7 @@
 
 // Guards against telling a caller that a submission never runs when it may be stored
 // later. The table doesn't answer the first attempt and refuses the later ones.
-func TestUnansweredSubmissionIsNeverRefused(t *testing.T) {
+func TestUnansweredSubmissionHasUnknownOutcome(t *testing.T) {
 	_, table := newFakeTable(t, dropAnswer, respondWith(http.StatusServiceUnavailable, ""))
 	s := newJobStore(table)
 	err := s.submit(t.Context(), bootNow().Add(700*time.Millisecond), testJob(), contact.Call)
@@ -170,13 +170,13 @@
 }
 
 func newCallerHandler(health *tableHealth) *callerHandler {
-	conf := &job.Configuration{
+	config := &job.Configuration{
 		Version: 1,
 		Queues:  []job.Queue{{Name: "q", Host: "h.example", Prefix: "/q/"}, {Name: "open", Host: "h.example", Prefix: "/open/", Public: true}},
 	}
-	conf.Index()
+	config.Index()
 	return &callerHandler{
-		view: &operatorView{conf: conf}, health: health, log: zerolog.Nop(),
+		view: &operatorView{config: config}, health: health, log: zerolog.Nop(),
 		count: func(string) {}, elapsed: func(string, time.Duration) {},
 	}
 }
@@ -189,9 +189,9 @@
 	return w
 }
 
-// Guards against sending submissions to a table that has stopped answering. They couldn't
-// be refused any more, whereas a caller that is denied before goes to another entry VM.
-// Only occasional probes check whether the table is available again.
+// Guards against sending submissions to a table that has stopped answering. Their outcome
+// would be unknown, whereas a caller that is denied before goes to another entry VM. Only
+// occasional probes check whether the table is available again.
 func TestNothingIsSentToASilentTable(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	handler := newCallerHandler(healthWithLastAnswer(time.Second))
@@ -225,7 +225,7 @@
 // Guards against a caller that keeps its connection to a process whose zone is cut off,
 // and is denied at each retry. It is told to reconnect. Callers that are denied because of
 // what they sent keep their connections.
-func TestCallerRefusedWithoutTableReconnects(t *testing.T) {
+func TestCallerDeniedWithoutTableReconnects(t *testing.T) {
 	health := healthWithLastAnswer(time.Second)
 	assert.Equal(t, health.decide(jobPart("0123456789abcdef")), contact.Probe)
 	handler := newCallerHandler(health)
@@ -293,8 +293,8 @@
 
 // Guards against reporting an unknown outcome, after which a caller can't retry, for a
 // call that arrives shortly before the caller's timeout. Nothing was sent, so the caller
-// is told that the call was not carried out.
-func TestCallWithoutTimeIsRefused(t *testing.T) {
+// is told that nothing was stored.
+func TestCallWithoutTimeIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
 	err := s.submit(t.Context(), bootNow().Add(-time.Millisecond), testJob(), contact.Call)
@@ -322,7 +322,7 @@
 // submits a job there, and the entry VM hasn't noticed yet. It looks the job up before it
 // writes, gets no answer and denies the call. Nothing of the job is in flight, and the
 // caller may go elsewhere.
-func TestSubmissionIntoAPartitionIsRefused(t *testing.T) {
+func TestSubmissionIntoAPartitionIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	s := newJobStore(table)
 	s.health = healthWithLastAnswer(300 * time.Millisecond)
@@ -344,7 +344,7 @@
 	assert.Equal(t, len(f.requests), 1)
 }
 
-// Guards against refusing a job of 3,000 steps, which is within the limit of the body but
+// Guards against denying a job of 3,000 steps, which is within the limit of the body but
 // four times as large as a row. It is stored compressed, and the owner reads it
 // completely.
 func TestLargeJobIsStoredWhole(t *testing.T) {
@@ -364,8 +364,8 @@
 }
 
 // Guards against retrying a job that doesn't fit into a row, and then reporting an unknown
-// outcome. It is denied at once with the reason.
-func TestTooLargeJobIsRefused(t *testing.T) {
+// outcome. It is denied immediately with the reason.
+func TestTooLargeJobIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
 	s.rowBytes = 10
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -16,11 +16,10 @@
 )
 
 const (
-	// feedWait is how long a feed waits for a change. A connection that went silent is
-	// noticed after feedWait plus feedGrace, within the two seconds in which a
-	// configuration must be in force. The polls of the owner's rows notice sooner that an
-	// entry VM is cut off from the table, so feeds can wait longer, which matters because
-	// calls are priced.
+	// feedWait is how long a feed waits for a change. A stalled connection is noticed after
+	// feedWait plus feedGrace, within the two seconds in which a configuration must be in
+	// force. The polls of the owner's rows notice sooner that an entry VM is cut off from
+	// the table, so feeds can wait longer, which saves calls that the platform bills.
 	feedWait  = 1200 * time.Millisecond
 	feedGrace = 600 * time.Millisecond
 	// feedRetryDelay is the pause after a failed read.
@@ -39,15 +38,15 @@
 	// health records the table's answers.
 	health *tableHealth
 
-	mu    sync.Mutex
-	conf  *job.Configuration
-	waves map[int64]job.Wave
+	mu     sync.Mutex
+	config *job.Configuration
+	waves  map[int64]job.Wave
 	// evacuated holds the availability zones in which no task may start.
 	evacuated map[job.ZoneName]struct{}
-	// generation counts the changes.
-	generation uint64
-	// asOf is the time up to which all changes are known: the view includes everything
-	// that was acknowledged before.
+	// changes counts the changes.
+	changes uint64
+	// asOf is the time up to which all changes are known: the view includes every write
+	// that the table acknowledged before it.
 	asOf time.Time
 }
 
@@ -55,7 +54,7 @@
 func (v *operatorView) configuration() *job.Configuration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.conf
+	return v.config
 }
 
 func (v *operatorView) allWaves() []job.Wave {
@@ -87,7 +86,7 @@
 func (v *operatorView) changeCount() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.generation
+	return v.changes
 }
 
 // age returns the time since asOf.
@@ -157,17 +156,17 @@
 	if !v.applyChange(c) {
 		return false
 	}
-	v.generation++
+	v.changes++
 	return true
 }
 
 func (v *operatorView) applyChange(c platform.OperatorChange) bool {
 	switch c := c.(type) {
 	case platform.ConfigurationChange:
-		if v.conf != nil && c.Version <= v.conf.Version {
+		if v.config != nil && c.Version <= v.config.Version {
 			return false
 		}
-		v.conf = c.Configuration
+		v.config = c.Configuration
 		v.log.Info().Str("event", "configuration_in_force").Int64("version", int64(c.Version)).
 			Int("queues", len(c.Queues)).Int("accounts", len(c.Accounts)).Send()
 		return true
