--- a/cmd/lavenderpond-edge/main.go
+++ b/cmd/lavenderpond-edge/main.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	// logLines is how many lines may wait for standard output; more are dropped
+	// logBufferLines is how many lines may wait for standard output; more are dropped
 	// and counted, so that a reader that stalls holds up no request.
-	logLines = 4096
-	// logPoll is how often waiting lines are written.
-	logPoll = 50 * time.Millisecond
-	// memoryPart of the VM's memory, in percent, makes the collector work harder.
-	memoryPart = 60
+	logBufferLines = 4096
+	// logPollInterval is how often waiting lines are written.
+	logPollInterval = 50 * time.Millisecond
+	// memoryLimitPercent of the VM's memory, in percent, makes the collector work harder.
+	memoryLimitPercent = 60
 )
 
 type options struct {
@@ -47,7 +47,7 @@
 }
 
 func run(o options) int {
-	out := diode.NewWriter(os.Stdout, logLines, logPoll, func(missed int) {
+	out := diode.NewWriter(os.Stdout, logBufferLines, logPollInterval, func(missed int) {
 		l := zerolog.New(os.Stderr)
 		l.Warn().Int("missed", missed).Str("event", "log_lines_dropped").Send()
 	})
@@ -65,7 +65,7 @@
 	}
 	log = log.With().Str("node", settings.Node).Logger()
 	debug.SetGCPercent(node.MinGCPercent)
-	debug.SetMemoryLimit(settings.MemoryMB << 20 * memoryPart / 100)
+	debug.SetMemoryLimit(settings.MemoryMB << 20 * memoryLimitPercent / 100)
 	n, err := node.New(settings, log)
 	if err != nil {
 		log.Error().Err(err).Str("event", "start_failed").Send()
--- a/cmd/lavenderpond-experiment/run.go
+++ b/cmd/lavenderpond-experiment/run.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	if n, ok := e.(experiment.Narrower); ok && r.Workload != "" {
-		e = n.Narrow(r.Workload)
+	if n, ok := e.(experiment.WorkloadFilter); ok && r.Workload != "" {
+		e = n.FilterWorkload(r.Workload)
 	}
 	var rows []experiment.Row
 	for seed := r.FirstSeed; seed < r.FirstSeed+r.Seeds; seed++ {
@@ -80,17 +80,17 @@
 	_, _ = fmt.Fprintln(tw, "workload\tmeasure\tvariant\tseeds\tmean\tp5\tp95\tratio\tratio_p5\tratio_p95")
 	for _, s := range summaries {
 		_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%s\t%s\n", s.Workload, s.Measure, s.Variant, s.Seeds,
-			columns(&s.Value), columns(s.Ratio))
+			statsColumns(&s.Value), statsColumns(s.Ratio))
 	}
 	return errors.Wrap(tw.Flush(), "print summary")
 }
 
-// columns prints a spread as three columns, "-" if there is none.
-func columns(s *experiment.Spread) string {
+// statsColumns prints a spread as three columns, "-" if there is none.
+func statsColumns(s *experiment.Stats) string {
 	if s == nil {
 		return "-\t-\t-"
 	}
-	return figure(s.Mean) + "\t" + figure(s.P5) + "\t" + figure(s.P95)
+	return formatValue(s.Mean) + "\t" + formatValue(s.P5) + "\t" + formatValue(s.P95)
 }
 
-func figure(v float64) string { return strconv.FormatFloat(v, 'g', 3, 64) }
+func formatValue(v float64) string { return strconv.FormatFloat(v, 'g', 3, 64) }
--- a/cmd/lavenderpond-load/check.go
+++ b/cmd/lavenderpond-load/check.go
@@ -22,8 +22,8 @@
 	Targets []netip.AddrPort `help:"One VM of each targets process started with --log-starts." required:""`
 }
 
-// verdict counts what was found.
-type verdict struct {
+// checkResult counts what was found.
+type checkResult struct {
 	IDs int `json:"ids"`
 	// Done ids got a whole answer.
 	Done int `json:"done"`
@@ -34,18 +34,18 @@
 	Starts int `json:"starts"`
 	// FailedForMs is the time from the first to the last attempt that wasn't done
 	// for lack of a holder: how long the fleet took to recover.
-	FailedForMs int64 `json:"failed_for_ms"`
-	first, last int64
+	FailedForMs                   int64 `json:"failed_for_ms"`
+	firstFailureMs, lastFailureMs int64
 	// The rest must be zero.
-	Doubles     int `json:"doubles"`
-	FalseNotRun int `json:"false_not_run"`
-	NotWhole    int `json:"not_whole"`
-	DoneNoStart int `json:"done_without_start"`
+	DoubleStarts     int `json:"doubles"`
+	FalseNotRun      int `json:"false_not_run"`
+	NotWhole         int `json:"not_whole"`
+	DoneWithoutStart int `json:"done_without_start"`
 }
 
 // Run prints the verdict, and fails if something is wrong.
 func (c *checkCommand) Run(ctx context.Context) error {
-	starts, err := c.starts(ctx)
+	starts, err := c.readStarts(ctx)
 	if err != nil {
 		return err
 	}
@@ -55,28 +55,28 @@
 			return err
 		}
 	}
-	var v verdict
+	var v checkResult
 	for id, list := range attempts {
-		v.judge(list, starts[id])
+		v.addRequest(list, starts[id])
 	}
 	if err := json.NewEncoder(os.Stdout).Encode(v); err != nil {
 		return err
 	}
-	if v.Doubles+v.FalseNotRun+v.NotWhole+v.DoneNoStart > 0 {
+	if v.DoubleStarts+v.FalseNotRun+v.NotWhole+v.DoneWithoutStart > 0 {
 		return errors.New("callers were told what is not so")
 	}
 	return nil
 }
 
-func (v *verdict) judge(list []attempt, starts int) {
+func (v *checkResult) addRequest(list []attempt, starts int) {
 	v.IDs++
 	v.Starts += starts
 	if starts > 1 {
-		v.Doubles++
+		v.DoubleStarts++
 	}
 	done, notRun, lastNotRun := false, true, false
 	for _, a := range list {
-		v.noteFailure(a)
+		v.noteOutage(a)
 		isDone := a.Outcome == pb.Outcome_OUTCOME_DONE.String()
 		done = done || isDone
 		lastNotRun = a.Outcome == pb.Outcome_OUTCOME_NOT_RUN.String()
@@ -89,7 +89,7 @@
 	case done:
 		v.Done++
 		if starts == 0 {
-			v.DoneNoStart++
+			v.DoneWithoutStart++
 		}
 	case notRun:
 		v.NotRun++
@@ -103,20 +103,20 @@
 	}
 }
 
-// noteFailure dates attempts that found no holder. An entry that is away refuses
+// noteOutage dates attempts that found no holder. An entry that is away refuses
 // connections for as long as it is, which says nothing about the others.
-func (v *verdict) noteFailure(a attempt) {
+func (v *checkResult) noteOutage(a attempt) {
 	if a.Code != core.CodeNoHolder.String() && a.Code != core.CodeHomeUnreachable.String() && a.Code != core.CodeZoneUnreachable.String() {
 		return
 	}
-	if v.first == 0 || a.AtMs < v.first {
-		v.first = a.AtMs
+	if v.firstFailureMs == 0 || a.AtMs < v.firstFailureMs {
+		v.firstFailureMs = a.AtMs
 	}
-	v.last = max(v.last, a.AtMs)
-	v.FailedForMs = v.last - v.first
+	v.lastFailureMs = max(v.lastFailureMs, a.AtMs)
+	v.FailedForMs = v.lastFailureMs - v.firstFailureMs
 }
 
-func (c *checkCommand) starts(ctx context.Context) (map[string]int, error) {
+func (c *checkCommand) readStarts(ctx context.Context) (map[string]int, error) {
 	counts := make(map[string]int)
 	for _, address := range c.Targets {
 		if err := loopbackOnly([]netip.AddrPort{address}); err != nil {
--- a/cmd/lavenderpond-load/entries.go
+++ b/cmd/lavenderpond-load/entries.go
@@ -21,7 +21,7 @@
 const retryPause = 50 * time.Millisecond
 
 type entriesCommand struct {
-	shape
+	loadFlags
 	Entry      []netip.AddrPort `help:"Addresses of entries, used in turn." required:""`
 	Team       string           `help:"Team." required:""`
 	Queue      string           `help:"Queue." required:""`
--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -25,13 +25,13 @@
 
 // Sizes of what fill writes.
 const (
-	// fillBatch is how many rows go into one transaction.
-	fillBatch = 500
-	// rackVMs is how many VMs stand in a rack.
-	rackVMs = 4
-	// livePost is how often the VMs are said to be there; the stand-in forgets
+	// rowsPerTransaction is how many rows go into one transaction.
+	rowsPerTransaction = 500
+	// vmsPerRack is how many VMs stand in a rack.
+	vmsPerRack = 4
+	// livePostInterval is how often the VMs are said to be there; the stand-in forgets
 	// them after 3 s.
-	livePost = time.Second
+	livePostInterval = time.Second
 	// churnTeams have limits that move; churnZones and churnEntries hold a part of
 	// each: the two-year size.
 	churnTeams   = 620
@@ -73,7 +73,7 @@
 	}
 	fmt.Println("filled", c.key(1, 0))
 	var g supervisor.Group
-	g.Go(func() { _ = supervisor.Every(ctx, livePost, c.postLive) })
+	g.Go(func() { _ = supervisor.Every(ctx, livePostInterval, c.postLive) })
 	g.Go(func() { c.churn(ctx) })
 	err := c.serveControl(ctx)
 	g.Wait()
@@ -111,7 +111,7 @@
 			ref, pool := fleet.Ref{Zone: z, VM: vmName(z, i)}, &pools[i%c.Pools]
 			vm := fleet.VM{
 				Pool: c.pool(i % c.Pools), Slots: 8, Connections: 64, Since: since,
-				Rack:    core.RackID(fmt.Sprintf("rack_%s_%03d", z, i/rackVMs)),
+				Rack:    core.RackID(fmt.Sprintf("rack_%s_%03d", z, i/vmsPerRack)),
 				Address: netip.AddrPortFrom(c.Targets.Addr(), c.Targets.Port()+uint16(i)).String(),
 			}
 			pool.Size, pool.Members = pool.Size+1, pool.Members+1
@@ -137,7 +137,7 @@
 
 func (c *fillCommand) flush(ctx context.Context) error {
 	for len(c.writes) > 0 {
-		n := min(fillBatch, len(c.writes))
+		n := min(rowsPerTransaction, len(c.writes))
 		if err := c.client.Transact(ctx, table.Transaction{Writes: c.writes[:n]}); err != nil {
 			return errors.Wrap(err, "fill the table")
 		}
@@ -156,17 +156,17 @@
 	step := time.Duration(float64(time.Second) / c.Churn)
 	_ = supervisor.Every(ctx, step, func(ctx context.Context) {
 		team := core.TeamID(fmt.Sprintf("moves_%04d", n%churnTeams))
-		parts := limit.ZoneRow{Entries: make(map[core.EntryID]core.Slots)}
+		zoneRow := limit.ZoneRow{Entries: make(map[core.EntryID]core.Slots)}
 		for e := range churnEntries {
-			parts.Entries[core.EntryID(fmt.Sprintf("churn_%02d#%d", e, time.Now().UnixMilli()))] = core.Slots(1 + n%5)
+			zoneRow.Entries[core.EntryID(fmt.Sprintf("churn_%02d#%d", e, time.Now().UnixMilli()))] = core.Slots(1 + n%5)
 		}
-		all := limit.TeamRow{Limit: 200, Zones: make(map[core.ZoneID]core.Slots)}
+		teamRow := limit.TeamRow{Limit: 200, Zones: make(map[core.ZoneID]core.Slots)}
 		for z := range churnZones {
-			all.Zones[core.ZoneID(fmt.Sprintf("zone_%d", z+1))] = parts.Sum()
+			teamRow.Zones[core.ZoneID(fmt.Sprintf("zone_%d", z+1))] = zoneRow.Sum()
 		}
 		var t table.Transaction
 		zone := c.Zones[n%len(c.Zones)]
-		if t.Set(table.ZoneAllotmentKey(team, zone), parts) == nil && t.Set(table.TeamAllotmentKey(team), all) == nil {
+		if t.Set(table.ZoneAllotmentKey(team, zone), zoneRow) == nil && t.Set(table.TeamAllotmentKey(team), teamRow) == nil {
 			_ = c.client.Transact(ctx, t)
 		}
 		n++
--- a/cmd/lavenderpond-load/load.go
+++ b/cmd/lavenderpond-load/load.go
@@ -18,8 +18,8 @@
 // maxRequests bounds a run, whatever is asked for.
 const maxRequests = 2_000_000
 
-// shape is how the load is made, for both commands.
-type shape struct {
+// loadFlags is how the load is made, for both commands.
+type loadFlags struct {
 	Concurrency int           `help:"Requests under way at once." default:"32"`
 	Rate        float64       `help:"Requests a second in all; 0: as many as answers allow." default:"0"`
 	For         time.Duration `help:"How long." default:"5s"`
@@ -38,17 +38,17 @@
 	Answers   map[string]int `json:"answers"`
 }
 
-// send makes request number n and names its answer.
-type send func(ctx context.Context, n int) string
+// sendFunc makes request number n and names its answer.
+type sendFunc func(ctx context.Context, n int) string
 
 // run makes the load and measures it.
-func (s shape) run(ctx context.Context, do send) result {
+func (s loadFlags) run(ctx context.Context, send sendFunc) result {
 	ctx, cancel := context.WithTimeout(ctx, s.For)
 	defer cancel()
 	numbers := make(chan int)
 	var g supervisor.Group
 	var mu sync.Mutex
-	var times []time.Duration
+	var latencies []time.Duration
 	answers := make(map[string]int)
 	begin := time.Now()
 	g.Go(func() { s.pace(ctx, numbers) })
@@ -56,21 +56,21 @@
 		g.Go(func() {
 			for n := range numbers {
 				start := time.Now()
-				answer := do(context.Background(), n)
-				took := time.Since(start)
+				answer := send(context.Background(), n)
+				latency := time.Since(start)
 				mu.Lock()
-				times = append(times, took)
+				latencies = append(latencies, latency)
 				answers[answer]++
 				mu.Unlock()
 			}
 		})
 	}
 	g.Wait()
-	return summary(times, time.Since(begin), answers)
+	return summarize(latencies, time.Since(begin), answers)
 }
 
 // pace hands out request numbers at the rate asked for until ctx ends.
-func (s shape) pace(ctx context.Context, numbers chan<- int) {
+func (s loadFlags) pace(ctx context.Context, numbers chan<- int) {
 	defer close(numbers)
 	begin := time.Now()
 	for n := range maxRequests {
@@ -86,17 +86,17 @@
 	}
 }
 
-func summary(times []time.Duration, took time.Duration, answers map[string]int) result {
-	slices.Sort(times)
-	at := func(q float64) float64 {
-		if len(times) == 0 {
+func summarize(latencies []time.Duration, elapsed time.Duration, answers map[string]int) result {
+	slices.Sort(latencies)
+	quantileMs := func(q float64) float64 {
+		if len(latencies) == 0 {
 			return 0
 		}
-		return float64(times[int(q*float64(len(times)-1))]) / float64(time.Millisecond)
+		return float64(latencies[int(q*float64(len(latencies)-1))]) / float64(time.Millisecond)
 	}
 	return result{
-		Requests: len(times), Seconds: took.Seconds(), PerSecond: float64(len(times)) / took.Seconds(),
-		P50Ms: at(0.5), P99Ms: at(0.99), MaxMs: at(1), Answers: answers,
+		Requests: len(latencies), Seconds: elapsed.Seconds(), PerSecond: float64(len(latencies)) / elapsed.Seconds(),
+		P50Ms: quantileMs(0.5), P99Ms: quantileMs(0.99), MaxMs: quantileMs(1), Answers: answers,
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // body is what the stand-in target works on.
-func (s shape) body() []byte {
+func (s loadFlags) body() []byte {
 	return fmt.Appendf(nil, `{"run_ms":%d,"answer_bytes":%d}`, s.RunMs, s.Bytes)
 }
 
--- a/cmd/lavenderpond-load/targets.go
+++ b/cmd/lavenderpond-load/targets.go
@@ -13,7 +13,7 @@
 )
 
 type targetsCommand struct {
-	shape
+	loadFlags
 	First netip.AddrPort `help:"Address of the first target; the others follow." required:""`
 	Count int            `help:"Number of targets, used in turn." default:"10"`
 }
--- a/cmd/lavenderpond-standin/link.go
+++ b/cmd/lavenderpond-standin/link.go
@@ -80,8 +80,8 @@
 	return parts[0], f, nil
 }
 
-// linkOrder says what links should do from now on.
-type linkOrder struct {
+// linkRequest says what links should do from now on.
+type linkRequest struct {
 	// Links are patterns of names, as path.Match takes them.
 	Links []string   `json:"links"`
 	State link.State `json:"state"`
@@ -93,7 +93,7 @@
 func (s linkSet) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /links", func(w http.ResponseWriter, r *http.Request) {
-		var o linkOrder
+		var o linkRequest
 		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -106,7 +106,7 @@
 }
 
 // apply changes the links that the order names; it must name some.
-func (s linkSet) apply(o linkOrder) error {
+func (s linkSet) apply(o linkRequest) error {
 	if !slices.Contains([]link.State{link.Open, link.Refused, link.Silent, link.Held, link.Deaf}, o.State) {
 		return errors.Errorf("unknown state %q", o.State)
 	}
--- a/cmd/lavenderpond-standin/link_test.go
+++ b/cmd/lavenderpond-standin/link_test.go
@@ -21,53 +21,53 @@
 	"lavenderpond/io/supervisor"
 )
 
-// linkPatience bounds how long a test waits for progress; it decides nothing.
-const linkPatience = 20 * time.Second
+// testTimeout bounds how long a test waits for progress; it decides nothing.
+const testTimeout = 20 * time.Second
 
 // testLink is a link named "a.b" to a listener whose connections are in taken.
 type testLink struct {
-	t       *testing.T
-	links   linkSet
-	address string
-	taken   chan net.Conn
+	t        *testing.T
+	links    linkSet
+	address  string
+	accepted chan net.Conn
 }
 
 func newTestLink(t *testing.T) *testLink {
-	behind, err := net.Listen("tcp", "127.0.0.1:0")
+	backend, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	// An address of its own: the link listens there again after a cut, and no
 	// outgoing connection of another test may have been given its port meanwhile.
 	free, err := net.Listen("tcp", "127.0.0.77:0")
 	assert.NilError(t, err)
-	l := &testLink{t: t, address: free.Addr().String(), taken: make(chan net.Conn, 10)}
+	l := &testLink{t: t, address: free.Addr().String(), accepted: make(chan net.Conn, 10)}
 	assert.NilError(t, free.Close())
-	l.links, err = parseLinks([]string{"a.b=" + l.address + "=" + behind.Addr().String()})
+	l.links, err = parseLinks([]string{"a.b=" + l.address + "=" + backend.Addr().String()})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var g supervisor.Group
 	g.Go(func() { _ = l.links["a.b"].Serve(ctx, l.links["a.b"].Forwards[0]) })
 	g.Go(func() {
-		for conn, err := behind.Accept(); err == nil; conn, err = behind.Accept() {
-			l.taken <- conn
+		for conn, err := backend.Accept(); err == nil; conn, err = backend.Accept() {
+			l.accepted <- conn
 		}
 	})
 	t.Cleanup(func() {
 		cancel()
-		_ = behind.Close()
+		_ = backend.Close()
 		g.Wait()
 	})
 	return l
 }
 
-func (l *testLink) tell(state link.State) {
+func (l *testLink) setState(state link.State) {
 	l.t.Helper()
-	assert.NilError(l.t, l.links.apply(linkOrder{Links: []string{"a.*"}, State: state}))
+	assert.NilError(l.t, l.links.apply(linkRequest{Links: []string{"a.*"}, State: state}))
 }
 
 // connect returns both ends of a new connection.
 func (l *testLink) connect() (here, there net.Conn) {
 	l.t.Helper()
-	for until := time.Now().Add(linkPatience); ; {
+	for until := time.Now().Add(testTimeout); ; {
 		conn, err := net.Dial("tcp", l.address)
 		if err == nil {
 			here = conn
@@ -76,8 +76,8 @@
 		assert.Assert(l.t, time.Now().Before(until), "%v", err)
 		time.Sleep(time.Millisecond)
 	}
-	there = <-l.taken
-	deadline := time.Now().Add(linkPatience)
+	there = <-l.accepted
+	deadline := time.Now().Add(testTimeout)
 	assert.NilError(l.t, here.SetDeadline(deadline))
 	assert.NilError(l.t, there.SetDeadline(deadline))
 	l.t.Cleanup(func() {
@@ -87,16 +87,16 @@
 	return here, there
 }
 
-// awaitTaken waits until the link has taken n bytes more than before.
-func (l *testLink) awaitTaken(before, n int64) {
+// awaitReceived waits until the link has taken n bytes more than before.
+func (l *testLink) awaitReceived(before, n int64) {
 	l.t.Helper()
-	for until := time.Now().Add(linkPatience); l.links["a.b"].BytesReceived() < before+n; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); l.links["a.b"].BytesReceived() < before+n; time.Sleep(time.Millisecond) {
 		assert.Assert(l.t, time.Now().Before(until), "the link takes no bytes")
 	}
 }
 
-// pass sends a line and returns what arrives.
-func pass(t *testing.T, from, to net.Conn, line string) string {
+// transfer sends a line and returns what arrives.
+func transfer(t *testing.T, from, to net.Conn, line string) string {
 	t.Helper()
 	_, err := io.WriteString(from, line+"\n")
 	assert.NilError(t, err)
@@ -110,16 +110,16 @@
 func TestLinkRefuses(t *testing.T) {
 	l := newTestLink(t)
 	here, there := l.connect()
-	assert.Equal(t, pass(t, here, there, "ping"), "ping")
-	assert.Equal(t, pass(t, there, here, "pong"), "pong")
-	l.tell(link.Refused)
+	assert.Equal(t, transfer(t, here, there, "ping"), "ping")
+	assert.Equal(t, transfer(t, there, here, "pong"), "pong")
+	l.setState(link.Refused)
 	_, err := io.ReadAll(there)
 	assert.Assert(t, err == nil || errors.Is(err, syscall.ECONNRESET), "%v", err)
 	_, err = net.Dial("tcp", l.address)
 	assert.Assert(t, errors.Is(err, syscall.ECONNREFUSED), "%v", err)
-	l.tell(link.Open)
+	l.setState(link.Open)
 	here, there = l.connect()
-	assert.Equal(t, pass(t, here, there, "again"), "again")
+	assert.Equal(t, transfer(t, here, there, "again"), "again")
 }
 
 // TestLinkSwallows: bytes sent while a link is silent never arrive, and neither end
@@ -128,18 +128,18 @@
 func TestLinkSwallows(t *testing.T) {
 	l := newTestLink(t)
 	here, there := l.connect()
-	assert.Equal(t, pass(t, here, there, "before"), "before")
-	l.tell(link.Silent)
-	taken := l.links["a.b"].BytesReceived()
+	assert.Equal(t, transfer(t, here, there, "before"), "before")
+	l.setState(link.Silent)
+	received := l.links["a.b"].BytesReceived()
 	_, err := io.WriteString(here, "during\n")
 	assert.NilError(t, err)
-	l.awaitTaken(taken, int64(len("during\n")))
-	l.tell(link.Open)
+	l.awaitReceived(received, int64(len("during\n")))
+	l.setState(link.Open)
 	_, _ = io.WriteString(here, "after\n")
 	got, _ := io.ReadAll(there)
 	assert.Equal(t, string(got), "")
 	here, there = l.connect()
-	assert.Equal(t, pass(t, here, there, "again"), "again")
+	assert.Equal(t, transfer(t, here, there, "again"), "again")
 }
 
 // TestLinkHolds: bytes sent while a link holds them arrive after it healed, in order,
@@ -147,12 +147,12 @@
 func TestLinkHolds(t *testing.T) {
 	l := newTestLink(t)
 	here, there := l.connect()
-	l.tell(link.Held)
+	l.setState(link.Held)
 	_, err := io.WriteString(here, "late ")
 	assert.NilError(t, err)
-	l.awaitTaken(0, int64(len("late ")))
-	l.tell(link.Open)
-	assert.Equal(t, pass(t, here, there, "words"), "late words")
+	l.awaitReceived(0, int64(len("late ")))
+	l.setState(link.Open)
+	assert.Equal(t, transfer(t, here, there, "words"), "late words")
 }
 
 // TestLinkEnds: the process is told to stop while its links are open. Each must end at
--- a/cmd/lavenderpond-standin/outage.go
+++ b/cmd/lavenderpond-standin/outage.go
@@ -31,11 +31,11 @@
 
 // run serves the VM whenever it is up, until ctx ends.
 func (o *outages) run(ctx context.Context, vm core.VMID, serve func(ctx context.Context) error) error {
-	for o.await(ctx, vm, false) {
+	for o.awaitState(ctx, vm, false) {
 		up, cancel := context.WithCancel(ctx)
 		var g supervisor.Group
 		g.Go(func() {
-			o.await(up, vm, true)
+			o.awaitState(up, vm, true)
 			cancel()
 		})
 		err := serve(up)
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// await returns once the VM is down, or up. It returns false if ctx ends first.
-func (o *outages) await(ctx context.Context, vm core.VMID, down bool) bool {
+// awaitState returns once the VM is down, or up. It returns false if ctx ends first.
+func (o *outages) awaitState(ctx context.Context, vm core.VMID, down bool) bool {
 	for {
 		is, changed := o.isDown(vm)
 		if is == down {
@@ -91,8 +91,8 @@
 	return unknown
 }
 
-// living leaves out the posts of VMs that are down.
-func (o *outages) living(posts []platformstandin.LivePost) []platformstandin.LivePost {
+// livePosts leaves out the posts of VMs that are down.
+func (o *outages) livePosts(posts []platformstandin.LivePost) []platformstandin.LivePost {
 	var list []platformstandin.LivePost
 	for _, p := range posts {
 		if down, _ := o.isDown(core.VMID(p.Name)); !down {
@@ -102,8 +102,8 @@
 	return list
 }
 
-// order is the handler of POST /control/outage, at any VM that is up.
-func (o *outages) order(w http.ResponseWriter, r *http.Request) {
+// handleOutage is the handler of POST /control/outage, at any VM that is up.
+func (o *outages) handleOutage(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		VMs  []core.VMID `json:"vms"`
 		Down bool        `json:"down"`
--- a/cmd/lavenderpond-standin/outage_test.go
+++ b/cmd/lavenderpond-standin/outage_test.go
@@ -35,7 +35,7 @@
 	}
 	order := func(body string) int {
 		w := httptest.NewRecorder()
-		o.order(w, httptest.NewRequest(http.MethodPost, "/control/outage", strings.NewReader(body)))
+		o.handleOutage(w, httptest.NewRequest(http.MethodPost, "/control/outage", strings.NewReader(body)))
 		return w.Code
 	}
 	assert.Equal(t, order(`{"vms":["vm-1"],"down":true}`), http.StatusOK)
--- a/cmd/lavenderpond-standin/targets.go
+++ b/cmd/lavenderpond-standin/targets.go
@@ -40,7 +40,7 @@
 		starts = &standin.StartLog{}
 	}
 	var posts []platformstandin.LivePost
-	out := newOutages()
+	vmOutages := newOutages()
 	for i := range c.Count {
 		vm := &standin.VM{
 			ID: core.VMID(fmt.Sprintf("%s-%03d", c.Prefix, i)), Slots: core.Slots(c.Slots), Log: starts,
@@ -50,27 +50,27 @@
 			Liveness: platform.Liveness{Name: string(vm.ID), Zone: core.ZoneID(c.Zone)},
 			Control:  "http://" + address.String(),
 		})
-		out.vms[vm.ID] = vm
-		handler := c.handler(vm, starts, out)
+		vmOutages.vms[vm.ID] = vm
+		handler := c.handler(vm, starts, vmOutages)
 		node.Children = append(node.Children, supervisor.Child{
 			Name: string(vm.ID),
 			Run: func(ctx context.Context) error {
-				return out.run(ctx, vm.ID, func(ctx context.Context) error { return serve(ctx, address, handler, c.Connections) })
+				return vmOutages.run(ctx, vm.ID, func(ctx context.Context) error { return serve(ctx, address, handler, c.Connections) })
 			},
 		})
 	}
 	node.Children = append(node.Children, supervisor.Child{Name: "live", Run: func(ctx context.Context) error {
-		return supervisor.Every(ctx, livePostInterval, func(ctx context.Context) { c.post(ctx, out.living(posts), log) })
+		return supervisor.Every(ctx, livePostInterval, func(ctx context.Context) { c.postLive(ctx, vmOutages.livePosts(posts), log) })
 	}})
 	log.Info().Stringer("listen", c.Listen).Int("count", c.Count).Str("zone", c.Zone).Msg("targets serve")
 	return node.Run(ctx)
 }
 
-func (c *targetsCommand) handler(vm *standin.VM, starts *standin.StartLog, out *outages) http.Handler {
+func (c *targetsCommand) handler(vm *standin.VM, starts *standin.StartLog, vmOutages *outages) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/tasks/", vm.Handler())
 	mux.Handle("/control/", (&standin.Control{VM: vm}).Handler())
-	mux.HandleFunc("POST /control/outage", out.order)
+	mux.HandleFunc("POST /control/outage", vmOutages.handleOutage)
 	if starts != nil {
 		mux.HandleFunc("GET /control/starts", func(w http.ResponseWriter, _ *http.Request) {
 			_ = json.NewEncoder(w).Encode(starts.Starts())
@@ -79,8 +79,8 @@
 	return mux
 }
 
-// post keeps the VMs on the platform's live list.
-func (c *targetsCommand) post(ctx context.Context, posts []platformstandin.LivePost, log zerolog.Logger) {
+// postLive keeps the VMs on the platform's live list.
+func (c *targetsCommand) postLive(ctx context.Context, posts []platformstandin.LivePost, log zerolog.Logger) {
 	body, err := json.Marshal(posts)
 	if err != nil {
 		return
--- a/cmd/lavenderpond-standin/view.go
+++ b/cmd/lavenderpond-standin/view.go
@@ -51,8 +51,8 @@
 		recorder := httptest.NewRecorder()
 		next.ServeHTTP(recorder, r)
 		body := recorder.Body.Bytes()
-		for _, one := range replacements {
-			body = bytes.ReplaceAll(body, one.from, one.to)
+		for _, rep := range replacements {
+			body = bytes.ReplaceAll(body, rep.from, rep.to)
 		}
 		w.Header().Set("Content-Type", recorder.Header().Get("Content-Type"))
 		w.WriteHeader(recorder.Code)
--- a/cmd/lavenderpond/app.go
+++ b/cmd/lavenderpond/app.go
@@ -86,15 +86,15 @@
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// parseExit carries the status with which kong would have ended the process.
-type parseExit int
+// kongExit carries the status with which kong would have ended the process.
+type kongExit int
 
 // run parses args, runs the command and returns the exit code.
 func run(ctx context.Context, a *app, args []string) (code exitCode) {
 	a.ctx = ctx
 	defer func() {
 		if p := recover(); p != nil {
-			status, ok := p.(parseExit)
+			status, ok := p.(kongExit)
 			if !ok {
 				panic(p)
 			}
@@ -112,7 +112,7 @@
 		return exitUsage
 	}
 	if err := command.Run(a); err != nil {
-		p := problemOf(coded(err))
+		p := problemOf(entryError(err))
 		p.show(a.stderr, a.Output == "json")
 		return exitCode(p.Exit)
 	}
@@ -141,13 +141,13 @@
 		kong.Name("lavenderpond"),
 		kong.Description("Operates a lavenderpond fleet, and submits requests to it."),
 		kong.Writers(a.stdout, a.stderr),
-		kong.Exit(func(status int) { panic(parseExit(status)) }),
+		kong.Exit(func(status int) { panic(kongExit(status)) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 110}))
 }
 
-// secret returns the key from a file, else from the environment. Keys are never
+// readKey returns the key from a file, else from the environment. Keys are never
 // taken as arguments, which other users of the machine can read.
-func (a *app) secret(file, env string) (string, error) {
+func (a *app) readKey(file, env string) (string, error) {
 	key := a.getenv(env)
 	if file != "" {
 		data, err := os.ReadFile(file)
--- a/cmd/lavenderpond/audit.go
+++ b/cmd/lavenderpond/audit.go
@@ -22,7 +22,7 @@
 	var missing []string
 	g.add("VERSION", "AT", "AUTHOR", "KIND", "ROW", "BEFORE", "AFTER", "REASON", "CHANGE")
 	for _, r := range reply.Records {
-		g.add(r.Version, when(r.At), r.Author, r.Kind, r.Row, r.Before, r.After, r.Reason, r.ChangeId)
+		g.add(r.Version, formatTime(r.At), r.Author, r.Kind, r.Row, r.Before, r.After, r.Reason, r.ChangeId)
 		if r.Kind == operator.KindMissing {
 			missing = append(missing, fmt.Sprint(r.Version))
 		}
@@ -31,7 +31,7 @@
 		return err
 	}
 	if len(missing) > 0 {
-		return failf(exitPartly, "neither the table nor the object store has the record of version %s", strings.Join(missing, ", "))
+		return failf(exitPartlyConfirmed, "neither the table nor the object store has the record of version %s", strings.Join(missing, ", "))
 	}
 	return nil
 }
--- a/cmd/lavenderpond/client.go
+++ b/cmd/lavenderpond/client.go
@@ -18,16 +18,16 @@
 	"lavenderpond/io/supervisor"
 )
 
-// rounds is how often a change is offered to every entry in turn.
-const rounds = 3
+// maxRounds is how often a change is offered to every entry in turn.
+const maxRounds = 3
 
-// pauseStep is the pause before the second round; it grows linearly.
-const pauseStep = 500 * time.Millisecond
+// roundPauseStep is the pause before the second round; it grows linearly.
+const roundPauseStep = 500 * time.Millisecond
 
 func pauseLinear(ctx context.Context, n int) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Duration(n) * pauseStep):
+	case <-time.After(time.Duration(n) * roundPauseStep):
 	}
 }
 
@@ -69,12 +69,12 @@
 	timeout time.Duration
 }
 
-func (a *app) operators() ([]operatorClient, error) {
+func (a *app) operatorClients() ([]operatorClient, error) {
 	addresses, err := a.addresses()
 	if err != nil {
 		return nil, err
 	}
-	key, err := a.secret(a.OperatorKeyFile, "LAVENDERPOND_OPERATOR_KEY")
+	key, err := a.readKey(a.OperatorKeyFile, "LAVENDERPOND_OPERATOR_KEY")
 	if err != nil {
 		return nil, err
 	}
@@ -103,21 +103,21 @@
 
 // askAny asks the entries in turn until one gives its word.
 func askAny[Q, R any](a *app, f call[Q, R], m *Q) (*R, error) {
-	clients, err := a.operators()
+	clients, err := a.operatorClients()
 	if err != nil {
 		return nil, err
 	}
 	var down error
 	for _, c := range clients {
 		reply, err := f.do(a.ctx, c, m)
-		e, heard := operator.FromConnect(err)
+		e, answered := operator.FromConnect(err)
 		switch {
 		case err == nil:
 			return reply, nil
-		case heard && e.Code == core.CodePlatformDown:
+		case answered && e.Code == core.CodePlatformDown:
 			// Another entry's zone may not be cut off from the table.
 			down = e
-		case heard:
+		case answered:
 			return nil, e
 		default:
 			a.warnf("entry %s: %v\n", c.address, err)
@@ -138,7 +138,7 @@
 
 // askAll asks every entry at once. It fails only if none of them gave its word.
 func askAll[Q, R any](a *app, f call[Q, R], m *Q) ([]reply[R], error) {
-	clients, err := a.operators()
+	clients, err := a.operatorClients()
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +156,7 @@
 		if r.err == nil {
 			return replies, nil
 		}
-		if e, heard := operator.FromConnect(r.err); heard {
+		if e, answered := operator.FromConnect(r.err); answered {
 			refusal = e
 		}
 	}
@@ -169,7 +169,7 @@
 // apply makes a change. A lost answer is settled by repeating the change under the
 // same id, at the same entry or another: it takes effect once.
 func (a *app) apply(m *pb.ApplyChangeRequest) (*pb.ApplyChangeReply, error) {
-	clients, err := a.operators()
+	clients, err := a.operatorClients()
 	if err != nil {
 		return nil, err
 	}
@@ -183,7 +183,7 @@
 	var last error
 	unknown := false
 	shown := map[string]bool{}
-	for n := range rounds {
+	for n := range maxRounds {
 		if n > 0 {
 			a.pause(a.ctx, n)
 		}
@@ -192,12 +192,12 @@
 			if err == nil {
 				return reply, nil
 			}
-			e, heard := operator.FromConnect(err)
-			if heard && e.Code != core.CodeChangeUnknown && e.Code != core.CodePlatformDown {
+			e, answered := operator.FromConnect(err)
+			if answered && e.Code != core.CodeChangeUnknown && e.Code != core.CodePlatformDown {
 				return nil, e
 			}
-			unknown = unknown || heard && e.Code == core.CodeChangeUnknown || !heard && !notSent(err)
-			last = &failure{exitUnreachable, coded(err)}
+			unknown = unknown || answered && e.Code == core.CodeChangeUnknown || !answered && !notSent(err)
+			last = &exitError{exitUnreachable, entryError(err)}
 			if line := fmt.Sprintf("entry %s: %v\n", c.address, last); !shown[line] {
 				shown[line] = true
 				a.warnf("%s", line)
--- a/cmd/lavenderpond/confirmed.go
+++ b/cmd/lavenderpond/confirmations.go
@@ -7,32 +7,32 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// confirmed merges what several entries say of where something is in force. One
+// confirmationSet merges what several entries say of where something is in force. One
 // confirmation of an entry is enough; its zero value is empty.
-type confirmed struct {
+type confirmationSet struct {
 	entries map[string]*pb.Confirmation
 }
 
-func (r *confirmed) add(list []*pb.Confirmation) {
+func (r *confirmationSet) add(list []*pb.Confirmation) {
 	if r.entries == nil {
 		r.entries = map[string]*pb.Confirmation{}
 	}
 	for _, c := range list {
-		at := c.Zone + "/" + c.Entry
-		if old := r.entries[at]; old == nil || !old.Confirmed {
-			r.entries[at] = c
+		key := c.Zone + "/" + c.Entry
+		if old := r.entries[key]; old == nil || !old.Confirmed {
+			r.entries[key] = c
 		}
 	}
 }
 
-// unreached records an address that gave no answer. It counts as not confirmed,
+// addUnreached records an address that gave no answer. It counts as not confirmed,
 // even if others may know the entry behind it by name.
-func (r *confirmed) unreached(address string, err error) {
-	r.add([]*pb.Confirmation{{Entry: address, Detail: "not reached by this command: " + coded(err).Error()}})
+func (r *confirmationSet) addUnreached(address string, err error) {
+	r.add([]*pb.Confirmation{{Entry: address, Detail: "not reached by this command: " + entryError(err).Error()}})
 }
 
 // list returns the confirmations by zone and entry.
-func (r *confirmed) list() []*pb.Confirmation {
+func (r *confirmationSet) list() []*pb.Confirmation {
 	list := make([]*pb.Confirmation, 0, len(r.entries))
 	for _, c := range r.entries {
 		list = append(list, c)
@@ -46,7 +46,7 @@
 	return list
 }
 
-func (r *confirmed) grid() grid {
+func (r *confirmationSet) grid() grid {
 	var g grid
 	g.add("ZONE", "ENTRY", "IN FORCE", "DETAIL")
 	for _, c := range r.list() {
@@ -59,8 +59,8 @@
 	return g
 }
 
-// failure names the zones in which what could not be confirmed everywhere.
-func (r *confirmed) failure(what string) error {
+// unconfirmedError names the zones in which what could not be confirmed everywhere.
+func (r *confirmationSet) unconfirmedError(what string) error {
 	seen := map[string]bool{}
 	var zones []string
 	for _, c := range r.list() {
@@ -76,11 +76,11 @@
 	if len(zones) == 0 {
 		return nil
 	}
-	return failf(exitPartly, "%s can't be confirmed everywhere in %s", what, strings.Join(zones, ", "))
+	return failf(exitPartlyConfirmed, "%s can't be confirmed everywhere in %s", what, strings.Join(zones, ", "))
 }
 
 // zones returns how many zones have an entry that confirms, and how many there are.
-func (r *confirmed) zones() (confirming, all int) {
+func (r *confirmationSet) zones() (confirming, all int) {
 	zones := map[string]bool{}
 	for _, c := range r.list() {
 		if c.Zone != "" {
--- a/cmd/lavenderpond/exceptions.go
+++ b/cmd/lavenderpond/exceptions.go
@@ -30,12 +30,12 @@
 	var g grid
 	g.add("ID", "SCOPE", "VALUE", "END", "ENDED", "AUTHOR", "REASON")
 	for _, e := range reply.Exceptions {
-		g.add(e.Id, strings.TrimPrefix(e.Scope, table.PrefixConfig), values(e.Value), when(e.End), e.Ended, e.Author, e.Reason)
+		g.add(e.Id, strings.TrimPrefix(e.Scope, table.PrefixConfig), formatValues(e.Value), formatTime(e.End), e.Ended, e.Author, e.Reason)
 	}
 	return a.show(reply, g)
 }
 
-func values(m map[string]int32) string {
+func formatValues(m map[string]int32) string {
 	var parts []string
 	for name, n := range m {
 		parts = append(parts, fmt.Sprintf("%s=%d", name, n))
--- a/cmd/lavenderpond/exit.go
+++ b/cmd/lavenderpond/exit.go
@@ -17,21 +17,21 @@
 
 // The exit codes.
 const (
-	exitDone           exitCode = 0
-	exitInternal       exitCode = 1
-	exitUsage          exitCode = 2
-	exitNotRun         exitCode = 3
-	exitOutcomeUnknown exitCode = 4
-	exitConflict       exitCode = 5
-	exitNotAuthorized  exitCode = 6
-	exitUnreachable    exitCode = 7
-	exitPartly         exitCode = 8
-	exitPending        exitCode = 9
-	exitRefused        exitCode = 10
+	exitDone            exitCode = 0
+	exitInternal        exitCode = 1
+	exitUsage           exitCode = 2
+	exitNotRun          exitCode = 3
+	exitOutcomeUnknown  exitCode = 4
+	exitConflict        exitCode = 5
+	exitNotAuthorized   exitCode = 6
+	exitUnreachable     exitCode = 7
+	exitPartlyConfirmed exitCode = 8
+	exitPending         exitCode = 9
+	exitRefused         exitCode = 10
 )
 
-// exits is the table of exit codes.
-var exits = []struct {
+// exitTable is the table of exit codes.
+var exitTable = []struct {
 	code          exitCode
 	name, meaning string
 }{
@@ -43,7 +43,7 @@
 	{exitConflict, "conflict", "Another change came first, or the state of the VM, pool or zone doesn't allow this one. Read again, then repeat under a new change id."},
 	{exitNotAuthorized, "not_authorized", "The operator key or team key is missing, wrong or withdrawn."},
 	{exitUnreachable, "unreachable", "The platform's table is down or no entry was reached. Nothing was changed, nothing ran."},
-	{exitPartly, "partly_confirmed", "Done where it could be confirmed; the report names the zones and entries where it can't be."},
+	{exitPartlyConfirmed, "partly_confirmed", "Done where it could be confirmed; the report names the zones and entries where it can't be."},
 	{exitPending, "pending", "The request is queued or running; fetch it again later."},
 	{exitRefused, "refused", "The change or the settings file is outside what is allowed: a reason is missing, a value is wrong, a budget is spent, a name is unknown, the settings file can't be read."},
 }
@@ -78,17 +78,17 @@
 	}
 }
 
-// failure is an error with an exit code of its own.
-type failure struct {
+// exitError is an error with an exit code of its own.
+type exitError struct {
 	exit exitCode
 	error
 }
 
 // Unwrap returns what the exit code is for.
-func (f *failure) Unwrap() error { return f.error }
+func (f *exitError) Unwrap() error { return f.error }
 
 func failf(exit exitCode, format string, args ...any) error {
-	return &failure{exit, errors.Errorf(format, args...)}
+	return &exitError{exit, errors.Errorf(format, args...)}
 }
 
 // problem is an error as it is shown.
@@ -103,18 +103,18 @@
 
 func problemOf(err error) problem {
 	p := problem{Exit: int(exitInternal), Detail: err.Error()}
-	var f *failure
-	var coded *core.Error
-	if errors.As(err, &coded) {
-		p.Exit, p.Code, p.CodeName, p.Detail = int(exitOf(coded.Code)), int(coded.Code), coded.Code.String(), coded.Detail
-		if !coded.ComeBackAt.IsZero() {
-			p.ComeBackAt = coded.ComeBackAt.UTC().Format(timeLayout)
+	var f *exitError
+	var coreErr *core.Error
+	if errors.As(err, &coreErr) {
+		p.Exit, p.Code, p.CodeName, p.Detail = int(exitOf(coreErr.Code)), int(coreErr.Code), coreErr.Code.String(), coreErr.Detail
+		if !coreErr.ComeBackAt.IsZero() {
+			p.ComeBackAt = coreErr.ComeBackAt.UTC().Format(timeLayout)
 		}
 	}
 	if errors.As(err, &f) {
 		p.Exit = int(f.exit)
 	}
-	p.Name = exits[p.Exit].name
+	p.Name = exitTable[p.Exit].name
 	return p
 }
 
@@ -136,8 +136,8 @@
 	}
 }
 
-// coded returns the entry's numbered refusal, or err itself.
-func coded(err error) error {
+// entryError returns the entry's numbered refusal, or err itself.
+func entryError(err error) error {
 	if e, ok := operator.FromConnect(err); ok {
 		return e
 	}
--- a/cmd/lavenderpond/fakes_test.go
+++ b/cmd/lavenderpond/fakes_test.go
@@ -33,10 +33,10 @@
 	mu   sync.Mutex
 	rows table.Memory
 	down bool
-	// lose counts transactions that take effect but whose answer is lost; the table
+	// loseAnswers counts transactions that take effect but whose answer is lost; the table
 	// is down afterwards if downAfter is set.
-	lose      int
-	downAfter bool
+	loseAnswers   int
+	downAfterLoss bool
 	// race runs once, right before the next transaction.
 	race func()
 }
@@ -74,9 +74,9 @@
 		return table.ErrUnreachable
 	}
 	err := t.rows.Transact(tx)
-	if err == nil && t.lose > 0 {
-		t.lose--
-		t.down = t.downAfter
+	if err == nil && t.loseAnswers > 0 {
+		t.loseAnswers--
+		t.down = t.downAfterLoss
 		return table.ErrOutcomeUnknown
 	}
 	return err
@@ -144,8 +144,8 @@
 	return f
 }
 
-// settle lets all reachable entries take in the table, as their polls would.
-func (f *fakeFleet) settle() {
+// pollTable lets all reachable entries take in the table, as their polls would.
+func (f *fakeFleet) pollTable() {
 	if f.table.down {
 		return
 	}
@@ -167,7 +167,7 @@
 			continue
 		}
 		if e.fault == "refuse" {
-			return nil, refused()
+			return nil, connectionRefused()
 		}
 		w := httptest.NewRecorder()
 		e.handler().ServeHTTP(w, r)
@@ -176,11 +176,11 @@
 		}
 		return w.Result(), nil
 	}
-	return nil, refused()
+	return nil, connectionRefused()
 }
 
-// refused is the error of a dial to a port on which nothing listens.
-func refused() error { return &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED} }
+// connectionRefused is the error of a dial to a port on which nothing listens.
+func connectionRefused() error { return &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED} }
 
 func (e *fakeEntry) handler() http.Handler {
 	mux := http.NewServeMux()
--- a/cmd/lavenderpond/keys.go
+++ b/cmd/lavenderpond/keys.go
@@ -42,8 +42,8 @@
 	Team string `arg:"" help:"Team that the key speaks for."`
 }
 
-// granted is the JSON output of a grant.
-type granted struct {
+// grantOutput is the JSON output of a grant.
+type grantOutput struct {
 	Team    string `json:"team"`
 	Key     string `json:"key"`
 	Digest  string `json:"digest"`
@@ -67,7 +67,7 @@
 		return err
 	}
 	if a.Output == "json" {
-		data, err := json.Marshal(granted{c.Team, key, digest, reply.Version, reply.Note})
+		data, err := json.Marshal(grantOutput{c.Team, key, digest, reply.Version, reply.Note})
 		if err != nil {
 			return errors.Wrap(err, "encode key")
 		}
@@ -106,10 +106,10 @@
 		return err
 	}
 	merged := &pb.WithdrawReply{TableCode: uint32(core.CodePlatformDown), TableDetail: "no entry could record it"}
-	var r confirmed
+	var r confirmationSet
 	for _, reply := range replies {
 		if reply.err != nil {
-			r.unreached(reply.address, reply.err)
+			r.addUnreached(reply.address, reply.err)
 			continue
 		}
 		r.add(reply.value.Confirmations)
@@ -122,24 +122,24 @@
 		return err
 	}
 	if merged.TableCode == 0 {
-		return r.failure("the withdrawal")
+		return r.unconfirmedError("the withdrawal")
 	}
-	return notRecorded(merged, &r, change)
+	return unrecordedError(merged, &r, change)
 }
 
-// notRecorded says what a withdrawal is worth that the table doesn't have. Entries
+// unrecordedError says what a withdrawal is worth that the table doesn't have. Entries
 // trust their keys on the word of a majority of zones: one that fewer zones hold may
 // be missed by an entry that is cut off or starts anew.
-func notRecorded(m *pb.WithdrawReply, r *confirmed, change string) error {
-	why := m.TableDetail
+func unrecordedError(m *pb.WithdrawReply, r *confirmationSet, change string) error {
+	cause := m.TableDetail
 	if code := core.Code(m.TableCode); code == core.CodePlatformDown || code == core.CodeChangeUnknown {
-		why = code.String()
+		cause = code.String()
 	}
 	confirming, all := r.zones()
 	if 2*confirming > all {
-		return failf(exitPartly, "in force in %d of %d zones, not yet recorded in the table: %s; repeat with --change-id %s once it can be",
-			confirming, all, why, change)
+		return failf(exitPartlyConfirmed, "in force in %d of %d zones, not yet recorded in the table: %s; repeat with --change-id %s once it can be",
+			confirming, all, cause, change)
 	}
-	return failf(exitPartly, "NOT SAFE: only %d of %d zones have it, the table doesn't: %s; repeat with --change-id %s until a majority of zones or the table has it",
-		confirming, all, why, change)
+	return failf(exitPartlyConfirmed, "NOT SAFE: only %d of %d zones have it, the table doesn't: %s; repeat with --change-id %s until a majority of zones or the table has it",
+		confirming, all, cause, change)
 }
--- a/cmd/lavenderpond/maintenance.go
+++ b/cmd/lavenderpond/maintenance.go
@@ -27,7 +27,7 @@
 	var g grid
 	g.add("ZONE", "STATUS", "WAVE", "DEADLINE", "MAINTAINED", "OUT", "FAILED", "NOT BACK", "LATE", "AUTHOR", "REASON")
 	for _, w := range reply.Waves {
-		g.add(w.Zone, w.Status, w.Number, when(w.Deadline), fmt.Sprintf("%d of %d", w.Maintained, w.Total), w.Out, w.Failed,
+		g.add(w.Zone, w.Status, w.Number, formatTime(w.Deadline), fmt.Sprintf("%d of %d", w.Maintained, w.Total), w.Out, w.Failed,
 			fmt.Sprintf("%d of at most %d", w.NotBack, w.MaxNotBack), w.Late, w.Author, w.Reason)
 	}
 	return a.show(reply, g)
--- a/cmd/lavenderpond/output.go
+++ b/cmd/lavenderpond/output.go
@@ -35,7 +35,7 @@
 // show prints m as JSON, or g as a table.
 func (a *app) show(m proto.Message, g grid) error {
 	if a.Output == "json" {
-		data, err := encode(m)
+		data, err := encodeJSON(m)
 		a.printf("%s", data)
 		return err
 	}
@@ -53,17 +53,17 @@
 	}
 }
 
-// encode returns m as JSON with field names in snake case.
-func encode(m proto.Message) ([]byte, error) {
+// encodeJSON returns m as JSON with field names in snake case.
+func encodeJSON(m proto.Message) ([]byte, error) {
 	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	return indent(data)
+	return normalizeJSON(data)
 }
 
-// indent gives JSON one form; protojson varies its spaces from run to run.
-func indent(data []byte) ([]byte, error) {
+// normalizeJSON gives JSON one form; protojson varies its spaces from run to run.
+func normalizeJSON(data []byte) ([]byte, error) {
 	var compact, out bytes.Buffer
 	if err := json.Compact(&compact, data); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	return out.Bytes(), nil
 }
 
-func when(t *timestamppb.Timestamp) string {
+func formatTime(t *timestamppb.Timestamp) string {
 	if t == nil {
 		return ""
 	}
--- a/cmd/lavenderpond/page_test.go
+++ b/cmd/lavenderpond/page_test.go
@@ -27,13 +27,13 @@
 	assert.NilError(t, err)
 	var b strings.Builder
 	b.WriteString(pageHead)
-	for i, e := range exits {
+	for i, e := range exitTable {
 		assert.Equal(t, int(e.code), i)
 		fmt.Fprintf(&b, "| %d | `%s` | %s |\n", e.code, e.name, e.meaning)
 	}
 	b.WriteString("\n## Exit code of each result code\n\n| result code | exit code |\n|---|---|\n")
 	for _, info := range core.Codes() {
-		fmt.Fprintf(&b, "| %d `%s` | %d `%s` |\n", info.Code, info.Name, exitOf(info.Code), exits[exitOf(info.Code)].name)
+		fmt.Fprintf(&b, "| %d `%s` | %d `%s` |\n", info.Code, info.Name, exitOf(info.Code), exitTable[exitOf(info.Code)].name)
 	}
 	b.WriteString("\nFor a request, `malformed` gives 3, and an answer whose outcome is unknown always gives 4.\n\n## Commands\n\nThe flags of `lavenderpond` itself go with every command.\n")
 	fmt.Fprintf(&b, "\n```\n%s```\n", help(t))
--- a/cmd/lavenderpond/requests.go
+++ b/cmd/lavenderpond/requests.go
@@ -48,9 +48,9 @@
 		Deadline: timestamppb.New(now.Add(c.Within)), FirstSent: timestamppb.New(now),
 		DeclaredRunMs: uint32(c.DeclaredRun.Milliseconds()), Body: body, BodyLength: &length,
 	}
-	answer, err := a.deliver(m.Deadline.AsTime().Add(answerGrace), c.ID, func(ctx context.Context, t caller) (*pb.Answer, error) {
+	answer, err := a.callEntries(m.Deadline.AsTime().Add(answerGrace), c.ID, func(ctx context.Context, t callerClient) (*pb.Answer, error) {
 		m.Attempt++
-		return answerOf(t.Submit(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.SubmitRequest])))
+		return checkAnswer(t.Submit(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.SubmitRequest])))
 	})
 	if err != nil {
 		return err
@@ -72,8 +72,8 @@
 // Run fetches an answer.
 func (c fetchCmd) Run(a *app) error {
 	m := &pb.FetchRequest{Team: c.Team, Id: c.ID}
-	answer, err := a.deliver(a.now().Add(a.Timeout), c.ID, func(ctx context.Context, t caller) (*pb.Answer, error) {
-		return answerOf(t.Fetch(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.FetchRequest])))
+	answer, err := a.callEntries(a.now().Add(a.Timeout), c.ID, func(ctx context.Context, t callerClient) (*pb.Answer, error) {
+		return checkAnswer(t.Fetch(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.FetchRequest])))
 	})
 	if err != nil {
 		return err
@@ -86,8 +86,8 @@
 // Run cancels a request. A request cancelled in its queue is a success here.
 func (c cancelCmd) Run(a *app) error {
 	m := &pb.CancelRequest{Team: c.Team, Id: c.ID}
-	answer, err := a.deliver(a.now().Add(a.Timeout), c.ID, func(ctx context.Context, t caller) (*pb.Answer, error) {
-		return answerOf(t.Cancel(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.CancelRequest])))
+	answer, err := a.callEntries(a.now().Add(a.Timeout), c.ID, func(ctx context.Context, t callerClient) (*pb.Answer, error) {
+		return checkAnswer(t.Cancel(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.CancelRequest])))
 	})
 	if err != nil {
 		return err
@@ -98,47 +98,47 @@
 	return a.finish(answer)
 }
 
-// caller speaks to one entry with the team key.
-type caller struct {
+// callerClient speaks to one entry with the team key.
+type callerClient struct {
 	lavenderpondv1connect.CallerServiceClient
 	key string
 }
 
-func (t caller) sign(r connect.AnyRequest) connect.AnyRequest {
+func (t callerClient) sign(r connect.AnyRequest) connect.AnyRequest {
 	r.Header().Set("Authorization", "Bearer "+t.key)
 	return r
 }
 
-// deliver offers a request to the entries in turn until one gives its word or until
+// callEntries offers a request to the entries in turn until one gives its word or until
 // passes. Repeating is safe: the id and deadline stay the same, and its home
 // decides about the id once.
-func (a *app) deliver(until time.Time, id string, send func(context.Context, caller) (*pb.Answer, error)) (*pb.Answer, error) {
+func (a *app) callEntries(deadline time.Time, id string, send func(context.Context, callerClient) (*pb.Answer, error)) (*pb.Answer, error) {
 	addresses, err := a.addresses()
 	if err != nil {
 		return nil, err
 	}
-	key, err := a.secret(a.TeamKeyFile, "LAVENDERPOND_TEAM_KEY")
+	key, err := a.readKey(a.TeamKeyFile, "LAVENDERPOND_TEAM_KEY")
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, until.Sub(a.now()))
+	ctx, cancel := context.WithTimeout(a.ctx, deadline.Sub(a.now()))
 	defer cancel()
-	var stopping *pb.Answer
+	var stoppingAnswer *pb.Answer
 	sent := false
-	for n := 0; n < rounds && ctx.Err() == nil; n++ {
+	for n := 0; n < maxRounds && ctx.Err() == nil; n++ {
 		if n > 0 {
 			a.pause(ctx, n)
 		}
 		for _, address := range addresses {
 			c := lavenderpondv1connect.NewCallerServiceClient(a.http, "http://"+address)
-			answer, err := send(ctx, caller{c, key})
+			answer, err := send(ctx, callerClient{c, key})
 			switch {
 			case err == nil && core.Code(answer.Code) == core.CodeEntryStopping:
-				stopping = answer
+				stoppingAnswer = answer
 			case err == nil:
 				return answer, nil
-			case unread(err) && !sent:
-				return nil, refusalOf(err)
+			case refusedAsTooLarge(err) && !sent:
+				return nil, tooLargeError(err)
 			default:
 				sent = sent || !notSent(err)
 				a.warnf("entry %s: %v\n", address, err)
@@ -148,23 +148,23 @@
 	switch {
 	case sent:
 		return nil, failf(exitOutcomeUnknown, "no answer came back; the request may have run: lavenderpond fetch %s", id)
-	case stopping != nil:
-		return stopping, nil
+	case stoppingAnswer != nil:
+		return stoppingAnswer, nil
 	default:
 		return nil, failf(exitUnreachable, "no entry was reached; nothing was sent")
 	}
 }
 
-// unread reports whether err is an entry's own word that it did not read the request
+// refusedAsTooLarge reports whether err is an entry's own word that it did not read the request
 // because of its size. Taken for a lost answer, it would be offered in vain to every
 // entry, and the caller told that a request may have run that no entry has read. A
 // refusal that only a proxy or a broken connection gave carries no such word.
-func unread(err error) bool {
+func refusedAsTooLarge(err error) bool {
 	return connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeResourceExhausted
 }
 
-// refusalOf returns the numbered refusal of a request that was not read.
-func refusalOf(err error) error {
+// tooLargeError returns the numbered refusal of a request that was not read.
+func tooLargeError(err error) error {
 	detail := err.Error()
 	if _, after, ok := strings.Cut(detail, core.CodeTooLarge.String()); ok {
 		_, detail, _ = strings.Cut(after, ": ")
@@ -172,8 +172,8 @@
 	return core.Errorf(core.CodeTooLarge, "%s", detail)
 }
 
-// answerOf returns the whole answer, or an error for one that was cut.
-func answerOf(r *connect.Response[pb.Answer], err error) (*pb.Answer, error) {
+// checkAnswer returns the whole answer, or an error for one that was cut.
+func checkAnswer(r *connect.Response[pb.Answer], err error) (*pb.Answer, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -201,7 +201,7 @@
 	case e.Code == core.CodeMalformed:
 		exit = exitNotRun
 	}
-	return &failure{exit, e}
+	return &exitError{exit, e}
 }
 
 // showAnswer prints the body as it is, or the whole answer as JSON.
--- a/cmd/lavenderpond/session_test.go
+++ b/cmd/lavenderpond/session_test.go
@@ -61,7 +61,7 @@
 	case "$":
 		s.run(t, "ana", rest)
 	case "!":
-		s.induce(t, strings.Fields(rest))
+		s.applyFault(t, strings.Fields(rest))
 	}
 }
 
@@ -91,19 +91,19 @@
 			}
 		}
 	}
-	fmt.Fprintf(&s.out, "  exit %d %s\n", code, exits[code].name)
-	s.fleet.settle()
+	fmt.Fprintf(&s.out, "  exit %d %s\n", code, exitTable[code].name)
+	s.fleet.pollTable()
 }
 
-// induce brings about one of the brief's failures.
-func (s *session) induce(t *testing.T, words []string) {
+// applyFault brings about one of the brief's failures.
+func (s *session) applyFault(t *testing.T, words []string) {
 	switch words[0] {
 	case "table":
 		s.fleet.table.down = words[1] == "down"
 		if words[1] == "loses" {
 			n, err := strconv.Atoi(words[2])
 			assert.NilError(t, err)
-			s.fleet.table.lose, s.fleet.table.downAfter = n, len(words) > 3
+			s.fleet.table.loseAnswers, s.fleet.table.downAfterLoss = n, len(words) > 3
 		}
 	case "entry":
 		for _, e := range s.fleet.entries {
@@ -126,7 +126,7 @@
 		d, err := time.ParseDuration(words[1])
 		assert.NilError(t, err)
 		s.fleet.now = s.fleet.now.Add(d)
-		s.fleet.settle()
+		s.fleet.pollTable()
 	default:
 		t.Fatalf("unknown fault %v", words)
 	}
--- a/cmd/lavenderpond/status.go
+++ b/cmd/lavenderpond/status.go
@@ -24,14 +24,14 @@
 	entries := map[string]*pb.EntryStatus{}
 	for _, r := range replies {
 		if r.err != nil {
-			a.warnf("entry %s: %v\n", r.address, coded(r.err))
+			a.warnf("entry %s: %v\n", r.address, entryError(r.err))
 			continue
 		}
 		merged.Version = max(merged.Version, r.value.Version)
 		for _, e := range r.value.Entries {
-			at := e.Zone + "/" + e.Entry
-			if old := entries[at]; old == nil || !old.Reachable {
-				entries[at] = e
+			key := e.Zone + "/" + e.Entry
+			if old := entries[key]; old == nil || !old.Reachable {
+				entries[key] = e
 			}
 		}
 	}
@@ -42,17 +42,17 @@
 			unreached++
 		}
 	}
-	sort.Slice(merged.Entries, func(i, j int) bool { return before(merged.Entries[i], merged.Entries[j]) })
+	sort.Slice(merged.Entries, func(i, j int) bool { return entryLess(merged.Entries[i], merged.Entries[j]) })
 	if err := a.show(merged, statusGrid(a.now(), merged)); err != nil {
 		return err
 	}
 	if unreached > 0 {
-		return failf(exitPartly, "%d of %d entries gave no answer to any entry that was asked", unreached, len(entries))
+		return failf(exitPartlyConfirmed, "%d of %d entries gave no answer to any entry that was asked", unreached, len(entries))
 	}
 	return nil
 }
 
-func before(a, b *pb.EntryStatus) bool {
+func entryLess(a, b *pb.EntryStatus) bool {
 	if a.Zone != b.Zone {
 		return a.Zone < b.Zone
 	}
@@ -86,10 +86,10 @@
 	if err != nil {
 		return err
 	}
-	var r confirmed
+	var r confirmationSet
 	for _, reply := range replies {
 		if reply.err != nil {
-			r.unreached(reply.address, reply.err)
+			r.addUnreached(reply.address, reply.err)
 			continue
 		}
 		r.add(reply.value.Confirmations)
@@ -97,7 +97,7 @@
 	if err := a.show(&pb.WhereReply{Confirmations: r.list()}, r.grid()); err != nil {
 		return err
 	}
-	return r.failure(fmt.Sprintf("version %d", c.Version))
+	return r.unconfirmedError(fmt.Sprintf("version %d", c.Version))
 }
 
 type dumpCmd struct{}
@@ -112,7 +112,7 @@
 	failed := 0
 	for _, r := range replies {
 		if r.err != nil {
-			a.warnf("entry %s: %v\n", r.address, coded(r.err))
+			a.warnf("entry %s: %v\n", r.address, entryError(r.err))
 			failed++
 			continue
 		}
@@ -124,7 +124,7 @@
 	}
 	a.printf("%s\n", data)
 	if failed > 0 {
-		return failf(exitPartly, "%d of %d entries were not reached", failed, len(replies))
+		return failf(exitPartlyConfirmed, "%d of %d entries were not reached", failed, len(replies))
 	}
 	return nil
 }
--- a/cmd/lavenderpond/vms.go
+++ b/cmd/lavenderpond/vms.go
@@ -28,7 +28,7 @@
 	DrainWithin time.Duration `default:"30m" help:"A drain that is still busy after this time is given up, and the VM serves again."`
 }
 
-func (d drainFlag) by(a *app) *timestamppb.Timestamp {
+func (d drainFlag) deadline(a *app) *timestamppb.Timestamp {
 	return timestamppb.New(a.now().Add(d.DrainWithin))
 }
 
@@ -45,7 +45,7 @@
 	var g grid
 	g.add("ZONE", "VM", "POOL", "STATE", "SINCE", "RACK", "ADDRESS", "SLOTS", "CONNECTIONS", "MOVES TO", "WAVE")
 	for _, v := range reply.Vms {
-		g.add(v.Zone, v.Vm, v.Pool, v.State, when(v.Since), v.Rack, v.Address, v.Slots, v.Connections, v.MoveTo, v.Wave)
+		g.add(v.Zone, v.Vm, v.Pool, v.State, formatTime(v.Since), v.Rack, v.Address, v.Slots, v.Connections, v.MoveTo, v.Wave)
 	}
 	return a.show(reply, g)
 }
@@ -91,7 +91,7 @@
 // Run moves a VM.
 func (c vmsMoveCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_MoveVm{
-		MoveVm: &pb.MoveVM{Zone: c.Zone, Vm: c.VM, Pool: c.Pool, Resize: c.Resize, DrainBy: c.by(a)},
+		MoveVm: &pb.MoveVM{Zone: c.Zone, Vm: c.VM, Pool: c.Pool, Resize: c.Resize, DrainBy: c.deadline(a)},
 	}})
 }
 
@@ -103,7 +103,7 @@
 // Run cordons a VM.
 func (c vmsCordonCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_CordonVm{
-		CordonVm: &pb.CordonVM{Zone: c.Zone, Vm: c.VM, DrainBy: c.by(a)},
+		CordonVm: &pb.CordonVM{Zone: c.Zone, Vm: c.VM, DrainBy: c.deadline(a)},
 	}})
 }
 
--- a/cmd/lavenderpond/zones.go
+++ b/cmd/lavenderpond/zones.go
@@ -5,25 +5,25 @@
 )
 
 type zonesCmd struct {
-	AttestDown zonesDownCmd `cmd:"" help:"State that nothing of the zone runs any more, so that its allotments go to others. If something does run, upper limits may break."`
-	AttestUp   zonesUpCmd   `cmd:"" help:"State that the zone is back."`
+	AttestDown zonesAttestDownCmd `cmd:"" help:"State that nothing of the zone runs any more, so that its allotments go to others. If something does run, upper limits may break."`
+	AttestUp   zonesAttestUpCmd   `cmd:"" help:"State that the zone is back."`
 }
 
-type zonesDownCmd struct {
+type zonesAttestDownCmd struct {
 	Zone   string `arg:"" help:"Zone that is down."`
 	Reason string `help:"How it is known; the monitor reads it. Needed."`
 }
 
 // Run attests that a zone is down.
-func (c zonesDownCmd) Run(a *app) error { return attest(a, c.Zone, c.Reason, true) }
+func (c zonesAttestDownCmd) Run(a *app) error { return attest(a, c.Zone, c.Reason, true) }
 
-type zonesUpCmd struct {
+type zonesAttestUpCmd struct {
 	Zone   string `arg:"" help:"Zone that is back."`
 	Reason string `help:"How it is known; the monitor reads it. Needed."`
 }
 
 // Run attests that a zone is back.
-func (c zonesUpCmd) Run(a *app) error { return attest(a, c.Zone, c.Reason, false) }
+func (c zonesAttestUpCmd) Run(a *app) error { return attest(a, c.Zone, c.Reason, false) }
 
 func attest(a *app, zone, reason string, down bool) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_AttestZone{
--- a/core/experiment/experiment.go
+++ b/core/experiment/experiment.go
@@ -27,9 +27,9 @@
 	Run(seed uint64) []Row
 }
 
-// Narrower is an Experiment that can run one of its workloads alone.
-type Narrower interface {
-	Narrow(workload string) Experiment
+// WorkloadFilter is an Experiment that can run one of its workloads alone.
+type WorkloadFilter interface {
+	FilterWorkload(workload string) Experiment
 }
 
 var registry = map[string]Experiment{}
--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -23,20 +23,20 @@
 // failureRates are the letter's: 170 of 10,000 VMs fail a day, one rack of its
 // 2,500 a week. How long a failure lasts, and how many VMs stay away after a
 // reboot, the letter doesn't say; a tenth for hours and 0.5% are assumed.
-var failureRates = Faults{PerVMDay: 170.0 / 10000, LongShare: 0.1, PerRackWeek: 1.0 / 2500, NotBack: 0.005}
+var failureRates = Faults{FailuresPerVMDay: 170.0 / 10000, LongFailureShare: 0.1, FailuresPerRackWeek: 1.0 / 2500, NotBackShare: 0.005}
 
 // Times of the experiment. A step is the controller's tick here.
 const (
-	stepTime   = time.Minute
-	rebootTime = 3 * time.Minute
-	drainTime  = 20 * time.Minute
-	cycle      = 7 * 7 * 24 * time.Hour
-	// countEvery is how many steps go by between two looks at the whole fleet.
-	countEvery = 10
+	stepTime         = time.Minute
+	rebootTime       = 3 * time.Minute
+	drainTime        = 20 * time.Minute
+	maintenanceCycle = 7 * 7 * 24 * time.Hour
+	// stepsPerSample is how many steps go by between two looks at the whole fleet.
+	stepsPerSample = 10
 )
 
-// start is an arbitrary fixed date.
-var start = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
+// runStart is an arbitrary fixed date.
+var runStart = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
 func init() {
 	experiment.Register(Experiment{Size: Today})
@@ -63,18 +63,18 @@
 // that roll-out times compare, and one of a single VM per zone, the careful use
 // of the naive planner.
 func (e Experiment) Run(seed uint64) []experiment.Row {
-	fair := max(1, e.Size.Pools*e.Size.MaxUnavailable/e.Size.Zones)
+	budgetWave := max(1, e.Size.Pools*e.Size.MaxUnavailable/e.Size.Zones)
 	var rows []experiment.Row
 	for _, v := range []struct {
-		name    string
-		planner maintenance.Planner
-		gated   bool
+		name     string
+		planner  maintenance.Planner
+		budgeted bool
 	}{
 		{"spread", spread.Planner{}, true},
-		{"naive", fixed.Planner{Size: fair}, false},
-		{"naive_small", fixed.Planner{Size: max(1, fair/8)}, false},
+		{"naive", fixed.Planner{Size: budgetWave}, false},
+		{"naive_small", fixed.Planner{Size: max(1, budgetWave/8)}, false},
 	} {
-		r := e.roll(seed, v.planner, v.gated)
+		r := e.rollOut(seed, v.planner, v.budgeted)
 		for _, m := range r.measures() {
 			rows = append(rows, experiment.Row{
 				Experiment: e.Name(), Workload: e.Size.Name, Variant: v.name, Seed: seed, Measure: m.name, Value: m.value,
@@ -84,42 +84,42 @@
 	return rows
 }
 
-// run is one roll-out.
-type run struct {
+// rollout is one roll-out.
+type rollout struct {
 	size  Size
 	world *World
 	zones []*Zone
-	// ended is when the last zone finished; zero if it didn't.
-	ended  time.Time
-	halted int
-	steps  int
-	// spareIdle adds up the idle spare VMs of each look, and short the VMs that
+	// endedAt is when the last zone finished; zero if it didn't.
+	endedAt time.Time
+	halts   int
+	steps   int
+	// idleSpareVMs adds up the idle spare VMs of each look, and short the VMs that
 	// were missing beyond a pool's budget.
-	spareIdle, short int
+	idleSpareVMs, missingVMs int
 }
 
-// roll runs until every zone finished or the deadline passed. A naive run is not
+// rollOut runs until every zone finished or the deadline passed. A naive run is not
 // gated: the pools' rows allow any number of stops, as it knows no budgets.
-func (e Experiment) roll(seed uint64, p maintenance.Planner, gated bool) *run {
+func (e Experiment) rollOut(seed uint64, p maintenance.Planner, budgeted bool) *rollout {
 	rowBudget := e.Size.MaxUnavailable
-	if !gated {
+	if !budgeted {
 		rowBudget = e.Size.PoolVMs
 	}
-	w := NewWorld(seed, start, e.Size, rowBudget)
-	w.Faults, w.RebootTime, w.DrainTime, w.Unseen = failureRates, rebootTime, drainTime, 2*stepTime
-	r := &run{size: e.Size, world: w}
+	w := NewWorld(seed, runStart, e.Size, rowBudget)
+	w.Faults, w.RebootTime, w.DrainTime, w.DetectionDelay = failureRates, rebootTime, drainTime, 2*stepTime
+	r := &rollout{size: e.Size, world: w}
 	for i := range e.Size.Zones {
 		z := &Zone{World: w, ID: core.ZoneID(fmt.Sprintf("z%d", i)), Planner: p}
 		r.zones = append(r.zones, z)
-		z.begin(w.Now.Add(cycle), max(maintenance.DefaultMaxNotBack, len(w.order)/e.Size.Zones/50))
+		z.startWave(w.Now.Add(maintenanceCycle), max(maintenance.DefaultMaxNotBack, len(w.vms)/e.Size.Zones/50))
 	}
-	for w.Now.Before(start.Add(cycle)) && r.step() {
+	for w.Now.Before(runStart.Add(maintenanceCycle)) && r.step() {
 		r.steps++
 	}
 	return r
 }
 
-func (z *Zone) begin(deadline time.Time, maxNotBack int) {
+func (z *Zone) startWave(deadline time.Time, maxNotBack int) {
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
 		func(r maintenance.WaveRow) (table.Transaction, error) {
 			return maintenance.Plan(z.World.Now, r, maintenance.OperatorChange{Author: "experiment", Change: "plan"}, deadline, maxNotBack)
@@ -128,14 +128,14 @@
 			return maintenance.Start(r, maintenance.OperatorChange{Author: "experiment", Change: "start"})
 		},
 	} {
-		if err := z.Order(build); err != nil {
+		if err := z.ApplyOperatorChange(build); err != nil {
 			panic(err)
 		}
 	}
 }
 
 // step advances the fleet by a tick and reports whether a zone is still at work.
-func (r *run) step() bool {
+func (r *rollout) step() bool {
 	r.world.Advance(stepTime)
 	working := false
 	for _, z := range r.zones {
@@ -147,9 +147,9 @@
 			working = true
 		case maintenance.Halted:
 			// The operator looks and goes on.
-			r.halted++
+			r.halts++
 			working = true
-			err := z.Order(func(w maintenance.WaveRow) (table.Transaction, error) {
+			err := z.ApplyOperatorChange(func(w maintenance.WaveRow) (table.Transaction, error) {
 				return maintenance.Start(w, maintenance.OperatorChange{Author: "experiment", Change: core.ChangeID(fmt.Sprint(r.world.Now))})
 			})
 			if err != nil {
@@ -157,28 +157,28 @@
 			}
 		}
 	}
-	if r.steps%countEvery == 0 {
-		r.count()
+	if r.steps%stepsPerSample == 0 {
+		r.sample()
 	}
 	if !working {
-		r.ended = r.world.Now
+		r.endedAt = r.world.Now
 	}
 	return working
 }
 
-func (r *run) count() {
+func (r *rollout) sample() {
 	missing := make(map[core.PoolID]int)
-	for _, m := range r.world.order {
+	for _, m := range r.world.vms {
 		switch serves := r.world.serves(m); {
 		case m.row.VM.Pool == SparePool && serves:
-			r.spareIdle++
+			r.idleSpareVMs++
 		case m.row.VM.Pool != SparePool && serves:
 			missing[m.row.VM.Pool]--
 		}
 	}
 	for id, size := range r.world.Sizes {
 		if id != SparePool {
-			r.short += max(0, missing[id]+size-r.world.Budget)
+			r.missingVMs += max(0, missing[id]+size-r.world.Budget)
 		}
 	}
 }
@@ -188,10 +188,10 @@
 	value float64
 }
 
-func (r *run) measures() []measure {
+func (r *rollout) measures() []measure {
 	missed, reboots := 0, 0
-	for _, m := range r.world.order {
-		if m.row.VM.LastMaintained.Before(start) {
+	for _, m := range r.world.vms {
+		if m.row.VM.LastMaintained.Before(runStart) {
 			missed++
 		}
 		reboots += m.Reboots
@@ -200,28 +200,28 @@
 	for _, z := range r.zones {
 		moves += z.Moves
 	}
-	ended := r.ended
-	if ended.IsZero() {
-		ended = r.world.Now
+	endedAt := r.endedAt
+	if endedAt.IsZero() {
+		endedAt = r.world.Now
 	}
-	looks := float64(r.steps/countEvery + 1)
+	samples := float64(r.steps/stepsPerSample + 1)
 	return []measure{
-		{"rollout_hours", ended.Sub(start).Hours()},
+		{"rollout_hours", endedAt.Sub(runStart).Hours()},
 		{"breaches", float64(len(r.world.Breaches))},
 		{"cut_off", float64(len(r.world.CutOff))},
-		{"short_vm_hours", float64(r.short) * countEvery * stepTime.Hours()},
+		{"short_vm_hours", float64(r.missingVMs) * stepsPerSample * stepTime.Hours()},
 		{"moves", float64(moves)},
 		{"stops", float64(r.world.Stops)},
-		{"halts", float64(r.halted)},
+		{"halts", float64(r.halts)},
 		{"missed", float64(missed)},
-		{"spare_idle_mean", float64(r.spareIdle) / looks},
+		{"spare_idle_mean", float64(r.idleSpareVMs) / samples},
 		{"vms_failed", float64(r.failed())},
 	}
 }
 
-func (r *run) failed() int {
+func (r *rollout) failed() int {
 	n := 0
-	for _, m := range r.world.order {
+	for _, m := range r.world.vms {
 		if m.row.VM.State == fleet.Failed {
 			n++
 		}
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -18,8 +18,8 @@
 	"lavenderpond/core/table"
 )
 
-// Machine is a VM as it really is, whatever its row says.
-type Machine struct {
+// SimulatedVM is a VM as it really is, whatever its row says.
+type SimulatedVM struct {
 	Ref  fleet.Ref
 	Rack core.RackID
 	Up   bool
@@ -51,15 +51,15 @@
 
 // Faults are the rates of what goes wrong. Zero rates mean never.
 type Faults struct {
-	// PerVMDay is how often a VM fails in a day.
-	PerVMDay float64
-	// LongShare is the share of failures that last for hours; the others end
+	// FailuresPerVMDay is how often a VM fails in a day.
+	FailuresPerVMDay float64
+	// LongFailureShare is the share of failures that last for hours; the others end
 	// within minutes.
-	LongShare float64
-	// PerRackWeek is how often a rack fails in a week.
-	PerRackWeek float64
-	// NotBack is the share of reboots after which a VM stays away for hours.
-	NotBack float64
+	LongFailureShare float64
+	// FailuresPerRackWeek is how often a rack fails in a week.
+	FailuresPerRackWeek float64
+	// NotBackShare is the share of reboots after which a VM stays away for hours.
+	NotBackShare float64
 }
 
 // World is a fleet as it really is, and the platform's table. Its clock is Now.
@@ -73,9 +73,9 @@
 	// DrainTime is the mean time that work goes on after a drain began; 0 leaves
 	// BusyUntil to the test.
 	DrainTime time.Duration
-	// Unseen is how long a failure may stay unknown before a planned stop counts
+	// DetectionDelay is how long a failure may stay unknown before a planned stop counts
 	// as a breach because of it.
-	Unseen time.Duration
+	DetectionDelay time.Duration
 	// Unfenced lets the platform take requests that come too late.
 	Unfenced bool
 	// Budget is the true budget of the pools, and Sizes their true sizes: rows may
@@ -88,17 +88,17 @@
 	Breaches, CutOff []string
 	Stops            int
 
-	order    []*Machine
-	machines map[fleet.Ref]*Machine
-	racks    map[core.RackID][]*Machine
+	vms      []*SimulatedVM
+	vmsByRef map[fleet.Ref]*SimulatedVM
+	racks    map[core.RackID][]*SimulatedVM
 	rackIDs  []core.RackID
 	pools    map[core.PoolID]fleet.PoolRow
-	seen     table.Revision
-	down     []*Machine
-	// changed counts the changes of a zone's VM rows.
-	changed map[core.ZoneID]int
-	// vmFaults and rackFaults are what is left until the next failure.
-	vmFaults, rackFaults float64
+	revision table.Revision
+	down     []*SimulatedVM
+	// zoneChanges counts the changes of a zone's VM rows.
+	zoneChanges map[core.ZoneID]int
+	// untilVMFault and rackFaults are what is left until the next failure.
+	untilVMFault, untilRackFault float64
 }
 
 // SparePool is the name of the spare pool.
@@ -112,9 +112,9 @@
 func NewWorld(seed uint64, start time.Time, size Size, rowBudget int) *World {
 	w := &World{
 		Rand: rand.New(rand.NewPCG(seed, 1)), Now: start, Budget: size.MaxUnavailable,
-		Sizes: make(map[core.PoolID]int), machines: make(map[fleet.Ref]*Machine),
-		racks: make(map[core.RackID][]*Machine), pools: make(map[core.PoolID]fleet.PoolRow),
-		changed: make(map[core.ZoneID]int),
+		Sizes: make(map[core.PoolID]int), vmsByRef: make(map[fleet.Ref]*SimulatedVM),
+		racks: make(map[core.RackID][]*SimulatedVM), pools: make(map[core.PoolID]fleet.PoolRow),
+		zoneChanges: make(map[core.ZoneID]int),
 	}
 	for i := range size.Pools {
 		w.addPool(core.PoolID(fmt.Sprintf("pool%03d", i)), size, size.PoolVMs, rowBudget)
@@ -131,12 +131,12 @@
 	w.Sizes[id] = vms
 	w.mustSet(table.PoolStateKey(id), fleet.Pool{MaxUnavailable: budget, Size: vms, Members: vms, Spare: id == SparePool})
 	for i := range vms {
-		n := len(w.order)
+		n := len(w.vms)
 		zone := core.ZoneID(fmt.Sprintf("z%d", i%size.Zones))
 		rack := core.RackID(fmt.Sprintf("%s-r%04d", zone, n/size.Zones/size.RackVMs))
-		m := &Machine{Ref: fleet.Ref{Zone: zone, VM: core.VMID(fmt.Sprintf("vm%05d", n))}, Rack: rack, Up: true, row: &fleet.VMRow{}}
-		w.order = append(w.order, m)
-		w.machines[m.Ref] = m
+		m := &SimulatedVM{Ref: fleet.Ref{Zone: zone, VM: core.VMID(fmt.Sprintf("vm%05d", n))}, Rack: rack, Up: true, row: &fleet.VMRow{}}
+		w.vms = append(w.vms, m)
+		w.vmsByRef[m.Ref] = m
 		if w.racks[rack] == nil {
 			w.rackIDs = append(w.rackIDs, rack)
 		}
@@ -155,19 +155,19 @@
 	}
 }
 
-// Machines returns all VMs, in a fixed order.
-func (w *World) Machines() []*Machine { return w.order }
+// VMs returns all VMs, in a fixed order.
+func (w *World) VMs() []*SimulatedVM { return w.vms }
 
-// Machine returns one VM.
-func (w *World) Machine(ref fleet.Ref) *Machine { return w.machines[ref] }
+// VM returns one VM.
+func (w *World) VM(ref fleet.Ref) *SimulatedVM { return w.vmsByRef[ref] }
 
 // Rack returns the VMs of the i-th rack.
-func (w *World) Rack(i int) []*Machine { return w.racks[w.rackIDs[i%len(w.rackIDs)]] }
+func (w *World) Rack(i int) []*SimulatedVM { return w.racks[w.rackIDs[i%len(w.rackIDs)]] }
 
 // Row returns a VM's row as it stands in the table.
 func (w *World) Row(ref fleet.Ref) fleet.VMRow {
 	w.sync()
-	return *w.machines[ref].row
+	return *w.vmsByRef[ref].row
 }
 
 // Transact applies t to the table.
@@ -176,30 +176,30 @@
 	if err := w.Table.Transact(t); err != nil {
 		return err
 	}
-	w.seen = w.Table.Revision()
+	w.revision = w.Table.Revision()
 	for _, c := range t.Writes {
-		w.learn(w.Table.Read(c.Key))
+		w.storeRow(w.Table.Read(c.Key))
 	}
 	return nil
 }
 
 // sync decodes the rows that changed otherwise than by Transact.
 func (w *World) sync() {
-	if w.seen == w.Table.Revision() {
+	if w.revision == w.Table.Revision() {
 		return
 	}
-	for _, row := range w.Table.Changes("", w.seen) {
-		w.learn(row)
+	for _, row := range w.Table.Changes("", w.revision) {
+		w.storeRow(row)
 	}
-	w.seen = w.Table.Revision()
+	w.revision = w.Table.Revision()
 }
 
-func (w *World) learn(row table.Row) {
+func (w *World) storeRow(row table.Row) {
 	switch {
 	case strings.HasPrefix(string(row.Key), table.PrefixVM):
-		if r, err := fleet.DecodeVM(row); err == nil && w.machines[r.Ref] != nil {
-			w.machines[r.Ref].row = &r
-			w.changed[r.Zone]++
+		if r, err := fleet.DecodeVM(row); err == nil && w.vmsByRef[r.Ref] != nil {
+			w.vmsByRef[r.Ref].row = &r
+			w.zoneChanges[r.Zone]++
 		}
 	case strings.HasPrefix(string(row.Key), table.PrefixPool):
 		if r, err := fleet.DecodePool(row); err == nil {
@@ -217,41 +217,41 @@
 // Advance moves the clock, brings VMs back, and lets VMs and racks fail.
 func (w *World) Advance(d time.Duration) {
 	w.Now = w.Now.Add(d)
-	w.down = slices.DeleteFunc(w.down, func(m *Machine) bool {
+	w.down = slices.DeleteFunc(w.down, func(m *SimulatedVM) bool {
 		back := m.Up || !m.BackAt.IsZero() && !w.Now.Before(m.BackAt)
 		if back {
 			m.Up, m.Planned = true, false
 		}
 		return back
 	})
-	for range w.events(&w.vmFaults, w.Faults.PerVMDay*float64(len(w.order))*d.Hours()/24) {
-		if m := w.order[w.Rand.IntN(len(w.order))]; m.Up {
-			w.Fail(m, w.failureTime())
+	for range w.poissonEvents(&w.untilVMFault, w.Faults.FailuresPerVMDay*float64(len(w.vms))*d.Hours()/24) {
+		if m := w.vms[w.Rand.IntN(len(w.vms))]; m.Up {
+			w.Fail(m, w.failureDuration())
 		}
 	}
-	for range w.events(&w.rackFaults, w.Faults.PerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
-		w.FailAll(w.Rack(w.Rand.IntN(len(w.rackIDs))), w.between(2*time.Hour, 8*time.Hour))
+	for range w.poissonEvents(&w.untilRackFault, w.Faults.FailuresPerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
+		w.FailAll(w.Rack(w.Rand.IntN(len(w.rackIDs))), w.uniform(2*time.Hour, 8*time.Hour))
 	}
 }
 
-// events returns how many events of a Poisson process fall into a step in which
+// poissonEvents returns how many events of a Poisson process fall into a step in which
 // mean ones are expected. left is what remains until the next one.
-func (w *World) events(left *float64, mean float64) int {
+func (w *World) poissonEvents(remaining *float64, mean float64) int {
 	if mean == 0 {
 		return 0
 	}
-	if *left == 0 {
-		*left = w.Rand.ExpFloat64()
+	if *remaining == 0 {
+		*remaining = w.Rand.ExpFloat64()
 	}
 	n := 0
-	for *left -= mean; *left <= 0; *left += w.Rand.ExpFloat64() {
+	for *remaining -= mean; *remaining <= 0; *remaining += w.Rand.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
 // Fail takes m down unplanned.
-func (w *World) Fail(m *Machine, d time.Duration) {
+func (w *World) Fail(m *SimulatedVM, d time.Duration) {
 	if m.Up || m.Planned {
 		m.DownSince = w.Now
 	}
@@ -262,15 +262,15 @@
 }
 
 // FailAll takes several VMs down at once.
-func (w *World) FailAll(machines []*Machine, d time.Duration) {
-	for _, m := range machines {
+func (w *World) FailAll(vms []*SimulatedVM, d time.Duration) {
+	for _, m := range vms {
 		w.Fail(m, d)
 	}
 }
 
 // Drain makes a VM refuse new work until the given time, as its platform does.
 func (w *World) Drain(ref fleet.Ref, until time.Time, fence core.Version) error {
-	m := w.machines[ref]
+	m := w.vmsByRef[ref]
 	if fence < m.fence && !w.Unfenced {
 		return ErrLate
 	}
@@ -284,7 +284,7 @@
 
 // Dispatch offers a VM a task, and reports whether it took it.
 func (w *World) Dispatch(ref fleet.Ref, d time.Duration) bool {
-	m := w.machines[ref]
+	m := w.vmsByRef[ref]
 	if !m.Up || w.Now.Before(m.RefusesUntil) {
 		return false
 	}
@@ -296,7 +296,7 @@
 
 // Running returns how many tasks run on the VM: at least one, or none.
 func (w *World) Running(ref fleet.Ref) int {
-	m := w.machines[ref]
+	m := w.vmsByRef[ref]
 	if m.Up && w.Now.Before(m.BusyUntil) {
 		return 1
 	}
@@ -305,7 +305,7 @@
 
 // Reboot takes a VM down planned. What it hits is recorded.
 func (w *World) Reboot(ref fleet.Ref, notAfter time.Time, fence core.Version) error {
-	m := w.machines[ref]
+	m := w.vmsByRef[ref]
 	if (w.Now.After(notAfter) || fence < m.fence) && !w.Unfenced {
 		return ErrLate
 	}
@@ -313,21 +313,21 @@
 		return errors.Errorf("VM %s is down", ref)
 	}
 	w.Stops++
-	w.judge(m)
+	w.recordViolations(m)
 	w.down = append(w.down, m)
 	m.Up, m.Planned, m.DownSince, m.BusyUntil = false, true, w.Now, time.Time{}
 	m.Reboots++
 	m.BackAt = w.Now.Add(w.exponential(w.RebootTime))
-	if w.chance(w.Faults.NotBack) {
-		m.BackAt = w.Now.Add(w.between(4*time.Hour, 24*time.Hour))
+	if w.chance(w.Faults.NotBackShare) {
+		m.BackAt = w.Now.Add(w.uniform(4*time.Hour, 24*time.Hour))
 	}
 	return nil
 }
 
-// judge records a stop that cuts work off, or is made while its pool lacks more
+// recordViolations records a stop that cuts work off, or is made while its pool lacks more
 // VMs than its budget. Failures too fresh to be known don't count; all VMs that
 // are down by a planned stop do.
-func (w *World) judge(m *Machine) {
+func (w *World) recordViolations(m *SimulatedVM) {
 	if w.Running(m.Ref) > 0 {
 		w.CutOff = append(w.CutOff, fmt.Sprintf("%s at %s", m.Ref, w.Now.Format(time.RFC3339)))
 	}
@@ -336,8 +336,8 @@
 		return // Spare VMs serve nobody's budget.
 	}
 	missing := w.Sizes[pool]
-	for _, o := range w.order {
-		if o != m && o.row.VM.Pool == pool && w.serves(o) {
+	for _, other := range w.vms {
+		if other != m && other.row.VM.Pool == pool && w.serves(other) {
 			missing--
 		}
 	}
@@ -349,9 +349,9 @@
 // serves reports whether m really takes work: it is up, doesn't refuse, and its
 // row lets entries use it. A failure that is too fresh passes as serving: the
 // decision to stop another VM may have been made before it was known.
-func (w *World) serves(m *Machine) bool {
+func (w *World) serves(m *SimulatedVM) bool {
 	state := m.row.VM.State
-	if !m.Up && !m.Planned && w.Now.Sub(m.DownSince) < w.Unseen {
+	if !m.Up && !m.Planned && w.Now.Sub(m.DownSince) < w.DetectionDelay {
 		return state == fleet.Serving || state == fleet.Failed
 	}
 	return state == fleet.Serving && m.Up && !w.Now.Before(m.RefusesUntil)
@@ -359,7 +359,7 @@
 
 func (w *World) chance(p float64) bool { return p > 0 && w.Rand.Float64() < p }
 
-func (w *World) between(a, b time.Duration) time.Duration {
+func (w *World) uniform(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.Rand.Int64N(int64(b-a)))
 }
 
@@ -367,9 +367,9 @@
 	return min(time.Duration(w.Rand.ExpFloat64()*float64(mean)), 6*mean)
 }
 
-func (w *World) failureTime() time.Duration {
-	if w.chance(w.Faults.LongShare) {
-		return w.between(4*time.Hour, 24*time.Hour)
+func (w *World) failureDuration() time.Duration {
+	if w.chance(w.Faults.LongFailureShare) {
+		return w.uniform(4*time.Hour, 24*time.Hour)
 	}
-	return w.between(2*time.Minute, 10*time.Minute)
+	return w.uniform(2*time.Minute, 10*time.Minute)
 }
--- a/core/experiment/maintenance/zone.go
+++ b/core/experiment/maintenance/zone.go
@@ -27,18 +27,18 @@
 	Plans    int
 	Clock    func() time.Time
 
-	vms []*Machine
+	vms []*SimulatedVM
 	// rows are the VMs' rows at that count of the world's changes.
-	rows    []*fleet.VMRow
-	changed int
+	rows        []*fleet.VMRow
+	zoneChanges int
 }
 
-// stepsPerTick bounds the steps of one VM in a tick, as in the controller.
-const stepsPerTick = 3
+// maxStepsPerTick bounds the steps of one VM in a tick, as in the controller.
+const maxStepsPerTick = 3
 
-// Order writes the zone's wave row by an operator's change.
-func (z *Zone) Order(build func(maintenance.WaveRow) (table.Transaction, error)) error {
-	row, err := z.wave()
+// ApplyOperatorChange writes the zone's wave row by an operator's change.
+func (z *Zone) ApplyOperatorChange(build func(maintenance.WaveRow) (table.Transaction, error)) error {
+	row, err := z.readWave()
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 
 // Wave returns the zone's maintenance.
 func (z *Zone) Wave() maintenance.Wave {
-	row, err := z.wave()
+	row, err := z.readWave()
 	if err != nil {
 		panic(err)
 	}
@@ -63,15 +63,15 @@
 	w := z.World
 	w.sync()
 	if z.vms == nil {
-		for _, m := range w.order {
+		for _, m := range w.vms {
 			if m.Ref.Zone == z.ID {
 				z.vms = append(z.vms, m)
 			}
 		}
-		slices.SortFunc(z.vms, func(a, b *Machine) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
+		slices.SortFunc(z.vms, func(a, b *SimulatedVM) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
 	}
-	if z.rows == nil || z.changed != w.changed[z.ID] {
-		z.changed = w.changed[z.ID]
+	if z.rows == nil || z.zoneChanges != w.zoneChanges[z.ID] {
+		z.zoneChanges = w.zoneChanges[z.ID]
 		z.rows = make([]*fleet.VMRow, 0, len(z.vms))
 		for _, m := range z.vms {
 			z.rows = append(z.rows, m.row)
@@ -87,9 +87,9 @@
 		if m.row.VM.State == fleet.Serving && m.Up {
 			continue
 		}
-		for range stepsPerTick {
+		for range maxStepsPerTick {
 			before := m.row.Row.Version
-			if err := z.step(*m.row, m); ignore(err) != nil {
+			if err := z.stepVM(*m.row, m); ignoreRefusal(err) != nil {
 				return err
 			}
 			if m.row.Row.Version == before {
@@ -100,16 +100,16 @@
 	return z.plan()
 }
 
-func (z *Zone) step(vm fleet.VMRow, m *Machine) error {
+func (z *Zone) stepVM(vm fleet.VMRow, m *SimulatedVM) error {
 	w := z.World
-	var seen maintenance.Observation
+	var observed maintenance.Observation
 	if until, ok := z.Driver.HoldUntil(w.Now, vm); ok {
 		if w.Drain(vm.Ref, until, vm.Row.Version) == nil {
-			seen.RefusesUntil = until
+			observed.RefusesUntil = until
 		}
 	}
-	seen.Up, seen.Running = m.Up, w.Running(vm.Ref)
-	next, err := z.Driver.Next(w.Now, vm, z.pools(), &seen)
+	observed.Up, observed.Running = m.Up, w.Running(vm.Ref)
+	next, err := z.Driver.Next(w.Now, vm, z.pools(), &observed)
 	if err != nil {
 		return err
 	}
@@ -131,15 +131,15 @@
 		z.PlanTime += z.Clock().Sub(begin)
 	}
 	for _, c := range commands {
-		if err := z.carryOut(c); ignore(err) != nil {
+		if err := z.execute(c); ignoreRefusal(err) != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (z *Zone) carryOut(c maintenance.Command) error {
-	wave, err := z.wave()
+func (z *Zone) execute(c maintenance.Command) error {
+	wave, err := z.readWave()
 	if err != nil {
 		return err
 	}
@@ -182,14 +182,14 @@
 	return nil
 }
 
-func (z *Zone) wave() (maintenance.WaveRow, error) {
+func (z *Zone) readWave() (maintenance.WaveRow, error) {
 	return maintenance.DecodeWave(z.ID, z.World.Table.Read(maintenance.WaveKey(z.ID)))
 }
 
 func (z *Zone) pools() map[core.PoolID]fleet.PoolRow { return z.World.Pools() }
 
-// ignore drops refusals by the rules: the next tick decides anew.
-func ignore(err error) error {
+// ignoreRefusal drops refusals by the rules: the next tick decides anew.
+func ignoreRefusal(err error) error {
 	var refusal *core.Error
 	if errors.As(err, &refusal) || errors.Is(err, table.ErrConflict) {
 		return nil
--- a/core/experiment/policy/policy.go
+++ b/core/experiment/policy/policy.go
@@ -19,7 +19,7 @@
 	Policies []replay.Policy
 }
 
-var _ experiment.Narrower = Comparison{}
+var _ experiment.WorkloadFilter = Comparison{}
 
 // Name implements experiment.Experiment.
 func (c Comparison) Name() string { return c.ID }
@@ -44,8 +44,8 @@
 	return rows
 }
 
-// Narrow implements experiment.Narrower.
-func (c Comparison) Narrow(workload string) experiment.Experiment {
+// FilterWorkload implements experiment.Narrower.
+func (c Comparison) FilterWorkload(workload string) experiment.Experiment {
 	c.Workloads = slices.DeleteFunc(slices.Clone(c.Workloads), func(w replay.Workload) bool {
 		return w.Name != workload
 	})
--- a/core/experiment/policy/register.go
+++ b/core/experiment/policy/register.go
@@ -8,63 +8,63 @@
 	"lavenderpond/core/retry"
 )
 
-// outagePart is the part of a pool's targets that an outage takes.
-const outagePart = 1.0 / 3
+// outageFraction is the part of a pool's targets that an outage takes.
+const outageFraction = 1.0 / 3
 
 // fullLoad is the mean demand of each queue when the whole fleet is full.
 const fullLoad = 1.4
 
 func init() {
-	both := replay.Workloads()
-	chosen := []replay.Policy{replay.Naive(), replay.Overflow()}
+	workloads := replay.Workloads()
+	naiveAndOverflow := []replay.Policy{replay.Naive(), replay.Overflow()}
 	for _, c := range []Comparison{
 		{
 			ID: "rotation", Question: "Bursts in turn: naive, queueing, overflow into idle pools, and moving VMs.",
-			Workloads: both,
+			Workloads: workloads,
 			Policies:  []replay.Policy{replay.Naive(), replay.Queueing(), replay.Overflow(), replay.Moves()},
 		},
 		{
 			ID: "slots", Question: "Slots that two entries share: split, taken by whoever asks, or lent.",
-			Workloads: both,
+			Workloads: workloads,
 			Policies: []replay.Policy{
 				replay.Naive(), replay.FairRandom(), replay.Split(), replay.Shared(), replay.Queueing(),
 			},
 		},
 		{
 			ID: "full", Question: "Demand above the whole fleet: shares and early refusal against naive.",
-			Workloads: withLoad(both, fullLoad), Policies: fullPolicies(),
+			Workloads: withLoad(workloads, fullLoad), Policies: fullPolicies(),
 		},
 		{
 			ID: "bad_target", Question: "One target fails everything quickly and looks idle.",
-			Workloads: both, Policies: chosen, Faults: replay.Faults{BadTarget: true},
+			Workloads: workloads, Policies: naiveAndOverflow, Faults: replay.Faults{BadTarget: true},
 		},
 		{
 			ID: "outage", Question: "A third of a pool's targets is out of reach for a fifth of the run.",
-			Workloads: both, Policies: chosen, Faults: replay.Faults{Outage: outagePart},
+			Workloads: workloads, Policies: naiveAndOverflow, Faults: replay.Faults{Outage: outageFraction},
 		},
 		{
 			ID: "cancellations", Question: "Three waves cancel seven tenths of all waiting requests.",
-			Workloads: both, Policies: chosen, Faults: replay.Faults{Cancellations: 0.7},
+			Workloads: workloads, Policies: naiveAndOverflow, Faults: replay.Faults{Cancellations: 0.7},
 		},
 		{
 			ID: "impossible", Question: "One request in fifty fails on every target.",
-			Workloads: both, Policies: chosen, Faults: replay.Faults{Impossible: 0.02},
+			Workloads: workloads, Policies: naiveAndOverflow, Faults: replay.Faults{Impossible: 0.02},
 		},
 		{
 			ID: "bad_target_and_outage", Question: "A target that fails everything, and an outage, at once.",
-			Workloads: both, Policies: chosen, Faults: replay.Faults{BadTarget: true, Outage: outagePart},
+			Workloads: workloads, Policies: naiveAndOverflow, Faults: replay.Faults{BadTarget: true, Outage: outageFraction},
 		},
 		{
 			ID: "impossible_and_cancellations", Question: "Requests that can't run, and waves of cancellations, at once.",
-			Workloads: both, Policies: chosen, Faults: replay.Faults{Impossible: 0.02, Cancellations: 0.7},
+			Workloads: workloads, Policies: naiveAndOverflow, Faults: replay.Faults{Impossible: 0.02, Cancellations: 0.7},
 		},
 		{
 			ID: "retry", Question: "All targets of a pool fail everything for a while: retries unbounded, none, under a budget.",
-			Workloads: both, Policies: retryPolicies(), Faults: replay.Faults{Brownout: 1},
+			Workloads: workloads, Policies: retryPolicies(), Faults: replay.Faults{Brownout: 1},
 		},
 		{
 			ID: "unreachable", Question: "All targets of a pool are out of reach: retries unbounded, under a budget, or back into the queue.",
-			Workloads: both, Policies: unreachablePolicies(), Faults: replay.Faults{Outage: 1},
+			Workloads: workloads, Policies: unreachablePolicies(), Faults: replay.Faults{Outage: 1},
 		},
 	} {
 		experiment.Register(c)
@@ -93,7 +93,7 @@
 func retryPolicies() []replay.Policy {
 	exponential := func(rng *rand.Rand) retry.Budget { return &retry.TokenBucket{Rand: rng} }
 	linear := func(rng *rand.Rand) retry.Budget { return &retry.TokenBucket{Rand: rng, Growth: retry.Linear} }
-	none := func(*rand.Rand) retry.Budget { return replay.None{} }
+	none := func(*rand.Rand) retry.Budget { return replay.NoRetries{} }
 	return []replay.Policy{
 		unbounded("naive", replay.FairRandom()),
 		withBudget("random_exponential", replay.FairRandom(), exponential),
--- a/core/experiment/replay/figures.go
+++ b/core/experiment/replay/counters.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// figures counts what happens in a run.
-type figures struct {
+// counters counts what happens in a run.
+type counters struct {
 	doneInTime, late, refusedEarly, refusedLate int
 	unknowns, givenUp, cancelled                int
-	moves, retries, returns, fulls              int
+	moves, retries, resubmissions, fullRefusals int
 	useful, wasted                              time.Duration
 	// usefulInHorizon is the part of useful before the last arrival.
 	usefulInHorizon    time.Duration
 	waits, urgentWaits []time.Duration
 	// first and attempts of the outage, and of the time after it.
-	duringFirst, duringAttempts, afterFirst, afterAttempts int
+	firstDuringOutage, attemptsDuringOutage, firstAfterOutage, attemptsAfterOutage int
 }
 
 // countFirst counts a first attempt by period.
-func (f *figures) countFirst(s *simulation, j *job) {
+func (f *counters) countFirst(s *simulation, j *job) {
 	switch {
 	case s.inOutage(j.item.Enqueued):
-		f.duringFirst++
-	case !j.item.Enqueued.Before(s.workload.part(outageEnd)):
-		f.afterFirst++
+		f.firstDuringOutage++
+	case !j.item.Enqueued.Before(s.workload.timeAt(outageEnd)):
+		f.firstAfterOutage++
 	}
 }
 
 // countAttempt counts a dispatch by period.
-func (f *figures) countAttempt(s *simulation) {
+func (f *counters) countAttempt(s *simulation) {
 	switch {
 	case s.inOutage(s.now):
-		f.duringAttempts++
-	case !s.now.Before(s.workload.part(outageEnd)):
-		f.afterAttempts++
+		f.attemptsDuringOutage++
+	case !s.now.Before(s.workload.timeAt(outageEnd)):
+		f.attemptsAfterOutage++
 	}
 }
 
 // countRun counts a run that began at begun and ends at now.
-func (f *figures) countRun(s *simulation, begun time.Time, useful bool) {
-	run := s.now.Sub(begun)
+func (f *counters) countRun(s *simulation, startedAt time.Time, useful bool) {
+	run := s.now.Sub(startedAt)
 	if !useful {
 		f.wasted += run
 		return
 	}
 	f.useful += run
-	after := s.now.Sub(s.workload.part(1))
+	after := s.now.Sub(s.workload.timeAt(1))
 	f.usefulInHorizon += max(0, run-max(0, after))
 }
 
-func (f *figures) finish(_ time.Time, j *job, late bool) {
+func (f *counters) finish(_ time.Time, j *job, late bool) {
 	j.state = ended
 	wait := j.firstStart.Sub(j.item.Enqueued)
 	f.waits = append(f.waits, wait)
@@ -66,7 +66,7 @@
 
 // refuse counts a final refusal: early if more than half of the time to the
 // deadline is left, so that the caller can still act.
-func (f *figures) refuse(now time.Time, j *job) {
+func (f *counters) refuse(now time.Time, j *job) {
 	j.state = ended
 	if j.item.Deadline.Sub(now) > j.kind.Within/2 {
 		f.refusedEarly++
@@ -75,17 +75,17 @@
 	f.refusedLate++
 }
 
-func (f *figures) giveUp(j *job) {
+func (f *counters) giveUp(j *job) {
 	j.state = ended
 	f.givenUp++
 }
 
-func (f *figures) unknown(j *job) {
+func (f *counters) unknown(j *job) {
 	j.state = ended
 	f.unknowns++
 }
 
-func (f *figures) cancel(j *job) {
+func (f *counters) cancel(j *job) {
 	j.state = ended
 	f.cancelled++
 }
@@ -93,7 +93,7 @@
 // measures returns the run's measures by name. Parts are of the requests that
 // weren't cancelled; times are in seconds.
 func (s *simulation) measures() map[string]float64 {
-	f := &s.figures
+	f := &s.counters
 	offered := float64(len(s.jobs) - f.cancelled)
 	capacity := pools * vmsPerPool * slotsPerVM * s.workload.Horizon.Seconds()
 	m := map[string]float64{
@@ -106,19 +106,19 @@
 		"wasted_work":         ratio(f.wasted.Seconds(), (f.useful + f.wasted).Seconds()),
 		"buffer_cost":         ratio(capacity-f.usefulInHorizon.Seconds(), f.usefulInHorizon.Seconds()),
 		"share_nearness":      s.shares.nearness(),
-		"share_worst_team":    s.shares.worst(),
+		"share_worst_team":    s.shares.worstTeam(),
 		"moves":               float64(f.moves),
 		"retries_per_request": float64(f.retries) / offered,
-		"returns_per_request": float64(f.returns) / offered,
-		"full_per_request":    float64(f.fulls) / offered,
+		"returns_per_request": float64(f.resubmissions) / offered,
+		"full_per_request":    float64(f.fullRefusals) / offered,
 		"wait_p50":            quantile(f.waits, 0.5),
 		"wait_p99":            quantile(f.waits, 0.99),
 		"urgent_wait_p99":     quantile(f.urgentWaits, 0.99),
-		"urgent_start_in_aim": ratio(float64(s.urgentInAim()), float64(s.urgentOffered())),
+		"urgent_start_in_aim": ratio(float64(s.urgentStartedInGoal()), float64(s.urgentOffered())),
 	}
 	if s.faults.Outage+s.faults.Brownout > 0 {
-		m["attempts_during_outage"] = ratio(float64(f.duringAttempts), float64(f.duringFirst))
-		m["attempts_after_outage"] = ratio(float64(f.afterAttempts), float64(f.afterFirst))
+		m["attempts_during_outage"] = ratio(float64(f.attemptsDuringOutage), float64(f.firstDuringOutage))
+		m["attempts_after_outage"] = ratio(float64(f.attemptsAfterOutage), float64(f.firstAfterOutage))
 	}
 	if f.cancelled > 0 {
 		m["cancelled"] = float64(f.cancelled)
@@ -126,13 +126,13 @@
 	return m
 }
 
-// urgentAim is within which urgent work is to start, by the two-year size.
-const urgentAim = 7200 * time.Millisecond
+// urgentStartGoal is within which urgent work is to start, by the two-year size.
+const urgentStartGoal = 7200 * time.Millisecond
 
-func (s *simulation) urgentInAim() int {
+func (s *simulation) urgentStartedInGoal() int {
 	n := 0
 	for _, j := range s.jobs {
-		if j.item.Urgent && j.started && j.firstStart.Sub(j.item.Enqueued) <= urgentAim {
+		if j.item.Urgent && j.started && j.firstStart.Sub(j.item.Enqueued) <= urgentStartGoal {
 			n++
 		}
 	}
--- a/core/experiment/replay/demand.go
+++ b/core/experiment/replay/demand.go
@@ -12,8 +12,8 @@
 	"lavenderpond/core/retry"
 )
 
-// start is the time at which every run starts.
-var start = time.Unix(1_800_000_000, 0).UTC()
+// runStart is the time at which every run starts.
+var runStart = time.Unix(1_800_000_000, 0).UTC()
 
 // job is a request on its way through a run.
 type job struct {
@@ -26,19 +26,19 @@
 	entry      *entry
 	queueIndex int
 
-	tries retry.FailedTargets
+	failedTargets retry.FailedTargets
 	// full are targets that were full just now; they don't count as tries.
-	retries, visits int
-	state           jobState
-	started         bool
-	firstStart      time.Time
+	retries, submissions int
+	state                jobState
+	started              bool
+	firstStart           time.Time
 }
 
 // jobState is where a job is.
 type jobState int
 
 const (
-	outside jobState = iota
+	notQueued jobState = iota
 	waiting
 	running
 	ended
@@ -65,10 +65,10 @@
 }
 
 func newJob(w Workload, f Faults, rng *rand.Rand, q int, at time.Duration, n int) *job {
-	k := w.Kinds[pick(rng, len(w.Kinds), func(i int) float64 { return w.Kinds[i].Weight })]
-	account := w.Accounts[pick(rng, len(w.Accounts), func(i int) float64 { return w.Accounts[i].Demand })]
+	k := w.Kinds[weightedIndex(rng, len(w.Kinds), func(i int) float64 { return w.Kinds[i].Weight })]
+	account := w.Accounts[weightedIndex(rng, len(w.Accounts), func(i int) float64 { return w.Accounts[i].Demand })]
 	run := logNormal(rng, k.MeanRun, k.Spread)
-	sent := start.Add(at)
+	sent := runStart.Add(at)
 	return &job{
 		item: queue.Item{
 			Key:         core.RequestKey{Team: account.Team, ID: core.RequestID(strconv.Itoa(n))},
@@ -85,7 +85,7 @@
 	}
 }
 
-func pick(rng *rand.Rand, n int, weight func(int) float64) int {
+func weightedIndex(rng *rand.Rand, n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
 		total += weight(i)
--- a/core/experiment/replay/event.go
+++ b/core/experiment/replay/event.go
@@ -13,23 +13,23 @@
 	do       func()
 }
 
-// events is a heap of events by time.
-type events struct {
+// eventHeap is a heap of events by time.
+type eventHeap struct {
 	list []event
 	next int
 }
 
 // add makes do happen at the given time.
-func (e *events) add(at time.Time, do func()) {
+func (e *eventHeap) add(at time.Time, do func()) {
 	e.next++
 	heap.Push(e, event{at: at, sequence: e.next, do: do})
 }
 
 // Len implements heap.Interface.
-func (e *events) Len() int { return len(e.list) }
+func (e *eventHeap) Len() int { return len(e.list) }
 
 // Less implements heap.Interface.
-func (e *events) Less(i, j int) bool {
+func (e *eventHeap) Less(i, j int) bool {
 	if !e.list[i].at.Equal(e.list[j].at) {
 		return e.list[i].at.Before(e.list[j].at)
 	}
@@ -37,13 +37,13 @@
 }
 
 // Swap implements heap.Interface.
-func (e *events) Swap(i, j int) { e.list[i], e.list[j] = e.list[j], e.list[i] }
+func (e *eventHeap) Swap(i, j int) { e.list[i], e.list[j] = e.list[j], e.list[i] }
 
 // Push implements heap.Interface.
-func (e *events) Push(x any) { e.list = append(e.list, x.(event)) }
+func (e *eventHeap) Push(x any) { e.list = append(e.list, x.(event)) }
 
 // Pop implements heap.Interface.
-func (e *events) Pop() any {
+func (e *eventHeap) Pop() any {
 	last := len(e.list) - 1
 	x := e.list[last]
 	e.list[last] = event{}
--- a/core/experiment/replay/fault.go
+++ b/core/experiment/replay/fault.go
@@ -22,51 +22,51 @@
 
 // When faults happen, as parts of the run.
 const (
-	badFrom     = 0.25
-	outageStart = 0.4
-	outageEnd   = 0.6
+	badTargetStart = 0.25
+	outageStart    = 0.4
+	outageEnd      = 0.6
 )
 
-// cancelAt are the moments of cancellation waves, as parts of the run.
-var cancelAt = [...]float64{0.15, 0.45, 0.85}
+// cancelWaveTimes are the moments of cancellation waves, as parts of the run.
+var cancelWaveTimes = [...]float64{0.15, 0.45, 0.85}
 
 // Times that failures take.
 const (
-	badRun        = 5 * time.Millisecond
-	impossibleRun = 20 * time.Millisecond
-	connectRun    = time.Millisecond
+	failFastTime        = 5 * time.Millisecond
+	impossibleRunTime   = 20 * time.Millisecond
+	dispatchRefusalTime = time.Millisecond
 )
 
-// part returns the moment that is the given part into the run.
-func (w Workload) part(p float64) time.Time {
-	return start.Add(seconds(p * w.Horizon.Seconds()))
+// timeAt returns the moment that is the given part into the run.
+func (w Workload) timeAt(fraction float64) time.Time {
+	return runStart.Add(seconds(fraction * w.Horizon.Seconds()))
 }
 
-// struckPool is the pool that faults strike: the one whose queue bursts as an
+// faultyPool is the pool that faults strike: the one whose queue bursts as an
 // outage begins.
-func (w Workload) struckPool() int {
-	return int(w.part(outageStart).Sub(start)/burstLength) % phases
+func (w Workload) faultyPool() int {
+	return int(w.timeAt(outageStart).Sub(runStart)/burstLength) % phases
 }
 
-// bad reports whether v fails everything at now.
-func (s *simulation) bad(v *vm, now time.Time) bool {
-	if v.home != s.workload.struckPool() {
+// isFailing reports whether v fails everything at now.
+func (s *simulation) isFailing(v *vm, now time.Time) bool {
+	if v.originalPool != s.workload.faultyPool() {
 		return false
 	}
-	if s.faults.BadTarget && v.index == 0 && !now.Before(s.workload.part(badFrom)) {
+	if s.faults.BadTarget && v.index == 0 && !now.Before(s.workload.timeAt(badTargetStart)) {
 		return true
 	}
 	return float64(v.index) < s.faults.Brownout*vmsPerPool && s.inOutage(now)
 }
 
-// out reports whether v is out of reach at now.
-func (s *simulation) out(v *vm, now time.Time) bool {
-	if v.home != s.workload.struckPool() || float64(v.index) >= s.faults.Outage*vmsPerPool {
+// isUnreachable reports whether v is out of reach at now.
+func (s *simulation) isUnreachable(v *vm, now time.Time) bool {
+	if v.originalPool != s.workload.faultyPool() || float64(v.index) >= s.faults.Outage*vmsPerPool {
 		return false
 	}
 	return s.inOutage(now)
 }
 
 func (s *simulation) inOutage(now time.Time) bool {
-	return !now.Before(s.workload.part(outageStart)) && now.Before(s.workload.part(outageEnd))
+	return !now.Before(s.workload.timeAt(outageStart)) && now.Before(s.workload.timeAt(outageEnd))
 }
--- a/core/experiment/replay/fleet.go
+++ b/core/experiment/replay/fleet.go
@@ -14,15 +14,15 @@
 // vm is a fake target.
 type vm struct {
 	id core.VMID
-	// home is the pool it started in, pool the one it is in now.
-	home, pool, index, zone int
+	// originalPool is the pool it started in, pool the one it is in now.
+	originalPool, pool, index, zone int
 	// speed divides run times.
 	speed   float64
 	running core.Slots
 	// moving marks a VM that drains, or moves to pool moveTo at movedAt.
-	moving  bool
-	moveTo  int
-	movedAt time.Time
+	moving bool
+	moveTo int
+	moveAt time.Time
 }
 
 // entry is a fake entry VM around the real decisions.
@@ -35,8 +35,8 @@
 
 // slowPart and slowSpeed: some VMs are slower than the others.
 const (
-	slowPart  = 0.2
-	slowSpeed = 0.5
+	slowFraction = 0.2
+	slowSpeed    = 0.5
 )
 
 // maxEjected is the availability budget left to each pool within a zone.
@@ -47,11 +47,11 @@
 	for p := range pools {
 		for i := range vmsPerPool {
 			speed := 1.0
-			if rng.Float64() < slowPart {
+			if rng.Float64() < slowFraction {
 				speed = slowSpeed
 			}
 			id := core.VMID(fmt.Sprintf("vm%d-%02d", p, i))
-			vms = append(vms, &vm{id: id, home: p, pool: p, index: i, zone: i % zones, speed: speed})
+			vms = append(vms, &vm{id: id, originalPool: p, pool: p, index: i, zone: i % zones, speed: speed})
 		}
 	}
 	return vms
@@ -61,7 +61,7 @@
 	var entries []*entry
 	for i := range zones * entriesPerZone {
 		rng := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, uint64(i)<<8|stream)) }
-		e := &entry{zone: i % zones, queue: p.Queue(w, rng(1)), router: p.Router(rng(2)), budget: unbounded{}}
+		e := &entry{zone: i % zones, queue: p.Queue(w, rng(1)), router: p.Router(rng(2)), budget: unlimitedRetries{}}
 		if p.Budget != nil {
 			e.budget = p.Budget(rng(3))
 		}
@@ -97,8 +97,8 @@
 // for longer than a burst lasts.
 const moveDrain = 15 * time.Second
 
-// moveBacklog is how many waiting requests per zone start a move.
-const moveBacklog = slotsPerVM
+// moveThreshold is how many waiting requests per zone start a move.
+const moveThreshold = slotsPerVM
 
 // planMoves moves VMs towards backlogs, at most one out per pool and zone, which
 // is the availability budget.
@@ -106,7 +106,7 @@
 	for zone := range zones {
 		s.finishMoves(zone)
 		for q := range queues {
-			if s.waitingIn(zone, q) >= moveBacklog {
+			if s.waitingIn(zone, q) >= moveThreshold {
 				s.startMove(zone, q)
 			}
 		}
@@ -119,13 +119,13 @@
 		if v.zone != zone || !v.moving || v.running > 0 {
 			continue
 		}
-		if v.movedAt.IsZero() {
-			v.movedAt = s.now.Add(moveDrain)
+		if v.moveAt.IsZero() {
+			v.moveAt = s.now.Add(moveDrain)
 		}
-		if s.now.Before(v.movedAt) {
+		if s.now.Before(v.moveAt) {
 			continue
 		}
-		v.moving, v.pool, v.movedAt = false, v.moveTo, time.Time{}
+		v.moving, v.pool, v.moveAt = false, v.moveTo, time.Time{}
 		changed = true
 	}
 	if changed {
@@ -136,17 +136,17 @@
 // startMove takes the least busy VM of another pool without a backlog.
 func (s *simulation) startMove(zone, to int) {
 	moving := make(map[int]bool)
-	left := make(map[int]int)
+	remaining := make(map[int]int)
 	for _, v := range s.vms {
 		if v.zone == zone && v.moving {
 			moving[v.pool] = true
 		} else if v.zone == zone {
-			left[v.pool]++
+			remaining[v.pool]++
 		}
 	}
 	var best *vm
 	for _, v := range s.vms {
-		if v.zone != zone || v.pool == to || moving[v.pool] || left[v.pool] < 2 || s.waitingIn(zone, v.pool) > 0 {
+		if v.zone != zone || v.pool == to || moving[v.pool] || remaining[v.pool] < 2 || s.waitingIn(zone, v.pool) > 0 {
 			continue
 		}
 		if best == nil || v.running < best.running {
@@ -157,7 +157,7 @@
 		return
 	}
 	best.moving, best.moveTo = true, to
-	s.figures.moves++
+	s.counters.moves++
 	s.updateRouters(zone)
 }
 
--- a/core/experiment/replay/policy.go
+++ b/core/experiment/replay/policy.go
@@ -119,23 +119,23 @@
 	}
 }
 
-// unbounded is the budget of a policy without one.
-type unbounded struct{}
+// unlimitedRetries is the budget of a policy without one.
+type unlimitedRetries struct{}
 
-func (unbounded) First(time.Time) {}
+func (unlimitedRetries) First(time.Time) {}
 
-func (unbounded) Allow(time.Time) bool { return true }
+func (unlimitedRetries) Allow(time.Time) bool { return true }
 
-func (unbounded) Backoff(now time.Time, _ int) time.Time { return now }
+func (unlimitedRetries) Backoff(now time.Time, _ int) time.Time { return now }
 
-// None is a budget without any retry.
-type None struct{}
+// NoRetries is a budget without any retry.
+type NoRetries struct{}
 
 // First implements retry.Budget.
-func (None) First(time.Time) {}
+func (NoRetries) First(time.Time) {}
 
 // Allow implements retry.Budget.
-func (None) Allow(time.Time) bool { return false }
+func (NoRetries) Allow(time.Time) bool { return false }
 
 // Backoff implements retry.Budget.
-func (None) Backoff(now time.Time, _ int) time.Time { return now }
+func (NoRetries) Backoff(now time.Time, _ int) time.Time { return now }
--- a/core/experiment/replay/replay_test.go
+++ b/core/experiment/replay/replay_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// short cuts a workload to one round of bursts.
-func short(w Workload) Workload {
+// oneBurstRound cuts a workload to one round of bursts.
+func oneBurstRound(w Workload) Workload {
 	w.Horizon = phases * burstLength
 	return w
 }
@@ -18,7 +18,7 @@
 func TestEveryRequestEnds(t *testing.T) {
 	faults := Faults{BadTarget: true, Outage: 0.5, Cancellations: 0.5, Impossible: 0.05}
 	for _, p := range []Policy{Naive(), Queueing(), Overflow(), Moves(), Shared(), Split()} {
-		m := Run(short(Consortium()), p, faults, 1)
+		m := Run(oneBurstRound(Consortium()), p, faults, 1)
 		sum := m["done_in_time"] + m["done_late"] + m["refused_early"] + m["refused_late"] +
 			m["outcome_unknown"] + m["given_up"]
 		assert.Assert(t, sum > 0.999999 && sum < 1.000001, "%s: %v", p.Name, sum)
@@ -27,14 +27,14 @@
 
 // The same seed gives the same run, and another seed another.
 func TestRunIsDeterministic(t *testing.T) {
-	w := short(Consortium())
+	w := oneBurstRound(Consortium())
 	assert.DeepEqual(t, Run(w, Overflow(), Faults{}, 5), Run(w, Overflow(), Faults{}, 5))
 	assert.Assert(t, Run(w, Overflow(), Faults{}, 5)["wait_p99"] != Run(w, Overflow(), Faults{}, 6)["wait_p99"])
 }
 
 // The mean of a queue's demand over a round of bursts is the workload's load.
 func TestDemandKeepsItsMean(t *testing.T) {
-	w := short(Magnolia())
+	w := oneBurstRound(Magnolia())
 	offered := time.Duration(0)
 	for _, j := range demand(w, Faults{}, 1) {
 		offered += j.run
@@ -49,8 +49,8 @@
 	assert.DeepEqual(t, m.divide(18, []float64{100, 100, 2}), []float64{12, 4, 2})
 	m.queues[0].running = []int{4, 12, 2}
 	m.queues[0].waiting = []int{50, 50, 0}
-	m.sample(start)
-	m.sample(start.Add(shareWindow))
+	m.sample(runStart)
+	m.sample(runStart.Add(shareWindow))
 	assert.Equal(t, m.nearness(), 1-8.0/18)
-	assert.Equal(t, m.worst(), 4.0/12)
+	assert.Equal(t, m.worstTeam(), 4.0/12)
 }
--- a/core/experiment/replay/share.go
+++ b/core/experiment/replay/share.go
@@ -16,104 +16,104 @@
 // compared with that. Samples at which nobody waits are fair by definition and
 // don't count.
 type shareMeter struct {
-	accounts []Account
-	index    map[core.TeamID]int
-	queues   [queues]queueShares
-	windowAt time.Time
-	// moved is slot-time that the wrong team got, used all slot-time.
-	moved, used float64
-	got, fair   []float64
+	accounts  []Account
+	index     map[core.TeamID]int
+	queues    [queues]queueShares
+	windowEnd time.Time
+	// misallocated is slot-time that the wrong team got, used all slot-time.
+	misallocated, used float64
+	received, fair     []float64
 }
 
 // queueShares are the counts of one queue, by account.
 type queueShares struct {
 	running, waiting []int
-	got, fair        []float64
+	received, fair   []float64
 }
 
 func newShareMeter(accounts []Account) shareMeter {
-	m := shareMeter{accounts: accounts, index: make(map[core.TeamID]int), windowAt: start.Add(shareWindow)}
+	m := shareMeter{accounts: accounts, index: make(map[core.TeamID]int), windowEnd: runStart.Add(shareWindow)}
 	for i, a := range accounts {
 		m.index[a.Team] = i
 	}
 	n := len(accounts)
-	m.got, m.fair = make([]float64, n), make([]float64, n)
+	m.received, m.fair = make([]float64, n), make([]float64, n)
 	for q := range m.queues {
 		m.queues[q] = queueShares{make([]int, n), make([]int, n), make([]float64, n), make([]float64, n)}
 	}
 	return m
 }
 
-func (m *shareMeter) wait(j *job, by int) {
-	m.queues[j.queueIndex].waiting[m.index[j.item.Key.Team]] += by
+func (m *shareMeter) addWaiting(j *job, delta int) {
+	m.queues[j.queueIndex].waiting[m.index[j.item.Key.Team]] += delta
 }
 
-func (m *shareMeter) run(j *job, by int) {
-	m.queues[j.queueIndex].running[m.index[j.item.Key.Team]] += by
+func (m *shareMeter) addRunning(j *job, delta int) {
+	m.queues[j.queueIndex].running[m.index[j.item.Key.Team]] += delta
 }
 
 func (m *shareMeter) sample(now time.Time) {
 	for q := range m.queues {
 		m.sampleQueue(&m.queues[q])
 	}
-	if !now.Before(m.windowAt) {
-		m.windowAt = now.Add(shareWindow)
+	if !now.Before(m.windowEnd) {
+		m.windowEnd = now.Add(shareWindow)
 		m.closeWindow()
 	}
 }
 
 func (m *shareMeter) sampleQueue(q *queueShares) {
-	total, waits := 0, 0
+	total, waiting := 0, 0
 	demand := make([]float64, len(m.accounts))
 	for i := range m.accounts {
 		total += q.running[i]
-		waits += q.waiting[i]
+		waiting += q.waiting[i]
 		demand[i] = math.Min(float64(q.running[i]+q.waiting[i]), float64(m.accounts[i].Limit))
 	}
-	if waits == 0 {
+	if waiting == 0 {
 		return
 	}
 	for i, part := range m.divide(float64(total), demand) {
 		q.fair[i] += part
-		q.got[i] += float64(q.running[i])
+		q.received[i] += float64(q.running[i])
 	}
 }
 
 // divide is weighted max-min: each round gives every unsatisfied team its part of
 // what is left, until no team gets more than it wants.
-func (m *shareMeter) divide(left float64, demand []float64) []float64 {
-	given := make([]float64, len(demand))
+func (m *shareMeter) divide(remaining float64, demand []float64) []float64 {
+	allotted := make([]float64, len(demand))
 	for range demand {
 		weight := 0.0
 		for i, d := range demand {
-			if given[i] < d {
+			if allotted[i] < d {
 				weight += float64(m.accounts[i].Share)
 			}
 		}
-		if weight == 0 || left < 1e-9 {
+		if weight == 0 || remaining < 1e-9 {
 			break
 		}
-		round := left
+		available := remaining
 		for i, d := range demand {
-			if given[i] < d {
-				part := math.Min(round*float64(m.accounts[i].Share)/weight, d-given[i])
-				given[i] += part
-				left -= part
+			if allotted[i] < d {
+				part := math.Min(available*float64(m.accounts[i].Share)/weight, d-allotted[i])
+				allotted[i] += part
+				remaining -= part
 			}
 		}
 	}
-	return given
+	return allotted
 }
 
 func (m *shareMeter) closeWindow() {
 	for q := range m.queues {
 		s := &m.queues[q]
-		for i := range s.got {
-			m.moved += math.Abs(s.got[i]-s.fair[i]) / 2
-			m.used += s.got[i]
-			m.got[i] += s.got[i]
+		for i := range s.received {
+			m.misallocated += math.Abs(s.received[i]-s.fair[i]) / 2
+			m.used += s.received[i]
+			m.received[i] += s.received[i]
 			m.fair[i] += s.fair[i]
-			s.got[i], s.fair[i] = 0, 0
+			s.received[i], s.fair[i] = 0, 0
 		}
 	}
 }
@@ -123,15 +123,15 @@
 	if m.used == 0 {
 		return 1
 	}
-	return 1 - m.moved/m.used
+	return 1 - m.misallocated/m.used
 }
 
-// worst is the lowest part of its fair slot-time that any team got.
-func (m *shareMeter) worst() float64 {
+// worstTeam is the lowest part of its fair slot-time that any team got.
+func (m *shareMeter) worstTeam() float64 {
 	lowest := 1.0
 	for i := range m.fair {
 		if m.fair[i] > 0 {
-			lowest = math.Min(lowest, m.got[i]/m.fair[i])
+			lowest = math.Min(lowest, m.received[i]/m.fair[i])
 		}
 	}
 	return lowest
--- a/core/experiment/replay/simulation.go
+++ b/core/experiment/replay/simulation.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// tick is how often entries look for expired work and slots that other
+	// tickInterval is how often entries look for expired work and slots that other
 	// entries freed.
-	tick = 50 * time.Millisecond
-	// shareTick is how often shares are sampled and moves planned.
-	shareTick = 200 * time.Millisecond
-	// maxReturns is how often a refused caller comes back.
-	maxReturns = 3
-	// afterEnd is for how long a run goes on after the last arrival.
-	afterEnd = 60 * time.Second
+	tickInterval = 50 * time.Millisecond
+	// shareInterval is how often shares are sampled and moves planned.
+	shareInterval = 200 * time.Millisecond
+	// maxResubmissions is how often a refused caller comes back.
+	maxResubmissions = 3
+	// overrun is for how long a run goes on after the last arrival.
+	overrun = 60 * time.Second
 )
 
 // simulation is one run.
@@ -30,30 +30,30 @@
 	faults   Faults
 	rng      *rand.Rand
 	now      time.Time
-	events   events
+	events   eventHeap
 	entries  []*entry
 	vms      []*vm
 	byID     map[core.VMID]*vm
 	jobs     []*job
 	byKey    map[core.RequestKey]*job
-	// running counts the slots of each team, fleet-wide: a simple limiter.
-	running map[core.TeamID]core.Slots
-	limits  map[core.TeamID]core.Slots
-	shares  shareMeter
-	figures figures
+	// runningByTeam counts the slots of each team, fleet-wide: a simple limiter.
+	runningByTeam map[core.TeamID]core.Slots
+	limits        map[core.TeamID]core.Slots
+	shares        shareMeter
+	counters      counters
 }
 
 // Run replays the workload under the policy and returns its measures by name.
 func Run(w Workload, p Policy, f Faults, seed uint64) map[string]float64 {
 	s := &simulation{
 		workload: w, policy: p, faults: f,
-		rng:     rand.New(rand.NewPCG(seed, 7)),
-		now:     start,
-		entries: newEntries(w, p, seed),
-		byID:    make(map[core.VMID]*vm),
-		byKey:   make(map[core.RequestKey]*job),
-		running: make(map[core.TeamID]core.Slots),
-		limits:  make(map[core.TeamID]core.Slots),
+		rng:           rand.New(rand.NewPCG(seed, 7)),
+		now:           runStart,
+		entries:       newEntries(w, p, seed),
+		byID:          make(map[core.VMID]*vm),
+		byKey:         make(map[core.RequestKey]*job),
+		runningByTeam: make(map[core.TeamID]core.Slots),
+		limits:        make(map[core.TeamID]core.Slots),
 	}
 	s.vms = newFleet(s.rng)
 	for _, v := range s.vms {
@@ -78,25 +78,25 @@
 		s.byKey[j.item.Key] = j
 		s.events.add(j.item.Enqueued, func() { s.arrive(j) })
 	}
-	end := s.workload.part(1).Add(afterEnd)
-	s.every(tick, end, s.onTick)
-	s.every(shareTick, end, s.onShareTick)
+	end := s.workload.timeAt(1).Add(overrun)
+	s.every(tickInterval, end, s.onTick)
+	s.every(shareInterval, end, s.onShareTick)
 	if s.faults.Cancellations > 0 {
-		for _, p := range cancelAt {
-			s.events.add(s.workload.part(p), s.cancelWave)
+		for _, p := range cancelWaveTimes {
+			s.events.add(s.workload.timeAt(p), s.cancelWave)
 		}
 	}
 }
 
 func (s *simulation) every(d time.Duration, end time.Time, do func()) {
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		do()
 		if s.now.Before(end) {
-			s.events.add(s.now.Add(d), again)
+			s.events.add(s.now.Add(d), repeat)
 		}
 	}
-	s.events.add(s.now.Add(d), again)
+	s.events.add(s.now.Add(d), repeat)
 }
 
 func (s *simulation) loop() {
@@ -111,8 +111,8 @@
 	for _, e := range s.entries {
 		for _, item := range e.queue.Expired(s.now) {
 			j := s.byKey[item.Key]
-			s.leave(j)
-			s.refused(j, time.Time{})
+			s.leaveQueue(j)
+			s.onRefused(j, time.Time{})
 		}
 		s.dispatch(e)
 	}
@@ -127,41 +127,41 @@
 
 // arrive is a first attempt, or that of a caller who came back.
 func (s *simulation) arrive(j *job) {
-	if j.visits == 0 {
+	if j.submissions == 0 {
 		j.entry.budget.First(s.now)
-		s.figures.countFirst(s, j)
+		s.counters.countFirst(s, j)
 	}
-	j.visits++
+	j.submissions++
 	s.enqueue(j)
 }
 
 func (s *simulation) enqueue(j *job) {
-	idle := j.entry.router.Idle(s.now, s.want(j))
+	idle := j.entry.router.Idle(s.now, s.criteria(j))
 	refusal, ok := j.entry.queue.Push(s.now, j.item, idle)
 	if !ok {
-		s.refused(j, refusal.ComeBackAt)
+		s.onRefused(j, refusal.ComeBackAt)
 		return
 	}
 	j.state = waiting
-	s.shares.wait(j, 1)
-	s.fill(j.entry, j.item.Queue, s.policy.Overflow)
+	s.shares.addWaiting(j, 1)
+	s.dispatchQueue(j.entry, j.item.Queue, s.policy.Overflow)
 }
 
-// refused ends j, unless its caller can come back in time.
-func (s *simulation) refused(j *job, comeBackAt time.Time) {
-	if !comeBackAt.IsZero() && comeBackAt.Before(j.item.Deadline) && j.visits <= maxReturns && !j.started {
-		s.figures.returns++
-		j.state = outside
+// onRefused ends j, unless its caller can come back in time.
+func (s *simulation) onRefused(j *job, comeBackAt time.Time) {
+	if !comeBackAt.IsZero() && comeBackAt.Before(j.item.Deadline) && j.submissions <= maxResubmissions && !j.started {
+		s.counters.resubmissions++
+		j.state = notQueued
 		s.events.add(comeBackAt, func() { s.arrive(j) })
 		return
 	}
-	s.figures.refuse(s.now, j)
+	s.counters.refuse(s.now, j)
 }
 
-func (s *simulation) want(j *job) route.Criteria {
+func (s *simulation) criteria(j *job) route.Criteria {
 	return route.Criteria{
 		Pool: poolID(j.queueIndex), Overflow: s.policy.Overflow, Urgent: j.item.Urgent,
-		Tried: j.tries.Targets(), NoProbe: !j.kind.Idempotent,
+		Tried: j.failedTargets.Targets(), NoProbe: !j.kind.Idempotent,
 	}
 }
 
@@ -170,25 +170,25 @@
 func (s *simulation) dispatch(e *entry) {
 	queues := e.queue.Queues()
 	for _, q := range queues {
-		s.fill(e, q, false)
+		s.dispatchQueue(e, q, false)
 	}
 	for _, q := range queues {
-		s.fill(e, q, s.policy.Overflow)
+		s.dispatchQueue(e, q, s.policy.Overflow)
 	}
 }
 
-// dispatchAfter fills the slot of v that j gave back: one that its pool had lent
+// refillSlot fills the slot of v that j gave back: one that its pool had lent
 // goes to its own queue first.
-func (s *simulation) dispatchAfter(j *job, v *vm) {
+func (s *simulation) refillSlot(j *job, v *vm) {
 	if v.pool != j.queueIndex {
 		s.dispatch(j.entry)
 		return
 	}
-	s.fill(j.entry, j.item.Queue, s.policy.Overflow)
+	s.dispatchQueue(j.entry, j.item.Queue, s.policy.Overflow)
 }
 
-// fill starts what can start of one queue at e.
-func (s *simulation) fill(e *entry, q core.QueueID, overflow bool) {
+// dispatchQueue starts what can start of one queue at e.
+func (s *simulation) dispatchQueue(e *entry, q core.QueueID, overflow bool) {
 	for s.dispatchOne(e, q, overflow) {
 	}
 }
@@ -199,11 +199,11 @@
 	}
 	var vm core.VMID
 	item, ok := e.queue.Pop(s.now, q, func(i queue.Item) bool {
-		if s.running[i.Key.Team] >= s.limits[i.Key.Team] {
+		if s.runningByTeam[i.Key.Team] >= s.limits[i.Key.Team] {
 			return false
 		}
 		var free bool
-		want := s.want(s.byKey[i.Key])
+		want := s.criteria(s.byKey[i.Key])
 		want.Overflow = overflow
 		vm, free = e.router.Pick(s.now, want)
 		return free
@@ -212,84 +212,84 @@
 		return false
 	}
 	j := s.byKey[item.Key]
-	s.leave(j)
+	s.leaveQueue(j)
 	e.router.Started(s.now, vm)
 	s.send(j, s.byID[vm])
 	return true
 }
 
-// leave takes j out of the counts of waiting requests.
-func (s *simulation) leave(j *job) {
-	j.state = outside
-	s.shares.wait(j, -1)
+// leaveQueue takes j out of the counts of waiting requests.
+func (s *simulation) leaveQueue(j *job) {
+	j.state = notQueued
+	s.shares.addWaiting(j, -1)
 }
 
 // send is the target's side: it takes j, or says why not a moment later.
 func (s *simulation) send(j *job, v *vm) {
-	if s.out(v, s.now) {
-		s.figures.countAttempt(s)
-		s.events.add(s.now.Add(connectRun), func() { s.back(j, v, route.Unreachable, retry.NotSent) })
+	if s.isUnreachable(v, s.now) {
+		s.counters.countAttempt(s)
+		s.events.add(s.now.Add(dispatchRefusalTime), func() { s.onDispatchFailed(j, v, route.Unreachable, retry.NotSent) })
 		return
 	}
 	if v.running >= slotsPerVM {
-		s.figures.fulls++
-		s.events.add(s.now.Add(connectRun), func() { s.back(j, v, route.Full, retry.Refused) })
+		s.counters.fullRefusals++
+		s.events.add(s.now.Add(dispatchRefusalTime), func() { s.onDispatchFailed(j, v, route.Full, retry.Refused) })
 		return
 	}
-	s.figures.countAttempt(s)
+	s.counters.countAttempt(s)
 	s.start(j, v)
 }
 
 func (s *simulation) start(j *job, v *vm) {
 	v.running++
 	j.state = running
-	s.running[j.item.Key.Team]++
-	s.shares.run(j, 1)
+	s.runningByTeam[j.item.Key.Team]++
+	s.shares.addRunning(j, 1)
 	if !j.started {
 		j.started = true
 		j.firstStart = s.now
 	}
-	begun := s.now
+	startedAt := s.now
 	run, result := s.outcome(j, v)
-	s.events.add(begun.Add(run), func() { s.end(j, v, begun, result) })
+	s.events.add(startedAt.Add(run), func() { s.end(j, v, startedAt, result) })
 }
 
 // outcome says how long j runs on v and how it ends. Work is stopped at its
 // deadline.
 func (s *simulation) outcome(j *job, v *vm) (time.Duration, route.Result) {
 	switch {
-	case s.bad(v, s.now):
-		return badRun, route.Failed
+	case s.isFailing(v, s.now):
+		return failFastTime, route.Failed
 	case j.impossible:
-		return impossibleRun, route.Failed
+		return impossibleRunTime, route.Failed
 	}
 	run := seconds(j.run.Seconds() / v.speed)
 	return min(run, max(0, j.item.Deadline.Sub(s.now))), route.Succeeded
 }
 
-func (s *simulation) end(j *job, v *vm, begun time.Time, result route.Result) {
-	run := s.now.Sub(begun)
+func (s *simulation) end(j *job, v *vm, startedAt time.Time, result route.Result) {
+	run := s.now.Sub(startedAt)
 	v.running--
-	s.running[j.item.Key.Team]--
-	s.shares.run(j, -1)
-	if s.faults.Outage > 0 && s.out(v, s.now) {
+	s.runningByTeam[j.item.Key.Team]--
+	s.shares.addRunning(j, -1)
+	if s.faults.Outage > 0 && s.isUnreachable(v, s.now) {
 		result = route.Failed
 	}
 	late := !s.now.Before(j.item.Deadline)
-	s.figures.countRun(s, begun, result == route.Succeeded && !late)
+	s.counters.countRun(s, startedAt, result == route.Succeeded && !late)
 	if result != route.Succeeded {
-		s.back(j, v, result, retry.Sent)
+		s.onDispatchFailed(j, v, result, retry.Sent)
 		return
 	}
 	j.entry.router.Ended(s.now, v.id, result, run)
 	j.entry.queue.Observe(s.now, j.item.Queue, j.item.Key.Team, run)
-	s.figures.finish(s.now, j, late)
-	s.dispatchAfter(j, v)
+	s.counters.finish(s.now, j, late)
+	s.refillSlot(j, v)
 }
 
-// back handles a dispatch that brought no answer.
-func (s *simulation) back(j *job, v *vm, result route.Result, p retry.Progress) {
-	j.state = outside
+// onDispatchFailed handles a dispatch that brought no answer.
+func (s *simulation) onDispatchFailed(j *job, v *vm, result route.Result, p retry.Progress) {
+	j.state = notQueued
 	j.entry.router.Ended(s.now, v.id, result, 0)
 	j.entry.queue.Observe(s.now, j.item.Queue, j.item.Key.Team, 0)
 	if result == route.Full {
@@ -297,35 +297,35 @@
 		return
 	}
 	s.retry(j, v, result, p)
-	s.dispatchAfter(j, v)
+	s.refillSlot(j, v)
 }
 
 func (s *simulation) retry(j *job, v *vm, result route.Result, p retry.Progress) {
 	if s.policy.BoundTargets && result == route.Failed {
-		j.tries.Add(v.id, p)
-		if _, exhausted := j.tries.Exhausted(); exhausted {
-			s.figures.giveUp(j)
+		j.failedTargets.Add(v.id, p)
+		if _, exhausted := j.failedTargets.Exhausted(); exhausted {
+			s.counters.giveUp(j)
 			return
 		}
 	}
 	if !retry.SafeToRetry(p, j.kind.Idempotent) {
-		s.figures.unknown(j)
+		s.counters.unknown(j)
 		return
 	}
 	if p == retry.NotSent && s.policy.RequeueUnsent {
-		s.figures.retries++
+		s.counters.retries++
 		s.enqueue(j)
 		return
 	}
 	if !j.entry.budget.Allow(s.now) {
-		s.figures.giveUp(j)
+		s.counters.giveUp(j)
 		return
 	}
 	j.retries++
-	s.figures.retries++
+	s.counters.retries++
 	at := j.entry.budget.Backoff(s.now, j.retries)
 	if !at.Before(j.item.Deadline) {
-		s.figures.giveUp(j)
+		s.counters.giveUp(j)
 		return
 	}
 	s.events.add(at, func() { s.enqueue(j) })
@@ -335,8 +335,8 @@
 func (s *simulation) cancelWave() {
 	for _, j := range s.jobs {
 		if j.state == waiting && s.rng.Float64() < s.faults.Cancellations && j.entry.queue.Remove(j.item.Key) {
-			s.leave(j)
-			s.figures.cancel(j)
+			s.leaveQueue(j)
+			s.counters.cancel(j)
 		}
 	}
 }
--- a/core/experiment/summary_test.go
+++ b/core/experiment/summary_test.go
@@ -23,8 +23,8 @@
 	assert.Equal(t, len(got), 4)
 	assert.DeepEqual(t, got[1], experiment.Summary{
 		Workload: "w", Measure: "m", Variant: "new", Seeds: 20,
-		Value: experiment.Spread{Mean: 21, P5: 2, P95: 38},
-		Ratio: &experiment.Spread{Mean: 2, P5: 2, P95: 2},
+		Value: experiment.Stats{Mean: 21, P5: 2, P95: 38},
+		Ratio: &experiment.Stats{Mean: 2, P5: 2, P95: 2},
 	})
 	assert.Assert(t, got[3].Ratio == nil)
 }
--- a/core/maintenance/session_test.go
+++ b/core/maintenance/session_test.go
@@ -22,7 +22,7 @@
 func newZone(seed uint64) *sim.Zone {
 	size := sim.Size{Zones: 1, Pools: 2, PoolVMs: 6, SpareVMs: 4, RackVMs: 4, MaxUnavailable: 2}
 	w := sim.NewWorld(seed, start, size, size.MaxUnavailable)
-	w.RebootTime, w.DrainTime, w.Unseen = time.Minute, time.Minute, time.Minute
+	w.RebootTime, w.DrainTime, w.DetectionDelay = time.Minute, time.Minute, time.Minute
 	return &sim.Zone{World: w, ID: "z0", Planner: spread.Planner{RepairAfter: 5 * time.Minute, StopTime: 5 * time.Minute}}
 }
 
@@ -30,7 +30,7 @@
 	t.Helper()
 	o := maintenance.OperatorChange{Author: "op", Reason: "kernel", Change: core.ChangeID(change)}
 	operation, _, _ := strings.Cut(change, "-")
-	assert.NilError(t, z.Order(func(r maintenance.WaveRow) (table.Transaction, error) {
+	assert.NilError(t, z.ApplyOperatorChange(func(r maintenance.WaveRow) (table.Transaction, error) {
 		switch operation {
 		case "plan":
 			return maintenance.Plan(z.World.Now, r, o, start.Add(24*time.Hour), 1)
@@ -56,7 +56,7 @@
 		r.wave = fmt.Sprint(w.Status, w.Number, w.Reason)
 		_, _ = fmt.Fprintf(r, "%s wave %d %s: %s\n", at, w.Number, w.Status, w.Reason)
 	}
-	for _, m := range r.zone.World.Machines() {
+	for _, m := range r.zone.World.VMs() {
 		vm := r.zone.World.Row(m.Ref).VM
 		current := fmt.Sprintf("%s in %s", vm.State, vm.Pool)
 		if r.last[m.Ref] == "" {
@@ -89,10 +89,10 @@
 		case 90:
 			z.World.FailAll(z.World.Rack(1), 40*time.Minute)
 		case 70:
-			z.World.Faults.NotBack = 1
+			z.World.Faults.NotBackShare = 1
 		case 300:
-			z.World.Faults.NotBack = 0
-			for _, m := range z.World.Machines() {
+			z.World.Faults.NotBackShare = 0
+			for _, m := range z.World.VMs() {
 				m.BackAt = z.World.Now
 			}
 			if z.Wave().Status == maintenance.Halted {
@@ -112,7 +112,7 @@
 func TestOperatorChangesRefused(t *testing.T) {
 	z := newZone(1)
 	try := func(build func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error)) core.Code {
-		return core.ErrorCode(z.Order(func(r maintenance.WaveRow) (table.Transaction, error) {
+		return core.ErrorCode(z.ApplyOperatorChange(func(r maintenance.WaveRow) (table.Transaction, error) {
 			return build(r, maintenance.OperatorChange{Change: "other"})
 		}))
 	}
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	size := sim.Size{Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 8, RackVMs: 4, MaxUnavailable: 2}
 	w := sim.NewWorld(seed, start, size, size.MaxUnavailable)
-	w.RebootTime, w.DrainTime, w.Unseen = time.Minute, time.Minute, 30*time.Second
+	w.RebootTime, w.DrainTime, w.DetectionDelay = time.Minute, time.Minute, 30*time.Second
 	z := &sim.Zone{World: w, ID: "z0", Planner: spread.Without(rule)}
 	prepare(w)
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
@@ -41,7 +41,7 @@
 			return maintenance.Start(r, maintenance.OperatorChange{Change: "start"})
 		},
 	} {
-		assert.NilError(t, z.Order(build))
+		assert.NilError(t, z.ApplyOperatorChange(build))
 	}
 	var r result
 	for range 6 * 60 * 6 {
@@ -53,7 +53,7 @@
 		}
 	}
 	r.breaches, r.stops = len(w.Breaches), w.Stops
-	for _, m := range w.Machines() {
+	for _, m := range w.VMs() {
 		if !m.Up && m.Planned {
 			r.broken++
 		}
@@ -69,7 +69,7 @@
 
 func (r *result) observe(w *sim.World) {
 	racks := make(map[string]int)
-	for _, m := range w.Machines() {
+	for _, m := range w.VMs() {
 		if s := w.Row(m.Ref).VM.State; s != fleet.Serving && s != fleet.Failed {
 			racks[string(m.Rack)]++
 		}
@@ -114,7 +114,7 @@
 // image does. The wave must start with one VM and halt after a bounded number of losses.
 // Without the halt or the ramp-up, more VMs are lost.
 func TestWaveHaltsAutomatically(t *testing.T) {
-	breakReboots := func(w *sim.World) { w.Faults.NotBack = 1 }
+	breakReboots := func(w *sim.World) { w.Faults.NotBackShare = 1 }
 	with := runSeeds(t, "", 2, breakReboots)
 	assert.Equal(t, with.halted, seeds)
 	assert.Assert(t, with.broken <= 4*seeds, "at most 4 VMs a seed may break on average if max_not_back is 2")
@@ -126,7 +126,7 @@
 // failed permanently. It allows no planned stop until spare VMs have replaced them.
 // Without the repair, the pool's other VMs miss their maintenance.
 func TestSpentBudgetIsRepaired(t *testing.T) {
-	spendBudget := func(w *sim.World) { w.FailAll(w.Machines()[:2], 100*time.Hour) }
+	spendBudget := func(w *sim.World) { w.FailAll(w.VMs()[:2], 100*time.Hour) }
 	// The two failed VMs can't be maintained. The others must be.
 	with := runSeeds(t, "", 2, spendBudget)
 	without := runSeeds(t, "repair", 2, spendBudget)
@@ -137,7 +137,7 @@
 // TestReserveAbsorbsFailures lets VMs fail at many times the usual rate during the wave.
 // Without the reserve, pools exceed their budgets far more often.
 func TestReserveAbsorbsFailures(t *testing.T) {
-	raiseFailureRate := func(w *sim.World) { w.Faults.PerVMDay = 2 }
+	raiseFailureRate := func(w *sim.World) { w.Faults.FailuresPerVMDay = 2 }
 	with, without := runSeeds(t, "", 10, raiseFailureRate), runSeeds(t, "reserve", 10, raiseFailureRate)
 	assert.Assert(t, without.overBudget > 2*with.overBudget, fmt.Sprintf("budgets exceeded in %d observations without the reserve, in %d with it", without.overBudget, with.overBudget))
 }
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -36,9 +36,9 @@
 // maxLine bounds a log line.
 const maxLine = 1 << 20
 
-// beliefs are the events that touch every job: who owns the jobs, and which
+// contextEvents are the events that touch every job: who owns the jobs, and which
 // configuration is in force.
-var beliefs = map[string]bool{
+var contextEvents = map[string]bool{
 	"owner": true, "owner_no_more": true, "owner_vacates": true, "configuration_in_force": true,
 	"start": true, "stop": true, "stopping": true, "feed_lost": true, "feed_regained": true, "loaded": true,
 }
@@ -77,12 +77,12 @@
 			return h, errors.Wrap(err, "read log")
 		}
 	}
-	h.Lines = around(job, all, vms)
+	h.Lines = selectLines(job, all, vms)
 	return h, nil
 }
 
-// around keeps the job's own lines, and what was believed from its first line to its last.
-func around(job string, all []Line, vms map[string]bool) []Line {
+// selectLines keeps the job's own lines, and what was believed from its first line to its last.
+func selectLines(job string, all []Line, vms map[string]bool) []Line {
 	slices.SortStableFunc(all, func(a, b Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Node, b.Node)) })
 	first, last := -1, -1
 	for i, l := range all {
@@ -99,7 +99,7 @@
 	var out []Line
 	for _, l := range all[first : last+1] {
 		vm, _ := l.Fields["vm"].(string)
-		if l.concerns(job) || beliefs[l.Event] || (vmEvents[l.Event] && vms[vm]) {
+		if l.concerns(job) || contextEvents[l.Event] || (vmEvents[l.Event] && vms[vm]) {
 			out = append(out, l)
 		}
 	}
--- a/core/trace/trace_test.go
+++ b/core/trace/trace_test.go
@@ -9,13 +9,13 @@
 	"lavenderpond/core/trace"
 )
 
-const first = `{"level":"info","node":"edge-1","event":"call_accepted","method":"submit","job":"0000","time":1000}
+const firstLog = `{"level":"info","node":"edge-1","event":"call_accepted","method":"submit","job":"0000","time":1000}
 {"level":"info","node":"edge-1","event":"call_accepted","method":"submit","job":"other","time":1001}
 {"level":"info","node":"edge-1","event":"feed_lost","table":"op","time":1500}
 not a log line
 `
 
-const second = `  1.2 edge-2 {"level":"info","node":"edge-2","event":"task_ordered","job":"0000","task":"0000.0.0.1","attempt":10001,"vm":"i-1","time":1002}
+const secondLog = `  1.2 edge-2 {"level":"info","node":"edge-2","event":"task_ordered","job":"0000","task":"0000.0.0.1","attempt":10001,"vm":"i-1","time":1002}
 {"level":"info","node":"edge-2","event":"vm_silent","vm":"i-1","reason":"unanswered","time":1700}
 {"level":"info","node":"edge-2","event":"vm_silent","vm":"i-2","reason":"unanswered","time":1701}
 {"level":"info","node":"edge-2","event":"job_ended","job":"0000","reason":"completed","omitted":7,"time":2000}
@@ -25,7 +25,7 @@
 // The history holds the job's own lines in order, what was believed meanwhile,
 // and of the VMs only those where it ran.
 func TestHistoryOfAJob(t *testing.T) {
-	h, err := trace.Read("0000", strings.NewReader(first), strings.NewReader(second))
+	h, err := trace.Read("0000", strings.NewReader(firstLog), strings.NewReader(secondLog))
 	assert.NilError(t, err)
 	var events []string
 	for _, l := range h.Lines {
@@ -39,7 +39,7 @@
 }
 
 func TestUnknownJobHasNoHistory(t *testing.T) {
-	h, err := trace.Read("ffff", strings.NewReader(first))
+	h, err := trace.Read("ffff", strings.NewReader(firstLog))
 	assert.NilError(t, err)
 	assert.Equal(t, len(h.Lines), 0)
 }
--- a/io/platform/controller_return_test.go
+++ b/io/platform/controller_return_test.go
@@ -71,7 +71,7 @@
 // Live lists the VMs that are up, without a lag.
 func (z *slowZone) Live(context.Context, core.ZoneID) ([]Liveness, error) {
 	var live []Liveness
-	for _, m := range z.world.Machines() {
+	for _, m := range z.world.VMs() {
 		if m.Up {
 			live = append(live, Liveness{Name: string(m.Ref.VM), Zone: m.Ref.Zone})
 		}
@@ -110,7 +110,7 @@
 
 func (z *slowZone) count(state fleet.State) int {
 	n := 0
-	for _, m := range z.world.Machines() {
+	for _, m := range z.world.VMs() {
 		if z.world.Row(m.Ref).VM.State == state {
 			n++
 		}
@@ -131,12 +131,12 @@
 // them, keep one controller at work; all VMs are recorded, and later serve again.
 func TestZoneReturns(t *testing.T) {
 	z := newSlowZone(t, 7*time.Millisecond)
-	all := len(z.world.Machines())
+	all := len(z.world.VMs())
 	z.tick()
 	assert.Equal(t, z.count(fleet.Serving), all)
 
 	const downFor = 15 * time.Minute
-	z.world.FailAll(z.world.Machines(), downFor)
+	z.world.FailAll(z.world.VMs(), downFor)
 	back := z.world.Now.Add(downFor)
 	ticks, longest := 0, time.Duration(0)
 	for ; z.count(fleet.Failed) < all; ticks++ {
@@ -211,11 +211,11 @@
 		"others":  func([]VMLook) ([]VMLook, error) { return []VMLook{{VM: "vm99999"}}, nil },
 	} {
 		z := newSlowZone(t, time.Millisecond)
-		all := len(z.world.Machines())
+		all := len(z.world.VMs())
 		z.tick()
-		lost := z.world.Machines()[:100]
+		lost := z.world.VMs()[:100]
 		z.world.FailAll(lost, time.Hour)
-		for _, m := range z.world.Machines()[:200] {
+		for _, m := range z.world.VMs()[:200] {
 			z.controllers[0].Suspect(m.Ref.VM)
 		}
 		z.answers = answers
@@ -265,7 +265,7 @@
 	z := newSlowZone(t, time.Millisecond)
 	z.otherAt = z.world.Now.AddDate(1, 0, 0)
 	z.tick()
-	lost := z.world.Machines()[700:702]
+	lost := z.world.VMs()[700:702]
 	z.world.FailAll(lost[:1], time.Hour)
 	z.controllers[0].Suspect(lost[0].Ref.VM)
 	z.answers = func(looks []VMLook) ([]VMLook, error) {
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -49,7 +49,7 @@
 
 var hard = faults{
 	lostAnswers: 0.05, tableDown: 0.03, partialLooks: 0.05, pauses: 0.01, listLag: 20 * time.Second, staleEntry: true, rackFails: true, moves: 0.02,
-	vms: sim.Faults{PerVMDay: 0.5},
+	vms: sim.Faults{FailuresPerVMDay: 0.5},
 }
 
 // A pool's callers lose more VMs than its budget allows, or a running request is
@@ -87,11 +87,11 @@
 	ctx := context.Background()
 	assert.NilError(t, w.Poll(ctx))
 	all := len(w.Targets())
-	assert.Equal(t, all, len(s.world.Machines()))
+	assert.Equal(t, all, len(s.world.VMs()))
 
 	w.Refused("vm00000")
 	assert.Equal(t, len(w.Targets()), all-1, "refused")
-	s.world.Fail(s.world.Machines()[1], time.Hour)
+	s.world.Fail(s.world.VMs()[1], time.Hour)
 	s.advance()
 	s.faults.tableDown = 1
 	assert.Assert(t, w.Poll(ctx) != nil)
--- a/io/platform/fleet_rows_test.go
+++ b/io/platform/fleet_rows_test.go
@@ -32,7 +32,7 @@
 // arrives after it. Versions tell which one is newer.
 func TestFleetRowsKeepWriteOverOldAnswer(t *testing.T) {
 	s := newSession(t, 1, faults{})
-	key := s.world.Machines()[0].Ref.Key()
+	key := s.world.VMs()[0].Ref.Key()
 	slow, rows, ctx := &slowTable{Table: s}, &FleetRows{}, t.Context()
 	write := func(build func(vm fleet.VMRow, pool fleet.PoolRow) (table.Transaction, error)) {
 		vm, _ := rows.VM(key)
--- a/io/platform/session_test.go
+++ b/io/platform/session_test.go
@@ -84,7 +84,7 @@
 func newSession(t *testing.T, seed uint64, f faults) *session {
 	size := sim.Size{Name: "test", Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 6, RackVMs: 4, MaxUnavailable: 2}
 	w := sim.NewWorld(seed, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC), size, size.MaxUnavailable)
-	w.RebootTime, w.Unseen, w.Faults = 30*time.Second, f.unseen(), f.vms
+	w.RebootTime, w.DetectionDelay, w.Faults = 30*time.Second, f.unseen(), f.vms
 	s := &session{t: t, faults: f, rand: rand.New(rand.NewPCG(seed, 4)), world: w, views: make([]map[fleet.Ref]fleet.State, 3), moving: make(map[fleet.Ref]core.PoolID)}
 	for i := range 2 {
 		s.controllers = append(s.controllers, &Controller{
@@ -140,12 +140,12 @@
 	for i := range s.views {
 		if s.views[i] == nil || !s.faults.staleEntry || i > 0 {
 			s.views[i] = make(map[fleet.Ref]fleet.State)
-			for _, m := range s.world.Machines() {
+			for _, m := range s.world.VMs() {
 				s.views[i][m.Ref] = s.world.Row(m.Ref).VM.State
 			}
 		}
 	}
-	for _, m := range s.world.Machines() {
+	for _, m := range s.world.VMs() {
 		i := s.rand.IntN(len(s.views))
 		if s.views[i][m.Ref] == fleet.Serving && s.rand.IntN(4) == 0 {
 			s.world.Dispatch(m.Ref, time.Duration(s.rand.IntN(20))*time.Second)
@@ -155,7 +155,7 @@
 	for _, c := range s.controllers {
 		l.vms = append(l.vms, Liveness{Name: c.Self.Name(), Zone: c.Zone, Started: c.Self.Started()})
 	}
-	for _, m := range s.world.Machines() {
+	for _, m := range s.world.VMs() {
 		if m.Up || m.Planned {
 			l.vms = append(l.vms, Liveness{Name: string(m.Ref.VM), Zone: m.Ref.Zone})
 		}
@@ -184,7 +184,7 @@
 	if s.rand.Float64() >= s.faults.moves {
 		return
 	}
-	machines, pools := s.world.Machines(), s.world.Pools()
+	machines, pools := s.world.VMs(), s.world.Pools()
 	vm := s.world.Row(machines[s.rand.IntN(len(machines))].Ref)
 	to := core.PoolID(fmt.Sprintf("pool%03d", s.rand.IntN(4)))
 	tx, err := fleet.Rules{}.Permit(s.world.Now, vm, pools[vm.VM.Pool], fleet.Permit{
@@ -198,7 +198,7 @@
 // checkPools compares the pools' counts with the VMs' rows: each VM is in one.
 func (s *session) checkPools() error {
 	members := make(map[core.PoolID]int)
-	for _, m := range s.world.Machines() {
+	for _, m := range s.world.VMs() {
 		members[s.world.Row(m.Ref).VM.Pool]++
 	}
 	for id, pool := range s.world.Pools() {
@@ -281,7 +281,7 @@
 }
 
 func (s *session) Status(_ context.Context, vm fleet.Ref) (VMStatus, error) {
-	status := VMStatus{Up: s.world.Machine(vm).Up, Running: s.world.Running(vm)}
+	status := VMStatus{Up: s.world.VM(vm).Up, Running: s.world.Running(vm)}
 	s.pause()
 	s.saw, s.sinceSaw = vm, 0
 	return status, nil
