--- a/cmd/lavenderpond-edge/main.go
+++ b/cmd/lavenderpond-edge/main.go
@@ -1,5 +1,5 @@
-// Command lavenderpond-edge is the daemon on an entry VM of a deployment whose
-// platform runs the table and the VMs.
+// Command lavenderpond-edge is the daemon on an entry VM of a deployment in which the
+// platform provides the table and the VMs.
 package main
 
 import (
@@ -27,12 +27,13 @@
 )
 
 const (
-	// logBufferLines is how many lines may wait for standard output; more are dropped
-	// and counted, so that a reader that stalls holds up no request.
+	// logBufferLines is the maximum number of log lines that wait for standard output.
+	// Further lines are dropped and counted, so that a stalled reader delays no request.
 	logBufferLines = 4096
-	// logPollInterval is how often waiting lines are written.
+	// logPollInterval is how often waiting log lines are written.
 	logPollInterval = 50 * time.Millisecond
-	// memoryLimitPercent of the VM's memory, in percent, makes the collector work harder.
+	// memoryLimitPercent is the part of the VM's memory, in percent, that is set as the
+	// soft memory limit of the garbage collector.
 	memoryLimitPercent = 60
 )
 
@@ -51,7 +52,7 @@
 		l := zerolog.New(os.Stderr)
 		l.Warn().Int("missed", missed).Str("event", "log_lines_dropped").Send()
 	})
-	defer out.Close() //nolint:errcheck // Standard output has nothing to report.
+	defer out.Close() //nolint:errcheck // Closing standard output reports nothing useful.
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(out).With().Timestamp().Logger().Level(zerolog.InfoLevel)
 	path := o.Settings
@@ -86,8 +87,8 @@
 	return exitOK
 }
 
-// watchSignals stops the process gracefully on the platform's signal. A changed
-// settings file needs nothing: what is read from it doesn't change in a life.
+// watchSignals stops the process gracefully on SIGINT or SIGTERM. SIGHUP is only logged:
+// the settings can't change while the process runs.
 func watchSignals(ctx context.Context, stop context.CancelFunc, n *node.Node, log zerolog.Logger) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
--- a/cmd/lavenderpond-experiment/main.go
+++ b/cmd/lavenderpond-experiment/main.go
@@ -1,5 +1,5 @@
-// Command lavenderpond-experiment replays seeded demand and faults against the
-// decision code and prints what was measured.
+// Command lavenderpond-experiment replays pseudo-random demand and faults against the
+// decision code of the daemon and prints the measured values.
 package main
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// CLI is the command line.
+// CLI defines the commands for kong.
 type CLI struct {
 	List List `cmd:"" help:"List the experiments."`
 	Run  Run  `cmd:"" help:"Run an experiment and print its figures."`
--- a/cmd/lavenderpond-experiment/run.go
+++ b/cmd/lavenderpond-experiment/run.go
@@ -14,10 +14,10 @@
 	_ "lavenderpond/core/experiment/policy"      // registers its experiments
 )
 
-// output is where results are printed.
+// output is the writer to which results are printed. Kong passes it to the commands.
 type output io.Writer
 
-// List prints the experiments.
+// List is the command that lists the experiments.
 type List struct{}
 
 // Run implements the command.
@@ -85,7 +85,7 @@
 	return errors.Wrap(tw.Flush(), "print summary")
 }
 
-// statsColumns prints a spread as three columns, "-" if there is none.
+// statsColumns formats s as three columns separated by tabs, each "-" if s is nil.
 func statsColumns(s *experiment.Stats) string {
 	if s == nil {
 		return "-\t-\t-"
--- a/cmd/lavenderpond-experiment/run_test.go
+++ b/cmd/lavenderpond-experiment/run_test.go
@@ -10,7 +10,8 @@
 	"lavenderpond/core"
 )
 
-// The same seeds give the same figures, so a change of a decision shows here.
+// TestRun compares the output with golden files. The same seeds produce the same values,
+// so the test fails if a change alters a decision.
 func TestRun(t *testing.T) {
 	for _, output := range []string{"table", "json"} {
 		var b bytes.Buffer
--- a/cmd/lavenderpond-load/check.go
+++ b/cmd/lavenderpond-load/check.go
@@ -16,34 +16,39 @@
 	"lavenderpond/io/target/standin"
 )
 
-// checkCommand holds what callers were told against what the targets wrote down.
+// checkCommand compares the answers that callers received with the starts that the
+// targets recorded.
 type checkCommand struct {
 	Record  []string         `help:"Files written by 'entries --record'." required:""`
 	Targets []netip.AddrPort `help:"One VM of each targets process started with --log-starts." required:""`
 }
 
-// checkResult counts what was found.
+// checkResult counts the findings of a check.
 type checkResult struct {
 	IDs int `json:"ids"`
-	// Done ids got a whole answer.
+	// Done counts ids that were answered as done at least once.
 	Done int `json:"done"`
-	// Unknown ids were told outcome_unknown, or got no answer, and never done.
+	// Unknown counts ids that were never answered as done, and for which at least one
+	// attempt was answered as outcome_unknown or not at all.
 	Unknown int `json:"unknown"`
-	// NotRun ids were told not_run by every attempt.
+	// NotRun counts ids for which every attempt was answered as not_run.
 	NotRun int `json:"not_run"`
 	Starts int `json:"starts"`
-	// FailedForMs is the time from the first to the last attempt that wasn't done
-	// for lack of a holder: how long the fleet took to recover.
+	// FailedForMs is the time from the first to the last attempt that failed because the
+	// home of the request had no holder or was unreachable. It shows how long the fleet
+	// took to recover.
 	FailedForMs                   int64 `json:"failed_for_ms"`
 	firstFailureMs, lastFailureMs int64
-	// The rest must be zero.
+	// The following counts must be zero. They count ids that started more than once, ids
+	// answered as not_run that started, done answers that were truncated, and ids answered
+	// as done that never started.
 	DoubleStarts     int `json:"doubles"`
 	FalseNotRun      int `json:"false_not_run"`
 	NotWhole         int `json:"not_whole"`
 	DoneWithoutStart int `json:"done_without_start"`
 }
 
-// Run prints the verdict, and fails if something is wrong.
+// Run prints the result, and fails if an answer contradicts the recorded starts.
 func (c *checkCommand) Run(ctx context.Context) error {
 	starts, err := c.readStarts(ctx)
 	if err != nil {
@@ -96,15 +101,16 @@
 	default:
 		v.Unknown++
 	}
-	// A caller makes its attempts one after the other: what its last answer says must
-	// be so, whatever the earlier ones said.
+	// A caller makes its attempts one after the other. Its last answer must be true,
+	// whatever the earlier ones said.
 	if lastNotRun && starts > 0 {
 		v.FalseNotRun++
 	}
 }
 
-// noteOutage dates attempts that found no holder. An entry that is away refuses
-// connections for as long as it is, which says nothing about the others.
+// noteOutage records the time of an attempt that an entry answered but could not pass to
+// a holder. An attempt without an answer doesn't count: an entry that is down refuses
+// connections, which says nothing about the rest of the fleet.
 func (v *checkResult) noteOutage(a attempt) {
 	if a.Code != core.CodeNoHolder.String() && a.Code != core.CodeHomeUnreachable.String() && a.Code != core.CodeZoneUnreachable.String() {
 		return
--- a/cmd/lavenderpond-load/entries.go
+++ b/cmd/lavenderpond-load/entries.go
@@ -16,8 +16,8 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// retryPause is how long a caller waits before it repeats a request at another
-// entry, if it wasn't told when to come back.
+// retryPause is how long a caller waits before it repeats a request at another entry,
+// unless the answer says to come back later.
 const retryPause = 50 * time.Millisecond
 
 type entriesCommand struct {
@@ -37,19 +37,19 @@
 	records *json.Encoder
 }
 
-// attempt is a line of the record.
+// attempt is a line of the record file: one attempt of a request and its answer.
 type attempt struct {
 	ID      string `json:"id"`
 	Attempt int    `json:"attempt"`
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
-	// Whole says that the answer's body names the id.
+	// Whole says that the body of the answer is complete and belongs to this id.
 	Whole bool `json:"whole"`
-	// AtMs is when the answer came, in Unix milliseconds.
+	// AtMs is the time of the answer, in Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
 }
 
-// Run loads the entries. The team key comes from LAVENDERPOND_TEAM_KEY.
+// Run generates load on the entries. The team key comes from LAVENDERPOND_TEAM_KEY.
 func (c *entriesCommand) Run(ctx context.Context) error {
 	if err := loopbackOnly(c.Entry); err != nil {
 		return err
@@ -70,7 +70,8 @@
 	return c.run(ctx, func(ctx context.Context, n int) string { return c.request(ctx, run, n) }).print()
 }
 
-// request makes request number n, with its repetitions, and names its last answer.
+// request sends request number n, repeats it if Retry is set, and returns the name of the
+// last answer.
 func (c *entriesCommand) request(ctx context.Context, run int64, n int) string {
 	now := time.Now()
 	id := fmt.Sprintf("load-%d-%d", run, n)
@@ -107,8 +108,8 @@
 	return c.clients[(n+int(req.Attempt)-1)%len(c.clients)].Submit(ctx, req, false)
 }
 
-// pause waits until the answer says to come back. It returns false if that is
-// after the deadline.
+// pause waits until the next attempt may be made: when the answer says to come back, but
+// at least retryPause from now. It returns false if that is after the deadline.
 func (c *entriesCommand) pause(req core.Request, answer *pb.Answer) bool {
 	at := time.Now().Add(retryPause)
 	if answer != nil && answer.ComeBackAt != nil && answer.ComeBackAt.AsTime().After(at) {
--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -23,24 +23,25 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Sizes of what fill writes.
+// Sizes of the fleet that the command fill writes.
 const (
-	// rowsPerTransaction is how many rows go into one transaction.
+	// rowsPerTransaction is the maximum number of rows in a transaction.
 	rowsPerTransaction = 500
-	// vmsPerRack is how many VMs stand in a rack.
+	// vmsPerRack is the number of VMs in a rack.
 	vmsPerRack = 4
-	// livePostInterval is how often the VMs are said to be there; the stand-in forgets
-	// them after 3 s.
+	// livePostInterval is how often the VMs are reported as up. The simulated platform
+	// forgets a VM after 3 s without a report.
 	livePostInterval = time.Second
-	// churnTeams have limits that move; churnZones and churnEntries hold a part of
-	// each: the two-year size.
+	// churnTeams is the number of teams whose allotments are rewritten. The allotments of
+	// a team are spread over churnZones zones, and over churnEntries entries in each
+	// zone. These are the numbers of the two-year size.
 	churnTeams   = 620
 	churnZones   = 7
 	churnEntries = 6
 )
 
-// fillCommand fills the table of the platform's stand-in with a fleet of a given
-// size and stands in for its idle VMs, to measure what idle daemons cost.
+// fillCommand fills the table of the simulated platform with a fleet of a given size and
+// simulates its idle VMs, to measure the resources that idle daemons use.
 type fillCommand struct {
 	Platform netip.AddrPort `help:"The platform's stand-in." required:""`
 	Control  netip.AddrPort `help:"Loopback address on which all VMs tell their state." required:""`
@@ -50,17 +51,20 @@
 	Pools    int            `help:"Pools, each with a queue." default:"5"`
 	Teams    int            `help:"Teams." default:"6"`
 	Keys     int            `help:"Keys of each team; the first of team_0001 is printed." default:"3"`
-	// Since matters to the controller, which tells VMs that serve again to take work.
+	// Since matters because the controller tells VMs that recently began to serve again
+	// to accept work.
 	Since   time.Duration  `help:"How long ago the VMs began to serve." default:"1h"`
 	Targets netip.AddrPort `help:"First address of the VMs' task services." default:"127.0.0.1:20000"`
-	// Churn rewrites allotment rows as limits that move do, but of teams of its own.
+	// Churn rewrites allotment rows in the way of allotments that move between entries,
+	// for teams that exist only for this purpose.
 	Churn float64 `help:"Moves of allotments a second, in turn over the teams." default:"0"`
 
 	client *platform.Client
 	writes []table.Write
 }
 
-// Run fills the table, prints "filled", and stands in for the VMs until ctx ends.
+// Run fills the table, prints "filled" and the first key of team_0001, and simulates the
+// VMs until ctx ends.
 func (c *fillCommand) Run(ctx context.Context) error {
 	if err := loopbackOnly([]netip.AddrPort{c.Platform, c.Control}); err != nil {
 		return err
@@ -80,7 +84,8 @@
 	return err
 }
 
-// configRows writes pools, queues, teams and keys, and last the head.
+// configRows adds the rows of pools, queues, teams and keys, and finally the head of the
+// configuration.
 func (c *fillCommand) configRows() {
 	for i := range c.Pools {
 		c.set(table.PoolConfigKey(c.pool(i)), config.Pool{MaxUnavailable: 2, LendsIdle: true})
@@ -94,12 +99,13 @@
 	}
 	version := core.Version(c.Teams*(1+c.Keys) + 2*c.Pools)
 	c.set(table.ConfigHead, config.Head{Version: version, Change: "fill"})
-	// The audit records of these rows are left out, so they count as exported and
-	// deleted: else every exporter would look for each of them.
+	// These changes have no audit records. They are marked as exported and deleted, since
+	// otherwise every exporter would look for each of the missing records.
 	c.set("export/audit", map[string]core.Version{"version": version, "deleted": version})
 }
 
-// fleetRows writes the rows of VMs, and of pools with the VMs that are out.
+// fleetRows adds the rows of the VMs, and the rows of the pools, which list the VMs that
+// are out.
 func (c *fillCommand) fleetRows() {
 	pools := make([]fleet.Pool, c.Pools)
 	for i := range pools {
@@ -130,7 +136,7 @@
 func (c *fillCommand) set(key table.Key, value any) {
 	var t table.Transaction
 	if err := t.Set(key, value); err != nil {
-		panic(err) // all values are plain structs
+		panic(err) // All values are plain structs, which can be encoded.
 	}
 	c.writes = append(c.writes, t.Writes...)
 }
@@ -146,8 +152,8 @@
 	return nil
 }
 
-// churn rewrites the two rows of a move, Churn times a second, in one zone after the
-// other.
+// churn rewrites the two rows that the move of an allotment changes, Churn times a second,
+// in one zone after the other.
 func (c *fillCommand) churn(ctx context.Context) {
 	if c.Churn == 0 {
 		return
@@ -173,7 +179,7 @@
 	})
 }
 
-// postLive keeps the VMs on the platform's list.
+// postLive reports all VMs to the platform, which keeps them on its live list.
 func (c *fillCommand) postLive(ctx context.Context) {
 	var posts []standin.LivePost
 	for _, z := range c.Zones {
@@ -199,7 +205,7 @@
 	_ = resp.Body.Close()
 }
 
-// serveControl answers for every VM that it is up and idle.
+// serveControl serves the control interface of all VMs, which reports each as up and idle.
 func (c *fillCommand) serveControl(ctx context.Context) error {
 	l, err := net.Listen("tcp", c.Control.String())
 	if err != nil {
--- a/cmd/lavenderpond-load/load.go
+++ b/cmd/lavenderpond-load/load.go
@@ -15,10 +15,10 @@
 	"lavenderpond/io/supervisor"
 )
 
-// maxRequests bounds a run, whatever is asked for.
+// maxRequests is the maximum number of requests of a run, whatever the flags say.
 const maxRequests = 2_000_000
 
-// loadFlags is how the load is made, for both commands.
+// loadFlags holds the flags that the commands entries and targets have in common.
 type loadFlags struct {
 	Concurrency int           `help:"Requests under way at once." default:"32"`
 	Rate        float64       `help:"Requests a second in all; 0: as many as answers allow." default:"0"`
@@ -27,7 +27,7 @@
 	Bytes       int           `help:"Size of each answer, in bytes." default:"100"`
 }
 
-// result is what was measured.
+// result is the printed result of a run. Answers counts the answers by name.
 type result struct {
 	Requests  int            `json:"requests"`
 	Seconds   float64        `json:"seconds"`
@@ -38,10 +38,10 @@
 	Answers   map[string]int `json:"answers"`
 }
 
-// sendFunc makes request number n and names its answer.
+// sendFunc sends request number n, waits for the answer and returns its name.
 type sendFunc func(ctx context.Context, n int) string
 
-// run makes the load and measures it.
+// run generates the load and measures the latency of every request.
 func (s loadFlags) run(ctx context.Context, send sendFunc) result {
 	ctx, cancel := context.WithTimeout(ctx, s.For)
 	defer cancel()
@@ -69,7 +69,7 @@
 	return summarize(latencies, time.Since(begin), answers)
 }
 
-// pace hands out request numbers at the rate asked for until ctx ends.
+// pace sends request numbers to the workers, at the requested rate, until ctx ends.
 func (s loadFlags) pace(ctx context.Context, numbers chan<- int) {
 	defer close(numbers)
 	begin := time.Now()
@@ -104,7 +104,8 @@
 	return json.NewEncoder(os.Stdout).Encode(r)
 }
 
-// body is what the stand-in target works on.
+// body returns the body of a request, which tells the stand-in target how long to work
+// and how many bytes to answer.
 func (s loadFlags) body() []byte {
 	return fmt.Appendf(nil, `{"run_ms":%d,"answer_bytes":%d}`, s.RunMs, s.Bytes)
 }
--- a/cmd/lavenderpond-load/main.go
+++ b/cmd/lavenderpond-load/main.go
@@ -1,5 +1,6 @@
-// Command lavenderpond-load puts a bounded load on entries, or on targets
-// directly for comparison, over loopback only, and prints what it measured.
+// Command lavenderpond-load generates a bounded load on entries, or on targets directly
+// for comparison, and prints the measured rate and latencies as JSON. It only uses
+// loopback addresses.
 package main
 
 import (
--- a/cmd/lavenderpond-load/targets.go
+++ b/cmd/lavenderpond-load/targets.go
@@ -18,7 +18,7 @@
 	Count int            `help:"Number of targets, used in turn." default:"10"`
 }
 
-// Run loads the targets.
+// Run generates load on the targets. It names each answer after the type of its end.
 func (c *targetsCommand) Run(ctx context.Context) error {
 	if err := loopbackOnly([]netip.AddrPort{c.First}); err != nil {
 		return err
--- a/cmd/lavenderpond-standin/link.go
+++ b/cmd/lavenderpond-standin/link.go
@@ -22,7 +22,7 @@
 	Forward []string       `arg:"" help:"NAME=LISTEN=TARGET: forward connections of link NAME. A name may be given several times."`
 }
 
-// Run forwards until ctx ends.
+// Run forwards connections until ctx ends.
 func (c *linkCommand) Run(ctx context.Context, log zerolog.Logger) error {
 	links, err := parseLinks(c.Forward)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return node.Run(ctx)
 }
 
-// linkSet is the links of a process, by name.
+// linkSet holds the links of a process by name.
 type linkSet map[string]*link.Link
 
 func parseLinks(forwards []string) (linkSet, error) {
@@ -80,16 +80,16 @@
 	return parts[0], f, nil
 }
 
-// linkRequest says what links should do from now on.
+// linkRequest is the body of a call that changes the state of links.
 type linkRequest struct {
-	// Links are patterns of names, as path.Match takes them.
+	// Links are patterns of link names, in the syntax of path.Match.
 	Links []string   `json:"links"`
 	State link.State `json:"state"`
 	// Delay is added to each direction of an open link.
 	Delay time.Duration `json:"delay"`
 }
 
-// handler returns the control interface: POST /links takes a linkOrder.
+// handler returns the control interface. POST /links applies a linkRequest.
 func (s linkSet) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /links", func(w http.ResponseWriter, r *http.Request) {
@@ -105,7 +105,7 @@
 	return mux
 }
 
-// apply changes the links that the order names; it must name some.
+// apply changes the links that the request matches. It fails if there are none.
 func (s linkSet) apply(o linkRequest) error {
 	if !slices.Contains([]link.State{link.Open, link.Refused, link.Silent, link.Held, link.Deaf}, o.State) {
 		return errors.Errorf("unknown state %q", o.State)
--- a/cmd/lavenderpond-standin/link_test.go
+++ b/cmd/lavenderpond-standin/link_test.go
@@ -21,10 +21,12 @@
 	"lavenderpond/io/supervisor"
 )
 
-// testTimeout bounds how long a test waits for progress; it decides nothing.
+// testTimeout limits how long a test waits for progress. A test that passes doesn't
+// depend on it.
 const testTimeout = 20 * time.Second
 
-// testLink is a link named "a.b" to a listener whose connections are in taken.
+// testLink is a link named "a.b" to a listener whose accepted connections are in
+// accepted.
 type testLink struct {
 	t        *testing.T
 	links    linkSet
@@ -35,8 +37,9 @@
 func newTestLink(t *testing.T) *testLink {
 	backend, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	// An address of its own: the link listens there again after a cut, and no
-	// outgoing connection of another test may have been given its port meanwhile.
+	// The link has an IP address of its own, because it listens on the same port again
+	// after a cut. On 127.0.0.1, the port could meanwhile be assigned to an outgoing
+	// connection of another test.
 	free, err := net.Listen("tcp", "127.0.0.77:0")
 	assert.NilError(t, err)
 	l := &testLink{t: t, address: free.Addr().String(), accepted: make(chan net.Conn, 10)}
@@ -87,7 +90,7 @@
 	return here, there
 }
 
-// awaitReceived waits until the link has taken n bytes more than before.
+// awaitReceived waits until the link has received n bytes more than before.
 func (l *testLink) awaitReceived(before, n int64) {
 	l.t.Helper()
 	for until := time.Now().Add(testTimeout); l.links["a.b"].BytesReceived() < before+n; time.Sleep(time.Millisecond) {
@@ -95,7 +98,7 @@
 	}
 }
 
-// transfer sends a line and returns what arrives.
+// transfer sends a line and returns the line that arrives.
 func transfer(t *testing.T, from, to net.Conn, line string) string {
 	t.Helper()
 	_, err := io.WriteString(from, line+"\n")
@@ -105,8 +108,9 @@
 	return strings.TrimSpace(got)
 }
 
-// TestLinkRefuses: connections of a link that is cut break off, and new ones are
-// refused by the system, as where nothing listens. Healed, it connects again.
+// TestLinkRefuses checks the state Refused: open connections break, and the operating
+// system refuses new ones as if nothing listened. After the link is opened again, it
+// accepts connections.
 func TestLinkRefuses(t *testing.T) {
 	l := newTestLink(t)
 	here, there := l.connect()
@@ -122,9 +126,9 @@
 	assert.Equal(t, transfer(t, here, there, "again"), "again")
 }
 
-// TestLinkSwallows: bytes sent while a link is silent never arrive, and neither end
-// sees an error until it heals. Then the connection breaks off: its stream has a gap,
-// and passed on it would show the peer half a message.
+// TestLinkSwallows checks the state Silent: bytes that are sent meanwhile never arrive,
+// and neither end sees an error until the link is opened again. Then the connection must
+// break, because its stream has a gap and the peer would otherwise read half a message.
 func TestLinkSwallows(t *testing.T) {
 	l := newTestLink(t)
 	here, there := l.connect()
@@ -142,8 +146,8 @@
 	assert.Equal(t, transfer(t, here, there, "again"), "again")
 }
 
-// TestLinkHolds: bytes sent while a link holds them arrive after it healed, in order,
-// on the same connection: a late answer.
+// TestLinkHolds checks the state Held, which simulates late answers: bytes that are sent
+// meanwhile arrive after the link is opened again, in order and on the same connection.
 func TestLinkHolds(t *testing.T) {
 	l := newTestLink(t)
 	here, there := l.connect()
@@ -155,8 +159,8 @@
 	assert.Equal(t, transfer(t, here, there, "words"), "late words")
 }
 
-// TestLinkEnds: the process is told to stop while its links are open. Each must end at
-// once; it used to listen again and again until an address was in use.
+// TestLinkEnds checks that an open link stops at once when its context ends. Otherwise
+// it would keep listening again until its address was in use.
 func TestLinkEnds(t *testing.T) {
 	links, err := parseLinks([]string{"a.b=127.0.0.1:0=127.0.0.1:1"})
 	assert.NilError(t, err)
@@ -165,8 +169,9 @@
 	assert.NilError(t, links["a.b"].Serve(ctx, links["a.b"].Forwards[0]))
 }
 
-// TestLinkOrders: an order that would change nothing is refused, as are addresses
-// that aren't on loopback: a fault that isn't induced would look survived.
+// TestLinkOrders checks that a request that matches no link or names no known state is
+// rejected, as are malformed links and addresses that aren't on loopback. If such a
+// request were accepted, the fleet would seem to survive a fault that never happened.
 func TestLinkOrders(t *testing.T) {
 	links, err := parseLinks([]string{"a.b=127.0.0.1:1=127.0.0.1:2", "a.b=127.0.0.1:3=127.0.0.1:4", "b.a=127.0.0.1:5=127.0.0.1:6"})
 	assert.NilError(t, err)
@@ -190,8 +195,8 @@
 	}
 }
 
-// TestAddressView: each zone sees another's entry at the link from it, and its own
-// entries and the operators see the address that the entry stated.
+// TestAddressView checks that a zone for which an address is replaced reads the address
+// of its link to the entry, and that other zones read the address that the entry stated.
 func TestAddressView(t *testing.T) {
 	v, err := parseView([]string{"zone_a=127.0.0.1:7103=127.0.0.1:7213"})
 	assert.NilError(t, err)
--- a/cmd/lavenderpond-standin/main.go
+++ b/cmd/lavenderpond-standin/main.go
@@ -1,5 +1,5 @@
-// Command lavenderpond-standin plays the platform and target VMs for local runs
-// and tests. It is not part of a fleet.
+// Command lavenderpond-standin simulates the platform, the target VMs and the network
+// between zones for local runs and tests. It is not part of a real fleet.
 package main
 
 import (
--- a/cmd/lavenderpond-standin/outage.go
+++ b/cmd/lavenderpond-standin/outage.go
@@ -12,14 +12,15 @@
 	"lavenderpond/io/target/standin"
 )
 
-// outages says which VMs of a targets process are gone, as when their rack loses its
-// power: nothing listens at their addresses, what ran there is cut off and forgotten,
-// and they don't say that they live. The record of starts stays, for the tests.
+// outages tracks which VMs of a targets process are down, as after a power failure of
+// their rack. While a VM is down, nothing listens at its address and it is missing from
+// the live list. The work that ran on it is cut off and forgotten. The record of starts
+// is kept for the tests.
 type outages struct {
 	mu   sync.Mutex
 	vms  map[core.VMID]*standin.VM
 	down map[core.VMID]bool
-	// changed is closed at the next order.
+	// changed is closed, and replaced, at the next change of down.
 	changed chan struct{}
 }
 
@@ -29,7 +30,7 @@
 	}
 }
 
-// run serves the VM whenever it is up, until ctx ends.
+// run calls serve while the VM is up, again after each outage, until ctx ends.
 func (o *outages) run(ctx context.Context, vm core.VMID, serve func(ctx context.Context) error) error {
 	for o.awaitState(ctx, vm, false) {
 		up, cancel := context.WithCancel(ctx)
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// awaitState returns once the VM is down, or up. It returns false if ctx ends first.
+// awaitState waits until the VM is in the given state. It returns false if ctx ends first.
 func (o *outages) awaitState(ctx context.Context, vm core.VMID, down bool) bool {
 	for {
 		is, changed := o.isDown(vm)
@@ -69,7 +70,7 @@
 	return o.down[vm], o.changed
 }
 
-// set takes VMs down or brings them back. Names it doesn't know are returned.
+// set takes VMs down or brings them back. It returns the names of VMs that don't exist.
 func (o *outages) set(vms []core.VMID, down bool) (unknown []core.VMID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,7 +92,7 @@
 	return unknown
 }
 
-// livePosts leaves out the posts of VMs that are down.
+// livePosts returns the posts of the VMs that are up.
 func (o *outages) livePosts(posts []platformstandin.LivePost) []platformstandin.LivePost {
 	var list []platformstandin.LivePost
 	for _, p := range posts {
@@ -102,7 +103,8 @@
 	return list
 }
 
-// handleOutage is the handler of POST /control/outage, at any VM that is up.
+// handleOutage handles POST /control/outage. Any VM that is up serves it, for all VMs of
+// the process.
 func (o *outages) handleOutage(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		VMs  []core.VMID `json:"vms"`
--- a/cmd/lavenderpond-standin/outage_test.go
+++ b/cmd/lavenderpond-standin/outage_test.go
@@ -14,8 +14,8 @@
 	"lavenderpond/io/target/standin"
 )
 
-// TestOutage: a VM's rack loses its power and gets it back. While it is down it isn't
-// served; then it is again, and the others are served throughout.
+// TestOutage takes a VM down and brings it back. The VM is not served during the outage
+// and is served again afterwards. The other VM is served throughout.
 func TestOutage(t *testing.T) {
 	o := newOutages()
 	o.vms["vm-1"], o.vms["vm-2"] = &standin.VM{ID: "vm-1", Slots: 1}, &standin.VM{ID: "vm-2", Slots: 1}
--- a/cmd/lavenderpond-standin/platform.go
+++ b/cmd/lavenderpond-standin/platform.go
@@ -15,7 +15,7 @@
 	View   []string       `help:"ZONE=ADDRESS=SEEN: entries of ZONE see SEEN as the peer address ADDRESS."`
 }
 
-// Run serves the platform's stand-in until ctx ends.
+// Run serves the simulated platform until ctx ends.
 func (c *platformCommand) Run(ctx context.Context, log zerolog.Logger) error {
 	view, err := parseView(c.View)
 	if err != nil {
--- a/cmd/lavenderpond-standin/serve.go
+++ b/cmd/lavenderpond-standin/serve.go
@@ -12,11 +12,12 @@
 	"lavenderpond/io/supervisor"
 )
 
-// headerTimeout bounds the reading of a request's headers.
+// headerTimeout limits how long reading the headers of a request may take.
 const headerTimeout = 5 * time.Second
 
-// serve serves h at address until ctx ends. Only loopback is allowed: a
-// stand-in must never be reachable from a real network.
+// serve serves h at address until ctx ends, with at most limit connections at once if
+// limit is positive. Only loopback addresses are allowed, because a stand-in must never
+// be reachable from a real network.
 func serve(ctx context.Context, address netip.AddrPort, h http.Handler, limit int) error {
 	if !address.Addr().IsLoopback() {
 		return errors.Errorf("%s is not a loopback address", address)
@@ -42,13 +43,13 @@
 	return errors.Wrap(err, "serve")
 }
 
-// limitListener accepts at most as many connections at once as a VM has.
+// limitListener limits the number of open connections to the capacity of slots.
 type limitListener struct {
 	net.Listener
 	slots chan struct{}
 }
 
-// Accept implements net.Listener. A connection beyond the limit is closed.
+// Accept implements net.Listener. It closes connections beyond the limit.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
--- a/cmd/lavenderpond-standin/targets.go
+++ b/cmd/lavenderpond-standin/targets.go
@@ -18,7 +18,7 @@
 	"lavenderpond/io/target/standin"
 )
 
-// livePostInterval is how often the VMs say that they are there.
+// livePostInterval is how often the VMs report to the platform that they are up.
 const livePostInterval = time.Second
 
 type targetsCommand struct {
@@ -79,7 +79,7 @@
 	return mux
 }
 
-// postLive keeps the VMs on the platform's live list.
+// postLive reports the VMs to the platform, which keeps them on its live list.
 func (c *targetsCommand) postLive(ctx context.Context, posts []platformstandin.LivePost, log zerolog.Logger) {
 	body, err := json.Marshal(posts)
 	if err != nil {
--- a/cmd/lavenderpond-standin/view.go
+++ b/cmd/lavenderpond-standin/view.go
@@ -13,14 +13,16 @@
 	"lavenderpond/io/platform"
 )
 
-// addressView is what the zones see in place of an entry's address. An entry states
-// one address to all; only so can the connections from each zone go through a link
-// of their own, and a zone be cut off from others and not from itself.
+// addressView holds, for each zone, the peer addresses that its entries see replaced. An
+// entry publishes one address for all zones. With replacements, the connections from each
+// zone to the entry go through a link of their own, so that a zone can be cut off from
+// the other zones while its own entries still reach one another.
 type addressView map[core.ZoneID][]replacement
 
 type replacement struct{ from, to []byte }
 
-// parseView reads ZONE=ADDRESS=SEEN: entries of ZONE see SEEN for ADDRESS.
+// parseView parses views of the form ZONE=ADDRESS=SEEN, which means that entries of ZONE
+// see SEEN in place of ADDRESS.
 func parseView(views []string) (addressView, error) {
 	v := make(addressView)
 	for _, text := range views {
@@ -40,7 +42,8 @@
 	return v, nil
 }
 
-// handler shows the rows of next as the asking zone sees them.
+// handler returns a handler that serves next and replaces addresses in the rows that it
+// returns, according to the zone of the caller.
 func (v addressView) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		replacements := v[core.ZoneID(r.Header.Get(platform.ZoneHeader))]
--- a/cmd/lavenderpond/app.go
+++ b/cmd/lavenderpond/app.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// cli is the command line.
+// cli defines the flags and commands for kong.
 type cli struct {
 	Entry           []string      `placeholder:"IP:PORT" env:"LAVENDERPOND_ENTRIES" help:"Entries to ask, in this order; repeat the flag or separate by commas."`
 	Output          string        `short:"o" enum:"table,json" default:"table" help:"Form of the output: table or json."`
@@ -45,8 +45,8 @@
 	Trace       traceCmd       `cmd:"" help:"What the logs of several processes say of one job, in order."`
 }
 
-// Validate refuses a timeout that no call can meet: every entry would be reported as
-// not reached. Kong calls it.
+// Validate rejects a timeout that is not positive, since every call would fail with it
+// and every entry would be reported as not reached. Kong calls it.
 func (c *cli) Validate() error {
 	if c.Timeout <= 0 {
 		return errors.Errorf("--timeout: read %s, allowed is more than 0s", c.Timeout)
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// app is what commands run with. Tests replace its fields.
+// app holds the parsed command line and the environment in which a command runs. Tests
+// replace its fields.
 type app struct {
 	cli
 	ctx            context.Context
@@ -64,7 +65,8 @@
 	now            func() time.Time
 	// token returns a new random token.
 	token func() string
-	// pause waits before round n of calls to all entries.
+	// pause waits before round n of calls to all entries. The first round is number 0
+	// and has no pause.
 	pause func(ctx context.Context, n int)
 	http  *http.Client
 }
@@ -76,7 +78,7 @@
 	}
 }
 
-// tokenBytes is the length of keys and ids before their encoding.
+// tokenBytes is the number of random bytes in a generated key or id, before encoding.
 const tokenBytes = 24
 
 func randomToken() string {
@@ -86,7 +88,8 @@
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// kongExit carries the status with which kong would have ended the process.
+// kongExit is the panic value that carries the status with which kong would have ended
+// the process, for example after --help.
 type kongExit int
 
 // run parses args, runs the command and returns the exit code.
@@ -119,8 +122,8 @@
 	return exitDone
 }
 
-// wantsJSON reports whether args ask for JSON. Of a command line that it refuses, kong
-// sets no flags; a script would then get the one error that isn't JSON.
+// wantsJSON reports whether args ask for JSON. Kong sets no flags when it rejects a
+// command line, and a script that asked for JSON must get this error as JSON, too.
 func wantsJSON(args []string) bool {
 	asked := false
 	for i, arg := range args {
@@ -145,8 +148,8 @@
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 110}))
 }
 
-// readKey returns the key from a file, else from the environment. Keys are never
-// taken as arguments, which other users of the machine can read.
+// readKey returns the key from a file if one is named, otherwise from the environment.
+// Keys are never passed as arguments, because other users of the machine can read those.
 func (a *app) readKey(file, env string) (string, error) {
 	key := a.getenv(env)
 	if file != "" {
@@ -162,7 +165,7 @@
 	return key, nil
 }
 
-// author returns who makes a change.
+// author returns the name under which a change is recorded.
 func (a *app) author() (string, error) {
 	if a.Author == "" {
 		return "", failf(exitUsage, "no author for the record: give --author or set $LAVENDERPOND_AUTHOR")
--- a/cmd/lavenderpond/audit.go
+++ b/cmd/lavenderpond/audit.go
@@ -12,7 +12,7 @@
 	Last uint32 `default:"20" help:"How many of the last changes, at most 1000."`
 }
 
-// Run lists accepted changes.
+// Run lists the accepted changes. It fails if the record of one of them can't be read.
 func (c auditCmd) Run(a *app) error {
 	reply, err := askAny(a, operatorClient.ListAudit, &pb.ListAuditRequest{Last: c.Last})
 	if err != nil {
--- a/cmd/lavenderpond/client.go
+++ b/cmd/lavenderpond/client.go
@@ -18,10 +18,11 @@
 	"lavenderpond/io/supervisor"
 )
 
-// maxRounds is how often a change is offered to every entry in turn.
+// maxRounds is how many times a change or request is offered to every entry in turn.
 const maxRounds = 3
 
-// roundPauseStep is the pause before the second round; it grows linearly.
+// roundPauseStep is the pause before the second round. Each later pause is longer by
+// the same amount.
 const roundPauseStep = 500 * time.Millisecond
 
 func pauseLinear(ctx context.Context, n int) {
@@ -31,7 +32,7 @@
 	}
 }
 
-// addresses returns the entries to ask.
+// addresses returns the addresses of the entries to call.
 func (a *app) addresses() ([]string, error) {
 	if len(a.Entry) == 0 {
 		return nil, failf(exitUsage, "no entry: give --entry IP:PORT or set $LAVENDERPOND_ENTRIES")
@@ -44,24 +45,24 @@
 	return a.Entry, nil
 }
 
-// dialTimeout bounds the making of a connection: an entry that is cut off must not
-// use up the time of the others.
+// dialTimeout limits how long connecting to an entry may take, so that an unreachable
+// entry doesn't use up the time of the others.
 const dialTimeout = 2 * time.Second
 
-// newHTTP returns a client that goes to the entries directly, whatever proxy the
-// environment names.
+// newHTTP returns a client that connects to the entries directly and ignores any proxy
+// that the environment configures.
 func newHTTP() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
 }
 
-// notSent reports whether err proves that nothing left this process: there was no
-// connection.
+// notSent reports whether err proves that nothing was sent, because no connection was
+// established.
 func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// operatorClient speaks to one entry with the operator key.
+// operatorClient calls the operators' service of one entry with the operator key.
 type operatorClient struct {
 	lavenderpondv1connect.OperatorServiceClient
 	address string
@@ -101,7 +102,8 @@
 	return resp.Msg, nil
 }
 
-// askAny asks the entries in turn until one gives its word.
+// askAny calls the entries in turn until one answers. A refusal counts as an answer,
+// unless it says only that this entry doesn't reach the table.
 func askAny[Q, R any](a *app, f call[Q, R], m *Q) (*R, error) {
 	clients, err := a.operatorClients()
 	if err != nil {
@@ -115,7 +117,7 @@
 		case err == nil:
 			return reply, nil
 		case answered && e.Code == core.CodePlatformDown:
-			// Another entry's zone may not be cut off from the table.
+			// An entry in another zone may still reach the table.
 			down = e
 		case answered:
 			return nil, e
@@ -129,14 +131,14 @@
 	return nil, failf(exitUnreachable, "no entry was reached")
 }
 
-// reply is one entry's word, or why there is none.
+// reply is the answer of one entry, or the error if there is none.
 type reply[R any] struct {
 	address string
 	value   *R
 	err     error
 }
 
-// askAll asks every entry at once. It fails only if none of them gave its word.
+// askAll calls all entries concurrently. It fails only if every call failed.
 func askAll[Q, R any](a *app, f call[Q, R], m *Q) ([]reply[R], error) {
 	clients, err := a.operatorClients()
 	if err != nil {
@@ -166,8 +168,8 @@
 	return nil, failf(exitUnreachable, "no entry was reached: %v", replies[0].err)
 }
 
-// apply makes a change. A lost answer is settled by repeating the change under the
-// same id, at the same entry or another: it takes effect once.
+// apply makes a change. If an answer is lost, it repeats the change under the same id,
+// at the same entry or another one. The id ensures that the change takes effect once.
 func (a *app) apply(m *pb.ApplyChangeRequest) (*pb.ApplyChangeReply, error) {
 	clients, err := a.operatorClients()
 	if err != nil {
@@ -210,7 +212,7 @@
 	return nil, core.Errorf(core.CodeChangeUnknown, "the change may have taken effect; repeat the command with --change-id %s", m.ChangeId)
 }
 
-// change makes a change and shows its version.
+// change makes a change and prints the configuration version that it produced.
 func (a *app) change(m *pb.ApplyChangeRequest) error {
 	reply, err := a.apply(m)
 	if err != nil {
--- a/cmd/lavenderpond/config.go
+++ b/cmd/lavenderpond/config.go
@@ -13,7 +13,7 @@
 	File string `arg:"" help:"Settings file."`
 }
 
-// Run checks a settings file and names every mistake in it.
+// Run checks a settings file and reports every mistake in it.
 func (c configCheckCmd) Run(a *app) error {
 	if _, err := ini.Load(c.File); err != nil {
 		return failf(exitRefused, "%v", err)
@@ -24,7 +24,7 @@
 
 type configSampleCmd struct{}
 
-// Run prints the sample.
+// Run prints the sample settings file.
 func (configSampleCmd) Run(a *app) error {
 	a.printf("%s", ini.Sample())
 	return nil
--- a/cmd/lavenderpond/confirmations.go
+++ b/cmd/lavenderpond/confirmations.go
@@ -7,9 +7,10 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// confirmationSet merges what several entries say of where something is in force. One
-// confirmation of an entry is enough; its zero value is empty.
+// confirmationSet merges the reports of several entries on where a change is in force.
+// An entry counts as confirmed if any report confirms it. The zero value is an empty set.
 type confirmationSet struct {
+	// entries is keyed by zone and entry, separated by a slash.
 	entries map[string]*pb.Confirmation
 }
 
@@ -25,13 +26,13 @@
 	}
 }
 
-// addUnreached records an address that gave no answer. It counts as not confirmed,
-// even if others may know the entry behind it by name.
+// addUnreached records an address that gave no answer. It counts as an unconfirmed entry
+// of its own, even if other entries report the entry at that address under its name.
 func (r *confirmationSet) addUnreached(address string, err error) {
 	r.add([]*pb.Confirmation{{Entry: address, Detail: "not reached by this command: " + entryError(err).Error()}})
 }
 
-// list returns the confirmations by zone and entry.
+// list returns the confirmations, sorted by zone and entry.
 func (r *confirmationSet) list() []*pb.Confirmation {
 	list := make([]*pb.Confirmation, 0, len(r.entries))
 	for _, c := range r.entries {
@@ -59,7 +60,8 @@
 	return g
 }
 
-// unconfirmedError names the zones in which what could not be confirmed everywhere.
+// unconfirmedError returns an error that lists the zones with entries that did not
+// confirm, or nil if all entries did. The argument what names the change in the text.
 func (r *confirmationSet) unconfirmedError(what string) error {
 	seen := map[string]bool{}
 	var zones []string
@@ -79,7 +81,8 @@
 	return failf(exitPartlyConfirmed, "%s can't be confirmed everywhere in %s", what, strings.Join(zones, ", "))
 }
 
-// zones returns how many zones have an entry that confirms, and how many there are.
+// zones returns the number of zones with at least one confirming entry, and the number
+// of all zones.
 func (r *confirmationSet) zones() (confirming, all int) {
 	zones := map[string]bool{}
 	for _, c := range r.list() {
--- a/cmd/lavenderpond/defaults.go
+++ b/cmd/lavenderpond/defaults.go
@@ -33,7 +33,7 @@
 	IfVersion      uint64 `help:"Refuse unless the row still has this version."`
 }
 
-// Run sets defaults.
+// Run changes the defaults that are given.
 func (c defaultsSetCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{IfVersion: c.IfVersion, Change: &pb.ApplyChangeRequest_SetDefaults{
 		SetDefaults: &pb.SetDefaults{
--- a/cmd/lavenderpond/exit.go
+++ b/cmd/lavenderpond/exit.go
@@ -11,8 +11,8 @@
 	"lavenderpond/io/operator"
 )
 
-// exitCode is the status that the command ends with. docs/operators/command-line.md
-// has the same table.
+// exitCode is the exit status of the command. docs/operators/command-line.md lists the
+// same codes.
 type exitCode int
 
 // The exit codes.
@@ -30,7 +30,7 @@
 	exitRefused         exitCode = 10
 )
 
-// exitTable is the table of exit codes.
+// exitTable names and explains the exit codes. The index of a row is its code.
 var exitTable = []struct {
 	code          exitCode
 	name, meaning string
@@ -78,20 +78,20 @@
 	}
 }
 
-// exitError is an error with an exit code of its own.
+// exitError is an error with an explicit exit code.
 type exitError struct {
 	exit exitCode
 	error
 }
 
-// Unwrap returns what the exit code is for.
+// Unwrap returns the error without its exit code.
 func (f *exitError) Unwrap() error { return f.error }
 
 func failf(exit exitCode, format string, args ...any) error {
 	return &exitError{exit, errors.Errorf(format, args...)}
 }
 
-// problem is an error as it is shown.
+// problem is an error in the form in which it is printed.
 type problem struct {
 	Exit       int    `json:"exit_code"`
 	Name       string `json:"exit_name"`
@@ -118,10 +118,10 @@
 	return p
 }
 
-// show writes p to w as a line for a person, or as JSON.
+// show writes p to w, as text or as a line of JSON.
 func (p problem) show(w io.Writer, asJSON bool) {
 	if asJSON {
-		// A problem holds strings and numbers only.
+		// Encoding can't fail, since a problem holds only strings and numbers.
 		data, _ := json.Marshal(p)
 		_, _ = fmt.Fprintf(w, "%s\n", data)
 		return
@@ -136,7 +136,8 @@
 	}
 }
 
-// entryError returns the entry's numbered refusal, or err itself.
+// entryError returns the numbered error that the entry sent, or err itself if it doesn't
+// come from an entry.
 func entryError(err error) error {
 	if e, ok := operator.FromConnect(err); ok {
 		return e
--- a/cmd/lavenderpond/fakes_test.go
+++ b/cmd/lavenderpond/fakes_test.go
@@ -28,16 +28,16 @@
 	"lavenderpond/io/platform"
 )
 
-// fakeTable is the platform's table with faults.
+// fakeTable is an in-memory table of the platform that can be made to fail.
 type fakeTable struct {
 	mu   sync.Mutex
 	rows table.Memory
 	down bool
-	// loseAnswers counts transactions that take effect but whose answer is lost; the table
-	// is down afterwards if downAfter is set.
+	// loseAnswers is the number of further transactions that take effect but whose
+	// answers are lost. After such a loss, the table is down if downAfterLoss is set.
 	loseAnswers   int
 	downAfterLoss bool
-	// race runs once, right before the next transaction.
+	// race runs once, immediately before the next transaction.
 	race func()
 }
 
@@ -82,15 +82,16 @@
 	return err
 }
 
-// Put implements platform.Objects; nothing is kept.
+// Put implements platform.Objects. It stores nothing.
 func (t *fakeTable) Put(context.Context, string, []byte) error { return nil }
 
-// Get implements platform.Objects: an empty store.
+// Get implements platform.Objects. No object exists.
 func (t *fakeTable) Get(_ context.Context, name string) ([]byte, error) {
 	return nil, errors.Wrap(platform.ErrNoObject, name)
 }
 
-// dropAudit loses the audit record of v, which the object store has neither.
+// dropAudit deletes the audit record of v from the table. The object store doesn't have
+// it either.
 func (f *fakeFleet) dropAudit(t *testing.T, v core.Version) {
 	row := f.table.rows.Read(table.AuditKey(v))
 	var tx table.Transaction
@@ -98,17 +99,18 @@
 	assert.NilError(t, f.table.rows.Transact(tx))
 }
 
-// fakeEntry is a daemon behind the operators' and callers' services.
+// fakeEntry is an entry that serves the operators' and callers' services.
 type fakeEntry struct {
 	fleet   *fakeFleet
 	address string
 	status  operator.EntryStatus
-	// fault is "refuse", "lose" or empty: what happens to the command's calls.
+	// fault is what happens to calls from the command: "refuse" refuses the connection,
+	// "lose" handles the call and loses the answer, and an empty string answers.
 	fault string
 }
 
-// fakeFleet is three zones with an entry each. It is the HTTP transport between
-// the command and its entries.
+// fakeFleet is a fleet of three zones with one entry each. It is the HTTP transport
+// between the command and the entries.
 type fakeFleet struct {
 	table   fakeTable
 	entries []*fakeEntry
@@ -118,7 +120,8 @@
 	view    config.Delta
 }
 
-// requestLimit is how many bytes of a caller's request the fake entries read.
+// requestLimit is the maximum size of a caller's request, in bytes, that the fake entries
+// read.
 const requestLimit = 2000
 
 const operatorKey = "operator-key-of-the-tests"
@@ -144,7 +147,8 @@
 	return f
 }
 
-// pollTable lets all reachable entries take in the table, as their polls would.
+// pollTable brings all reachable entries up to date with the table, as their periodic
+// polls do in a real fleet.
 func (f *fakeFleet) pollTable() {
 	if f.table.down {
 		return
@@ -179,7 +183,7 @@
 	return nil, connectionRefused()
 }
 
-// connectionRefused is the error of a dial to a port on which nothing listens.
+// connectionRefused returns the error of dialing a port on which nothing listens.
 func connectionRefused() error { return &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED} }
 
 func (e *fakeEntry) handler() http.Handler {
@@ -228,7 +232,8 @@
 	return map[string]any{"entry": e.status.Entry, "shards": e.status.Shards}
 }
 
-// Submit implements CallerServiceHandler: the id's home runs it once.
+// Submit implements CallerServiceHandler. A request runs once per id, whichever entry
+// receives it.
 func (e *fakeEntry) Submit(_ context.Context, r *connect.Request[pb.SubmitRequest]) (*connect.Response[pb.Answer], error) {
 	m := r.Msg
 	switch {
@@ -269,7 +274,8 @@
 	return connect.NewResponse(m)
 }
 
-// fakeToken returns tokens that count up, of the length of real ones.
+// fakeToken returns the n-th token of a predictable sequence. It has the length of a
+// real token.
 func fakeToken(n int) string {
 	b := make([]byte, tokenBytes)
 	b[0] = byte(n)
--- a/cmd/lavenderpond/keys.go
+++ b/cmd/lavenderpond/keys.go
@@ -51,8 +51,8 @@
 	Note    string `json:"note,omitempty"`
 }
 
-// Run grants a key. Only its digest leaves the command; the key is printed once the
-// grant is certain.
+// Run generates a key and grants it. Only the digest is sent. The key is printed after
+// the grant is confirmed, so a grant whose outcome is unknown discards the key.
 func (c keysGrantCmd) Run(a *app) error {
 	key := "lp_" + a.token()
 	digest := string(core.Digest(key))
@@ -88,8 +88,8 @@
 	Reason string `help:"Why, for the record."`
 }
 
-// Run withdraws a key: it goes to every entry given, each of which sends it on and
-// tries to record it in the table.
+// Run withdraws a key. It sends the withdrawal to every entry given, and each of them
+// forwards it to the others and tries to record it in the table.
 func (c keysWithdrawCmd) Run(a *app) error {
 	author, err := a.author()
 	if err != nil {
@@ -127,9 +127,10 @@
 	return unrecordedError(merged, &r, change)
 }
 
-// unrecordedError says what a withdrawal is worth that the table doesn't have. Entries
-// trust their keys on the word of a majority of zones: one that fewer zones hold may
-// be missed by an entry that is cut off or starts anew.
+// unrecordedError explains how far a withdrawal holds that isn't recorded in the table.
+// Without the table, an entry considers its key list current if a majority of zones
+// vouches for it. A withdrawal that only a minority of zones holds may therefore be
+// unknown to an entry that is cut off or restarts.
 func unrecordedError(m *pb.WithdrawReply, r *confirmationSet, change string) error {
 	cause := m.TableDetail
 	if code := core.Code(m.TableCode); code == core.CodePlatformDown || code == core.CodeChangeUnknown {
--- a/cmd/lavenderpond/main.go
+++ b/cmd/lavenderpond/main.go
@@ -1,4 +1,4 @@
-// Command lavenderpond is the command line of operators and callers.
+// Command lavenderpond is the command-line client for operators and callers of a fleet.
 package main
 
 import (
--- a/cmd/lavenderpond/maintenance.go
+++ b/cmd/lavenderpond/maintenance.go
@@ -18,7 +18,7 @@
 
 type maintenanceStatusCmd struct{}
 
-// Run shows the maintenance of all zones.
+// Run lists the maintenance wave of each zone.
 func (maintenanceStatusCmd) Run(a *app) error {
 	reply, err := askAny(a, operatorClient.MaintenanceStatus, &pb.MaintenanceStatusRequest{})
 	if err != nil {
@@ -40,7 +40,7 @@
 	Reason     string    `help:"Why, for the record."`
 }
 
-// Run plans maintenance.
+// Run plans the maintenance of a zone.
 func (c maintenancePlanCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_PlanMaintenance{PlanMaintenance: &pb.PlanMaintenance{
 		Zone: c.Zone, Deadline: timestamppb.New(c.Deadline), MaxNotBack: c.MaxNotBack, Reason: c.Reason,
@@ -52,7 +52,7 @@
 	Reason string `help:"Why, for the record."`
 }
 
-// Run starts maintenance.
+// Run starts or resumes the maintenance of a zone.
 func (c maintenanceStartCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_StartMaintenance{
 		StartMaintenance: &pb.StartMaintenance{Zone: c.Zone, Reason: c.Reason},
@@ -64,7 +64,7 @@
 	Reason string `help:"Why, for the record."`
 }
 
-// Run pauses maintenance.
+// Run pauses the maintenance of a zone.
 func (c maintenancePauseCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_PauseMaintenance{
 		PauseMaintenance: &pb.PauseMaintenance{Zone: c.Zone, Reason: c.Reason},
--- a/cmd/lavenderpond/output.go
+++ b/cmd/lavenderpond/output.go
@@ -15,10 +15,10 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// timeLayout is how times are shown, in UTC.
+// timeLayout is the format of printed times, which are in UTC.
 const timeLayout = time.RFC3339
 
-// grid is a table for a person: a header and rows.
+// grid is a text table. Its first row is the header.
 type grid [][]string
 
 func (g *grid) add(cells ...any) {
@@ -46,14 +46,15 @@
 	return w.Flush()
 }
 
-// showView says on stderr that a list comes from an entry's view.
+// showView warns on standard error that a list comes from the configuration that an entry
+// holds, which may be outdated. It prints nothing if v is nil.
 func (a *app) showView(v *pb.View) {
 	if v != nil {
 		a.warnf("the table is down: this is the view of entry %s at version %d\n", v.Entry, v.Version)
 	}
 }
 
-// encodeJSON returns m as JSON with field names in snake case.
+// encodeJSON returns m as indented JSON with field names in snake case.
 func encodeJSON(m proto.Message) ([]byte, error) {
 	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
@@ -62,7 +63,8 @@
 	return normalizeJSON(data)
 }
 
-// normalizeJSON gives JSON one form; protojson varies its spaces from run to run.
+// normalizeJSON indents JSON in a fixed way, because protojson varies its whitespace from
+// run to run.
 func normalizeJSON(data []byte) ([]byte, error) {
 	var compact, out bytes.Buffer
 	if err := json.Compact(&compact, data); err != nil {
@@ -82,7 +84,7 @@
 	return t.AsTime().UTC().Format(timeLayout)
 }
 
-// orDefault shows a zero as the default that then holds.
+// orDefault formats a setting for which zero means that the default applies.
 func orDefault(n int32) string {
 	if n == 0 {
 		return "default"
--- a/cmd/lavenderpond/page_test.go
+++ b/cmd/lavenderpond/page_test.go
@@ -19,7 +19,7 @@
 	"lavenderpond/io/gen/lavenderpond/v1/lavenderpondv1connect"
 )
 
-// TestCommandLinePage holds docs/operators/command-line.md equal to the code: its
+// TestCommandLinePage checks that docs/operators/command-line.md matches the code: the
 // exit codes, the exit code of every result code, and the help of every command.
 func TestCommandLinePage(t *testing.T) {
 	t.Setenv("COLUMNS", "100")
@@ -39,7 +39,7 @@
 	fmt.Fprintf(&b, "\n```\n%s```\n", help(t))
 	for _, command := range commands(t) {
 		text := help(t, command...)
-		// The common flags end at the first empty line after "Flags:".
+		// The common flags end at the first empty line after "Flags:". The page lists them once.
 		head, rest, _ := strings.Cut(text, "\nFlags:\n")
 		_, own, _ := strings.Cut(rest, "\n\n")
 		if own != "" {
@@ -50,8 +50,9 @@
 	golden.Assert(t, b.String(), page)
 }
 
-// TestNotSent: nothing listens at the entry's port. The command can say for certain
-// that nothing was sent; an answer that is cut off proves no such thing.
+// TestNotSent checks that only a failed dial counts as proof that nothing was sent. If
+// nothing listens at the entry's port, nothing was sent. If the connection breaks before
+// the answer is complete, the call may have taken effect.
 func TestNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/cmd/lavenderpond/pools.go
+++ b/cmd/lavenderpond/pools.go
@@ -33,7 +33,7 @@
 	IfVersion      uint64 `help:"Refuse unless the row still has this version."`
 }
 
-// Run sets a pool.
+// Run creates a pool or changes its settings.
 func (c poolsSetCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{IfVersion: c.IfVersion, Change: &pb.ApplyChangeRequest_SetPool{
 		SetPool: &pb.SetPool{Pool: c.Pool, MaxUnavailable: c.MaxUnavailable, Spare: c.Spare, LendsIdle: c.LendsIdle},
--- a/cmd/lavenderpond/queues.go
+++ b/cmd/lavenderpond/queues.go
@@ -34,7 +34,7 @@
 	IfVersion uint64  `help:"Refuse unless the row still has this version."`
 }
 
-// Run sets a queue.
+// Run creates a queue or changes its settings.
 func (c queuesSetCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{IfVersion: c.IfVersion, Change: &pb.ApplyChangeRequest_SetQueue{
 		SetQueue: &pb.SetQueue{Queue: c.Queue, Pool: c.Pool, Overflow: c.Overflow, MaxQueued: c.MaxQueued},
--- a/cmd/lavenderpond/requests.go
+++ b/cmd/lavenderpond/requests.go
@@ -16,7 +16,8 @@
 	"lavenderpond/io/gen/lavenderpond/v1/lavenderpondv1connect"
 )
 
-// answerGrace is how long after a request's deadline its answer may arrive.
+// answerGrace is how long after the deadline of a request the command still waits for
+// its answer.
 const answerGrace = 5 * time.Second
 
 type submitCmd struct {
@@ -31,7 +32,7 @@
 	NoWait      bool          `help:"Return once the request is recorded; fetch the answer later."`
 }
 
-// Run submits a request and shows its answer.
+// Run submits a request and prints its answer.
 func (c submitCmd) Run(a *app) error {
 	body, err := a.readBody(c.Body)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return a.finish(answer)
 }
 
-// requestArg names a request.
+// requestArg identifies a request that was submitted earlier.
 type requestArg struct {
 	ID   string `arg:"" name:"id" help:"Id of the request."`
 	Team string `required:"" env:"LAVENDERPOND_TEAM" help:"Team that submitted it."`
@@ -69,7 +70,7 @@
 
 type fetchCmd struct{ requestArg }
 
-// Run fetches an answer.
+// Run fetches the answer of a request and prints it.
 func (c fetchCmd) Run(a *app) error {
 	m := &pb.FetchRequest{Team: c.Team, Id: c.ID}
 	answer, err := a.callEntries(a.now().Add(a.Timeout), c.ID, func(ctx context.Context, t callerClient) (*pb.Answer, error) {
@@ -83,7 +84,7 @@
 
 type cancelCmd struct{ requestArg }
 
-// Run cancels a request. A request cancelled in its queue is a success here.
+// Run cancels a request. It succeeds if the request was cancelled in its queue.
 func (c cancelCmd) Run(a *app) error {
 	m := &pb.CancelRequest{Team: c.Team, Id: c.ID}
 	answer, err := a.callEntries(a.now().Add(a.Timeout), c.ID, func(ctx context.Context, t callerClient) (*pb.Answer, error) {
@@ -98,7 +99,7 @@
 	return a.finish(answer)
 }
 
-// callerClient speaks to one entry with the team key.
+// callerClient calls the callers' service of one entry with the team key.
 type callerClient struct {
 	lavenderpondv1connect.CallerServiceClient
 	key string
@@ -109,9 +110,9 @@
 	return r
 }
 
-// callEntries offers a request to the entries in turn until one gives its word or until
-// passes. Repeating is safe: the id and deadline stay the same, and its home
-// decides about the id once.
+// callEntries sends a call to the entries in turn until one answers or the deadline
+// passes. Repeating a request is safe, because its id and deadline stay the same and its
+// home decides only once about an id.
 func (a *app) callEntries(deadline time.Time, id string, send func(context.Context, callerClient) (*pb.Answer, error)) (*pb.Answer, error) {
 	addresses, err := a.addresses()
 	if err != nil {
@@ -155,15 +156,17 @@
 	}
 }
 
-// refusedAsTooLarge reports whether err is an entry's own word that it did not read the request
-// because of its size. Taken for a lost answer, it would be offered in vain to every
-// entry, and the caller told that a request may have run that no entry has read. A
-// refusal that only a proxy or a broken connection gave carries no such word.
+// refusedAsTooLarge reports whether err is an entry's own statement that it did not read
+// the request because of its size. If this were treated as a lost answer, the request
+// would be sent to every entry in vain, and the caller would be told that it may have
+// run although no entry has read it. An error that comes from a proxy or a broken
+// connection is not a Connect error from the wire and proves nothing.
 func refusedAsTooLarge(err error) bool {
 	return connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeResourceExhausted
 }
 
-// tooLargeError returns the numbered refusal of a request that was not read.
+// tooLargeError returns the numbered error for a request that was refused because of its
+// size. The detail is that of the entry, without the name of the code.
 func tooLargeError(err error) error {
 	detail := err.Error()
 	if _, after, ok := strings.Cut(detail, core.CodeTooLarge.String()); ok {
@@ -172,7 +175,7 @@
 	return core.Errorf(core.CodeTooLarge, "%s", detail)
 }
 
-// checkAnswer returns the whole answer, or an error for one that was cut.
+// checkAnswer returns the answer, or an error if its body was truncated.
 func checkAnswer(r *connect.Response[pb.Answer], err error) (*pb.Answer, error) {
 	if err != nil {
 		return nil, err
@@ -183,7 +186,8 @@
 	return r.Msg, nil
 }
 
-// finish shows a final answer and turns what isn't done into an error.
+// finish prints a final answer. It returns an error with the matching exit code if the
+// request was not done.
 func (a *app) finish(m *pb.Answer) error {
 	if m.Outcome == pb.Outcome_OUTCOME_DONE || a.Output == "json" {
 		if err := a.showAnswer(m); err != nil || m.Outcome == pb.Outcome_OUTCOME_DONE {
@@ -204,7 +208,7 @@
 	return &exitError{exit, e}
 }
 
-// showAnswer prints the body as it is, or the whole answer as JSON.
+// showAnswer prints the unchanged body of an answer, or the whole answer as JSON.
 func (a *app) showAnswer(m *pb.Answer) error {
 	if a.Output == "json" {
 		return a.show(m, nil)
--- a/cmd/lavenderpond/session_test.go
+++ b/cmd/lavenderpond/session_test.go
@@ -19,16 +19,17 @@
 	"lavenderpond/core"
 )
 
-// session replays a script of commands and faults and writes down what a person
-// sees. "$" runs a command, "!" changes the fakes, "#" is a remark.
+// session replays a script of commands and faults and records what the operator sees.
+// Lines that start with "$" run a command, with "!" change the fakes, with "#" are
+// comments.
 type session struct {
 	fleet  *fakeFleet
 	out    bytes.Buffer
 	tokens int
 }
 
-// TestSessions holds whole sessions of operators and callers against their golden
-// files. Each script says what the operator sees, in what order, and why.
+// TestSessions compares the output of whole sessions of operators and callers with golden
+// files. The comments in each script explain what the operator is expected to see.
 func TestSessions(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/sessions/*.txt")
 	assert.NilError(t, err)
@@ -76,8 +77,8 @@
 	a.getenv = func(name string) string {
 		return map[string]string{"LAVENDERPOND_OPERATOR_KEY": operatorKey, "LAVENDERPOND_TEAM_KEY": "team-key"}[name]
 	}
-	// The app's clock decides real deadlines of calls, so only what is shown and
-	// sent comes from the session's clock.
+	// Commands take the times that they show and send, and the lengths of their timeouts,
+	// from this clock. The timeouts themselves run on the real clock.
 	a.now = func() time.Time { return s.fleet.now }
 	a.pause = func(context.Context, int) {}
 	a.token = func() string { s.tokens++; return fakeToken(s.tokens) }
@@ -95,7 +96,8 @@
 	s.fleet.pollTable()
 }
 
-// applyFault brings about one of the brief's failures.
+// applyFault changes the fakes as a "!" line says: it makes the table or an entry fail,
+// lets another operator's change come first, drops an audit record or advances the clock.
 func (s *session) applyFault(t *testing.T, words []string) {
 	switch words[0] {
 	case "table":
--- a/cmd/lavenderpond/status.go
+++ b/cmd/lavenderpond/status.go
@@ -13,8 +13,8 @@
 
 type statusCmd struct{}
 
-// Run shows the status of every entry that the entries given know of. An entry's
-// own word, or that of one that reached it, goes before "no answer".
+// Run lists the status of every entry that is known to the entries given. A status from
+// an entry itself, or from one that reached it, takes precedence over "no answer".
 func (statusCmd) Run(a *app) error {
 	replies, err := askAll(a, operatorClient.FleetStatus, &pb.FleetStatusRequest{})
 	if err != nil {
@@ -80,7 +80,7 @@
 	Version uint64 `arg:"" help:"Configuration version, as a change prints it."`
 }
 
-// Run shows where a version is in force.
+// Run lists the entries at which a configuration version is in force.
 func (c whereCmd) Run(a *app) error {
 	replies, err := askAll(a, operatorClient.Where, &pb.WhereRequest{Version: c.Version})
 	if err != nil {
@@ -102,7 +102,7 @@
 
 type dumpCmd struct{}
 
-// Run prints one JSON object with the state of each entry by its address.
+// Run prints a JSON object that maps the address of each entry to its state.
 func (dumpCmd) Run(a *app) error {
 	replies, err := askAll(a, operatorClient.Dump, &pb.DumpRequest{})
 	if err != nil {
--- a/cmd/lavenderpond/teams.go
+++ b/cmd/lavenderpond/teams.go
@@ -38,7 +38,7 @@
 	IfVersion uint64 `help:"Refuse unless the row still has this version."`
 }
 
-// Run sets a team.
+// Run creates a team or changes its settings.
 func (c teamsSetCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{IfVersion: c.IfVersion, Change: &pb.ApplyChangeRequest_SetTeam{
 		SetTeam: &pb.SetTeam{Team: c.Team, Share: c.Share, Limit: c.Limit},
--- a/cmd/lavenderpond/trace.go
+++ b/cmd/lavenderpond/trace.go
@@ -16,10 +16,10 @@
 	Files []string `arg:"" optional:"" help:"Logs of the processes; standard input if none is named."`
 }
 
-// traceTimeLayout shows the time of day in milliseconds.
+// traceTimeLayout is the format of times in a trace: the time of day with milliseconds.
 const traceTimeLayout = "15:04:05.000"
 
-// Run prints one job's history from the logs of several processes.
+// Run prints the history of one job from the logs of several processes.
 func (c traceCmd) Run(a *app) error {
 	logs := []io.Reader{a.stdin}
 	if len(c.Files) > 0 {
@@ -30,7 +30,7 @@
 		if err != nil {
 			return failf(exitRefused, "%v", err)
 		}
-		defer f.Close() //nolint:errcheck // It was only read.
+		defer f.Close() //nolint:errcheck // The file is only read.
 		logs = append(logs, f)
 	}
 	h, err := trace.Read(c.Job, logs...)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// fieldsText lists fields in the order of their names.
+// fieldsText formats fields as name=value, sorted by name.
 func fieldsText(fields map[string]any) string {
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(fields)) {
--- a/cmd/lavenderpond/vms.go
+++ b/cmd/lavenderpond/vms.go
@@ -17,13 +17,13 @@
 	Return vmsReturnCmd `cmd:"" help:"Bring a VM back: end its drain, or have it verified, or let a verified one serve."`
 }
 
-// vmArg names a VM.
+// vmArg identifies a VM.
 type vmArg struct {
 	Zone string `arg:"" help:"Zone of the VM."`
 	VM   string `arg:"" name:"vm" help:"Name of the VM."`
 }
 
-// drainFlag bounds a drain.
+// drainFlag limits how long a drain may take.
 type drainFlag struct {
 	DrainWithin time.Duration `default:"30m" help:"A drain that is still busy after this time is given up, and the VM serves again."`
 }
@@ -88,7 +88,7 @@
 	Resize bool   `help:"The VM's place moves too: the old pool's size falls by one, the new one's rises."`
 }
 
-// Run moves a VM.
+// Run drains a VM and moves it to another pool.
 func (c vmsMoveCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_MoveVm{
 		MoveVm: &pb.MoveVM{Zone: c.Zone, Vm: c.VM, Pool: c.Pool, Resize: c.Resize, DrainBy: c.deadline(a)},
@@ -100,7 +100,7 @@
 	drainFlag
 }
 
-// Run cordons a VM.
+// Run takes a VM out of service.
 func (c vmsCordonCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_CordonVm{
 		CordonVm: &pb.CordonVM{Zone: c.Zone, Vm: c.VM, DrainBy: c.deadline(a)},
@@ -109,7 +109,7 @@
 
 type vmsReturnCmd struct{ vmArg }
 
-// Run returns a VM.
+// Run brings a VM back into service.
 func (c vmsReturnCmd) Run(a *app) error {
 	return a.change(&pb.ApplyChangeRequest{Change: &pb.ApplyChangeRequest_ReturnVm{
 		ReturnVm: &pb.ReturnVM{Zone: c.Zone, Vm: c.VM},
--- a/cmd/lavenderpond/zones.go
+++ b/cmd/lavenderpond/zones.go
@@ -14,7 +14,7 @@
 	Reason string `help:"How it is known; the monitor reads it. Needed."`
 }
 
-// Run attests that a zone is down.
+// Run records an operator's statement that a zone is down.
 func (c zonesAttestDownCmd) Run(a *app) error { return attest(a, c.Zone, c.Reason, true) }
 
 type zonesAttestUpCmd struct {
@@ -22,7 +22,7 @@
 	Reason string `help:"How it is known; the monitor reads it. Needed."`
 }
 
-// Run attests that a zone is back.
+// Run records an operator's statement that a zone is back.
 func (c zonesAttestUpCmd) Run(a *app) error { return attest(a, c.Zone, c.Reason, false) }
 
 func attest(a *app, zone, reason string, down bool) error {
--- a/cmd/lavenderpondd/main.go
+++ b/cmd/lavenderpondd/main.go
@@ -1,5 +1,5 @@
-// Command lavenderpondd is the daemon of lavenderpond: it runs on every entry
-// VM, takes callers' requests and brings them to the target VMs.
+// Command lavenderpondd is the daemon that runs on every entry VM. It accepts the
+// requests of callers and dispatches them to target VMs.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	exitOK       = 0
 	exitFailed   = 1
 	exitSettings = 2
-	// exitAborted: a second signal ended the daemon before its work was done.
+	// exitAborted means that a second signal ended the daemon before its work was done.
 	exitAborted = 3
 )
 
@@ -64,8 +64,8 @@
 	return exitOK
 }
 
-// stopOnSignals stops the daemon gracefully on the first signal and at once on
-// the second.
+// stopOnSignals stops the daemon gracefully on the first signal and immediately on the
+// second.
 func stopOnSignals(ctx context.Context, stop context.CancelFunc, d *entry.Daemon, log zerolog.Logger) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace gathers what the logs of several processes say of one job, in
-// order.
+// Package trace extracts the history of one job from the logs of several
+// processes.
 package trace
 
 import (
@@ -14,7 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// Line is one log line that concerns the job, or the belief it rested on.
+// Line is a log line about the job, or about the state that decisions about the job
+// depended on.
 type Line struct {
 	At    time.Time
 	Node  string
@@ -23,33 +24,33 @@
 	Fields map[string]any
 }
 
-// History is what the logs say of a job.
+// History is the part of the logs that explains what happened to a job.
 type History struct {
 	Lines []Line
-	// Omitted counts lines of any job that the processes left out to bound their
-	// logs: some of them may have been this job's.
+	// Omitted counts the lines, of any job, that the processes left out to limit the
+	// size of their logs. Some of them may have concerned this job.
 	Omitted int
 	// Unreadable counts lines that aren't JSON.
 	Unreadable int
 }
 
-// maxLine bounds a log line.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// contextEvents are the events that touch every job: who owns the jobs, and which
-// configuration is in force.
+// contextEvents are the events that affect every job, such as a change of the process
+// that owns the jobs or of the configuration in force.
 var contextEvents = map[string]bool{
 	"owner": true, "owner_no_more": true, "owner_vacates": true, "configuration_in_force": true,
 	"start": true, "stop": true, "stopping": true, "feed_lost": true, "feed_regained": true, "loaded": true,
 }
 
-// vmEvents are the events of a VM that matter to a job once it ran there.
+// vmEvents are the events of a VM that are relevant to a job that ran on it.
 var vmEvents = map[string]bool{
 	"vm_silent": true, "vm_back": true, "vm_reborn": true, "vm_gone": true, "vm_draining": true, "vm_suspected": true,
 	"machine_upkept": true, "machine_moved": true,
 }
 
-// Read gathers the job's history from logs.
+// Read returns the history of the job from logs.
 func Read(job string, logs ...io.Reader) (History, error) {
 	var h History
 	var all []Line
@@ -81,7 +82,8 @@
 	return h, nil
 }
 
-// selectLines keeps the job's own lines, and what was believed from its first line to its last.
+// selectLines sorts all by time and returns the job's own lines and, between the first and
+// the last of them, the context events and the events of VMs on which the job ran.
 func selectLines(job string, all []Line, vms map[string]bool) []Line {
 	slices.SortStableFunc(all, func(a, b Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Node, b.Node)) })
 	first, last := -1, -1
@@ -106,7 +108,7 @@
 	return out
 }
 
-// concerns tells whether the line is about the job itself.
+// concerns reports whether the line names the job or one of its tasks.
 func (l Line) concerns(job string) bool {
 	if id, _ := l.Fields["job"].(string); id == job {
 		return true
@@ -115,8 +117,8 @@
 	return strings.HasPrefix(task, job+".")
 }
 
-// parse reads a line; anything before the first brace, such as a collector's
-// prefix, is skipped.
+// parse decodes a log line. It skips anything before the first brace, such as the
+// prefix that a log collector adds.
 func parse(text string) (Line, bool) {
 	i := strings.IndexByte(text, '{')
 	if i < 0 {
