--- a/core/experiment/experiment.go
+++ b/core/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment replays seeded demand and faults against the real decision
-// code with an injected clock, and reports rows of figures. It is no cluster
-// simulator: service times and faults are simple seeded fakes.
+// Package experiment compares variants of the decision code under pseudo-random demand
+// and faults, with a simulated clock, and reports the measured values. It doesn't model a
+// real cluster: service times and faults are drawn from simple random distributions.
 package experiment
 
 import (
@@ -9,7 +9,7 @@
 	"lavenderpond/core"
 )
 
-// Row is one figure of one run.
+// Row is one measured value of one run.
 type Row struct {
 	Experiment string  `json:"experiment"`
 	Workload   string  `json:"workload"`
@@ -19,25 +19,27 @@
 	Value      float64 `json:"value"`
 }
 
-// Experiment runs one comparison. The same seed gives the same rows.
+// Experiment compares variants with each other. The same seed produces the same rows.
 type Experiment interface {
 	Name() string
-	// Help says in a sentence what is compared with what.
+	// Help describes in one sentence what is compared.
 	Help() string
 	Run(seed uint64) []Row
 }
 
-// WorkloadFilter is an Experiment that can run one of its workloads alone.
+// WorkloadFilter is implemented by experiments that can run one of their workloads
+// alone.
 type WorkloadFilter interface {
 	FilterWorkload(workload string) Experiment
 }
 
 var registry = map[string]Experiment{}
 
-// Register adds e. It is called from the init functions of experiments.
+// Register makes e available under its name. The init functions of the packages that
+// define experiments call it.
 func Register(e Experiment) { registry[e.Name()] = e }
 
-// All returns the registered experiments by name.
+// All returns the registered experiments, sorted by name.
 func All() []Experiment {
 	var all []Experiment
 	for _, e := range registry {
@@ -47,7 +49,7 @@
 	return all
 }
 
-// Get returns the experiment of that name.
+// Get returns the experiment with the given name, or an error with CodeNotFound.
 func Get(name string) (Experiment, error) {
 	e, ok := registry[name]
 	if !ok {
--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -13,29 +13,30 @@
 	"lavenderpond/core/table"
 )
 
-// The two sizes of the users' brief and letter.
+// The fleet sizes of the experiment: the current one and the one expected in two years.
 var (
 	Today = Size{Name: "today", Zones: 3, Pools: 4, PoolVMs: 10, SpareVMs: 10, RackVMs: 4, MaxUnavailable: 2}
-	// TwoYears has 214 pools of 46 VMs and a spare pool: 10,000 VMs.
+	// TwoYears has 214 pools of 46 VMs and a spare pool, 10,000 VMs in total.
 	TwoYears = Size{Name: "two_years", Zones: 7, Pools: 214, PoolVMs: 46, SpareVMs: 156, RackVMs: 4, MaxUnavailable: 4}
 )
 
-// failureRates are the letter's: 170 of 10,000 VMs fail a day, one rack of its
-// 2,500 a week. How long a failure lasts, and how many VMs stay away after a
-// reboot, the letter doesn't say; a tenth for hours and 0.5% are assumed.
+// failureRates are the rates that users expect at the two-year size: of 10,000 VMs, 170
+// fail per day, and of 2,500 racks, one fails per week. The duration of failures and the
+// VMs that don't come back after a reboot are assumptions: a tenth of the failures lasts
+// for hours, and 0.5% of the reboots end that way.
 var failureRates = Faults{FailuresPerVMDay: 170.0 / 10000, LongFailureShare: 0.1, FailuresPerRackWeek: 1.0 / 2500, NotBackShare: 0.005}
 
-// Times of the experiment. A step is the controller's tick here.
+// Durations of the experiment. A step corresponds to a tick of the controller.
 const (
 	stepTime         = time.Minute
 	rebootTime       = 3 * time.Minute
 	drainTime        = 20 * time.Minute
 	maintenanceCycle = 7 * 7 * 24 * time.Hour
-	// stepsPerSample is how many steps go by between two looks at the whole fleet.
+	// stepsPerSample is the number of steps between two samples of the whole fleet.
 	stepsPerSample = 10
 )
 
-// runStart is an arbitrary fixed date.
+// runStart is the simulated time at which a roll-out starts, an arbitrary date.
 var runStart = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
 func init() {
@@ -43,8 +44,8 @@
 	experiment.Register(Experiment{Size: TwoYears})
 }
 
-// Experiment maintains every VM of a fleet once, by the daemon's planner and by
-// the naive one, under the same rates of failure.
+// Experiment maintains every VM of a fleet once, with the daemon's planner and with the
+// naive planner, at the same failure rates.
 type Experiment struct{ Size Size }
 
 var _ experiment.Experiment = Experiment{}
@@ -59,9 +60,9 @@
 
 // Run implements experiment.Experiment.
 //
-// The naive waves have the size that the fleet's budgets add up to per zone, so
-// that roll-out times compare, and one of a single VM per zone, the careful use
-// of the naive planner.
+// The naive planner runs with two wave sizes. The first is the sum of the pools' budgets
+// per zone, so that the roll-out takes a comparable time. The second is an eighth of it,
+// at least one VM, which is the careful use of the naive planner.
 func (e Experiment) Run(seed uint64) []experiment.Row {
 	budgetWave := max(1, e.Size.Pools*e.Size.MaxUnavailable/e.Size.Zones)
 	var rows []experiment.Row
@@ -84,22 +85,22 @@
 	return rows
 }
 
-// rollout is one roll-out.
+// rollout is the state of one roll-out of maintenance over the fleet.
 type rollout struct {
 	size  Size
 	world *World
 	zones []*Zone
-	// endedAt is when the last zone finished; zero if it didn't.
+	// endedAt is when the last zone finished. It is zero if a zone did not finish.
 	endedAt time.Time
 	halts   int
 	steps   int
-	// idleSpareVMs adds up the idle spare VMs of each look, and short the VMs that
-	// were missing beyond a pool's budget.
+	// idleSpareVMs adds up the idle spare VMs in all samples, missingVMs the VMs that
+	// the pools lacked beyond their budgets.
 	idleSpareVMs, missingVMs int
 }
 
-// rollOut runs until every zone finished or the deadline passed. A naive run is not
-// gated: the pools' rows allow any number of stops, as it knows no budgets.
+// rollOut runs until every zone finished or the deadline passed. If budgeted is false, the
+// rows of the pools allow any number of stops, as for a planner without budgets.
 func (e Experiment) rollOut(seed uint64, p maintenance.Planner, budgeted bool) *rollout {
 	rowBudget := e.Size.MaxUnavailable
 	if !budgeted {
@@ -134,7 +135,7 @@
 	}
 }
 
-// step advances the fleet by a tick and reports whether a zone is still at work.
+// step advances the fleet by a tick and reports whether a zone still runs its wave.
 func (r *rollout) step() bool {
 	r.world.Advance(stepTime)
 	working := false
@@ -146,7 +147,7 @@
 		case maintenance.Running:
 			working = true
 		case maintenance.Halted:
-			// The operator looks and goes on.
+			// The operator resumes a halted wave at once.
 			r.halts++
 			working = true
 			err := z.ApplyOperatorChange(func(w maintenance.WaveRow) (table.Transaction, error) {
--- a/core/experiment/maintenance/experiment_test.go
+++ b/core/experiment/maintenance/experiment_test.go
@@ -6,9 +6,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// The caller of a pool whose budget is broken by a planned stop waits or is
-// refused though nothing failed. The daemon's planner must make no such stop, in
-// any run; the naive one is the red side of the comparison: it makes many.
+// TestNoPlannedStopBeyondBudget checks that the daemon's planner never exceeds a pool's
+// budget by a planned stop, never interrupts running work and misses no VM. Beyond the
+// budget, callers of the pool would wait or be refused although nothing failed. The naive
+// planner must exceed budgets in the same runs, since the test would otherwise prove
+// nothing.
 func TestNoPlannedStopBeyondBudget(t *testing.T) {
 	naive := 0
 	for seed := range uint64(20) {
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -1,7 +1,7 @@
-// Package maintenance compares the planners of VM maintenance under seeded
-// failures. Its World, a small fake of VMs and their platform, also serves the
-// failure tests of maintenance: it knows which VMs really serve, and checks the
-// pools' budgets by that alone.
+// Package maintenance compares the planners of VM maintenance under pseudo-random
+// failures. Its World simulates VMs and their platform. It knows which VMs really serve,
+// whatever their rows say, and checks the budgets of the pools against that. The failure
+// tests of maintenance use it, too.
 package maintenance
 
 import (
@@ -18,73 +18,75 @@
 	"lavenderpond/core/table"
 )
 
-// SimulatedVM is a VM as it really is, whatever its row says.
+// SimulatedVM is the actual state of a VM, which may differ from its row in the table.
 type SimulatedVM struct {
 	Ref  fleet.Ref
 	Rack core.RackID
 	Up   bool
-	// BackAt is when a VM that is down comes back; zero for never.
+	// BackAt is when a VM that is down comes back. Zero means never.
 	BackAt time.Time
 	// DownSince is when the VM went down.
 	DownSince time.Time
-	// Planned says that a reboot took the VM down, not a failure.
+	// Planned says that the VM is down because of a reboot, not because of a failure.
 	Planned bool
-	// BusyUntil is when what runs on the VM ends.
+	// BusyUntil is when the last task that runs on the VM ends.
 	BusyUntil time.Time
-	// RefusesUntil is until when the VM refuses new work.
+	// RefusesUntil is the time until which the VM refuses new work.
 	RefusesUntil time.Time
-	// Reboots counts the reboots.
+	// Reboots counts the VM's reboots.
 	Reboots int
 
-	// row is replaced when it changes, and never changed itself.
+	// row is the decoded row of the VM. It is replaced as a whole when the row changes.
 	row *fleet.VMRow
-	// fence is the highest version that a request for the VM carried.
+	// fence is the highest row version that a drain of the VM carried. Requests with a
+	// lower one are refused.
 	fence core.Version
 }
 
-// Size describes a fleet.
+// Size describes the size of a fleet. PoolVMs, RackVMs and MaxUnavailable are numbers per
+// pool, rack and pool.
 type Size struct {
 	Name                            string
 	Zones, Pools, PoolVMs, SpareVMs int
 	RackVMs, MaxUnavailable         int
 }
 
-// Faults are the rates of what goes wrong. Zero rates mean never.
+// Faults holds the rates of failures. With a rate of zero, the failure never happens.
 type Faults struct {
-	// FailuresPerVMDay is how often a VM fails in a day.
+	// FailuresPerVMDay is the mean number of failures of a VM per day.
 	FailuresPerVMDay float64
-	// LongFailureShare is the share of failures that last for hours; the others end
+	// LongFailureShare is the fraction of VM failures that last for hours. The others end
 	// within minutes.
 	LongFailureShare float64
-	// FailuresPerRackWeek is how often a rack fails in a week.
+	// FailuresPerRackWeek is the mean number of failures of a rack per week.
 	FailuresPerRackWeek float64
-	// NotBackShare is the share of reboots after which a VM stays away for hours.
+	// NotBackShare is the fraction of reboots after which the VM stays down for hours.
 	NotBackShare float64
 }
 
-// World is a fleet as it really is, and the platform's table. Its clock is Now.
+// World is a simulated fleet, together with the platform's table. Its clock is Now.
 type World struct {
 	Rand   *rand.Rand
 	Now    time.Time
 	Table  table.Memory
 	Faults Faults
-	// RebootTime is the mean time that a reboot takes.
+	// RebootTime is the mean duration of a reboot.
 	RebootTime time.Duration
-	// DrainTime is the mean time that work goes on after a drain began; 0 leaves
-	// BusyUntil to the test.
+	// DrainTime is the mean time for which work continues after a drain began. If it is
+	// zero, the test sets BusyUntil itself.
 	DrainTime time.Duration
-	// DetectionDelay is how long a failure may stay unknown before a planned stop counts
-	// as a breach because of it.
+	// DetectionDelay is how long a failure may remain undetected. Until then, it doesn't
+	// turn a planned stop into a breach.
 	DetectionDelay time.Duration
-	// Unfenced lets the platform take requests that come too late.
+	// Unfenced makes the platform accept requests that come too late.
 	Unfenced bool
-	// Budget is the true budget of the pools, and Sizes their true sizes: rows may
-	// be told otherwise.
+	// Budget is the actual availability budget of each pool, and Sizes holds the actual
+	// sizes. The rows of the pools may differ.
 	Budget int
 	Sizes  map[core.PoolID]int
 
-	// Breaches lists planned stops beyond a budget, CutOff those that hit running
-	// work, Stops counts all.
+	// Breaches lists the planned stops that exceeded a budget, CutOff those that
+	// interrupted running work. Stops counts all planned stops.
 	Breaches, CutOff []string
 	Stops            int
 
@@ -95,20 +97,22 @@
 	pools    map[core.PoolID]fleet.PoolRow
 	revision table.Revision
 	down     []*SimulatedVM
-	// zoneChanges counts the changes of a zone's VM rows.
+	// zoneChanges counts the changes of VM rows in each zone.
 	zoneChanges map[core.ZoneID]int
-	// untilVMFault and rackFaults are what is left until the next failure.
+	// untilVMFault and untilRackFault are the remaining intervals until the next failure,
+	// in units of the mean interval.
 	untilVMFault, untilRackFault float64
 }
 
 // SparePool is the name of the spare pool.
 const SparePool core.PoolID = "spare"
 
-// ErrLate refuses a request after its deadline, or with a fence that is too low.
+// ErrLate is returned for a request that arrives after its deadline or carries a stale
+// fence.
 var ErrLate = errors.New("the request comes too late")
 
-// NewWorld returns a fleet of that size, all serving at start. rowBudget is what
-// the pools' rows say; the true budget is size.MaxUnavailable.
+// NewWorld returns a fleet of the given size in which all VMs serve. rowBudget is the
+// budget in the rows of the pools, the actual budget is size.MaxUnavailable.
 func NewWorld(seed uint64, start time.Time, size Size, rowBudget int) *World {
 	w := &World{
 		Rand: rand.New(rand.NewPCG(seed, 1)), Now: start, Budget: size.MaxUnavailable,
@@ -125,8 +129,8 @@
 	return w
 }
 
-// addPool spreads the pool's VMs over the zones. VMs fill racks in the order in
-// which they are added, as racks are filled in practice.
+// addPool adds a pool whose VMs are spread evenly over the zones. VMs are assigned to
+// racks in the order in which they are added, as in practice.
 func (w *World) addPool(id core.PoolID, size Size, vms, budget int) {
 	w.Sizes[id] = vms
 	w.mustSet(table.PoolStateKey(id), fleet.Pool{MaxUnavailable: budget, Size: vms, Members: vms, Spare: id == SparePool})
@@ -158,13 +162,13 @@
 // VMs returns all VMs, in a fixed order.
 func (w *World) VMs() []*SimulatedVM { return w.vms }
 
-// VM returns one VM.
+// VM returns the VM with the given reference.
 func (w *World) VM(ref fleet.Ref) *SimulatedVM { return w.vmsByRef[ref] }
 
-// Rack returns the VMs of the i-th rack.
+// Rack returns the VMs of the i-th rack. Numbers beyond the last rack wrap around.
 func (w *World) Rack(i int) []*SimulatedVM { return w.racks[w.rackIDs[i%len(w.rackIDs)]] }
 
-// Row returns a VM's row as it stands in the table.
+// Row returns the current row of a VM in the table.
 func (w *World) Row(ref fleet.Ref) fleet.VMRow {
 	w.sync()
 	return *w.vmsByRef[ref].row
@@ -183,7 +187,7 @@
 	return nil
 }
 
-// sync decodes the rows that changed otherwise than by Transact.
+// sync decodes the rows that were changed in the table without Transact.
 func (w *World) sync() {
 	if w.revision == w.Table.Revision() {
 		return
@@ -208,13 +212,13 @@
 	}
 }
 
-// Pools returns the pools' rows. The map must not be changed.
+// Pools returns the rows of the pools. The caller must not change the map.
 func (w *World) Pools() map[core.PoolID]fleet.PoolRow {
 	w.sync()
 	return w.pools
 }
 
-// Advance moves the clock, brings VMs back, and lets VMs and racks fail.
+// Advance moves the clock forward, brings VMs back, and lets VMs and racks fail.
 func (w *World) Advance(d time.Duration) {
 	w.Now = w.Now.Add(d)
 	w.down = slices.DeleteFunc(w.down, func(m *SimulatedVM) bool {
@@ -234,8 +238,8 @@
 	}
 }
 
-// poissonEvents returns how many events of a Poisson process fall into a step in which
-// mean ones are expected. left is what remains until the next one.
+// poissonEvents returns the number of events of a Poisson process in a step in which mean
+// events are expected. It keeps the remaining interval until the next event in remaining.
 func (w *World) poissonEvents(remaining *float64, mean float64) int {
 	if mean == 0 {
 		return 0
@@ -250,7 +254,7 @@
 	return n
 }
 
-// Fail takes m down unplanned.
+// Fail takes m down for the time d, as an unplanned failure.
 func (w *World) Fail(m *SimulatedVM, d time.Duration) {
 	if m.Up || m.Planned {
 		m.DownSince = w.Now
@@ -261,14 +265,14 @@
 	m.Up, m.Planned, m.BackAt, m.BusyUntil = false, false, w.Now.Add(d), time.Time{}
 }
 
-// FailAll takes several VMs down at once.
+// FailAll takes several VMs down at the same time.
 func (w *World) FailAll(vms []*SimulatedVM, d time.Duration) {
 	for _, m := range vms {
 		w.Fail(m, d)
 	}
 }
 
-// Drain makes a VM refuse new work until the given time, as its platform does.
+// Drain makes a VM refuse new work until the given time. It refuses a stale fence.
 func (w *World) Drain(ref fleet.Ref, until time.Time, fence core.Version) error {
 	m := w.vmsByRef[ref]
 	if fence < m.fence && !w.Unfenced {
@@ -282,7 +286,7 @@
 	return nil
 }
 
-// Dispatch offers a VM a task, and reports whether it took it.
+// Dispatch starts a task of duration d on a VM and reports whether the VM accepted it.
 func (w *World) Dispatch(ref fleet.Ref, d time.Duration) bool {
 	m := w.vmsByRef[ref]
 	if !m.Up || w.Now.Before(m.RefusesUntil) {
@@ -294,7 +298,7 @@
 	return true
 }
 
-// Running returns how many tasks run on the VM: at least one, or none.
+// Running returns 1 if any tasks run on the VM, otherwise 0.
 func (w *World) Running(ref fleet.Ref) int {
 	m := w.vmsByRef[ref]
 	if m.Up && w.Now.Before(m.BusyUntil) {
@@ -303,7 +307,7 @@
 	return 0
 }
 
-// Reboot takes a VM down planned. What it hits is recorded.
+// Reboot takes a VM down as a planned stop, and records violations of the rules.
 func (w *World) Reboot(ref fleet.Ref, notAfter time.Time, fence core.Version) error {
 	m := w.vmsByRef[ref]
 	if (w.Now.After(notAfter) || fence < m.fence) && !w.Unfenced {
@@ -324,16 +328,16 @@
 	return nil
 }
 
-// recordViolations records a stop that cuts work off, or is made while its pool lacks more
-// VMs than its budget. Failures too fresh to be known don't count; all VMs that
-// are down by a planned stop do.
+// recordViolations records a planned stop of m that interrupts work, or by which its pool
+// lacks more VMs than its budget allows. Failures that can't have been detected yet don't
+// count as missing VMs, but all VMs that are down because of a planned stop do.
 func (w *World) recordViolations(m *SimulatedVM) {
 	if w.Running(m.Ref) > 0 {
 		w.CutOff = append(w.CutOff, fmt.Sprintf("%s at %s", m.Ref, w.Now.Format(time.RFC3339)))
 	}
 	pool := w.Row(m.Ref).VM.Pool
 	if pool == SparePool {
-		return // Spare VMs serve nobody's budget.
+		return // The spare pool has no availability budget.
 	}
 	missing := w.Sizes[pool]
 	for _, other := range w.vms {
@@ -346,9 +350,9 @@
 	}
 }
 
-// serves reports whether m really takes work: it is up, doesn't refuse, and its
-// row lets entries use it. A failure that is too fresh passes as serving: the
-// decision to stop another VM may have been made before it was known.
+// serves reports whether m actually accepts work: it is up, doesn't refuse work, and its
+// row lets entries use it. A VM whose failure can't have been detected yet counts as
+// serving, because the decision to stop another VM may have been made before that.
 func (w *World) serves(m *SimulatedVM) bool {
 	state := m.row.VM.State
 	if !m.Up && !m.Planned && w.Now.Sub(m.DownSince) < w.DetectionDelay {
--- a/core/experiment/maintenance/zone.go
+++ b/core/experiment/maintenance/zone.go
@@ -13,30 +13,33 @@
 	"lavenderpond/core/table"
 )
 
-// Zone runs the real planner and driver for one zone of a World, as the daemon's
-// controller does, without a network.
+// Zone runs the real planner and driver for one zone of a World. It corresponds to the
+// daemon's controller, without a network.
 type Zone struct {
 	World   *World
 	ID      core.ZoneID
 	Planner maintenance.Planner
 	Driver  maintenance.Driver
-	// Moves counts VMs that changed their pool.
+	// Moves counts the moves of VMs to another pool.
 	Moves int
-	// PlanTime adds up the planner's own time, by Clock, if that is set.
+	// PlanTime is the total time that the planner took, according to Clock. It is not
+	// measured if Clock is nil. Plans counts the calls.
 	PlanTime time.Duration
 	Plans    int
 	Clock    func() time.Time
 
 	vms []*SimulatedVM
-	// rows are the VMs' rows at that count of the world's changes.
+	// rows are the rows of vms when the World's count of the zone's changes was
+	// zoneChanges.
 	rows        []*fleet.VMRow
 	zoneChanges int
 }
 
-// maxStepsPerTick bounds the steps of one VM in a tick, as in the controller.
+// maxStepsPerTick is the maximum number of steps of a VM per tick, as in the controller.
 const maxStepsPerTick = 3
 
-// ApplyOperatorChange writes the zone's wave row by an operator's change.
+// ApplyOperatorChange applies an operator's change to the wave row of the zone. The
+// argument build returns the transaction for the current row.
 func (z *Zone) ApplyOperatorChange(build func(maintenance.WaveRow) (table.Transaction, error)) error {
 	row, err := z.readWave()
 	if err != nil {
@@ -49,7 +52,7 @@
 	return z.World.Transact(t)
 }
 
-// Wave returns the zone's maintenance.
+// Wave returns the current maintenance wave of the zone.
 func (z *Zone) Wave() maintenance.Wave {
 	row, err := z.readWave()
 	if err != nil {
@@ -58,7 +61,7 @@
 	return row.Wave
 }
 
-// View returns what the planner sees.
+// View returns the input of the planner.
 func (z *Zone) View() maintenance.View {
 	w := z.World
 	w.sync()
@@ -80,7 +83,7 @@
 	return maintenance.View{Zone: z.ID, Wave: z.Wave(), Pools: z.pools(), VMs: z.rows}
 }
 
-// Tick takes every VM that is out a step further and carries out the plan.
+// Tick advances every VM that is out of service, and then plans and executes commands.
 func (z *Zone) Tick() error {
 	z.View()
 	for _, m := range z.vms {
@@ -188,7 +191,8 @@
 
 func (z *Zone) pools() map[core.PoolID]fleet.PoolRow { return z.World.Pools() }
 
-// ignoreRefusal drops refusals by the rules: the next tick decides anew.
+// ignoreRefusal returns nil for a refusal by the maintenance rules and for a conflict of
+// transactions, after which the next tick decides again. It returns other errors unchanged.
 func ignoreRefusal(err error) error {
 	var refusal *core.Error
 	if errors.As(err, &refusal) || errors.Is(err, table.ErrConflict) {
--- a/core/experiment/policy/policy.go
+++ b/core/experiment/policy/policy.go
@@ -1,4 +1,4 @@
-// Package policy registers the experiments on queueing, routing and retries.
+// Package policy defines and registers the experiments on queueing, routing and retries.
 package policy
 
 import (
@@ -9,13 +9,14 @@
 	"lavenderpond/core/experiment/replay"
 )
 
-// Comparison runs policies against the same demand and faults.
+// Comparison is an experiment that runs several policies under the same demand and
+// faults.
 type Comparison struct {
 	ID        string
 	Question  string
 	Workloads []replay.Workload
 	Faults    replay.Faults
-	// Policies holds the baseline first.
+	// Policies starts with the baseline.
 	Policies []replay.Policy
 }
 
@@ -44,7 +45,7 @@
 	return rows
 }
 
-// FilterWorkload implements experiment.Narrower.
+// FilterWorkload implements experiment.WorkloadFilter.
 func (c Comparison) FilterWorkload(workload string) experiment.Experiment {
 	c.Workloads = slices.DeleteFunc(slices.Clone(c.Workloads), func(w replay.Workload) bool {
 		return w.Name != workload
--- a/core/experiment/policy/register.go
+++ b/core/experiment/policy/register.go
@@ -8,10 +8,11 @@
 	"lavenderpond/core/retry"
 )
 
-// outageFraction is the part of a pool's targets that an outage takes.
+// outageFraction is the part of a pool's targets that an outage makes unreachable.
 const outageFraction = 1.0 / 3
 
-// fullLoad is the mean demand of each queue when the whole fleet is full.
+// fullLoad is the mean demand of each queue, as a part of its pool's slots, in the
+// experiment in which demand exceeds the whole fleet.
 const fullLoad = 1.4
 
 func init() {
@@ -80,7 +81,8 @@
 	return loaded
 }
 
-// fullPolicies differ in how entries share slots when no pool has many to lend.
+// fullPolicies returns policies that differ in how entries share slots when pools have
+// few idle slots to lend.
 func fullPolicies() []replay.Policy {
 	split, shared := replay.Split(), replay.Shared()
 	split.Name, split.Overflow = "overflow_split", true
@@ -88,8 +90,9 @@
 	return []replay.Policy{replay.Naive(), split, shared, replay.Overflow()}
 }
 
-// retryPolicies tell the router's part from the budget's: both routers, each with
-// unbounded retries and under a budget. All have the fair queue.
+// retryPolicies separates the effect of the router from that of the retry budget: it
+// returns both routers, each with unbounded retries and with a budget. All policies use
+// the fair queue.
 func retryPolicies() []replay.Policy {
 	exponential := func(rng *rand.Rand) retry.Budget { return &retry.TokenBucket{Rand: rng} }
 	linear := func(rng *rand.Rand) retry.Budget { return &retry.TokenBucket{Rand: rng, Growth: retry.Linear} }
@@ -104,8 +107,9 @@
 	}
 }
 
-// unreachablePolicies have the router and the queue in common. A random router
-// would try the targets a thousand times a second here, which takes too long.
+// unreachablePolicies returns policies that have the router and the queue in common. There
+// is none with the random router, which would try the targets a thousand times a second
+// here, so that the run would take too long.
 func unreachablePolicies() []replay.Policy {
 	requeue := replay.Queueing()
 	requeue.Name = "requeue_unsent"
@@ -118,7 +122,8 @@
 	}
 }
 
-// unbounded retries at once, at any number of targets.
+// unbounded returns p with immediate retries, without limits on their number or on the
+// number of targets.
 func unbounded(name string, p replay.Policy) replay.Policy {
 	p.Name, p.Budget, p.RequeueUnsent, p.BoundTargets = name, nil, false, false
 	return p
--- a/core/experiment/replay/counters.go
+++ b/core/experiment/replay/counters.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// counters counts what happens in a run.
+// counters counts the events of a run.
 type counters struct {
 	doneInTime, late, refusedEarly, refusedLate int
 	unknowns, givenUp, cancelled                int
 	moves, retries, resubmissions, fullRefusals int
 	useful, wasted                              time.Duration
-	// usefulInHorizon is the part of useful before the last arrival.
+	// usefulInHorizon is the part of useful that falls within the workload's horizon.
 	usefulInHorizon    time.Duration
 	waits, urgentWaits []time.Duration
-	// first and attempts of the outage, and of the time after it.
+	// First attempts and dispatches during the outage and after it.
 	firstDuringOutage, attemptsDuringOutage, firstAfterOutage, attemptsAfterOutage int
 }
 
-// countFirst counts a first attempt by period.
+// countFirst counts a first attempt if it was made during the outage or after it.
 func (f *counters) countFirst(s *simulation, j *job) {
 	switch {
 	case s.inOutage(j.item.Enqueued):
@@ -28,7 +28,7 @@
 	}
 }
 
-// countAttempt counts a dispatch by period.
+// countAttempt counts a dispatch if it is made during the outage or after it.
 func (f *counters) countAttempt(s *simulation) {
 	switch {
 	case s.inOutage(s.now):
@@ -38,7 +38,7 @@
 	}
 }
 
-// countRun counts a run that began at begun and ends at now.
+// countRun adds the duration of a run on a target that began at startedAt and ends now.
 func (f *counters) countRun(s *simulation, startedAt time.Time, useful bool) {
 	run := s.now.Sub(startedAt)
 	if !useful {
@@ -64,8 +64,8 @@
 	f.doneInTime++
 }
 
-// refuse counts a final refusal: early if more than half of the time to the
-// deadline is left, so that the caller can still act.
+// refuse counts a final refusal. It is early if more than half of the time between the
+// first sending and the deadline is left, so that the caller can still react.
 func (f *counters) refuse(now time.Time, j *job) {
 	j.state = ended
 	if j.item.Deadline.Sub(now) > j.kind.Within/2 {
@@ -90,8 +90,8 @@
 	f.cancelled++
 }
 
-// measures returns the run's measures by name. Parts are of the requests that
-// weren't cancelled; times are in seconds.
+// measures returns the measures of the run by name. Fractions refer to the requests that
+// weren't cancelled. Times are in seconds.
 func (s *simulation) measures() map[string]float64 {
 	f := &s.counters
 	offered := float64(len(s.jobs) - f.cancelled)
@@ -126,7 +126,8 @@
 	return m
 }
 
-// urgentStartGoal is within which urgent work is to start, by the two-year size.
+// urgentStartGoal is the time within which urgent requests should start, as required for
+// the two-year fleet size.
 const urgentStartGoal = 7200 * time.Millisecond
 
 func (s *simulation) urgentStartedInGoal() int {
--- a/core/experiment/replay/demand.go
+++ b/core/experiment/replay/demand.go
@@ -12,29 +12,30 @@
 	"lavenderpond/core/retry"
 )
 
-// runStart is the time at which every run starts.
+// runStart is the simulated time at which every run starts.
 var runStart = time.Unix(1_800_000_000, 0).UTC()
 
-// job is a request on its way through a run.
+// job is the state of a request during a run.
 type job struct {
 	item queue.Item
 	kind Kind
-	// run is its true run time on a VM of normal speed.
+	// run is the actual run time on a VM of normal speed.
 	run time.Duration
-	// impossible jobs fail on every target.
+	// impossible marks a job that fails on every target.
 	impossible bool
 	entry      *entry
 	queueIndex int
 
 	failedTargets retry.FailedTargets
-	// full are targets that were full just now; they don't count as tries.
+	// retries counts the retries after failed dispatches. A dispatch to a target that
+	// was full doesn't count. submissions counts how often the caller sent the request.
 	retries, submissions int
 	state                jobState
 	started              bool
 	firstStart           time.Time
 }
 
-// jobState is where a job is.
+// jobState is the state of a job.
 type jobState int
 
 const (
@@ -44,7 +45,8 @@
 	ended
 )
 
-// demand returns the arrivals of a workload, in order of time per queue.
+// demand returns the requests of a workload, queue by queue, each queue in order of
+// arrival.
 func demand(w Workload, f Faults, seed uint64) []*job {
 	rng := rand.New(rand.NewPCG(seed, 0xdeadbeef))
 	var jobs []*job
@@ -55,7 +57,8 @@
 			if at >= w.Horizon {
 				break
 			}
-			// Thinning: arrivals at the peak rate are kept with the current one's part.
+			// Thinning: arrivals are drawn at the peak rate, and each is kept with a
+			// probability of the current rate divided by the peak rate.
 			if rng.Float64() < w.rate(q, at)/peak {
 				jobs = append(jobs, newJob(w, f, rng, q, at, len(jobs)))
 			}
@@ -100,14 +103,14 @@
 	return n - 1
 }
 
-// logNormal draws a time with the given mean.
+// logNormal draws a duration from a log-normal distribution with the given mean.
 func logNormal(rng *rand.Rand, mean time.Duration, sigma float64) time.Duration {
 	return seconds(mean.Seconds() * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2))
 }
 
 func queueID(q int) core.QueueID { return core.QueueID("queue" + strconv.Itoa(q)) }
 
-// poolOf returns the pool that serves q.
+// poolOf returns the pool that serves queue q.
 func poolOf(q core.QueueID) core.PoolID {
 	return core.PoolID("pool" + strings.TrimPrefix(string(q), "queue"))
 }
--- a/core/experiment/replay/event.go
+++ b/core/experiment/replay/event.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a simulated time.
 type event struct {
 	at time.Time
-	// sequence keeps events of the same time in order.
+	// sequence orders events with the same time as they were added.
 	sequence int
 	do       func()
 }
 
-// eventHeap is a heap of events by time.
+// eventHeap is a heap of events, ordered by time.
 type eventHeap struct {
 	list []event
 	next int
 }
 
-// add makes do happen at the given time.
+// add schedules do for the given time.
 func (e *eventHeap) add(at time.Time, do func()) {
 	e.next++
 	heap.Push(e, event{at: at, sequence: e.next, do: do})
--- a/core/experiment/replay/fault.go
+++ b/core/experiment/replay/fault.go
@@ -2,53 +2,55 @@
 
 import "time"
 
-// Faults are the failures of a run. The zero value has none.
+// Faults are the faults injected into a run. The zero value injects none. The faults of
+// targets hit one pool, the faulty pool.
 type Faults struct {
-	// BadTarget lets one target of the struck pool fail everything quickly, from a
-	// quarter of the run to its end.
+	// BadTarget lets one target of the faulty pool fail all work quickly, from a quarter
+	// of the run to its end.
 	BadTarget bool
-	// Outage is the part of the struck pool's targets that refuse connections from
-	// outageStart to outageEnd of the run.
+	// Outage is the fraction of the faulty pool's targets that refuse connections between
+	// outageStart and outageEnd.
 	Outage float64
-	// Brownout is the part of the struck pool's targets that fail everything quickly
+	// Brownout is the fraction of the faulty pool's targets that fail all work quickly
 	// during the same time.
 	Brownout float64
-	// Cancellations is the part of the waiting requests that is cancelled at once,
-	// at each of three moments.
+	// Cancellations is the fraction of the waiting requests that is cancelled at each of
+	// the cancelWaveTimes.
 	Cancellations float64
-	// Impossible is the part of the requests that fail on every target.
+	// Impossible is the fraction of the requests that fail on every target.
 	Impossible float64
 }
 
-// When faults happen, as parts of the run.
+// Times of faults, as fractions of the run.
 const (
 	badTargetStart = 0.25
 	outageStart    = 0.4
 	outageEnd      = 0.6
 )
 
-// cancelWaveTimes are the moments of cancellation waves, as parts of the run.
+// cancelWaveTimes are the times of cancellation waves, as fractions of the run.
 var cancelWaveTimes = [...]float64{0.15, 0.45, 0.85}
 
-// Times that failures take.
+// Durations until a dispatch fails: on a target that fails all work, for a request that
+// fails on every target, and when the target can't be reached or is full.
 const (
 	failFastTime        = 5 * time.Millisecond
 	impossibleRunTime   = 20 * time.Millisecond
 	dispatchRefusalTime = time.Millisecond
 )
 
-// timeAt returns the moment that is the given part into the run.
+// timeAt returns the time at which the given fraction of the run has passed.
 func (w Workload) timeAt(fraction float64) time.Time {
 	return runStart.Add(seconds(fraction * w.Horizon.Seconds()))
 }
 
-// faultyPool is the pool that faults strike: the one whose queue bursts as an
-// outage begins.
+// faultyPool returns the index of the pool that faults hit. It is the pool whose queue
+// has a burst when an outage begins.
 func (w Workload) faultyPool() int {
 	return int(w.timeAt(outageStart).Sub(runStart)/burstLength) % phases
 }
 
-// isFailing reports whether v fails everything at now.
+// isFailing reports whether v fails all work at the given time.
 func (s *simulation) isFailing(v *vm, now time.Time) bool {
 	if v.originalPool != s.workload.faultyPool() {
 		return false
@@ -59,7 +61,7 @@
 	return float64(v.index) < s.faults.Brownout*vmsPerPool && s.inOutage(now)
 }
 
-// isUnreachable reports whether v is out of reach at now.
+// isUnreachable reports whether v refuses connections at the given time.
 func (s *simulation) isUnreachable(v *vm, now time.Time) bool {
 	if v.originalPool != s.workload.faultyPool() || float64(v.index) >= s.faults.Outage*vmsPerPool {
 		return false
--- a/core/experiment/replay/fleet.go
+++ b/core/experiment/replay/fleet.go
@@ -11,21 +11,23 @@
 	"lavenderpond/core/route"
 )
 
-// vm is a fake target.
+// vm is a simulated target.
 type vm struct {
 	id core.VMID
-	// originalPool is the pool it started in, pool the one it is in now.
+	// originalPool is the pool in which the VM started, pool the one in which it is now.
+	// index is its number within originalPool.
 	originalPool, pool, index, zone int
 	// speed divides run times.
 	speed   float64
 	running core.Slots
-	// moving marks a VM that drains, or moves to pool moveTo at movedAt.
+	// moving marks a VM that takes no new work because it moves to the pool moveTo. It
+	// first finishes its work; moveAt is then set to the time at which it joins the pool.
 	moving bool
 	moveTo int
 	moveAt time.Time
 }
 
-// entry is a fake entry VM around the real decisions.
+// entry is a simulated entry VM that uses the real decision code.
 type entry struct {
 	zone   int
 	queue  queue.Queue
@@ -33,13 +35,14 @@
 	budget retry.Budget
 }
 
-// slowPart and slowSpeed: some VMs are slower than the others.
+// A slowFraction of the VMs runs at slowSpeed, the others at speed 1.
 const (
 	slowFraction = 0.2
 	slowSpeed    = 0.5
 )
 
-// maxEjected is the availability budget left to each pool within a zone.
+// maxEjected is the maximum number of targets of a pool that an entry may eject within a
+// zone. It is what remains of the pool's availability budget.
 const maxEjected = 1
 
 func newFleet(rng *rand.Rand) []*vm {
@@ -70,7 +73,8 @@
 	return entries
 }
 
-// updateRouters tells the entries of a zone which targets may get new work.
+// updateRouters passes the targets that accept new work to the routers of a zone's
+// entries.
 func (s *simulation) updateRouters(zone int) {
 	slots := core.Slots(slotsPerVM)
 	if s.policy.SplitSlots {
@@ -93,15 +97,16 @@
 	}
 }
 
-// moveDrain is how long a VM is out of both pools, beyond its last run: it drains
-// for longer than a burst lasts.
+// moveDrain is how long a VM stays out of both pools after it finished its work. It is
+// longer than a burst.
 const moveDrain = 15 * time.Second
 
-// moveThreshold is how many waiting requests per zone start a move.
+// moveThreshold is the number of requests of a queue, waiting in a zone, from which on a
+// VM is moved to the queue's pool.
 const moveThreshold = slotsPerVM
 
-// planMoves moves VMs towards backlogs, at most one out per pool and zone, which
-// is the availability budget.
+// planMoves moves VMs to pools with a backlog. At most one VM per pool and zone is out at
+// a time, which is the availability budget.
 func (s *simulation) planMoves() {
 	for zone := range zones {
 		s.finishMoves(zone)
@@ -133,7 +138,7 @@
 	}
 }
 
-// startMove takes the least busy VM of another pool without a backlog.
+// startMove starts to move the least busy VM of the other pools that have no backlog.
 func (s *simulation) startMove(zone, to int) {
 	moving := make(map[int]bool)
 	remaining := make(map[int]int)
--- a/core/experiment/replay/policy.go
+++ b/core/experiment/replay/policy.go
@@ -14,33 +14,35 @@
 	"lavenderpond/core/route/random"
 )
 
-// maxQueued bounds each queue at each entry, for all policies.
+// maxQueued is the maximum length of each queue at each entry, for all policies.
 const maxQueued = 400
 
-// Policy makes the decisions of a run.
+// Policy selects the decision code of a run.
 type Policy struct {
 	Name string
-	// Queue and Router make an entry's decisions. Each is given its own seed.
+	// Queue and Router create the queue and the router of an entry. Each receives its own
+	// source of random numbers.
 	Queue  func(w Workload, rng *rand.Rand) queue.Queue
 	Router func(rng *rand.Rand) route.Router
-	// Budget bounds retries; nil retries at once and without bound.
+	// Budget creates the retry budget of an entry. If it is nil, retries are immediate
+	// and unlimited.
 	Budget func(rng *rand.Rand) retry.Budget
-	// BoundTargets gives up a request that retry.MaxTargets targets failed.
+	// BoundTargets gives up a request after it failed on retry.MaxTargets targets.
 	BoundTargets bool
-	// RequeueUnsent puts a request that reached no target back into its queue,
-	// without taking from the retry budget.
+	// RequeueUnsent puts a request that wasn't sent because its target was unreachable
+	// back into its queue, without using the retry budget.
 	RequeueUnsent bool
 	// Overflow lets requests run in idle slots of other pools.
 	Overflow bool
-	// SplitSlots gives each entry of a zone its own part of a target's slots. Else
-	// any entry may use any slot and a target may be full.
+	// SplitSlots divides the slots of a target among the entries of its zone. Otherwise
+	// every entry may use every slot, and a dispatch may find the target full.
 	SplitSlots bool
-	// Moves lets VMs move to a pool with a backlog.
+	// Moves lets VMs move to pools with a backlog.
 	Moves bool
 }
 
-// Naive is the baseline: first come first served, a random target, no early
-// refusal, no retry budget and slots split among the entries.
+// Naive returns the baseline: first come, first served, a random target, no early
+// refusal, no retry budget, and slots split among the entries.
 func Naive() Policy {
 	return Policy{
 		Name:       "naive",
@@ -50,8 +52,9 @@
 	}
 }
 
-// Queueing is the fair queue, the least-loaded router and a retry budget; a burst
-// waits in its queue. Entries borrow each other's slots.
+// Queueing returns a policy with the fair queue, the least-loaded router and a retry
+// budget. A burst waits in its queue. The entries of a zone share all slots, and the
+// router knows how many entries there are, so that they can lend each other slots.
 func Queueing() Policy {
 	return Policy{
 		Name:  "queueing",
@@ -65,7 +68,7 @@
 	}
 }
 
-// Shared is Queueing, with any entry using any slot it finds.
+// Shared returns Queueing with a router that uses any slot, regardless of other entries.
 func Shared() Policy {
 	p := Queueing()
 	p.Name = "shared"
@@ -73,7 +76,7 @@
 	return p
 }
 
-// Split is Queueing, with slots split among the entries.
+// Split returns Queueing with slots split among the entries.
 func Split() Policy {
 	p := Queueing()
 	p.Name = "split"
@@ -82,8 +85,8 @@
 	return p
 }
 
-// FairRandom is Split with a random target, to tell the queue's part in the
-// results from the router's.
+// FairRandom returns Split with a random target, to separate the effect of the queue on
+// the results from that of the router.
 func FairRandom() Policy {
 	p := Split()
 	p.Name = "fair_random"
@@ -91,7 +94,7 @@
 	return p
 }
 
-// Overflow is Queueing, with bursts overflowing into idle slots of other pools.
+// Overflow returns Queueing with bursts that overflow into idle slots of other pools.
 func Overflow() Policy {
 	p := Queueing()
 	p.Name = "overflow"
@@ -99,7 +102,7 @@
 	return p
 }
 
-// Moves is Queueing, with VMs moving to the pool with a backlog.
+// Moves returns Queueing with VMs that move to pools with a backlog.
 func Moves() Policy {
 	p := Queueing()
 	p.Name = "moves"
@@ -119,7 +122,7 @@
 	}
 }
 
-// unlimitedRetries is the budget of a policy without one.
+// unlimitedRetries is a retry budget that allows every retry at once.
 type unlimitedRetries struct{}
 
 func (unlimitedRetries) First(time.Time) {}
@@ -128,7 +131,7 @@
 
 func (unlimitedRetries) Backoff(now time.Time, _ int) time.Time { return now }
 
-// NoRetries is a budget without any retry.
+// NoRetries is a retry budget that allows no retries.
 type NoRetries struct{}
 
 // First implements retry.Budget.
--- a/core/experiment/replay/replay_test.go
+++ b/core/experiment/replay/replay_test.go
@@ -7,14 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// oneBurstRound cuts a workload to one round of bursts.
+// oneBurstRound returns w limited to one round in which each queue has one burst.
 func oneBurstRound(w Workload) Workload {
 	w.Horizon = phases * burstLength
 	return w
 }
 
-// Every request of a run has one end: what the measures count adds up to all of
-// them, whatever fails. A request lost by the replay would flatter a policy.
+// TestEveryRequestEnds checks that the measured outcomes add up to all requests of a run,
+// whatever fails. A policy would look too good if the replay lost requests.
 func TestEveryRequestEnds(t *testing.T) {
 	faults := Faults{BadTarget: true, Outage: 0.5, Cancellations: 0.5, Impossible: 0.05}
 	for _, p := range []Policy{Naive(), Queueing(), Overflow(), Moves(), Shared(), Split()} {
@@ -25,14 +25,16 @@
 	}
 }
 
-// The same seed gives the same run, and another seed another.
+// TestRunIsDeterministic checks that the same seed produces the same measures, and that
+// another seed changes them.
 func TestRunIsDeterministic(t *testing.T) {
 	w := oneBurstRound(Consortium())
 	assert.DeepEqual(t, Run(w, Overflow(), Faults{}, 5), Run(w, Overflow(), Faults{}, 5))
 	assert.Assert(t, Run(w, Overflow(), Faults{}, 5)["wait_p99"] != Run(w, Overflow(), Faults{}, 6)["wait_p99"])
 }
 
-// The mean of a queue's demand over a round of bursts is the workload's load.
+// TestDemandKeepsItsMean checks that the mean demand over a round of bursts matches the
+// load of the workload.
 func TestDemandKeepsItsMean(t *testing.T) {
 	w := oneBurstRound(Magnolia())
 	offered := time.Duration(0)
@@ -45,7 +47,7 @@
 
 func TestShareMeter(t *testing.T) {
 	m := newShareMeter([]Account{{Team: "a", Share: 3, Limit: 100}, {Team: "b", Share: 1, Limit: 100}, {Team: "c", Share: 4, Limit: 100}})
-	// c wants little; what it leaves is divided three to one.
+	// Team c uses less than its share. The rest is divided three to one between a and b.
 	assert.DeepEqual(t, m.divide(18, []float64{100, 100, 2}), []float64{12, 4, 2})
 	m.queues[0].running = []int{4, 12, 2}
 	m.queues[0].waiting = []int{50, 50, 0}
--- a/core/experiment/replay/share.go
+++ b/core/experiment/replay/share.go
@@ -7,25 +7,28 @@
 	"lavenderpond/core"
 )
 
-// shareWindow is over how long received service is compared with fair service.
+// shareWindow is the period over which the received slot-time is compared with the fair
+// slot-time.
 const shareWindow = 10 * time.Second
 
-// shareMeter measures nearness to share. At every sample, the slots that a queue
-// uses are divided fairly (weighted max-min, no team above its demand) among the
-// teams that run or wait; over each window the slot-time that each team got is
-// compared with that. Samples at which nobody waits are fair by definition and
-// don't count.
+// shareMeter measures how closely teams receive their shares. At every sample, it divides
+// the slots that a queue uses fairly among the teams with running or waiting requests, by
+// weighted max-min fairness with no team above its demand. For each window it compares
+// the slot-time that each team received with its fair slot-time. Samples at which nobody
+// waits are fair by definition and don't count.
 type shareMeter struct {
 	accounts  []Account
 	index     map[core.TeamID]int
 	queues    [queues]queueShares
 	windowEnd time.Time
-	// misallocated is slot-time that the wrong team got, used all slot-time.
+	// misallocated is the slot-time that teams received beyond their fair part, used all
+	// received slot-time.
 	misallocated, used float64
 	received, fair     []float64
 }
 
-// queueShares are the counts of one queue, by account.
+// queueShares holds the counts of one queue, by index of the account. received and fair
+// add up the samples of the current window.
 type queueShares struct {
 	running, waiting []int
 	received, fair   []float64
@@ -79,8 +82,8 @@
 	}
 }
 
-// divide is weighted max-min: each round gives every unsatisfied team its part of
-// what is left, until no team gets more than it wants.
+// divide returns the weighted max-min fair division of the remaining slots. Each round
+// gives every unsatisfied team its part of what is left, but not more than its demand.
 func (m *shareMeter) divide(remaining float64, demand []float64) []float64 {
 	allotted := make([]float64, len(demand))
 	for range demand {
@@ -118,7 +121,8 @@
 	}
 }
 
-// nearness is the part of contested slot-time that went to the right team.
+// nearness returns the fraction of the contested slot-time that teams received in
+// accordance with their shares.
 func (m *shareMeter) nearness() float64 {
 	if m.used == 0 {
 		return 1
@@ -126,7 +130,7 @@
 	return 1 - m.misallocated/m.used
 }
 
-// worstTeam is the lowest part of its fair slot-time that any team got.
+// worstTeam returns the lowest fraction of its fair slot-time that any team received.
 func (m *shareMeter) worstTeam() float64 {
 	lowest := 1.0
 	for i := range m.fair {
--- a/core/experiment/replay/simulation.go
+++ b/core/experiment/replay/simulation.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// tickInterval is how often entries look for expired work and slots that other
-	// entries freed.
+	// tickInterval is how often entries remove expired requests and look for slots that
+	// other entries freed.
 	tickInterval = 50 * time.Millisecond
-	// shareInterval is how often shares are sampled and moves planned.
+	// shareInterval is how often shares are sampled and moves of VMs are planned.
 	shareInterval = 200 * time.Millisecond
-	// maxResubmissions is how often a refused caller comes back.
+	// maxResubmissions is how many times a caller submits a refused request again.
 	maxResubmissions = 3
-	// overrun is for how long a run goes on after the last arrival.
+	// overrun is how long periodic work continues after the workload's horizon.
 	overrun = 60 * time.Second
 )
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	workload Workload
 	policy   Policy
@@ -36,14 +36,15 @@
 	byID     map[core.VMID]*vm
 	jobs     []*job
 	byKey    map[core.RequestKey]*job
-	// runningByTeam counts the slots of each team, fleet-wide: a simple limiter.
+	// runningByTeam counts the slots that each team uses in the whole fleet. It is
+	// compared with limits, as a simple form of the real limiter.
 	runningByTeam map[core.TeamID]core.Slots
 	limits        map[core.TeamID]core.Slots
 	shares        shareMeter
 	counters      counters
 }
 
-// Run replays the workload under the policy and returns its measures by name.
+// Run replays the workload under the policy and returns the measures of the run by name.
 func Run(w Workload, p Policy, f Faults, seed uint64) map[string]float64 {
 	s := &simulation{
 		workload: w, policy: p, faults: f,
@@ -125,7 +126,7 @@
 	}
 }
 
-// arrive is a first attempt, or that of a caller who came back.
+// arrive handles a request that its caller submits for the first time or again.
 func (s *simulation) arrive(j *job) {
 	if j.submissions == 0 {
 		j.entry.budget.First(s.now)
@@ -147,7 +148,7 @@
 	s.dispatchQueue(j.entry, j.item.Queue, s.policy.Overflow)
 }
 
-// onRefused ends j, unless its caller can come back in time.
+// onRefused ends j, unless its caller can submit it again before the deadline.
 func (s *simulation) onRefused(j *job, comeBackAt time.Time) {
 	if !comeBackAt.IsZero() && comeBackAt.Before(j.item.Deadline) && j.submissions <= maxResubmissions && !j.started {
 		s.counters.resubmissions++
@@ -165,8 +166,8 @@
 	}
 }
 
-// dispatch starts what can start at e, requests in their own pools first, as
-// core/home does.
+// dispatch starts as many requests as possible at e. As in core/home, every queue first
+// uses its own pool, and only then slots of other pools.
 func (s *simulation) dispatch(e *entry) {
 	queues := e.queue.Queues()
 	for _, q := range queues {
@@ -177,8 +178,8 @@
 	}
 }
 
-// refillSlot fills the slot of v that j gave back: one that its pool had lent
-// goes to its own queue first.
+// refillSlot fills the slot of v that j released. A slot that was lent to another queue is
+// first offered to the queue of its own pool.
 func (s *simulation) refillSlot(j *job, v *vm) {
 	if v.pool != j.queueIndex {
 		s.dispatch(j.entry)
@@ -187,7 +188,7 @@
 	s.dispatchQueue(j.entry, j.item.Queue, s.policy.Overflow)
 }
 
-// dispatchQueue starts what can start of one queue at e.
+// dispatchQueue starts as many requests of one queue as possible at e.
 func (s *simulation) dispatchQueue(e *entry, q core.QueueID, overflow bool) {
 	for s.dispatchOne(e, q, overflow) {
 	}
@@ -218,13 +219,14 @@
 	return true
 }
 
-// leaveQueue takes j out of the counts of waiting requests.
+// leaveQueue marks j as no longer waiting in a queue.
 func (s *simulation) leaveQueue(j *job) {
 	j.state = notQueued
 	s.shares.addWaiting(j, -1)
 }
 
-// send is the target's side: it takes j, or says why not a moment later.
+// send dispatches j to v. The target either starts it or refuses it after
+// dispatchRefusalTime.
 func (s *simulation) send(j *job, v *vm) {
 	if s.isUnreachable(v, s.now) {
 		s.counters.countAttempt(s)
@@ -254,7 +256,7 @@
 	s.events.add(startedAt.Add(run), func() { s.end(j, v, startedAt, result) })
 }
 
-// outcome says how long j runs on v and how it ends. Work is stopped at its
+// outcome returns how long j runs on v and with which result. Work is stopped at its
 // deadline.
 func (s *simulation) outcome(j *job, v *vm) (time.Duration, route.Result) {
 	switch {
@@ -287,7 +289,7 @@
 	s.refillSlot(j, v)
 }
 
-// onDispatchFailed handles a dispatch that brought no answer.
+// onDispatchFailed handles a dispatch that produced no answer for the caller.
 func (s *simulation) onDispatchFailed(j *job, v *vm, result route.Result, p retry.Progress) {
 	j.state = notQueued
 	j.entry.router.Ended(s.now, v.id, result, 0)
@@ -331,7 +333,7 @@
 	s.events.add(at, func() { s.enqueue(j) })
 }
 
-// cancelWave cancels a part of all waiting requests.
+// cancelWave cancels each waiting request with probability Faults.Cancellations.
 func (s *simulation) cancelWave() {
 	for _, j := range s.jobs {
 		if j.state == waiting && s.rng.Float64() < s.faults.Cancellations && j.entry.queue.Remove(j.item.Key) {
--- a/core/experiment/replay/workload.go
+++ b/core/experiment/replay/workload.go
@@ -1,6 +1,6 @@
-// Package replay runs a seeded demand against the real queue, router and retry
-// budget, with an injected clock and a heap of events. Service times, faults and
-// callers are simple fakes: it compares decisions and simulates no cluster.
+// Package replay runs pseudo-random demand against the real queue, router and retry
+// budget in a discrete-event simulation. Service times, faults and callers are simple
+// models: the package compares decisions and doesn't model a real cluster.
 package replay
 
 import (
@@ -9,20 +9,20 @@
 	"lavenderpond/core"
 )
 
-// The sizes of today's fleet, from the users' brief.
+// Size of the simulated fleet, which is that of the current fleets.
 const (
 	zones          = 3
 	entriesPerZone = 2
 	queues         = 4
-	pools          = queues + 1 // the last one is spare
+	pools          = queues + 1 // The last one is the spare pool.
 	vmsPerPool     = 10
 	slotsPerVM     = 8
 	connections    = 64
 )
 
-// Rotation of demand: each queue in turn bursts for burstLength to burstFactor
-// times its mean and falls to quietFactor in between. With one phase in which no
-// queue bursts, the mean comes out at 1.04.
+// Rotation of demand: the queues have bursts in turn, each of burstLength. During a burst,
+// the rate is burstFactor times the mean, otherwise quietFactor times. In one more phase,
+// no queue has a burst. The rate averages 1.04 times the mean over all phases.
 const (
 	burstLength = 10 * time.Second
 	burstFactor = 5
@@ -30,43 +30,45 @@
 	phases      = queues + 1
 )
 
-// Kind is a kind of work within a workload.
+// Kind is a kind of request within a workload.
 type Kind struct {
-	// Weight is the kind's part of the requests.
+	// Weight is the relative frequency of the kind.
 	Weight float64
-	// MeanRun is the mean run time and Spread the sigma of its log-normal law.
+	// MeanRun is the mean run time and Spread the sigma of its log-normal
+	// distribution.
 	MeanRun time.Duration
 	Spread  float64
-	// Within is the time from the first sending to the deadline.
+	// Within is the time between the first sending and the deadline.
 	Within     time.Duration
 	Urgent     bool
 	Idempotent bool
 }
 
-// Account is a team of a workload.
+// Account is a client account (team) of a workload.
 type Account struct {
 	Team core.TeamID
-	// Demand is the team's part of the requests, Share its weight when full.
+	// Demand is the relative frequency of the team's requests, Share its weight when slots
+	// are scarce.
 	Demand float64
 	Share  int
 	Limit  core.Slots
 }
 
-// Workload is a seeded demand.
+// Workload describes the distribution from which demand is drawn.
 type Workload struct {
 	Name     string
 	Kinds    []Kind
 	Accounts []Account
-	// Load is the mean demand of each queue, as a part of its pool's slots.
+	// Load is the mean demand of each queue, as a fraction of its pool's slots.
 	Load float64
 	// DeclaredSpread is the sigma of the log-normal error of declared run times.
 	DeclaredSpread float64
-	// Horizon is for how long requests arrive.
+	// Horizon is the period during which requests arrive.
 	Horizon time.Duration
 }
 
-// Consortium is the workload of the Southern Cross Imaging Consortium: long jobs
-// of six rival members, whose demand doesn't follow their shares.
+// Consortium returns the workload of the Southern Cross Imaging Consortium: long jobs of
+// six competing members, whose demand isn't proportional to their shares.
 func Consortium() Workload {
 	return Workload{
 		Name: "consortium",
@@ -89,8 +91,8 @@
 	}
 }
 
-// Magnolia is the workload of Magnolia Soundworks Rental: short and urgent, with
-// one large newcomer.
+// Magnolia returns the workload of Magnolia Soundworks Rental: short and mostly urgent
+// requests, half of which come from one new team.
 func Magnolia() Workload {
 	return Workload{
 		Name: "magnolia",
@@ -116,7 +118,7 @@
 // Workloads returns the workloads of both users.
 func Workloads() []Workload { return []Workload{Consortium(), Magnolia()} }
 
-// meanRun is the mean run time of a request of the workload.
+// meanRun returns the mean run time of the workload's requests.
 func (w Workload) meanRun() time.Duration {
 	total := 0.0
 	for _, k := range w.Kinds {
@@ -125,7 +127,7 @@
 	return seconds(total)
 }
 
-// rate is how many requests a second arrive at queue q at time at.
+// rate returns the arrival rate of queue q at time at, in requests per second.
 func (w Workload) rate(q int, at time.Duration) float64 {
 	mean := w.Load * vmsPerPool * slotsPerVM / w.meanRun().Seconds()
 	if int(at/burstLength)%phases == q {
--- a/core/experiment/summary.go
+++ b/core/experiment/summary.go
@@ -6,32 +6,34 @@
 	"slices"
 )
 
-// Baseline is the variant that others are compared with.
+// Baseline is the variant with which the others are compared.
 const Baseline = "naive"
 
-// Stats describes the values of a measure over the seeds.
+// Stats describes the distribution of a measure over the seeds: its mean and its 5th and
+// 95th percentiles.
 type Stats struct {
 	Mean float64 `json:"mean"`
 	P5   float64 `json:"p5"`
 	P95  float64 `json:"p95"`
 }
 
-// Summary is a measure of a variant over all seeds of a workload.
+// Summary condenses a measure of one variant and workload over all seeds.
 type Summary struct {
 	Workload string `json:"workload"`
 	Measure  string `json:"measure"`
 	Variant  string `json:"variant"`
 	Seeds    int    `json:"seeds"`
 	Value    Stats  `json:"value"`
-	// Ratio is the value by the baseline's value at the same seed; nil if the
-	// baseline has none, or is zero at a seed.
+	// Ratio is the value divided by the baseline's value for the same seed. It is nil if
+	// the baseline's value is missing or zero for any seed.
 	Ratio *Stats `json:"ratio,omitempty"`
 }
 
-// groupKey names the rows that one Summary is made of.
+// groupKey identifies the rows from which a Summary is computed.
 type groupKey struct{ workload, measure, variant string }
 
-// Summarize condenses rows of one experiment, by workload and measure.
+// Summarize condenses the rows of one experiment over their seeds. The result is sorted
+// by workload and measure.
 func Summarize(rows []Row) []Summary {
 	values := make(map[groupKey]map[uint64]float64)
 	var order []groupKey
@@ -43,7 +45,7 @@
 		}
 		values[g][r.Seed] = r.Value
 	}
-	// All variants of a measure stand together, in their order of registration.
+	// The variants of a measure keep the order in which they ran.
 	slices.SortStableFunc(order, func(a, b groupKey) int {
 		return cmp.Or(cmp.Compare(a.workload, b.workload), cmp.Compare(a.measure, b.measure))
 	})
@@ -70,7 +72,8 @@
 	return Stats{Mean: sum / float64(n), P5: sorted[percentileIndex(5, n)], P95: sorted[percentileIndex(95, n)]}
 }
 
-// percentileIndex is the index of a percentile of n sorted values, by the nearest rank.
+// percentileIndex returns the index of a percentile in n sorted values, by the
+// nearest-rank method.
 func percentileIndex(percent, n int) int { return (percent*n+99)/100 - 1 }
 
 func ratioStats(values, base map[uint64]float64) *Stats {
--- a/core/experiment/summary_test.go
+++ b/core/experiment/summary_test.go
@@ -8,7 +8,8 @@
 	"lavenderpond/core/experiment"
 )
 
-// A ratio is taken seed by seed; a measure that is zero in the baseline has none.
+// TestSummarize checks that ratios are computed per seed, and that a measure that is zero
+// in the baseline has no ratio.
 func TestSummarize(t *testing.T) {
 	var rows []experiment.Row
 	for seed := uint64(1); seed <= 20; seed++ {
