--- a/cmd/lavenderpond-experiment/main.go
+++ b/cmd/lavenderpond-experiment/main.go
@@ -11,14 +11,14 @@
 // CLI defines the commands for kong.
 type CLI struct {
 	List List `cmd:"" help:"List the experiments."`
-	Run  Run  `cmd:"" help:"Run an experiment and print its figures."`
+	Run  Run  `cmd:"" help:"Run an experiment and print the measured values."`
 }
 
 func main() {
 	var cli CLI
 	ctx := kong.Parse(&cli,
 		kong.Name("lavenderpond-experiment"),
-		kong.Description("Measures lavenderpond's decisions against a naive baseline."),
+		kong.Description("Compares lavenderpond's decisions with a naive baseline."),
 		kong.UsageOnError())
 	ctx.BindTo(os.Stdout, (*output)(nil))
 	ctx.FatalIfErrorf(ctx.Run())
--- a/cmd/lavenderpond-load/check.go
+++ b/cmd/lavenderpond-load/check.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	if v.DoubleStarts+v.FalseNotRun+v.NotWhole+v.DoneWithoutStart > 0 {
-		return errors.New("callers were told what is not so")
+		return errors.New("callers received answers that contradict the recorded starts")
 	}
 	return nil
 }
--- a/cmd/lavenderpond-load/main.go
+++ b/cmd/lavenderpond-load/main.go
@@ -13,14 +13,14 @@
 
 type commands struct {
 	Entries entriesCommand `cmd:"" help:"Load entries with requests of one team."`
-	Targets targetsCommand `cmd:"" help:"Load targets directly, past lavenderpond."`
-	Check   checkCommand   `cmd:"" help:"Hold what callers were told against what the targets wrote down."`
+	Targets targetsCommand `cmd:"" help:"Load targets directly, without lavenderpond."`
+	Check   checkCommand   `cmd:"" help:"Compare the answers that callers received with the starts that the targets recorded."`
 	Fill    fillCommand    `cmd:"" help:"Fill the table of the platform's stand-in with an idle fleet."`
 }
 
 func main() {
 	var c commands
-	k := kong.Parse(&c, kong.Name("lavenderpond-load"), kong.Description("A bounded load over loopback."))
+	k := kong.Parse(&c, kong.Name("lavenderpond-load"), kong.Description("Generates a bounded load over loopback."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	k.BindTo(ctx, (*context.Context)(nil))
--- a/cmd/lavenderpond-standin/link.go
+++ b/cmd/lavenderpond-standin/link.go
@@ -18,7 +18,7 @@
 )
 
 type linkCommand struct {
-	Control netip.AddrPort `help:"Loopback address and port at which the links are told to cut and heal." default:"127.0.0.1:7950"`
+	Control netip.AddrPort `help:"Loopback address and port of the interface that sets the state of the links." default:"127.0.0.1:7950"`
 	Forward []string       `arg:"" help:"NAME=LISTEN=TARGET: forward connections of link NAME. A name may be given several times."`
 }
 
@@ -39,7 +39,7 @@
 	node.Children = append(node.Children, supervisor.Child{Name: "control", Run: func(ctx context.Context) error {
 		return serve(ctx, c.Control, links.handler(), 0)
 	}})
-	log.Info().Stringer("control", c.Control).Int("links", len(links)).Msg("links forward")
+	log.Info().Stringer("control", c.Control).Int("links", len(links)).Msg("forwarding links")
 	return node.Run(ctx)
 }
 
@@ -64,7 +64,7 @@
 func parseForward(text string) (string, link.Forward, error) {
 	parts := strings.Split(text, "=")
 	if len(parts) != 3 {
-		return "", link.Forward{}, errors.Errorf("%d parts", len(parts))
+		return "", link.Forward{}, errors.Errorf("%d parts instead of 3", len(parts))
 	}
 	var f link.Forward
 	for part, to := range map[string]*netip.AddrPort{parts[1]: &f.Listen, parts[2]: &f.Target} {
--- a/cmd/lavenderpond-standin/link_test.go
+++ b/cmd/lavenderpond-standin/link_test.go
@@ -94,7 +94,7 @@
 func (l *testLink) awaitReceived(before, n int64) {
 	l.t.Helper()
 	for until := time.Now().Add(testTimeout); l.links["a.b"].BytesReceived() < before+n; time.Sleep(time.Millisecond) {
-		assert.Assert(l.t, time.Now().Before(until), "the link takes no bytes")
+		assert.Assert(l.t, time.Now().Before(until), "the link receives no bytes")
 	}
 }
 
--- a/cmd/lavenderpond-standin/platform.go
+++ b/cmd/lavenderpond-standin/platform.go
@@ -12,7 +12,7 @@
 
 type platformCommand struct {
 	Listen netip.AddrPort `help:"Loopback address and port." default:"127.0.0.1:7000"`
-	View   []string       `help:"ZONE=ADDRESS=SEEN: entries of ZONE see SEEN as the peer address ADDRESS."`
+	View   []string       `help:"ZONE=ADDRESS=SEEN: entries of ZONE see SEEN in place of the peer address ADDRESS."`
 }
 
 // Run serves the simulated platform until ctx ends.
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	log.Info().Stringer("listen", c.Listen).Msg("platform stand-in serves")
+	log.Info().Stringer("listen", c.Listen).Msg("serving the platform's stand-in")
 	var s standin.Server
 	node := supervisor.Node{Name: "platform", Log: log, Children: []supervisor.Child{
 		{Name: "entries", Run: s.WatchEntries},
--- a/cmd/lavenderpond-standin/targets.go
+++ b/cmd/lavenderpond-standin/targets.go
@@ -25,7 +25,7 @@
 	Listen      netip.AddrPort `help:"Loopback address and port of the first VM; the others follow." default:"127.0.0.1:8000"`
 	Count       int            `help:"Number of VMs." default:"10"`
 	Zone        string         `help:"Availability zone." required:""`
-	Prefix      string         `help:"Start of the VMs' names." default:"vm"`
+	Prefix      string         `help:"Prefix of the VMs' names." default:"vm"`
 	Slots       int            `help:"Slots per VM." default:"8"`
 	Connections int            `help:"Connections per VM." default:"64"`
 	Platform    string         `help:"URL of the platform's stand-in." default:"http://127.0.0.1:7000"`
@@ -62,7 +62,7 @@
 	node.Children = append(node.Children, supervisor.Child{Name: "live", Run: func(ctx context.Context) error {
 		return supervisor.Every(ctx, livePostInterval, func(ctx context.Context) { c.postLive(ctx, vmOutages.livePosts(posts), log) })
 	}})
-	log.Info().Stringer("listen", c.Listen).Int("count", c.Count).Str("zone", c.Zone).Msg("targets serve")
+	log.Info().Stringer("listen", c.Listen).Int("count", c.Count).Str("zone", c.Zone).Msg("serving targets")
 	return node.Run(ctx)
 }
 
@@ -91,7 +91,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		log.Warn().Err(err).Msg("live list not reached")
+		log.Warn().Err(err).Msg("report to the live list failed")
 		return
 	}
 	_ = resp.Body.Close()
--- a/cmd/lavenderpond/requests.go
+++ b/cmd/lavenderpond/requests.go
@@ -181,7 +181,7 @@
 		return nil, err
 	}
 	if r.Msg.Outcome == pb.Outcome_OUTCOME_DONE && r.Msg.BodyLength != uint64(len(r.Msg.Body)) {
-		return nil, errors.Errorf("the answer has %d bytes of %d", len(r.Msg.Body), r.Msg.BodyLength)
+		return nil, errors.Errorf("the answer is truncated: %d of %d bytes", len(r.Msg.Body), r.Msg.BodyLength)
 	}
 	return r.Msg, nil
 }
--- a/cmd/lavenderpond/session_test.go
+++ b/cmd/lavenderpond/session_test.go
@@ -49,7 +49,7 @@
 			for id, n := range s.fleet.starts {
 				assert.Equal(t, n, 1, "request %s", id)
 			}
-			assert.Assert(t, !strings.Contains(s.out.String(), operatorKey), "the operator key was shown")
+			assert.Assert(t, !strings.Contains(s.out.String(), operatorKey), "the output contains the operator key")
 			golden.Assert(t, s.out.String(), strings.TrimPrefix(script, "testdata/")+".golden")
 		})
 	}
--- a/cmd/lavenderpond/trace.go
+++ b/cmd/lavenderpond/trace.go
@@ -44,7 +44,7 @@
 		a.printf("%s %s %s%s\n", l.At.Format(traceTimeLayout), l.Node, l.Event, fieldsText(l.Fields))
 	}
 	if h.Omitted > 0 {
-		a.printf("%d lines of all jobs were left out to bound the logs; some may be missing above\n", h.Omitted)
+		a.printf("%d log lines, of any job, were omitted to limit the size of the logs; some may be missing above\n", h.Omitted)
 	}
 	return nil
 }
--- a/cmd/lavenderpondd/main.go
+++ b/cmd/lavenderpondd/main.go
@@ -75,9 +75,9 @@
 		return
 	case <-signals:
 	}
-	log.Info().Msg("stopping: finishing what runs")
+	log.Info().Msg("stopping: finishing running work")
 	stop()
 	<-signals
-	log.Error().Int("unfinished", d.Unfinished()).Msg("stopped at once by a second signal")
+	log.Error().Int("unfinished", d.Unfinished()).Msg("stopped immediately by a second signal")
 	os.Exit(exitAborted)
 }
--- a/core/experiment/maintenance/experiment_test.go
+++ b/core/experiment/maintenance/experiment_test.go
@@ -24,5 +24,5 @@
 		}
 	}
 	t.Logf("naive: %d breaches in 20 seeds", naive)
-	assert.Assert(t, naive > 0, "the naive planner broke no budget: the test has no teeth")
+	assert.Assert(t, naive > 0, "the naive planner exceeded no budget, so the test proves nothing")
 }
