--- a/cmd/lavenderpond-load/check.go
+++ b/cmd/lavenderpond-load/check.go
@@ -60,66 +60,66 @@
 			return err
 		}
 	}
-	var v checkResult
+	var r checkResult
 	for id, list := range attempts {
-		v.addRequest(list, starts[id])
+		r.addRequest(list, starts[id])
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(v); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
 		return err
 	}
-	if v.DoubleStarts+v.FalseNotRun+v.NotWhole+v.DoneWithoutStart > 0 {
+	if r.DoubleStarts+r.FalseNotRun+r.NotWhole+r.DoneWithoutStart > 0 {
 		return errors.New("callers received answers that contradict the recorded starts")
 	}
 	return nil
 }
 
-func (v *checkResult) addRequest(list []attempt, starts int) {
-	v.IDs++
-	v.Starts += starts
+func (r *checkResult) addRequest(list []attempt, starts int) {
+	r.IDs++
+	r.Starts += starts
 	if starts > 1 {
-		v.DoubleStarts++
+		r.DoubleStarts++
 	}
 	done, notRun, lastNotRun := false, true, false
 	for _, a := range list {
-		v.noteOutage(a)
+		r.noteOutage(a)
 		isDone := a.Outcome == pb.Outcome_OUTCOME_DONE.String()
 		done = done || isDone
 		lastNotRun = a.Outcome == pb.Outcome_OUTCOME_NOT_RUN.String()
 		notRun = notRun && lastNotRun
 		if isDone && !a.Whole {
-			v.NotWhole++
+			r.NotWhole++
 		}
 	}
 	switch {
 	case done:
-		v.Done++
+		r.Done++
 		if starts == 0 {
-			v.DoneWithoutStart++
+			r.DoneWithoutStart++
 		}
 	case notRun:
-		v.NotRun++
+		r.NotRun++
 	default:
-		v.Unknown++
+		r.Unknown++
 	}
 	// A caller makes its attempts one after the other. Its last answer must be true,
 	// whatever the earlier ones said.
 	if lastNotRun && starts > 0 {
-		v.FalseNotRun++
+		r.FalseNotRun++
 	}
 }
 
 // noteOutage records the time of an attempt that an entry answered but could not pass to
 // a holder. An attempt without an answer doesn't count: an entry that is down refuses
 // connections, which says nothing about the rest of the fleet.
-func (v *checkResult) noteOutage(a attempt) {
+func (r *checkResult) noteOutage(a attempt) {
 	if a.Code != core.CodeNoHolder.String() && a.Code != core.CodeHomeUnreachable.String() && a.Code != core.CodeZoneUnreachable.String() {
 		return
 	}
-	if v.firstFailureMs == 0 || a.AtMs < v.firstFailureMs {
-		v.firstFailureMs = a.AtMs
+	if r.firstFailureMs == 0 || a.AtMs < r.firstFailureMs {
+		r.firstFailureMs = a.AtMs
 	}
-	v.lastFailureMs = max(v.lastFailureMs, a.AtMs)
-	v.FailedForMs = v.lastFailureMs - v.firstFailureMs
+	r.lastFailureMs = max(r.lastFailureMs, a.AtMs)
+	r.FailedForMs = r.lastFailureMs - r.firstFailureMs
 }
 
 func (c *checkCommand) readStarts(ctx context.Context) (map[string]int, error) {
--- a/cmd/lavenderpond-load/load.go
+++ b/cmd/lavenderpond-load/load.go
@@ -42,8 +42,8 @@
 type sendFunc func(ctx context.Context, n int) string
 
 // run generates the load and measures the latency of every request.
-func (s loadFlags) run(ctx context.Context, send sendFunc) result {
-	ctx, cancel := context.WithTimeout(ctx, s.For)
+func (f loadFlags) run(ctx context.Context, send sendFunc) result {
+	ctx, cancel := context.WithTimeout(ctx, f.For)
 	defer cancel()
 	numbers := make(chan int)
 	var g supervisor.Group
@@ -51,8 +51,8 @@
 	var latencies []time.Duration
 	answers := make(map[string]int)
 	begin := time.Now()
-	g.Go(func() { s.pace(ctx, numbers) })
-	for range s.Concurrency {
+	g.Go(func() { f.pace(ctx, numbers) })
+	for range f.Concurrency {
 		g.Go(func() {
 			for n := range numbers {
 				start := time.Now()
@@ -70,12 +70,12 @@
 }
 
 // pace sends request numbers to the workers, at the requested rate, until ctx ends.
-func (s loadFlags) pace(ctx context.Context, numbers chan<- int) {
+func (f loadFlags) pace(ctx context.Context, numbers chan<- int) {
 	defer close(numbers)
 	begin := time.Now()
 	for n := range maxRequests {
-		if s.Rate > 0 {
-			due := begin.Add(time.Duration(float64(n) / s.Rate * float64(time.Second)))
+		if f.Rate > 0 {
+			due := begin.Add(time.Duration(float64(n) / f.Rate * float64(time.Second)))
 			time.Sleep(time.Until(due))
 		}
 		select {
@@ -106,8 +106,8 @@
 
 // body returns the body of a request, which tells the stand-in target how long to work
 // and how many bytes to answer.
-func (s loadFlags) body() []byte {
-	return fmt.Appendf(nil, `{"run_ms":%d,"answer_bytes":%d}`, s.RunMs, s.Bytes)
+func (f loadFlags) body() []byte {
+	return fmt.Appendf(nil, `{"run_ms":%d,"answer_bytes":%d}`, f.RunMs, f.Bytes)
 }
 
 func loopbackOnly(addresses []netip.AddrPort) error {
--- a/cmd/lavenderpond-standin/link_test.go
+++ b/cmd/lavenderpond-standin/link_test.go
@@ -126,10 +126,10 @@
 	assert.Equal(t, transfer(t, here, there, "again"), "again")
 }
 
-// TestLinkSwallows checks the state Silent: bytes that are sent meanwhile never arrive,
+// TestLinkDiscards checks the state Silent: bytes that are sent meanwhile never arrive,
 // and neither end sees an error until the link is opened again. Then the connection must
 // break, because its stream has a gap and the peer would otherwise read half a message.
-func TestLinkSwallows(t *testing.T) {
+func TestLinkDiscards(t *testing.T) {
 	l := newTestLink(t)
 	here, there := l.connect()
 	assert.Equal(t, transfer(t, here, there, "before"), "before")
@@ -159,9 +159,9 @@
 	assert.Equal(t, transfer(t, here, there, "words"), "late words")
 }
 
-// TestLinkEnds checks that an open link stops at once when its context ends. Otherwise
+// TestLinkStopsWithContext checks that an open link stops at once when its context ends. Otherwise
 // it would keep listening again until its address was in use.
-func TestLinkEnds(t *testing.T) {
+func TestLinkStopsWithContext(t *testing.T) {
 	links, err := parseLinks([]string{"a.b=127.0.0.1:0=127.0.0.1:1"})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -169,10 +169,10 @@
 	assert.NilError(t, links["a.b"].Serve(ctx, links["a.b"].Forwards[0]))
 }
 
-// TestLinkOrders checks that a request that matches no link or names no known state is
+// TestLinkRequests checks that a request that matches no link or names no known state is
 // rejected, as are malformed links and addresses that aren't on loopback. If such a
 // request were accepted, the fleet would seem to survive a fault that never happened.
-func TestLinkOrders(t *testing.T) {
+func TestLinkRequests(t *testing.T) {
 	links, err := parseLinks([]string{"a.b=127.0.0.1:1=127.0.0.1:2", "a.b=127.0.0.1:3=127.0.0.1:4", "b.a=127.0.0.1:5=127.0.0.1:6"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(links), 2)
--- a/cmd/lavenderpond-standin/outage.go
+++ b/cmd/lavenderpond-standin/outage.go
@@ -52,8 +52,8 @@
 // awaitState waits until the VM is in the given state. It returns false if ctx ends first.
 func (o *outages) awaitState(ctx context.Context, vm core.VMID, down bool) bool {
 	for {
-		is, changed := o.isDown(vm)
-		if is == down {
+		current, changed := o.isDown(vm)
+		if current == down {
 			return ctx.Err() == nil
 		}
 		select {
--- a/cmd/lavenderpond/client.go
+++ b/cmd/lavenderpond/client.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var down error
+	var tableDown error
 	for _, c := range clients {
 		reply, err := f.do(a.ctx, c, m)
 		e, answered := operator.FromConnect(err)
@@ -118,15 +118,15 @@
 			return reply, nil
 		case answered && e.Code == core.CodePlatformDown:
 			// An entry in another zone may still reach the table.
-			down = e
+			tableDown = e
 		case answered:
 			return nil, e
 		default:
 			a.warnf("entry %s: %v\n", c.address, err)
 		}
 	}
-	if down != nil {
-		return nil, down
+	if tableDown != nil {
+		return nil, tableDown
 	}
 	return nil, failf(exitUnreachable, "no entry was reached")
 }
@@ -182,7 +182,7 @@
 		return nil, err
 	}
 	f := call[pb.ApplyChangeRequest, pb.ApplyChangeReply](operatorClient.ApplyChange)
-	var last error
+	var lastErr error
 	unknown := false
 	shown := map[string]bool{}
 	for n := range maxRounds {
@@ -199,14 +199,14 @@
 				return nil, e
 			}
 			unknown = unknown || answered && e.Code == core.CodeChangeUnknown || !answered && !notSent(err)
-			last = &exitError{exitUnreachable, entryError(err)}
-			if line := fmt.Sprintf("entry %s: %v\n", c.address, last); !shown[line] {
+			lastErr = &exitError{exitUnreachable, entryError(err)}
+			if line := fmt.Sprintf("entry %s: %v\n", c.address, lastErr); !shown[line] {
 				shown[line] = true
 				a.warnf("%s", line)
 			}
 		}
 		if !unknown {
-			return nil, last
+			return nil, lastErr
 		}
 	}
 	return nil, core.Errorf(core.CodeChangeUnknown, "the change may have taken effect; repeat the command with --change-id %s", m.ChangeId)
--- a/cmd/lavenderpond/keys.go
+++ b/cmd/lavenderpond/keys.go
@@ -95,52 +95,52 @@
 	if err != nil {
 		return err
 	}
-	change := a.ChangeID
-	if change == "" {
-		change = "change-" + a.token()
+	changeID := a.ChangeID
+	if changeID == "" {
+		changeID = "change-" + a.token()
 	}
 	replies, err := askAll(a, operatorClient.Withdraw, &pb.WithdrawRequest{
-		ChangeId: change, Author: author, Digest: c.Digest, Team: c.Team, Reason: c.Reason,
+		ChangeId: changeID, Author: author, Digest: c.Digest, Team: c.Team, Reason: c.Reason,
 	})
 	if err != nil {
 		return err
 	}
 	merged := &pb.WithdrawReply{TableCode: uint32(core.CodePlatformDown), TableDetail: "no entry could record it"}
-	var r confirmationSet
+	var confirmations confirmationSet
 	for _, reply := range replies {
 		if reply.err != nil {
-			r.addUnreached(reply.address, reply.err)
+			confirmations.addUnreached(reply.address, reply.err)
 			continue
 		}
-		r.add(reply.value.Confirmations)
+		confirmations.add(reply.value.Confirmations)
 		if v := reply.value; merged.TableCode != 0 {
 			merged.TableCode, merged.TableDetail, merged.Version = v.TableCode, v.TableDetail, v.Version
 		}
 	}
-	merged.Confirmations = r.list()
-	if err := a.show(merged, r.grid()); err != nil {
+	merged.Confirmations = confirmations.list()
+	if err := a.show(merged, confirmations.grid()); err != nil {
 		return err
 	}
 	if merged.TableCode == 0 {
-		return r.unconfirmedError("the withdrawal")
+		return confirmations.unconfirmedError("the withdrawal")
 	}
-	return unrecordedError(merged, &r, change)
+	return unrecordedError(merged, &confirmations, changeID)
 }
 
 // unrecordedError explains how far a withdrawal holds that isn't recorded in the table.
 // Without the table, an entry considers its key list current if a majority of zones
 // vouches for it. A withdrawal that only a minority of zones holds may therefore be
 // unknown to an entry that is cut off or restarts.
-func unrecordedError(m *pb.WithdrawReply, r *confirmationSet, change string) error {
+func unrecordedError(m *pb.WithdrawReply, confirmations *confirmationSet, changeID string) error {
 	cause := m.TableDetail
 	if code := core.Code(m.TableCode); code == core.CodePlatformDown || code == core.CodeChangeUnknown {
 		cause = code.String()
 	}
-	confirming, all := r.zones()
+	confirming, all := confirmations.zones()
 	if 2*confirming > all {
 		return failf(exitPartlyConfirmed, "in force in %d of %d zones, not yet recorded in the table: %s; repeat with --change-id %s once it can be",
-			confirming, all, cause, change)
+			confirming, all, cause, changeID)
 	}
 	return failf(exitPartlyConfirmed, "NOT SAFE: only %d of %d zones have it, the table doesn't: %s; repeat with --change-id %s until a majority of zones or the table has it",
-		confirming, all, cause, change)
+		confirming, all, cause, changeID)
 }
--- a/cmd/lavenderpond/status.go
+++ b/cmd/lavenderpond/status.go
@@ -86,18 +86,18 @@
 	if err != nil {
 		return err
 	}
-	var r confirmationSet
+	var confirmations confirmationSet
 	for _, reply := range replies {
 		if reply.err != nil {
-			r.addUnreached(reply.address, reply.err)
+			confirmations.addUnreached(reply.address, reply.err)
 			continue
 		}
-		r.add(reply.value.Confirmations)
+		confirmations.add(reply.value.Confirmations)
 	}
-	if err := a.show(&pb.WhereReply{Confirmations: r.list()}, r.grid()); err != nil {
+	if err := a.show(&pb.WhereReply{Confirmations: confirmations.list()}, confirmations.grid()); err != nil {
 		return err
 	}
-	return r.unconfirmedError(fmt.Sprintf("version %d", c.Version))
+	return confirmations.unconfirmedError(fmt.Sprintf("version %d", c.Version))
 }
 
 type dumpCmd struct{}
--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -169,12 +169,12 @@
 
 func (r *rollout) sample() {
 	missing := make(map[core.PoolID]int)
-	for _, m := range r.world.vms {
-		switch serves := r.world.serves(m); {
-		case m.row.VM.Pool == SparePool && serves:
+	for _, v := range r.world.vms {
+		switch serves := r.world.serves(v); {
+		case v.row.VM.Pool == SparePool && serves:
 			r.idleSpareVMs++
-		case m.row.VM.Pool != SparePool && serves:
-			missing[m.row.VM.Pool]--
+		case v.row.VM.Pool != SparePool && serves:
+			missing[v.row.VM.Pool]--
 		}
 	}
 	for id, size := range r.world.Sizes {
@@ -191,11 +191,11 @@
 
 func (r *rollout) measures() []measure {
 	missed, reboots := 0, 0
-	for _, m := range r.world.vms {
-		if m.row.VM.LastMaintained.Before(runStart) {
+	for _, v := range r.world.vms {
+		if v.row.VM.LastMaintained.Before(runStart) {
 			missed++
 		}
-		reboots += m.Reboots
+		reboots += v.Reboots
 	}
 	moves := 0
 	for _, z := range r.zones {
@@ -216,14 +216,14 @@
 		{"halts", float64(r.halts)},
 		{"missed", float64(missed)},
 		{"spare_idle_mean", float64(r.idleSpareVMs) / samples},
-		{"vms_failed", float64(r.failed())},
+		{"vms_failed", float64(r.failedVMs())},
 	}
 }
 
-func (r *rollout) failed() int {
+func (r *rollout) failedVMs() int {
 	n := 0
-	for _, m := range r.world.vms {
-		if m.row.VM.State == fleet.Failed {
+	for _, v := range r.world.vms {
+		if v.row.VM.State == fleet.Failed {
 			n++
 		}
 	}
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -138,14 +138,14 @@
 		n := len(w.vms)
 		zone := core.ZoneID(fmt.Sprintf("z%d", i%size.Zones))
 		rack := core.RackID(fmt.Sprintf("%s-r%04d", zone, n/size.Zones/size.RackVMs))
-		m := &SimulatedVM{Ref: fleet.Ref{Zone: zone, VM: core.VMID(fmt.Sprintf("vm%05d", n))}, Rack: rack, Up: true, row: &fleet.VMRow{}}
-		w.vms = append(w.vms, m)
-		w.vmsByRef[m.Ref] = m
+		v := &SimulatedVM{Ref: fleet.Ref{Zone: zone, VM: core.VMID(fmt.Sprintf("vm%05d", n))}, Rack: rack, Up: true, row: &fleet.VMRow{}}
+		w.vms = append(w.vms, v)
+		w.vmsByRef[v.Ref] = v
 		if w.racks[rack] == nil {
 			w.rackIDs = append(w.rackIDs, rack)
 		}
-		w.racks[rack] = append(w.racks[rack], m)
-		w.mustSet(m.Ref.Key(), fleet.VM{Pool: id, Rack: rack, Slots: 8, Connections: 64})
+		w.racks[rack] = append(w.racks[rack], v)
+		w.mustSet(v.Ref.Key(), fleet.VM{Pool: id, Rack: rack, Slots: 8, Connections: 64})
 	}
 }
 
@@ -221,16 +221,16 @@
 // Advance moves the clock forward, brings VMs back, and lets VMs and racks fail.
 func (w *World) Advance(d time.Duration) {
 	w.Now = w.Now.Add(d)
-	w.down = slices.DeleteFunc(w.down, func(m *SimulatedVM) bool {
-		back := m.Up || !m.BackAt.IsZero() && !w.Now.Before(m.BackAt)
+	w.down = slices.DeleteFunc(w.down, func(v *SimulatedVM) bool {
+		back := v.Up || !v.BackAt.IsZero() && !w.Now.Before(v.BackAt)
 		if back {
-			m.Up, m.Planned = true, false
+			v.Up, v.Planned = true, false
 		}
 		return back
 	})
 	for range w.poissonEvents(&w.untilVMFault, w.Faults.FailuresPerVMDay*float64(len(w.vms))*d.Hours()/24) {
-		if m := w.vms[w.Rand.IntN(len(w.vms))]; m.Up {
-			w.Fail(m, w.failureDuration())
+		if v := w.vms[w.Rand.IntN(len(w.vms))]; v.Up {
+			w.Fail(v, w.failureDuration())
 		}
 	}
 	for range w.poissonEvents(&w.untilRackFault, w.Faults.FailuresPerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
@@ -255,53 +255,53 @@
 }
 
 // Fail takes m down for the time d, as an unplanned failure.
-func (w *World) Fail(m *SimulatedVM, d time.Duration) {
-	if m.Up || m.Planned {
-		m.DownSince = w.Now
+func (w *World) Fail(v *SimulatedVM, d time.Duration) {
+	if v.Up || v.Planned {
+		v.DownSince = w.Now
 	}
-	if m.Up {
-		w.down = append(w.down, m)
+	if v.Up {
+		w.down = append(w.down, v)
 	}
-	m.Up, m.Planned, m.BackAt, m.BusyUntil = false, false, w.Now.Add(d), time.Time{}
+	v.Up, v.Planned, v.BackAt, v.BusyUntil = false, false, w.Now.Add(d), time.Time{}
 }
 
 // FailAll takes several VMs down at the same time.
 func (w *World) FailAll(vms []*SimulatedVM, d time.Duration) {
-	for _, m := range vms {
-		w.Fail(m, d)
+	for _, v := range vms {
+		w.Fail(v, d)
 	}
 }
 
 // Drain makes a VM refuse new work until the given time. It refuses a stale fence.
 func (w *World) Drain(ref fleet.Ref, until time.Time, fence core.Version) error {
-	m := w.vmsByRef[ref]
-	if fence < m.fence && !w.Unfenced {
+	v := w.vmsByRef[ref]
+	if fence < v.fence && !w.Unfenced {
 		return ErrLate
 	}
-	m.fence = fence
-	if w.DrainTime > 0 && w.Now.After(m.RefusesUntil) && until.After(w.Now) && m.Up {
-		m.BusyUntil = w.Now.Add(w.exponential(w.DrainTime))
+	v.fence = fence
+	if w.DrainTime > 0 && w.Now.After(v.RefusesUntil) && until.After(w.Now) && v.Up {
+		v.BusyUntil = w.Now.Add(w.exponential(w.DrainTime))
 	}
-	m.RefusesUntil = until
+	v.RefusesUntil = until
 	return nil
 }
 
 // Dispatch starts a task of duration d on a VM and reports whether the VM accepted it.
 func (w *World) Dispatch(ref fleet.Ref, d time.Duration) bool {
-	m := w.vmsByRef[ref]
-	if !m.Up || w.Now.Before(m.RefusesUntil) {
+	v := w.vmsByRef[ref]
+	if !v.Up || w.Now.Before(v.RefusesUntil) {
 		return false
 	}
-	if end := w.Now.Add(d); end.After(m.BusyUntil) {
-		m.BusyUntil = end
+	if end := w.Now.Add(d); end.After(v.BusyUntil) {
+		v.BusyUntil = end
 	}
 	return true
 }
 
 // Running returns 1 if any tasks run on the VM, otherwise 0.
 func (w *World) Running(ref fleet.Ref) int {
-	m := w.vmsByRef[ref]
-	if m.Up && w.Now.Before(m.BusyUntil) {
+	v := w.vmsByRef[ref]
+	if v.Up && w.Now.Before(v.BusyUntil) {
 		return 1
 	}
 	return 0
@@ -309,21 +309,21 @@
 
 // Reboot takes a VM down as a planned stop, and records violations of the rules.
 func (w *World) Reboot(ref fleet.Ref, notAfter time.Time, fence core.Version) error {
-	m := w.vmsByRef[ref]
-	if (w.Now.After(notAfter) || fence < m.fence) && !w.Unfenced {
+	v := w.vmsByRef[ref]
+	if (w.Now.After(notAfter) || fence < v.fence) && !w.Unfenced {
 		return ErrLate
 	}
-	if !m.Up {
+	if !v.Up {
 		return errors.Errorf("VM %s is down", ref)
 	}
 	w.Stops++
-	w.recordViolations(m)
-	w.down = append(w.down, m)
-	m.Up, m.Planned, m.DownSince, m.BusyUntil = false, true, w.Now, time.Time{}
-	m.Reboots++
-	m.BackAt = w.Now.Add(w.exponential(w.RebootTime))
+	w.recordViolations(v)
+	w.down = append(w.down, v)
+	v.Up, v.Planned, v.DownSince, v.BusyUntil = false, true, w.Now, time.Time{}
+	v.Reboots++
+	v.BackAt = w.Now.Add(w.exponential(w.RebootTime))
 	if w.chance(w.Faults.NotBackShare) {
-		m.BackAt = w.Now.Add(w.uniform(4*time.Hour, 24*time.Hour))
+		v.BackAt = w.Now.Add(w.uniform(4*time.Hour, 24*time.Hour))
 	}
 	return nil
 }
@@ -331,34 +331,34 @@
 // recordViolations records a planned stop of m that interrupts work, or by which its pool
 // lacks more VMs than its budget allows. Failures that can't have been detected yet don't
 // count as missing VMs, but all VMs that are down because of a planned stop do.
-func (w *World) recordViolations(m *SimulatedVM) {
-	if w.Running(m.Ref) > 0 {
-		w.CutOff = append(w.CutOff, fmt.Sprintf("%s at %s", m.Ref, w.Now.Format(time.RFC3339)))
+func (w *World) recordViolations(v *SimulatedVM) {
+	if w.Running(v.Ref) > 0 {
+		w.CutOff = append(w.CutOff, fmt.Sprintf("%s at %s", v.Ref, w.Now.Format(time.RFC3339)))
 	}
-	pool := w.Row(m.Ref).VM.Pool
+	pool := w.Row(v.Ref).VM.Pool
 	if pool == SparePool {
 		return // The spare pool has no availability budget.
 	}
 	missing := w.Sizes[pool]
 	for _, other := range w.vms {
-		if other != m && other.row.VM.Pool == pool && w.serves(other) {
+		if other != v && other.row.VM.Pool == pool && w.serves(other) {
 			missing--
 		}
 	}
 	if missing > w.Budget {
-		w.Breaches = append(w.Breaches, fmt.Sprintf("%s of %s at %s: %d missing", m.Ref, pool, w.Now.Format(time.RFC3339), missing))
+		w.Breaches = append(w.Breaches, fmt.Sprintf("%s of %s at %s: %d missing", v.Ref, pool, w.Now.Format(time.RFC3339), missing))
 	}
 }
 
 // serves reports whether m actually accepts work: it is up, doesn't refuse work, and its
 // row lets entries use it. A VM whose failure can't have been detected yet counts as
 // serving, because the decision to stop another VM may have been made before that.
-func (w *World) serves(m *SimulatedVM) bool {
-	state := m.row.VM.State
-	if !m.Up && !m.Planned && w.Now.Sub(m.DownSince) < w.DetectionDelay {
+func (w *World) serves(v *SimulatedVM) bool {
+	state := v.row.VM.State
+	if !v.Up && !v.Planned && w.Now.Sub(v.DownSince) < w.DetectionDelay {
 		return state == fleet.Serving || state == fleet.Failed
 	}
-	return state == fleet.Serving && m.Up && !w.Now.Before(m.RefusesUntil)
+	return state == fleet.Serving && v.Up && !w.Now.Before(v.RefusesUntil)
 }
 
 func (w *World) chance(p float64) bool { return p > 0 && w.Rand.Float64() < p }
--- a/core/experiment/maintenance/zone.go
+++ b/core/experiment/maintenance/zone.go
@@ -66,9 +66,9 @@
 	w := z.World
 	w.sync()
 	if z.vms == nil {
-		for _, m := range w.vms {
-			if m.Ref.Zone == z.ID {
-				z.vms = append(z.vms, m)
+		for _, v := range w.vms {
+			if v.Ref.Zone == z.ID {
+				z.vms = append(z.vms, v)
 			}
 		}
 		slices.SortFunc(z.vms, func(a, b *SimulatedVM) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
@@ -76,8 +76,8 @@
 	if z.rows == nil || z.zoneChanges != w.zoneChanges[z.ID] {
 		z.zoneChanges = w.zoneChanges[z.ID]
 		z.rows = make([]*fleet.VMRow, 0, len(z.vms))
-		for _, m := range z.vms {
-			z.rows = append(z.rows, m.row)
+		for _, v := range z.vms {
+			z.rows = append(z.rows, v.row)
 		}
 	}
 	return maintenance.View{Zone: z.ID, Wave: z.Wave(), Pools: z.pools(), VMs: z.rows}
@@ -86,16 +86,16 @@
 // Tick advances every VM that is out of service, and then plans and executes commands.
 func (z *Zone) Tick() error {
 	z.View()
-	for _, m := range z.vms {
-		if m.row.VM.State == fleet.Serving && m.Up {
+	for _, v := range z.vms {
+		if v.row.VM.State == fleet.Serving && v.Up {
 			continue
 		}
 		for range maxStepsPerTick {
-			before := m.row.Row.Version
-			if err := z.stepVM(*m.row, m); ignoreRefusal(err) != nil {
+			before := v.row.Row.Version
+			if err := z.stepVM(*v.row, v); ignoreRefusal(err) != nil {
 				return err
 			}
-			if m.row.Row.Version == before {
+			if v.row.Row.Version == before {
 				break
 			}
 		}
@@ -103,7 +103,7 @@
 	return z.plan()
 }
 
-func (z *Zone) stepVM(vm fleet.VMRow, m *SimulatedVM) error {
+func (z *Zone) stepVM(vm fleet.VMRow, v *SimulatedVM) error {
 	w := z.World
 	var observed maintenance.Observation
 	if until, ok := z.Driver.HoldUntil(w.Now, vm); ok {
@@ -111,7 +111,7 @@
 			observed.RefusesUntil = until
 		}
 	}
-	observed.Up, observed.Running = m.Up, w.Running(vm.Ref)
+	observed.Up, observed.Running = v.Up, w.Running(vm.Ref)
 	next, err := z.Driver.Next(w.Now, vm, z.pools(), &observed)
 	if err != nil {
 		return err
@@ -147,9 +147,9 @@
 		return err
 	}
 	view := maintenance.View{Zone: z.ID, Wave: wave.Wave, Pools: z.pools()}
-	for _, m := range z.vms {
-		if refersTo(c, m.Ref) {
-			view.VMs = []*fleet.VMRow{m.row}
+	for _, v := range z.vms {
+		if refersTo(c, v.Ref) {
+			view.VMs = []*fleet.VMRow{v.row}
 		}
 	}
 	t, err := z.Driver.Transaction(z.World.Now, view, wave, c)
--- a/core/experiment/replay/fleet.go
+++ b/core/experiment/replay/fleet.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// moveDrain is how long a VM stays out of both pools after it finished its work. It is
+// moveDelay is how long a VM stays out of both pools after it finished its work. It is
 // longer than a burst.
-const moveDrain = 15 * time.Second
+const moveDelay = 15 * time.Second
 
 // moveThreshold is the number of requests of a queue, waiting in a zone, from which on a
 // VM is moved to the queue's pool.
@@ -125,7 +125,7 @@
 			continue
 		}
 		if v.moveAt.IsZero() {
-			v.moveAt = s.now.Add(moveDrain)
+			v.moveAt = s.now.Add(moveDelay)
 		}
 		if s.now.Before(v.moveAt) {
 			continue
--- a/core/experiment/replay/simulation.go
+++ b/core/experiment/replay/simulation.go
@@ -204,9 +204,9 @@
 			return false
 		}
 		var free bool
-		want := s.criteria(s.byKey[i.Key])
-		want.Overflow = overflow
-		vm, free = e.router.Pick(s.now, want)
+		criteria := s.criteria(s.byKey[i.Key])
+		criteria.Overflow = overflow
+		vm, free = e.router.Pick(s.now, criteria)
 		return free
 	})
 	if !ok {
@@ -239,10 +239,10 @@
 		return
 	}
 	s.counters.countAttempt(s)
-	s.start(j, v)
+	s.startRun(j, v)
 }
 
-func (s *simulation) start(j *job, v *vm) {
+func (s *simulation) startRun(j *job, v *vm) {
 	v.running++
 	j.state = running
 	s.runningByTeam[j.item.Key.Team]++
@@ -253,7 +253,7 @@
 	}
 	startedAt := s.now
 	run, result := s.outcome(j, v)
-	s.events.add(startedAt.Add(run), func() { s.end(j, v, startedAt, result) })
+	s.events.add(startedAt.Add(run), func() { s.endRun(j, v, startedAt, result) })
 }
 
 // outcome returns how long j runs on v and with which result. Work is stopped at its
@@ -269,7 +269,7 @@
 	return min(run, max(0, j.item.Deadline.Sub(s.now))), route.Succeeded
 }
 
-func (s *simulation) end(j *job, v *vm, startedAt time.Time, result route.Result) {
+func (s *simulation) endRun(j *job, v *vm, startedAt time.Time, result route.Result) {
 	run := s.now.Sub(startedAt)
 	v.running--
 	s.runningByTeam[j.item.Key.Team]--
@@ -298,11 +298,11 @@
 		s.enqueue(j)
 		return
 	}
-	s.retry(j, v, result, p)
+	s.scheduleRetry(j, v, result, p)
 	s.refillSlot(j, v)
 }
 
-func (s *simulation) retry(j *job, v *vm, result route.Result, p retry.Progress) {
+func (s *simulation) scheduleRetry(j *job, v *vm, result route.Result, p retry.Progress) {
 	if s.policy.BoundTargets && result == route.Failed {
 		j.failedTargets.Add(v.id, p)
 		if _, exhausted := j.failedTargets.Exhausted(); exhausted {
