--- a/cmd/lavenderpond/requests.go
+++ b/cmd/lavenderpond/requests.go
@@ -186,8 +186,8 @@
 	return r.Msg, nil
 }
 
-// finish prints a final answer. It returns an error with the matching exit code if the
-// request was not done.
+// finish prints an answer that is done. For any other answer it returns an error with the
+// matching exit code, and prints the answer only as JSON.
 func (a *app) finish(m *pb.Answer) error {
 	if m.Outcome == pb.Outcome_OUTCOME_DONE || a.Output == "json" {
 		if err := a.showAnswer(m); err != nil || m.Outcome == pb.Outcome_OUTCOME_DONE {
--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -21,9 +21,9 @@
 )
 
 // failureRates are the rates that users expect at the two-year size: of 10,000 VMs, 170
-// fail per day, and of 2,500 racks, one fails per week. The duration of failures and the
-// VMs that don't come back after a reboot are assumptions: a tenth of the failures lasts
-// for hours, and 0.5% of the reboots end that way.
+// fail per day, and of 2,500 racks, one fails per week. Two values are assumptions: a
+// tenth of the failures lasts for hours, and after 0.5% of the reboots the VM stays down
+// for hours.
 var failureRates = Faults{FailuresPerVMDay: 170.0 / 10000, LongFailureShare: 0.1, FailuresPerRackWeek: 1.0 / 2500, NotBackShare: 0.005}
 
 // Durations of the experiment. A step corresponds to a tick of the controller.
@@ -120,6 +120,7 @@
 	return r
 }
 
+// startWave plans and starts the maintenance of all VMs of the zone.
 func (z *Zone) startWave(deadline time.Time, maxNotBack int) {
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
 		func(r maintenance.WaveRow) (table.Transaction, error) {
@@ -167,6 +168,7 @@
 	return working
 }
 
+// sample adds the idle spare VMs and the missing VMs at the current time to the sums.
 func (r *rollout) sample() {
 	missing := make(map[core.PoolID]int)
 	for _, v := range r.world.vms {
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -43,8 +43,8 @@
 	fence core.Version
 }
 
-// Size describes the size of a fleet. PoolVMs, RackVMs and MaxUnavailable are numbers per
-// pool, rack and pool.
+// Size describes the size of a fleet. Every pool has PoolVMs VMs, of which MaxUnavailable
+// may be out, and every rack has RackVMs VMs. SpareVMs is the size of the spare pool.
 type Size struct {
 	Name                            string
 	Zones, Pools, PoolVMs, SpareVMs int
@@ -111,8 +111,8 @@
 // fence.
 var ErrLate = errors.New("the request comes too late")
 
-// NewWorld returns a fleet of the given size in which all VMs serve. rowBudget is the
-// budget in the rows of the pools, the actual budget is size.MaxUnavailable.
+// NewWorld returns a fleet of the given size in which all VMs serve. The rows of the pools
+// state the budget rowBudget. The actual budget is size.MaxUnavailable.
 func NewWorld(seed uint64, start time.Time, size Size, rowBudget int) *World {
 	w := &World{
 		Rand: rand.New(rand.NewPCG(seed, 1)), Now: start, Budget: size.MaxUnavailable,
@@ -198,6 +198,7 @@
 	w.revision = w.Table.Revision()
 }
 
+// storeRow decodes a row of a VM or a pool and keeps it for the planners and checks.
 func (w *World) storeRow(row table.Row) {
 	switch {
 	case strings.HasPrefix(string(row.Key), table.PrefixVM):
@@ -254,7 +255,7 @@
 	return n
 }
 
-// Fail takes m down for the time d, as an unplanned failure.
+// Fail takes v down for the time d, as an unplanned failure.
 func (w *World) Fail(v *SimulatedVM, d time.Duration) {
 	if v.Up || v.Planned {
 		v.DownSince = w.Now
@@ -328,7 +329,7 @@
 	return nil
 }
 
-// recordViolations records a planned stop of m that interrupts work, or by which its pool
+// recordViolations records a planned stop of v that interrupts work, or by which its pool
 // lacks more VMs than its budget allows. Failures that can't have been detected yet don't
 // count as missing VMs, but all VMs that are down because of a planned stop do.
 func (w *World) recordViolations(v *SimulatedVM) {
@@ -350,7 +351,7 @@
 	}
 }
 
-// serves reports whether m actually accepts work: it is up, doesn't refuse work, and its
+// serves reports whether v actually accepts work: it is up, doesn't refuse work, and its
 // row lets entries use it. A VM whose failure can't have been detected yet counts as
 // serving, because the decision to stop another VM may have been made before that.
 func (w *World) serves(v *SimulatedVM) bool {
@@ -361,12 +362,16 @@
 	return state == fleet.Serving && v.Up && !w.Now.Before(v.RefusesUntil)
 }
 
+// chance returns true with probability p.
 func (w *World) chance(p float64) bool { return p > 0 && w.Rand.Float64() < p }
 
+// uniform draws a duration between a and b from a uniform distribution.
 func (w *World) uniform(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.Rand.Int64N(int64(b-a)))
 }
 
+// exponential draws a duration from an exponential distribution, limited to six times the
+// mean.
 func (w *World) exponential(mean time.Duration) time.Duration {
 	return min(time.Duration(w.Rand.ExpFloat64()*float64(mean)), 6*mean)
 }
--- a/core/experiment/maintenance/zone.go
+++ b/core/experiment/maintenance/zone.go
@@ -103,6 +103,7 @@
 	return z.plan()
 }
 
+// stepVM takes the next step of the driver for a VM, with what the VM reports as input.
 func (z *Zone) stepVM(vm fleet.VMRow, v *SimulatedVM) error {
 	w := z.World
 	var observed maintenance.Observation
@@ -172,6 +173,7 @@
 	return false
 }
 
+// transact applies t, unless it is empty, and counts a move of the VM to another pool.
 func (z *Zone) transact(t table.Transaction, vm fleet.VMRow) error {
 	if len(t.Writes) == 0 {
 		return nil
--- a/core/experiment/policy/register.go
+++ b/core/experiment/policy/register.go
@@ -8,11 +8,11 @@
 	"lavenderpond/core/retry"
 )
 
-// outageFraction is the part of a pool's targets that an outage makes unreachable.
+// outageFraction is the fraction of a pool's targets that an outage makes unreachable.
 const outageFraction = 1.0 / 3
 
-// fullLoad is the mean demand of each queue, as a part of its pool's slots, in the
-// experiment in which demand exceeds the whole fleet.
+// fullLoad is the mean demand of each queue, as a fraction of its pool's slots, in the
+// experiment in which the demand exceeds the whole fleet.
 const fullLoad = 1.4
 
 func init() {
--- a/core/experiment/replay/demand.go
+++ b/core/experiment/replay/demand.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// weightedIndex draws an index below n, each with a probability proportional to its weight.
 func weightedIndex(rng *rand.Rand, n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
--- a/core/experiment/replay/fleet.go
+++ b/core/experiment/replay/fleet.go
@@ -97,12 +97,12 @@
 	}
 }
 
-// moveDelay is how long a VM stays out of both pools after it finished its work. It is
-// longer than a burst.
+// moveDelay is how long a moving VM stays out of both pools after it finished its work. It
+// is longer than a burst.
 const moveDelay = 15 * time.Second
 
-// moveThreshold is the number of requests of a queue, waiting in a zone, from which on a
-// VM is moved to the queue's pool.
+// moveThreshold is the backlog from which on a VM is moved to the queue's pool, as a number
+// of waiting requests in a zone.
 const moveThreshold = slotsPerVM
 
 // planMoves moves VMs to pools with a backlog. At most one VM per pool and zone is out at
--- a/core/experiment/replay/share.go
+++ b/core/experiment/replay/share.go
@@ -108,6 +108,7 @@
 	return allotted
 }
 
+// closeWindow compares received and fair slot-time of the window and starts the next one.
 func (m *shareMeter) closeWindow() {
 	for q := range m.queues {
 		s := &m.queues[q]
--- a/core/experiment/replay/simulation.go
+++ b/core/experiment/replay/simulation.go
@@ -72,6 +72,7 @@
 	return s.measures()
 }
 
+// schedule adds the arrivals, the periodic work and the cancellation waves as events.
 func (s *simulation) schedule(seed uint64) {
 	s.jobs = demand(s.workload, s.faults, seed)
 	for i, j := range s.jobs {
@@ -89,6 +90,7 @@
 	}
 }
 
+// every schedules do at intervals of d until end.
 func (s *simulation) every(d time.Duration, end time.Time, do func()) {
 	var repeat func()
 	repeat = func() {
@@ -194,6 +196,8 @@
 	}
 }
 
+// dispatchOne starts the next request of a queue at e, and reports whether there was one
+// that could start. With overflow, it may use slots of other pools.
 func (s *simulation) dispatchOne(e *entry, q core.QueueID, overflow bool) bool {
 	if e.router.Idle(s.now, route.Criteria{Pool: poolOf(q), Overflow: overflow, Urgent: true}) <= 0 {
 		return false
--- a/core/experiment/summary.go
+++ b/core/experiment/summary.go
@@ -76,6 +76,8 @@
 // nearest-rank method.
 func percentileIndex(percent, n int) int { return (percent*n+99)/100 - 1 }
 
+// ratioStats describes the ratio of values to base per seed. It returns nil if base lacks
+// a seed or is zero there.
 func ratioStats(values, base map[uint64]float64) *Stats {
 	ratio := make(map[uint64]float64)
 	for seed, v := range values {
