--- a/cmd/lavenderpond-standin/link.go
+++ b/cmd/lavenderpond-standin/link.go
@@ -93,12 +93,12 @@
 func (s linkSet) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /links", func(w http.ResponseWriter, r *http.Request) {
-		var o linkRequest
-		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+		var req linkRequest
+		if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := s.apply(o); err != nil {
+		if err := s.apply(req); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		}
 	})
@@ -106,24 +106,24 @@
 }
 
 // apply changes the links that the request matches. It fails if there are none.
-func (s linkSet) apply(o linkRequest) error {
-	if !slices.Contains([]link.State{link.Open, link.Refused, link.Silent, link.Held, link.Deaf}, o.State) {
-		return errors.Errorf("unknown state %q", o.State)
+func (s linkSet) apply(req linkRequest) error {
+	if !slices.Contains([]link.State{link.Open, link.Refused, link.Silent, link.Held, link.Deaf}, req.State) {
+		return errors.Errorf("unknown state %q", req.State)
 	}
 	found := 0
 	for name, l := range s {
-		for _, pattern := range o.Links {
+		for _, pattern := range req.Links {
 			if ok, err := path.Match(pattern, name); err != nil {
 				return errors.Wrap(err, pattern)
 			} else if ok {
-				l.Set(o.State, o.Delay)
+				l.Set(req.State, req.Delay)
 				found++
 				break
 			}
 		}
 	}
 	if found == 0 {
-		return errors.Errorf("no link matches %q", o.Links)
+		return errors.Errorf("no link matches %q", req.Links)
 	}
 	return nil
 }
--- a/cmd/lavenderpond-standin/outage.go
+++ b/cmd/lavenderpond-standin/outage.go
@@ -106,15 +106,15 @@
 // handleOutage handles POST /control/outage. Any VM that is up serves it, for all VMs of
 // the process.
 func (o *outages) handleOutage(w http.ResponseWriter, r *http.Request) {
-	var order struct {
+	var req struct {
 		VMs  []core.VMID `json:"vms"`
 		Down bool        `json:"down"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if unknown := o.set(order.VMs, order.Down); len(unknown) > 0 {
+	if unknown := o.set(req.VMs, req.Down); len(unknown) > 0 {
 		http.Error(w, "unknown VMs", http.StatusBadRequest)
 	}
 }
--- a/cmd/lavenderpond-standin/outage_test.go
+++ b/cmd/lavenderpond-standin/outage_test.go
@@ -33,16 +33,16 @@
 		})
 		assert.Equal(t, <-served, vm)
 	}
-	order := func(body string) int {
+	post := func(body string) int {
 		w := httptest.NewRecorder()
 		o.handleOutage(w, httptest.NewRequest(http.MethodPost, "/control/outage", strings.NewReader(body)))
 		return w.Code
 	}
-	assert.Equal(t, order(`{"vms":["vm-1"],"down":true}`), http.StatusOK)
+	assert.Equal(t, post(`{"vms":["vm-1"],"down":true}`), http.StatusOK)
 	assert.Equal(t, <-ended, core.VMID("vm-1"))
-	assert.Equal(t, order(`{"vms":["vm-1"],"down":false}`), http.StatusOK)
+	assert.Equal(t, post(`{"vms":["vm-1"],"down":false}`), http.StatusOK)
 	assert.Equal(t, <-served, core.VMID("vm-1"))
-	assert.Equal(t, order(`{"vms":["vm-9"],"down":true}`), http.StatusBadRequest)
+	assert.Equal(t, post(`{"vms":["vm-9"],"down":true}`), http.StatusBadRequest)
 	cancel()
 	<-ended
 	<-ended
