--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -23,13 +23,13 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Sizes of the fleet that the command fill writes.
+// Parameters of the fleet that the command fill writes.
 const (
 	// rowsPerTransaction is the maximum number of rows in a transaction.
 	rowsPerTransaction = 500
 	// vmsPerRack is the number of VMs in a rack.
 	vmsPerRack = 4
-	// livePostInterval is how often the VMs are reported as up. The simulated platform
+	// livePostInterval is how often the VMs are reported as up. The platform's stand-in
 	// forgets a VM after 3 s without a report.
 	livePostInterval = time.Second
 	// churnTeams is the number of teams whose allotments are rewritten. The allotments of
@@ -40,7 +40,7 @@
 	churnEntries = 6
 )
 
-// fillCommand fills the table of the simulated platform with a fleet of a given size and
+// fillCommand fills the table of the platform's stand-in with a fleet of a given size and
 // simulates its idle VMs, to measure the resources that idle daemons use.
 type fillCommand struct {
 	Platform netip.AddrPort `help:"Address of the platform's stand-in." required:""`
--- a/cmd/lavenderpond-standin/platform.go
+++ b/cmd/lavenderpond-standin/platform.go
@@ -15,7 +15,7 @@
 	View   []string       `help:"ZONE=ADDRESS=SEEN: entries of ZONE see SEEN in place of the peer address ADDRESS."`
 }
 
-// Run serves the simulated platform until ctx ends.
+// Run serves the platform's stand-in until ctx ends.
 func (c *platformCommand) Run(ctx context.Context, log zerolog.Logger) error {
 	view, err := parseView(c.View)
 	if err != nil {
