--- a/cmd/lavenderpond/app.go
+++ b/cmd/lavenderpond/app.go
@@ -34,15 +34,15 @@
 	Exceptions  exceptionsCmd  `cmd:"" help:"Exceptions from the defaults, for the monitor to read."`
 	Maintenance maintenanceCmd `cmd:"" help:"Maintenance of a zone's VMs."`
 	Zones       zonesCmd       `cmd:"" help:"Attest that a zone is down, or back."`
-	Audit       auditCmd       `cmd:"" help:"List the last accepted changes."`
-	Status      statusCmd      `cmd:"" help:"Show the status of every entry."`
-	Where       whereCmd       `cmd:"" help:"Show at which entries a configuration version is in force."`
-	Dump        dumpCmd        `cmd:"" help:"Print the state of each entry's process as JSON, without secrets."`
+	Audit       auditCmd       `cmd:"" help:"The last accepted changes."`
+	Status      statusCmd      `cmd:"" help:"Status of every entry."`
+	Where       whereCmd       `cmd:"" help:"At which entries a configuration version is in force."`
+	Dump        dumpCmd        `cmd:"" help:"State of each entry's process, as JSON without secrets."`
 	Submit      submitCmd      `cmd:"" help:"Submit a request and wait for its answer."`
 	Fetch       fetchCmd       `cmd:"" help:"Fetch the answer of a request by its id."`
-	Cancel      cancelCmd      `cmd:"" help:"Cancel a request."`
+	Cancel      cancelCmd      `cmd:"" help:"Give a request up."`
 	Config      configCmd      `cmd:"" help:"Settings files of the daemon."`
-	Trace       traceCmd       `cmd:"" help:"Print the history of one job from the logs of several processes."`
+	Trace       traceCmd       `cmd:"" help:"What the logs of several processes say of one job, in order."`
 }
 
 // Validate rejects a timeout that is not positive, since every call would fail with it
--- a/cmd/lavenderpond/defaults.go
+++ b/cmd/lavenderpond/defaults.go
@@ -25,12 +25,12 @@
 }
 
 type defaultsSetCmd struct {
-	Share          *int32 `help:"Share of teams that set none."`
-	Limit          *int32 `help:"Upper limit of teams that set none."`
-	MaxUnavailable *int32 `help:"Availability budget of pools that set none."`
-	MaxQueued      *int32 `help:"The most requests that wait at one entry, for queues that set no limit."`
+	Share          *int32 `help:"Share of teams that have none."`
+	Limit          *int32 `help:"Upper limit of teams that have none."`
+	MaxUnavailable *int32 `help:"Availability budget of pools that have none."`
+	MaxQueued      *int32 `help:"Bound of queues that have none."`
 	MaxBody        *int32 `help:"Largest body of a request, in bytes."`
-	IfVersion      uint64 `help:"Refuse the change unless the row still has this version."`
+	IfVersion      uint64 `help:"Refuse unless the row still has this version."`
 }
 
 // Run changes the defaults that are given.
--- a/cmd/lavenderpond/exceptions.go
+++ b/cmd/lavenderpond/exceptions.go
@@ -47,9 +47,9 @@
 type exceptionsAddCmd struct {
 	ID     string           `arg:"" help:"Name of the exception."`
 	Scope  string           `required:"" placeholder:"KIND/NAME" help:"What it changes: team/NAME, pool/NAME, queue/NAME or defaults."`
-	Value  map[string]int32 `required:"" help:"Values that replace those of the scope, such as limit=40."`
-	Reason string           `help:"Why; the monitor reads it. Required."`
-	End    time.Time        `help:"When it ends, in the form 2026-12-24T18:00:00Z. Required."`
+	Value  map[string]int32 `required:"" help:"Values in place of the scope's, as limit=40."`
+	Reason string           `help:"Why; the monitor reads it. Needed."`
+	End    time.Time        `help:"When it ends, as 2026-12-24T18:00:00Z. Needed."`
 }
 
 // Run adds an exception.
@@ -63,7 +63,7 @@
 
 type exceptionsRetireCmd struct {
 	ID     string `arg:"" help:"Name of the exception."`
-	Reason string `help:"Why; the monitor reads it. Required."`
+	Reason string `help:"Why; the monitor reads it. Needed."`
 }
 
 // Run retires an exception.
--- a/cmd/lavenderpond/exit.go
+++ b/cmd/lavenderpond/exit.go
@@ -38,7 +38,7 @@
 	{exitDone, "done", "What was asked for is done."},
 	{exitInternal, "internal", "A fault of lavenderpond, or standard input or output failed."},
 	{exitUsage, "usage", "The command line is wrong, see --help; or a key file or body file can't be read."},
-	{exitNotRun, "not_run", "The request did not run and won't. The detail says when to come back, if that makes sense."},
+	{exitNotRun, "not_run", "The request did not run and won't. The detail says when to come back, if there is a point."},
 	{exitOutcomeUnknown, "outcome_unknown", "The request may have run, or the change may have taken effect. Fetch the request by its id; repeat the change with the same --change-id."},
 	{exitConflict, "conflict", "Another change came first, or the state of the VM, pool or zone doesn't allow this one. Read again, then repeat under a new change id."},
 	{exitNotAuthorized, "not_authorized", "The operator key or team key is missing, wrong or withdrawn."},
--- a/cmd/lavenderpond/maintenance.go
+++ b/cmd/lavenderpond/maintenance.go
@@ -13,7 +13,7 @@
 	Status maintenanceStatusCmd `cmd:"" help:"Show each zone's maintenance."`
 	Plan   maintenancePlanCmd   `cmd:"" help:"Make every VM of a zone due by a deadline; starts nothing."`
 	Start  maintenanceStartCmd  `cmd:"" help:"Start what is planned, or resume what is paused or halted."`
-	Pause  maintenancePauseCmd  `cmd:"" help:"Take no further VMs out of service; drains in progress are finished."`
+	Pause  maintenancePauseCmd  `cmd:"" help:"Take no further VMs out; drains under way are finished."`
 }
 
 type maintenanceStatusCmd struct{}
@@ -35,8 +35,8 @@
 
 type maintenancePlanCmd struct {
 	Zone       string    `arg:"" help:"Zone to maintain."`
-	Deadline   time.Time `required:"" help:"When every VM must have been maintained, in the form 2026-12-24T18:00:00Z."`
-	MaxNotBack int32     `help:"How many VMs may fail to come back before the wave halts; 0 applies the default."`
+	Deadline   time.Time `required:"" help:"When every VM must have been maintained, as 2026-12-24T18:00:00Z."`
+	MaxNotBack int32     `help:"How many VMs may fail to come back before the wave halts; 0 is the default."`
 	Reason     string    `help:"Why, for the record."`
 }
 
--- a/cmd/lavenderpond/page_test.go
+++ b/cmd/lavenderpond/page_test.go
@@ -35,7 +35,7 @@
 	for _, info := range core.Codes() {
 		fmt.Fprintf(&b, "| %d `%s` | %d `%s` |\n", info.Code, info.Name, exitOf(info.Code), exitTable[exitOf(info.Code)].name)
 	}
-	b.WriteString("\nFor a request, `malformed` gives 3, and an answer whose outcome is unknown always gives 4.\n\n## Commands\n\nThe flags of `lavenderpond` itself apply to every command.\n")
+	b.WriteString("\nFor a request, `malformed` gives 3, and an answer whose outcome is unknown always gives 4.\n\n## Commands\n\nThe flags of `lavenderpond` itself go with every command.\n")
 	fmt.Fprintf(&b, "\n```\n%s```\n", help(t))
 	for _, command := range commands(t) {
 		text := help(t, command...)
@@ -89,7 +89,7 @@
 
 const pageHead = `# Command line
 
-Written by ` + "`go test ./cmd/lavenderpond -update`" + `. The procedures are in [guide.md](guide.md).
+Written by ` + "`go test ./cmd/lavenderpond -update`" + `. What to do when is in [guide.md](guide.md).
 
 Entries are given by ` + "`--entry IP:PORT`" + ` or ` + "`$LAVENDERPOND_ENTRIES`" + `. A command that reads asks them in turn until one
 answers; ` + "`status`, `where`, `dump` and `keys withdraw`" + ` ask all of them. A change goes to the first that answers, and
--- a/cmd/lavenderpond/pools.go
+++ b/cmd/lavenderpond/pools.go
@@ -5,7 +5,7 @@
 )
 
 type poolsCmd struct {
-	List poolsListCmd `cmd:"" help:"List the pools, with the number of VMs that are out of service."`
+	List poolsListCmd `cmd:"" help:"List the pools, with what is out of each."`
 	Set  poolsSetCmd  `cmd:"" help:"Create a pool or change its settings; what isn't given stays."`
 }
 
@@ -30,7 +30,7 @@
 	MaxUnavailable *int32 `help:"Availability budget: the most VMs that may be out at once, planned and failed together."`
 	Spare          *bool  `negatable:"" help:"The pool's VMs repair other pools."`
 	LendsIdle      *bool  `negatable:"" help:"Other queues' requests may run in the pool's idle slots: urgent ones in all, others in all but two of each VM."`
-	IfVersion      uint64 `help:"Refuse the change unless the row still has this version."`
+	IfVersion      uint64 `help:"Refuse unless the row still has this version."`
 }
 
 // Run creates a pool or changes its settings.
--- a/cmd/lavenderpond/queues.go
+++ b/cmd/lavenderpond/queues.go
@@ -30,8 +30,8 @@
 	Queue     string  `arg:"" help:"Name of the queue."`
 	Pool      *string `help:"Pool that serves the queue."`
 	Overflow  *bool   `negatable:"" help:"Requests may run in idle slots of pools that lend them."`
-	MaxQueued *int32  `help:"The most requests that wait at one entry; 0 applies the default."`
-	IfVersion uint64  `help:"Refuse the change unless the row still has this version."`
+	MaxQueued *int32  `help:"The most requests that wait at one entry; 0 is the default's."`
+	IfVersion uint64  `help:"Refuse unless the row still has this version."`
 }
 
 // Run creates a queue or changes its settings.
--- a/cmd/lavenderpond/requests.go
+++ b/cmd/lavenderpond/requests.go
@@ -25,9 +25,9 @@
 	Team        string        `required:"" env:"LAVENDERPOND_TEAM" help:"Team that submits."`
 	Queue       string        `required:"" help:"Queue of the request."`
 	ID          string        `name:"id" help:"Id of the request, unique in the team; else a new one. ZONE~REST names the home zone."`
-	Within      time.Duration `default:"1m" help:"Time until the deadline, after which no work starts."`
+	Within      time.Duration `default:"1m" help:"The deadline: no work starts later than this from now."`
 	Idempotent  bool          `help:"The request may run more than once."`
-	Urgent      bool          `help:"The request goes before others of the team."`
+	Urgent      bool          `help:"Goes before others of the team."`
 	DeclaredRun time.Duration `help:"Expected run time; a hint."`
 	NoWait      bool          `help:"Return once the request is recorded; fetch the answer later."`
 }
--- a/cmd/lavenderpond/teams.go
+++ b/cmd/lavenderpond/teams.go
@@ -33,9 +33,9 @@
 
 type teamsSetCmd struct {
 	Team      string `arg:"" help:"Name of the team."`
-	Share     *int32 `help:"Weight when the fleet is full, relative to other teams; 0 applies the default."`
-	Limit     *int32 `help:"The most slots that the team may use at once, fleet-wide; 0 applies the default."`
-	IfVersion uint64 `help:"Refuse the change unless the row still has this version."`
+	Share     *int32 `help:"Weight when the fleet is full, relative to other teams; 0 is the default's."`
+	Limit     *int32 `help:"The most slots that the team may use at once, fleet-wide; 0 is the default's."`
+	IfVersion uint64 `help:"Refuse unless the row still has this version."`
 }
 
 // Run creates a team or changes its settings.
--- a/cmd/lavenderpond/zones.go
+++ b/cmd/lavenderpond/zones.go
@@ -5,13 +5,13 @@
 )
 
 type zonesCmd struct {
-	AttestDown zonesAttestDownCmd `cmd:"" help:"State that nothing runs in the zone any more, so that its allotments go to other zones. If something still runs there, upper limits may be exceeded."`
+	AttestDown zonesAttestDownCmd `cmd:"" help:"State that nothing of the zone runs any more, so that its allotments go to others. If something does run, upper limits may break."`
 	AttestUp   zonesAttestUpCmd   `cmd:"" help:"State that the zone is back."`
 }
 
 type zonesAttestDownCmd struct {
 	Zone   string `arg:"" help:"Zone that is down."`
-	Reason string `help:"How it is known; the monitor reads it. Required."`
+	Reason string `help:"How it is known; the monitor reads it. Needed."`
 }
 
 // Run records an operator's statement that a zone is down.
@@ -19,7 +19,7 @@
 
 type zonesAttestUpCmd struct {
 	Zone   string `arg:"" help:"Zone that is back."`
-	Reason string `help:"How it is known; the monitor reads it. Required."`
+	Reason string `help:"How it is known; the monitor reads it. Needed."`
 }
 
 // Run records an operator's statement that a zone is back.
