--- a/cmd/lavenderpond-experiment/run.go
+++ b/cmd/lavenderpond-experiment/run.go
@@ -14,10 +14,10 @@
 	_ "lavenderpond/core/experiment/policy"      // registers its experiments
 )
 
-// output is where results are printed.
+// output is the writer to which results are printed. Kong passes it to the commands.
 type output io.Writer
 
-// List prints the experiments.
+// List is the command that lists the experiments.
 type List struct{}
 
 // Run implements the command.
@@ -32,10 +32,10 @@
 // Run is the command that runs an experiment.
 type Run struct {
 	Name      string `arg:"" help:"The experiment, as shown by list."`
-	Seeds     uint64 `default:"20" help:"How many seeds to run."`
+	Seeds     uint64 `default:"20" help:"Number of seeds to run."`
 	FirstSeed uint64 `default:"1" help:"The first seed; the others follow it."`
 	Workload  string `help:"Run this workload only."`
-	Output    string `enum:"table,json,rows" default:"table" help:"table or json print the summary, rows each figure as a JSON line."`
+	Output    string `enum:"table,json,rows" default:"table" help:"table and json print the summary, rows prints each measured value as a JSON line."`
 }
 
 // Run implements the command.
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	if n, ok := e.(experiment.Narrower); ok && r.Workload != "" {
-		e = n.Narrow(r.Workload)
+	if n, ok := e.(experiment.WorkloadFilter); ok && r.Workload != "" {
+		e = n.FilterWorkload(r.Workload)
 	}
 	var rows []experiment.Row
 	for seed := r.FirstSeed; seed < r.FirstSeed+r.Seeds; seed++ {
@@ -80,17 +80,17 @@
 	_, _ = fmt.Fprintln(tw, "workload\tmeasure\tvariant\tseeds\tmean\tp5\tp95\tratio\tratio_p5\tratio_p95")
 	for _, s := range summaries {
 		_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%s\t%s\n", s.Workload, s.Measure, s.Variant, s.Seeds,
-			columns(&s.Value), columns(s.Ratio))
+			statsColumns(&s.Value), statsColumns(s.Ratio))
 	}
 	return errors.Wrap(tw.Flush(), "print summary")
 }
 
-// columns prints a spread as three columns, "-" if there is none.
-func columns(s *experiment.Spread) string {
+// statsColumns formats s as three columns separated by tabs, each "-" if s is nil.
+func statsColumns(s *experiment.Stats) string {
 	if s == nil {
 		return "-\t-\t-"
 	}
-	return figure(s.Mean) + "\t" + figure(s.P5) + "\t" + figure(s.P95)
+	return formatValue(s.Mean) + "\t" + formatValue(s.P5) + "\t" + formatValue(s.P95)
 }
 
-func figure(v float64) string { return strconv.FormatFloat(v, 'g', 3, 64) }
+func formatValue(v float64) string { return strconv.FormatFloat(v, 'g', 3, 64) }
--- a/cmd/lavenderpond-load/check.go
+++ b/cmd/lavenderpond-load/check.go
@@ -16,36 +16,41 @@
 	"lavenderpond/io/target/standin"
 )
 
-// checkCommand holds what callers were told against what the targets wrote down.
+// checkCommand compares the answers that callers received with the starts that the
+// targets recorded.
 type checkCommand struct {
 	Record  []string         `help:"Files written by 'entries --record'." required:""`
 	Targets []netip.AddrPort `help:"One VM of each targets process started with --log-starts." required:""`
 }
 
-// verdict counts what was found.
-type verdict struct {
+// checkResult counts the findings of a check.
+type checkResult struct {
 	IDs int `json:"ids"`
-	// Done ids got a whole answer.
+	// Done counts ids that were answered as done at least once.
 	Done int `json:"done"`
-	// Unknown ids were told outcome_unknown, or got no answer, and never done.
+	// Unknown counts ids that were never answered as done, and for which at least one
+	// attempt was answered as outcome_unknown or not at all.
 	Unknown int `json:"unknown"`
-	// NotRun ids were told not_run by every attempt.
+	// NotRun counts ids for which every attempt was answered as not_run.
 	NotRun int `json:"not_run"`
 	Starts int `json:"starts"`
-	// FailedForMs is the time from the first to the last attempt that wasn't done
-	// for lack of a holder: how long the fleet took to recover.
-	FailedForMs int64 `json:"failed_for_ms"`
-	first, last int64
-	// The rest must be zero.
-	Doubles     int `json:"doubles"`
-	FalseNotRun int `json:"false_not_run"`
-	NotWhole    int `json:"not_whole"`
-	DoneNoStart int `json:"done_without_start"`
+	// FailedForMs is the time from the first to the last attempt that failed because the
+	// home of the request had no holder or was unreachable. It shows how long the fleet
+	// took to recover.
+	FailedForMs                   int64 `json:"failed_for_ms"`
+	firstFailureMs, lastFailureMs int64
+	// The following counts must be zero. They count ids that started more than once, ids
+	// answered as not_run that started, done answers that were truncated, and ids answered
+	// as done that never started.
+	DoubleStarts     int `json:"doubles"`
+	FalseNotRun      int `json:"false_not_run"`
+	NotWhole         int `json:"not_whole"`
+	DoneWithoutStart int `json:"done_without_start"`
 }
 
-// Run prints the verdict, and fails if something is wrong.
+// Run prints the result, and fails if an answer contradicts the recorded starts.
 func (c *checkCommand) Run(ctx context.Context) error {
-	starts, err := c.starts(ctx)
+	starts, err := c.readStarts(ctx)
 	if err != nil {
 		return err
 	}
@@ -55,68 +60,69 @@
 			return err
 		}
 	}
-	var v verdict
+	var r checkResult
 	for id, list := range attempts {
-		v.judge(list, starts[id])
+		r.addRequest(list, starts[id])
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(v); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
 		return err
 	}
-	if v.Doubles+v.FalseNotRun+v.NotWhole+v.DoneNoStart > 0 {
-		return errors.New("callers were told what is not so")
+	if r.DoubleStarts+r.FalseNotRun+r.NotWhole+r.DoneWithoutStart > 0 {
+		return errors.New("callers received answers that contradict the recorded starts")
 	}
 	return nil
 }
 
-func (v *verdict) judge(list []attempt, starts int) {
-	v.IDs++
-	v.Starts += starts
+func (r *checkResult) addRequest(list []attempt, starts int) {
+	r.IDs++
+	r.Starts += starts
 	if starts > 1 {
-		v.Doubles++
+		r.DoubleStarts++
 	}
 	done, notRun, lastNotRun := false, true, false
 	for _, a := range list {
-		v.noteFailure(a)
+		r.noteOutage(a)
 		isDone := a.Outcome == pb.Outcome_OUTCOME_DONE.String()
 		done = done || isDone
 		lastNotRun = a.Outcome == pb.Outcome_OUTCOME_NOT_RUN.String()
 		notRun = notRun && lastNotRun
 		if isDone && !a.Whole {
-			v.NotWhole++
+			r.NotWhole++
 		}
 	}
 	switch {
 	case done:
-		v.Done++
+		r.Done++
 		if starts == 0 {
-			v.DoneNoStart++
+			r.DoneWithoutStart++
 		}
 	case notRun:
-		v.NotRun++
+		r.NotRun++
 	default:
-		v.Unknown++
+		r.Unknown++
 	}
-	// A caller makes its attempts one after the other: what its last answer says must
-	// be so, whatever the earlier ones said.
+	// A caller makes its attempts one after the other. Its last answer must be true,
+	// whatever the earlier ones said.
 	if lastNotRun && starts > 0 {
-		v.FalseNotRun++
+		r.FalseNotRun++
 	}
 }
 
-// noteFailure dates attempts that found no holder. An entry that is away refuses
-// connections for as long as it is, which says nothing about the others.
-func (v *verdict) noteFailure(a attempt) {
+// noteOutage records the time of an attempt that an entry answered but could not pass to
+// a holder. An attempt without an answer doesn't count: an entry that is down refuses
+// connections, which says nothing about the rest of the fleet.
+func (r *checkResult) noteOutage(a attempt) {
 	if a.Code != core.CodeNoHolder.String() && a.Code != core.CodeHomeUnreachable.String() && a.Code != core.CodeZoneUnreachable.String() {
 		return
 	}
-	if v.first == 0 || a.AtMs < v.first {
-		v.first = a.AtMs
+	if r.firstFailureMs == 0 || a.AtMs < r.firstFailureMs {
+		r.firstFailureMs = a.AtMs
 	}
-	v.last = max(v.last, a.AtMs)
-	v.FailedForMs = v.last - v.first
+	r.lastFailureMs = max(r.lastFailureMs, a.AtMs)
+	r.FailedForMs = r.lastFailureMs - r.firstFailureMs
 }
 
-func (c *checkCommand) starts(ctx context.Context) (map[string]int, error) {
+func (c *checkCommand) readStarts(ctx context.Context) (map[string]int, error) {
 	counts := make(map[string]int)
 	for _, address := range c.Targets {
 		if err := loopbackOnly([]netip.AddrPort{address}); err != nil {
--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -23,44 +23,48 @@
 	"lavenderpond/io/supervisor"
 )
 
-// Sizes of what fill writes.
+// Parameters of the fleet that the command fill writes.
 const (
-	// fillBatch is how many rows go into one transaction.
-	fillBatch = 500
-	// rackVMs is how many VMs stand in a rack.
-	rackVMs = 4
-	// livePost is how often the VMs are said to be there; the stand-in forgets
-	// them after 3 s.
-	livePost = time.Second
-	// churnTeams have limits that move; churnZones and churnEntries hold a part of
-	// each: the two-year size.
+	// rowsPerTransaction is the maximum number of rows in a transaction.
+	rowsPerTransaction = 500
+	// vmsPerRack is the number of VMs in a rack.
+	vmsPerRack = 4
+	// livePostInterval is how often the VMs are reported as up. The platform's stand-in
+	// forgets a VM after 3 s without a report.
+	livePostInterval = time.Second
+	// churnTeams is the number of teams whose allotments are rewritten. The allotments of
+	// a team are spread over churnZones zones, and over churnEntries entries in each
+	// zone. These are the numbers of the two-year size.
 	churnTeams   = 620
 	churnZones   = 7
 	churnEntries = 6
 )
 
-// fillCommand fills the table of the platform's stand-in with a fleet of a given
-// size and stands in for its idle VMs, to measure what idle daemons cost.
+// fillCommand fills the table of the platform's stand-in with a fleet of a given size and
+// simulates its idle VMs, to measure the resources that idle daemons use.
 type fillCommand struct {
-	Platform netip.AddrPort `help:"The platform's stand-in." required:""`
-	Control  netip.AddrPort `help:"Loopback address on which all VMs tell their state." required:""`
+	Platform netip.AddrPort `help:"Address of the platform's stand-in." required:""`
+	Control  netip.AddrPort `help:"Loopback address that reports the state of all VMs." required:""`
 	Zones    []core.ZoneID  `help:"Availability zones." required:""`
 	VMs      int            `name:"vms" help:"VMs in each zone." default:"17"`
-	Out      int            `help:"VMs of each zone that failed, and stand in their pools' rows." default:"0"`
+	Out      int            `help:"VMs in each zone that have failed and are listed as out in the rows of their pools." default:"0"`
 	Pools    int            `help:"Pools, each with a queue." default:"5"`
 	Teams    int            `help:"Teams." default:"6"`
 	Keys     int            `help:"Keys of each team; the first of team_0001 is printed." default:"3"`
-	// Since matters to the controller, which tells VMs that serve again to take work.
+	// Since matters because the controller tells VMs that recently began to serve again
+	// to accept work.
 	Since   time.Duration  `help:"How long ago the VMs began to serve." default:"1h"`
 	Targets netip.AddrPort `help:"First address of the VMs' task services." default:"127.0.0.1:20000"`
-	// Churn rewrites allotment rows as limits that move do, but of teams of its own.
-	Churn float64 `help:"Moves of allotments a second, in turn over the teams." default:"0"`
+	// Churn rewrites allotment rows in the way of allotments that move between entries,
+	// for teams that exist only for this purpose.
+	Churn float64 `help:"Moves of allotments per second, by the teams in turn." default:"0"`
 
 	client *platform.Client
 	writes []table.Write
 }
 
-// Run fills the table, prints "filled", and stands in for the VMs until ctx ends.
+// Run fills the table, prints "filled" and the first key of team_0001, and simulates the
+// VMs until ctx ends.
 func (c *fillCommand) Run(ctx context.Context) error {
 	if err := loopbackOnly([]netip.AddrPort{c.Platform, c.Control}); err != nil {
 		return err
@@ -73,14 +77,15 @@
 	}
 	fmt.Println("filled", c.key(1, 0))
 	var g supervisor.Group
-	g.Go(func() { _ = supervisor.Every(ctx, livePost, c.postLive) })
+	g.Go(func() { _ = supervisor.Every(ctx, livePostInterval, c.postLive) })
 	g.Go(func() { c.churn(ctx) })
 	err := c.serveControl(ctx)
 	g.Wait()
 	return err
 }
 
-// configRows writes pools, queues, teams and keys, and last the head.
+// configRows adds the rows of pools, queues, teams and keys, and finally the head of the
+// configuration.
 func (c *fillCommand) configRows() {
 	for i := range c.Pools {
 		c.set(table.PoolConfigKey(c.pool(i)), config.Pool{MaxUnavailable: 2, LendsIdle: true})
@@ -94,12 +99,13 @@
 	}
 	version := core.Version(c.Teams*(1+c.Keys) + 2*c.Pools)
 	c.set(table.ConfigHead, config.Head{Version: version, Change: "fill"})
-	// The audit records of these rows are left out, so they count as exported and
-	// deleted: else every exporter would look for each of them.
+	// These changes have no audit records. They are marked as exported and deleted, since
+	// otherwise every exporter would look for each of the missing records.
 	c.set("export/audit", map[string]core.Version{"version": version, "deleted": version})
 }
 
-// fleetRows writes the rows of VMs, and of pools with the VMs that are out.
+// fleetRows adds the rows of the VMs, and the rows of the pools, which list the VMs that
+// are out.
 func (c *fillCommand) fleetRows() {
 	pools := make([]fleet.Pool, c.Pools)
 	for i := range pools {
@@ -111,7 +117,7 @@
 			ref, pool := fleet.Ref{Zone: z, VM: vmName(z, i)}, &pools[i%c.Pools]
 			vm := fleet.VM{
 				Pool: c.pool(i % c.Pools), Slots: 8, Connections: 64, Since: since,
-				Rack:    core.RackID(fmt.Sprintf("rack_%s_%03d", z, i/rackVMs)),
+				Rack:    core.RackID(fmt.Sprintf("rack_%s_%03d", z, i/vmsPerRack)),
 				Address: netip.AddrPortFrom(c.Targets.Addr(), c.Targets.Port()+uint16(i)).String(),
 			}
 			pool.Size, pool.Members = pool.Size+1, pool.Members+1
@@ -130,14 +136,14 @@
 func (c *fillCommand) set(key table.Key, value any) {
 	var t table.Transaction
 	if err := t.Set(key, value); err != nil {
-		panic(err) // all values are plain structs
+		panic(err) // All values are plain structs, which can be encoded.
 	}
 	c.writes = append(c.writes, t.Writes...)
 }
 
 func (c *fillCommand) flush(ctx context.Context) error {
 	for len(c.writes) > 0 {
-		n := min(fillBatch, len(c.writes))
+		n := min(rowsPerTransaction, len(c.writes))
 		if err := c.client.Transact(ctx, table.Transaction{Writes: c.writes[:n]}); err != nil {
 			return errors.Wrap(err, "fill the table")
 		}
@@ -146,8 +152,8 @@
 	return nil
 }
 
-// churn rewrites the two rows of a move, Churn times a second, in one zone after the
-// other.
+// churn rewrites the two rows that the move of an allotment changes, Churn times a second,
+// in one zone after the other.
 func (c *fillCommand) churn(ctx context.Context) {
 	if c.Churn == 0 {
 		return
@@ -156,24 +162,24 @@
 	step := time.Duration(float64(time.Second) / c.Churn)
 	_ = supervisor.Every(ctx, step, func(ctx context.Context) {
 		team := core.TeamID(fmt.Sprintf("moves_%04d", n%churnTeams))
-		parts := limit.ZoneRow{Entries: make(map[core.EntryID]core.Slots)}
+		zoneRow := limit.ZoneRow{Entries: make(map[core.EntryID]core.Slots)}
 		for e := range churnEntries {
-			parts.Entries[core.EntryID(fmt.Sprintf("churn_%02d#%d", e, time.Now().UnixMilli()))] = core.Slots(1 + n%5)
+			zoneRow.Entries[core.EntryID(fmt.Sprintf("churn_%02d#%d", e, time.Now().UnixMilli()))] = core.Slots(1 + n%5)
 		}
-		all := limit.TeamRow{Limit: 200, Zones: make(map[core.ZoneID]core.Slots)}
+		teamRow := limit.TeamRow{Limit: 200, Zones: make(map[core.ZoneID]core.Slots)}
 		for z := range churnZones {
-			all.Zones[core.ZoneID(fmt.Sprintf("zone_%d", z+1))] = parts.Sum()
+			teamRow.Zones[core.ZoneID(fmt.Sprintf("zone_%d", z+1))] = zoneRow.Sum()
 		}
 		var t table.Transaction
 		zone := c.Zones[n%len(c.Zones)]
-		if t.Set(table.ZoneAllotmentKey(team, zone), parts) == nil && t.Set(table.TeamAllotmentKey(team), all) == nil {
+		if t.Set(table.ZoneAllotmentKey(team, zone), zoneRow) == nil && t.Set(table.TeamAllotmentKey(team), teamRow) == nil {
 			_ = c.client.Transact(ctx, t)
 		}
 		n++
 	})
 }
 
-// postLive keeps the VMs on the platform's list.
+// postLive reports all VMs to the platform, which keeps them on its live list.
 func (c *fillCommand) postLive(ctx context.Context) {
 	var posts []standin.LiveReport
 	for _, z := range c.Zones {
@@ -193,13 +199,13 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "live list not posted:", err)
+		fmt.Fprintln(os.Stderr, "report to the live list failed:", err)
 		return
 	}
 	_ = resp.Body.Close()
 }
 
-// serveControl answers for every VM that it is up and idle.
+// serveControl serves the control interface of all VMs, which reports each as up and idle.
 func (c *fillCommand) serveControl(ctx context.Context) error {
 	l, err := net.Listen("tcp", c.Control.String())
 	if err != nil {
--- a/cmd/lavenderpond-load/load.go
+++ b/cmd/lavenderpond-load/load.go
@@ -15,19 +15,19 @@
 	"lavenderpond/io/supervisor"
 )
 
-// maxRequests bounds a run, whatever is asked for.
+// maxRequests is the maximum number of requests of a run, whatever the flags say.
 const maxRequests = 2_000_000
 
-// shape is how the load is made, for both commands.
-type shape struct {
-	Concurrency int           `help:"Requests under way at once." default:"32"`
-	Rate        float64       `help:"Requests a second in all; 0: as many as answers allow." default:"0"`
-	For         time.Duration `help:"How long." default:"5s"`
+// loadFlags holds the flags that the commands entries and targets have in common.
+type loadFlags struct {
+	Concurrency int           `help:"Number of concurrent requests." default:"32"`
+	Rate        float64       `help:"Requests per second in total; 0 sends each request as soon as an earlier one is answered." default:"0"`
+	For         time.Duration `help:"Duration of the load." default:"5s"`
 	RunMs       int64         `help:"How long the stand-in target works on each request, in ms." default:"0"`
 	Bytes       int           `help:"Size of each answer, in bytes." default:"100"`
 }
 
-// result is what was measured.
+// result is the printed result of a run. Answers counts the answers by name.
 type result struct {
 	Requests  int            `json:"requests"`
 	Seconds   float64        `json:"seconds"`
@@ -38,44 +38,44 @@
 	Answers   map[string]int `json:"answers"`
 }
 
-// send makes request number n and names its answer.
-type send func(ctx context.Context, n int) string
+// sendFunc sends request number n, waits for the answer and returns its name.
+type sendFunc func(ctx context.Context, n int) string
 
-// run makes the load and measures it.
-func (s shape) run(ctx context.Context, do send) result {
-	ctx, cancel := context.WithTimeout(ctx, s.For)
+// run generates the load and measures the latency of every request.
+func (f loadFlags) run(ctx context.Context, send sendFunc) result {
+	ctx, cancel := context.WithTimeout(ctx, f.For)
 	defer cancel()
 	numbers := make(chan int)
 	var g supervisor.Group
 	var mu sync.Mutex
-	var times []time.Duration
+	var latencies []time.Duration
 	answers := make(map[string]int)
 	begin := time.Now()
-	g.Go(func() { s.pace(ctx, numbers) })
-	for range s.Concurrency {
+	g.Go(func() { f.pace(ctx, numbers) })
+	for range f.Concurrency {
 		g.Go(func() {
 			for n := range numbers {
 				start := time.Now()
-				answer := do(context.Background(), n)
-				took := time.Since(start)
+				answer := send(context.Background(), n)
+				latency := time.Since(start)
 				mu.Lock()
-				times = append(times, took)
+				latencies = append(latencies, latency)
 				answers[answer]++
 				mu.Unlock()
 			}
 		})
 	}
 	g.Wait()
-	return summary(times, time.Since(begin), answers)
+	return summarize(latencies, time.Since(begin), answers)
 }
 
-// pace hands out request numbers at the rate asked for until ctx ends.
-func (s shape) pace(ctx context.Context, numbers chan<- int) {
+// pace sends request numbers to the workers, at the requested rate, until ctx ends.
+func (f loadFlags) pace(ctx context.Context, numbers chan<- int) {
 	defer close(numbers)
 	begin := time.Now()
 	for n := range maxRequests {
-		if s.Rate > 0 {
-			due := begin.Add(time.Duration(float64(n) / s.Rate * float64(time.Second)))
+		if f.Rate > 0 {
+			due := begin.Add(time.Duration(float64(n) / f.Rate * float64(time.Second)))
 			time.Sleep(time.Until(due))
 		}
 		select {
@@ -86,17 +86,17 @@
 	}
 }
 
-func summary(times []time.Duration, took time.Duration, answers map[string]int) result {
-	slices.Sort(times)
-	at := func(q float64) float64 {
-		if len(times) == 0 {
+func summarize(latencies []time.Duration, elapsed time.Duration, answers map[string]int) result {
+	slices.Sort(latencies)
+	quantileMs := func(q float64) float64 {
+		if len(latencies) == 0 {
 			return 0
 		}
-		return float64(times[int(q*float64(len(times)-1))]) / float64(time.Millisecond)
+		return float64(latencies[int(q*float64(len(latencies)-1))]) / float64(time.Millisecond)
 	}
 	return result{
-		Requests: len(times), Seconds: took.Seconds(), PerSecond: float64(len(times)) / took.Seconds(),
-		P50Ms: at(0.5), P99Ms: at(0.99), MaxMs: at(1), Answers: answers,
+		Requests: len(latencies), Seconds: elapsed.Seconds(), PerSecond: float64(len(latencies)) / elapsed.Seconds(),
+		P50Ms: quantileMs(0.5), P99Ms: quantileMs(0.99), MaxMs: quantileMs(1), Answers: answers,
 	}
 }
 
@@ -104,9 +104,10 @@
 	return json.NewEncoder(os.Stdout).Encode(r)
 }
 
-// body is what the stand-in target works on.
-func (s shape) body() []byte {
-	return fmt.Appendf(nil, `{"run_ms":%d,"answer_bytes":%d}`, s.RunMs, s.Bytes)
+// body returns the body of a request, which tells the stand-in target how long to work
+// and how many bytes to answer.
+func (f loadFlags) body() []byte {
+	return fmt.Appendf(nil, `{"run_ms":%d,"answer_bytes":%d}`, f.RunMs, f.Bytes)
 }
 
 func loopbackOnly(addresses []netip.AddrPort) error {
--- a/cmd/lavenderpond-load/targets.go
+++ b/cmd/lavenderpond-load/targets.go
@@ -13,12 +13,12 @@
 )
 
 type targetsCommand struct {
-	shape
+	loadFlags
 	First netip.AddrPort `help:"Address of the first target; the others follow." required:""`
 	Count int            `help:"Number of targets, used in turn." default:"10"`
 }
 
-// Run loads the targets.
+// Run generates load on the targets. It names each answer after the type of its end.
 func (c *targetsCommand) Run(ctx context.Context) error {
 	if err := loopbackOnly([]netip.AddrPort{c.First}); err != nil {
 		return err
--- a/cmd/lavenderpond-standin/link.go
+++ b/cmd/lavenderpond-standin/link.go
@@ -18,11 +18,11 @@
 )
 
 type linkCommand struct {
-	Control netip.AddrPort `help:"Loopback address and port at which the links are told to cut and heal." default:"127.0.0.1:7950"`
+	Control netip.AddrPort `help:"Loopback address and port of the interface that sets the state of the links." default:"127.0.0.1:7950"`
 	Forward []string       `arg:"" help:"NAME=LISTEN=TARGET: forward connections of link NAME. A name may be given several times."`
 }
 
-// Run forwards until ctx ends.
+// Run forwards connections until ctx ends.
 func (c *linkCommand) Run(ctx context.Context, log zerolog.Logger) error {
 	links, err := parseLinks(c.Forward)
 	if err != nil {
@@ -39,11 +39,11 @@
 	node.Children = append(node.Children, supervisor.Child{Name: "control", Run: func(ctx context.Context) error {
 		return serve(ctx, c.Control, links.handler(), 0)
 	}})
-	log.Info().Stringer("control", c.Control).Int("links", len(links)).Msg("links forward")
+	log.Info().Stringer("control", c.Control).Int("links", len(links)).Msg("forwarding links")
 	return node.Run(ctx)
 }
 
-// linkSet is the links of a process, by name.
+// linkSet holds the links of a process by name.
 type linkSet map[string]*link.Link
 
 func parseLinks(forwards []string) (linkSet, error) {
@@ -64,7 +64,7 @@
 func parseForward(text string) (string, link.Forward, error) {
 	parts := strings.Split(text, "=")
 	if len(parts) != 3 {
-		return "", link.Forward{}, errors.Errorf("%d parts", len(parts))
+		return "", link.Forward{}, errors.Errorf("%d parts instead of 3", len(parts))
 	}
 	var f link.Forward
 	for part, to := range map[string]*netip.AddrPort{parts[1]: &f.Listen, parts[2]: &f.Target} {
@@ -80,50 +80,50 @@
 	return parts[0], f, nil
 }
 
-// linkOrder says what links should do from now on.
-type linkOrder struct {
-	// Links are patterns of names, as path.Match takes them.
+// linkRequest is the body of a call that changes the state of links.
+type linkRequest struct {
+	// Links are patterns of link names, in the syntax of path.Match.
 	Links []string   `json:"links"`
 	State link.State `json:"state"`
 	// Delay is added to each direction of an open link.
 	Delay time.Duration `json:"delay"`
 }
 
-// handler returns the control interface: POST /links takes a linkOrder.
+// handler returns the control interface. POST /links applies a linkRequest.
 func (s linkSet) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /links", func(w http.ResponseWriter, r *http.Request) {
-		var o linkOrder
-		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+		var req linkRequest
+		if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := s.apply(o); err != nil {
+		if err := s.apply(req); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		}
 	})
 	return mux
 }
 
-// apply changes the links that the order names; it must name some.
-func (s linkSet) apply(o linkOrder) error {
-	if !slices.Contains([]link.State{link.Open, link.Refused, link.Silent, link.Held, link.Deaf}, o.State) {
-		return errors.Errorf("unknown state %q", o.State)
+// apply changes the links that the request matches. It fails if there are none.
+func (s linkSet) apply(req linkRequest) error {
+	if !slices.Contains([]link.State{link.Open, link.Refused, link.Silent, link.Held, link.Deaf}, req.State) {
+		return errors.Errorf("unknown state %q", req.State)
 	}
 	found := 0
 	for name, l := range s {
-		for _, pattern := range o.Links {
+		for _, pattern := range req.Links {
 			if ok, err := path.Match(pattern, name); err != nil {
 				return errors.Wrap(err, pattern)
 			} else if ok {
-				l.Set(o.State, o.Delay)
+				l.Set(req.State, req.Delay)
 				found++
 				break
 			}
 		}
 	}
 	if found == 0 {
-		return errors.Errorf("no link matches %q", o.Links)
+		return errors.Errorf("no link matches %q", req.Links)
 	}
 	return nil
 }
--- a/cmd/lavenderpond-standin/outage_test.go
+++ b/cmd/lavenderpond-standin/outage_test.go
@@ -14,8 +14,8 @@
 	"lavenderpond/io/target/standin"
 )
 
-// TestOutage: a VM's rack loses its power and gets it back. While it is down it isn't
-// served; then it is again, and the others are served throughout.
+// TestOutage takes a VM down and brings it back. The VM is not served during the outage
+// and is served again afterwards. The other VM is served throughout.
 func TestOutage(t *testing.T) {
 	o := newOutages()
 	o.vms["vm-1"], o.vms["vm-2"] = &standin.VM{ID: "vm-1", Slots: 1}, &standin.VM{ID: "vm-2", Slots: 1}
@@ -33,16 +33,16 @@
 		})
 		assert.Equal(t, <-served, vm)
 	}
-	order := func(body string) int {
+	post := func(body string) int {
 		w := httptest.NewRecorder()
-		o.order(w, httptest.NewRequest(http.MethodPost, "/control/outage", strings.NewReader(body)))
+		o.handleOutage(w, httptest.NewRequest(http.MethodPost, "/control/outage", strings.NewReader(body)))
 		return w.Code
 	}
-	assert.Equal(t, order(`{"vms":["vm-1"],"down":true}`), http.StatusOK)
+	assert.Equal(t, post(`{"vms":["vm-1"],"down":true}`), http.StatusOK)
 	assert.Equal(t, <-ended, core.VMID("vm-1"))
-	assert.Equal(t, order(`{"vms":["vm-1"],"down":false}`), http.StatusOK)
+	assert.Equal(t, post(`{"vms":["vm-1"],"down":false}`), http.StatusOK)
 	assert.Equal(t, <-served, core.VMID("vm-1"))
-	assert.Equal(t, order(`{"vms":["vm-9"],"down":true}`), http.StatusBadRequest)
+	assert.Equal(t, post(`{"vms":["vm-9"],"down":true}`), http.StatusBadRequest)
 	cancel()
 	<-ended
 	<-ended
--- a/cmd/lavenderpond-standin/targets.go
+++ b/cmd/lavenderpond-standin/targets.go
@@ -18,14 +18,14 @@
 	"lavenderpond/io/target/standin"
 )
 
-// livePostInterval is how often the VMs say that they are there.
+// livePostInterval is how often the VMs report to the platform that they are up.
 const livePostInterval = time.Second
 
 type targetsCommand struct {
 	Listen      netip.AddrPort `help:"Loopback address and port of the first VM; the others follow." default:"127.0.0.1:8000"`
 	Count       int            `help:"Number of VMs." default:"10"`
 	Zone        string         `help:"Availability zone." required:""`
-	Prefix      string         `help:"Start of the VMs' names." default:"vm"`
+	Prefix      string         `help:"Prefix of the VMs' names." default:"vm"`
 	Slots       int            `help:"Slots per VM." default:"8"`
 	Connections int            `help:"Connections per VM." default:"64"`
 	Platform    string         `help:"URL of the platform's stand-in." default:"http://127.0.0.1:7000"`
@@ -40,7 +40,7 @@
 		starts = &standin.StartLog{}
 	}
 	var posts []platformstandin.LiveReport
-	out := newOutages()
+	vmOutages := newOutages()
 	for i := range c.Count {
 		vm := &standin.VM{
 			ID: core.VMID(fmt.Sprintf("%s-%03d", c.Prefix, i)), Slots: core.Slots(c.Slots), Log: starts,
@@ -50,27 +50,27 @@
 			Liveness: platform.Liveness{Name: string(vm.ID), Zone: core.ZoneID(c.Zone)},
 			Control:  "http://" + address.String(),
 		})
-		out.vms[vm.ID] = vm
-		handler := c.handler(vm, starts, out)
+		vmOutages.vms[vm.ID] = vm
+		handler := c.handler(vm, starts, vmOutages)
 		node.Children = append(node.Children, supervisor.Child{
 			Name: string(vm.ID),
 			Run: func(ctx context.Context) error {
-				return out.run(ctx, vm.ID, func(ctx context.Context) error { return serve(ctx, address, handler, c.Connections) })
+				return vmOutages.run(ctx, vm.ID, func(ctx context.Context) error { return serve(ctx, address, handler, c.Connections) })
 			},
 		})
 	}
 	node.Children = append(node.Children, supervisor.Child{Name: "live", Run: func(ctx context.Context) error {
-		return supervisor.Every(ctx, livePostInterval, func(ctx context.Context) { c.post(ctx, out.living(posts), log) })
+		return supervisor.Every(ctx, livePostInterval, func(ctx context.Context) { c.postLive(ctx, vmOutages.livePosts(posts), log) })
 	}})
-	log.Info().Stringer("listen", c.Listen).Int("count", c.Count).Str("zone", c.Zone).Msg("targets serve")
+	log.Info().Stringer("listen", c.Listen).Int("count", c.Count).Str("zone", c.Zone).Msg("serving targets")
 	return node.Run(ctx)
 }
 
-func (c *targetsCommand) handler(vm *standin.VM, starts *standin.StartLog, out *outages) http.Handler {
+func (c *targetsCommand) handler(vm *standin.VM, starts *standin.StartLog, vmOutages *outages) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/tasks/", vm.Handler())
 	mux.Handle("/control/", (&standin.Control{VM: vm}).Handler())
-	mux.HandleFunc("POST /control/outage", out.order)
+	mux.HandleFunc("POST /control/outage", vmOutages.handleOutage)
 	if starts != nil {
 		mux.HandleFunc("GET /control/starts", func(w http.ResponseWriter, _ *http.Request) {
 			_ = json.NewEncoder(w).Encode(starts.Starts())
@@ -79,8 +79,8 @@
 	return mux
 }
 
-// post keeps the VMs on the platform's live list.
-func (c *targetsCommand) post(ctx context.Context, posts []platformstandin.LiveReport, log zerolog.Logger) {
+// postLive reports the VMs to the platform, which keeps them on its live list.
+func (c *targetsCommand) postLive(ctx context.Context, posts []platformstandin.LiveReport, log zerolog.Logger) {
 	body, err := json.Marshal(posts)
 	if err != nil {
 		return
@@ -91,7 +91,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		log.Warn().Err(err).Msg("live list not reached")
+		log.Warn().Err(err).Msg("report to the live list failed")
 		return
 	}
 	_ = resp.Body.Close()
--- a/cmd/lavenderpond/client.go
+++ b/cmd/lavenderpond/client.go
@@ -18,20 +18,21 @@
 	"lavenderpond/io/supervisor"
 )
 
-// rounds is how often a change is offered to every entry in turn.
-const rounds = 3
+// maxRounds is how many times a change or request is offered to every entry in turn.
+const maxRounds = 3
 
-// pauseStep is the pause before the second round; it grows linearly.
-const pauseStep = 500 * time.Millisecond
+// roundPauseStep is the pause before the second round. Each later pause is longer by
+// the same amount.
+const roundPauseStep = 500 * time.Millisecond
 
 func pauseLinear(ctx context.Context, n int) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Duration(n) * pauseStep):
+	case <-time.After(time.Duration(n) * roundPauseStep):
 	}
 }
 
-// addresses returns the entries to ask.
+// addresses returns the addresses of the entries to call.
 func (a *app) addresses() ([]string, error) {
 	if len(a.Entry) == 0 {
 		return nil, failf(exitUsage, "no entry: give --entry IP:PORT or set $LAVENDERPOND_ENTRIES")
@@ -44,24 +45,24 @@
 	return a.Entry, nil
 }
 
-// dialTimeout bounds the making of a connection: an entry that is cut off must not
-// use up the time of the others.
+// dialTimeout limits how long connecting to an entry may take, so that an unreachable
+// entry doesn't use up the time of the others.
 const dialTimeout = 2 * time.Second
 
-// newHTTP returns a client that goes to the entries directly, whatever proxy the
-// environment names.
+// newHTTP returns a client that connects to the entries directly and ignores any proxy
+// that the environment configures.
 func newHTTP() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
 }
 
-// notSent reports whether err proves that nothing left this process: there was no
-// connection.
+// notSent reports whether err proves that nothing was sent, because no connection was
+// established.
 func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// operatorClient speaks to one entry with the operator key.
+// operatorClient calls the operators' service of one entry with the operator key.
 type operatorClient struct {
 	lavenderpondv1connect.OperatorServiceClient
 	address string
@@ -69,12 +70,12 @@
 	timeout time.Duration
 }
 
-func (a *app) operators() ([]operatorClient, error) {
+func (a *app) operatorClients() ([]operatorClient, error) {
 	addresses, err := a.addresses()
 	if err != nil {
 		return nil, err
 	}
-	key, err := a.secret(a.OperatorKeyFile, "LAVENDERPOND_OPERATOR_KEY")
+	key, err := a.readKey(a.OperatorKeyFile, "LAVENDERPOND_OPERATOR_KEY")
 	if err != nil {
 		return nil, err
 	}
@@ -101,44 +102,45 @@
 	return resp.Msg, nil
 }
 
-// askAny asks the entries in turn until one gives its word.
+// askAny calls the entries in turn until one answers. A refusal counts as an answer,
+// unless it says only that this entry doesn't reach the table.
 func askAny[Q, R any](a *app, f call[Q, R], m *Q) (*R, error) {
-	clients, err := a.operators()
+	clients, err := a.operatorClients()
 	if err != nil {
 		return nil, err
 	}
-	var down error
+	var tableDown error
 	for _, c := range clients {
 		reply, err := f.do(a.ctx, c, m)
-		e, heard := operator.FromConnect(err)
+		e, answered := operator.FromConnect(err)
 		switch {
 		case err == nil:
 			return reply, nil
-		case heard && e.Code == core.CodePlatformDown:
-			// Another entry's zone may not be cut off from the table.
-			down = e
-		case heard:
+		case answered && e.Code == core.CodePlatformDown:
+			// An entry in another zone may still reach the table.
+			tableDown = e
+		case answered:
 			return nil, e
 		default:
 			a.warnf("entry %s: %v\n", c.address, err)
 		}
 	}
-	if down != nil {
-		return nil, down
+	if tableDown != nil {
+		return nil, tableDown
 	}
 	return nil, failf(exitUnreachable, "no entry was reached")
 }
 
-// reply is one entry's word, or why there is none.
+// reply is the answer of one entry, or the error if there is none.
 type reply[R any] struct {
 	address string
 	value   *R
 	err     error
 }
 
-// askAll asks every entry at once. It fails only if none of them gave its word.
+// askAll calls all entries concurrently. It fails only if every call failed.
 func askAll[Q, R any](a *app, f call[Q, R], m *Q) ([]reply[R], error) {
-	clients, err := a.operators()
+	clients, err := a.operatorClients()
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +158,7 @@
 		if r.err == nil {
 			return replies, nil
 		}
-		if e, heard := operator.FromConnect(r.err); heard {
+		if e, answered := operator.FromConnect(r.err); answered {
 			refusal = e
 		}
 	}
@@ -166,10 +168,10 @@
 	return nil, failf(exitUnreachable, "no entry was reached: %v", replies[0].err)
 }
 
-// apply makes a change. A lost answer is settled by repeating the change under the
-// same id, at the same entry or another: it takes effect once.
+// apply makes a change. If an answer is lost, it repeats the change under the same id,
+// at the same entry or another one. The id ensures that the change takes effect once.
 func (a *app) apply(m *pb.ApplyChangeRequest) (*pb.ApplyChangeReply, error) {
-	clients, err := a.operators()
+	clients, err := a.operatorClients()
 	if err != nil {
 		return nil, err
 	}
@@ -180,10 +182,10 @@
 		return nil, err
 	}
 	f := call[pb.ApplyChangeRequest, pb.ApplyChangeReply](operatorClient.ApplyChange)
-	var last error
+	var lastErr error
 	unknown := false
 	shown := map[string]bool{}
-	for n := range rounds {
+	for n := range maxRounds {
 		if n > 0 {
 			a.pause(a.ctx, n)
 		}
@@ -192,25 +194,25 @@
 			if err == nil {
 				return reply, nil
 			}
-			e, heard := operator.FromConnect(err)
-			if heard && e.Code != core.CodeChangeUnknown && e.Code != core.CodePlatformDown {
+			e, answered := operator.FromConnect(err)
+			if answered && e.Code != core.CodeChangeUnknown && e.Code != core.CodePlatformDown {
 				return nil, e
 			}
-			unknown = unknown || heard && e.Code == core.CodeChangeUnknown || !heard && !notSent(err)
-			last = &failure{exitUnreachable, coded(err)}
-			if line := fmt.Sprintf("entry %s: %v\n", c.address, last); !shown[line] {
+			unknown = unknown || answered && e.Code == core.CodeChangeUnknown || !answered && !notSent(err)
+			lastErr = &exitError{exitUnreachable, entryError(err)}
+			if line := fmt.Sprintf("entry %s: %v\n", c.address, lastErr); !shown[line] {
 				shown[line] = true
 				a.warnf("%s", line)
 			}
 		}
 		if !unknown {
-			return nil, last
+			return nil, lastErr
 		}
 	}
 	return nil, core.Errorf(core.CodeChangeUnknown, "the change may have taken effect; repeat the command with --change-id %s", m.ChangeId)
 }
 
-// change makes a change and shows its version.
+// change makes a change and prints the configuration version that it produced.
 func (a *app) change(m *pb.ApplyChangeRequest) error {
 	reply, err := a.apply(m)
 	if err != nil {
--- a/cmd/lavenderpond/exit.go
+++ b/cmd/lavenderpond/exit.go
@@ -11,27 +11,27 @@
 	"lavenderpond/io/operator"
 )
 
-// exitCode is the status that the command ends with. docs/operators/command-line.md
-// has the same table.
+// exitCode is the exit status of the command. docs/operators/command-line.md lists the
+// same codes.
 type exitCode int
 
 // The exit codes.
 const (
-	exitDone           exitCode = 0
-	exitInternal       exitCode = 1
-	exitUsage          exitCode = 2
-	exitNotRun         exitCode = 3
-	exitOutcomeUnknown exitCode = 4
-	exitConflict       exitCode = 5
-	exitNotAuthorized  exitCode = 6
-	exitUnreachable    exitCode = 7
-	exitPartly         exitCode = 8
-	exitPending        exitCode = 9
-	exitRefused        exitCode = 10
+	exitDone            exitCode = 0
+	exitInternal        exitCode = 1
+	exitUsage           exitCode = 2
+	exitNotRun          exitCode = 3
+	exitOutcomeUnknown  exitCode = 4
+	exitConflict        exitCode = 5
+	exitNotAuthorized   exitCode = 6
+	exitUnreachable     exitCode = 7
+	exitPartlyConfirmed exitCode = 8
+	exitPending         exitCode = 9
+	exitRefused         exitCode = 10
 )
 
-// exits is the table of exit codes.
-var exits = []struct {
+// exitTable names and explains the exit codes. The index of a row is its code.
+var exitTable = []struct {
 	code          exitCode
 	name, meaning string
 }{
@@ -43,7 +43,7 @@
 	{exitConflict, "conflict", "Another change came first, or the state of the VM, pool or zone doesn't allow this one. Read again, then repeat under a new change id."},
 	{exitNotAuthorized, "not_authorized", "The operator key or team key is missing, wrong or withdrawn."},
 	{exitUnreachable, "unreachable", "The platform's table is down or no entry was reached. Nothing was changed, nothing ran."},
-	{exitPartly, "partly_confirmed", "Done where it could be confirmed; the report names the zones and entries where it can't be."},
+	{exitPartlyConfirmed, "partly_confirmed", "Done where it could be confirmed; the report names the zones and entries where it can't be."},
 	{exitPending, "pending", "The request is queued or running; fetch it again later."},
 	{exitRefused, "refused", "The change or the settings file is outside what is allowed: a reason is missing, a value is wrong, a budget is spent, a name is unknown, the settings file can't be read."},
 }
@@ -78,20 +78,20 @@
 	}
 }
 
-// failure is an error with an exit code of its own.
-type failure struct {
+// exitError is an error with an explicit exit code.
+type exitError struct {
 	exit exitCode
 	error
 }
 
-// Unwrap returns what the exit code is for.
-func (f *failure) Unwrap() error { return f.error }
+// Unwrap returns the error without its exit code.
+func (f *exitError) Unwrap() error { return f.error }
 
 func failf(exit exitCode, format string, args ...any) error {
-	return &failure{exit, errors.Errorf(format, args...)}
+	return &exitError{exit, errors.Errorf(format, args...)}
 }
 
-// problem is an error as it is shown.
+// problem is an error in the form in which it is printed.
 type problem struct {
 	Exit       int    `json:"exit_code"`
 	Name       string `json:"exit_name"`
@@ -103,25 +103,25 @@
 
 func problemOf(err error) problem {
 	p := problem{Exit: int(exitInternal), Detail: err.Error()}
-	var f *failure
-	var coded *core.Error
-	if errors.As(err, &coded) {
-		p.Exit, p.Code, p.CodeName, p.Detail = int(exitOf(coded.Code)), int(coded.Code), coded.Code.String(), coded.Detail
-		if !coded.ComeBackAt.IsZero() {
-			p.ComeBackAt = coded.ComeBackAt.UTC().Format(timeLayout)
+	var f *exitError
+	var coreErr *core.Error
+	if errors.As(err, &coreErr) {
+		p.Exit, p.Code, p.CodeName, p.Detail = int(exitOf(coreErr.Code)), int(coreErr.Code), coreErr.Code.String(), coreErr.Detail
+		if !coreErr.ComeBackAt.IsZero() {
+			p.ComeBackAt = coreErr.ComeBackAt.UTC().Format(timeLayout)
 		}
 	}
 	if errors.As(err, &f) {
 		p.Exit = int(f.exit)
 	}
-	p.Name = exits[p.Exit].name
+	p.Name = exitTable[p.Exit].name
 	return p
 }
 
-// show writes p to w as a line for a person, or as JSON.
+// show writes p to w, as text or as a line of JSON.
 func (p problem) show(w io.Writer, asJSON bool) {
 	if asJSON {
-		// A problem holds strings and numbers only.
+		// Encoding can't fail, since a problem holds only strings and numbers.
 		data, _ := json.Marshal(p)
 		_, _ = fmt.Fprintf(w, "%s\n", data)
 		return
@@ -136,8 +136,9 @@
 	}
 }
 
-// coded returns the entry's numbered refusal, or err itself.
-func coded(err error) error {
+// entryError returns the numbered error that the entry sent, or err itself if it doesn't
+// come from an entry.
+func entryError(err error) error {
 	if e, ok := operator.FromConnect(err); ok {
 		return e
 	}
--- a/cmd/lavenderpond/keys.go
+++ b/cmd/lavenderpond/keys.go
@@ -42,8 +42,8 @@
 	Team string `arg:"" help:"Team that the key speaks for."`
 }
 
-// granted is the JSON output of a grant.
-type granted struct {
+// grantOutput is the JSON output of a grant.
+type grantOutput struct {
 	Team    string `json:"team"`
 	Key     string `json:"key"`
 	Digest  string `json:"digest"`
@@ -51,8 +51,8 @@
 	Note    string `json:"note,omitempty"`
 }
 
-// Run grants a key. Only its digest leaves the command; the key is printed once the
-// grant is certain.
+// Run generates a key and grants it. Only the digest is sent. The key is printed after
+// the grant is confirmed, so a grant whose outcome is unknown discards the key.
 func (c keysGrantCmd) Run(a *app) error {
 	key := "lp_" + a.token()
 	digest := string(core.Digest(key))
@@ -67,7 +67,7 @@
 		return err
 	}
 	if a.Output == "json" {
-		data, err := json.Marshal(granted{c.Team, key, digest, reply.Version, reply.Note})
+		data, err := json.Marshal(grantOutput{c.Team, key, digest, reply.Version, reply.Note})
 		if err != nil {
 			return errors.Wrap(err, "encode key")
 		}
@@ -88,58 +88,59 @@
 	Reason string `help:"Why, for the record."`
 }
 
-// Run withdraws a key: it goes to every entry given, each of which sends it on and
-// tries to record it in the table.
+// Run withdraws a key. It sends the withdrawal to every entry given, and each of them
+// forwards it to the others and tries to record it in the table.
 func (c keysWithdrawCmd) Run(a *app) error {
 	author, err := a.author()
 	if err != nil {
 		return err
 	}
-	change := a.ChangeID
-	if change == "" {
-		change = "change-" + a.token()
+	changeID := a.ChangeID
+	if changeID == "" {
+		changeID = "change-" + a.token()
 	}
 	replies, err := askAll(a, operatorClient.Withdraw, &pb.WithdrawRequest{
-		ChangeId: change, Author: author, Digest: c.Digest, Team: c.Team, Reason: c.Reason,
+		ChangeId: changeID, Author: author, Digest: c.Digest, Team: c.Team, Reason: c.Reason,
 	})
 	if err != nil {
 		return err
 	}
 	merged := &pb.WithdrawReply{TableCode: uint32(core.CodePlatformDown), TableDetail: "no entry could record it"}
-	var r confirmed
+	var confirmations confirmationSet
 	for _, reply := range replies {
 		if reply.err != nil {
-			r.unreached(reply.address, reply.err)
+			confirmations.addUnreached(reply.address, reply.err)
 			continue
 		}
-		r.add(reply.value.Confirmations)
+		confirmations.add(reply.value.Confirmations)
 		if v := reply.value; merged.TableCode != 0 {
 			merged.TableCode, merged.TableDetail, merged.Version = v.TableCode, v.TableDetail, v.Version
 		}
 	}
-	merged.Confirmations = r.list()
-	if err := a.show(merged, r.grid()); err != nil {
+	merged.Confirmations = confirmations.list()
+	if err := a.show(merged, confirmations.grid()); err != nil {
 		return err
 	}
 	if merged.TableCode == 0 {
-		return r.failure("the withdrawal")
+		return confirmations.unconfirmedError("the withdrawal")
 	}
-	return notRecorded(merged, &r, change)
+	return unrecordedError(merged, &confirmations, changeID)
 }
 
-// notRecorded says what a withdrawal is worth that the table doesn't have. Entries
-// trust their keys on the word of a majority of zones: one that fewer zones hold may
-// be missed by an entry that is cut off or starts anew.
-func notRecorded(m *pb.WithdrawReply, r *confirmed, change string) error {
-	why := m.TableDetail
+// unrecordedError explains how far a withdrawal holds that isn't recorded in the table.
+// Without the table, an entry considers its key list current if a majority of zones
+// vouches for it. A withdrawal that only a minority of zones holds may therefore be
+// unknown to an entry that is cut off or restarts.
+func unrecordedError(m *pb.WithdrawReply, confirmations *confirmationSet, changeID string) error {
+	cause := m.TableDetail
 	if code := core.Code(m.TableCode); code == core.CodePlatformDown || code == core.CodeChangeUnknown {
-		why = code.String()
+		cause = code.String()
 	}
-	confirming, all := r.zones()
+	confirming, all := confirmations.zones()
 	if 2*confirming > all {
-		return failf(exitPartly, "in force in %d of %d zones, not yet recorded in the table: %s; repeat with --change-id %s once it can be",
-			confirming, all, why, change)
+		return failf(exitPartlyConfirmed, "in force in %d of %d zones, not yet recorded in the table: %s; repeat with --change-id %s once it can be",
+			confirming, all, cause, changeID)
 	}
-	return failf(exitPartly, "NOT SAFE: only %d of %d zones have it, the table doesn't: %s; repeat with --change-id %s until a majority of zones or the table has it",
-		confirming, all, why, change)
+	return failf(exitPartlyConfirmed, "NOT SAFE: only %d of %d zones have it, the table doesn't: %s; repeat with --change-id %s until a majority of zones or the table has it",
+		confirming, all, cause, changeID)
 }
--- a/cmd/lavenderpond/output.go
+++ b/cmd/lavenderpond/output.go
@@ -15,10 +15,10 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// timeLayout is how times are shown, in UTC.
+// timeLayout is the format of printed times, which are in UTC.
 const timeLayout = time.RFC3339
 
-// grid is a table for a person: a header and rows.
+// grid is a text table. Its first row is the header.
 type grid [][]string
 
 func (g *grid) add(cells ...any) {
@@ -35,7 +35,7 @@
 // show prints m as JSON, or g as a table.
 func (a *app) show(m proto.Message, g grid) error {
 	if a.Output == "json" {
-		data, err := encode(m)
+		data, err := encodeJSON(m)
 		a.printf("%s", data)
 		return err
 	}
@@ -46,24 +46,26 @@
 	return w.Flush()
 }
 
-// showView says on stderr that a list comes from an entry's view.
+// showView warns on standard error that a list comes from the configuration that an entry
+// holds, which may be outdated. It prints nothing if v is nil.
 func (a *app) showView(v *pb.View) {
 	if v != nil {
 		a.warnf("the table is down: this is the view of entry %s at version %d\n", v.Entry, v.Version)
 	}
 }
 
-// encode returns m as JSON with field names in snake case.
-func encode(m proto.Message) ([]byte, error) {
+// encodeJSON returns m as indented JSON with field names in snake case.
+func encodeJSON(m proto.Message) ([]byte, error) {
 	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	return indent(data)
+	return normalizeJSON(data)
 }
 
-// indent gives JSON one form; protojson varies its spaces from run to run.
-func indent(data []byte) ([]byte, error) {
+// normalizeJSON indents JSON in a fixed way, because protojson varies its whitespace from
+// run to run.
+func normalizeJSON(data []byte) ([]byte, error) {
 	var compact, out bytes.Buffer
 	if err := json.Compact(&compact, data); err != nil {
 		return nil, err
@@ -75,14 +77,14 @@
 	return out.Bytes(), nil
 }
 
-func when(t *timestamppb.Timestamp) string {
+func formatTime(t *timestamppb.Timestamp) string {
 	if t == nil {
 		return ""
 	}
 	return t.AsTime().UTC().Format(timeLayout)
 }
 
-// orDefault shows a zero as the default that then holds.
+// orDefault formats a setting for which zero means that the default applies.
 func orDefault(n int32) string {
 	if n == 0 {
 		return "default"
--- a/cmd/lavenderpond/page_test.go
+++ b/cmd/lavenderpond/page_test.go
@@ -19,7 +19,7 @@
 	"lavenderpond/io/gen/lavenderpond/v1/lavenderpondv1connect"
 )
 
-// TestCommandLinePage holds docs/operators/command-line.md equal to the code: its
+// TestCommandLinePage checks that docs/operators/command-line.md matches the code: the
 // exit codes, the exit code of every result code, and the help of every command.
 func TestCommandLinePage(t *testing.T) {
 	t.Setenv("COLUMNS", "100")
@@ -27,19 +27,19 @@
 	assert.NilError(t, err)
 	var b strings.Builder
 	b.WriteString(pageHead)
-	for i, e := range exits {
+	for i, e := range exitTable {
 		assert.Equal(t, int(e.code), i)
 		fmt.Fprintf(&b, "| %d | `%s` | %s |\n", e.code, e.name, e.meaning)
 	}
 	b.WriteString("\n## Exit code of each result code\n\n| result code | exit code |\n|---|---|\n")
 	for _, info := range core.Codes() {
-		fmt.Fprintf(&b, "| %d `%s` | %d `%s` |\n", info.Code, info.Name, exitOf(info.Code), exits[exitOf(info.Code)].name)
+		fmt.Fprintf(&b, "| %d `%s` | %d `%s` |\n", info.Code, info.Name, exitOf(info.Code), exitTable[exitOf(info.Code)].name)
 	}
 	b.WriteString("\nFor a request, `malformed` gives 3, and an answer whose outcome is unknown always gives 4.\n\n## Commands\n\nThe flags of `lavenderpond` itself go with every command.\n")
 	fmt.Fprintf(&b, "\n```\n%s```\n", help(t))
 	for _, command := range commands(t) {
 		text := help(t, command...)
-		// The common flags end at the first empty line after "Flags:".
+		// The common flags end at the first empty line after "Flags:". The page lists them once.
 		head, rest, _ := strings.Cut(text, "\nFlags:\n")
 		_, own, _ := strings.Cut(rest, "\n\n")
 		if own != "" {
@@ -50,8 +50,9 @@
 	golden.Assert(t, b.String(), page)
 }
 
-// TestNotSent: nothing listens at the entry's port. The command can say for certain
-// that nothing was sent; an answer that is cut off proves no such thing.
+// TestNotSent checks that only a failed dial counts as proof that nothing was sent. If
+// nothing listens at the entry's port, nothing was sent. If the connection breaks before
+// the answer is complete, the call may have taken effect.
 func TestNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/cmd/lavenderpond/status.go
+++ b/cmd/lavenderpond/status.go
@@ -13,8 +13,8 @@
 
 type statusCmd struct{}
 
-// Run shows the status of every entry that the entries given know of. An entry's
-// own word, or that of one that reached it, goes before "no answer".
+// Run lists the status of every entry that is known to the entries given. A status from
+// an entry itself, or from one that reached it, takes precedence over "no answer".
 func (statusCmd) Run(a *app) error {
 	replies, err := askAll(a, operatorClient.FleetStatus, &pb.FleetStatusRequest{})
 	if err != nil {
@@ -24,14 +24,14 @@
 	entries := map[string]*pb.EntryStatus{}
 	for _, r := range replies {
 		if r.err != nil {
-			a.warnf("entry %s: %v\n", r.address, coded(r.err))
+			a.warnf("entry %s: %v\n", r.address, entryError(r.err))
 			continue
 		}
 		merged.Version = max(merged.Version, r.value.Version)
 		for _, e := range r.value.Entries {
-			at := e.Zone + "/" + e.Entry
-			if old := entries[at]; old == nil || !old.Reachable {
-				entries[at] = e
+			key := e.Zone + "/" + e.Entry
+			if old := entries[key]; old == nil || !old.Reachable {
+				entries[key] = e
 			}
 		}
 	}
@@ -42,17 +42,17 @@
 			unreached++
 		}
 	}
-	sort.Slice(merged.Entries, func(i, j int) bool { return before(merged.Entries[i], merged.Entries[j]) })
+	sort.Slice(merged.Entries, func(i, j int) bool { return entryLess(merged.Entries[i], merged.Entries[j]) })
 	if err := a.show(merged, statusGrid(a.now(), merged)); err != nil {
 		return err
 	}
 	if unreached > 0 {
-		return failf(exitPartly, "%d of %d entries gave no answer to any entry that was asked", unreached, len(entries))
+		return failf(exitPartlyConfirmed, "%d of %d entries gave no answer to any entry that was asked", unreached, len(entries))
 	}
 	return nil
 }
 
-func before(a, b *pb.EntryStatus) bool {
+func entryLess(a, b *pb.EntryStatus) bool {
 	if a.Zone != b.Zone {
 		return a.Zone < b.Zone
 	}
@@ -80,29 +80,29 @@
 	Version uint64 `arg:"" help:"Configuration version, as a change prints it."`
 }
 
-// Run shows where a version is in force.
+// Run lists the entries at which a configuration version is in force.
 func (c whereCmd) Run(a *app) error {
 	replies, err := askAll(a, operatorClient.Where, &pb.WhereRequest{Version: c.Version})
 	if err != nil {
 		return err
 	}
-	var r confirmed
+	var confirmations confirmationSet
 	for _, reply := range replies {
 		if reply.err != nil {
-			r.unreached(reply.address, reply.err)
+			confirmations.addUnreached(reply.address, reply.err)
 			continue
 		}
-		r.add(reply.value.Confirmations)
+		confirmations.add(reply.value.Confirmations)
 	}
-	if err := a.show(&pb.WhereReply{Confirmations: r.list()}, r.grid()); err != nil {
+	if err := a.show(&pb.WhereReply{Confirmations: confirmations.list()}, confirmations.grid()); err != nil {
 		return err
 	}
-	return r.failure(fmt.Sprintf("version %d", c.Version))
+	return confirmations.unconfirmedError(fmt.Sprintf("version %d", c.Version))
 }
 
 type dumpCmd struct{}
 
-// Run prints one JSON object with the state of each entry by its address.
+// Run prints a JSON object that maps the address of each entry to its state.
 func (dumpCmd) Run(a *app) error {
 	replies, err := askAll(a, operatorClient.Dump, &pb.DumpRequest{})
 	if err != nil {
@@ -112,7 +112,7 @@
 	failed := 0
 	for _, r := range replies {
 		if r.err != nil {
-			a.warnf("entry %s: %v\n", r.address, coded(r.err))
+			a.warnf("entry %s: %v\n", r.address, entryError(r.err))
 			failed++
 			continue
 		}
@@ -124,7 +124,7 @@
 	}
 	a.printf("%s\n", data)
 	if failed > 0 {
-		return failf(exitPartly, "%d of %d entries were not reached", failed, len(replies))
+		return failf(exitPartlyConfirmed, "%d of %d entries were not reached", failed, len(replies))
 	}
 	return nil
 }
--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -13,38 +13,39 @@
 	"lavenderpond/core/table"
 )
 
-// The two sizes of the users' brief and letter.
+// The fleet sizes of the experiment: the current one and the one expected in two years.
 var (
 	Today = Size{Name: "today", Zones: 3, Pools: 4, PoolVMs: 10, SpareVMs: 10, RackVMs: 4, MaxUnavailable: 2}
-	// TwoYears has 214 pools of 46 VMs and a spare pool: 10,000 VMs.
+	// TwoYears has 214 pools of 46 VMs and a spare pool, 10,000 VMs in total.
 	TwoYears = Size{Name: "two_years", Zones: 7, Pools: 214, PoolVMs: 46, SpareVMs: 156, RackVMs: 4, MaxUnavailable: 4}
 )
 
-// failureRates are the letter's: 170 of 10,000 VMs fail a day, one rack of its
-// 2,500 a week. How long a failure lasts, and how many VMs stay away after a
-// reboot, the letter doesn't say; a tenth for hours and 0.5% are assumed.
-var failureRates = Faults{PerVMDay: 170.0 / 10000, LongShare: 0.1, PerRackWeek: 1.0 / 2500, NotBack: 0.005}
+// failureRates are the rates that users expect at the two-year size: of 10,000 VMs, 170
+// fail per day, and of 2,500 racks, one fails per week. Two values are assumptions: a
+// tenth of the failures lasts for hours, and after 0.5% of the reboots the VM stays down
+// for hours.
+var failureRates = Faults{FailuresPerVMDay: 170.0 / 10000, LongFailureShare: 0.1, FailuresPerRackWeek: 1.0 / 2500, NotBackShare: 0.005}
 
-// Times of the experiment. A step is the controller's tick here.
+// Durations of the experiment. A step corresponds to a tick of the controller.
 const (
-	stepTime   = time.Minute
-	rebootTime = 3 * time.Minute
-	drainTime  = 20 * time.Minute
-	cycle      = 7 * 7 * 24 * time.Hour
-	// countEvery is how many steps go by between two looks at the whole fleet.
-	countEvery = 10
+	stepTime         = time.Minute
+	rebootTime       = 3 * time.Minute
+	drainTime        = 20 * time.Minute
+	maintenanceCycle = 7 * 7 * 24 * time.Hour
+	// stepsPerSample is the number of steps between two samples of the whole fleet.
+	stepsPerSample = 10
 )
 
-// start is an arbitrary fixed date.
-var start = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
+// runStart is the simulated time at which a roll-out starts, an arbitrary date.
+var runStart = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
 func init() {
 	experiment.Register(Experiment{Size: Today})
 	experiment.Register(Experiment{Size: TwoYears})
 }
 
-// Experiment maintains every VM of a fleet once, by the daemon's planner and by
-// the naive one, under the same rates of failure.
+// Experiment maintains every VM of a fleet once, with the daemon's planner and with the
+// naive planner, at the same failure rates.
 type Experiment struct{ Size Size }
 
 var _ experiment.Experiment = Experiment{}
@@ -59,22 +60,22 @@
 
 // Run implements experiment.Experiment.
 //
-// The naive waves have the size that the fleet's budgets add up to per zone, so
-// that roll-out times compare, and one of a single VM per zone, the careful use
-// of the naive planner.
+// The naive planner runs with two wave sizes. The first is the sum of the pools' budgets
+// per zone, so that the roll-out takes a comparable time. The second is an eighth of it,
+// at least one VM, which is the careful use of the naive planner.
 func (e Experiment) Run(seed uint64) []experiment.Row {
-	fair := max(1, e.Size.Pools*e.Size.MaxUnavailable/e.Size.Zones)
+	budgetWave := max(1, e.Size.Pools*e.Size.MaxUnavailable/e.Size.Zones)
 	var rows []experiment.Row
 	for _, v := range []struct {
-		name    string
-		planner maintenance.Planner
-		gated   bool
+		name     string
+		planner  maintenance.Planner
+		budgeted bool
 	}{
 		{"spread", spread.Planner{}, true},
-		{"naive", fixed.Planner{Size: fair}, false},
-		{"naive_small", fixed.Planner{Size: max(1, fair/8)}, false},
+		{"naive", fixed.Planner{Size: budgetWave}, false},
+		{"naive_small", fixed.Planner{Size: max(1, budgetWave/8)}, false},
 	} {
-		r := e.roll(seed, v.planner, v.gated)
+		r := e.rollOut(seed, v.planner, v.budgeted)
 		for _, m := range r.measures() {
 			rows = append(rows, experiment.Row{
 				Experiment: e.Name(), Workload: e.Size.Name, Variant: v.name, Seed: seed, Measure: m.name, Value: m.value,
@@ -84,42 +85,43 @@
 	return rows
 }
 
-// run is one roll-out.
-type run struct {
+// rollout is the state of one roll-out of maintenance over the fleet.
+type rollout struct {
 	size  Size
 	world *World
 	zones []*Zone
-	// ended is when the last zone finished; zero if it didn't.
-	ended  time.Time
-	halted int
-	steps  int
-	// spareIdle adds up the idle spare VMs of each look, and short the VMs that
-	// were missing beyond a pool's budget.
-	spareIdle, short int
+	// endedAt is when the last zone finished. It is zero if a zone did not finish.
+	endedAt time.Time
+	halts   int
+	steps   int
+	// idleSpareVMs adds up the idle spare VMs in all samples, missingVMs the VMs that
+	// the pools lacked beyond their budgets.
+	idleSpareVMs, missingVMs int
 }
 
-// roll runs until every zone finished or the deadline passed. A naive run is not
-// gated: the pools' rows allow any number of stops, as it knows no budgets.
-func (e Experiment) roll(seed uint64, p maintenance.Planner, gated bool) *run {
+// rollOut runs until every zone finished or the deadline passed. If budgeted is false, the
+// rows of the pools allow any number of stops, as for a planner without budgets.
+func (e Experiment) rollOut(seed uint64, p maintenance.Planner, budgeted bool) *rollout {
 	rowBudget := e.Size.MaxUnavailable
-	if !gated {
+	if !budgeted {
 		rowBudget = e.Size.PoolVMs
 	}
-	w := NewWorld(seed, start, e.Size, rowBudget)
-	w.Faults, w.RebootTime, w.DrainTime, w.Unseen = failureRates, rebootTime, drainTime, 2*stepTime
-	r := &run{size: e.Size, world: w}
+	w := NewWorld(seed, runStart, e.Size, rowBudget)
+	w.Faults, w.RebootTime, w.DrainTime, w.DetectionDelay = failureRates, rebootTime, drainTime, 2*stepTime
+	r := &rollout{size: e.Size, world: w}
 	for i := range e.Size.Zones {
 		z := &Zone{World: w, ID: core.ZoneID(fmt.Sprintf("z%d", i)), Planner: p}
 		r.zones = append(r.zones, z)
-		z.begin(w.Now.Add(cycle), max(maintenance.DefaultMaxNotBack, len(w.order)/e.Size.Zones/50))
+		z.startWave(w.Now.Add(maintenanceCycle), max(maintenance.DefaultMaxNotBack, len(w.vms)/e.Size.Zones/50))
 	}
-	for w.Now.Before(start.Add(cycle)) && r.step() {
+	for w.Now.Before(runStart.Add(maintenanceCycle)) && r.step() {
 		r.steps++
 	}
 	return r
 }
 
-func (z *Zone) begin(deadline time.Time, maxNotBack int) {
+// startWave plans and starts the maintenance of all VMs of the zone.
+func (z *Zone) startWave(deadline time.Time, maxNotBack int) {
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
 		func(r maintenance.WaveRow) (table.Transaction, error) {
 			return maintenance.Plan(z.World.Now, r, maintenance.OperatorChange{Author: "experiment", Change: "plan"}, deadline, maxNotBack)
@@ -128,14 +130,14 @@
 			return maintenance.Start(r, maintenance.OperatorChange{Author: "experiment", Change: "start"})
 		},
 	} {
-		if err := z.Order(build); err != nil {
+		if err := z.ApplyOperatorChange(build); err != nil {
 			panic(err)
 		}
 	}
 }
 
-// step advances the fleet by a tick and reports whether a zone is still at work.
-func (r *run) step() bool {
+// step advances the fleet by a tick and reports whether a zone still runs its wave.
+func (r *rollout) step() bool {
 	r.world.Advance(stepTime)
 	working := false
 	for _, z := range r.zones {
@@ -146,10 +148,10 @@
 		case maintenance.Running:
 			working = true
 		case maintenance.Halted:
-			// The operator looks and goes on.
-			r.halted++
+			// The operator resumes a halted wave at once.
+			r.halts++
 			working = true
-			err := z.Order(func(w maintenance.WaveRow) (table.Transaction, error) {
+			err := z.ApplyOperatorChange(func(w maintenance.WaveRow) (table.Transaction, error) {
 				return maintenance.Start(w, maintenance.OperatorChange{Author: "experiment", Change: core.ChangeID(fmt.Sprint(r.world.Now))})
 			})
 			if err != nil {
@@ -157,28 +159,29 @@
 			}
 		}
 	}
-	if r.steps%countEvery == 0 {
-		r.count()
+	if r.steps%stepsPerSample == 0 {
+		r.sample()
 	}
 	if !working {
-		r.ended = r.world.Now
+		r.endedAt = r.world.Now
 	}
 	return working
 }
 
-func (r *run) count() {
+// sample adds the idle spare VMs and the missing VMs at the current time to the sums.
+func (r *rollout) sample() {
 	missing := make(map[core.PoolID]int)
-	for _, m := range r.world.order {
-		switch serves := r.world.serves(m); {
-		case m.row.VM.Pool == SparePool && serves:
-			r.spareIdle++
-		case m.row.VM.Pool != SparePool && serves:
-			missing[m.row.VM.Pool]--
+	for _, v := range r.world.vms {
+		switch serves := r.world.serves(v); {
+		case v.row.VM.Pool == SparePool && serves:
+			r.idleSpareVMs++
+		case v.row.VM.Pool != SparePool && serves:
+			missing[v.row.VM.Pool]--
 		}
 	}
 	for id, size := range r.world.Sizes {
 		if id != SparePool {
-			r.short += max(0, missing[id]+size-r.world.Budget)
+			r.missingVMs += max(0, missing[id]+size-r.world.Budget)
 		}
 	}
 }
@@ -188,41 +191,41 @@
 	value float64
 }
 
-func (r *run) measures() []measure {
+func (r *rollout) measures() []measure {
 	missed, reboots := 0, 0
-	for _, m := range r.world.order {
-		if m.row.VM.LastMaintained.Before(start) {
+	for _, v := range r.world.vms {
+		if v.row.VM.LastMaintained.Before(runStart) {
 			missed++
 		}
-		reboots += m.Reboots
+		reboots += v.Reboots
 	}
 	moves := 0
 	for _, z := range r.zones {
 		moves += z.Moves
 	}
-	ended := r.ended
-	if ended.IsZero() {
-		ended = r.world.Now
+	endedAt := r.endedAt
+	if endedAt.IsZero() {
+		endedAt = r.world.Now
 	}
-	looks := float64(r.steps/countEvery + 1)
+	samples := float64(r.steps/stepsPerSample + 1)
 	return []measure{
-		{"rollout_hours", ended.Sub(start).Hours()},
+		{"rollout_hours", endedAt.Sub(runStart).Hours()},
 		{"breaches", float64(len(r.world.Breaches))},
 		{"cut_off", float64(len(r.world.CutOff))},
-		{"short_vm_hours", float64(r.short) * countEvery * stepTime.Hours()},
+		{"short_vm_hours", float64(r.missingVMs) * stepsPerSample * stepTime.Hours()},
 		{"moves", float64(moves)},
 		{"stops", float64(r.world.Stops)},
-		{"halts", float64(r.halted)},
+		{"halts", float64(r.halts)},
 		{"missed", float64(missed)},
-		{"spare_idle_mean", float64(r.spareIdle) / looks},
-		{"vms_failed", float64(r.failed())},
+		{"spare_idle_mean", float64(r.idleSpareVMs) / samples},
+		{"vms_failed", float64(r.failedVMs())},
 	}
 }
 
-func (r *run) failed() int {
+func (r *rollout) failedVMs() int {
 	n := 0
-	for _, m := range r.world.order {
-		if m.row.VM.State == fleet.Failed {
+	for _, v := range r.world.vms {
+		if v.row.VM.State == fleet.Failed {
 			n++
 		}
 	}
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -1,7 +1,7 @@
-// Package maintenance compares the planners of VM maintenance under seeded
-// failures. Its World, a small fake of VMs and their platform, also serves the
-// failure tests of maintenance: it knows which VMs really serve, and checks the
-// pools' budgets by that alone.
+// Package maintenance compares the planners of VM maintenance under pseudo-random
+// failures. Its World simulates VMs and their platform. It knows which VMs really serve,
+// whatever their rows say, and checks the budgets of the pools against that. The failure
+// tests of maintenance use it, too.
 package maintenance
 
 import (
@@ -18,103 +18,107 @@
 	"lavenderpond/core/table"
 )
 
-// Machine is a VM as it really is, whatever its row says.
-type Machine struct {
+// SimulatedVM is the actual state of a VM, which may differ from its row in the table.
+type SimulatedVM struct {
 	Ref  fleet.Ref
 	Rack core.RackID
 	Up   bool
-	// BackAt is when a VM that is down comes back; zero for never.
+	// BackAt is when a VM that is down comes back. Zero means never.
 	BackAt time.Time
 	// DownSince is when the VM went down.
 	DownSince time.Time
-	// Planned says that a reboot took the VM down, not a failure.
+	// Planned says that the VM is down because of a reboot, not because of a failure.
 	Planned bool
-	// BusyUntil is when what runs on the VM ends.
+	// BusyUntil is when the last task that runs on the VM ends.
 	BusyUntil time.Time
-	// RefusesUntil is until when the VM refuses new work.
+	// RefusesUntil is the time until which the VM refuses new work.
 	RefusesUntil time.Time
-	// Reboots counts the reboots.
+	// Reboots counts the VM's reboots.
 	Reboots int
 
-	// row is replaced when it changes, and never changed itself.
+	// row is the decoded row of the VM. It is replaced as a whole when the row changes.
 	row *fleet.VMRow
-	// fence is the highest version that a request for the VM carried.
+	// fence is the highest row version that a drain of the VM carried. Requests with a
+	// lower one are refused.
 	fence core.Version
 }
 
-// Size describes a fleet.
+// Size describes the size of a fleet. Every pool has PoolVMs VMs, of which MaxUnavailable
+// may be out, and every rack has RackVMs VMs. SpareVMs is the size of the spare pool.
 type Size struct {
 	Name                            string
 	Zones, Pools, PoolVMs, SpareVMs int
 	RackVMs, MaxUnavailable         int
 }
 
-// Faults are the rates of what goes wrong. Zero rates mean never.
+// Faults holds the rates of failures. With a rate of zero, the failure never happens.
 type Faults struct {
-	// PerVMDay is how often a VM fails in a day.
-	PerVMDay float64
-	// LongShare is the share of failures that last for hours; the others end
+	// FailuresPerVMDay is the mean number of failures of a VM per day.
+	FailuresPerVMDay float64
+	// LongFailureShare is the fraction of VM failures that last for hours. The others end
 	// within minutes.
-	LongShare float64
-	// PerRackWeek is how often a rack fails in a week.
-	PerRackWeek float64
-	// NotBack is the share of reboots after which a VM stays away for hours.
-	NotBack float64
+	LongFailureShare float64
+	// FailuresPerRackWeek is the mean number of failures of a rack per week.
+	FailuresPerRackWeek float64
+	// NotBackShare is the fraction of reboots after which the VM stays down for hours.
+	NotBackShare float64
 }
 
-// World is a fleet as it really is, and the platform's table. Its clock is Now.
+// World is a simulated fleet, together with the platform's table. Its clock is Now.
 type World struct {
 	Rand   *rand.Rand
 	Now    time.Time
 	Table  table.Memory
 	Faults Faults
-	// RebootTime is the mean time that a reboot takes.
+	// RebootTime is the mean duration of a reboot.
 	RebootTime time.Duration
-	// DrainTime is the mean time that work goes on after a drain began; 0 leaves
-	// BusyUntil to the test.
+	// DrainTime is the mean time for which work continues after a drain began. If it is
+	// zero, the test sets BusyUntil itself.
 	DrainTime time.Duration
-	// Unseen is how long a failure may stay unknown before a planned stop counts
-	// as a breach because of it.
-	Unseen time.Duration
-	// Unfenced lets the platform take requests that come too late.
+	// DetectionDelay is how long a failure may remain undetected. Until then, it doesn't
+	// turn a planned stop into a breach.
+	DetectionDelay time.Duration
+	// Unfenced makes the platform accept requests that come too late.
 	Unfenced bool
-	// Budget is the true budget of the pools, and Sizes their true sizes: rows may
-	// be told otherwise.
+	// Budget is the actual availability budget of each pool, and Sizes holds the actual
+	// sizes. The rows of the pools may differ.
 	Budget int
 	Sizes  map[core.PoolID]int
 
-	// Breaches lists planned stops beyond a budget, CutOff those that hit running
-	// work, Stops counts all.
+	// Breaches lists the planned stops that exceeded a budget, CutOff those that
+	// interrupted running work. Stops counts all planned stops.
 	Breaches, CutOff []string
 	Stops            int
 
-	order    []*Machine
-	machines map[fleet.Ref]*Machine
-	racks    map[core.RackID][]*Machine
+	vms      []*SimulatedVM
+	vmsByRef map[fleet.Ref]*SimulatedVM
+	racks    map[core.RackID][]*SimulatedVM
 	rackIDs  []core.RackID
 	pools    map[core.PoolID]fleet.PoolRow
-	seen     table.Revision
-	down     []*Machine
-	// changed counts the changes of a zone's VM rows.
-	changed map[core.ZoneID]int
-	// vmFaults and rackFaults are what is left until the next failure.
-	vmFaults, rackFaults float64
+	revision table.Revision
+	down     []*SimulatedVM
+	// zoneChanges counts the changes of VM rows in each zone.
+	zoneChanges map[core.ZoneID]int
+	// untilVMFault and untilRackFault are the remaining intervals until the next failure,
+	// in units of the mean interval.
+	untilVMFault, untilRackFault float64
 }
 
 // SparePool is the name of the spare pool.
 const SparePool core.PoolID = "spare"
 
-// ErrLate refuses a request after its deadline, or with a fence that is too low.
+// ErrLate is returned for a request that arrives after its deadline or carries a stale
+// fence.
 var ErrLate = errors.New("the request comes too late")
 
-// NewWorld returns a fleet of that size, all serving at start. rowBudget is what
-// the pools' rows say; the true budget is size.MaxUnavailable.
+// NewWorld returns a fleet of the given size in which all VMs serve. The rows of the pools
+// state the budget rowBudget. The actual budget is size.MaxUnavailable.
 func NewWorld(seed uint64, start time.Time, size Size, rowBudget int) *World {
 	w := &World{
 		Rand: rand.New(rand.NewPCG(seed, 1)), Now: start, Budget: size.MaxUnavailable,
-		Sizes: make(map[core.PoolID]int), machines: make(map[fleet.Ref]*Machine),
-		racks: make(map[core.RackID][]*Machine), pools: make(map[core.PoolID]fleet.PoolRow),
-		changed: make(map[core.ZoneID]int),
+		Sizes: make(map[core.PoolID]int), vmsByRef: make(map[fleet.Ref]*SimulatedVM),
+		racks: make(map[core.RackID][]*SimulatedVM), pools: make(map[core.PoolID]fleet.PoolRow),
+		zoneChanges: make(map[core.ZoneID]int),
 	}
 	for i := range size.Pools {
 		w.addPool(core.PoolID(fmt.Sprintf("pool%03d", i)), size, size.PoolVMs, rowBudget)
@@ -125,23 +129,23 @@
 	return w
 }
 
-// addPool spreads the pool's VMs over the zones. VMs fill racks in the order in
-// which they are added, as racks are filled in practice.
+// addPool adds a pool whose VMs are spread evenly over the zones. VMs are assigned to
+// racks in the order in which they are added, as in practice.
 func (w *World) addPool(id core.PoolID, size Size, vms, budget int) {
 	w.Sizes[id] = vms
 	w.mustSet(table.PoolStateKey(id), fleet.Pool{MaxUnavailable: budget, Size: vms, Members: vms, Spare: id == SparePool})
 	for i := range vms {
-		n := len(w.order)
+		n := len(w.vms)
 		zone := core.ZoneID(fmt.Sprintf("z%d", i%size.Zones))
 		rack := core.RackID(fmt.Sprintf("%s-r%04d", zone, n/size.Zones/size.RackVMs))
-		m := &Machine{Ref: fleet.Ref{Zone: zone, VM: core.VMID(fmt.Sprintf("vm%05d", n))}, Rack: rack, Up: true, row: &fleet.VMRow{}}
-		w.order = append(w.order, m)
-		w.machines[m.Ref] = m
+		v := &SimulatedVM{Ref: fleet.Ref{Zone: zone, VM: core.VMID(fmt.Sprintf("vm%05d", n))}, Rack: rack, Up: true, row: &fleet.VMRow{}}
+		w.vms = append(w.vms, v)
+		w.vmsByRef[v.Ref] = v
 		if w.racks[rack] == nil {
 			w.rackIDs = append(w.rackIDs, rack)
 		}
-		w.racks[rack] = append(w.racks[rack], m)
-		w.mustSet(m.Ref.Key(), fleet.VM{Pool: id, Rack: rack, Slots: 8, Connections: 64})
+		w.racks[rack] = append(w.racks[rack], v)
+		w.mustSet(v.Ref.Key(), fleet.VM{Pool: id, Rack: rack, Slots: 8, Connections: 64})
 	}
 }
 
@@ -155,19 +159,19 @@
 	}
 }
 
-// Machines returns all VMs, in a fixed order.
-func (w *World) Machines() []*Machine { return w.order }
+// VMs returns all VMs, in a fixed order.
+func (w *World) VMs() []*SimulatedVM { return w.vms }
 
-// Machine returns one VM.
-func (w *World) Machine(ref fleet.Ref) *Machine { return w.machines[ref] }
+// VM returns the VM with the given reference.
+func (w *World) VM(ref fleet.Ref) *SimulatedVM { return w.vmsByRef[ref] }
 
-// Rack returns the VMs of the i-th rack.
-func (w *World) Rack(i int) []*Machine { return w.racks[w.rackIDs[i%len(w.rackIDs)]] }
+// Rack returns the VMs of the i-th rack. Numbers beyond the last rack wrap around.
+func (w *World) Rack(i int) []*SimulatedVM { return w.racks[w.rackIDs[i%len(w.rackIDs)]] }
 
-// Row returns a VM's row as it stands in the table.
+// Row returns the current row of a VM in the table.
 func (w *World) Row(ref fleet.Ref) fleet.VMRow {
 	w.sync()
-	return *w.machines[ref].row
+	return *w.vmsByRef[ref].row
 }
 
 // Transact applies t to the table.
@@ -176,30 +180,31 @@
 	if err := w.Table.Transact(t); err != nil {
 		return err
 	}
-	w.seen = w.Table.Revision()
+	w.revision = w.Table.Revision()
 	for _, c := range t.Writes {
-		w.learn(w.Table.Read(c.Key))
+		w.storeRow(w.Table.Read(c.Key))
 	}
 	return nil
 }
 
-// sync decodes the rows that changed otherwise than by Transact.
+// sync decodes the rows that were changed in the table without Transact.
 func (w *World) sync() {
-	if w.seen == w.Table.Revision() {
+	if w.revision == w.Table.Revision() {
 		return
 	}
-	for _, row := range w.Table.Changes("", w.seen) {
-		w.learn(row)
+	for _, row := range w.Table.Changes("", w.revision) {
+		w.storeRow(row)
 	}
-	w.seen = w.Table.Revision()
+	w.revision = w.Table.Revision()
 }
 
-func (w *World) learn(row table.Row) {
+// storeRow decodes a row of a VM or a pool and keeps it for the planners and checks.
+func (w *World) storeRow(row table.Row) {
 	switch {
 	case strings.HasPrefix(string(row.Key), table.PrefixVM):
-		if r, err := fleet.DecodeVM(row); err == nil && w.machines[r.Ref] != nil {
-			w.machines[r.Ref].row = &r
-			w.changed[r.Zone]++
+		if r, err := fleet.DecodeVM(row); err == nil && w.vmsByRef[r.Ref] != nil {
+			w.vmsByRef[r.Ref].row = &r
+			w.zoneChanges[r.Zone]++
 		}
 	case strings.HasPrefix(string(row.Key), table.PrefixPool):
 		if r, err := fleet.DecodePool(row); err == nil {
@@ -208,168 +213,172 @@
 	}
 }
 
-// Pools returns the pools' rows. The map must not be changed.
+// Pools returns the rows of the pools. The caller must not change the map.
 func (w *World) Pools() map[core.PoolID]fleet.PoolRow {
 	w.sync()
 	return w.pools
 }
 
-// Advance moves the clock, brings VMs back, and lets VMs and racks fail.
+// Advance moves the clock forward, brings VMs back, and lets VMs and racks fail.
 func (w *World) Advance(d time.Duration) {
 	w.Now = w.Now.Add(d)
-	w.down = slices.DeleteFunc(w.down, func(m *Machine) bool {
-		back := m.Up || !m.BackAt.IsZero() && !w.Now.Before(m.BackAt)
+	w.down = slices.DeleteFunc(w.down, func(v *SimulatedVM) bool {
+		back := v.Up || !v.BackAt.IsZero() && !w.Now.Before(v.BackAt)
 		if back {
-			m.Up, m.Planned = true, false
+			v.Up, v.Planned = true, false
 		}
 		return back
 	})
-	for range w.events(&w.vmFaults, w.Faults.PerVMDay*float64(len(w.order))*d.Hours()/24) {
-		if m := w.order[w.Rand.IntN(len(w.order))]; m.Up {
-			w.Fail(m, w.failureTime())
+	for range w.poissonEvents(&w.untilVMFault, w.Faults.FailuresPerVMDay*float64(len(w.vms))*d.Hours()/24) {
+		if v := w.vms[w.Rand.IntN(len(w.vms))]; v.Up {
+			w.Fail(v, w.failureDuration())
 		}
 	}
-	for range w.events(&w.rackFaults, w.Faults.PerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
-		w.FailAll(w.Rack(w.Rand.IntN(len(w.rackIDs))), w.between(2*time.Hour, 8*time.Hour))
+	for range w.poissonEvents(&w.untilRackFault, w.Faults.FailuresPerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
+		w.FailAll(w.Rack(w.Rand.IntN(len(w.rackIDs))), w.uniform(2*time.Hour, 8*time.Hour))
 	}
 }
 
-// events returns how many events of a Poisson process fall into a step in which
-// mean ones are expected. left is what remains until the next one.
-func (w *World) events(left *float64, mean float64) int {
+// poissonEvents returns the number of events of a Poisson process in a step in which mean
+// events are expected. It keeps the remaining interval until the next event in remaining.
+func (w *World) poissonEvents(remaining *float64, mean float64) int {
 	if mean == 0 {
 		return 0
 	}
-	if *left == 0 {
-		*left = w.Rand.ExpFloat64()
+	if *remaining == 0 {
+		*remaining = w.Rand.ExpFloat64()
 	}
 	n := 0
-	for *left -= mean; *left <= 0; *left += w.Rand.ExpFloat64() {
+	for *remaining -= mean; *remaining <= 0; *remaining += w.Rand.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-// Fail takes m down unplanned.
-func (w *World) Fail(m *Machine, d time.Duration) {
-	if m.Up || m.Planned {
-		m.DownSince = w.Now
+// Fail takes v down for the time d, as an unplanned failure.
+func (w *World) Fail(v *SimulatedVM, d time.Duration) {
+	if v.Up || v.Planned {
+		v.DownSince = w.Now
 	}
-	if m.Up {
-		w.down = append(w.down, m)
+	if v.Up {
+		w.down = append(w.down, v)
 	}
-	m.Up, m.Planned, m.BackAt, m.BusyUntil = false, false, w.Now.Add(d), time.Time{}
+	v.Up, v.Planned, v.BackAt, v.BusyUntil = false, false, w.Now.Add(d), time.Time{}
 }
 
-// FailAll takes several VMs down at once.
-func (w *World) FailAll(machines []*Machine, d time.Duration) {
-	for _, m := range machines {
-		w.Fail(m, d)
+// FailAll takes several VMs down at the same time.
+func (w *World) FailAll(vms []*SimulatedVM, d time.Duration) {
+	for _, v := range vms {
+		w.Fail(v, d)
 	}
 }
 
-// Drain makes a VM refuse new work until the given time, as its platform does.
+// Drain makes a VM refuse new work until the given time. It refuses a stale fence.
 func (w *World) Drain(ref fleet.Ref, until time.Time, fence core.Version) error {
-	m := w.machines[ref]
-	if fence < m.fence && !w.Unfenced {
+	v := w.vmsByRef[ref]
+	if fence < v.fence && !w.Unfenced {
 		return ErrLate
 	}
-	m.fence = fence
-	if w.DrainTime > 0 && w.Now.After(m.RefusesUntil) && until.After(w.Now) && m.Up {
-		m.BusyUntil = w.Now.Add(w.exponential(w.DrainTime))
+	v.fence = fence
+	if w.DrainTime > 0 && w.Now.After(v.RefusesUntil) && until.After(w.Now) && v.Up {
+		v.BusyUntil = w.Now.Add(w.exponential(w.DrainTime))
 	}
-	m.RefusesUntil = until
+	v.RefusesUntil = until
 	return nil
 }
 
-// Dispatch offers a VM a task, and reports whether it took it.
+// Dispatch starts a task of duration d on a VM and reports whether the VM accepted it.
 func (w *World) Dispatch(ref fleet.Ref, d time.Duration) bool {
-	m := w.machines[ref]
-	if !m.Up || w.Now.Before(m.RefusesUntil) {
+	v := w.vmsByRef[ref]
+	if !v.Up || w.Now.Before(v.RefusesUntil) {
 		return false
 	}
-	if end := w.Now.Add(d); end.After(m.BusyUntil) {
-		m.BusyUntil = end
+	if end := w.Now.Add(d); end.After(v.BusyUntil) {
+		v.BusyUntil = end
 	}
 	return true
 }
 
-// Running returns how many tasks run on the VM: at least one, or none.
+// Running returns 1 if any tasks run on the VM, otherwise 0.
 func (w *World) Running(ref fleet.Ref) int {
-	m := w.machines[ref]
-	if m.Up && w.Now.Before(m.BusyUntil) {
+	v := w.vmsByRef[ref]
+	if v.Up && w.Now.Before(v.BusyUntil) {
 		return 1
 	}
 	return 0
 }
 
-// Reboot takes a VM down planned. What it hits is recorded.
+// Reboot takes a VM down as a planned stop, and records violations of the rules.
 func (w *World) Reboot(ref fleet.Ref, notAfter time.Time, fence core.Version) error {
-	m := w.machines[ref]
-	if (w.Now.After(notAfter) || fence < m.fence) && !w.Unfenced {
+	v := w.vmsByRef[ref]
+	if (w.Now.After(notAfter) || fence < v.fence) && !w.Unfenced {
 		return ErrLate
 	}
-	if !m.Up {
+	if !v.Up {
 		return errors.Errorf("VM %s is down", ref)
 	}
 	w.Stops++
-	w.judge(m)
-	w.down = append(w.down, m)
-	m.Up, m.Planned, m.DownSince, m.BusyUntil = false, true, w.Now, time.Time{}
-	m.Reboots++
-	m.BackAt = w.Now.Add(w.exponential(w.RebootTime))
-	if w.chance(w.Faults.NotBack) {
-		m.BackAt = w.Now.Add(w.between(4*time.Hour, 24*time.Hour))
+	w.recordViolations(v)
+	w.down = append(w.down, v)
+	v.Up, v.Planned, v.DownSince, v.BusyUntil = false, true, w.Now, time.Time{}
+	v.Reboots++
+	v.BackAt = w.Now.Add(w.exponential(w.RebootTime))
+	if w.chance(w.Faults.NotBackShare) {
+		v.BackAt = w.Now.Add(w.uniform(4*time.Hour, 24*time.Hour))
 	}
 	return nil
 }
 
-// judge records a stop that cuts work off, or is made while its pool lacks more
-// VMs than its budget. Failures too fresh to be known don't count; all VMs that
-// are down by a planned stop do.
-func (w *World) judge(m *Machine) {
-	if w.Running(m.Ref) > 0 {
-		w.CutOff = append(w.CutOff, fmt.Sprintf("%s at %s", m.Ref, w.Now.Format(time.RFC3339)))
+// recordViolations records a planned stop of v that interrupts work, or by which its pool
+// lacks more VMs than its budget allows. Failures that can't have been detected yet don't
+// count as missing VMs, but all VMs that are down because of a planned stop do.
+func (w *World) recordViolations(v *SimulatedVM) {
+	if w.Running(v.Ref) > 0 {
+		w.CutOff = append(w.CutOff, fmt.Sprintf("%s at %s", v.Ref, w.Now.Format(time.RFC3339)))
 	}
-	pool := w.Row(m.Ref).VM.Pool
+	pool := w.Row(v.Ref).VM.Pool
 	if pool == SparePool {
-		return // Spare VMs serve nobody's budget.
+		return // The spare pool has no availability budget.
 	}
 	missing := w.Sizes[pool]
-	for _, o := range w.order {
-		if o != m && o.row.VM.Pool == pool && w.serves(o) {
+	for _, other := range w.vms {
+		if other != v && other.row.VM.Pool == pool && w.serves(other) {
 			missing--
 		}
 	}
 	if missing > w.Budget {
-		w.Breaches = append(w.Breaches, fmt.Sprintf("%s of %s at %s: %d missing", m.Ref, pool, w.Now.Format(time.RFC3339), missing))
+		w.Breaches = append(w.Breaches, fmt.Sprintf("%s of %s at %s: %d missing", v.Ref, pool, w.Now.Format(time.RFC3339), missing))
 	}
 }
 
-// serves reports whether m really takes work: it is up, doesn't refuse, and its
-// row lets entries use it. A failure that is too fresh passes as serving: the
-// decision to stop another VM may have been made before it was known.
-func (w *World) serves(m *Machine) bool {
-	state := m.row.VM.State
-	if !m.Up && !m.Planned && w.Now.Sub(m.DownSince) < w.Unseen {
+// serves reports whether v actually accepts work: it is up, doesn't refuse work, and its
+// row lets entries use it. A VM whose failure can't have been detected yet counts as
+// serving, because the decision to stop another VM may have been made before that.
+func (w *World) serves(v *SimulatedVM) bool {
+	state := v.row.VM.State
+	if !v.Up && !v.Planned && w.Now.Sub(v.DownSince) < w.DetectionDelay {
 		return state == fleet.Serving || state == fleet.Failed
 	}
-	return state == fleet.Serving && m.Up && !w.Now.Before(m.RefusesUntil)
+	return state == fleet.Serving && v.Up && !w.Now.Before(v.RefusesUntil)
 }
 
+// chance returns true with probability p.
 func (w *World) chance(p float64) bool { return p > 0 && w.Rand.Float64() < p }
 
-func (w *World) between(a, b time.Duration) time.Duration {
+// uniform draws a duration between a and b from a uniform distribution.
+func (w *World) uniform(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.Rand.Int64N(int64(b-a)))
 }
 
+// exponential draws a duration from an exponential distribution, limited to six times the
+// mean.
 func (w *World) exponential(mean time.Duration) time.Duration {
 	return min(time.Duration(w.Rand.ExpFloat64()*float64(mean)), 6*mean)
 }
 
-func (w *World) failureTime() time.Duration {
-	if w.chance(w.Faults.LongShare) {
-		return w.between(4*time.Hour, 24*time.Hour)
+func (w *World) failureDuration() time.Duration {
+	if w.chance(w.Faults.LongFailureShare) {
+		return w.uniform(4*time.Hour, 24*time.Hour)
 	}
-	return w.between(2*time.Minute, 10*time.Minute)
+	return w.uniform(2*time.Minute, 10*time.Minute)
 }
--- a/core/experiment/maintenance/zone.go
+++ b/core/experiment/maintenance/zone.go
@@ -13,32 +13,35 @@
 	"lavenderpond/core/table"
 )
 
-// Zone runs the real planner and driver for one zone of a World, as the daemon's
-// controller does, without a network.
+// Zone runs the real planner and driver for one zone of a World. It corresponds to the
+// daemon's controller, without a network.
 type Zone struct {
 	World   *World
 	ID      core.ZoneID
 	Planner maintenance.Planner
 	Driver  maintenance.Driver
-	// Moves counts VMs that changed their pool.
+	// Moves counts the moves of VMs to another pool.
 	Moves int
-	// PlanTime adds up the planner's own time, by Clock, if that is set.
+	// PlanTime is the total time that the planner took, according to Clock. It is not
+	// measured if Clock is nil. Plans counts the calls.
 	PlanTime time.Duration
 	Plans    int
 	Clock    func() time.Time
 
-	vms []*Machine
-	// rows are the VMs' rows at that count of the world's changes.
-	rows    []*fleet.VMRow
-	changed int
+	vms []*SimulatedVM
+	// rows are the rows of vms when the World's count of the zone's changes was
+	// zoneChanges.
+	rows        []*fleet.VMRow
+	zoneChanges int
 }
 
-// stepsPerTick bounds the steps of one VM in a tick, as in the controller.
-const stepsPerTick = 3
+// maxStepsPerTick is the maximum number of steps of a VM per tick, as in the controller.
+const maxStepsPerTick = 3
 
-// Order writes the zone's wave row by an operator's change.
-func (z *Zone) Order(build func(maintenance.WaveRow) (table.Transaction, error)) error {
-	row, err := z.wave()
+// ApplyOperatorChange applies an operator's change to the wave row of the zone. The
+// argument build returns the transaction for the current row.
+func (z *Zone) ApplyOperatorChange(build func(maintenance.WaveRow) (table.Transaction, error)) error {
+	row, err := z.readWave()
 	if err != nil {
 		return err
 	}
@@ -49,50 +52,50 @@
 	return z.World.Transact(t)
 }
 
-// Wave returns the zone's maintenance.
+// Wave returns the current maintenance wave of the zone.
 func (z *Zone) Wave() maintenance.Wave {
-	row, err := z.wave()
+	row, err := z.readWave()
 	if err != nil {
 		panic(err)
 	}
 	return row.Wave
 }
 
-// View returns what the planner sees.
+// View returns the input of the planner.
 func (z *Zone) View() maintenance.View {
 	w := z.World
 	w.sync()
 	if z.vms == nil {
-		for _, m := range w.order {
-			if m.Ref.Zone == z.ID {
-				z.vms = append(z.vms, m)
+		for _, v := range w.vms {
+			if v.Ref.Zone == z.ID {
+				z.vms = append(z.vms, v)
 			}
 		}
-		slices.SortFunc(z.vms, func(a, b *Machine) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
+		slices.SortFunc(z.vms, func(a, b *SimulatedVM) int { return strings.Compare(string(a.Ref.VM), string(b.Ref.VM)) })
 	}
-	if z.rows == nil || z.changed != w.changed[z.ID] {
-		z.changed = w.changed[z.ID]
+	if z.rows == nil || z.zoneChanges != w.zoneChanges[z.ID] {
+		z.zoneChanges = w.zoneChanges[z.ID]
 		z.rows = make([]*fleet.VMRow, 0, len(z.vms))
-		for _, m := range z.vms {
-			z.rows = append(z.rows, m.row)
+		for _, v := range z.vms {
+			z.rows = append(z.rows, v.row)
 		}
 	}
 	return maintenance.View{Zone: z.ID, Wave: z.Wave(), Pools: z.pools(), VMs: z.rows}
 }
 
-// Tick takes every VM that is out a step further and carries out the plan.
+// Tick advances every VM that is out of service, and then plans and executes commands.
 func (z *Zone) Tick() error {
 	z.View()
-	for _, m := range z.vms {
-		if m.row.VM.State == fleet.Serving && m.Up {
+	for _, v := range z.vms {
+		if v.row.VM.State == fleet.Serving && v.Up {
 			continue
 		}
-		for range stepsPerTick {
-			before := m.row.Row.Version
-			if err := z.step(*m.row, m); ignore(err) != nil {
+		for range maxStepsPerTick {
+			before := v.row.Row.Version
+			if err := z.stepVM(*v.row, v); ignoreRefusal(err) != nil {
 				return err
 			}
-			if m.row.Row.Version == before {
+			if v.row.Row.Version == before {
 				break
 			}
 		}
@@ -100,16 +103,17 @@
 	return z.plan()
 }
 
-func (z *Zone) step(vm fleet.VMRow, m *Machine) error {
+// stepVM takes the next step of the driver for a VM, with what the VM reports as input.
+func (z *Zone) stepVM(vm fleet.VMRow, v *SimulatedVM) error {
 	w := z.World
-	var seen maintenance.Observation
+	var observed maintenance.Observation
 	if until, ok := z.Driver.HoldUntil(w.Now, vm); ok {
 		if w.Drain(vm.Ref, until, vm.Row.Version) == nil {
-			seen.RefusesUntil = until
+			observed.RefusesUntil = until
 		}
 	}
-	seen.Up, seen.Running = m.Up, w.Running(vm.Ref)
-	next, err := z.Driver.Next(w.Now, vm, z.pools(), &seen)
+	observed.Up, observed.Running = v.Up, w.Running(vm.Ref)
+	next, err := z.Driver.Next(w.Now, vm, z.pools(), &observed)
 	if err != nil {
 		return err
 	}
@@ -131,22 +135,22 @@
 		z.PlanTime += z.Clock().Sub(begin)
 	}
 	for _, c := range commands {
-		if err := z.carryOut(c); ignore(err) != nil {
+		if err := z.execute(c); ignoreRefusal(err) != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (z *Zone) carryOut(c maintenance.Command) error {
-	wave, err := z.wave()
+func (z *Zone) execute(c maintenance.Command) error {
+	wave, err := z.readWave()
 	if err != nil {
 		return err
 	}
 	view := maintenance.View{Zone: z.ID, Wave: wave.Wave, Pools: z.pools()}
-	for _, m := range z.vms {
-		if refersTo(c, m.Ref) {
-			view.VMs = []*fleet.VMRow{m.row}
+	for _, v := range z.vms {
+		if refersTo(c, v.Ref) {
+			view.VMs = []*fleet.VMRow{v.row}
 		}
 	}
 	t, err := z.Driver.Transaction(z.World.Now, view, wave, c)
@@ -169,6 +173,7 @@
 	return false
 }
 
+// transact applies t, unless it is empty, and counts a move of the VM to another pool.
 func (z *Zone) transact(t table.Transaction, vm fleet.VMRow) error {
 	if len(t.Writes) == 0 {
 		return nil
@@ -182,14 +187,15 @@
 	return nil
 }
 
-func (z *Zone) wave() (maintenance.WaveRow, error) {
+func (z *Zone) readWave() (maintenance.WaveRow, error) {
 	return maintenance.DecodeWave(z.ID, z.World.Table.Read(maintenance.WaveKey(z.ID)))
 }
 
 func (z *Zone) pools() map[core.PoolID]fleet.PoolRow { return z.World.Pools() }
 
-// ignore drops refusals by the rules: the next tick decides anew.
-func ignore(err error) error {
+// ignoreRefusal returns nil for a refusal by the maintenance rules and for a conflict of
+// transactions, after which the next tick decides again. It returns other errors unchanged.
+func ignoreRefusal(err error) error {
 	var refusal *core.Error
 	if errors.As(err, &refusal) || errors.Is(err, table.ErrConflict) {
 		return nil
--- a/core/experiment/replay/demand.go
+++ b/core/experiment/replay/demand.go
@@ -12,39 +12,41 @@
 	"lavenderpond/core/retry"
 )
 
-// start is the time at which every run starts.
-var start = time.Unix(1_800_000_000, 0).UTC()
+// runStart is the simulated time at which every run starts.
+var runStart = time.Unix(1_800_000_000, 0).UTC()
 
-// job is a request on its way through a run.
+// job is the state of a request during a run.
 type job struct {
 	item queue.Item
 	kind Kind
-	// run is its true run time on a VM of normal speed.
+	// run is the actual run time on a VM of normal speed.
 	run time.Duration
-	// impossible jobs fail on every target.
+	// impossible marks a job that fails on every target.
 	impossible bool
 	entry      *entry
 	queueIndex int
 
-	tries retry.FailedTargets
-	// full are targets that were full just now; they don't count as tries.
-	retries, visits int
-	state           jobState
-	started         bool
-	firstStart      time.Time
+	failedTargets retry.FailedTargets
+	// retries counts the retries after failed dispatches. A dispatch to a target that
+	// was full doesn't count. submissions counts how often the caller sent the request.
+	retries, submissions int
+	state                jobState
+	started              bool
+	firstStart           time.Time
 }
 
-// jobState is where a job is.
+// jobState is the state of a job.
 type jobState int
 
 const (
-	outside jobState = iota
+	notQueued jobState = iota
 	waiting
 	running
 	ended
 )
 
-// demand returns the arrivals of a workload, in order of time per queue.
+// demand returns the requests of a workload, queue by queue, each queue in order of
+// arrival.
 func demand(w Workload, f Faults, seed uint64) []*job {
 	rng := rand.New(rand.NewPCG(seed, 0xdeadbeef))
 	var jobs []*job
@@ -55,7 +57,8 @@
 			if at >= w.Horizon {
 				break
 			}
-			// Thinning: arrivals at the peak rate are kept with the current one's part.
+			// Thinning: arrivals are drawn at the peak rate, and each is kept with a
+			// probability of the current rate divided by the peak rate.
 			if rng.Float64() < w.rate(q, at)/peak {
 				jobs = append(jobs, newJob(w, f, rng, q, at, len(jobs)))
 			}
@@ -65,10 +68,10 @@
 }
 
 func newJob(w Workload, f Faults, rng *rand.Rand, q int, at time.Duration, n int) *job {
-	k := w.Kinds[pick(rng, len(w.Kinds), func(i int) float64 { return w.Kinds[i].Weight })]
-	account := w.Accounts[pick(rng, len(w.Accounts), func(i int) float64 { return w.Accounts[i].Demand })]
+	k := w.Kinds[weightedIndex(rng, len(w.Kinds), func(i int) float64 { return w.Kinds[i].Weight })]
+	account := w.Accounts[weightedIndex(rng, len(w.Accounts), func(i int) float64 { return w.Accounts[i].Demand })]
 	run := logNormal(rng, k.MeanRun, k.Spread)
-	sent := start.Add(at)
+	sent := runStart.Add(at)
 	return &job{
 		item: queue.Item{
 			Key:         core.RequestKey{Team: account.Team, ID: core.RequestID(strconv.Itoa(n))},
@@ -85,7 +88,8 @@
 	}
 }
 
-func pick(rng *rand.Rand, n int, weight func(int) float64) int {
+// weightedIndex draws an index below n, each with a probability proportional to its weight.
+func weightedIndex(rng *rand.Rand, n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
 		total += weight(i)
@@ -100,14 +104,14 @@
 	return n - 1
 }
 
-// logNormal draws a time with the given mean.
+// logNormal draws a duration from a log-normal distribution with the given mean.
 func logNormal(rng *rand.Rand, mean time.Duration, sigma float64) time.Duration {
 	return seconds(mean.Seconds() * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2))
 }
 
 func queueID(q int) core.QueueID { return core.QueueID("queue" + strconv.Itoa(q)) }
 
-// poolOf returns the pool that serves q.
+// poolOf returns the pool that serves queue q.
 func poolOf(q core.QueueID) core.PoolID {
 	return core.PoolID("pool" + strings.TrimPrefix(string(q), "queue"))
 }
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -72,7 +72,7 @@
 // Live lists the VMs that are up. It doesn't lag.
 func (z *slowZone) Live(context.Context, core.ZoneID) ([]Liveness, error) {
 	var live []Liveness
-	for _, m := range z.world.Machines() {
+	for _, m := range z.world.VMs() {
 		if m.Up {
 			live = append(live, Liveness{Name: string(m.Ref.VM), Zone: m.Ref.Zone})
 		}
@@ -111,7 +111,7 @@
 
 func (z *slowZone) count(state fleet.State) int {
 	n := 0
-	for _, m := range z.world.Machines() {
+	for _, m := range z.world.VMs() {
 		if z.world.Row(m.Ref).VM.State == state {
 			n++
 		}
@@ -133,12 +133,12 @@
 // them to service.
 func TestZoneReturns(t *testing.T) {
 	z := newSlowZone(t, 7*time.Millisecond)
-	all := len(z.world.Machines())
+	all := len(z.world.VMs())
 	z.tick()
 	assert.Equal(t, z.count(fleet.Serving), all)
 
 	const downFor = 15 * time.Minute
-	z.world.FailAll(z.world.Machines(), downFor)
+	z.world.FailAll(z.world.VMs(), downFor)
 	returnAt := z.world.Now.Add(downFor)
 	ticks, longest := 0, time.Duration(0)
 	for ; z.count(fleet.Failed) < all; ticks++ {
@@ -213,11 +213,11 @@
 		"others":  func([]CheckResult) ([]CheckResult, error) { return []CheckResult{{VM: "vm99999"}}, nil },
 	} {
 		z := newSlowZone(t, time.Millisecond)
-		all := len(z.world.Machines())
+		all := len(z.world.VMs())
 		z.tick()
-		failing := z.world.Machines()[:100]
+		failing := z.world.VMs()[:100]
 		z.world.FailAll(failing, time.Hour)
-		for _, m := range z.world.Machines()[:200] {
+		for _, m := range z.world.VMs()[:200] {
 			z.controllers[0].Suspect(m.Ref.VM)
 		}
 		z.alterReply = alterReply
@@ -267,7 +267,7 @@
 	z := newSlowZone(t, time.Millisecond)
 	z.otherTickAt = z.world.Now.AddDate(1, 0, 0)
 	z.tick()
-	failing := z.world.Machines()[700:702]
+	failing := z.world.VMs()[700:702]
 	z.world.FailAll(failing[:1], time.Hour)
 	z.controllers[0].Suspect(failing[0].Ref.VM)
 	z.alterReply = func(results []CheckResult) ([]CheckResult, error) {
