--- a/cmd/lavenderpond-experiment/main.go
+++ b/cmd/lavenderpond-experiment/main.go
@@ -11,7 +11,7 @@
 // CLI defines the commands for kong.
 type CLI struct {
 	List List `cmd:"" help:"List the experiments."`
-	Run  Run  `cmd:"" help:"Run an experiment and print the measured values."`
+	Run  Run  `cmd:"" help:"Run an experiment and print its figures."`
 }
 
 func main() {
--- a/cmd/lavenderpond-experiment/run.go
+++ b/cmd/lavenderpond-experiment/run.go
@@ -32,10 +32,10 @@
 // Run is the command that runs an experiment.
 type Run struct {
 	Name      string `arg:"" help:"The experiment, as shown by list."`
-	Seeds     uint64 `default:"20" help:"Number of seeds to run."`
+	Seeds     uint64 `default:"20" help:"How many seeds to run."`
 	FirstSeed uint64 `default:"1" help:"The first seed; the others follow it."`
 	Workload  string `help:"Run this workload only."`
-	Output    string `enum:"table,json,rows" default:"table" help:"table and json print the summary, rows prints each measured value as a JSON line."`
+	Output    string `enum:"table,json,rows" default:"table" help:"table or json print the summary, rows each figure as a JSON line."`
 }
 
 // Run implements the command.
--- a/cmd/lavenderpond-load/entries.go
+++ b/cmd/lavenderpond-load/entries.go
@@ -25,12 +25,12 @@
 	Entry      []netip.AddrPort `help:"Addresses of entries, used in turn." required:""`
 	Team       string           `help:"Team." required:""`
 	Queue      string           `help:"Queue." required:""`
-	Home       string           `help:"Home zone of all ids; by default, the hash of the id decides."`
+	Home       string           `help:"Home zone of all ids; empty: by hash."`
 	Lifetime   time.Duration    `help:"Time from sending to deadline." default:"10s"`
-	Patience   time.Duration    `help:"How long to wait for the answer of an attempt before the next; 0 waits without limit."`
+	Patience   time.Duration    `help:"How long to wait for one attempt's answer before the next; 0: as long as it takes."`
 	Idempotent bool             `help:"Send idempotent requests."`
-	Retry      bool             `help:"Repeat a request at the next entry until it is done or its deadline passes."`
-	Record     string           `help:"Write the answer of every attempt to this file, for the check command." type:"path"`
+	Retry      bool             `help:"Repeat an id at the next entry until it is done or its deadline."`
+	Record     string           `help:"Write every attempt's answer to this file, for the check command." type:"path"`
 
 	clients []*caller.Client
 	mu      sync.Mutex
--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -43,11 +43,11 @@
 // fillCommand fills the table of the platform's stand-in with a fleet of a given size and
 // simulates its idle VMs, to measure the resources that idle daemons use.
 type fillCommand struct {
-	Platform netip.AddrPort `help:"Address of the platform's stand-in." required:""`
-	Control  netip.AddrPort `help:"Loopback address that reports the state of all VMs." required:""`
+	Platform netip.AddrPort `help:"The platform's stand-in." required:""`
+	Control  netip.AddrPort `help:"Loopback address on which all VMs tell their state." required:""`
 	Zones    []core.ZoneID  `help:"Availability zones." required:""`
 	VMs      int            `name:"vms" help:"VMs in each zone." default:"17"`
-	Out      int            `help:"VMs in each zone that have failed and are listed as out in the rows of their pools." default:"0"`
+	Out      int            `help:"VMs of each zone that failed, and stand in their pools' rows." default:"0"`
 	Pools    int            `help:"Pools, each with a queue." default:"5"`
 	Teams    int            `help:"Teams." default:"6"`
 	Keys     int            `help:"Keys of each team; the first of team_0001 is printed." default:"3"`
@@ -57,7 +57,7 @@
 	Targets netip.AddrPort `help:"First address of the VMs' task services." default:"127.0.0.1:20000"`
 	// Churn rewrites allotment rows in the way of allotments that move between entries,
 	// for teams that exist only for this purpose.
-	Churn float64 `help:"Moves of allotments per second, by the teams in turn." default:"0"`
+	Churn float64 `help:"Moves of allotments a second, in turn over the teams." default:"0"`
 
 	client *platform.Client
 	writes []table.Write
--- a/cmd/lavenderpond-load/load.go
+++ b/cmd/lavenderpond-load/load.go
@@ -20,9 +20,9 @@
 
 // loadFlags holds the flags that the commands entries and targets have in common.
 type loadFlags struct {
-	Concurrency int           `help:"Number of concurrent requests." default:"32"`
-	Rate        float64       `help:"Requests per second in total; 0 sends each request as soon as an earlier one is answered." default:"0"`
-	For         time.Duration `help:"Duration of the load." default:"5s"`
+	Concurrency int           `help:"Requests under way at once." default:"32"`
+	Rate        float64       `help:"Requests a second in all; 0: as many as answers allow." default:"0"`
+	For         time.Duration `help:"How long." default:"5s"`
 	RunMs       int64         `help:"How long the stand-in target works on each request, in ms." default:"0"`
 	Bytes       int           `help:"Size of each answer, in bytes." default:"100"`
 }
--- a/cmd/lavenderpond-load/main.go
+++ b/cmd/lavenderpond-load/main.go
@@ -13,8 +13,8 @@
 
 type commands struct {
 	Entries entriesCommand `cmd:"" help:"Load entries with requests of one team."`
-	Targets targetsCommand `cmd:"" help:"Load targets directly, without lavenderpond."`
-	Check   checkCommand   `cmd:"" help:"Compare the answers that callers received with the starts that the targets recorded."`
+	Targets targetsCommand `cmd:"" help:"Load targets directly, past lavenderpond."`
+	Check   checkCommand   `cmd:"" help:"Hold what callers were told against what the targets wrote down."`
 	Fill    fillCommand    `cmd:"" help:"Fill the table of the platform's stand-in with an idle fleet."`
 }
 
--- a/cmd/lavenderpond-standin/link.go
+++ b/cmd/lavenderpond-standin/link.go
@@ -18,7 +18,7 @@
 )
 
 type linkCommand struct {
-	Control netip.AddrPort `help:"Loopback address and port of the interface that sets the state of the links." default:"127.0.0.1:7950"`
+	Control netip.AddrPort `help:"Loopback address and port at which the links are told to cut and heal." default:"127.0.0.1:7950"`
 	Forward []string       `arg:"" help:"NAME=LISTEN=TARGET: forward connections of link NAME. A name may be given several times."`
 }
 
--- a/cmd/lavenderpond-standin/platform.go
+++ b/cmd/lavenderpond-standin/platform.go
@@ -12,7 +12,7 @@
 
 type platformCommand struct {
 	Listen netip.AddrPort `help:"Loopback address and port." default:"127.0.0.1:7000"`
-	View   []string       `help:"ZONE=ADDRESS=SEEN: entries of ZONE see SEEN in place of the peer address ADDRESS."`
+	View   []string       `help:"ZONE=ADDRESS=SEEN: entries of ZONE see SEEN as the peer address ADDRESS."`
 }
 
 // Run serves the platform's stand-in until ctx ends.
--- a/cmd/lavenderpond-standin/targets.go
+++ b/cmd/lavenderpond-standin/targets.go
@@ -25,7 +25,7 @@
 	Listen      netip.AddrPort `help:"Loopback address and port of the first VM; the others follow." default:"127.0.0.1:8000"`
 	Count       int            `help:"Number of VMs." default:"10"`
 	Zone        string         `help:"Availability zone." required:""`
-	Prefix      string         `help:"Prefix of the VMs' names." default:"vm"`
+	Prefix      string         `help:"Start of the VMs' names." default:"vm"`
 	Slots       int            `help:"Slots per VM." default:"8"`
 	Connections int            `help:"Connections per VM." default:"64"`
 	Platform    string         `help:"URL of the platform's stand-in." default:"http://127.0.0.1:7000"`
