--- a/core/config/view.go
+++ b/core/config/view.go
@@ -35,14 +35,14 @@
 type View struct {
 	version core.Version
 	rows    map[table.Key]viewRow
-	// maxLearned is the maximum of learnedAt over all rows.
-	maxLearned core.Version
-	defaults   Defaults
-	teams      map[core.TeamID]Team
-	pools      map[core.PoolID]Pool
-	queues     map[core.QueueID]Queue
-	downZones  map[core.ZoneID]ZoneDown
-	exceptions map[table.Key]Exception
+	// maxAppliedAt is the maximum of appliedAt over all rows.
+	maxAppliedAt core.Version
+	defaults     Defaults
+	teams        map[core.TeamID]Team
+	pools        map[core.PoolID]Pool
+	queues       map[core.QueueID]Queue
+	downZones    map[core.ZoneID]ZoneDown
+	exceptions   map[table.Key]Exception
 	// byScope holds the sorted keys of the exceptions that apply to a row.
 	byScope map[table.Key][]table.Key
 
@@ -58,9 +58,9 @@
 
 type viewRow struct {
 	table.Row
-	// learnedAt is the view's version after the row was applied. It is never less than
+	// appliedAt is the view's version after the row was applied. It is never less than
 	// the head version at which the row changed.
-	learnedAt core.Version
+	appliedAt core.Version
 	// deleted marks a tombstone. A row from a peer may be a version from before the
 	// deletion, so only a row read from the table replaces a tombstone.
 	deleted bool
@@ -114,18 +114,18 @@
 	return r.Version > old.Version
 }
 
-func (v *View) applyRow(r table.Row, learnedAt core.Version) error {
+func (v *View) applyRow(r table.Row, appliedAt core.Version) error {
 	old := v.rows[r.Key]
 	if r.Version == 0 {
 		v.removeValue(r.Key)
-		old.deleted, old.learnedAt = true, learnedAt
+		old.deleted, old.appliedAt = true, appliedAt
 		v.store(r.Key, old)
 		return nil
 	}
 	if err := v.decodeRow(r); err != nil {
 		return err
 	}
-	v.store(r.Key, viewRow{Row: r, learnedAt: learnedAt})
+	v.store(r.Key, viewRow{Row: r, appliedAt: appliedAt})
 	return nil
 }
 
@@ -134,19 +134,19 @@
 		v.rows = make(map[table.Key]viewRow)
 	}
 	v.rows[key] = r
-	v.maxLearned = max(v.maxLearned, r.learnedAt)
+	v.maxAppliedAt = max(v.maxAppliedAt, r.appliedAt)
 }
 
 // DeltaSince returns the rows that a peer lacks whose view is complete up to since.
 func (v *View) DeltaSince(since core.Version) Delta {
 	d := Delta{Base: since, Version: v.version}
-	if since >= v.maxLearned {
+	if since >= v.maxAppliedAt {
 		// Peers ask every second and mostly lack nothing. Iterating over the rows takes
 		// 58 us at 620 teams, and a relay answers ten peers a second.
 		return d
 	}
 	for _, r := range v.rows {
-		if !r.deleted && r.learnedAt > since {
+		if !r.deleted && r.appliedAt > since {
 			d.Rows = append(d.Rows, r.Row)
 		}
 	}
@@ -178,13 +178,13 @@
 	case kindDefaults:
 		return decodeInto(r, func(d Defaults) { v.defaults = d })
 	case kindTeam:
-		return decodeInto(r, func(t Team) { putInMap(&v.teams, core.TeamID(name), t) })
+		return decodeInto(r, func(t Team) { put(&v.teams, core.TeamID(name), t) })
 	case kindPool:
-		return decodeInto(r, func(p Pool) { putInMap(&v.pools, core.PoolID(name), p) })
+		return decodeInto(r, func(p Pool) { put(&v.pools, core.PoolID(name), p) })
 	case kindQueue:
-		return decodeInto(r, func(q Queue) { putInMap(&v.queues, core.QueueID(name), q) })
+		return decodeInto(r, func(q Queue) { put(&v.queues, core.QueueID(name), q) })
 	case kindZoneDown:
-		return decodeInto(r, func(z ZoneDown) { putInMap(&v.downZones, core.ZoneID(name), z) })
+		return decodeInto(r, func(z ZoneDown) { put(&v.downZones, core.ZoneID(name), z) })
 	case kindException:
 		return decodeInto(r, func(e Exception) { v.putException(r.Key, e) })
 	case kindKey:
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func putInMap[K comparable, T any](m *map[K]T, key K, value T) {
+func put[K comparable, T any](m *map[K]T, key K, value T) {
 	if *m == nil {
 		*m = make(map[K]T)
 	}
@@ -214,11 +214,11 @@
 
 func (v *View) putException(key table.Key, e Exception) {
 	v.removeException(key)
-	putInMap(&v.exceptions, key, e)
+	put(&v.exceptions, key, e)
 	scope := table.Key(e.Scope)
 	keys := append(v.byScope[scope], key)
 	sort.Slice(keys, func(i, j int) bool { return keys[i] < keys[j] })
-	putInMap(&v.byScope, scope, keys)
+	put(&v.byScope, scope, keys)
 }
 
 func (v *View) removeException(key table.Key) {
--- a/core/config/view_test.go
+++ b/core/config/view_test.go
@@ -17,25 +17,25 @@
 // viewSimulation simulates entries that read a table, send their rows to one another, and
 // restart with the rows of a peer whose view may be old.
 type viewSimulation struct {
-	r        *rand.Rand
-	table    table.Memory
-	now      time.Time
-	views    []*View
-	since    []table.Revision
-	base     []core.Version
-	disabled disabledSafeguards
-	n        int
-	delayed  []Delta
+	r              *rand.Rand
+	table          table.Memory
+	now            time.Time
+	views          []*View
+	tableRevisions []table.Revision
+	baseVersions   []core.Version
+	disabled       disabledSafeguards
+	changeCount    int
+	delayed        []Delta
 	// highest is the highest version of each row that each entry has held.
 	highest    []map[table.Key]core.Version
 	violations int
 }
 
-func newViewSimulation(seed uint64, u disabledSafeguards) *viewSimulation {
-	w := &viewSimulation{r: rand.New(rand.NewPCG(seed, 2)), now: testStart, disabled: u}
+func newViewSimulation(seed uint64, disabled disabledSafeguards) *viewSimulation {
+	w := &viewSimulation{r: rand.New(rand.NewPCG(seed, 2)), now: testStart, disabled: disabled}
 	for range 6 {
-		w.views = append(w.views, &View{disabled: u})
-		w.since, w.base = append(w.since, 0), append(w.base, 0)
+		w.views = append(w.views, &View{disabled: disabled})
+		w.tableRevisions, w.baseVersions = append(w.tableRevisions, 0), append(w.baseVersions, 0)
 		w.highest = append(w.highest, map[table.Key]core.Version{})
 	}
 	return w
@@ -64,13 +64,13 @@
 }
 
 func (w *viewSimulation) restart(i int) {
-	w.views[i], w.since[i], w.base[i] = &View{disabled: w.disabled}, 0, 0
+	w.views[i], w.tableRevisions[i], w.baseVersions[i] = &View{disabled: w.disabled}, 0, 0
 	w.highest[i] = map[table.Key]core.Version{}
 }
 
 func (w *viewSimulation) change() {
-	w.n++
-	id := core.ChangeID(fmt.Sprint("c", w.n))
+	w.changeCount++
+	id := core.ChangeID(fmt.Sprint("c", w.changeCount))
 	team := core.TeamID(fmt.Sprint("t", w.r.IntN(3)))
 	var c Change
 	switch w.r.IntN(4) {
@@ -91,11 +91,11 @@
 }
 
 func (w *viewSimulation) read(i int) {
-	d := Delta{Base: w.base[i], Rows: w.table.Changes(table.PrefixConfig, w.since[i])}
+	d := Delta{Base: w.baseVersions[i], Rows: w.table.Changes(table.PrefixConfig, w.tableRevisions[i])}
 	var head Head
 	_ = w.table.Read(table.ConfigHead).Decode(&head)
 	d.Version = head.Version
-	w.since[i], w.base[i] = w.table.Revision(), head.Version
+	w.tableRevisions[i], w.baseVersions[i] = w.table.Revision(), head.Version
 	w.apply(i, d, FromTable)
 }
 
@@ -127,20 +127,20 @@
 // Without each safeguard, some seed must show a row that regressed or is missing.
 func TestViewRowsNeverRegress(t *testing.T) {
 	const seeds = 300
-	for _, u := range []disabledSafeguards{{}, {acceptOlder: true}, {ignoreBase: true}} {
-		broken := 0
+	for _, disabled := range []disabledSafeguards{{}, {acceptOlder: true}, {ignoreBase: true}} {
+		failedSeeds := 0
 		for seed := range uint64(seeds) {
-			w := newViewSimulation(seed, u)
+			w := newViewSimulation(seed, disabled)
 			for range 300 {
 				w.step()
 			}
 			if w.violations > 0 {
-				assert.Check(t, u != disabledSafeguards{}, "seed %d: %d rows regressed or are missing", seed, w.violations)
-				broken++
+				assert.Check(t, disabled != disabledSafeguards{}, "seed %d: %d rows regressed or are missing", seed, w.violations)
+				failedSeeds++
 			}
 		}
-		t.Logf("with safeguards disabled %+v: %d of %d seeds have a row that regressed or is missing", u, broken, seeds)
-		assert.Check(t, u == disabledSafeguards{} || broken > 0)
+		t.Logf("with safeguards disabled %+v: %d of %d seeds have a row that regressed or is missing", disabled, failedSeeds, seeds)
+		assert.Check(t, disabled == disabledSafeguards{} || failedSeeds > 0)
 	}
 }
 
@@ -213,17 +213,17 @@
 		for step := range 300 {
 			w.step()
 			v := w.views[w.r.IntN(len(w.views))]
-			for since := range v.maxLearned + 3 {
-				assert.Equal(t, len(v.DeltaSince(since).Rows), naiveDelta(v, since), "seed %d step %d since %d", seed, step, since)
+			for since := range v.maxAppliedAt + 3 {
+				assert.Equal(t, len(v.DeltaSince(since).Rows), naiveDeltaLen(v, since), "seed %d step %d since %d", seed, step, since)
 			}
 		}
 	}
 }
 
-func naiveDelta(v *View, since core.Version) int {
+func naiveDeltaLen(v *View, since core.Version) int {
 	n := 0
 	for _, r := range v.rows {
-		if !r.deleted && r.learnedAt > since {
+		if !r.deleted && r.appliedAt > since {
 			n++
 		}
 	}
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -34,14 +34,14 @@
 func naiveTargets(history []timedEvent, vms []core.VMID) []core.VMID {
 	var targets []core.VMID
 	for _, vm := range vms {
-		if naiveMayWork(history, vm) {
+		if naiveAcceptsWork(history, vm) {
 			targets = append(targets, vm)
 		}
 	}
 	return targets
 }
 
-func naiveMayWork(history []timedEvent, vm core.VMID) bool {
+func naiveAcceptsWork(history []timedEvent, vm core.VMID) bool {
 	row := &VMRow{}
 	var listed, leaving, gone, held bool
 	var heldAt time.Time
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -52,7 +52,7 @@
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is already in pool %q", vm.Ref, pool.ID)
 	}
 	if pool.Pool.Headroom() < 1 && !r.noBudgetCheck {
-		return table.Transaction{}, budgetSpent(pool)
+		return table.Transaction{}, budgetSpentError(pool)
 	}
 	v := vm.VM
 	v.State, v.Since = Cordoned, now
@@ -97,7 +97,7 @@
 			return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s must not be stopped before %s", vm.Ref, v.StopAfter)
 		}
 		if pool.Pool.Headroom() < 0 && !r.noStopBudgetCheck {
-			return table.Transaction{}, budgetSpent(pool)
+			return table.Transaction{}, budgetSpentError(pool)
 		}
 		v.State, v.Since, v.BackBy = Stopped, now, backBy
 	}
@@ -231,27 +231,27 @@
 	poolValue Pool
 }
 
-func (r Rules) transaction(c rowWrites) (table.Transaction, error) {
-	t, err := newTransaction(c)
+func (r Rules) transaction(w rowWrites) (table.Transaction, error) {
+	t, err := newTransaction(w)
 	if r.noPoolCheck && len(t.Checks) > 1 {
 		t.Checks = t.Checks[:1]
 	}
 	return t, err
 }
 
-func newTransaction(c rowWrites) (table.Transaction, error) {
+func newTransaction(w rowWrites) (table.Transaction, error) {
 	var t table.Transaction
-	if c.vm != nil {
-		t.Check(c.vm.Row)
-		if err := t.Set(c.vm.Key(), c.vmValue); err != nil {
+	if w.vm != nil {
+		t.Check(w.vm.Row)
+		if err := t.Set(w.vm.Key(), w.vmValue); err != nil {
 			return t, err
 		}
 	}
-	if c.pool == nil {
+	if w.pool == nil {
 		return t, nil
 	}
-	t.Check(c.pool.Row)
-	return t, t.Set(c.pool.Row.Key, c.poolValue)
+	t.Check(w.pool.Row)
+	return t, t.Set(w.pool.Row.Key, w.poolValue)
 }
 
 func (r VMRow) checkState(s State) error {
@@ -274,7 +274,7 @@
 	return nil
 }
 
-func budgetSpent(pool PoolRow) error {
+func budgetSpentError(pool PoolRow) error {
 	return core.Errorf(core.CodeBudgetSpent, "pool %q: %d of %d VMs are out, max_unavailable is %d",
 		pool.ID, pool.Pool.Unavailable(), pool.Pool.Size, pool.Pool.MaxUnavailable)
 }
--- a/core/key/ring.go
+++ b/core/key/ring.go
@@ -176,37 +176,37 @@
 	if r.disabled.acceptSingleZone {
 		needed = min(needed, 1)
 	}
-	var heard []time.Time
+	var contacts []time.Time
 	for _, z := range r.Zones {
 		if z != r.Zone && !r.zoneContacts[z].IsZero() {
-			heard = append(heard, r.zoneContacts[z])
+			contacts = append(contacts, r.zoneContacts[z])
 		}
 	}
-	if needed == 0 || len(heard) < needed {
+	if needed == 0 || len(contacts) < needed {
 		return time.Time{}
 	}
-	sort.Slice(heard, func(i, j int) bool { return heard[i].After(heard[j]) })
-	return heard[needed-1]
+	sort.Slice(contacts, func(i, j int) bool { return contacts[i].After(contacts[j]) })
+	return contacts[needed-1]
 }
 
 // FreshUntil returns when the list becomes stale if no further data is received.
 func (r *Ring) FreshUntil() time.Time {
-	evidence := r.CompleteAsOf()
-	if evidence.IsZero() {
+	completeAsOf := r.CompleteAsOf()
+	if completeAsOf.IsZero() {
 		return time.Time{}
 	}
-	trust := r.MaxStaleness
-	if trust == 0 {
-		trust = DefaultMaxStaleness
+	maxStaleness := r.MaxStaleness
+	if maxStaleness == 0 {
+		maxStaleness = DefaultMaxStaleness
 	}
-	return evidence.Add(min(trust, MaxStalenessLimit))
+	return completeAsOf.Add(min(maxStaleness, MaxStalenessLimit))
 }
 
 // Fresh reports whether the list is fresh at now. In a fleet with a single zone, an
 // entry that has joined receives everything directly.
 func (r *Ring) Fresh(now time.Time) bool {
-	alone := r.joined && len(r.Zones) == 1
-	return alone || r.disabled.alwaysFresh || now.Before(r.FreshUntil())
+	singleZone := r.joined && len(r.Zones) == 1
+	return singleZone || r.disabled.alwaysFresh || now.Before(r.FreshUntil())
 }
 
 // Check decides whether a request of team may be accepted with a key of digest d. If
--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -36,7 +36,7 @@
 	// reach the table.
 	partition    map[core.ZoneID]int
 	cutFromTable map[core.ZoneID]bool
-	unsafe       disabledSafeguards
+	disabled     disabledSafeguards
 	// scriptedFaults is true if the test injects the faults and changes itself.
 	scriptedFaults bool
 	// dateOnReceipt dates evidence when the answer arrives instead of when the request
@@ -69,7 +69,7 @@
 }
 
 func newSimulation(seed uint64, disabled disabledSafeguards) *simulation {
-	w := &simulation{r: rand.New(rand.NewPCG(seed, 4)), now: testStart, unsafe: disabled, partition: map[core.ZoneID]int{}, cutFromTable: map[core.ZoneID]bool{}}
+	w := &simulation{r: rand.New(rand.NewPCG(seed, 4)), now: testStart, disabled: disabled, partition: map[core.ZoneID]int{}, cutFromTable: map[core.ZoneID]bool{}}
 	for i := range 2 * len(testZones) {
 		w.entries = append(w.entries, w.newEntry(i))
 	}
@@ -80,7 +80,7 @@
 	e := &testEntry{clockOffset: time.Duration(w.r.IntN(int(testSkew))) - testSkew/2}
 	e.ring = Ring{
 		Zone: testZones[i/2], Zones: testZones, MaxStaleness: testMaxStaleness,
-		Started: w.now.Add(e.clockOffset), disabled: w.unsafe,
+		Started: w.now.Add(e.clockOffset), disabled: w.disabled,
 	}
 	return e
 }
@@ -143,10 +143,10 @@
 	}
 	switch w.r.IntN(80) {
 	case 0:
-		apart := w.chance(70)
+		cutTable := w.chance(70)
 		for _, z := range testZones {
 			w.partition[z] = w.r.IntN(2)
-			w.cutFromTable[z] = w.partition[z] == 1 && apart
+			w.cutFromTable[z] = w.partition[z] == 1 && cutTable
 		}
 	case 1:
 		w.partition, w.cutFromTable = map[core.ZoneID]int{}, map[core.ZoneID]bool{}
@@ -180,20 +180,20 @@
 // withdraw sends a withdrawal to the entries and the table, as the operator command
 // does. It is accepted once the table and a majority of zones have it, or all zones.
 func (w *simulation) withdraw(k *testKey) {
-	w.withdrawAt(k, w.partition[testZones[w.r.IntN(len(testZones))]])
+	w.withdrawIn(k, w.partition[testZones[w.r.IntN(len(testZones))]])
 }
 
-func (w *simulation) withdrawAt(k *testKey, reachable int) {
-	toldEntries := map[core.ZoneID]int{}
+func (w *simulation) withdrawIn(k *testKey, partition int) {
+	receivedPerZone := map[core.ZoneID]int{}
 	for _, e := range w.entries {
-		if w.partition[e.ring.Zone] != reachable {
+		if w.partition[e.ring.Zone] != partition {
 			continue
 		}
 		e.ring.Withdraw(Withdrawal{Digest: k.digest, Team: testTeam, Author: "bo"})
-		toldEntries[e.ring.Zone]++
+		receivedPerZone[e.ring.Zone]++
 	}
 	zones := 0
-	for _, n := range toldEntries {
+	for _, n := range receivedPerZone {
 		if n == 2 {
 			zones++
 		}
@@ -251,7 +251,7 @@
 	return err == nil && w.table.Transact(t) == nil
 }
 
-func (w *simulation) evidenceTime(e *testEntry, sent time.Time) time.Time {
+func (w *simulation) asOf(e *testEntry, sent time.Time) time.Time {
 	if w.dateOnReceipt {
 		sent = w.now
 	}
@@ -269,10 +269,10 @@
 	d.Version = head.Version
 	sent, revision := w.now, w.table.Revision()
 	w.send(e, func() {
-		news, _ := e.view.Apply(d, config.FromTable)
-		e.ring.Apply(news)
+		applied, _ := e.view.Apply(d, config.FromTable)
+		e.ring.Apply(applied)
 		if e.view.Version() >= d.Version {
-			e.ring.Complete(w.evidenceTime(e, sent))
+			e.ring.Complete(w.asOf(e, sent))
 			e.tableRevision, e.baseVersion = max(e.tableRevision, revision), max(e.baseVersion, d.Version)
 		}
 	})
@@ -286,12 +286,12 @@
 	sent, s, d := w.now, other.ring.Summary(), other.view.DeltaSince(e.view.Version())
 	zone := other.ring.Zone
 	w.send(e, func() {
-		news, _ := e.view.Apply(d, config.FromPeer)
-		e.ring.Apply(news)
+		applied, _ := e.view.Apply(d, config.FromPeer)
+		e.ring.Apply(applied)
 		caughtUp := e.view.Version() >= d.Version
 		e.ring.Merge(s, caughtUp, testSkew)
 		if caughtUp && s.Joined {
-			e.ring.RecordZoneContact(zone, w.evidenceTime(e, sent))
+			e.ring.RecordZoneContact(zone, w.asOf(e, sent))
 		}
 	})
 }
@@ -382,7 +382,7 @@
 // withdrawal. Its three zones reach one another and form a majority, but the only one
 // of them that had received the withdrawal has lost it, so it must not represent its
 // zone.
-func TestRestartedEntryDoesNotSpeakForZone(t *testing.T) {
+func TestRestartedEntryDoesNotRepresentZone(t *testing.T) {
 	violations := map[bool]int{}
 	for _, disabled := range []bool{false, true} {
 		w := newSimulation(1, disabledSafeguards{joinImmediately: disabled})
@@ -391,7 +391,7 @@
 		w.applyChange(config.GrantKey{Author: "ana", Team: testTeam, Digest: k.digest})
 		w.steps(40)
 		w.partition["z3"], w.partition["z4"], w.cutFromTable["z3"], w.cutFromTable["z4"] = 1, 1, true, true
-		w.withdrawAt(k, 0)
+		w.withdrawIn(k, 0)
 		assert.Assert(t, !k.acceptedAt.IsZero())
 		w.steps(60)
 		w.partition["z2"], w.cutFromTable["z2"] = 1, true
--- a/core/key/session_test.go
+++ b/core/key/session_test.go
@@ -28,9 +28,9 @@
 		now := testStart.Add(time.Duration(seconds) * time.Second)
 		fmt.Fprintf(&b, "%3ds %s: %d ended, %d to record, trusted until %s\n", seconds, what,
 			len(ended), len(r.Unrecorded()), r.FreshUntil().Format("15:04:05"))
-		for name, d := range []core.KeyDigest{good, leaked, late} {
+		for i, d := range []core.KeyDigest{good, leaked, late} {
 			code, ok := r.Check(now, testTeam, d)
-			fmt.Fprintf(&b, "     %-7s %t %s\n", []string{"good", "leaked", "late"}[name], ok, code)
+			fmt.Fprintf(&b, "     %-7s %t %s\n", []string{"good", "leaked", "late"}[i], ok, code)
 		}
 		code, ok := r.Check(now, "surveys", good)
 		fmt.Fprintf(&b, "     good as another team: %t %s\n", ok, code)
--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -118,10 +118,10 @@
 // generateLoad sends the entry its portion of each team's demand. A tenth of the teams
 // burst at any time.
 func (d *demandSimulation) generateLoad(l *Ledger) {
-	turn := int(d.now.Sub(testStart) / demandBurst)
+	burst := int(d.now.Sub(testStart) / demandBurst)
 	for i, team := range d.teams {
 		mean := float64(demandLimit) / 6 / float64(len(d.ledgers)) * float64(demandTick) / float64(demandRunTime)
-		if i%10 == turn%10 {
+		if i%10 == burst%10 {
 			mean *= 5
 		} else {
 			mean /= 20
@@ -184,7 +184,7 @@
 	for _, teams := range []int{62, 155, 620} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			var d *demandSimulation
-			before := heapInUse()
+			before := heapBytes()
 			for b.Loop() {
 				d = newDemandSimulation(teams, 1, 1, disabledSafeguards{})
 				l := d.ledgers[0]
@@ -202,13 +202,13 @@
 				}
 				d.table, d.limits, d.teams = table.Memory{}, nil, nil
 			}
-			b.ReportMetric(float64(heapInUse()-before)/float64(teams), "B/team")
+			b.ReportMetric(float64(heapBytes()-before)/float64(teams), "B/team")
 			runtime.KeepAlive(d)
 		})
 	}
 }
 
-func heapInUse() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -250,8 +250,8 @@
 // slots. The limit is divided among zones first, then within the zone, and rounded
 // down.
 func (l *Ledger) evenShare(now time.Time, limit core.Slots, d *draft) core.Slots {
-	zones := claimants(d.teamRow.Zones, d.teamRow.Wanted, l.Zone, now)
-	entries := claimants(d.zoneRow.Entries, d.zoneRow.Wanted, l.Self, now)
+	zones := countClaimants(d.teamRow.Zones, d.teamRow.Wanted, l.Zone, now)
+	entries := countClaimants(d.zoneRow.Entries, d.zoneRow.Wanted, l.Self, now)
 	return limit / core.Slots(zones*entries)
 }
 
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -37,7 +37,7 @@
 	delayedWrites []table.Transaction
 	gone          []core.EntryID
 	runs          []targetRun
-	unsafe        disabledSafeguards
+	disabled      disabledSafeguards
 	// changeLimits is true if the limit is raised and reduced during the run.
 	changeLimits bool
 	// scriptedFaults is true if the test injects the faults itself.
@@ -80,7 +80,7 @@
 }
 
 func newSimulation(seed uint64, disabled disabledSafeguards, changeLimits bool) *simulation {
-	w := &simulation{r: rand.New(rand.NewPCG(seed, 1)), now: testStart, limit: 12, unsafe: disabled, changeLimits: changeLimits}
+	w := &simulation{r: rand.New(rand.NewPCG(seed, 1)), now: testStart, limit: 12, disabled: disabled, changeLimits: changeLimits}
 	w.setLimit(12)
 	for i := range 6 {
 		w.entries = append(w.entries, w.newEntry(i))
@@ -92,7 +92,7 @@
 	w.idCount++
 	return &testEntry{firstPoll: true, ledger: &Ledger{
 		Self: core.NewEntryID(fmt.Sprintf("e%d", i), w.now), Zone: core.ZoneID(fmt.Sprintf("z%d", i/2)),
-		MaxLifetime: testLifetime, Skew: testSkew, disabled: w.unsafe,
+		MaxLifetime: testLifetime, Skew: testSkew, disabled: w.disabled,
 	}}
 }
 
@@ -366,12 +366,12 @@
 		for seed := range uint64(safeguardSeeds) {
 			w := newSimulation(seed, disabledSafeguards{noHeadCheck: disabled}, false)
 			w.scriptedFaults = true
-			late, blind := w.entries[0], w.entries[1]
+			stale, disconnected := w.entries[0], w.entries[1]
 			w.steps(100)
-			late.cutFromConfig, late.cutFromTable = true, true
+			stale.cutFromConfig, stale.cutFromTable = true, true
 			w.setLimit(6)
 			w.steps(300)
-			late.cutFromTable, blind.cutFromTable = false, true
+			stale.cutFromTable, disconnected.cutFromTable = false, true
 			w.steps(300)
 			maxExcess[disabled] = max(maxExcess[disabled], w.maxExcess)
 		}
--- a/core/limit/rows.go
+++ b/core/limit/rows.go
@@ -49,8 +49,8 @@
 }
 
 // nonNegative reports whether no allotment is negative. No move writes a negative one.
-func nonNegative[K comparable](parts map[K]core.Slots) bool {
-	for _, n := range parts {
+func nonNegative[K comparable](allotments map[K]core.Slots) bool {
+	for _, n := range allotments {
 		if n < 0 {
 			return false
 		}
@@ -58,21 +58,21 @@
 	return true
 }
 
-func sum[K comparable](parts map[K]core.Slots) core.Slots {
+func sum[K comparable](allotments map[K]core.Slots) core.Slots {
 	var total core.Slots
-	for _, n := range parts {
+	for _, n := range allotments {
 		total += n
 	}
 	return total
 }
 
 // setSlots stores n under key. Allotments of zero are removed.
-func setSlots[K comparable](parts *map[K]core.Slots, key K, n core.Slots) {
+func setSlots[K comparable](allotments *map[K]core.Slots, key K, n core.Slots) {
 	if n == 0 {
-		delete(*parts, key)
+		delete(*allotments, key)
 		return
 	}
-	put(parts, key, n)
+	put(allotments, key, n)
 }
 
 func put[K comparable, T any](m *map[K]T, key K, value T) {
@@ -99,11 +99,11 @@
 	return n
 }
 
-// claimants returns the number of keys that hold an allotment or have a mark in force,
+// countClaimants returns the number of keys that hold an allotment or have a mark in force,
 // including self.
-func claimants[K comparable](parts map[K]core.Slots, marks map[K]time.Time, self K, now time.Time) int {
+func countClaimants[K comparable](allotments map[K]core.Slots, marks map[K]time.Time, self K, now time.Time) int {
 	all := map[K]bool{self: true}
-	for key := range parts {
+	for key := range allotments {
 		all[key] = true
 	}
 	for key, end := range marks {
--- a/core/limit/session_test.go
+++ b/core/limit/session_test.go
@@ -170,11 +170,11 @@
 		s := &session{now: testStart}
 		s.a = &Ledger{Self: "a#1", Zone: "za", disabled: disabledSafeguards{giveBackRunning: disabled}}
 		s.z = &Ledger{Self: "z#1", Zone: "zz", disabled: disabledSafeguards{giveBackRunning: disabled}}
-		var t0 table.Transaction
-		_ = t0.Set(table.TeamAllotmentKey(testTeam), TeamRow{Limit: 4, Zones: map[core.ZoneID]core.Slots{"za": 2, "zz": 2}})
-		_ = t0.Set(table.ZoneAllotmentKey(testTeam, "za"), ZoneRow{Entries: map[core.EntryID]core.Slots{"a#1": 2}})
-		_ = t0.Set(table.ZoneAllotmentKey(testTeam, "zz"), ZoneRow{Entries: map[core.EntryID]core.Slots{"z#1": 2}})
-		assert.NilError(t, s.table.Transact(t0))
+		var tx table.Transaction
+		_ = tx.Set(table.TeamAllotmentKey(testTeam), TeamRow{Limit: 4, Zones: map[core.ZoneID]core.Slots{"za": 2, "zz": 2}})
+		_ = tx.Set(table.ZoneAllotmentKey(testTeam, "za"), ZoneRow{Entries: map[core.EntryID]core.Slots{"a#1": 2}})
+		_ = tx.Set(table.ZoneAllotmentKey(testTeam, "zz"), ZoneRow{Entries: map[core.EntryID]core.Slots{"z#1": 2}})
+		assert.NilError(t, s.table.Transact(tx))
 		s.at(0, "", func() { s.start(s.a, 1, 0); s.start(s.z, 1, 0); s.setLimit(4) })
 		s.at(1, "", func() { s.start(s.a, 2, time.Minute); s.start(s.z, 2, 5*time.Second) })
 		s.at(2, "", func() { s.setLimit(2) })
--- a/core/maintenance/driver_test.go
+++ b/core/maintenance/driver_test.go
@@ -22,16 +22,16 @@
 	pool := fleet.Pool{MaxUnavailable: 2, Size: 10, Members: 10, Out: []fleet.OutVM{
 		{Ref: ref, Planned: true}, {Ref: fleet.Ref{Zone: "z", VM: "v1"}}, {Ref: fleet.Ref{Zone: "z", VM: "v2"}},
 	}}
-	rebootBy := start.Add(time.Minute)
+	rebootBy := testStart.Add(time.Minute)
 	vm, err := fleet.DecodeVM(table.MustRow(ref.Key(), 3, fleet.VM{
-		Pool: "p", State: fleet.Stopped, RebootBy: rebootBy, BackBy: start.Add(time.Hour),
+		Pool: "p", State: fleet.Stopped, RebootBy: rebootBy, BackBy: testStart.Add(time.Hour),
 	}))
 	assert.NilError(t, err)
-	seen := &maintenance.Observation{Up: true, RefusesUntil: start.Add(time.Hour)}
+	seen := &maintenance.Observation{Up: true, RefusesUntil: testStart.Add(time.Hour)}
 	next := func() maintenance.Step {
 		row, err := fleet.DecodePool(table.MustRow(table.PoolStateKey("p"), 7, pool))
 		assert.NilError(t, err)
-		step, err := maintenance.Driver{}.Next(start, vm, map[core.PoolID]fleet.PoolRow{"p": row}, seen)
+		step, err := maintenance.Driver{}.Next(testStart, vm, map[core.PoolID]fleet.PoolRow{"p": row}, seen)
 		assert.NilError(t, err)
 		return step
 	}
--- a/core/maintenance/fixed/fixed.go
+++ b/core/maintenance/fixed/fixed.go
@@ -34,7 +34,7 @@
 	var commands []maintenance.Command
 	due := 0
 	for _, r := range v.VMs {
-		maintained := !r.VM.LastMaintained.Before(v.Wave.Began)
+		maintained := !r.VM.LastMaintained.Before(v.Wave.PlannedAt)
 		if r.VM.Wave == waveName && r.VM.State != fleet.Serving && !maintained {
 			return nil
 		}
--- a/core/maintenance/lease_policy_test.go
+++ b/core/maintenance/lease_policy_test.go
@@ -26,7 +26,7 @@
 	entries []*leaseEntry
 	// releases counts the leases that were released, gap counts the consecutive steps
 	// without a holder, and longest is the longest such gap.
-	releases, gap, longest int
+	releases, gap, longestGap int
 }
 
 const (
@@ -58,7 +58,7 @@
 	if z.now.Before(z.lease().Until) {
 		z.gap = 0
 	}
-	z.longest = max(z.longest, z.gap)
+	z.longestGap = max(z.longestGap, z.gap)
 }
 
 func (z *leaseZone) tick(e *leaseEntry, ids []core.EntryID) {
@@ -103,7 +103,7 @@
 	z.steps(100)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_1"))
 	assert.Equal(t, z.releases, 1)
-	assert.Equal(t, z.longest, 0)
+	assert.Equal(t, z.longestGap, 0)
 }
 
 // TestLeasePolicyKeepsController guards against a zone without a controller, in which
@@ -116,7 +116,7 @@
 	z.steps(1000)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"))
 	assert.Equal(t, z.releases, 1)
-	assert.Assert(t, z.longest <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longest)
+	assert.Assert(t, z.longestGap <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longestGap)
 
 	// Another entry resumes and takes the lease. It freezes, and the relay takes over again.
 	z.entries[1].frozen = false
@@ -127,5 +127,5 @@
 	z.steps(1000)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"))
 	assert.Equal(t, z.releases, 2)
-	assert.Assert(t, z.longest <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longest)
+	assert.Assert(t, z.longestGap <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longestGap)
 }
--- a/core/maintenance/session_test.go
+++ b/core/maintenance/session_test.go
@@ -17,11 +17,11 @@
 	"lavenderpond/core/table"
 )
 
-var start = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
 func newZone(seed uint64) *sim.Zone {
 	size := sim.Size{Zones: 1, Pools: 2, PoolVMs: 6, SpareVMs: 4, RackVMs: 4, MaxUnavailable: 2}
-	w := sim.NewWorld(seed, start, size, size.MaxUnavailable)
+	w := sim.NewWorld(seed, testStart, size, size.MaxUnavailable)
 	w.RebootTime, w.DrainTime, w.Unseen = time.Minute, time.Minute, time.Minute
 	return &sim.Zone{World: w, ID: "z0", Planner: spread.Planner{RepairAfter: 5 * time.Minute, StopTime: 5 * time.Minute}}
 }
@@ -33,7 +33,7 @@
 	assert.NilError(t, z.Order(func(r maintenance.WaveRow) (table.Transaction, error) {
 		switch operation {
 		case "plan":
-			return maintenance.Plan(z.World.Now, r, o, start.Add(24*time.Hour), 1)
+			return maintenance.Plan(z.World.Now, r, o, testStart.Add(24*time.Hour), 1)
 		case "start":
 			return maintenance.Start(r, o)
 		}
@@ -70,11 +70,11 @@
 	}
 }
 
-// TestSessionGolden runs a whole maintenance. An operator plans, starts, pauses and
+// TestSession runs a whole maintenance. An operator plans, starts, pauses and
 // resumes it. A rack fails during the wave and uses up two budgets, which the spare pool
 // repairs. Reboots break VMs until the wave halts automatically. An operator starts it
 // again, and the VMs that recover move to the spare pool.
-func TestSessionGolden(t *testing.T) {
+func TestSession(t *testing.T) {
 	z := newZone(7)
 	r := &recorder{zone: z, last: make(map[fleet.Ref]string)}
 	submitChange(t, z, "plan-1")
@@ -118,14 +118,14 @@
 	}
 	plan := func(deadline time.Time, maxNotBack int) func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error) {
 		return func(r maintenance.WaveRow, o maintenance.OperatorChange) (table.Transaction, error) {
-			return maintenance.Plan(start, r, o, deadline, maxNotBack)
+			return maintenance.Plan(testStart, r, o, deadline, maxNotBack)
 		}
 	}
 	assert.Equal(t, try(maintenance.Start), core.CodeConflict)
 	assert.Equal(t, try(maintenance.Pause), core.CodeConflict)
-	assert.Equal(t, try(plan(start, 1)), core.CodeInvalidSetting)
-	assert.Equal(t, try(plan(start.Add(time.Hour), -1)), core.CodeInvalidSetting)
+	assert.Equal(t, try(plan(testStart, 1)), core.CodeInvalidSetting)
+	assert.Equal(t, try(plan(testStart.Add(time.Hour), -1)), core.CodeInvalidSetting)
 	submitChange(t, z, "plan-1")
 	submitChange(t, z, "start-1")
-	assert.Equal(t, try(plan(start.Add(time.Hour), 1)), core.CodeConflict)
+	assert.Equal(t, try(plan(testStart.Add(time.Hour), 1)), core.CodeConflict)
 }
--- a/core/maintenance/spread/spread.go
+++ b/core/maintenance/spread/spread.go
@@ -153,7 +153,7 @@
 	}
 }
 
-func (r *round) isDue(vm *fleet.VM) bool { return vm.LastMaintained.Before(r.view.Wave.Began) }
+func (r *round) isDue(vm *fleet.VM) bool { return vm.LastMaintained.Before(r.view.Wave.PlannedAt) }
 
 // takeOuts chooses the VMs to take out now. It prefers VMs of the pool with the most due
 // VMs in proportion to its budget.
@@ -189,8 +189,8 @@
 	slices.SortStableFunc(due, func(a, b *fleet.VMRow) int {
 		pa, pb := r.pools[a.VM.Pool], r.pools[b.VM.Pool]
 		// Compares due/MaxUnavailable in descending order, multiplied out to avoid a division.
-		byTightness := cmp.Compare(pb.due*max(pa.MaxUnavailable, 1), pa.due*max(pb.MaxUnavailable, 1))
-		return cmp.Or(byTightness, a.VM.NextDue.Compare(b.VM.NextDue))
+		byDueRatio := cmp.Compare(pb.due*max(pa.MaxUnavailable, 1), pa.due*max(pb.MaxUnavailable, 1))
+		return cmp.Or(byDueRatio, a.VM.NextDue.Compare(b.VM.NextDue))
 	})
 	return due
 }
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -14,7 +14,7 @@
 	"lavenderpond/core/table"
 )
 
-var start = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
 // result sums up what the simulated world recorded over some seeds.
 type result struct {
@@ -29,13 +29,13 @@
 func runMaintenance(t *testing.T, seed uint64, rule string, maxNotBack int, prepare func(*sim.World)) result {
 	t.Helper()
 	size := sim.Size{Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 8, RackVMs: 4, MaxUnavailable: 2}
-	w := sim.NewWorld(seed, start, size, size.MaxUnavailable)
+	w := sim.NewWorld(seed, testStart, size, size.MaxUnavailable)
 	w.RebootTime, w.DrainTime, w.Unseen = time.Minute, time.Minute, 30*time.Second
 	z := &sim.Zone{World: w, ID: "z0", Planner: spread.Without(rule)}
 	prepare(w)
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
 		func(r maintenance.WaveRow) (table.Transaction, error) {
-			return maintenance.Plan(start, r, maintenance.OperatorChange{Change: "plan"}, start.Add(48*time.Hour), maxNotBack)
+			return maintenance.Plan(testStart, r, maintenance.OperatorChange{Change: "plan"}, testStart.Add(48*time.Hour), maxNotBack)
 		},
 		func(r maintenance.WaveRow) (table.Transaction, error) {
 			return maintenance.Start(r, maintenance.OperatorChange{Change: "start"})
--- a/core/maintenance/wave.go
+++ b/core/maintenance/wave.go
@@ -65,9 +65,9 @@
 	// Number counts how often maintenance was started. A VM that did not come back in a
 	// wave that halted therefore doesn't count against the next wave.
 	Number int `json:"number"`
-	// Began is when the maintenance was planned. A VM that was last maintained before
+	// PlannedAt is when the maintenance was planned. A VM that was last maintained before
 	// then is due.
-	Began time.Time `json:"began,omitzero"`
+	PlannedAt time.Time `json:"began,omitzero"`
 	// Deadline is the time by which every VM must have been maintained.
 	Deadline time.Time `json:"deadline,omitzero"`
 	// MaxNotBack is how many VMs may fail to come back. One more halts the wave.
@@ -127,7 +127,7 @@
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "maintenance of zone %q is running; pause it first", w.Zone)
 	}
 	next := w.Wave
-	next.Status, next.Began, next.Deadline, next.MaxNotBack = Planned, now, deadline, maxNotBack
+	next.Status, next.PlannedAt, next.Deadline, next.MaxNotBack = Planned, now, deadline, maxNotBack
 	return w.applyOnce(next, o)
 }
 
@@ -203,7 +203,7 @@
 }
 
 func (p *Progress) count(now time.Time, w Wave, waveName string, vm *fleet.VM) {
-	maintained := !vm.LastMaintained.Before(w.Began)
+	maintained := !vm.LastMaintained.Before(w.PlannedAt)
 	switch {
 	case vm.State == fleet.Failed:
 		p.Failed++
--- a/core/queue/fair/admit.go
+++ b/core/queue/fair/admit.go
@@ -22,7 +22,7 @@
 // admit refuses an item that doesn't fit or wouldn't be finished in time. It returns
 // the predicted wait before correction.
 func (f *Queue) admit(now time.Time, s *queueState, t *team, item queue.Item, idle core.Slots) (time.Duration, core.NotRun, bool) {
-	if !f.hasRoom(s, t) {
+	if !f.hasSpace(s, t) {
 		return 0, f.refuse(now, s, core.CodeQueueFull, "the queue has no place left for the team"), false
 	}
 	predicted := f.predictWait(s, t, item, idle)
@@ -34,10 +34,10 @@
 	return predicted, core.NotRun{}, true
 }
 
-// hasRoom reports whether the queue can accept another item of t. Without the
+// hasSpace reports whether the queue can accept another item of t. Without the
 // threshold, a flood of one team would fill the queue and the requests of other teams
 // would be refused, regardless of their shares.
-func (f *Queue) hasRoom(s *queueState, t *team) bool {
+func (f *Queue) hasSpace(s *queueState, t *team) bool {
 	bound := f.maxQueued(s.id)
 	free := bound - s.waiting
 	if free <= 0 {
--- a/core/queue/fair/bench_test.go
+++ b/core/queue/fair/bench_test.go
@@ -16,7 +16,7 @@
 	for k := range n {
 		i := item(fmt.Sprint("team", k%teams), k, k%5 == 0, time.Hour+time.Duration(k*7919%100000)*time.Millisecond)
 		items = append(items, i)
-		f.Push(t0, i, 1<<30)
+		f.Push(testStart, i, 1<<30)
 	}
 	return f, items
 }
@@ -37,9 +37,9 @@
 func BenchmarkPopPush(b *testing.B) {
 	runForSizes(b, func(b *testing.B, f *Queue, _ []queue.Item) {
 		for b.Loop() {
-			i, _ := f.Pop(t0, q, acceptAll)
-			f.Observe(t0, q, i.Key.Team, time.Second)
-			f.Push(t0, i, 1<<30)
+			i, _ := f.Pop(testStart, q, acceptAll)
+			f.Observe(testStart, q, i.Key.Team, time.Second)
+			f.Push(testStart, i, 1<<30)
 		}
 	})
 }
@@ -50,7 +50,7 @@
 		for k := 0; b.Loop(); k++ {
 			i := items[k%len(items)]
 			f.Remove(i.Key)
-			f.Push(t0, i, 1<<30)
+			f.Push(testStart, i, 1<<30)
 		}
 	})
 }
@@ -81,9 +81,9 @@
 		f, _ := filledQueue(teams, 10000)
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			for b.Loop() {
-				i, _ := f.Pop(t0, q, func(i queue.Item) bool { return i.Key.Team == "team0" })
-				f.Observe(t0, q, i.Key.Team, time.Second)
-				f.Push(t0, i, 1<<30)
+				i, _ := f.Pop(testStart, q, func(i queue.Item) bool { return i.Key.Team == "team0" })
+				f.Observe(testStart, q, i.Key.Team, time.Second)
+				f.Push(testStart, i, 1<<30)
 			}
 		})
 	}
--- a/core/queue/fair/differential_test.go
+++ b/core/queue/fair/differential_test.go
@@ -114,17 +114,17 @@
 				// Weights of one, two and four keep the sums exact.
 				team := []string{"t0", "t1", "t3", "u0", "u1"}[rng.IntN(5)]
 				i := item(team, step, rng.IntN(3) == 0, time.Hour+time.Duration(deadlines[step])*10*time.Second)
-				_, ok := f.Push(t0, i, 1<<20)
+				_, ok := f.Push(testStart, i, 1<<20)
 				assert.Assert(t, ok, "seed %d step %d", seed, step)
 				n.push(i)
 			case 2, 3:
 				blocked := core.TeamID([]string{"", "t0", "u1"}[rng.IntN(3)])
-				got, ok := f.Pop(t0, q, func(i queue.Item) bool { return i.Key.Team != blocked })
+				got, ok := f.Pop(testStart, q, func(i queue.Item) bool { return i.Key.Team != blocked })
 				want, wantOK := n.pop(blocked)
 				assert.Equal(t, ok, wantOK, "seed %d step %d", seed, step)
 				assert.Equal(t, got.Key, want.Key, "seed %d step %d", seed, step)
 				if ok {
-					f.Observe(t0, q, got.Key.Team, time.Second)
+					f.Observe(testStart, q, got.Key.Team, time.Second)
 				}
 			case 4:
 				key := core.RequestKey{Team: core.TeamID([]string{"t0", "t1", "t3"}[rng.IntN(3)]), ID: core.RequestID(fmt.Sprint(rng.IntN(step + 1)))}
--- a/core/queue/fair/fair.go
+++ b/core/queue/fair/fair.go
@@ -58,7 +58,7 @@
 
 // disabledSafeguards selects the safeguards that a test disables.
 type disabledSafeguards struct {
-	fairness, urgentBound, expiryCheck, probing, reordering, lazyRemoval bool
+	fairness, urgentBound, expiryCheck, teamSkipping, reordering, lazyRemoval bool
 }
 
 var _ queue.Queue = (*Queue)(nil)
@@ -195,7 +195,7 @@
 		if b.allows(t) {
 			found = f.offer(now, t, o, ready)
 		}
-		if found != nil || f.disabled.probing {
+		if found != nil || f.disabled.teamSkipping {
 			break
 		}
 		skipped = append(skipped, heap.Pop(h).(*team))
--- a/core/queue/fair/property_test.go
+++ b/core/queue/fair/property_test.go
@@ -16,14 +16,14 @@
 
 const q = core.QueueID("q")
 
-var t0 = time.Unix(1_800_000_000, 0).UTC()
+var testStart = time.Unix(1_800_000_000, 0).UTC()
 
 func acceptAll(queue.Item) bool { return true }
 
 func item(team string, n int, urgent bool, within time.Duration) queue.Item {
 	return queue.Item{
 		Key:   core.RequestKey{Team: core.TeamID(team), ID: core.RequestID(fmt.Sprint(n))},
-		Queue: q, Urgent: urgent, Deadline: t0.Add(within), DeclaredRun: time.Second,
+		Queue: q, Urgent: urgent, Deadline: testStart.Add(within), DeclaredRun: time.Second,
 	}
 }
 
@@ -35,12 +35,12 @@
 	for _, p := range []struct {
 		name     string
 		disabled disabledSafeguards
-		check    func(off disabledSafeguards, rng *rand.Rand) error
+		check    func(disabled disabledSafeguards, rng *rand.Rand) error
 	}{
 		{"weighted shares", disabledSafeguards{fairness: true}, sharesHold},
 		{"urgent flood starves no team", disabledSafeguards{urgentBound: true}, urgentIsBounded},
 		{"expired items are never popped", disabledSafeguards{expiryCheck: true}, neverExpired},
-		{"work conservation", disabledSafeguards{probing: true}, workConserving},
+		{"work conservation", disabledSafeguards{teamSkipping: true}, workConserving},
 	} {
 		t.Run(p.name, func(t *testing.T) {
 			failedSeeds := 0
@@ -71,15 +71,15 @@
 	longest := 0.0
 	for n := range 300 {
 		for team := range shares {
-			f.Push(t0, item(string(team), n, false, 24*time.Hour), 1<<20)
+			f.Push(testStart, item(string(team), n, false, 24*time.Hour), 1<<20)
 		}
 	}
 	for range 250 {
-		i, _ := f.Pop(t0, q, acceptAll)
+		i, _ := f.Pop(testStart, q, acceptAll)
 		run := 0.1 + rng.ExpFloat64()
 		longest = math.Max(longest, run)
 		got[i.Key.Team] += run
-		f.Observe(t0, q, i.Key.Team, secondsToDuration(run))
+		f.Observe(testStart, q, i.Key.Team, secondsToDuration(run))
 	}
 	for a := range shares {
 		for b := range shares {
@@ -98,16 +98,16 @@
 	f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	const n = 200
 	for i := range n {
-		f.Push(t0, item("flood", i, true, 24*time.Hour), 1<<20)
-		f.Push(t0, item("calm", i, false, 24*time.Hour), 1<<20)
+		f.Push(testStart, item("flood", i, true, 24*time.Hour), 1<<20)
+		f.Push(testStart, item("calm", i, false, 24*time.Hour), 1<<20)
 	}
 	calm, served := 0, 100+rng.IntN(n-100)
 	for range served {
-		i, _ := f.Pop(t0, q, acceptAll)
+		i, _ := f.Pop(testStart, q, acceptAll)
 		if i.Key.Team == "calm" {
 			calm++
 		}
-		f.Observe(t0, q, i.Key.Team, time.Second)
+		f.Observe(testStart, q, i.Key.Team, time.Second)
 	}
 	if calm < served/2-urgentLeadRuns {
 		return fmt.Errorf("team calm got %d of %d runs", calm, served)
@@ -118,7 +118,7 @@
 // neverExpired pops at random times, sometimes after a call of Expired.
 func neverExpired(disabled disabledSafeguards, rng *rand.Rand) error {
 	f := Queue{disabled: disabled}
-	now := t0
+	now := testStart
 	for n := range 100 {
 		f.Push(now, item("a", n, rng.IntN(2) == 0, time.Duration(rng.IntN(20))*time.Second), 1<<20)
 		now = now.Add(time.Duration(rng.IntN(1000)) * time.Millisecond)
@@ -139,7 +139,7 @@
 	free := map[core.TeamID]int{}
 	for n := range 100 {
 		team := fmt.Sprint("team", rng.IntN(10))
-		f.Push(t0, item(team, n, rng.IntN(2) == 0, time.Hour), 1<<20)
+		f.Push(testStart, item(team, n, rng.IntN(2) == 0, time.Hour), 1<<20)
 		free[core.TeamID(team)]++
 	}
 	blocked := map[core.TeamID]bool{}
@@ -151,7 +151,7 @@
 				runnable += n
 			}
 		}
-		i, ok := f.Pop(t0, q, func(i queue.Item) bool { return !blocked[i.Key.Team] })
+		i, ok := f.Pop(testStart, q, func(i queue.Item) bool { return !blocked[i.Key.Team] })
 		if ok != (runnable > 0) {
 			return fmt.Errorf("Pop returned %t with %d items of teams below their limit", ok, runnable)
 		}
@@ -188,13 +188,13 @@
 	serve := func() (served []core.RequestKey) {
 		f := Queue{disabled: disabled}
 		for n := range 100 {
-			f.Push(t0, item(fmt.Sprint("team", n%7), n, n%3 == 0, time.Duration(1+n%11)*time.Minute), 1<<20)
+			f.Push(testStart, item(fmt.Sprint("team", n%7), n, n%3 == 0, time.Duration(1+n%11)*time.Minute), 1<<20)
 		}
 		for _, n := range cancelled {
 			key := core.RequestKey{Team: core.TeamID(fmt.Sprint("team", n%7)), ID: core.RequestID(fmt.Sprint(n))}
 			assert.Assert(t, f.Remove(key) && !f.Remove(key), "seed %d", seed)
 		}
-		for i, ok := f.Pop(t0, q, acceptAll); ok; i, ok = f.Pop(t0, q, acceptAll) {
+		for i, ok := f.Pop(testStart, q, acceptAll); ok; i, ok = f.Pop(testStart, q, acceptAll) {
 			served = append(served, i.Key)
 		}
 		return served
@@ -214,14 +214,14 @@
 	perCancellation := func(disabled disabledSafeguards, n int) float64 {
 		f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 		for i := range n {
-			f.Push(t0, item("a", i, false, time.Hour), 1<<20)
+			f.Push(testStart, item("a", i, false, time.Hour), 1<<20)
 		}
-		lanes := []*lazyHeap{&f.expiry, &f.queues[q].teams["a"].normal}
+		heaps := []*lazyHeap{&f.expiry, &f.queues[q].teams["a"].normal}
 		examined := 0
 		for i := range n {
-			before := []int{len(lanes[0].entries), len(lanes[1].entries)}
+			before := []int{len(heaps[0].entries), len(heaps[1].entries)}
 			assert.Assert(t, f.Remove(core.RequestKey{Team: "a", ID: core.RequestID(fmt.Sprint(i))}))
-			for k, l := range lanes {
+			for k, l := range heaps {
 				if len(l.entries) < before[k] {
 					examined += before[k]
 				}
@@ -240,16 +240,16 @@
 // Guards against refused callers that retry together. A burst is refused while it waits
 // for slots; the times to retry must be in the future, and about as far apart as slots
 // become free.
-func TestComeBackTimesAreSpread(t *testing.T) {
+func TestRetryTimesAreSpread(t *testing.T) {
 	f := Queue{MaxQueued: fixedBound(50)}
 	for n := range 10 {
-		f.Push(t0, item("a", n, false, time.Hour), 1<<20)
-		f.Pop(t0, q, acceptAll)
-		f.Observe(t0, q, "a", time.Second)
+		f.Push(testStart, item("a", n, false, time.Hour), 1<<20)
+		f.Pop(testStart, q, acceptAll)
+		f.Observe(testStart, q, "a", time.Second)
 	}
 	var times []time.Time
 	for n := range 150 {
-		if refusal, ok := f.Push(t0, item("a", 100+n, false, time.Hour), 0); !ok {
+		if refusal, ok := f.Push(testStart, item("a", 100+n, false, time.Hour), 0); !ok {
 			assert.Equal(t, refusal.Code, core.CodeQueueFull)
 			times = append(times, refusal.ComeBackAt)
 		}
@@ -257,8 +257,8 @@
 	assert.Assert(t, len(times) > 100, "only %d requests were refused", len(times))
 	perSecond := map[int]int{}
 	for _, at := range times {
-		assert.Assert(t, !at.Before(t0.Add(minRetryDelay)) && at.Before(t0.Add(maxRetryDelay+time.Second)), at.String())
-		perSecond[int(at.Sub(t0).Seconds())]++
+		assert.Assert(t, !at.Before(testStart.Add(minRetryDelay)) && at.Before(testStart.Add(maxRetryDelay+time.Second)), at.String())
+		perSecond[int(at.Sub(testStart).Seconds())]++
 	}
 	for second, n := range perSecond {
 		assert.Assert(t, n <= 15, "%d callers return in second %d", n, second)
--- a/core/queue/fifo/fifo.go
+++ b/core/queue/fifo/fifo.go
@@ -11,8 +11,8 @@
 	"lavenderpond/core/queue"
 )
 
-// comeBackAfter is the delay after which a caller that met a full queue may retry.
-const comeBackAfter = time.Second
+// retryDelay is the delay after which a caller that met a full queue may retry.
+const retryDelay = time.Second
 
 // Queue is a first-come-first-served queue.Queue. The zero value is empty and
 // unbounded.
@@ -27,7 +27,7 @@
 // Push implements queue.Queue.
 func (f *Queue) Push(now time.Time, item queue.Item, _ core.Slots) (core.NotRun, bool) {
 	if f.MaxQueued > 0 && len(f.items[item.Queue]) >= f.MaxQueued {
-		return core.NotRun{Code: core.CodeQueueFull, ComeBackAt: now.Add(comeBackAfter)}, false
+		return core.NotRun{Code: core.CodeQueueFull, ComeBackAt: now.Add(retryDelay)}, false
 	}
 	if f.items == nil {
 		f.items = make(map[core.QueueID][]queue.Item)
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,7 +11,7 @@
 	"lavenderpond/core"
 )
 
-var t0 = time.Unix(1_800_000_000, 0).UTC()
+var testStart = time.Unix(1_800_000_000, 0).UTC()
 
 // checkRetryBound requests up to nine retries after each step, as in an outage, and
 // returns an error if more are allowed than the budget permits.
@@ -20,11 +20,11 @@
 	first, allowed := 0, 0
 	for range 500 {
 		if rng.IntN(3) > 0 {
-			b.First(t0)
+			b.First(testStart)
 			first++
 		}
 		for range rng.IntN(10) {
-			if b.Allow(t0) {
+			if b.Allow(testStart) {
 				allowed++
 			}
 		}
@@ -55,7 +55,7 @@
 		for n, ms := range want {
 			full := ms * time.Millisecond
 			for range 50 {
-				d := b.Backoff(t0, n+1).Sub(t0)
+				d := b.Backoff(testStart, n+1).Sub(testStart)
 				assert.Assert(t, d >= full/2 && d <= full, "retry %d waits %v, want between half of %v and all of it", n+1, d, full)
 			}
 		}
--- a/core/retry/token_bucket.go
+++ b/core/retry/token_bucket.go
@@ -78,14 +78,14 @@
 
 func (b *TokenBucket) backoffDelay(n int) time.Duration {
 	step := orDefault(b.Step, DefaultStep)
-	longest := orDefault(b.MaxBackoff, DefaultMaxBackoff)
+	maxBackoff := orDefault(b.MaxBackoff, DefaultMaxBackoff)
 	if b.Growth == Linear {
-		return min(time.Duration(n)*step, longest)
+		return min(time.Duration(n)*step, maxBackoff)
 	}
-	for ; n > 1 && step < longest; n-- {
+	for ; n > 1 && step < maxBackoff; n-- {
 		step *= 2
 	}
-	return min(step, longest)
+	return min(step, maxBackoff)
 }
 
 func orDefault[T float64 | time.Duration](v, fallback T) T {
--- a/core/route/least/bench_test.go
+++ b/core/route/least/bench_test.go
@@ -24,16 +24,16 @@
 				for p := range 5 {
 					pools = append(pools, route.Pool{ID: core.PoolID(fmt.Sprint(p)), LendsIdle: true, MaxEjected: 1})
 				}
-				r.Update(t0, list, pools)
+				r.Update(testStart, list, pools)
 				criteria := route.Criteria{Pool: "0", Overflow: overflow}
 				if overflow {
 					criteria.Pool = "none"
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					vm, _ := r.Pick(t0, criteria)
-					r.Started(t0, vm)
-					r.Ended(t0, vm, route.Succeeded, time.Second)
+					vm, _ := r.Pick(testStart, criteria)
+					r.Started(testStart, vm)
+					r.Ended(testStart, vm, route.Succeeded, time.Second)
 				}
 			})
 		}
@@ -45,9 +45,9 @@
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			r := &Router{Entries: 2}
-			r.Update(t0, targets(n), nil)
+			r.Update(testStart, targets(n), nil)
 			for b.Loop() {
-				r.Idle(t0, route.Criteria{Pool: pool})
+				r.Idle(testStart, route.Criteria{Pool: pool})
 			}
 		})
 	}
--- a/core/route/least/property_test.go
+++ b/core/route/least/property_test.go
@@ -12,7 +12,7 @@
 	"lavenderpond/core/route"
 )
 
-var t0 = time.Unix(1_800_000_000, 0).UTC()
+var testStart = time.Unix(1_800_000_000, 0).UTC()
 
 const pool = core.PoolID("p")
 
@@ -27,7 +27,7 @@
 // change the budget. It calls check after each step.
 func randomWalk(r *Router, rng *rand.Rand, n int, check func(maxEjected int) error) error {
 	const vms = 10
-	now := t0
+	now := testStart
 	budget := 0
 	running := map[core.VMID]int{}
 	for range n {
@@ -107,14 +107,14 @@
 // others take a second per request.
 func requestsToBadTargets(bad, budget int, disabled disabledSafeguards) int {
 	r := &Router{disabled: disabled}
-	r.Update(t0, targets(10), []route.Pool{{ID: pool, MaxEjected: budget}})
+	r.Update(testStart, targets(10), []route.Pool{{ID: pool, MaxEjected: budget}})
 	isBad := map[core.VMID]bool{}
 	for _, target := range targets(bad) {
 		isBad[target.VM] = true
 	}
 	ends := map[core.VMID][]time.Time{}
 	requests := 0
-	for now := t0; now.Before(t0.Add(20 * time.Second)); now = now.Add(5 * time.Millisecond) {
+	for now := testStart; now.Before(testStart.Add(20 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		for _, target := range targets(10) {
 			for len(ends[target.VM]) > 0 && !now.Before(ends[target.VM][0]) {
 				ends[target.VM] = ends[target.VM][1:]
@@ -166,13 +166,13 @@
 // must receive only one request at a time.
 func TestEjectedTargetReturns(t *testing.T) {
 	r := &Router{}
-	r.Update(t0, targets(3), []route.Pool{{ID: pool, MaxEjected: 1}})
+	r.Update(testStart, targets(3), []route.Pool{{ID: pool, MaxEjected: 1}})
 	for range minHealthResults {
-		r.Started(t0, "vm0")
-		r.Ended(t0, "vm0", route.Failed, 0)
+		r.Started(testStart, "vm0")
+		r.Ended(testStart, "vm0", route.Failed, 0)
 	}
 	assert.DeepEqual(t, r.Ejected(pool), []core.VMID{"vm0"})
-	now := t0.Add(probeBackoffStep)
+	now := testStart.Add(probeBackoffStep)
 	_, ok := r.Pick(now, route.Criteria{Pool: pool, NoProbe: true, Tried: []core.VMID{"vm1", "vm2"}})
 	assert.Assert(t, !ok, "a request that can't be repeated was used as a probe")
 	for range probesToReturn {
@@ -192,27 +192,27 @@
 	r := &Router{}
 	lender := route.Target{VM: "lender", Pool: "lends", Slots: 8}
 	own := route.Target{VM: "closed", Pool: "keeps", Slots: 8}
-	r.Update(t0, []route.Target{lender, own}, []route.Pool{{ID: "lends", LendsIdle: true}, {ID: "keeps"}})
+	r.Update(testStart, []route.Target{lender, own}, []route.Pool{{ID: "lends", LendsIdle: true}, {ID: "keeps"}})
 	criteria := route.Criteria{Pool: pool, Overflow: true}
-	assert.Equal(t, r.Idle(t0, criteria), core.Slots(8-DefaultLendReserve))
+	assert.Equal(t, r.Idle(testStart, criteria), core.Slots(8-DefaultLendReserve))
 	n := core.Slots(0)
-	for vm, ok := r.Pick(t0, criteria); ok; vm, ok = r.Pick(t0, criteria) {
+	for vm, ok := r.Pick(testStart, criteria); ok; vm, ok = r.Pick(testStart, criteria) {
 		assert.Equal(t, vm, core.VMID("lender"))
-		r.Started(t0, vm)
+		r.Started(testStart, vm)
 		n++
 	}
 	assert.Equal(t, n, core.Slots(8-DefaultLendReserve))
-	assert.Equal(t, r.Idle(t0, route.Criteria{Pool: "lends"}), core.Slots(DefaultLendReserve))
+	assert.Equal(t, r.Idle(testStart, route.Criteria{Pool: "lends"}), core.Slots(DefaultLendReserve))
 
 	// Urgent requests may use the reserve as well.
 	criteria.Urgent = true
-	assert.Equal(t, r.Idle(t0, criteria), core.Slots(DefaultLendReserve))
+	assert.Equal(t, r.Idle(testStart, criteria), core.Slots(DefaultLendReserve))
 	for range DefaultLendReserve {
-		vm, ok := r.Pick(t0, criteria)
+		vm, ok := r.Pick(testStart, criteria)
 		assert.Assert(t, ok)
 		assert.Equal(t, vm, core.VMID("lender"))
-		r.Started(t0, vm)
+		r.Started(testStart, vm)
 	}
-	_, ok := r.Pick(t0, criteria)
+	_, ok := r.Pick(testStart, criteria)
 	assert.Assert(t, !ok)
 }
