--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -107,7 +107,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkDeltaSince measures the delta for a peer that lacks nothing.
+// BenchmarkDeltaSince measures the delta for a peer that is up to date.
 func BenchmarkDeltaSince(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("teams=%d/pools=%d", size.teams, size.pools), func(b *testing.B) {
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -54,7 +54,7 @@
 	Value  map[string]int
 }
 
-// RetireException ends an exception at once. Its row stays, with End set to the current
+// RetireException ends an exception immediately. Its row stays, with End set to the current
 // time. A deletion would have no version, so a stale view could restore the exception.
 type RetireException struct {
 	Author string
--- a/core/config/team.go
+++ b/core/config/team.go
@@ -12,14 +12,14 @@
 type Team struct {
 	// Share is the team's weight relative to other teams when the fleet is full.
 	Share int `json:"share"`
-	// Limit is the maximum number of slots that the team may use at once, fleet-wide.
+	// Limit is the maximum number of slots that the team may use at the same time, fleet-wide.
 	Limit core.Slots `json:"limit"`
 }
 
 // Pool is the row that holds a pool's settings.
 type Pool struct {
 	// MaxUnavailable is the availability budget: the maximum number of VMs of the pool
-	// that may be unavailable at once, planned and unplanned together.
+	// that may be unavailable at the same time, planned and unplanned together.
 	MaxUnavailable int `json:"max_unavailable"`
 	// Spare marks the pool whose VMs replace failed VMs of other pools.
 	Spare bool `json:"spare,omitempty"`
--- a/core/config/view.go
+++ b/core/config/view.go
@@ -22,7 +22,7 @@
 )
 
 // Delta holds the rows that changed after head version Base, up to head version Version.
-// It may hold additional rows, but lacks none.
+// It may hold additional rows, but none of these is missing.
 type Delta struct {
 	Base    core.Version `json:"base"`
 	Version core.Version `json:"version"`
@@ -137,11 +137,12 @@
 	v.maxAppliedAt = max(v.maxAppliedAt, r.appliedAt)
 }
 
-// DeltaSince returns the rows that a peer lacks whose view is complete up to since.
+// DeltaSince returns the rows that are missing at a peer whose view is complete up to
+// since.
 func (v *View) DeltaSince(since core.Version) Delta {
 	d := Delta{Base: since, Version: v.version}
 	if since >= v.maxAppliedAt {
-		// Peers ask every second and mostly lack nothing. Iterating over the rows takes
+		// Peers ask every second and are mostly up to date. Iterating over the rows takes
 		// 58 us at 620 teams, and a relay answers ten peers a second.
 		return d
 	}
--- a/core/config/view_test.go
+++ b/core/config/view_test.go
@@ -100,7 +100,7 @@
 }
 
 // apply applies d and then checks every row: an entry must never hold an older version of
-// a row than before, nor claim a version whose rows it lacks.
+// a row than before, nor claim to be complete up to a version without its rows.
 func (w *viewSimulation) apply(i int, d Delta, from Source) {
 	_, _ = w.views[i].Apply(d, from)
 	for key, r := range w.views[i].rows {
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -56,8 +56,8 @@
 // connections. Each source can exclude a VM, and none can overrule the others.
 //
 // The first source to report that a VM is leaving excludes it: its row within one poll,
-// the live list within its lag, or the VM's own refusal at once. Work that already runs
-// on the VM isn't affected.
+// the live list within its lag, or the VM's own refusal immediately. Work that already
+// runs on the VM isn't affected.
 //
 // The zero value is ready to use. A Membership is not safe for concurrent use.
 type Membership struct {
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -29,8 +29,8 @@
 }
 
 // naiveTargets is a slow and simple reference implementation that walks through the whole
-// history for each VM. A VM may be given work if its newest row says Serving and no event
-// since the row first said so excludes the VM.
+// history for each VM. A VM may be given work if its newest row has the state Serving and
+// no event since the row entered that state excludes the VM.
 func naiveTargets(history []timedEvent, vms []core.VMID) []core.VMID {
 	var targets []core.VMID
 	for _, vm := range vms {
--- a/core/fleet/pool.go
+++ b/core/fleet/pool.go
@@ -21,7 +21,7 @@
 // it covers the pool's VMs of all zones.
 type Pool struct {
 	// MaxUnavailable is the availability budget: how many of the Size VMs may be
-	// unavailable at once, planned and unplanned together.
+	// unavailable at the same time, planned and unplanned together.
 	MaxUnavailable int `json:"max_unavailable"`
 	// Size is the intended number of VMs in the pool.
 	Size int `json:"size"`
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -16,8 +16,8 @@
 	Wave string
 	// MoveTo is the pool that the VM moves to. It is empty if the VM returns to its pool.
 	MoveTo core.PoolID
-	// Resize moves the VM's place with it: the size of the old pool falls by one, and
-	// that of the new pool rises by one. It is unset if a spare VM replaces a failed one.
+	// Resize changes the sizes of the pools with the move: that of the old pool falls by
+	// one, and that of the new pool rises by one. It is unset if a spare VM replaces a failed one.
 	Resize bool
 	// DrainBy is when the permit is withdrawn if the VM is still draining.
 	DrainBy time.Time
--- a/core/fleet/rules_test.go
+++ b/core/fleet/rules_test.go
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// checkBudget compares the number of VMs that the pool lacks, by the VMs' rows alone, with
-// its budget.
+// checkBudget compares the number of serving VMs that the pool lacks with its budget. It
+// counts them by the VMs' rows alone.
 func (r *raceSimulation) checkBudget(ref Ref, vm VM) {
 	serving := 0
 	for _, other := range r.vms {
@@ -180,8 +180,8 @@
 	}
 }
 
-// checkCounters compares the pools' counters with the VMs' rows, to find a VM that two
-// pools count, or none.
+// checkCounters compares the pools' counters with the VMs' rows, to find a VM that is
+// counted by two pools or by none.
 func (r *raceSimulation) checkCounters() error {
 	for id := range budgets {
 		members, out := 0, 0
@@ -281,7 +281,7 @@
 	_, err = DeletePool(r.pool(read, "a"))
 	assert.Equal(t, core.ErrorCode(err), core.CodeConflict)
 
-	// The move completes: drain, stop, join, return. The VM takes its place in Size along.
+	// The move completes: drain, stop, join, return. The sizes of both pools change with it.
 	r.commit(t)(r.rules.Drain(r.now, r.vm(read, vm.Ref), r.now))
 	r.commit(t)(r.rules.Stop(r.now, r.vm(read, vm.Ref), r.pool(read, "a"), time.Time{}, r.now))
 	r.commit(t)(r.rules.Join(r.now, r.vm(read, vm.Ref), r.pool(read, "a"), r.pool(read, "b")))
--- a/core/key/ring.go
+++ b/core/key/ring.go
@@ -1,4 +1,4 @@
-// Package key decides whether a team key is valid: it tracks which key digests belong
+// Package key decides whether a team key is valid. It tracks which key digests belong
 // to which team, which of them are withdrawn, and whether this entry's list of keys is
 // fresh enough to decide.
 package key
@@ -161,13 +161,13 @@
 // CompleteAsOf returns the time up to which the ring certainly holds all accepted
 // withdrawals: the later of the latest table read and the latest contact with a
 // majority of zones. A withdrawal is accepted once the table and a majority of zones
-// have it, or all zones have it, so either evidence covers every accepted withdrawal.
+// have it, or once all zones have it, so each of the two covers every accepted withdrawal.
 // If every zone were required, the loss of one zone during a table outage would stop
 // all others.
 func (r *Ring) CompleteAsOf() time.Time { return latest(r.tableReadAt, r.zoneMajorityAt()) }
 
 // zoneMajorityAt returns the latest time since which a majority of zones has been
-// contacted, or zero. The own zone counts without a contact once the ring has joined.
+// contacted, or the zero time if there is none. The own zone counts without a contact once the ring has joined.
 func (r *Ring) zoneMajorityAt() time.Time {
 	needed := len(r.Zones)/2 + 1
 	if r.joined {
@@ -202,8 +202,9 @@
 	return completeAsOf.Add(min(maxStaleness, MaxStalenessLimit))
 }
 
-// Fresh reports whether the list is fresh at now. In a fleet with a single zone, an
-// entry that has joined receives everything directly.
+// Fresh reports whether the list is fresh at now. In a fleet with a single zone, the
+// list of an entry that has joined is always fresh, because the entry receives every
+// withdrawal directly.
 func (r *Ring) Fresh(now time.Time) bool {
 	singleZone := r.joined && len(r.Zones) == 1
 	return singleZone || r.disabled.alwaysFresh || now.Before(r.FreshUntil())
--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -39,8 +39,8 @@
 	disabled     disabledSafeguards
 	// scriptedFaults is true if the test injects the faults and changes itself.
 	scriptedFaults bool
-	// dateOnReceipt dates evidence when the answer arrives instead of when the request
-	// is sent.
+	// dateOnReceipt dates table reads and zone contacts at the arrival of the answer
+	// instead of the sending of the request.
 	dateOnReceipt bool
 	idCount       int
 	keys          []*testKey
@@ -177,8 +177,9 @@
 	return k
 }
 
-// withdraw sends a withdrawal to the entries and the table, as the operator command
-// does. It is accepted once the table and a majority of zones have it, or all zones.
+// withdraw sends a withdrawal to the table and to the entries of a random partition, as
+// the operator command does. It is accepted once the table and a majority of zones have
+// it, or once all zones have it.
 func (w *simulation) withdraw(k *testKey) {
 	w.withdrawIn(k, w.partition[testZones[w.r.IntN(len(testZones))]])
 }
@@ -296,7 +297,8 @@
 	})
 }
 
-// deadlineStart returns the time from which e has the maximum staleness to refuse k. An
+// deadlineStart returns the time from which e must refuse k within the maximum
+// staleness. An
 // entry that started after a withdrawal that wasn't in the table yet learns of it from
 // its zone, or from the table once it is recorded, so for that entry the time starts
 // later.
--- a/core/key/summary.go
+++ b/core/key/summary.go
@@ -7,8 +7,9 @@
 	"lavenderpond/core"
 )
 
-// Summary is what an entry sends to a peer about its ring in addition to the rows: how
-// current its ring is and the withdrawals that aren't in the table yet.
+// Summary is what an entry sends to a peer about its ring in addition to the rows. It
+// tells how current the ring is, and contains the withdrawals that aren't in the table
+// yet.
 type Summary struct {
 	// Complete is the time of the latest table read, on the sender's clock.
 	Complete time.Time
--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -67,7 +67,7 @@
 		return nil
 	}
 	if now.After(a.refreshedAt.Add(maxRowAge)) && !l.disabled.staleRows {
-		// Two reads cost the table less than a write that meets a conflict.
+		// Two reads cost the table less than a write that conflicts.
 		return l.readRows(now, team, a)
 	}
 	d.teamRow.Limit = a.limit
@@ -222,7 +222,7 @@
 	}
 }
 
-// increment returns the number of slots to take at once: the largest of the entry's
+// increment returns the number of slots to take in one move: the largest of the entry's
 // current allotment, the minimum allotment and about an entry's share of the free
 // slots, or a single slot while the limit is short.
 func (l *Ledger) increment(now time.Time, a *teamAllotment, d *draft) core.Slots {
@@ -240,8 +240,8 @@
 	return !l.stopping && !down && l.configHead.Version > 0 && !a.demandAt.IsZero() && now.Before(a.demandAt.Add(demandTTL))
 }
 
-// countStarved returns the number of other zones, and other entries of this zone, in
-// which an entry waits with less than its even share.
+// countStarved returns the number of other zones in which an entry waits with less than
+// its even share, plus the number of such entries in this zone other than this one.
 func (l *Ledger) countStarved(now time.Time, d *draft) int {
 	return countOtherMarks(d.teamRow.Wanted, l.Zone, now) + countOtherMarks(d.zoneRow.Wanted, l.Self, now)
 }
@@ -256,8 +256,8 @@
 }
 
 // ceiling limits the requests running at this entry while others wait with less than
-// their even share of a fully allotted limit. Requests that end then make room for
-// them.
+// their even share of a fully allotted limit. The slots of requests that end can
+// then be given back for the others to take.
 func (a *teamAllotment) ceiling(now time.Time, l *Ledger) core.Slots {
 	d := draft{teamRow: a.teamRow, zoneRow: a.zoneRow}
 	if a.teamRow.Sum() < a.limit || l.countStarved(now, &d) == 0 {
--- a/core/limit/initial.go
+++ b/core/limit/initial.go
@@ -7,9 +7,9 @@
 	"lavenderpond/core"
 )
 
-// newEntryPeriod is how long after its start an entry is treated as new, which means
-// that it has no allotments yet. An older entry without an allotment gave it back, as
-// entries do before they stop. Slots allotted to a stopping entry are lost until its
+// newEntryPeriod is how long after its start an entry counts as new. A new entry has no
+// allotments yet. An older entry without an allotment has given it back, as entries do
+// before they stop. Slots allotted to a stopping entry are lost until its
 // last lease could have expired.
 const newEntryPeriod = 2 * time.Minute
 
--- a/core/limit/initial_test.go
+++ b/core/limit/initial_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/core/table"
 )
 
-// membersOf returns the Members event for n, with the entries of its zone and one that
-// may have ended.
+// membersOf returns the Members event for n. It contains the entries of its zone and, if
+// any entry has ended, one of those.
 func (w *simulation) membersOf(n *testEntry) Members {
 	m := Members{Zones: []core.ZoneID{"z0", "z1", "z2"}}
 	for _, other := range w.entries {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Guards against slots that are allotted to an entry that won't use them: the team
+// Guards against slots that are allotted to an entry that won't use them. The team
 // loses them until the entry's last lease could have expired. Besides the entry that
 // takes its initial allotment, other entries of its zone receive slots depending on
 // which of them started recently, which already hold slots, and how much of the limit
@@ -107,9 +107,9 @@
 	}
 }
 
-// coldStart simulates a fleet whose entries all start at once, at the daemon's pace:
-// five teams per second and entry, ten rounds per second, and the table's answer one
-// round after the request.
+// coldStart simulates a fleet whose entries all start at the same time. The pace is that
+// of the daemon: five teams per second and entry, ten rounds per second, and the table's
+// answer one round after the request.
 type coldStart struct {
 	*demandSimulation
 	perSecond int
@@ -204,7 +204,7 @@
 // Guards against a start of the whole fleet that keeps the table busy for minutes, so
 // that a team's first requests wait behind the allotments of other teams. This happens
 // if each entry takes its initial allotment of each team on its own. All entries start
-// at once without load, and each must get its allotments.
+// at the same time without load, and each must get its allotments.
 func TestColdStart(t *testing.T) {
 	const teams, zones, perZone = 62, 7, 6
 	sent, applied := make(map[bool]int), make(map[bool]int)
--- a/core/limit/ledger.go
+++ b/core/limit/ledger.go
@@ -37,7 +37,7 @@
 	lastMove      MoveID
 	configHead    table.Row
 	polledAt      time.Time
-	// demandAt and loweredAt are the latest values over all teams.
+	// demandAt and reducedAt are the latest values over all teams.
 	demandAt, reducedAt time.Time
 	goneEntries         map[core.EntryID]bool
 	downZones           map[core.ZoneID]time.Time
@@ -77,7 +77,8 @@
 	zoneRow      ZoneRow
 	teamTableRow table.Row
 	zoneTableRow table.Row
-	// readAsOf is when the read was sent that the rows are at least as recent as.
+	// readAsOf is when the latest read of the rows was sent. The rows are at least as
+	// recent as that.
 	readAsOf   time.Time
 	rowsKnown  bool
 	readSentAt time.Time
@@ -108,7 +109,7 @@
 	teamVersion, zoneVersion core.Version
 	// answerLost is true once an answer to the move was lost.
 	answerLost bool
-	// conflictedAt is when the move, sent again after a lost answer, met a conflict.
+	// conflictedAt is when the move conflicted after it was sent again for a lost answer.
 	// The checked versions are then outdated, so the move either took effect earlier or
 	// never will. A read that is sent later shows which.
 	conflictedAt time.Time
@@ -213,7 +214,8 @@
 	return !l.rowsAsOf(a).After(a.reducedAt) || a.teamRow.Sum() > a.limit
 }
 
-// rowsAsOf returns the time that the rows are at least as recent as.
+// rowsAsOf returns a time up to which the rows are certainly current: that of the latest
+// poll or direct read.
 func (l *Ledger) rowsAsOf(a *teamAllotment) time.Time {
 	if a.rowsKnown && l.polledAt.After(a.readAsOf) {
 		return l.polledAt
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -235,7 +235,7 @@
 	return ResultApplied
 }
 
-// generateLoad starts and ends requests at an entry as its home would.
+// generateLoad starts and ends requests at an entry, which is their home.
 func (w *simulation) generateLoad(n *testEntry) {
 	for range w.r.IntN(4) {
 		if w.noNewWork {
@@ -356,10 +356,11 @@
 	}
 }
 
-// The limit is reduced while one entry receives no configuration, and another entry
-// then loses the table. The first entry would take the slots that the others gave back.
-// The second one saw that the allotments fit the reduced limit and would start requests
-// in addition to those.
+// Guards against an entry with an outdated configuration that takes slots beyond a
+// reduced limit. The limit is reduced while one entry receives no configuration, and
+// another entry then loses the table. The first entry would take the slots that the
+// others gave back. The second one saw that the allotments fit the reduced limit and
+// would start requests in addition to those.
 func TestEntryWithStaleConfigTakesNothing(t *testing.T) {
 	maxExcess := map[bool]core.Slots{}
 	for _, disabled := range []bool{false, true} {
--- a/core/limit/rows.go
+++ b/core/limit/rows.go
@@ -99,8 +99,8 @@
 	return n
 }
 
-// countClaimants returns the number of keys that hold an allotment or have a mark in force,
-// including self.
+// countClaimants returns the number of keys that hold an allotment or have a mark in
+// force. It always counts self.
 func countClaimants[K comparable](allotments map[K]core.Slots, marks map[K]time.Time, self K, now time.Time) int {
 	all := map[K]bool{self: true}
 	for key := range allotments {
--- a/core/limit/session_test.go
+++ b/core/limit/session_test.go
@@ -133,7 +133,8 @@
 	golden.Assert(t, s.b.String(), "session.golden")
 }
 
-// An operator attests that zone zz is down while it has running work. Others may take
+// Guards against slots of a down zone that are used twice. An operator attests that zone
+// zz is down while it has running work. Others may take
 // its slots only after the last lease that its entries could have granted has expired.
 func TestZoneDown(t *testing.T) {
 	first := map[bool]int{}
@@ -161,7 +162,8 @@
 	assert.Assert(t, first[false] > 62 && first[true] < 62)
 }
 
-// The limit is reduced to half of the running requests. If a gave back the slots of its
+// Guards against running requests that keep exceeding a reduced limit. The limit is reduced to half
+// of the running requests. If a gave back the slots of its
 // long-running requests, z would start new requests in addition to them when its own
 // short ones end.
 func TestRunningAllotmentsAreKept(t *testing.T) {
--- a/core/maintenance/check_scheduler.go
+++ b/core/maintenance/check_scheduler.go
@@ -26,7 +26,7 @@
 )
 
 // CheckScheduler schedules a controller's status checks of the VMs in its zone. It
-// remembers when each VM that needs attention was last checked. Losing this state only
+// records when each VM that needs attention was last checked. The loss of this state only
 // costs additional checks. The zero value is ready to use. A CheckScheduler is not safe
 // for concurrent use.
 type CheckScheduler struct {
@@ -71,7 +71,8 @@
 
 // Due returns the VMs to check now, the most urgent first. VMs of the same urgency are
 // ordered by the time of their last check, the oldest first. vms are the zone's VMs,
-// sorted by name.
+// sorted by name. isSuspect reports whether a VM may have failed although it serves
+// according to its row.
 func (s *CheckScheduler) Due(now time.Time, d Driver, vms []*fleet.VMRow, isSuspect func(core.VMID) bool) []DueCheck {
 	if len(s.last) > len(vms) {
 		clear(s.last) // VMs were removed
@@ -111,7 +112,7 @@
 	s.last[vm] = times
 }
 
-// MarkDue makes vm due at once, regardless of when it was last checked.
+// MarkDue makes vm due immediately, regardless of when it was last checked.
 func (s *CheckScheduler) MarkDue(vm core.VMID) { delete(s.last, vm) }
 
 func (s *CheckScheduler) urgency(now time.Time, d Driver, vm *fleet.VMRow, suspect bool) urgency {
--- a/core/maintenance/driver.go
+++ b/core/maintenance/driver.go
@@ -13,9 +13,9 @@
 	Up bool
 	// Running is how many tasks run on the VM.
 	Running int
-	// RefusesUntil is until when the VM has agreed to refuse new work. It is told to
-	// right before Running is queried. RefusesUntil is zero if the VM wasn't told, or
-	// didn't answer.
+	// RefusesUntil is the time until which the VM has agreed to refuse new work. The VM
+	// is told to refuse it right before Running is queried. RefusesUntil is zero if the VM
+	// wasn't told, or didn't answer.
 	RefusesUntil time.Time
 	// Leaving is set if the platform lists the VM as about to be removed.
 	Leaving bool
@@ -50,8 +50,8 @@
 //
 // An entry that can't reach the table keeps its old view and continues to dispatch. Only
 // a refusal by the VM itself stops such an entry: otherwise the reboot would kill work
-// that arrives after the check for running tasks. A VM that serves again is told so for
-// some time, since the first message may be lost.
+// that arrives after the check for running tasks. A VM that serves again is told to accept
+// work for some time, since the first message may be lost.
 func (d Driver) HoldUntil(now time.Time, vm fleet.VMRow) (time.Time, bool) {
 	hold := d.Timing.withDefaults().HoldDuration
 	switch vm.VM.State {
--- a/core/maintenance/fixed/fixed.go
+++ b/core/maintenance/fixed/fixed.go
@@ -15,7 +15,7 @@
 
 // Planner is a maintenance.Planner. The zero value is ready to use.
 type Planner struct {
-	// Size is how many VMs a batch takes out at once. 0 means DefaultSize.
+	// Size is the number of VMs in a batch. 0 means DefaultSize.
 	Size int
 }
 
--- a/core/maintenance/lease.go
+++ b/core/maintenance/lease.go
@@ -8,8 +8,8 @@
 )
 
 // Lease is the row that names the entry that acts as a zone's controller. It only
-// avoids duplicate work. Two controllers at once are safe, because each transaction
-// checks the rows that it depends on.
+// avoids duplicate work. Two controllers at the same time are safe, because each
+// transaction checks the rows that it depends on.
 type Lease struct {
 	Holder core.EntryID `json:"holder"`
 	Epoch  core.Epoch   `json:"epoch"`
--- a/core/maintenance/lease_policy.go
+++ b/core/maintenance/lease_policy.go
@@ -18,7 +18,7 @@
 	LeaseNoAction LeaseAction = iota
 	// LeaseAcquire takes or renews the lease, unless another entry holds it.
 	LeaseAcquire
-	// LeaseRelease ends the lease, so that another entry can take it at once.
+	// LeaseRelease ends the lease, so that another entry can take it immediately.
 	LeaseRelease
 )
 
@@ -34,7 +34,7 @@
 //
 // The zero value is ready to use. A LeasePolicy is not safe for concurrent use.
 type LeasePolicy struct {
-	// waitUntil is until when a released lease is left to the other entries.
+	// waitUntil is the time until which a released lease is left to the other entries.
 	waitUntil time.Time
 	heldSince time.Time
 	released  bool
--- a/core/maintenance/lease_policy_test.go
+++ b/core/maintenance/lease_policy_test.go
@@ -18,7 +18,7 @@
 	frozen bool
 }
 
-// leaseZone simulates a zone's entries and its lease row. Every entry ticks once a step.
+// leaseZone simulates a zone's entries and its lease row. Every entry ticks once per step.
 type leaseZone struct {
 	t       *testing.T
 	now     time.Time
--- a/core/maintenance/spread/spread.go
+++ b/core/maintenance/spread/spread.go
@@ -195,7 +195,7 @@
 	return due
 }
 
-// rampLimit bounds how many VMs of the wave may be out at once. It starts at one, grows
+// rampLimit bounds how many VMs of the wave may be out at the same time. It starts at one, grows
 // with the VMs that come back, and shrinks with those that don't.
 //
 // Without it, a reboot that breaks VMs would break as many as the budgets allow before
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -142,7 +142,8 @@
 	assert.Assert(t, without.overBudget > 2*with.overBudget, fmt.Sprintf("budgets exceeded in %d observations without the reserve, in %d with it", without.overBudget, with.overBudget))
 }
 
-// TestOneStopPerRack checks that a rack never has two VMs out for planned stops at once.
+// TestOneStopPerRack checks that a rack never has two VMs out for planned stops at the
+// same time.
 func TestOneStopPerRack(t *testing.T) {
 	noFaults := func(*sim.World) {}
 	with := runSeeds(t, "", 2, noFaults)
--- a/core/maintenance/timing.go
+++ b/core/maintenance/timing.go
@@ -10,8 +10,8 @@
 	MaxViewAge time.Duration
 	// DrainTimeout is how long a VM may drain before its permit is withdrawn.
 	DrainTimeout time.Duration
-	// HoldDuration is how long a VM refuses new work after it was told to. Telling it
-	// again extends the period.
+	// HoldDuration is how long a VM refuses new work after it was told to refuse it. Each
+	// further message extends the period.
 	HoldDuration time.Duration
 	// RebootWindow is how long after the stop a reboot may be requested.
 	RebootWindow time.Duration
--- a/core/maintenance/wave.go
+++ b/core/maintenance/wave.go
@@ -76,7 +76,7 @@
 	Author string `json:"author,omitempty"`
 	// Reason says why the maintenance was planned, started, paused or halted.
 	Reason string `json:"reason,omitempty"`
-	// Change is the id of the last operator's change, to recognise a repeated request.
+	// Change is the id of the last change by an operator, to recognise a repeated request.
 	Change core.ChangeID `json:"change,omitempty"`
 }
 
--- a/core/queue/fair/admit.go
+++ b/core/queue/fair/admit.go
@@ -10,7 +10,7 @@
 
 const (
 	// bufferFactor is the number of items that a team of mean weight may hold per free
-	// place (a dynamic threshold, see Choudhury and Hahne 1998). A single team can use
+	// place in the queue (a dynamic threshold, see Choudhury and Hahne 1998). A single team can use
 	// four fifths of the bound, so other teams always find free places.
 	bufferFactor = 4
 	// minRetryDelay and maxRetryDelay bound the delay after which a refused caller may
--- a/core/queue/fifo/fifo.go
+++ b/core/queue/fifo/fifo.go
@@ -11,7 +11,8 @@
 	"lavenderpond/core/queue"
 )
 
-// retryDelay is the delay after which a caller that met a full queue may retry.
+// retryDelay is the delay after which a caller that was refused by a full queue may
+// retry.
 const retryDelay = time.Second
 
 // Queue is a first-come-first-served queue.Queue. The zero value is empty and
--- a/core/retry/token_bucket.go
+++ b/core/retry/token_bucket.go
@@ -9,7 +9,7 @@
 const (
 	// DefaultRatio is the number of retries allowed per first attempt.
 	DefaultRatio = 0.1
-	// DefaultBurst is the maximum number of saved retries, which may be used at once.
+	// DefaultBurst is the maximum number of saved retries, which may be used in one burst.
 	DefaultBurst = 10
 	// DefaultStep is the base delay of the backoff.
 	DefaultStep = 250 * time.Millisecond
--- a/core/route/least/eject.go
+++ b/core/route/least/eject.go
@@ -13,8 +13,8 @@
 	// of the rest of its pool. A request that fails everywhere raises the rates of all
 	// targets alike, so it doesn't produce outliers.
 	outlierMargin = 0.4
-	// failingRate is the failure rate above which a target is paced even if its whole
-	// pool is failing. A single success brings the rate below it.
+	// failingRate is the failure rate above which a target is paced although it isn't an
+	// outlier, because its whole pool is failing. A single success brings the rate below it.
 	failingRate = 0.9
 	// probeBackoffStep is added to the delay before a probe with each consecutive
 	// ejection.
--- a/core/route/least/least.go
+++ b/core/route/least/least.go
@@ -193,7 +193,7 @@
 		return math.Inf(1)
 	}
 	if t.health != healthy {
-		// A target that may be tried must take the next request. Otherwise it would
+		// An unhealthy target that may be tried must take the next request. Otherwise it would
 		// wait as long as any other target has a free slot, and never be restored.
 		return 0
 	}
