--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -117,7 +117,7 @@
 	breakReboots := func(w *sim.World) { w.Faults.NotBack = 1 }
 	with := runSeeds(t, "", 2, breakReboots)
 	assert.Equal(t, with.halted, seeds)
-	assert.Assert(t, with.broken <= 4*seeds, "at most 4 VMs a seed may break on average if max_not_back is 2")
+	assert.Assert(t, with.broken <= 4*seeds, "on average, at most 4 VMs per seed may break with max_not_back 2")
 	assert.Assert(t, runSeeds(t, "halt", 2, breakReboots).broken > with.broken)
 	assert.Assert(t, runSeeds(t, "ramp", 2, breakReboots).broken > with.broken)
 }
--- a/core/queue/fair/admit.go
+++ b/core/queue/fair/admit.go
@@ -23,7 +23,7 @@
 // the predicted wait before correction.
 func (f *Queue) admit(now time.Time, s *queueState, t *team, item queue.Item, idle core.Slots) (time.Duration, core.NotRun, bool) {
 	if !f.hasSpace(s, t) {
-		return 0, f.refuse(now, s, core.CodeQueueFull, "the queue has no place left for the team"), false
+		return 0, f.refuse(now, s, core.CodeQueueFull, "the queue has no space left for the team"), false
 	}
 	predicted := f.predictWait(s, t, item, idle)
 	wait := s.correctionFor(item.Urgent).apply(predicted)
--- a/core/queue/fair/fair.go
+++ b/core/queue/fair/fair.go
@@ -88,7 +88,7 @@
 // Push implements queue.Queue.
 func (f *Queue) Push(now time.Time, item queue.Item, idleSlots core.Slots) (core.NotRun, bool) {
 	if _, known := f.entries[item.Key]; known {
-		return core.NotRun{Code: core.CodeIDReused, Detail: "the request waits already"}, false
+		return core.NotRun{Code: core.CodeIDReused, Detail: "the request is already waiting"}, false
 	}
 	if !now.Before(item.Deadline) {
 		return core.NotRun{Code: core.CodeDeadlinePassed, Detail: "send it with a later deadline"}, false
--- a/core/retry/failed_targets.go
+++ b/core/retry/failed_targets.go
@@ -39,7 +39,7 @@
 	if len(t.targets) < MaxTargets {
 		return nil, false
 	}
-	detail := fmt.Sprintf("%d targets refused or failed it; change the request", len(t.targets))
+	detail := fmt.Sprintf("%d targets refused or failed the request; change it before it is sent again", len(t.targets))
 	if t.mayHaveStarted {
 		return core.OutcomeUnknown{Code: core.CodeTargetFailed, Detail: detail}, true
 	}
--- a/core/route/least/property_test.go
+++ b/core/route/least/property_test.go
@@ -146,9 +146,9 @@
 	unprotected := requestsToBadTargets(1, 1, disabledSafeguards{ejection: true})
 	ejected, paced := requestsToBadTargets(1, 1, disabledSafeguards{}), requestsToBadTargets(1, 0, disabledSafeguards{})
 	t.Logf("requests to the failing target: %d without ejection, %d ejected, %d paced", unprotected, ejected, paced)
-	assert.Assert(t, unprotected > 10000, "%d", unprotected)
-	assert.Assert(t, ejected < 50, "%d", ejected)
-	assert.Assert(t, paced < 100, "%d", paced)
+	assert.Assert(t, unprotected > 10000, "%d requests without ejection, want more than 10000", unprotected)
+	assert.Assert(t, ejected < 50, "%d requests with ejection, want fewer than 50", ejected)
+	assert.Assert(t, paced < 100, "%d requests with pacing, want fewer than 100", paced)
 }
 
 // Guards against a pool whose targets all fail every request, so that none is an
@@ -158,8 +158,8 @@
 func TestFailingPoolIsPaced(t *testing.T) {
 	unprotected, paced := requestsToBadTargets(10, 1, disabledSafeguards{pacing: true}), requestsToBadTargets(10, 1, disabledSafeguards{})
 	t.Logf("requests to a failing pool: %d without pacing, %d paced", unprotected, paced)
-	assert.Assert(t, unprotected > 100000, "%d", unprotected)
-	assert.Assert(t, paced < 500, "%d", paced)
+	assert.Assert(t, unprotected > 100000, "%d requests without pacing, want more than 100000", unprotected)
+	assert.Assert(t, paced < 500, "%d requests with pacing, want fewer than 500", paced)
 }
 
 // An ejected target that works again must be restored by its probes, and until then it
