--- a/core/key/bench_test.go
+++ b/core/key/bench_test.go
@@ -27,7 +27,7 @@
 			r.Apply(rows)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			r.Complete(testStart)
+			r.RecordTableRead(testStart)
 			d := core.Digest("1")
 			for b.Loop() {
 				_, _ = r.Check(testStart, testTeam, d)
--- a/core/key/ring.go
+++ b/core/key/ring.go
@@ -73,7 +73,7 @@
 // withdraw. Other rows are ignored. The caller must ensure by row version that no row
 // is older than one applied before. A withdrawal takes effect regardless of the order.
 func (r *Ring) Apply(rows []table.Row) []core.KeyDigest {
-	var ended []core.KeyDigest
+	var withdrawn []core.KeyDigest
 	for _, row := range rows {
 		d, ok := digestFromKey(row.Key)
 		if !ok {
@@ -90,23 +90,23 @@
 		}
 		delete(r.unrecorded, d)
 		if r.markWithdrawn(d) {
-			ended = append(ended, d)
+			withdrawn = append(withdrawn, d)
 		}
 	}
-	return ended
+	return withdrawn
 }
 
 // Withdraw adds withdrawals received from an operator or a peer, which may not be in
 // the table yet, and returns the digests of the keys that weren't withdrawn before.
 func (r *Ring) Withdraw(withdrawals ...Withdrawal) []core.KeyDigest {
-	var ended []core.KeyDigest
+	var withdrawn []core.KeyDigest
 	for _, w := range withdrawals {
 		if r.markWithdrawn(w.Digest) {
 			put(&r.unrecorded, w.Digest, w)
-			ended = append(ended, w.Digest)
+			withdrawn = append(withdrawn, w.Digest)
 		}
 	}
-	return ended
+	return withdrawn
 }
 
 // Unrecorded returns the withdrawals that haven't been read from the table yet, sorted
@@ -124,9 +124,9 @@
 // were submitted with it are refused; running ones finish.
 func (r *Ring) Withdrawn(d core.KeyDigest) bool { return r.withdrawn[d] }
 
-// Complete records that the ring holds every withdrawal that was in the table when this
-// entry's own read was sent, at sent.
-func (r *Ring) Complete(sent time.Time) {
+// RecordTableRead records that the ring holds every withdrawal that was in the table
+// when this entry's own read was sent, at sent.
+func (r *Ring) RecordTableRead(sent time.Time) {
 	r.tableReadAt = latest(r.tableReadAt, sent)
 	r.joined = true
 }
--- a/core/key/ring_test.go
+++ b/core/key/ring_test.go
@@ -273,7 +273,7 @@
 		applied, _ := e.view.Apply(d, config.FromTable)
 		e.ring.Apply(applied)
 		if e.view.Version() >= d.Version {
-			e.ring.Complete(w.asOf(e, sent))
+			e.ring.RecordTableRead(w.asOf(e, sent))
 			e.tableRevision, e.baseVersion = max(e.tableRevision, revision), max(e.baseVersion, d.Version)
 		}
 	})
--- a/core/key/session_test.go
+++ b/core/key/session_test.go
@@ -24,10 +24,10 @@
 	row := func(d core.KeyDigest, version core.Version, withdrawn bool) table.Row {
 		return table.MustRow(table.KeyDigestKey(d), version, config.Key{Team: testTeam, Withdrawn: withdrawn})
 	}
-	at := func(seconds int, what string, ended ...core.KeyDigest) {
+	at := func(seconds int, what string, withdrawn ...core.KeyDigest) {
 		now := testStart.Add(time.Duration(seconds) * time.Second)
 		fmt.Fprintf(&b, "%3ds %s: %d ended, %d to record, trusted until %s\n", seconds, what,
-			len(ended), len(r.Unrecorded()), r.FreshUntil().Format("15:04:05"))
+			len(withdrawn), len(r.Unrecorded()), r.FreshUntil().Format("15:04:05"))
 		for i, d := range []core.KeyDigest{good, leaked, late} {
 			code, ok := r.Check(now, testTeam, d)
 			fmt.Fprintf(&b, "     %-7s %t %s\n", []string{"good", "leaked", "late"}[i], ok, code)
@@ -36,7 +36,7 @@
 		fmt.Fprintf(&b, "     good as another team: %t %s\n", ok, code)
 	}
 	at(0, "just started")
-	r.Complete(testStart.Add(time.Second))
+	r.RecordTableRead(testStart.Add(time.Second))
 	at(1, "table read", r.Apply([]table.Row{row(good, 1, false), row(leaked, 1, false)})...)
 	at(5, "leaked and late withdrawn directly, table down", r.Withdraw(
 		Withdrawal{Digest: leaked, Team: testTeam, Author: "ana"}, Withdrawal{Digest: late, Team: testTeam, Author: "ana"})...)
@@ -47,7 +47,7 @@
 	at(18, "zone zb heard: two of three zones")
 	at(25, "an old answer of zc, told by a peer", r.Merge(Summary{Contacts: map[core.ZoneID]time.Time{"zc": testStart}, Joined: true}, true, testSkew)...)
 	at(33, "nothing heard")
-	r.Complete(testStart.Add(40 * time.Second))
+	r.RecordTableRead(testStart.Add(40 * time.Second))
 	at(40, "table back, the withdrawals recorded", r.Apply([]table.Row{row(leaked, 2, true), row(late, 2, true)})...)
 	golden.Assert(t, b.String(), "session.golden")
 }
@@ -62,13 +62,13 @@
 	f.Add([]byte(`[1]`))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		var r Ring
-		r.Complete(testStart)
-		ended, other := core.Digest("ended"), core.Digest("other")
-		r.Withdraw(Withdrawal{Digest: ended})
+		r.RecordTableRead(testStart)
+		withdrawn, other := core.Digest("ended"), core.Digest("other")
+		r.Withdraw(Withdrawal{Digest: withdrawn})
 		r.Apply([]table.Row{
-			{Key: table.KeyDigestKey(ended), Version: 9, Value: value}, {Key: table.KeyDigestKey(other), Version: 1, Value: value},
+			{Key: table.KeyDigestKey(withdrawn), Version: 9, Value: value}, {Key: table.KeyDigestKey(other), Version: 1, Value: value},
 		})
-		code, ok := r.Check(testStart, testTeam, ended)
+		code, ok := r.Check(testStart, testTeam, withdrawn)
 		assert.Assert(t, !ok && code == core.CodeKeyWithdrawn)
 		var k config.Key
 		row := table.Row{Key: table.KeyDigestKey(other), Version: 1, Value: value}
--- a/core/key/summary.go
+++ b/core/key/summary.go
@@ -30,9 +30,9 @@
 // The peer's times are used only if every row that the peer had was applied first, and
 // they are reduced by the maximum clock skew.
 func (r *Ring) Merge(s Summary, caughtUp bool, skew time.Duration) []core.KeyDigest {
-	ended := r.Withdraw(s.Withdrawals...)
+	withdrawn := r.Withdraw(s.Withdrawals...)
 	if !caughtUp {
-		return ended
+		return withdrawn
 	}
 	if !s.Complete.IsZero() {
 		r.tableReadAt = latest(r.tableReadAt, s.Complete.Add(-skew))
@@ -43,5 +43,5 @@
 		}
 	}
 	r.tryJoin()
-	return ended
+	return withdrawn
 }
--- a/core/limit/initial_test.go
+++ b/core/limit/initial_test.go
@@ -142,12 +142,12 @@
 				l.RecordDemand(c.now, team)
 			}
 		}
-		c.second()
+		c.runSecond()
 	}
 	return c
 }
 
-func (c *coldStart) second() {
+func (c *coldStart) runSecond() {
 	for range 10 {
 		c.now = c.now.Add(100 * time.Millisecond)
 		for i := range c.ledgers {
@@ -213,7 +213,7 @@
 		sent[members], applied[members] = c.sentMoves, c.sentMoves-c.conflicts
 		t.Logf("members known: %t: %d transactions including %d conflicts, %d reads, %d s", members, c.sentMoves, c.conflicts, c.reads, c.seconds)
 		for range 10 {
-			c.second()
+			c.runSecond()
 		}
 		// Allotments are kept once they have been given.
 		assert.Equal(t, c.missingAllotments(), 0)
@@ -255,7 +255,7 @@
 	first := c.sentMoves
 	for range 2 * 60 {
 		c.now = c.now.Add(time.Minute - time.Second)
-		c.run().second()
+		c.run().runSecond()
 	}
 	t.Logf("%d transactions at the start, %d in the two hours after it", first, c.sentMoves-first)
 	assert.Equal(t, c.missingAllotments(), 0)
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -44,8 +44,8 @@
 	i, sender := c.r.IntN(ringCount), c.r.IntN(ringCount)
 	switch c.r.IntN(8) {
 	case 0:
-		c.full[i].Complete(c.now)
-		c.compact[i].Complete(c.now)
+		c.full[i].RecordTableRead(c.now)
+		c.compact[i].RecordTableRead(c.now)
 	case 1, 2:
 		zone := c.full[sender].Zone
 		c.full[i].RecordZoneContact(zone, c.now)
--- a/io/platform/configuration.go
+++ b/io/platform/configuration.go
@@ -106,7 +106,7 @@
 		applyErr, changed = err, len(changedRows) > 0
 		withdrawnKeys := c.ring.Apply(changedRows)
 		if err == nil && c.view.Version() >= delta.Version {
-			c.ring.Complete(sentAt)
+			c.ring.RecordTableRead(sentAt)
 		}
 		return withdrawnKeys
 	})
