--- a/core/queue/fair/differential_test.go
+++ b/core/queue/fair/differential_test.go
@@ -101,7 +101,7 @@
 	return false
 }
 
-func TestAgainstNaiveFairQueue(t *testing.T) {
+func TestQueueMatchesNaive(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := Queue{Share: share, MaxQueued: fixedBound(1 << 20)}
