--- a/core/key/ring.go
+++ b/core/key/ring.go
@@ -1,4 +1,4 @@
-// Package key decides whether a team key is valid: it tracks which key digests belong
+// Package key decides whether a team key is valid. It tracks which key digests belong
 // to which team, which of them are withdrawn, and whether this entry's list of keys is
 // fresh enough to decide.
 package key
@@ -73,7 +73,7 @@
 // withdraw. Other rows are ignored. The caller must ensure by row version that no row
 // is older than one applied before. A withdrawal takes effect regardless of the order.
 func (r *Ring) Apply(rows []table.Row) []core.KeyDigest {
-	var ended []core.KeyDigest
+	var withdrawn []core.KeyDigest
 	for _, row := range rows {
 		d, ok := digestFromKey(row.Key)
 		if !ok {
@@ -90,23 +90,23 @@
 		}
 		delete(r.unrecorded, d)
 		if r.markWithdrawn(d) {
-			ended = append(ended, d)
+			withdrawn = append(withdrawn, d)
 		}
 	}
-	return ended
+	return withdrawn
 }
 
 // Withdraw adds withdrawals received from an operator or a peer, which may not be in
 // the table yet, and returns the digests of the keys that weren't withdrawn before.
 func (r *Ring) Withdraw(withdrawals ...Withdrawal) []core.KeyDigest {
-	var ended []core.KeyDigest
+	var withdrawn []core.KeyDigest
 	for _, w := range withdrawals {
 		if r.markWithdrawn(w.Digest) {
 			put(&r.unrecorded, w.Digest, w)
-			ended = append(ended, w.Digest)
+			withdrawn = append(withdrawn, w.Digest)
 		}
 	}
-	return ended
+	return withdrawn
 }
 
 // Unrecorded returns the withdrawals that haven't been read from the table yet, sorted
@@ -124,9 +124,9 @@
 // were submitted with it are refused; running ones finish.
 func (r *Ring) Withdrawn(d core.KeyDigest) bool { return r.withdrawn[d] }
 
-// Complete records that the ring holds every withdrawal that was in the table when this
-// entry's own read was sent, at sent.
-func (r *Ring) Complete(sent time.Time) {
+// RecordTableRead records that the ring holds every withdrawal that was in the table
+// when this entry's own read was sent, at sent.
+func (r *Ring) RecordTableRead(sent time.Time) {
 	r.tableReadAt = latest(r.tableReadAt, sent)
 	r.joined = true
 }
@@ -161,13 +161,13 @@
 // CompleteAsOf returns the time up to which the ring certainly holds all accepted
 // withdrawals: the later of the latest table read and the latest contact with a
 // majority of zones. A withdrawal is accepted once the table and a majority of zones
-// have it, or all zones have it, so either evidence covers every accepted withdrawal.
+// have it, or once all zones have it, so each of the two covers every accepted withdrawal.
 // If every zone were required, the loss of one zone during a table outage would stop
 // all others.
 func (r *Ring) CompleteAsOf() time.Time { return latest(r.tableReadAt, r.zoneMajorityAt()) }
 
 // zoneMajorityAt returns the latest time since which a majority of zones has been
-// contacted, or zero. The own zone counts without a contact once the ring has joined.
+// contacted, or the zero time if there is none. The own zone counts without a contact once the ring has joined.
 func (r *Ring) zoneMajorityAt() time.Time {
 	needed := len(r.Zones)/2 + 1
 	if r.joined {
@@ -176,37 +176,38 @@
 	if r.disabled.acceptSingleZone {
 		needed = min(needed, 1)
 	}
-	var heard []time.Time
+	var contacts []time.Time
 	for _, z := range r.Zones {
 		if z != r.Zone && !r.zoneContacts[z].IsZero() {
-			heard = append(heard, r.zoneContacts[z])
+			contacts = append(contacts, r.zoneContacts[z])
 		}
 	}
-	if needed == 0 || len(heard) < needed {
+	if needed == 0 || len(contacts) < needed {
 		return time.Time{}
 	}
-	sort.Slice(heard, func(i, j int) bool { return heard[i].After(heard[j]) })
-	return heard[needed-1]
+	sort.Slice(contacts, func(i, j int) bool { return contacts[i].After(contacts[j]) })
+	return contacts[needed-1]
 }
 
 // FreshUntil returns when the list becomes stale if no further data is received.
 func (r *Ring) FreshUntil() time.Time {
-	evidence := r.CompleteAsOf()
-	if evidence.IsZero() {
+	completeAsOf := r.CompleteAsOf()
+	if completeAsOf.IsZero() {
 		return time.Time{}
 	}
-	trust := r.MaxStaleness
-	if trust == 0 {
-		trust = DefaultMaxStaleness
+	maxStaleness := r.MaxStaleness
+	if maxStaleness == 0 {
+		maxStaleness = DefaultMaxStaleness
 	}
-	return evidence.Add(min(trust, MaxStalenessLimit))
+	return completeAsOf.Add(min(maxStaleness, MaxStalenessLimit))
 }
 
-// Fresh reports whether the list is fresh at now. In a fleet with a single zone, an
-// entry that has joined receives everything directly.
+// Fresh reports whether the list is fresh at now. In a fleet with a single zone, the
+// list of an entry that has joined is always fresh, because the entry receives every
+// withdrawal directly.
 func (r *Ring) Fresh(now time.Time) bool {
-	alone := r.joined && len(r.Zones) == 1
-	return alone || r.disabled.alwaysFresh || now.Before(r.FreshUntil())
+	singleZone := r.joined && len(r.Zones) == 1
+	return singleZone || r.disabled.alwaysFresh || now.Before(r.FreshUntil())
 }
 
 // Check decides whether a request of team may be accepted with a key of digest d. If
--- a/core/key/summary.go
+++ b/core/key/summary.go
@@ -7,8 +7,9 @@
 	"lavenderpond/core"
 )
 
-// Summary is what an entry sends to a peer about its ring in addition to the rows: how
-// current its ring is and the withdrawals that aren't in the table yet.
+// Summary is what an entry sends to a peer about its ring in addition to the rows. It
+// tells how current the ring is, and contains the withdrawals that aren't in the table
+// yet.
 type Summary struct {
 	// Complete is the time of the latest table read, on the sender's clock.
 	Complete time.Time
@@ -29,9 +30,9 @@
 // The peer's times are used only if every row that the peer had was applied first, and
 // they are reduced by the maximum clock skew.
 func (r *Ring) Merge(s Summary, caughtUp bool, skew time.Duration) []core.KeyDigest {
-	ended := r.Withdraw(s.Withdrawals...)
+	withdrawn := r.Withdraw(s.Withdrawals...)
 	if !caughtUp {
-		return ended
+		return withdrawn
 	}
 	if !s.Complete.IsZero() {
 		r.tableReadAt = latest(r.tableReadAt, s.Complete.Add(-skew))
@@ -42,5 +43,5 @@
 		}
 	}
 	r.tryJoin()
-	return ended
+	return withdrawn
 }
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -37,7 +37,7 @@
 	delayedWrites []table.Transaction
 	gone          []core.EntryID
 	runs          []targetRun
-	unsafe        disabledSafeguards
+	disabled      disabledSafeguards
 	// changeLimits is true if the limit is raised and reduced during the run.
 	changeLimits bool
 	// scriptedFaults is true if the test injects the faults itself.
@@ -80,7 +80,7 @@
 }
 
 func newSimulation(seed uint64, disabled disabledSafeguards, changeLimits bool) *simulation {
-	w := &simulation{r: rand.New(rand.NewPCG(seed, 1)), now: testStart, limit: 12, unsafe: disabled, changeLimits: changeLimits}
+	w := &simulation{r: rand.New(rand.NewPCG(seed, 1)), now: testStart, limit: 12, disabled: disabled, changeLimits: changeLimits}
 	w.setLimit(12)
 	for i := range 6 {
 		w.entries = append(w.entries, w.newEntry(i))
@@ -92,7 +92,7 @@
 	w.idCount++
 	return &testEntry{firstPoll: true, ledger: &Ledger{
 		Self: core.NewEntryID(fmt.Sprintf("e%d", i), w.now), Zone: core.ZoneID(fmt.Sprintf("z%d", i/2)),
-		MaxLifetime: testLifetime, Skew: testSkew, disabled: w.unsafe,
+		MaxLifetime: testLifetime, Skew: testSkew, disabled: w.disabled,
 	}}
 }
 
@@ -235,7 +235,7 @@
 	return ResultApplied
 }
 
-// generateLoad starts and ends requests at an entry as its home would.
+// generateLoad starts and ends requests at an entry, which is their home.
 func (w *simulation) generateLoad(n *testEntry) {
 	for range w.r.IntN(4) {
 		if w.noNewWork {
@@ -356,22 +356,23 @@
 	}
 }
 
-// The limit is reduced while one entry receives no configuration, and another entry
-// then loses the table. The first entry would take the slots that the others gave back.
-// The second one saw that the allotments fit the reduced limit and would start requests
-// in addition to those.
+// Guards against an entry with an outdated configuration that takes slots beyond a
+// reduced limit. The limit is reduced while one entry receives no configuration, and
+// another entry then loses the table. The first entry would take the slots that the
+// others gave back. The second one saw that the allotments fit the reduced limit and
+// would start requests in addition to those.
 func TestEntryWithStaleConfigTakesNothing(t *testing.T) {
 	maxExcess := map[bool]core.Slots{}
 	for _, disabled := range []bool{false, true} {
 		for seed := range uint64(safeguardSeeds) {
 			w := newSimulation(seed, disabledSafeguards{noHeadCheck: disabled}, false)
 			w.scriptedFaults = true
-			late, blind := w.entries[0], w.entries[1]
+			stale, disconnected := w.entries[0], w.entries[1]
 			w.steps(100)
-			late.cutFromConfig, late.cutFromTable = true, true
+			stale.cutFromConfig, stale.cutFromTable = true, true
 			w.setLimit(6)
 			w.steps(300)
-			late.cutFromTable, blind.cutFromTable = false, true
+			stale.cutFromTable, disconnected.cutFromTable = false, true
 			w.steps(300)
 			maxExcess[disabled] = max(maxExcess[disabled], w.maxExcess)
 		}
--- a/core/limit/session_test.go
+++ b/core/limit/session_test.go
@@ -133,7 +133,8 @@
 	golden.Assert(t, s.b.String(), "session.golden")
 }
 
-// An operator attests that zone zz is down while it has running work. Others may take
+// Guards against slots of a down zone that are used twice. An operator attests that zone
+// zz is down while it has running work. Others may take
 // its slots only after the last lease that its entries could have granted has expired.
 func TestZoneDown(t *testing.T) {
 	first := map[bool]int{}
@@ -161,7 +162,8 @@
 	assert.Assert(t, first[false] > 62 && first[true] < 62)
 }
 
-// The limit is reduced to half of the running requests. If a gave back the slots of its
+// Guards against running requests that keep exceeding a reduced limit. The limit is reduced to half
+// of the running requests. If a gave back the slots of its
 // long-running requests, z would start new requests in addition to them when its own
 // short ones end.
 func TestRunningAllotmentsAreKept(t *testing.T) {
@@ -170,11 +172,11 @@
 		s := &session{now: testStart}
 		s.a = &Ledger{Self: "a#1", Zone: "za", disabled: disabledSafeguards{giveBackRunning: disabled}}
 		s.z = &Ledger{Self: "z#1", Zone: "zz", disabled: disabledSafeguards{giveBackRunning: disabled}}
-		var t0 table.Transaction
-		_ = t0.Set(table.TeamAllotmentKey(testTeam), TeamRow{Limit: 4, Zones: map[core.ZoneID]core.Slots{"za": 2, "zz": 2}})
-		_ = t0.Set(table.ZoneAllotmentKey(testTeam, "za"), ZoneRow{Entries: map[core.EntryID]core.Slots{"a#1": 2}})
-		_ = t0.Set(table.ZoneAllotmentKey(testTeam, "zz"), ZoneRow{Entries: map[core.EntryID]core.Slots{"z#1": 2}})
-		assert.NilError(t, s.table.Transact(t0))
+		var tx table.Transaction
+		_ = tx.Set(table.TeamAllotmentKey(testTeam), TeamRow{Limit: 4, Zones: map[core.ZoneID]core.Slots{"za": 2, "zz": 2}})
+		_ = tx.Set(table.ZoneAllotmentKey(testTeam, "za"), ZoneRow{Entries: map[core.EntryID]core.Slots{"a#1": 2}})
+		_ = tx.Set(table.ZoneAllotmentKey(testTeam, "zz"), ZoneRow{Entries: map[core.EntryID]core.Slots{"z#1": 2}})
+		assert.NilError(t, s.table.Transact(tx))
 		s.at(0, "", func() { s.start(s.a, 1, 0); s.start(s.z, 1, 0); s.setLimit(4) })
 		s.at(1, "", func() { s.start(s.a, 2, time.Minute); s.start(s.z, 2, 5*time.Second) })
 		s.at(2, "", func() { s.setLimit(2) })
--- a/core/maintenance/fixed/fixed.go
+++ b/core/maintenance/fixed/fixed.go
@@ -15,7 +15,7 @@
 
 // Planner is a maintenance.Planner. The zero value is ready to use.
 type Planner struct {
-	// Size is how many VMs a batch takes out at once. 0 means DefaultSize.
+	// Size is the number of VMs in a batch. 0 means DefaultSize.
 	Size int
 }
 
@@ -34,7 +34,7 @@
 	var commands []maintenance.Command
 	due := 0
 	for _, r := range v.VMs {
-		maintained := !r.VM.LastMaintained.Before(v.Wave.Began)
+		maintained := !r.VM.LastMaintained.Before(v.Wave.PlannedAt)
 		if r.VM.Wave == waveName && r.VM.State != fleet.Serving && !maintained {
 			return nil
 		}
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -14,7 +14,7 @@
 	"lavenderpond/core/table"
 )
 
-var start = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
 // result sums up what the simulated world recorded over some seeds.
 type result struct {
@@ -29,13 +29,13 @@
 func runMaintenance(t *testing.T, seed uint64, rule string, maxNotBack int, prepare func(*sim.World)) result {
 	t.Helper()
 	size := sim.Size{Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 8, RackVMs: 4, MaxUnavailable: 2}
-	w := sim.NewWorld(seed, start, size, size.MaxUnavailable)
+	w := sim.NewWorld(seed, testStart, size, size.MaxUnavailable)
 	w.RebootTime, w.DrainTime, w.DetectionDelay = time.Minute, time.Minute, 30*time.Second
 	z := &sim.Zone{World: w, ID: "z0", Planner: spread.Without(rule)}
 	prepare(w)
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
 		func(r maintenance.WaveRow) (table.Transaction, error) {
-			return maintenance.Plan(start, r, maintenance.OperatorChange{Change: "plan"}, start.Add(48*time.Hour), maxNotBack)
+			return maintenance.Plan(testStart, r, maintenance.OperatorChange{Change: "plan"}, testStart.Add(48*time.Hour), maxNotBack)
 		},
 		func(r maintenance.WaveRow) (table.Transaction, error) {
 			return maintenance.Start(r, maintenance.OperatorChange{Change: "start"})
@@ -117,7 +117,7 @@
 	breakReboots := func(w *sim.World) { w.Faults.NotBackShare = 1 }
 	with := runSeeds(t, "", 2, breakReboots)
 	assert.Equal(t, with.halted, seeds)
-	assert.Assert(t, with.broken <= 4*seeds, "at most 4 VMs a seed may break on average if max_not_back is 2")
+	assert.Assert(t, with.broken <= 4*seeds, "on average, at most 4 VMs per seed may break with max_not_back 2")
 	assert.Assert(t, runSeeds(t, "halt", 2, breakReboots).broken > with.broken)
 	assert.Assert(t, runSeeds(t, "ramp", 2, breakReboots).broken > with.broken)
 }
@@ -142,7 +142,8 @@
 	assert.Assert(t, without.overBudget > 2*with.overBudget, fmt.Sprintf("budgets exceeded in %d observations without the reserve, in %d with it", without.overBudget, with.overBudget))
 }
 
-// TestOneStopPerRack checks that a rack never has two VMs out for planned stops at once.
+// TestOneStopPerRack checks that a rack never has two VMs out for planned stops at the
+// same time.
 func TestOneStopPerRack(t *testing.T) {
 	noFaults := func(*sim.World) {}
 	with := runSeeds(t, "", 2, noFaults)
--- a/core/queue/fair/admit.go
+++ b/core/queue/fair/admit.go
@@ -10,7 +10,7 @@
 
 const (
 	// bufferFactor is the number of items that a team of mean weight may hold per free
-	// place (a dynamic threshold, see Choudhury and Hahne 1998). A single team can use
+	// place in the queue (a dynamic threshold, see Choudhury and Hahne 1998). A single team can use
 	// four fifths of the bound, so other teams always find free places.
 	bufferFactor = 4
 	// minRetryDelay and maxRetryDelay bound the delay after which a refused caller may
@@ -22,8 +22,8 @@
 // admit refuses an item that doesn't fit or wouldn't be finished in time. It returns
 // the predicted wait before correction.
 func (f *Queue) admit(now time.Time, s *queueState, t *team, item queue.Item, idle core.Slots) (time.Duration, core.NotRun, bool) {
-	if !f.hasRoom(s, t) {
-		return 0, f.refuse(now, s, core.CodeQueueFull, "the queue has no place left for the team"), false
+	if !f.hasSpace(s, t) {
+		return 0, f.refuse(now, s, core.CodeQueueFull, "the queue has no space left for the team"), false
 	}
 	predicted := f.predictWait(s, t, item, idle)
 	wait := s.correctionFor(item.Urgent).apply(predicted)
@@ -34,10 +34,10 @@
 	return predicted, core.NotRun{}, true
 }
 
-// hasRoom reports whether the queue can accept another item of t. Without the
+// hasSpace reports whether the queue can accept another item of t. Without the
 // threshold, a flood of one team would fill the queue and the requests of other teams
 // would be refused, regardless of their shares.
-func (f *Queue) hasRoom(s *queueState, t *team) bool {
+func (f *Queue) hasSpace(s *queueState, t *team) bool {
 	bound := f.maxQueued(s.id)
 	free := bound - s.waiting
 	if free <= 0 {
--- a/core/queue/fair/fair.go
+++ b/core/queue/fair/fair.go
@@ -58,7 +58,7 @@
 
 // disabledSafeguards selects the safeguards that a test disables.
 type disabledSafeguards struct {
-	fairness, urgentBound, expiryCheck, probing, reordering, lazyRemoval bool
+	fairness, urgentBound, expiryCheck, teamSkipping, reordering, lazyRemoval bool
 }
 
 var _ queue.Queue = (*Queue)(nil)
@@ -88,7 +88,7 @@
 // Push implements queue.Queue.
 func (f *Queue) Push(now time.Time, item queue.Item, idleSlots core.Slots) (core.NotRun, bool) {
 	if _, known := f.entries[item.Key]; known {
-		return core.NotRun{Code: core.CodeIDReused, Detail: "the request waits already"}, false
+		return core.NotRun{Code: core.CodeIDReused, Detail: "the request is already waiting"}, false
 	}
 	if !now.Before(item.Deadline) {
 		return core.NotRun{Code: core.CodeDeadlinePassed, Detail: "send it with a later deadline"}, false
@@ -195,7 +195,7 @@
 		if b.allows(t) {
 			found = f.offer(now, t, o, ready)
 		}
-		if found != nil || f.disabled.probing {
+		if found != nil || f.disabled.teamSkipping {
 			break
 		}
 		skipped = append(skipped, heap.Pop(h).(*team))
