--- a/core/home/cancel.go
+++ b/core/home/cancel.go
@@ -52,11 +52,11 @@
 	}
 }
 
-// handleHandedOver ends the waiting requests of a shard that moved to another
+// handleShardLost ends the waiting requests of a shard that moved to another
 // holder, so that the callers go there. Otherwise they would wait here until their
 // deadlines for a lease that is gone. None of these requests was sent, so
 // CodeEntryStopping is accurate; the front forwards them to the new holder.
-func (h *Home) handleHandedOver(now time.Time, e HandedOver) {
+func (h *Home) handleShardLost(now time.Time, e ShardLost) {
 	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.Key.Shard(e.Shards) == e.Shard }) {
 		h.releaseUnsent(now, r)
 		h.finish(r, core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now})
--- a/core/home/dispatch.go
+++ b/core/home/dispatch.go
@@ -43,14 +43,14 @@
 
 // fillSlots dispatches waiting requests of q until no free slot or no request that
 // can start is left.
-func (h *Home) fillSlots(now time.Time, q core.QueueID, to poolScope) {
+func (h *Home) fillSlots(now time.Time, q core.QueueID, scope poolScope) {
 	pool, overflow, ok := h.Config.Pool(now, q)
 	if !ok {
 		return
 	}
 	// Assume urgent here. Whether an item is urgent is only known when the queue
 	// offers it.
-	want := route.Criteria{Pool: pool, Overflow: overflow && to == anyPool, Urgent: true}
+	want := route.Criteria{Pool: pool, Overflow: overflow && scope == anyPool, Urgent: true}
 	for h.Queue.Len(q) > 0 && h.Router.Idle(now, want) > 0 {
 		var vm core.VMID
 		item, ok := h.Queue.Pop(now, q, func(item queue.Item) bool {
--- a/core/home/end.go
+++ b/core/home/end.go
@@ -69,14 +69,14 @@
 // FoundStopped reports that the task was stopped.
 type FoundStopped struct{}
 
-// FoundNeverStarted reports that the target has no record of the task.
-type FoundNeverStarted struct{}
+// FoundNoRecord reports that the target has no record of the task.
+type FoundNoRecord struct{}
 
-// FoundNothing reports that the target could not be asked.
-type FoundNothing struct{}
+// FoundNoAnswer reports that the target could not be asked.
+type FoundNoAnswer struct{}
 
-func (FoundDone) isFinding()         {}
-func (FoundRunning) isFinding()      {}
-func (FoundStopped) isFinding()      {}
-func (FoundNeverStarted) isFinding() {}
-func (FoundNothing) isFinding()      {}
+func (FoundDone) isFinding()     {}
+func (FoundRunning) isFinding()  {}
+func (FoundStopped) isFinding()  {}
+func (FoundNoRecord) isFinding() {}
+func (FoundNoAnswer) isFinding() {}
--- a/core/home/ended.go
+++ b/core/home/ended.go
@@ -29,7 +29,7 @@
 		h.handleFailed(now, r, core.CodeTargetFailed)
 	case Stopped:
 		h.releaseSlots(now, r, route.Succeeded)
-		h.finish(r, core.OutcomeUnknown{Code: core.CodeStoppedAtEnd})
+		h.finish(r, core.OutcomeUnknown{Code: core.CodeStoppedAtDeadline})
 	case Damaged:
 		h.handleDamaged(now, r)
 	case Lost:
@@ -135,7 +135,7 @@
 		h.finish(r, core.OutcomeUnknown{Code: core.CodeAnswerLost})
 	case FoundRunning:
 		r.askUntil = now.Add(h.Params.AskTimeout)
-	case FoundNeverStarted, FoundNothing:
+	case FoundNoRecord, FoundNoAnswer:
 		// A target without a record may still receive the request from the network
 		// until start_by, or may have lost its records in a restart. Neither proves
 		// that the task did not run, so ask again until the timeout.
--- a/core/home/event.go
+++ b/core/home/event.go
@@ -69,8 +69,8 @@
 // KeyWithdrawn reports that a team key has been withdrawn.
 type KeyWithdrawn struct{ Digest core.KeyDigest }
 
-// HandedOver reports that this entry lost Shard, one of Shards, to another holder.
-type HandedOver struct {
+// ShardLost reports that this entry lost Shard, one of Shards, to another holder.
+type ShardLost struct {
 	Shard  core.ShardIndex
 	Shards core.ShardIndex
 }
@@ -94,7 +94,7 @@
 func (Ended) isEvent()        {}
 func (Asked) isEvent()        {}
 func (KeyWithdrawn) isEvent() {}
-func (HandedOver) isEvent()   {}
+func (ShardLost) isEvent()    {}
 func (Changed) isEvent()      {}
 func (Stopping) isEvent()     {}
 func (Tick) isEvent()         {}
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -142,8 +142,8 @@
 		h.handleAsked(now, e)
 	case KeyWithdrawn:
 		h.handleKeyWithdrawn(now, e.Digest)
-	case HandedOver:
-		h.handleHandedOver(now, e)
+	case ShardLost:
+		h.handleShardLost(now, e)
 	case Changed:
 		h.fillAllSlots(now)
 	case Stopping:
--- a/core/home/lending_test.go
+++ b/core/home/lending_test.go
@@ -24,9 +24,9 @@
 	return "p", true, q == "stack"
 }
 
-// floodedLender returns how many urgent requests of the queue "quotes" start in
+// urgentStartsBeforeOwn returns how many urgent requests of the queue "quotes" start in
 // the lending pool "p" before a request of the pool's own queue does.
-func floodedLender(t *testing.T, lenderFirst bool) int {
+func urgentStartsBeforeOwn(t *testing.T, lenderFirst bool) int {
 	t.Helper()
 	b := newTestbed(100)
 	router := &least.Router{}
@@ -56,11 +56,11 @@
 	return len(open) - 8
 }
 
-// TestLenderGoesFirst fills every slot of a lending pool with urgent requests of
+// TestLendingPoolServesOwnQueueFirst fills every slot of a lending pool with urgent requests of
 // another queue and then submits a request of the pool's own queue. That request
 // must get the first slot that becomes free; otherwise it would wait until the
 // flood ends.
-func TestLenderGoesFirst(t *testing.T) {
-	assert.Equal(t, floodedLender(t, true), 0)
-	assert.Equal(t, floodedLender(t, false), 32, "without the safeguard")
+func TestLendingPoolServesOwnQueueFirst(t *testing.T) {
+	assert.Equal(t, urgentStartsBeforeOwn(t, true), 0)
+	assert.Equal(t, urgentStartsBeforeOwn(t, false), 32, "without the safeguard")
 }
--- a/core/home/session_test.go
+++ b/core/home/session_test.go
@@ -219,7 +219,7 @@
 	b.submit("b", 1)
 	b.handle(Ended{Key: key("b"), Number: 1, End: Damaged{}})
 	b.wait(2100 * time.Millisecond)
-	b.handle(Asked{Key: key("b"), Finding: FoundNothing{}})
+	b.handle(Asked{Key: key("b"), Finding: FoundNoAnswer{}})
 	b.notef("The team's only slot is still counted, although vm-2 is free.")
 	b.submit("c", 1)
 	b.wait(8200 * time.Millisecond)
@@ -262,14 +262,14 @@
 	return b.out.String()
 }
 
-// TestSessionRightLapses freezes the holder while a start waits for its ack, until
+// TestSessionLeaseExpires freezes the holder while a start waits for its ack, until
 // after the shard lease has expired. Nothing may be dispatched, and "not run" must
 // not be answered: the successor may have started a retry in the meantime.
-func TestSessionRightLapses(t *testing.T) {
-	golden.Assert(t, sessionRightLapses(allSafeguards), "session_right_lapses.golden")
+func TestSessionLeaseExpires(t *testing.T) {
+	golden.Assert(t, sessionLeaseExpires(allSafeguards), "session_right_lapses.golden")
 }
 
-func sessionRightLapses(change func(*Home)) string {
+func sessionLeaseExpires(change func(*Home)) string {
 	b := newTestbed(4, "vm-1")
 	change(b.home)
 	b.leases.mirror = true
@@ -303,8 +303,8 @@
 		off        func(*Home)
 	}{
 		{"join attempts", "one_request", sessionOneRequest, func(h *Home) { h.disabled.joinAttempts = true }},
-		{"lease check", "right_lapses", sessionRightLapses, func(h *Home) { h.disabled.leaseCheck = true }},
-		{"unknown to later attempts", "right_lapses", sessionRightLapses, func(h *Home) { h.disabled.laterAttemptUnknown = true }},
+		{"lease check", "right_lapses", sessionLeaseExpires, func(h *Home) { h.disabled.leaseCheck = true }},
+		{"unknown to later attempts", "right_lapses", sessionLeaseExpires, func(h *Home) { h.disabled.laterAttemptUnknown = true }},
 		{"key withdrawal", "refusals", sessionRefusals, func(h *Home) { h.disabled.keyWithdrawal = true }},
 		{"max targets", "refusals", sessionRefusals, func(h *Home) { h.Params.MaxTargets = 100 }},
 		{"keep team slot", "lost_answer", sessionLostAnswer, func(h *Home) { h.disabled.keepTeamSlot = true }},
--- a/core/home/simulation_test.go
+++ b/core/home/simulation_test.go
@@ -138,7 +138,7 @@
 }
 
 func (sim *simulation) finding() Finding {
-	return []Finding{FoundRunning{}, FoundNothing{}, FoundNeverStarted{}, FoundStopped{}}[sim.r.IntN(4)]
+	return []Finding{FoundRunning{}, FoundNoAnswer{}, FoundNoRecord{}, FoundStopped{}}[sim.r.IntN(4)]
 }
 
 func (sim *simulation) record(commands []Command) {
@@ -187,7 +187,7 @@
 		b.submit("a", 1)
 		b.handle(Ended{Key: key("a"), Number: 1, End: Lost{}})
 		b.wait(3 * time.Second)
-		b.handle(Asked{Key: key("a"), Finding: FoundNothing{}})
+		b.handle(Asked{Key: key("a"), Finding: FoundNoAnswer{}})
 		assert.Equal(t, b.limits.Running(b.now, "lyra") == 1, !off)
 		assert.Equal(t, b.home.Router.Idle(b.now, route.Criteria{Pool: "p"}), core.Slots(2))
 		assert.Equal(t, b.limits.Running(epoch.Add(10*time.Second), "lyra") == 1, !off)
@@ -216,10 +216,10 @@
 	}
 }
 
-// TestFreshHomeKnowsNothing checks that a new holder without a record of an id
+// TestNewHolderAnswersUnknown checks that a new holder without a record of an id
 // doesn't answer a fetch with "not run", because a former holder may have run the
 // id.
-func TestFreshHomeKnowsNothing(t *testing.T) {
+func TestNewHolderAnswersUnknown(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		b := newTestbed(1, "vm-1")
 		b.home.disabled.laterAttemptUnknown = off
--- a/core/shard/balance.go
+++ b/core/shard/balance.go
@@ -41,14 +41,14 @@
 		}
 	}
 	var best core.EntryID
-	partners := 0
+	considered := 0
 	self := slices.Index(lm.live, lm.params.Self)
 	for i := range lm.live {
 		id := lm.live[(self+1+i)%len(lm.live)]
-		if id == lm.params.Self || id == except || lm.ended[id] || now.Before(lm.refusedUntil[id]) || partners == maxSuccessors {
+		if id == lm.params.Self || id == except || lm.ended[id] || now.Before(lm.refusedUntil[id]) || considered == maxSuccessors {
 			continue
 		}
-		partners++
+		considered++
 		if best == "" || load[id] < load[best] {
 			best = id
 		}
@@ -140,11 +140,11 @@
 	return true
 }
 
-// nextHandOver returns the row that makes the successor the holder, once the
+// nextHandover returns the row that makes the successor the holder, once the
 // successor knows all starts and the waiting starts are settled or drainUntil has
 // passed. After the shutdown deadline it waits for neither.
-func (lm *LeaseManager) nextHandOver(now time.Time, s *shardState) (Row, bool) {
-	to := lm.handOverRecipient(now, s)
+func (lm *LeaseManager) nextHandover(now time.Time, s *shardState) (Row, bool) {
+	to := lm.handoverRecipient(now, s)
 	responsive := s.row.Successor == to && !lm.successorSilent(now, s)
 	inSync := s.row.InSync && responsive
 	// Two entries that stop at the same time must not hand a shard back and forth.
@@ -159,10 +159,10 @@
 	if len(s.waiting) > 0 && now.Before(s.drainUntil) && !forced {
 		return Row{}, false
 	}
-	return lm.handOverRow(now, s, to, inSync), true
+	return lm.handoverRow(now, s, to, inSync), true
 }
 
-func (lm *LeaseManager) handOverRow(now time.Time, s *shardState, to core.EntryID, inSync bool) Row {
+func (lm *LeaseManager) handoverRow(now time.Time, s *shardState, to core.EntryID, inSync bool) Row {
 	row := Row{
 		Holder: to, Epoch: s.row.Epoch + 1, Successor: lm.params.Self,
 		Former: lm.params.Self, Mirrored: inSync, Horizon: s.row.Horizon, Released: s.row.Released,
@@ -177,7 +177,7 @@
 	return row
 }
 
-func (lm *LeaseManager) handOverRecipient(now time.Time, s *shardState) core.EntryID {
+func (lm *LeaseManager) handoverRecipient(now time.Time, s *shardState) core.EntryID {
 	if !lm.handOverBy.IsZero() {
 		return s.row.Successor
 	}
--- a/core/shard/event.go
+++ b/core/shard/event.go
@@ -54,9 +54,9 @@
 type EntriesListed struct {
 	// Live are the entries that accept work, excluding those that are leaving.
 	Live []core.EntryID
-	// Gone are all entries that a row may name and that have ended, not only those
+	// Ended are all entries that a row may name and that have ended, not only those
 	// that ended since the previous list.
-	Gone []core.EntryID
+	Ended []core.EntryID
 }
 
 // Refused reports that connections to an entry's address are refused. This doesn't
--- a/core/shard/holder.go
+++ b/core/shard/holder.go
@@ -72,8 +72,8 @@
 // expired. Once the lease has expired, the successor may have taken over before it
 // ended, and another entry may have taken over from it.
 func (lm *LeaseManager) extendByEndedSuccessor(now time.Time, s *shardState) {
-	unbroken := now.Before(lm.evidenceTime(now, s).Add(lm.params.Lease))
-	if !unbroken && !lm.disabled.unexpiredLease {
+	unexpired := now.Before(lm.evidenceTime(now, s).Add(lm.params.Lease))
+	if !unexpired && !lm.disabled.unexpiredLease {
 		return
 	}
 	for _, c := range lm.possibleSuccessors(s) {
@@ -112,7 +112,7 @@
 		row.InSync = true
 		return row, true
 	}
-	return lm.nextHandOver(now, s)
+	return lm.nextHandover(now, s)
 }
 
 // wantedSuccessor returns the entry that should be the successor, or "" if none is
@@ -143,7 +143,7 @@
 // successorSilentFor returns the time since the successor's last acked ping, or
 // since it was named if that is more recent.
 func (s *shardState) successorSilentFor(now time.Time) time.Duration {
-	if ack := s.ackedAt[s.row.Successor]; ack.After(s.successorNamedAt) {
+	if ack := s.evidenceAt[s.row.Successor]; ack.After(s.successorNamedAt) {
 		return now.Sub(ack)
 	}
 	return now.Sub(s.successorNamedAt)
--- a/core/shard/lease_manager.go
+++ b/core/shard/lease_manager.go
@@ -72,7 +72,7 @@
 			lm.selfListed = lm.selfListed || id == lm.params.Self
 		}
 		clear(lm.ended)
-		for _, id := range e.Gone {
+		for _, id := range e.Ended {
 			lm.ended[id] = true
 		}
 	case Refused:
@@ -88,12 +88,14 @@
 }
 
 // Shard returns the shard of id.
-func (lm *LeaseManager) Shard(id core.RequestKey) core.ShardIndex { return id.Shard(lm.params.Shards) }
+func (lm *LeaseManager) Shard(key core.RequestKey) core.ShardIndex {
+	return key.Shard(lm.params.Shards)
+}
 
 // Decide returns whether this entry may start the request now. firstSent is zero
 // if the caller doesn't provide it. It need not be called for ids that home has a
 // record of.
-func (lm *LeaseManager) Decide(now time.Time, shard core.ShardIndex, id core.RequestKey, firstSent, deadline time.Time) Verdict {
+func (lm *LeaseManager) Decide(now time.Time, shard core.ShardIndex, key core.RequestKey, firstSent, deadline time.Time) Verdict {
 	s := lm.state(shard)
 	if s == nil || !s.rowKnown {
 		return Wait{ComeBackAt: now.Add(lm.params.retryInterval())}
@@ -104,7 +106,7 @@
 	if !s.drainUntil.IsZero() || !now.Before(lm.LeaseExpiry(now, shard)) {
 		return Wait{ComeBackAt: now.Add(lm.params.pingInterval())}
 	}
-	if _, started := s.starts[id]; started {
+	if _, started := s.starts[key]; started {
 		return Unknown{Code: core.CodeHomeReplaced}
 	}
 	if v := lm.checkTimes(now, s, firstSent, deadline); v != nil {
@@ -157,14 +159,14 @@
 // Forget drops a start before it expires by itself, which happens once its
 // deadline plus the skew bound has passed. It may only be called for starts that
 // were allowed but certainly never written to a target.
-func (lm *LeaseManager) Forget(shard core.ShardIndex, id core.RequestKey) {
+func (lm *LeaseManager) Forget(shard core.ShardIndex, key core.RequestKey) {
 	s := lm.state(shard)
 	if s == nil || s.row.InSync || s.copyTo != "" {
 		// The successor would still consider the id started. Keeping the start here
 		// keeps the two consistent.
 		return
 	}
-	delete(s.starts, id)
+	delete(s.starts, key)
 }
 
 func (lm *LeaseManager) nonHolderVerdict(now time.Time, s *shardState) Verdict {
--- a/core/shard/params.go
+++ b/core/shard/params.go
@@ -47,11 +47,11 @@
 	return p
 }
 
-// takeOverWait is how long a successor waits, first for a silent holder and again
+// takeoverWait is how long a successor waits, first for a silent holder and again
 // after its announcement. The lease may have been renewed just before the wait
 // began. Of the two skew bounds, one covers the clock of a target that enforces
 // the holder's start_by, and one covers a clock that is set back.
-func (p Params) takeOverWait() time.Duration { return p.Lease + 2*p.Skew }
+func (p Params) takeoverWait() time.Duration { return p.Lease + 2*p.Skew }
 
 // horizonAt returns the horizon of a take-over at now. A former holder accepts a
 // first_sent of up to its own clock plus the skew bound, and its clock may differ
--- a/core/shard/row_handler.go
+++ b/core/shard/row_handler.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if !s.rowKnown && r.Version == 0 {
-		s.emptySince = now
+		s.vacantSince = now
 	}
 	lm.applyRow(now, s, r.Version, r.Row, sentAt)
 }
@@ -85,7 +85,7 @@
 func (lm *LeaseManager) beginEpoch(now time.Time, s *shardState) {
 	m := s.mirror
 	// The caller sets rowConfirmedAt. Evidence of an earlier epoch is invalid.
-	s.rowConfirmedAt, s.ackedAt = time.Time{}, nil
+	s.rowConfirmedAt, s.evidenceAt = time.Time{}, nil
 	s.drainUntil, s.moveTo, s.moveDeadline, s.mirror = time.Time{}, "", time.Time{}, mirror{}
 	s.stopCopying()
 	s.clearWaiting()
--- a/core/shard/safeguards_test.go
+++ b/core/shard/safeguards_test.go
@@ -23,7 +23,7 @@
 func (s seedTotals) String() string {
 	return fmt.Sprintf("seeds with duplicate runs=%d (first %d) duplicate ids=%d served=%d of %d (%.1f%%) take-overs=%d in sync=%d hand-overs=%d",
 		s.seedsWithDuplicate, s.firstSeed, s.duplicates, s.served, s.asked, 100*float64(s.served)/float64(s.asked),
-		s.takeOvers, s.inSync, s.handOvers)
+		s.takeovers, s.inSync, s.handovers)
 }
 
 func runSeeds(from, to int64, f faults, off disabledSafeguards) seedTotals {
@@ -39,9 +39,9 @@
 		s.duplicates += r.duplicates
 		s.served += r.served
 		s.asked += r.asked
-		s.takeOvers += r.takeOvers
+		s.takeovers += r.takeovers
 		s.inSync += r.inSync
-		s.handOvers += r.handOvers
+		s.handovers += r.handovers
 	}
 	return s
 }
--- a/core/shard/simulation_table_test.go
+++ b/core/shard/simulation_table_test.go
@@ -68,9 +68,9 @@
 	switch {
 	case old.Epoch == 0 || c.Row.Epoch == old.Epoch:
 	case old.Holder == e.name:
-		sim.result.handOvers++
+		sim.result.handovers++
 	default:
-		sim.result.takeOvers++
+		sim.result.takeovers++
 		if c.Row.Mirrored {
 			sim.result.inSync++
 		}
--- a/core/shard/simulation_test.go
+++ b/core/shard/simulation_test.go
@@ -80,7 +80,7 @@
 	down       map[core.EntryID]bool
 	cut        map[[2]core.EntryID]bool
 	unlistedAt map[core.EntryID]int
-	events     []delayedAction
+	actions    []delayedAction
 	requests   []simRequest
 	runs       map[core.RequestKey]int
 	result     simResult
@@ -88,7 +88,7 @@
 }
 
 type simResult struct {
-	duplicates, served, asked, takeOvers, inSync, handOvers int
+	duplicates, served, asked, takeovers, inSync, handovers int
 }
 
 func newSimulation(seed int64, f faults, off disabledSafeguards) *simulation {
@@ -196,7 +196,7 @@
 	var l EntriesListed
 	for _, name := range sim.names {
 		if at, ended := sim.unlistedAt[name]; ended && at <= sim.step {
-			l.Gone = append(l.Gone, name)
+			l.Ended = append(l.Ended, name)
 		} else if sim.faults.falseLeaving == 0 || sim.r.Float64() >= sim.faults.falseLeaving {
 			l.Live = append(l.Live, name)
 		}
@@ -287,18 +287,18 @@
 }
 
 func (sim *simulation) schedule(to *simEntry, delay int, do func()) {
-	sim.events = append(sim.events, delayedAction{dueStep: sim.step + delay, do: do, to: to})
+	sim.actions = append(sim.actions, delayedAction{dueStep: sim.step + delay, do: do, to: to})
 }
 
 func (sim *simulation) runDue() {
-	events := sim.events
-	sim.events = nil
-	for _, d := range events {
+	actions := sim.actions
+	sim.actions = nil
+	for _, a := range actions {
 		switch {
-		case d.dueStep > sim.step || d.to != nil && d.to.alive && d.to.paused > 0:
-			sim.events = append(sim.events, d)
-		case d.to == nil || d.to.alive:
-			d.do()
+		case a.dueStep > sim.step || a.to != nil && a.to.alive && a.to.paused > 0:
+			sim.actions = append(sim.actions, a)
+		case a.to == nil || a.to.alive:
+			a.do()
 		}
 	}
 }
--- a/core/shard/state.go
+++ b/core/shard/state.go
@@ -17,15 +17,15 @@
 	// lastReadVersion is the version at the last read, which may be older than
 	// version.
 	lastReadVersion core.Version
-	// emptySince is when the row was first read as not existing.
-	emptySince  time.Time
+	// vacantSince is when the row was first read as not existing.
+	vacantSince time.Time
 	pendingSwap *pendingSwap
 
 	// As holder: the evidence for the lease, dated by when it was requested.
 	// rowConfirmedAt is for reads of the row, ackedAt for pings acked by each
 	// entry.
 	rowConfirmedAt time.Time
-	ackedAt        map[core.EntryID]time.Time
+	evidenceAt     map[core.EntryID]time.Time
 	// successorNamedAt is when the row was found to name its successor.
 	successorNamedAt time.Time
 	// drainUntil limits the wait for waiting starts before a hand-over. No new
@@ -132,8 +132,8 @@
 			continue
 		}
 		e := s.rowConfirmedAt
-		if s.ackedAt[c].After(e) {
-			e = s.ackedAt[c]
+		if s.evidenceAt[c].After(e) {
+			e = s.evidenceAt[c]
 		}
 		if !found || e.Before(oldest) {
 			oldest, found = e, true
@@ -143,10 +143,10 @@
 }
 
 func (s *shardState) recordEvidence(entry core.EntryID, at time.Time) {
-	if s.ackedAt == nil {
-		s.ackedAt = make(map[core.EntryID]time.Time)
+	if s.evidenceAt == nil {
+		s.evidenceAt = make(map[core.EntryID]time.Time)
 	}
-	if at.After(s.ackedAt[entry]) {
-		s.ackedAt[entry] = at
+	if at.After(s.evidenceAt[entry]) {
+		s.evidenceAt[entry] = at
 	}
 }
--- a/core/shard/successor.go
+++ b/core/shard/successor.go
@@ -20,7 +20,7 @@
 			lm.takeOver(now, s)
 		}
 	default:
-		s.emptySince = time.Time{}
+		s.vacantSince = time.Time{}
 		if s.row.Successor == lm.params.Self || lm.disabled.oneSuccessor {
 			lm.watchHolder(now, s)
 		}
@@ -31,7 +31,7 @@
 // a holder that still reads the table, and gives a live holder the chance to
 // object.
 func (lm *LeaseManager) watchHolder(now time.Time, s *shardState) {
-	wait := lm.params.takeOverWait()
+	wait := lm.params.takeoverWait()
 	if now.Sub(s.holderSeenAt) <= wait {
 		return
 	}
@@ -62,19 +62,19 @@
 
 func (lm *LeaseManager) takeOver(now time.Time, s *shardState) {
 	successor := s.row.Successor == lm.params.Self
-	known := s.row.InSync && successor && s.mirror.holder == s.row.Holder && s.mirror.epoch == s.row.Epoch
+	mirrored := s.row.InSync && successor && s.mirror.holder == s.row.Holder && s.mirror.epoch == s.row.Epoch
 	// A third entry has no mirror: InSync refers to the successor's mirror.
 	if lm.disabled.thirdEntryHorizon && s.row.InSync && !successor {
-		known = true
+		mirrored = true
 	}
 	if lm.disabled.clearInSync && s.row.InSync && successor {
-		known = true
+		mirrored = true
 	}
 	row := Row{
 		Holder: lm.params.Self, Epoch: s.row.Epoch + 1, Successor: lm.chooseSuccessor(now, s, s.row.Holder),
-		Former: s.row.Holder, Mirrored: known, Horizon: s.row.Horizon,
+		Former: s.row.Holder, Mirrored: mirrored, Horizon: s.row.Horizon,
 	}
-	if !known {
+	if !mirrored {
 		row.Horizon = lm.params.horizonAt(now)
 	}
 	lm.swap(now, s, row)
@@ -91,14 +91,14 @@
 // n has the first turn at every nth shard, and the next entry follows one lease
 // later.
 func (lm *LeaseManager) myTurn(now time.Time, s *shardState) bool {
-	if s.emptySince.IsZero() {
-		s.emptySince = now
+	if s.vacantSince.IsZero() {
+		s.vacantSince = now
 	}
 	n := len(lm.live)
 	for i, id := range lm.live {
 		if id == lm.params.Self {
 			turn := (i - int(s.index)%n + n) % n
-			return now.Sub(s.emptySince) >= time.Duration(turn)*lm.params.Lease
+			return now.Sub(s.vacantSince) >= time.Duration(turn)*lm.params.Lease
 		}
 	}
 	return false
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -186,7 +186,7 @@
 }
 
 func (r *Requests) ask(c home.AskTarget) {
-	finding := home.Finding(home.FoundNothing{})
+	finding := home.Finding(home.FoundNoAnswer{})
 	if address, ok := r.Address(c.VM); ok {
 		finding = r.Targets.Ask(r.ctx, address, c.Key)
 	}
--- a/io/entry/rights.go
+++ b/io/entry/rights.go
@@ -27,7 +27,7 @@
 		OnAllowed:   func(c shard.StartAllowed) { d.requests.Handle(home.StartAllowed{Key: c.Key}) },
 		OnDenied:    func(c shard.StartDenied) { d.requests.Handle(home.StartDenied{Key: c.Key, Verdict: c.Verdict}) },
 		OnInherited: d.inherited,
-		OnLost:      func(c shard.Lost) { d.requests.Handle(home.HandedOver{Shard: c.Shard, Shards: s.Shards}) },
+		OnLost:      func(c shard.Lost) { d.requests.Handle(home.ShardLost{Shard: c.Shard, Shards: s.Shards}) },
 	})
 	d.limits = &platform.Allotments{
 		Table: d.platform, Live: d.live, Config: d.config.Configuration, Now: d.now, Log: d.log,
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -79,7 +79,7 @@
 	}
 	for _, id := range named {
 		if t.ended[id] {
-			e.Gone = append(e.Gone, id)
+			e.Ended = append(e.Ended, id)
 		}
 	}
 	return e
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -191,7 +191,7 @@
 	named := []core.EntryID{"a#1000", "b#1000", "c#500", "b#500"}
 	tracker := entryTracker{self: "a#1000"}
 	update := func(now time.Time, live ...platform.Liveness) []core.EntryID {
-		return tracker.update(now, live, named).Gone
+		return tracker.update(now, live, named).Ended
 	}
 	assert.Equal(t, len(update(at)), 0, "empty list")
 	assert.Equal(t, len(update(at, other)), 0)
--- a/io/target/client.go
+++ b/io/target/client.go
@@ -88,18 +88,18 @@
 	defer cancel()
 	req, err := c.request(ctx, http.MethodGet, address, key, nil)
 	if err != nil {
-		return home.FoundNothing{}
+		return home.FoundNoAnswer{}
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return home.FoundNothing{}
+		return home.FoundNoAnswer{}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.Header.Get(HeaderState) {
 	case StateDone:
 		body, err := c.readBody(resp, key)
 		if err != nil {
-			return home.FoundNothing{}
+			return home.FoundNoAnswer{}
 		}
 		return home.FoundDone{Body: body}
 	case StateRunning:
@@ -107,9 +107,9 @@
 	case StateStopped:
 		return home.FoundStopped{}
 	case StateNone:
-		return home.FoundNeverStarted{}
+		return home.FoundNoRecord{}
 	default:
-		return home.FoundNothing{}
+		return home.FoundNoAnswer{}
 	}
 }
 
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -144,7 +144,7 @@
 	deadline := time.Now().Add(time.Minute)
 	end := c.Start(t.Context(), address, home.Dispatch{Request: core.Request{Key: key}, Number: 1, StartBy: deadline, LeaseUntil: deadline})
 	assert.DeepEqual(t, end, home.End(home.NotStarted{Reason: home.Unreachable}))
-	assert.DeepEqual(t, c.Ask(t.Context(), address, key), home.Finding(home.FoundNothing{}))
+	assert.DeepEqual(t, c.Ask(t.Context(), address, key), home.Finding(home.FoundNoAnswer{}))
 }
 
 // FuzzAnswer gives the client answers with arbitrary headers and bodies. It must accept
