--- a/core/deadline/heap.go
+++ b/core/deadline/heap.go
@@ -11,7 +11,8 @@
 	// Deadline returns the time by which the item is ordered. Heap.Fix must be called
 	// after every change, unless the change doesn't affect the order of the items.
 	Deadline() time.Time
-	// HeapIndex returns the location in which the Heap stores the item's index.
+	// HeapIndex returns a pointer to the variable in which the Heap stores the item's
+	// index.
 	HeapIndex() *int
 }
 
--- a/core/home/cancel.go
+++ b/core/home/cancel.go
@@ -8,8 +8,8 @@
 	"lavenderpond/core/shard"
 )
 
-// cancel ends a request at a caller's wish. A request that is still queued is
-// answered as not run.
+// cancel ends a request on behalf of a caller. A request that still waits to be sent
+// is answered as not run, if this entry still has the shard's lease.
 func (h *Home) cancel(now time.Time, e Cancel) {
 	r, ok := h.records[e.Key]
 	if !ok {
@@ -53,9 +53,10 @@
 }
 
 // handleShardLost ends the waiting requests of a shard that moved to another
-// holder, so that the callers go there. Otherwise they would wait here until their
-// deadlines for a lease that is gone. None of these requests was sent, so
-// CodeEntryStopping is accurate; the front forwards them to the new holder.
+// holder, so that the callers go there. Otherwise they would wait here, until their
+// deadlines, for a lease that this entry has lost. None of these requests was sent, so
+// CodeEntryStopping is accurate; the entry's front forwards them to the new
+// holder.
 func (h *Home) handleShardLost(now time.Time, e ShardLost) {
 	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.Key.Shard(e.Shards) == e.Shard }) {
 		h.releaseUnsent(now, r)
@@ -63,8 +64,8 @@
 	}
 }
 
-// handleStopping refuses waiting requests, so that their callers go elsewhere at
-// once. The daemon waits for the running ones. A request whose start was mirrored
+// handleStopping refuses waiting requests, so that their callers go elsewhere
+// immediately. The daemon waits for the running ones. A request whose start was mirrored
 // and whose target had no slot is still sent from here: the next holder would
 // consider it started, and its caller would be told that the outcome is unknown.
 func (h *Home) handleStopping(now time.Time) {
--- a/core/home/dispatch.go
+++ b/core/home/dispatch.go
@@ -66,7 +66,7 @@
 }
 
 // tryReserve returns whether item may start now, and at which target. If it may,
-// the team's slot has been acquired.
+// tryReserve has acquired the team's slot.
 func (h *Home) tryReserve(now time.Time, item queue.Item, want route.Criteria) (core.VMID, bool) {
 	r := h.records[item.Key]
 	if r == nil || h.stopping && !r.mirrored || now.Before(r.notBefore) || !now.Before(h.Leases.LeaseExpiry(now, item.Key)) {
@@ -77,8 +77,8 @@
 	want.NoProbe = !r.request.Idempotent
 	vm, ok := h.pickTarget(now, r, want)
 	if !ok {
-		// A small pool may have no untried target. MaxTargets limits the number of
-		// refusals.
+		// A small pool may have no untried target left. Try any, since MaxTargets limits
+		// the number of refusals.
 		want.Tried = nil
 		vm, ok = h.pickTarget(now, r, want)
 	}
@@ -107,7 +107,8 @@
 	return vm, ok
 }
 
-// announce takes the target's slot and has the start mirrored before it is sent.
+// announce takes the target's slot and dispatches r, after its start has been
+// mirrored if that is required.
 func (h *Home) announce(now time.Time, r *record, vm core.VMID) {
 	r.phase = announced
 	r.vm = vm
@@ -136,7 +137,7 @@
 
 // handleStartDenied handles the denial of a start; this entry has sent nothing. If
 // the shard was lost and regained in the meantime, another holder may have run the
-// id. In that case it must neither wait here nor be answered "not run".
+// id. In that case the request must neither wait here nor be answered "not run".
 func (h *Home) handleStartDenied(now time.Time, e StartDenied) {
 	r := h.records[e.Key]
 	if r == nil || r.phase != announced {
--- a/core/home/dump.go
+++ b/core/home/dump.go
@@ -58,7 +58,7 @@
 	Waiters  int          `json:"waiters"`
 }
 
-// Dump returns the state, with at most 200 of the unfinished requests.
+// Dump returns the state, with at most maxDumpedRecords of the unfinished requests.
 func (h *Home) Dump() Dump {
 	d := Dump{Counts: h.counts, Records: len(h.records), Loads: h.Loads()}
 	d.Counts.Answers = make(map[core.Code]int64, len(h.counts.Answers))
--- a/core/home/end.go
+++ b/core/home/end.go
@@ -72,7 +72,8 @@
 // FoundNoRecord reports that the target has no record of the task.
 type FoundNoRecord struct{}
 
-// FoundNoAnswer reports that the target could not be asked.
+// FoundNoAnswer reports that the target could not be asked or gave no usable
+// answer.
 type FoundNoAnswer struct{}
 
 func (FoundDone) isFinding()     {}
--- a/core/home/event.go
+++ b/core/home/event.go
@@ -49,8 +49,8 @@
 	Verdict shard.Verdict
 }
 
-// Inherited reports a start that a former holder had announced before this entry
-// took over.
+// Inherited reports a start that a former holder had mirrored to this entry before
+// this entry took over.
 type Inherited struct{ Start shard.Start }
 
 // Ended reports how a dispatch ended.
@@ -69,7 +69,8 @@
 // KeyWithdrawn reports that a team key has been withdrawn.
 type KeyWithdrawn struct{ Digest core.KeyDigest }
 
-// ShardLost reports that this entry lost Shard, one of Shards, to another holder.
+// ShardLost reports that this entry lost Shard to another holder. Shards is the zone's
+// number of shards.
 type ShardLost struct {
 	Shard  core.ShardIndex
 	Shards core.ShardIndex
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -4,9 +4,10 @@
 // the time and events and execute the returned commands.
 //
 // A non-idempotent request starts at a target at most once. It is recorded before
-// the dispatch, its start is mirrored to the shard's successor before it is sent,
-// and once a target may have received any bytes, only that target is asked about
-// it.
+// the dispatch, and its start is mirrored to the shard's successor before it is
+// sent. Once a target may have received any bytes of the request, only that target
+// is asked about it, and another target gets the request only if it is certain that
+// the first one did not and will not start it.
 package home
 
 import (
@@ -28,8 +29,9 @@
 	Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict
 	// LeaseExpiry returns the time until which this entry may start key's request.
 	LeaseExpiry(now time.Time, key core.RequestKey) time.Time
-	// Start announces a start to the successor. If it returns false, a
-	// StartAllowed or StartDenied event follows.
+	// Start asks for permission to dispatch a request. The start may have to be
+	// mirrored to the successor first: if Start returns false, a StartAllowed or
+	// StartDenied event follows.
 	Start(now time.Time, start shard.Start) bool
 }
 
@@ -50,15 +52,17 @@
 	SkewBound time.Duration
 	// Retention is how long an answer is kept after its request's deadline.
 	Retention time.Duration
-	// AskInterval is the time between two queries to a target about a lost answer.
+	// AskInterval is the time between two queries to a target about a lost answer. It
+	// is also the pause after a denied start.
 	AskInterval time.Duration
 	// AskTimeout is how long a target is queried before the outcome is reported as
 	// unknown.
 	AskTimeout time.Duration
 	// FullBackoff is how long a request waits after a target had no free slot.
 	FullBackoff time.Duration
-	// MaxTargets is how many targets may refuse a request as invalid before it
-	// ends with CodeCannotRun, or fail an idempotent one before it ends.
+	// MaxTargets is how often targets may refuse a request as invalid or fail to run
+	// it. At the limit, a refusal ends the request with CodeCannotRun, and a failure
+	// ends an idempotent request with the code of the failure.
 	MaxTargets int
 }
 
@@ -86,9 +90,10 @@
 	Budget  retry.Budget
 
 	records map[core.RequestKey]*record
-	// unfinished holds the records without a final answer. Most records have one;
-	// work that is done every second or for each moved shard must not iterate over
-	// those.
+	// unfinished holds the records of requests without a final answer, except
+	// inherited ones that no caller has asked for. Most records have a final answer,
+	// so work that is done every second or for each moved shard iterates over
+	// unfinished instead of records.
 	unfinished  map[core.RequestKey]*record
 	expiry      deadline.Heap[*record]
 	asking      map[core.RequestKey]*record
@@ -164,7 +169,8 @@
 	h.emit(Reply{Waiter: w, Key: key, Answer: a})
 }
 
-// refusalWindow is how long after a dispatch the target may still refuse it.
+// refusalWindow is how long after a dispatch Unsettled assumes that the target may
+// still refuse it.
 const refusalWindow = time.Second
 
 // Unsettled returns the number of requests whose start may be mirrored but that
--- a/core/home/lending_test.go
+++ b/core/home/lending_test.go
@@ -24,8 +24,9 @@
 	return "p", true, q == "stack"
 }
 
-// urgentStartsBeforeOwn returns how many urgent requests of the queue "quotes" start in
-// the lending pool "p" before a request of the pool's own queue does.
+// urgentStartsBeforeOwn fills the lending pool "p" with urgent requests of the queue
+// "quotes" and submits a request of the pool's own queue. It returns how many further
+// urgent requests start before that request does.
 func urgentStartsBeforeOwn(t *testing.T, lenderFirst bool) int {
 	t.Helper()
 	b := newTestbed(100)
@@ -56,10 +57,10 @@
 	return len(open) - 8
 }
 
-// TestLendingPoolServesOwnQueueFirst fills every slot of a lending pool with urgent requests of
-// another queue and then submits a request of the pool's own queue. That request
-// must get the first slot that becomes free; otherwise it would wait until the
-// flood ends.
+// TestLendingPoolServesOwnQueueFirst fills every slot of a lending pool with urgent
+// requests of another queue and then submits a request of the pool's own queue. That
+// request must get the first slot that becomes free; otherwise it would wait until
+// the flood ends.
 func TestLendingPoolServesOwnQueueFirst(t *testing.T) {
 	assert.Equal(t, urgentStartsBeforeOwn(t, true), 0)
 	assert.Equal(t, urgentStartsBeforeOwn(t, false), 32, "without the safeguard")
--- a/core/home/record.go
+++ b/core/home/record.go
@@ -19,7 +19,7 @@
 	running
 	// asking: the answer was lost; the target is being asked.
 	asking
-	// inherited: announced by a former holder; no caller has asked for it here.
+	// inherited: a former holder mirrored its start; no caller has asked for it here.
 	inherited
 	// ended: has its final answer.
 	ended
@@ -38,10 +38,15 @@
 	answer   core.Answer
 	waiters  []Waiter
 
-	vm        core.VMID
-	number    core.Attempt
+	// vm is the chosen target.
+	vm core.VMID
+	// number is the number of the latest dispatch; zero before the first.
+	number core.Attempt
+	// startedAt is when the latest dispatch was sent.
 	startedAt time.Time
-	tried     []core.VMID
+	// tried are the targets that refused the request as invalid or failed to run it.
+	tried []core.VMID
+	// notBefore is the earliest time of the next dispatch.
 	notBefore time.Time
 	cancelled bool
 	// fetchLater reports that a caller doesn't wait for the answer but fetches it
@@ -65,7 +70,7 @@
 	heapIndex int
 }
 
-// newRecord stores a record. The record is dropped some time after the deadline.
+// newRecord creates and stores the record of a request. The record is dropped some time after the deadline.
 // No attempt is accepted once the deadline has passed, so an id whose record was
 // dropped can't run again.
 func (h *Home) newRecord(req core.Request) *record {
@@ -92,9 +97,10 @@
 }
 
 // finish sets r's final answer and sends it to the waiters. The record is kept so
-// that the id can't run again, except after a NotRun, since a later attempt of the
-// same id may still run. If a caller will fetch the answer, a NotRun is kept too,
-// unless the request continues at another entry.
+// that the id can't run again. After a NotRun, a later attempt of the same id may
+// still run, so the record is dropped unless the request was cancelled or a caller
+// will fetch the answer. The record of a request that continues at another entry is
+// dropped even if its answer would be fetched.
 func (h *Home) finish(r *record, a core.Answer) {
 	r.phase = ended
 	r.answer = a
--- a/core/home/simulation_test.go
+++ b/core/home/simulation_test.go
@@ -177,9 +177,9 @@
 }
 
 // TestTeamSlotOutlivesUnknownOutcome loses an answer while the target can't be
-// asked. The caller gets its final answer at once, but the task may still be
-// running: the team's slot must stay counted until the deadline of the task's
-// lease plus the skew bound.
+// asked. The caller gets its final answer while the task may still be running: the
+// team's slot must stay counted until the end of the task's lease plus the skew
+// bound.
 func TestTeamSlotOutlivesUnknownOutcome(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		b := newTestbed(1, "vm-1", "vm-2")
--- a/core/home/tick.go
+++ b/core/home/tick.go
@@ -56,10 +56,10 @@
 }
 
 // handleInherited records a start of a former holder. The request never runs again
-// here. Its target is asked only once a caller wants the answer: a take-over
+// here. Its target is asked only once a caller wants the answer: a takeover
 // inherits thousands of starts, most of whose callers already have their answers,
-// and asking about all of them at once would flood the zone's targets just when an
-// entry has failed.
+// and asking about all of them at the same time would flood the zone's targets just
+// when an entry has failed.
 func (h *Home) handleInherited(now time.Time, s shard.Start) {
 	if _, ok := h.records[s.Key]; ok {
 		return
--- a/core/id.go
+++ b/core/id.go
@@ -9,11 +9,13 @@
 	"time"
 )
 
-// TeamID identifies a team. Keys, shares and limits belong to a team.
+// TeamID identifies a team, which is a client account. Keys, shares and limits
+// belong to a team.
 type TeamID string
 
 // RequestID is an opaque id that the caller chooses for a request. It is unique
-// within its team. An id of the form "zone~rest" has its home in that zone.
+// within its team. An id of the form "zone~rest" has its home in that zone, if the
+// zone exists.
 type RequestID string
 
 // ZoneID identifies an availability zone.
@@ -45,18 +47,20 @@
 // stored.
 type KeyDigest string
 
-// Epoch numbers the successive holders of a right. A higher epoch supersedes a
-// lower one.
+// Epoch numbers the successive holders of a lease, such as the lease on a shard. A
+// higher epoch supersedes a lower one.
 type Epoch uint64
 
 // Version is the number of writes to one row of the platform's table. Zero means
 // that the row doesn't exist.
 type Version uint64
 
-// Slots is a number of target VM slots, the unit of running work and of limits.
+// Slots is a number of slots on target VMs. Running work and limits are measured in
+// slots.
 type Slots int
 
-// Attempt numbers a caller's attempts at one request, starting at 1.
+// Attempt numbers a caller's attempts at one request, starting at 1. The home also
+// numbers its dispatches of a request with it.
 type Attempt uint32
 
 // ShardIndex numbers the shards of a zone, starting at 0.
--- a/core/id_test.go
+++ b/core/id_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestIDsSpreadEvenly checks that sequentially numbered ids are distributed evenly over
-// the shards and zones. Callers number their ids, and an uneven distribution would
-// concentrate a whole night's work on one entry.
+// the shards and zones. Callers often number their ids, and an uneven distribution
+// would send a whole batch of requests to one entry.
 func TestIDsSpreadEvenly(t *testing.T) {
 	zones := []core.ZoneID{"zone_a", "zone_b", "zone_c"}
 	for _, format := range []string{"later-%d", "frame-%04d", "zone_a~night1-%d", "%d"} {
--- a/core/request.go
+++ b/core/request.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Request is a caller's request as it is forwarded from the entry that received it
-// to its home. Its times are points in time, never remaining durations.
+// Request is a caller's request, as the entry that received it forwards it to the
+// request's home. Its time limits are points in time, never remaining durations.
 type Request struct {
 	Key       RequestKey
 	KeyDigest KeyDigest
--- a/core/shard/balance.go
+++ b/core/shard/balance.go
@@ -7,7 +7,8 @@
 	"lavenderpond/core"
 )
 
-// Limits on shard hand-overs. The durations are multiples of the lease.
+// Limits on moving shards between entries. The durations are multiples of the
+// lease.
 const (
 	// moveLeases is how long a move may take before it is abandoned.
 	moveLeases = 8
@@ -92,11 +93,11 @@
 }
 
 // isStopping reports whether entry id is handing its shards over in order to shut
-// down, which any row that it released shows. Until such an entry has ended, it is
-// still listed, still answers, and holds the fewest shards. Shards handed back to
-// it would be orphaned when it ends: their callers would wait for a take-over and
-// get "unknown" for ids that never ran. A stopping entry never returns to serving,
-// so a single row is sufficient evidence.
+// down. Released names it in the rows of the shards that it has handed over. Until
+// such an entry has ended, it is still listed, still answers, and holds the fewest
+// shards. Shards handed back to it would have no holder when it ends: their callers
+// would wait for a takeover and get "unknown" for ids that never ran. A stopping
+// entry never serves again, so a single row is sufficient evidence.
 func (lm *LeaseManager) isStopping(id core.EntryID) bool {
 	for i := range lm.shards {
 		if lm.shards[i].row.Released == id {
@@ -142,7 +143,7 @@
 
 // nextHandover returns the row that makes the successor the holder, once the
 // successor knows all starts and the waiting starts are settled or drainUntil has
-// passed. After the shutdown deadline it waits for neither.
+// passed. Once the handover deadline of a shutdown has passed, it waits for neither.
 func (lm *LeaseManager) nextHandover(now time.Time, s *shardState) (Row, bool) {
 	to := lm.handoverRecipient(now, s)
 	responsive := s.row.Successor == to && !lm.successorSilent(now, s)
@@ -177,6 +178,10 @@
 	return row
 }
 
+// handoverRecipient returns the entry that should receive the shard: the successor
+// if this entry is stopping, else the entry that the shard is being moved to. It
+// returns "" if there is none, and then abandons a move that has timed out or whose
+// destination is stopping.
 func (lm *LeaseManager) handoverRecipient(now time.Time, s *shardState) core.EntryID {
 	if !lm.handOverBy.IsZero() {
 		return s.row.Successor
@@ -188,9 +193,9 @@
 	return ""
 }
 
-// handingOver reports whether a swap that takes the shard away from this entry is
-// pending and may take effect at any moment. This entry starts no requests of the
-// shard from the moment it sends that swap.
+// handingOver reports whether a swap that makes another entry the holder is pending
+// and may take effect at any moment. From the moment it sends that swap, this entry
+// starts no requests of the shard.
 func (lm *LeaseManager) handingOver(s *shardState) bool {
 	return s.pendingSwap != nil && s.pendingSwap.Row.Holder != lm.params.Self
 }
@@ -207,8 +212,8 @@
 	return n
 }
 
-// NamedEntries returns, in no particular order, the entries that the rows name.
-// The LeaseManager needs to learn which of them have ended.
+// NamedEntries returns, in no particular order, the holders and possible successors
+// of all shards. The LeaseManager needs to learn which of them have ended.
 func (lm *LeaseManager) NamedEntries() []core.EntryID {
 	seen := map[core.EntryID]bool{"": true}
 	var named []core.EntryID
--- a/core/shard/bench_test.go
+++ b/core/shard/bench_test.go
@@ -21,7 +21,7 @@
 	return lm
 }
 
-// answerAll executes commands at once, as an always available table and successor
+// answerAll executes commands immediately, as an always available table and successor
 // would.
 func answerAll(lm *LeaseManager, now time.Time, commands []Command) {
 	for _, c := range commands {
--- a/core/shard/command.go
+++ b/core/shard/command.go
@@ -54,16 +54,17 @@
 	Verdict Verdict
 }
 
-// Lost reports that another entry holds the shard. Home must not answer "not run"
-// for requests of the shard that it still queues, because a retry may have run at
-// the new holder.
+// Lost reports that another entry holds the shard. No caller may be told "not run"
+// for a request of the shard that is still queued here, because a retry may have run
+// at the new holder. The home ends such requests with CodeEntryStopping, so that
+// they are forwarded to the new holder.
 type Lost struct {
 	Shard  core.ShardIndex
 	Holder core.EntryID
 }
 
-// Inherited reports, once after a take-over, the known starts of former holders.
-// Home answers them with outcome_unknown or asks the target.
+// Inherited reports, once after a takeover, the known starts of former holders.
+// The home answers them with outcome_unknown or asks the target.
 type Inherited struct {
 	Shard  core.ShardIndex
 	Former core.EntryID
--- a/core/shard/event.go
+++ b/core/shard/event.go
@@ -50,12 +50,12 @@
 }
 
 // EntriesListed carries the platform's list of the zone's live entries, as far as
-// it can be trusted: Gone holds only entries that have certainly ended.
+// it can be trusted: Ended holds only entries that have certainly ended.
 type EntriesListed struct {
 	// Live are the entries that accept work, excluding those that are leaving.
 	Live []core.EntryID
 	// Ended are all entries that a row may name and that have ended, not only those
-	// that ended since the previous list.
+	// that have ended since the previous list.
 	Ended []core.EntryID
 }
 
--- a/core/shard/holder.go
+++ b/core/shard/holder.go
@@ -140,8 +140,9 @@
 	return lm.ended[id] || now.Before(lm.refusedUntil[id]) || s.successorSilentFor(now) > lm.params.silenceTimeout()
 }
 
-// successorSilentFor returns the time since the successor's last acked ping, or
-// since it was named if that is more recent.
+// successorSilentFor returns the time since the latest evidence from the successor,
+// which is usually its last acked ping, or since it was named if that is more
+// recent.
 func (s *shardState) successorSilentFor(now time.Time) time.Duration {
 	if ack := s.evidenceAt[s.row.Successor]; ack.After(s.successorNamedAt) {
 		return now.Sub(ack)
--- a/core/shard/lease_manager.go
+++ b/core/shard/lease_manager.go
@@ -19,8 +19,8 @@
 	// when they are avoided: a few leases, or until they send a message.
 	refusedUntil map[core.EntryID]time.Time
 	// selfListed reports whether the platform has listed this entry. Others can
-	// only learn of this entry's end if it is listed, so it claims no shards
-	// before.
+	// only learn of this entry's end once it has been listed, so it claims no shards
+	// before that.
 	selfListed bool
 	// tableOK reports whether the table has answered since it last failed. Row
 	// changes wait for it, which avoids a retry storm during an outage.
@@ -29,7 +29,7 @@
 	nextRead        time.Time
 	nextBalance     time.Time
 	nextStartExpiry time.Time
-	// handOverBy is the hand-over deadline of a shutdown; zero if this entry is not
+	// handOverBy is the handover deadline of a shutdown; zero if this entry is not
 	// stopping.
 	handOverBy time.Time
 	commands   []Command
@@ -87,14 +87,14 @@
 	return lm.takeCommands()
 }
 
-// Shard returns the shard of id.
+// Shard returns the shard of key.
 func (lm *LeaseManager) Shard(key core.RequestKey) core.ShardIndex {
 	return key.Shard(lm.params.Shards)
 }
 
 // Decide returns whether this entry may start the request now. firstSent is zero
-// if the caller doesn't provide it. It need not be called for ids that home has a
-// record of.
+// if the caller doesn't provide it. Decide need not be called for a request that its
+// home has a record of.
 func (lm *LeaseManager) Decide(now time.Time, shard core.ShardIndex, key core.RequestKey, firstSent, deadline time.Time) Verdict {
 	s := lm.state(shard)
 	if s == nil || !s.rowKnown {
@@ -162,8 +162,8 @@
 func (lm *LeaseManager) Forget(shard core.ShardIndex, key core.RequestKey) {
 	s := lm.state(shard)
 	if s == nil || s.row.InSync || s.copyTo != "" {
-		// The successor would still consider the id started. Keeping the start here
-		// keeps the two consistent.
+		// The successor would still consider the id started. Keeping the start keeps
+		// the two entries consistent.
 		return
 	}
 	delete(s.starts, key)
@@ -197,6 +197,9 @@
 	return nil
 }
 
+// beforeHorizon reports whether a request with these times may have been first sent
+// at the horizon or earlier. Without firstSent, it assumes that the request was first
+// sent MaxLifetime before its deadline.
 func (lm *LeaseManager) beforeHorizon(s *shardState, firstSent, deadline time.Time) bool {
 	if !firstSent.IsZero() {
 		return !firstSent.After(s.row.Horizon)
--- a/core/shard/message.go
+++ b/core/shard/message.go
@@ -10,7 +10,8 @@
 // StartAck, MirrorCopy or CopyAck.
 type Message interface{ isMessage() }
 
-// Held identifies a shard and the epoch of the holder that refers to it.
+// Held identifies a shard and the epoch in which the sender or receiver of a message
+// holds it.
 type Held struct {
 	Shard core.ShardIndex
 	Epoch core.Epoch
--- a/core/shard/mirror.go
+++ b/core/shard/mirror.go
@@ -9,9 +9,9 @@
 
 // mustMirror reports whether the successor has to ack starts before they are
 // dispatched. It has to while the row says in sync, or may say so once a pending
-// swap takes effect: otherwise a take-over would trust a mirror that lacks a
-// start. A successor that has certainly ended can't take over, and a third entry
-// ignores the in-sync mark.
+// swap takes effect: otherwise a takeover would trust a mirror that lacks a
+// start. A successor that has certainly ended can't take over, and an entry that is
+// neither holder nor successor ignores the in-sync mark.
 func (lm *LeaseManager) mustMirror(now time.Time, s *shardState) bool {
 	if lm.disabled.mirror {
 		return false
@@ -149,8 +149,8 @@
 	return starts
 }
 
-// dropExpiredStarts drops starts that nobody can start again, because their
-// deadlines have passed by every clock.
+// dropExpiredStarts drops the starts whose deadlines have passed by every clock. No
+// entry can start such a request again.
 func (lm *LeaseManager) dropExpiredStarts(now time.Time) {
 	if now.Before(lm.nextStartExpiry) {
 		return
--- a/core/shard/params.go
+++ b/core/shard/params.go
@@ -53,7 +53,7 @@
 // the holder's start_by, and one covers a clock that is set back.
 func (p Params) takeoverWait() time.Duration { return p.Lease + 2*p.Skew }
 
-// horizonAt returns the horizon of a take-over at now. A former holder accepts a
+// horizonAt returns the horizon of a takeover at now. A former holder accepts a
 // first_sent of up to its own clock plus the skew bound, and its clock may differ
 // from this one by the skew bound again.
 func (p Params) horizonAt(now time.Time) time.Time { return now.Add(2 * p.Skew) }
--- a/core/shard/row.go
+++ b/core/shard/row.go
@@ -21,11 +21,11 @@
 	Epoch core.Epoch `json:"epoch"`
 	// Successor is the only entry that may take over from a silent holder.
 	Successor core.EntryID `json:"successor,omitempty"`
-	// Horizon separates the ids that a former holder may have started, which were
-	// first sent up to it, from those that no former holder can have started. It
-	// is zero if there is no id of the first kind.
+	// Horizon bounds the ids that a former holder may have started without Holder
+	// knowing: they were first sent at Horizon or earlier. It is zero if there are no
+	// such ids.
 	Horizon time.Time `json:"horizon,omitzero"`
-	// Announced is the entry that has announced its take-over.
+	// Announced is the entry that has announced its takeover.
 	Announced core.EntryID `json:"announced,omitempty"`
 	// InSync reports whether Successor knows every start of Holder.
 	InSync bool `json:"in_sync,omitempty"`
@@ -34,8 +34,8 @@
 	// Mirrored reports whether Holder knew every start of Former when its epoch
 	// began.
 	Mirrored bool `json:"mirrored,omitempty"`
-	// Released is the last holder that handed the shard over because it was
-	// stopping.
+	// Released is the last holder that handed the shard over because it was shutting
+	// down.
 	Released core.EntryID `json:"released,omitempty"`
 }
 
--- a/core/shard/row_handler.go
+++ b/core/shard/row_handler.go
@@ -51,7 +51,7 @@
 	}
 	// A row change other than this entry's announcement counts as activity of the
 	// holder. Otherwise an announcement that the holder cleared would be repeated
-	// at once, and a network partition between the two would cause a continuous
+	// immediately, and a network partition between the two would cause a continuous
 	// stream of writes.
 	if changed && row.Announced != lm.params.Self {
 		s.holderSeenAt = now
@@ -121,7 +121,7 @@
 	}
 	s.pendingSwap = &pendingSwap{SwapRow: SwapRow{Shard: s.index, Version: s.version, Row: row}}
 	if row.Holder == lm.params.Self && row.Successor != "" && row.Successor != s.row.Successor {
-		// A new successor can't have announced a take-over before it was named.
+		// A new successor can't have announced a takeover before it was named.
 		s.recordEvidence(row.Successor, now)
 	}
 	lm.sendSwap(now, s)
--- a/core/shard/safeguards_test.go
+++ b/core/shard/safeguards_test.go
@@ -68,8 +68,8 @@
 const maxSearchedSeeds = 1000
 
 // TestEachSafeguardIsNeeded disables one safeguard at a time and expects an id to
-// run twice. This shows that the simulation is harsh enough to detect the fault
-// and that the safeguard prevents it.
+// run twice. This shows that the simulation provokes the fault and that the
+// safeguard prevents it.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/core/shard/session_test.go
+++ b/core/shard/session_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestFrozenHolderSession freezes the holder past its lease while requests are in
-// progress. The successor announces a take-over, takes over in sync, answers
+// progress. The successor announces a takeover, takes over in sync, answers
 // retries of started requests with "unknown", and runs new ids. When the holder
 // resumes, it has no lease and refers callers to the new holder.
 func TestFrozenHolderSession(t *testing.T) {
--- a/core/shard/simulation_test.go
+++ b/core/shard/simulation_test.go
@@ -235,8 +235,8 @@
 	}
 }
 
-// askRandom sends a request to a random entry. Its home keeps no records, so the
-// LeaseManager's state alone has to prevent a second run.
+// askRandom sends a request to a random entry. The simulated entries keep no records
+// of requests, so the LeaseManager's state alone has to prevent a second run.
 func (sim *simulation) askRandom(q simRequest) { sim.askAt(sim.entries[sim.r.Intn(entryCount)], q) }
 
 func (sim *simulation) askAt(e *simEntry, q simRequest) {
@@ -250,7 +250,7 @@
 		return
 	}
 	if sim.trace == nil && sim.r.Intn(6) == 0 {
-		// The request waits in a queue. Its home calls Start without another Decide.
+		// The request waits in a queue. Its home then calls Start without another Decide.
 		sim.schedule(e, sim.r.Intn(maxQueuedSteps), func() { sim.start(e, q) })
 		return
 	}
--- a/core/shard/state.go
+++ b/core/shard/state.go
@@ -17,25 +17,29 @@
 	// lastReadVersion is the version at the last read, which may be older than
 	// version.
 	lastReadVersion core.Version
-	// vacantSince is when the row was first read as not existing.
+	// vacantSince is when this entry first found that the shard needs a new holder,
+	// because it never had one or because its holder and successor have ended. It is
+	// reset while another live entry is the holder.
 	vacantSince time.Time
 	pendingSwap *pendingSwap
 
-	// As holder: the evidence for the lease, dated by when it was requested.
-	// rowConfirmedAt is for reads of the row, ackedAt for pings acked by each
-	// entry.
+	// As holder: the evidence for the lease. rowConfirmedAt is when the latest read
+	// or swap was sent that found this entry to be the holder, without an
+	// announcement in the row. evidenceAt is, for each entry, the latest time at which
+	// it certainly had not taken over: when the last ping that it acked was sent, when
+	// it was chosen as successor, or when its end was seen during a valid lease.
 	rowConfirmedAt time.Time
 	evidenceAt     map[core.EntryID]time.Time
 	// successorNamedAt is when the row was found to name its successor.
 	successorNamedAt time.Time
-	// drainUntil limits the wait for waiting starts before a hand-over. No new
-	// starts are accepted until then. It is zero if there is no hand-over.
+	// drainUntil limits how long a handover is delayed for waiting starts. While it
+	// is set, no new starts are accepted. It is zero if there is no handover.
 	drainUntil time.Time
 	// moveTo is the entry that the shard is being moved to, until moveDeadline.
 	moveTo       core.EntryID
 	moveDeadline time.Time
-	// needsHorizon reports that the row claims a mirror that this entry doesn't
-	// have.
+	// needsHorizon reports that the row has Mirrored set, but that this entry doesn't
+	// have the former holder's mirror. The row needs a horizon before any start.
 	needsHorizon bool
 	// starts are all known starts whose deadlines have not passed.
 	starts map[core.RequestKey]Start
@@ -45,7 +49,9 @@
 	waitingOrder []core.RequestKey
 	// nextCopyAt is when a copy is sent again to a successor that refused one.
 	nextCopyAt time.Time
-	// copyTo is the successor that is being synchronized.
+	// copyTo is the successor that is being synchronized by copies of the starts;
+	// copyRound numbers the copies, and copyAcked reports whether the last one was
+	// acked.
 	copyTo     core.EntryID
 	copyRound  uint64
 	copyAcked  bool
--- a/core/shard/successor.go
+++ b/core/shard/successor.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// watchHolder takes over from a silent holder in two steps. The announcement stops
-// a holder that still reads the table, and gives a live holder the chance to
-// object.
+// watchHolder takes over from a silent holder in two steps: it announces the
+// takeover in the row, waits, and takes over. The announcement stops a holder that
+// still reads the table, and a live holder can clear it.
 func (lm *LeaseManager) watchHolder(now time.Time, s *shardState) {
 	wait := lm.params.takeoverWait()
 	if now.Sub(s.holderSeenAt) <= wait {
@@ -50,9 +50,9 @@
 	}
 }
 
-// thirdEntryMayTakeOver reports whether an entry other than the successor may take
-// over, which requires that holder and successor have both certainly ended.
-// Entries take turns to avoid races.
+// thirdEntryMayTakeOver reports whether this entry may take over as a third entry,
+// which is neither holder nor successor. This requires that holder and successor
+// have both certainly ended. Third entries take turns to avoid races.
 func (lm *LeaseManager) thirdEntryMayTakeOver(now time.Time, s *shardState) bool {
 	if s.row.Successor != "" && !lm.ended[s.row.Successor] {
 		return false
@@ -60,6 +60,8 @@
 	return lm.myTurn(now, s)
 }
 
+// takeOver requests the row that makes this entry the holder. The row gets a new
+// horizon unless this entry has a complete mirror of the holder's starts.
 func (lm *LeaseManager) takeOver(now time.Time, s *shardState) {
 	successor := s.row.Successor == lm.params.Self
 	mirrored := s.row.InSync && successor && s.mirror.holder == s.row.Holder && s.mirror.epoch == s.row.Epoch
@@ -87,9 +89,9 @@
 	}
 }
 
-// myTurn spreads shards without a holder evenly over the live entries. Entry i of
-// n has the first turn at every nth shard, and the next entry follows one lease
-// later.
+// myTurn reports whether it is this entry's turn to take a vacant shard. The turns
+// spread vacant shards evenly over the live entries: entry i of n has the first
+// turn at every nth shard, and each following entry's turn begins one lease later.
 func (lm *LeaseManager) myTurn(now time.Time, s *shardState) bool {
 	if s.vacantSince.IsZero() {
 		s.vacantSince = now
--- a/core/shard/verdict.go
+++ b/core/shard/verdict.go
@@ -23,8 +23,9 @@
 // NotHolder means that Holder decides.
 type NotHolder struct{ Holder core.EntryID }
 
-// Wait means that no entry is known to hold a lease. It proves nothing about the
-// request: "not run" is true only for a first attempt that was sent nowhere.
+// Wait means that no entry is known to hold a lease on the shard. It proves nothing
+// about the request: only a first attempt that was sent nowhere else may be answered
+// with "not run".
 type Wait struct{ ComeBackAt time.Time }
 
 // Unknown means that the request may have been started before and will not be
--- a/core/table/keys.go
+++ b/core/table/keys.go
@@ -7,7 +7,8 @@
 	"lavenderpond/core"
 )
 
-// Key prefixes of the table's rows. All rows of lavenderpond have one of these.
+// Key prefixes of the table's rows. The key of every lavenderpond row starts with
+// one of them.
 const (
 	PrefixConfig    = "config/"
 	PrefixKey       = "key/"
@@ -42,11 +43,11 @@
 // QueueKey returns the key of the row with a queue's settings.
 func QueueKey(q core.QueueID) Key { return Key(PrefixConfig + "queue/" + string(q)) }
 
-// ExceptionKey returns the key of the row with an exception.
+// ExceptionKey returns the key of the row of an exception, a temporary deviation
+// from the settings.
 func ExceptionKey(id string) Key { return Key(PrefixConfig + "exception/" + id) }
 
-// KeyDigestKey returns the key of the row of a team key, which is identified by
-// its digest.
+// KeyDigestKey returns the key of the row of the team key that has digest d.
 func KeyDigestKey(d core.KeyDigest) Key { return Key(PrefixKey + string(d)) }
 
 // AuditKey returns the key of the row that records an accepted change.
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -26,7 +26,7 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Check requires a row to have a version when the transaction takes effect.
+// Check requires the row of Key to have Version when the transaction takes effect.
 type Check struct {
 	Key     Key          `json:"key"`
 	Version core.Version `json:"version"`
