--- a/core/shard/safeguards_test.go
+++ b/core/shard/safeguards_test.go
@@ -21,7 +21,7 @@
 }
 
 func (s seedTotals) String() string {
-	return fmt.Sprintf("seeds with duplicate runs=%d (first %d) duplicate ids=%d served=%d of %d (%.1f%%) take-overs=%d in sync=%d hand-overs=%d",
+	return fmt.Sprintf("seeds with duplicate runs=%d (first %d) duplicate ids=%d served=%d of %d (%.1f%%) takeovers=%d in sync=%d handovers=%d",
 		s.seedsWithDuplicate, s.firstSeed, s.duplicates, s.served, s.asked, 100*float64(s.served)/float64(s.asked),
 		s.takeovers, s.inSync, s.handovers)
 }
