--- a/core/home/cancel.go
+++ b/core/home/cancel.go
@@ -54,8 +54,8 @@
 
 // handleShardLost ends the waiting requests of a shard that moved to another
 // holder, so that the callers go there. Otherwise they would wait here, until their
-// deadlines, for a lease that this entry has lost. None of these requests was sent, so
-// CodeEntryStopping is accurate; the entry's front forwards them to the new
+// deadlines, for a lease that this entry has lost. None of these requests was sent,
+// so CodeEntryStopping is accurate; the entry's front forwards them to the new
 // holder.
 func (h *Home) handleShardLost(now time.Time, e ShardLost) {
 	for _, r := range h.unsentRecords(func(r *record) bool { return r.request.Key.Shard(e.Shards) == e.Shard }) {
--- a/core/home/record.go
+++ b/core/home/record.go
@@ -70,9 +70,9 @@
 	heapIndex int
 }
 
-// newRecord creates and stores the record of a request. The record is dropped some time after the deadline.
-// No attempt is accepted once the deadline has passed, so an id whose record was
-// dropped can't run again.
+// newRecord creates and stores the record of a request. The record is dropped some
+// time after the deadline. No attempt is accepted once the deadline has passed, so an
+// id whose record was dropped can't run again.
 func (h *Home) newRecord(req core.Request) *record {
 	if h.records == nil {
 		h.records = make(map[core.RequestKey]*record)
