--- a/core/home/simulation_test.go
+++ b/core/home/simulation_test.go
@@ -165,11 +165,11 @@
 			if done, ok := a.(core.Done); ok {
 				ran = true
 				if string(done.Body) != string(k.ID) {
-					return fmt.Sprintf("%s was given %q", k, done.Body)
+					return fmt.Sprintf("%s received another request's answer %q", k, done.Body)
 				}
 			}
 			if refusal, ok := a.(core.NotRun); ok && ran && refusal.Code != core.CodeIDReused {
-				return fmt.Sprintf("%s was told not_run after done", k)
+				return fmt.Sprintf("%s received not_run after done", k)
 			}
 		}
 	}
--- a/core/shard/safeguards_test.go
+++ b/core/shard/safeguards_test.go
@@ -97,7 +97,7 @@
 					return
 				}
 			}
-			t.Errorf("no id ran twice in %d seeds", seed)
+			t.Errorf("no id ran twice in %d seeds with the safeguard disabled", seed)
 		})
 	}
 }
