--- a/core/shard/dump.go
+++ b/core/shard/dump.go
@@ -11,11 +11,11 @@
 	Self    core.EntryID   `json:"self"`
 	Live    []core.EntryID `json:"live"`
 	TableOK bool           `json:"table_ok"`
-	Shards  []ShardDump    `json:"shards"`
+	Shards  []StateDump    `json:"shards"`
 }
 
-// ShardDump is the state of one shard in a Dump.
-type ShardDump struct {
+// StateDump is the state of one shard in a Dump.
+type StateDump struct {
 	Shard   core.ShardIndex `json:"shard"`
 	Version core.Version    `json:"version"`
 	Row     Row             `json:"row"`
@@ -38,7 +38,7 @@
 		if !s.rowKnown {
 			continue
 		}
-		sd := ShardDump{
+		sd := StateDump{
 			Shard: s.index, Version: s.version, Row: s.row, LeaseExpiry: lm.LeaseExpiry(now, s.index),
 			Starts: len(s.starts), Waiting: len(s.waiting), Mirrored: len(s.mirror.starts), SwapPending: s.pendingSwap != nil,
 		}
