--- a/core/shard/simulation_table_test.go
+++ b/core/shard/simulation_table_test.go
@@ -7,7 +7,7 @@
 )
 
 func (sim *simulation) read(e *simEntry) {
-	if sim.down[e.name] {
+	if sim.tableUnreachable[e.name] {
 		return
 	}
 	sentAt := sim.now(e)
@@ -32,10 +32,10 @@
 		})
 	}
 	switch {
-	case sim.down[e.name] && !lost:
+	case sim.tableUnreachable[e.name] && !lost:
 		settle(SwapUnreachable)
 		return
-	case sim.down[e.name]:
+	case sim.tableUnreachable[e.name]:
 		settle(SwapUnknown)
 		return
 	case lost && sim.r.Intn(2) == 0:
--- a/core/shard/simulation_test.go
+++ b/core/shard/simulation_test.go
@@ -26,8 +26,8 @@
 // faults are the probabilities of each fault per step. delay is the longest delay
 // of a message, in steps.
 type faults struct {
-	delay                                                  int
-	tableDown, tableUp, cut, heal, pause, kill, answerLost float64
+	delay                                                        int
+	tableDown, tableUp, partition, heal, pause, kill, answerLost float64
 	// falseLeaving is the probability that the entry list shows an entry as
 	// leaving that is not.
 	falseLeaving float64
@@ -39,9 +39,9 @@
 // coincide: lateFaults uses slow messages, lossyFaults a table that loses most of
 // its answers.
 var (
-	modelFaults = faults{delay: 3, tableDown: .004, tableUp: .01, cut: .004, heal: .01, pause: .002, kill: .001, answerLost: .2}
-	lateFaults  = faults{delay: 8, tableDown: .008, tableUp: .01, cut: .004, heal: .02, pause: .003, kill: .001, answerLost: .6, falseLeaving: .01, askEverywhere: true}
-	lossyFaults = faults{delay: 4, tableDown: .008, tableUp: .006, cut: .006, heal: .01, pause: .002, kill: .001, answerLost: .8, falseLeaving: .05, askEverywhere: true}
+	modelFaults = faults{delay: 3, tableDown: .004, tableUp: .01, partition: .004, heal: .01, pause: .002, kill: .001, answerLost: .2}
+	lateFaults  = faults{delay: 8, tableDown: .008, tableUp: .01, partition: .004, heal: .02, pause: .003, kill: .001, answerLost: .6, falseLeaving: .01, askEverywhere: true}
+	lossyFaults = faults{delay: 4, tableDown: .008, tableUp: .006, partition: .006, heal: .01, pause: .002, kill: .001, answerLost: .8, falseLeaving: .05, askEverywhere: true}
 )
 
 var simStart = time.Unix(1_000_000_000, 0).UTC()
@@ -51,7 +51,7 @@
 	leases        *LeaseManager
 	alive         bool
 	paused        int
-	offset        time.Duration
+	clockOffset   time.Duration
 	shutdownUntil int
 }
 
@@ -69,22 +69,22 @@
 }
 
 type simulation struct {
-	r          *rand.Rand
-	step       int
-	off        disabledSafeguards
-	faults     faults
-	table      table.Memory
-	entries    [entryCount]*simEntry
-	byName     map[core.EntryID]*simEntry
-	names      []core.EntryID
-	down       map[core.EntryID]bool
-	cut        map[[2]core.EntryID]bool
-	unlistedAt map[core.EntryID]int
-	actions    []delayedAction
-	requests   []simRequest
-	runs       map[core.RequestKey]int
-	result     simResult
-	trace      func(format string, args ...any)
+	r                *rand.Rand
+	step             int
+	off              disabledSafeguards
+	faults           faults
+	table            table.Memory
+	entries          [entryCount]*simEntry
+	byName           map[core.EntryID]*simEntry
+	names            []core.EntryID
+	tableUnreachable map[core.EntryID]bool
+	partitioned      map[[2]core.EntryID]bool
+	unlistedAt       map[core.EntryID]int
+	actions          []delayedAction
+	requests         []simRequest
+	runs             map[core.RequestKey]int
+	result           simResult
+	trace            func(format string, args ...any)
 }
 
 type simResult struct {
@@ -94,7 +94,7 @@
 func newSimulation(seed int64, f faults, off disabledSafeguards) *simulation {
 	sim := &simulation{
 		r: rand.New(rand.NewSource(seed)), off: off, faults: f, byName: map[core.EntryID]*simEntry{},
-		down: map[core.EntryID]bool{}, cut: map[[2]core.EntryID]bool{}, unlistedAt: map[core.EntryID]int{},
+		tableUnreachable: map[core.EntryID]bool{}, partitioned: map[[2]core.EntryID]bool{}, unlistedAt: map[core.EntryID]int{},
 		runs: map[core.RequestKey]int{},
 	}
 	for i := range sim.entries {
@@ -132,7 +132,7 @@
 func (e *simEntry) running() bool { return e.alive && e.paused == 0 }
 
 func (sim *simulation) now(e *simEntry) time.Time {
-	return simStart.Add(time.Duration(sim.step)*stepLength + e.offset)
+	return simStart.Add(time.Duration(sim.step)*stepLength + e.clockOffset)
 }
 
 // clockOffset returns a random clock offset. Any two differ by at most the skew
@@ -142,7 +142,7 @@
 }
 
 func (sim *simulation) startEntry(i int) {
-	e := &simEntry{name: core.EntryID(fmt.Sprintf("e%d#%d", i, sim.step)), alive: true, offset: sim.clockOffset()}
+	e := &simEntry{name: core.EntryID(fmt.Sprintf("e%d#%d", i, sim.step)), alive: true, clockOffset: sim.clockOffset()}
 	e.leases = New(Params{Zone: "a", Self: e.name, Shards: 1, MaxLifetime: maxLifetimeSteps * stepLength})
 	e.leases.disabled = sim.off
 	sim.entries[i], sim.byName[e.name] = e, e
@@ -153,18 +153,18 @@
 	r, f := sim.r, sim.faults
 	if r.Float64() < f.tableDown {
 		for _, i := range r.Perm(entryCount)[:1+r.Intn(entryCount)] {
-			sim.down[sim.entries[i].name] = true
+			sim.tableUnreachable[sim.entries[i].name] = true
 		}
 	}
 	if r.Float64() < f.tableUp {
-		clear(sim.down)
+		clear(sim.tableUnreachable)
 	}
-	if r.Float64() < f.cut {
+	if r.Float64() < f.partition {
 		p := r.Perm(entryCount)
-		sim.cut[pair(sim.entries[p[0]].name, sim.entries[p[1]].name)] = true
+		sim.partitioned[pair(sim.entries[p[0]].name, sim.entries[p[1]].name)] = true
 	}
 	if r.Float64() < f.heal {
-		clear(sim.cut)
+		clear(sim.partitioned)
 	}
 	for i, e := range sim.entries {
 		if e.paused > 0 {
@@ -190,7 +190,7 @@
 
 // sendEntryList sends e the platform's list of entries.
 func (sim *simulation) sendEntryList(e *simEntry) {
-	if sim.down[e.name] {
+	if sim.tableUnreachable[e.name] {
 		return
 	}
 	var l EntriesListed
@@ -335,7 +335,7 @@
 		return
 	}
 	sim.schedule(to, 1+sim.r.Intn(sim.faults.delay), func() {
-		if !sim.cut[pair(from.name, to.name)] {
+		if !sim.partitioned[pair(from.name, to.name)] {
 			sim.handle(to, Received{From: from.name, Message: c.Message})
 		}
 	})
