--- a/core/home/end.go
+++ b/core/home/end.go
@@ -69,14 +69,15 @@
 // FoundStopped reports that the task was stopped.
 type FoundStopped struct{}
 
-// FoundNeverStarted reports that the target has no record of the task.
-type FoundNeverStarted struct{}
-
-// FoundNothing reports that the target could not be asked.
-type FoundNothing struct{}
-
-func (FoundDone) isFinding()         {}
-func (FoundRunning) isFinding()      {}
-func (FoundStopped) isFinding()      {}
-func (FoundNeverStarted) isFinding() {}
-func (FoundNothing) isFinding()      {}
+// FoundNoRecord reports that the target has no record of the task.
+type FoundNoRecord struct{}
+
+// FoundNoAnswer reports that the target could not be asked or gave no usable
+// answer.
+type FoundNoAnswer struct{}
+
+func (FoundDone) isFinding()     {}
+func (FoundRunning) isFinding()  {}
+func (FoundStopped) isFinding()  {}
+func (FoundNoRecord) isFinding() {}
+func (FoundNoAnswer) isFinding() {}
--- a/core/home/event.go
+++ b/core/home/event.go
@@ -49,8 +49,8 @@
 	Verdict shard.Verdict
 }
 
-// Inherited reports a start that a former holder had announced before this entry
-// took over.
+// Inherited reports a start that a former holder had mirrored to this entry before
+// this entry took over.
 type Inherited struct{ Start shard.Start }
 
 // Ended reports how a dispatch ended.
@@ -69,8 +69,9 @@
 // KeyWithdrawn reports that a team key has been withdrawn.
 type KeyWithdrawn struct{ Digest core.KeyDigest }
 
-// HandedOver reports that this entry lost Shard, one of Shards, to another holder.
-type HandedOver struct {
+// ShardLost reports that this entry lost Shard to another holder. Shards is the zone's
+// number of shards.
+type ShardLost struct {
 	Shard  core.ShardIndex
 	Shards core.ShardIndex
 }
@@ -94,7 +95,7 @@
 func (Ended) isEvent()        {}
 func (Asked) isEvent()        {}
 func (KeyWithdrawn) isEvent() {}
-func (HandedOver) isEvent()   {}
+func (ShardLost) isEvent()    {}
 func (Changed) isEvent()      {}
 func (Stopping) isEvent()     {}
 func (Tick) isEvent()         {}
--- a/core/shard/lease_manager.go
+++ b/core/shard/lease_manager.go
@@ -19,8 +19,8 @@
 	// when they are avoided: a few leases, or until they send a message.
 	refusedUntil map[core.EntryID]time.Time
 	// selfListed reports whether the platform has listed this entry. Others can
-	// only learn of this entry's end if it is listed, so it claims no shards
-	// before.
+	// only learn of this entry's end once it has been listed, so it claims no shards
+	// before that.
 	selfListed bool
 	// tableOK reports whether the table has answered since it last failed. Row
 	// changes wait for it, which avoids a retry storm during an outage.
@@ -29,7 +29,7 @@
 	nextRead        time.Time
 	nextBalance     time.Time
 	nextStartExpiry time.Time
-	// handOverBy is the hand-over deadline of a shutdown; zero if this entry is not
+	// handOverBy is the handover deadline of a shutdown; zero if this entry is not
 	// stopping.
 	handOverBy time.Time
 	commands   []Command
@@ -72,7 +72,7 @@
 			lm.selfListed = lm.selfListed || id == lm.params.Self
 		}
 		clear(lm.ended)
-		for _, id := range e.Gone {
+		for _, id := range e.Ended {
 			lm.ended[id] = true
 		}
 	case Refused:
@@ -87,13 +87,15 @@
 	return lm.takeCommands()
 }
 
-// Shard returns the shard of id.
-func (lm *LeaseManager) Shard(id core.RequestKey) core.ShardIndex { return id.Shard(lm.params.Shards) }
+// Shard returns the shard of key.
+func (lm *LeaseManager) Shard(key core.RequestKey) core.ShardIndex {
+	return key.Shard(lm.params.Shards)
+}
 
 // Decide returns whether this entry may start the request now. firstSent is zero
-// if the caller doesn't provide it. It need not be called for ids that home has a
-// record of.
-func (lm *LeaseManager) Decide(now time.Time, shard core.ShardIndex, id core.RequestKey, firstSent, deadline time.Time) Verdict {
+// if the caller doesn't provide it. Decide need not be called for a request that its
+// home has a record of.
+func (lm *LeaseManager) Decide(now time.Time, shard core.ShardIndex, key core.RequestKey, firstSent, deadline time.Time) Verdict {
 	s := lm.state(shard)
 	if s == nil || !s.rowKnown {
 		return Wait{ComeBackAt: now.Add(lm.params.retryInterval())}
@@ -104,7 +106,7 @@
 	if !s.drainUntil.IsZero() || !now.Before(lm.LeaseExpiry(now, shard)) {
 		return Wait{ComeBackAt: now.Add(lm.params.pingInterval())}
 	}
-	if _, started := s.starts[id]; started {
+	if _, started := s.starts[key]; started {
 		return Unknown{Code: core.CodeHomeReplaced}
 	}
 	if v := lm.checkTimes(now, s, firstSent, deadline); v != nil {
@@ -157,14 +159,14 @@
 // Forget drops a start before it expires by itself, which happens once its
 // deadline plus the skew bound has passed. It may only be called for starts that
 // were allowed but certainly never written to a target.
-func (lm *LeaseManager) Forget(shard core.ShardIndex, id core.RequestKey) {
+func (lm *LeaseManager) Forget(shard core.ShardIndex, key core.RequestKey) {
 	s := lm.state(shard)
 	if s == nil || s.row.InSync || s.copyTo != "" {
-		// The successor would still consider the id started. Keeping the start here
-		// keeps the two consistent.
+		// The successor would still consider the id started. Keeping the start keeps
+		// the two entries consistent.
 		return
 	}
-	delete(s.starts, id)
+	delete(s.starts, key)
 }
 
 func (lm *LeaseManager) nonHolderVerdict(now time.Time, s *shardState) Verdict {
@@ -195,6 +197,9 @@
 	return nil
 }
 
+// beforeHorizon reports whether a request with these times may have been first sent
+// at the horizon or earlier. Without firstSent, it assumes that the request was first
+// sent MaxLifetime before its deadline.
 func (lm *LeaseManager) beforeHorizon(s *shardState, firstSent, deadline time.Time) bool {
 	if !firstSent.IsZero() {
 		return !firstSent.After(s.row.Horizon)
--- a/core/shard/row_handler.go
+++ b/core/shard/row_handler.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if !s.rowKnown && r.Version == 0 {
-		s.emptySince = now
+		s.vacantSince = now
 	}
 	lm.applyRow(now, s, r.Version, r.Row, sentAt)
 }
@@ -51,7 +51,7 @@
 	}
 	// A row change other than this entry's announcement counts as activity of the
 	// holder. Otherwise an announcement that the holder cleared would be repeated
-	// at once, and a network partition between the two would cause a continuous
+	// immediately, and a network partition between the two would cause a continuous
 	// stream of writes.
 	if changed && row.Announced != lm.params.Self {
 		s.holderSeenAt = now
@@ -85,7 +85,7 @@
 func (lm *LeaseManager) beginEpoch(now time.Time, s *shardState) {
 	m := s.mirror
 	// The caller sets rowConfirmedAt. Evidence of an earlier epoch is invalid.
-	s.rowConfirmedAt, s.ackedAt = time.Time{}, nil
+	s.rowConfirmedAt, s.evidenceAt = time.Time{}, nil
 	s.drainUntil, s.moveTo, s.moveDeadline, s.mirror = time.Time{}, "", time.Time{}, mirror{}
 	s.stopCopying()
 	s.clearWaiting()
@@ -121,7 +121,7 @@
 	}
 	s.pendingSwap = &pendingSwap{SwapRow: SwapRow{Shard: s.index, Version: s.version, Row: row}}
 	if row.Holder == lm.params.Self && row.Successor != "" && row.Successor != s.row.Successor {
-		// A new successor can't have announced a take-over before it was named.
+		// A new successor can't have announced a takeover before it was named.
 		s.recordEvidence(row.Successor, now)
 	}
 	lm.sendSwap(now, s)
--- a/core/shard/safeguards_test.go
+++ b/core/shard/safeguards_test.go
@@ -21,9 +21,9 @@
 }
 
 func (s seedTotals) String() string {
-	return fmt.Sprintf("seeds with duplicate runs=%d (first %d) duplicate ids=%d served=%d of %d (%.1f%%) take-overs=%d in sync=%d hand-overs=%d",
+	return fmt.Sprintf("seeds with duplicate runs=%d (first %d) duplicate ids=%d served=%d of %d (%.1f%%) takeovers=%d in sync=%d handovers=%d",
 		s.seedsWithDuplicate, s.firstSeed, s.duplicates, s.served, s.asked, 100*float64(s.served)/float64(s.asked),
-		s.takeOvers, s.inSync, s.handOvers)
+		s.takeovers, s.inSync, s.handovers)
 }
 
 func runSeeds(from, to int64, f faults, off disabledSafeguards) seedTotals {
@@ -39,9 +39,9 @@
 		s.duplicates += r.duplicates
 		s.served += r.served
 		s.asked += r.asked
-		s.takeOvers += r.takeOvers
+		s.takeovers += r.takeovers
 		s.inSync += r.inSync
-		s.handOvers += r.handOvers
+		s.handovers += r.handovers
 	}
 	return s
 }
@@ -68,8 +68,8 @@
 const maxSearchedSeeds = 1000
 
 // TestEachSafeguardIsNeeded disables one safeguard at a time and expects an id to
-// run twice. This shows that the simulation is harsh enough to detect the fault
-// and that the safeguard prevents it.
+// run twice. This shows that the simulation provokes the fault and that the
+// safeguard prevents it.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -97,7 +97,7 @@
 					return
 				}
 			}
-			t.Errorf("no id ran twice in %d seeds", seed)
+			t.Errorf("no id ran twice in %d seeds with the safeguard disabled", seed)
 		})
 	}
 }
--- a/core/shard/simulation_table_test.go
+++ b/core/shard/simulation_table_test.go
@@ -7,7 +7,7 @@
 )
 
 func (sim *simulation) read(e *simEntry) {
-	if sim.down[e.name] {
+	if sim.tableUnreachable[e.name] {
 		return
 	}
 	sentAt := sim.now(e)
@@ -32,10 +32,10 @@
 		})
 	}
 	switch {
-	case sim.down[e.name] && !lost:
+	case sim.tableUnreachable[e.name] && !lost:
 		settle(SwapUnreachable)
 		return
-	case sim.down[e.name]:
+	case sim.tableUnreachable[e.name]:
 		settle(SwapUnknown)
 		return
 	case lost && sim.r.Intn(2) == 0:
@@ -68,9 +68,9 @@
 	switch {
 	case old.Epoch == 0 || c.Row.Epoch == old.Epoch:
 	case old.Holder == e.name:
-		sim.result.handOvers++
+		sim.result.handovers++
 	default:
-		sim.result.takeOvers++
+		sim.result.takeovers++
 		if c.Row.Mirrored {
 			sim.result.inSync++
 		}
--- a/core/shard/simulation_test.go
+++ b/core/shard/simulation_test.go
@@ -26,8 +26,8 @@
 // faults are the probabilities of each fault per step. delay is the longest delay
 // of a message, in steps.
 type faults struct {
-	delay                                                  int
-	tableDown, tableUp, cut, heal, pause, kill, answerLost float64
+	delay                                                        int
+	tableDown, tableUp, partition, heal, pause, kill, answerLost float64
 	// falseLeaving is the probability that the entry list shows an entry as
 	// leaving that is not.
 	falseLeaving float64
@@ -39,9 +39,9 @@
 // coincide: lateFaults uses slow messages, lossyFaults a table that loses most of
 // its answers.
 var (
-	modelFaults = faults{delay: 3, tableDown: .004, tableUp: .01, cut: .004, heal: .01, pause: .002, kill: .001, answerLost: .2}
-	lateFaults  = faults{delay: 8, tableDown: .008, tableUp: .01, cut: .004, heal: .02, pause: .003, kill: .001, answerLost: .6, falseLeaving: .01, askEverywhere: true}
-	lossyFaults = faults{delay: 4, tableDown: .008, tableUp: .006, cut: .006, heal: .01, pause: .002, kill: .001, answerLost: .8, falseLeaving: .05, askEverywhere: true}
+	modelFaults = faults{delay: 3, tableDown: .004, tableUp: .01, partition: .004, heal: .01, pause: .002, kill: .001, answerLost: .2}
+	lateFaults  = faults{delay: 8, tableDown: .008, tableUp: .01, partition: .004, heal: .02, pause: .003, kill: .001, answerLost: .6, falseLeaving: .01, askEverywhere: true}
+	lossyFaults = faults{delay: 4, tableDown: .008, tableUp: .006, partition: .006, heal: .01, pause: .002, kill: .001, answerLost: .8, falseLeaving: .05, askEverywhere: true}
 )
 
 var simStart = time.Unix(1_000_000_000, 0).UTC()
@@ -51,7 +51,7 @@
 	leases        *LeaseManager
 	alive         bool
 	paused        int
-	offset        time.Duration
+	clockOffset   time.Duration
 	shutdownUntil int
 }
 
@@ -69,32 +69,32 @@
 }
 
 type simulation struct {
-	r          *rand.Rand
-	step       int
-	off        disabledSafeguards
-	faults     faults
-	table      table.Memory
-	entries    [entryCount]*simEntry
-	byName     map[core.EntryID]*simEntry
-	names      []core.EntryID
-	down       map[core.EntryID]bool
-	cut        map[[2]core.EntryID]bool
-	unlistedAt map[core.EntryID]int
-	events     []delayedAction
-	requests   []simRequest
-	runs       map[core.RequestKey]int
-	result     simResult
-	trace      func(format string, args ...any)
+	r                *rand.Rand
+	step             int
+	off              disabledSafeguards
+	faults           faults
+	table            table.Memory
+	entries          [entryCount]*simEntry
+	byName           map[core.EntryID]*simEntry
+	names            []core.EntryID
+	tableUnreachable map[core.EntryID]bool
+	partitioned      map[[2]core.EntryID]bool
+	unlistedAt       map[core.EntryID]int
+	actions          []delayedAction
+	requests         []simRequest
+	runs             map[core.RequestKey]int
+	result           simResult
+	trace            func(format string, args ...any)
 }
 
 type simResult struct {
-	duplicates, served, asked, takeOvers, inSync, handOvers int
+	duplicates, served, asked, takeovers, inSync, handovers int
 }
 
 func newSimulation(seed int64, f faults, off disabledSafeguards) *simulation {
 	sim := &simulation{
 		r: rand.New(rand.NewSource(seed)), off: off, faults: f, byName: map[core.EntryID]*simEntry{},
-		down: map[core.EntryID]bool{}, cut: map[[2]core.EntryID]bool{}, unlistedAt: map[core.EntryID]int{},
+		tableUnreachable: map[core.EntryID]bool{}, partitioned: map[[2]core.EntryID]bool{}, unlistedAt: map[core.EntryID]int{},
 		runs: map[core.RequestKey]int{},
 	}
 	for i := range sim.entries {
@@ -132,7 +132,7 @@
 func (e *simEntry) running() bool { return e.alive && e.paused == 0 }
 
 func (sim *simulation) now(e *simEntry) time.Time {
-	return simStart.Add(time.Duration(sim.step)*stepLength + e.offset)
+	return simStart.Add(time.Duration(sim.step)*stepLength + e.clockOffset)
 }
 
 // clockOffset returns a random clock offset. Any two differ by at most the skew
@@ -142,7 +142,7 @@
 }
 
 func (sim *simulation) startEntry(i int) {
-	e := &simEntry{name: core.EntryID(fmt.Sprintf("e%d#%d", i, sim.step)), alive: true, offset: sim.clockOffset()}
+	e := &simEntry{name: core.EntryID(fmt.Sprintf("e%d#%d", i, sim.step)), alive: true, clockOffset: sim.clockOffset()}
 	e.leases = New(Params{Zone: "a", Self: e.name, Shards: 1, MaxLifetime: maxLifetimeSteps * stepLength})
 	e.leases.disabled = sim.off
 	sim.entries[i], sim.byName[e.name] = e, e
@@ -153,18 +153,18 @@
 	r, f := sim.r, sim.faults
 	if r.Float64() < f.tableDown {
 		for _, i := range r.Perm(entryCount)[:1+r.Intn(entryCount)] {
-			sim.down[sim.entries[i].name] = true
+			sim.tableUnreachable[sim.entries[i].name] = true
 		}
 	}
 	if r.Float64() < f.tableUp {
-		clear(sim.down)
+		clear(sim.tableUnreachable)
 	}
-	if r.Float64() < f.cut {
+	if r.Float64() < f.partition {
 		p := r.Perm(entryCount)
-		sim.cut[pair(sim.entries[p[0]].name, sim.entries[p[1]].name)] = true
+		sim.partitioned[pair(sim.entries[p[0]].name, sim.entries[p[1]].name)] = true
 	}
 	if r.Float64() < f.heal {
-		clear(sim.cut)
+		clear(sim.partitioned)
 	}
 	for i, e := range sim.entries {
 		if e.paused > 0 {
@@ -190,13 +190,13 @@
 
 // sendEntryList sends e the platform's list of entries.
 func (sim *simulation) sendEntryList(e *simEntry) {
-	if sim.down[e.name] {
+	if sim.tableUnreachable[e.name] {
 		return
 	}
 	var l EntriesListed
 	for _, name := range sim.names {
 		if at, ended := sim.unlistedAt[name]; ended && at <= sim.step {
-			l.Gone = append(l.Gone, name)
+			l.Ended = append(l.Ended, name)
 		} else if sim.faults.falseLeaving == 0 || sim.r.Float64() >= sim.faults.falseLeaving {
 			l.Live = append(l.Live, name)
 		}
@@ -235,8 +235,8 @@
 	}
 }
 
-// askRandom sends a request to a random entry. Its home keeps no records, so the
-// LeaseManager's state alone has to prevent a second run.
+// askRandom sends a request to a random entry. The simulated entries keep no records
+// of requests, so the LeaseManager's state alone has to prevent a second run.
 func (sim *simulation) askRandom(q simRequest) { sim.askAt(sim.entries[sim.r.Intn(entryCount)], q) }
 
 func (sim *simulation) askAt(e *simEntry, q simRequest) {
@@ -250,7 +250,7 @@
 		return
 	}
 	if sim.trace == nil && sim.r.Intn(6) == 0 {
-		// The request waits in a queue. Its home calls Start without another Decide.
+		// The request waits in a queue. Its home then calls Start without another Decide.
 		sim.schedule(e, sim.r.Intn(maxQueuedSteps), func() { sim.start(e, q) })
 		return
 	}
@@ -287,18 +287,18 @@
 }
 
 func (sim *simulation) schedule(to *simEntry, delay int, do func()) {
-	sim.events = append(sim.events, delayedAction{dueStep: sim.step + delay, do: do, to: to})
+	sim.actions = append(sim.actions, delayedAction{dueStep: sim.step + delay, do: do, to: to})
 }
 
 func (sim *simulation) runDue() {
-	events := sim.events
-	sim.events = nil
-	for _, d := range events {
+	actions := sim.actions
+	sim.actions = nil
+	for _, a := range actions {
 		switch {
-		case d.dueStep > sim.step || d.to != nil && d.to.alive && d.to.paused > 0:
-			sim.events = append(sim.events, d)
-		case d.to == nil || d.to.alive:
-			d.do()
+		case a.dueStep > sim.step || a.to != nil && a.to.alive && a.to.paused > 0:
+			sim.actions = append(sim.actions, a)
+		case a.to == nil || a.to.alive:
+			a.do()
 		}
 	}
 }
@@ -335,7 +335,7 @@
 		return
 	}
 	sim.schedule(to, 1+sim.r.Intn(sim.faults.delay), func() {
-		if !sim.cut[pair(from.name, to.name)] {
+		if !sim.partitioned[pair(from.name, to.name)] {
 			sim.handle(to, Received{From: from.name, Message: c.Message})
 		}
 	})
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -202,7 +202,7 @@
 
 // askTarget asks a target about the outcome of a task.
 func (r *Requests) askTarget(c home.AskTarget) {
-	finding := home.Finding(home.FoundNothing{})
+	finding := home.Finding(home.FoundNoAnswer{})
 	if address, ok := r.Address(c.VM); ok {
 		finding = r.Targets.Ask(r.ctx, address, c.Key)
 	}
