--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -54,14 +54,14 @@
 	return func(n int64) bool {
 		now := time.Now()
 		id := core.RequestID(fmt.Sprintf("%s-%d", kind, n))
-		holder := 0
+		i := 0
 		if !f.entries[1].daemon.shards.LeaseExpiry(now, core.RequestKey{Team: "lyra", ID: id}).IsZero() {
-			holder = 1
+			i = 1
 		}
 		if kind == "forwarded" {
-			holder = 1 - holder
+			i = 1 - i
 		}
-		a, err := clients[holder].Submit(f.ctx, core.Request{
+		a, err := clients[i].Submit(f.ctx, core.Request{
 			Key: core.RequestKey{ID: id}, Attempt: 1, Queue: "frames", FirstSent: now,
 			Deadline: now.Add(10 * time.Second), Body: []byte(`{}`), Idempotent: kind == "idempotent",
 		}, false)
--- a/io/entry/front_test.go
+++ b/io/entry/front_test.go
@@ -199,11 +199,11 @@
 	assert.Equal(t, core.CodeOf(answer), core.CodeNotFound)
 }
 
-// TestSearchWaitsForHandOver submits a request to an entry that is stopping and can't hand
+// TestSearchWaitsForHandover submits a request to an entry that is stopping and can't hand
 // over its shards for a while, because the table is slow. The search for a holder
 // continues as long as the hand-over does. Once the entry no longer hands over, the search
 // ends with a refusal.
-func TestSearchWaitsForHandOver(t *testing.T) {
+func TestSearchWaitsForHandover(t *testing.T) {
 	verdicts := make([]shard.Verdict, 3*clockReadsPerSearch)
 	for i := range verdicts {
 		verdicts[i] = shard.Wait{}
--- a/io/ini/setting.go
+++ b/io/ini/setting.go
@@ -38,9 +38,9 @@
 // derived from it.
 var settingTable = []setting{
 	{keyPath{"entry", "name"}, "", true, "entry_a1", "The entry's name, unique in its zone.",
-		idKind(func(s *Settings) *string { return &s.Entry.Name })},
+		nameKind(func(s *Settings) *string { return &s.Entry.Name })},
 	{keyPath{"entry", "zone"}, "", true, "zone_a", "The availability zone that the entry stands in.",
-		idKind(func(s *Settings) *core.ZoneID { return &s.Entry.Zone })},
+		nameKind(func(s *Settings) *core.ZoneID { return &s.Entry.Zone })},
 	{keyPath{"entry", "zones"}, "", true, "zone_a, zone_b, zone_c", "All zones. The list and its order must be the same on every entry.",
 		zoneListKind(func(s *Settings) *[]core.ZoneID { return &s.Entry.Zones })},
 	{keyPath{"entry", "caller_listen"}, "", true, "127.0.0.1:7001", "Takes callers and operators (connect over HTTP), metrics and health.",
--- a/io/ini/settings_test.go
+++ b/io/ini/settings_test.go
@@ -73,7 +73,7 @@
 			checkProblems(t, err)
 			return
 		}
-		assert.Assert(t, isValidID(s.Entry.Name) && s.Entry.Shards > 0 && isDialable(s.Entry.AdvertisePeer))
+		assert.Assert(t, isValidName(s.Entry.Name) && s.Entry.Shards > 0 && isDialable(s.Entry.AdvertisePeer))
 		lib, err := inilib.LoadSources(loadOptions, data)
 		assert.NilError(t, err)
 		x := indexLines("fuzz.ini", string(data))
--- a/io/ini/value_kind.go
+++ b/io/ini/value_kind.go
@@ -26,17 +26,17 @@
 // maxNameLen is the maximum length of the name of an entry or zone, in bytes.
 const maxNameLen = 63
 
-// isValidID reports whether s can be the name of an entry or zone. Such names are parts
+// isValidName reports whether s can be the name of an entry or zone. Such names are parts
 // of row keys and request ids, whose separators are "/", "#" and "~".
-func isValidID(s string) bool {
+func isValidName(s string) bool {
 	return s != "" && len(s) <= maxNameLen &&
 		strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_") == ""
 }
 
-func idKind[T ~string](field func(*Settings) *T) valueKind {
+func nameKind[T ~string](field func(*Settings) *T) valueKind {
 	return valueKind{"letters, digits, '.', '-' and '_', at most 63 of them", func(s *Settings, v string) bool {
 		*field(s) = T(v)
-		return isValidID(v)
+		return isValidName(v)
 	}}
 }
 
@@ -44,7 +44,7 @@
 	return valueKind{"names of zones, separated by commas, each once", func(s *Settings, v string) bool {
 		seen := map[string]bool{}
 		for _, name := range splitList(v) {
-			if !isValidID(name) || seen[name] {
+			if !isValidName(name) || seen[name] {
 				return false
 			}
 			seen[name] = true
--- a/io/netrpc/serve.go
+++ b/io/netrpc/serve.go
@@ -30,7 +30,7 @@
 
 func newConnection(server *rpc.Server, conn net.Conn) *connection {
 	c := &connection{rpc: server, codec: newServerCodec(conn)}
-	c.codec.onRead = c.requestRead
+	c.codec.onRead = c.onRequestRead
 	return c
 }
 
@@ -61,9 +61,9 @@
 	}
 }
 
-// requestRead is called when a goroutine has read a request. It ensures that another
+// onRequestRead is called when a goroutine has read a request. It ensures that another
 // goroutine reads the next request while this one is processed.
-func (c *connection) requestRead() {
+func (c *connection) onRequestRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readers--
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -129,7 +129,7 @@
 		if z == s.Self.Zone || s.noCrossZone {
 			continue
 		}
-		g.Go(func() { s.exchangeWithFirst(ctx, s.peersByRank(z)) })
+		g.Go(func() { s.exchangeWithFirst(ctx, s.peersByID(z)) })
 		if s.sequential {
 			g.Wait()
 		}
@@ -157,7 +157,7 @@
 // this entry is the relay, because no entry with a smaller id answers.
 func (s *Spread) exchangeWithRelay(ctx context.Context) bool {
 	var preceding []Member
-	for _, m := range s.peersByRank(s.Self.Zone) {
+	for _, m := range s.peersByID(s.Self.Zone) {
 		if m.Entry < s.Self.Entry {
 			preceding = append(preceding, m)
 		}
@@ -165,10 +165,10 @@
 	return s.exchangeWithFirst(ctx, preceding)
 }
 
-// peersByRank returns the entries of a zone sorted by id, without Self. The first one
+// peersByID returns the entries of a zone sorted by id, without Self. The first one
 // that answers is the relay. If entries disagree about which one answers, a zone has two
 // relays for a while, which only costs additional messages.
-func (s *Spread) peersByRank(zone core.ZoneID) []Member {
+func (s *Spread) peersByID(zone core.ZoneID) []Member {
 	var peers []Member
 	for _, m := range s.Members(zone) {
 		if m.Entry != s.Self.Entry {
