--- a/io/entry/allotments.go
+++ b/io/entry/allotments.go
@@ -13,13 +13,13 @@
 const (
 	initialAllotmentInterval = time.Second
 	// initialAllotmentsPerRound is the maximum number of teams per round. When 42
-	// entries start at once, they make 210 writes/s of the several hundred that the
-	// table can take, for about 20 s with 620 teams. A single new entry needs two
-	// minutes.
+	// entries start at the same time, they make 210 writes/s of the several hundred
+	// that the table can take, for about 20 s with 620 teams. A single new entry needs
+	// two minutes.
 	initialAllotmentsPerRound = 5
 	// initialAllotmentDelay is the delay after the start of the entry. It gives the
 	// directory time to learn of entries that start at the same time, because the
-	// first entry to act takes allotments for all entries of its zone.
+	// first entry to act takes allotments for all new entries of its zone.
 	initialAllotmentDelay = directoryInterval + time.Second
 )
 
--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -75,8 +75,8 @@
 // or from a peer.
 func (c *configuration) isLoaded() bool { return !c.KeysFreshUntil().IsZero() }
 
-// buildConfig creates the configuration and connects it to the queue and to the waiting
-// requests.
+// buildConfig creates the configuration with its watcher and its Spread, and connects it
+// to the queue and to the waiting requests.
 func (d *Daemon) buildConfig(queue *fair.Queue) {
 	s := d.settings
 	c := &configuration{Configuration: &platform.Configuration{
@@ -115,7 +115,7 @@
 }
 
 // routePools returns the pools' settings for the router: whether they lend idle targets,
-// and how many targets may be ejected, which is the rest of the disruption budget.
+// and how many targets may be ejected, which is what is left of the disruption budget.
 func (d *Daemon) routePools() []route.Pool {
 	var pools []route.Pool
 	d.config.View(func(v *config.View) {
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -33,7 +33,7 @@
 	tickInterval      = 20 * time.Millisecond
 	directoryInterval = 2 * time.Second
 	metricsInterval   = time.Second
-	// announceRetryInterval is the pause after a try to announce this entry's address.
+	// announceRetryInterval is the pause after each try to announce this entry's address.
 	announceRetryInterval = 500 * time.Millisecond
 )
 
@@ -73,7 +73,7 @@
 	// stopping is set when a graceful stop begins.
 	stopping atomic.Bool
 
-	// aborted ends when Abort is called.
+	// aborted is canceled by Abort.
 	aborted context.Context
 	abort   context.CancelFunc
 }
@@ -252,9 +252,9 @@
 	return &HTTPServer{Mux: mux, Metrics: d.metrics, Ready: d.ready, Aborted: d.aborted}
 }
 
-// Abort makes the current graceful stop, or the next one, end at once. Running tasks may
-// continue until their leases end. Shards that have not been handed over are taken over
-// by other entries after this entry has ended.
+// Abort makes the current graceful stop, or the next one, end immediately. Running tasks
+// may continue until their leases end. Shards that have not been handed over are taken
+// over by other entries after this entry has ended.
 func (d *Daemon) Abort() { d.abort() }
 
 // ready reports whether a load balancer should send callers to this entry.
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -39,9 +39,9 @@
 	return resp.Msg
 }
 
-// TestRefusedRequestsDoNotRun submits each kind of invalid request. Each is refused at once
-// with its own code and the outcome "not run", and no target starts it. If an entry without
-// a record of the id refuses a second attempt, the outcome is "unknown".
+// TestRefusedRequestsDoNotRun submits each kind of invalid request. Each is refused
+// immediately with its own code and the outcome "not run", and no target starts it. If an
+// entry without a record of the id refuses a second attempt, the outcome is "unknown".
 func TestRefusedRequestsDoNotRun(t *testing.T) {
 	f := newTestFleet(t, map[core.ZoneID]int{"zone_a": 2}, 2)
 	f.awaitServing()
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -244,9 +244,9 @@
 	return n
 }
 
-// TestFleetServesAndDedups submits the same id to every entry of two zones at once. All
-// callers get the same complete answer, and the targets' log shows one start. With shard
-// leases disabled, both entries of a zone start the request.
+// TestFleetServesAndDedups submits the same id to every entry of two zones at the same
+// time. All callers get the same complete answer, and the targets' log shows one start.
+// With shard leases disabled, both entries of a zone start the request.
 func TestFleetServesAndDedups(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, disabledSafeguards{shardLeases: off})
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -32,7 +32,7 @@
 
 // LeaseDecider decides, by the shard leases, whether this entry may answer a request of
 // its zone or which entry holds the request's shard. It is implemented by
-// peer.ShardKeeper.
+// peer.ShardManager.
 type LeaseDecider interface {
 	Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict
 }
@@ -44,9 +44,10 @@
 	Authorize(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool)
 }
 
-// Front routes calls to the home of their request id, the entry that holds the id's
-// shard. That is this entry's own Requests, another entry of this zone, or an entry of
-// the id's home zone. All exported fields must be set.
+// Front routes each call to the home of its request id, the entry that holds the id's
+// shard. If that is this entry, its own Requests answer the call. Otherwise the call is
+// forwarded to another entry of this zone or, if the id belongs to another zone, to an
+// entry of that zone. All exported fields must be set.
 type Front struct {
 	Zone       core.ZoneID
 	Zones      []core.ZoneID
@@ -57,8 +58,8 @@
 	Directory  *Directory
 	Peers      *netrpc.Pool
 
-	// forwarded counts the calls of peers and the requests of followNoWait that are in
-	// progress.
+	// forwarded counts the calls from peers and the requests of followNoWait that are in
+	// progress. See Forwarded.
 	forwarded atomic.Int64
 	// handingOver reports whether this entry is handing over its shards.
 	handingOver atomic.Bool
@@ -128,10 +129,10 @@
 	return f.sendToHolder(ctx, args)
 }
 
-// sendToHolder searches for the holder of the id's shard and gives it the call. It
+// sendToHolder searches for the holder of the id's shard and passes the call to it. It
 // retries for a short time, because shards move within milliseconds when an entry stops,
 // and within seconds when one crashes. Only the first entry of the home zone searches.
-// If supposed holders passed a call on to each other, it could end at a former holder
+// If presumed holders passed a call on to each other, it could end at a former holder
 // with outdated rows and be refused although the new holder is serving.
 func (f *Front) sendToHolder(ctx context.Context, args peer.ForwardArgs) core.Answer {
 	sent := false
@@ -160,7 +161,7 @@
 	return until
 }
 
-// tryHolder gives the call to the holder that this entry currently knows.
+// tryHolder passes the call to the holder that this entry currently knows.
 func (f *Front) tryHolder(ctx context.Context, args peer.ForwardArgs) (core.Answer, error) {
 	verdict := f.decide(args)
 	if v, ok := verdict.(shard.NotHolder); ok {
--- a/io/entry/front_test.go
+++ b/io/entry/front_test.go
@@ -20,7 +20,7 @@
 	"lavenderpond/io/supervisor"
 )
 
-// noHolder is the LeaseDecider of a zone in which no entry may decide.
+// noHolder is the LeaseDecider of a zone in which no entry is known to hold a lease.
 type noHolder struct{}
 
 func (noHolder) Decide(now time.Time, _ core.RequestKey, _, _ time.Time) shard.Verdict {
@@ -33,7 +33,7 @@
 func (allowAll) Authorize(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
 
 // listenerAddress returns an address that refuses connections, or one that accepts
-// connections and closes them at once.
+// connections and closes them immediately.
 func listenerAddress(t *testing.T, refuses bool) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -178,7 +178,7 @@
 
 // TestMovedLeaseIsFound moves a shard lease from a1 to a2. The caller's entry a3 still
 // considers a1 the holder, and a2 learns of its lease two decisions after a1 has lost it.
-// The call must reach a2. If each entry forwarded the call to its supposed holder, a1 and
+// The call must reach a2. If each entry forwarded the call to its presumed holder, a1 and
 // a2 would pass it back and forth until a1 refused it with no_holder.
 func TestMovedLeaseIsFound(t *testing.T) {
 	toA1, toA2 := shard.NotHolder{Holder: "a1#1"}, shard.NotHolder{Holder: "a2#1"}
@@ -201,8 +201,8 @@
 
 // TestSearchWaitsForHandover submits a request to an entry that is stopping and can't hand
 // over its shards for a while, because the table is slow. The search for a holder
-// continues as long as the hand-over does. Once the entry no longer hands over, the search
-// ends with a refusal.
+// continues as long as the handover does. Once the handover has ended, the search ends
+// with a refusal.
 func TestSearchWaitsForHandover(t *testing.T) {
 	verdicts := make([]shard.Verdict, 3*clockReadsPerSearch)
 	for i := range verdicts {
--- a/io/entry/http.go
+++ b/io/entry/http.go
@@ -35,7 +35,7 @@
 	// Ready reports whether a load balancer should send callers to this entry. If it
 	// is nil, the entry is always ready.
 	Ready func() bool
-	// Aborted, if set, ends the grace period of Serve early.
+	// Aborted, if set, ends the grace period of Serve early when it is canceled.
 	Aborted context.Context
 
 	server *http.Server
--- a/io/entry/leases.go
+++ b/io/entry/leases.go
@@ -37,7 +37,7 @@
 	}
 	d.allotments.Ledger.Self, d.allotments.Ledger.Zone = d.id, s.Zone
 	// A deadline may exceed MaxLifetime by the skew bound, and the lease is counted one
-	// skew bound longer.
+	// skew bound longer. The other two skew bounds are a margin.
 	d.allotments.Ledger.MaxLifetime, d.allotments.Ledger.Skew = s.MaxLifetime+4*s.SkewBound, s.SkewBound
 	h.Leases, h.Limiter, h.Config = d.shards, d.allotments.Limiter(), d.config
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-// Time limits of the hand-over of shards at a graceful stop. A successor that has just
+// Time limits of the handover of shards at a graceful stop. A successor that has just
 // started needs some seconds until it knows every start. If the shards were handed over
 // before that, ids that never ran anywhere would stay unanswered. If this is the only
 // live entry of the zone, there is no successor to wait for.
@@ -64,7 +64,7 @@
 	soleEntryReleaseTimeout = time.Second
 )
 
-// releaseLeases hands every shard over to its successor, as far as the time limit
+// releaseLeases hands over every shard to its successor, as far as the time limit
 // permits.
 func (d *Daemon) releaseLeases(ctx context.Context) {
 	timeout := releaseTimeout
--- a/io/entry/peers.go
+++ b/io/entry/peers.go
@@ -35,7 +35,7 @@
 	return s.Serve(ctx, d.peerListener)
 }
 
-// probe reports whether a VM that refused tasks accepts tasks again.
+// probe asks a VM that refused tasks whether it accepts tasks again.
 func (d *Daemon) probe(ctx context.Context, vm fleet.VMRow) bool {
 	return d.requests.Targets.Accepts(ctx, vm.VM.Address)
 }
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -39,8 +39,8 @@
 	s := operator.EntryStatus{
 		Entry: d.id, Zone: d.settings.Entry.Zone, Reachable: true,
 		Version: d.config.Version(),
-		// KeysTrustedUntil is CutOffBound after the last evidence that the key list
-		// was up to date.
+		// KeysFreshUntil is CutOffBound after the last evidence that the key list was
+		// up to date.
 		KeysFreshAt: d.config.KeysFreshUntil().Add(-d.settings.Keys.CutOffBound),
 		Shards:      d.shards.HeldCount(),
 	}
--- a/io/ini/setting.go
+++ b/io/ini/setting.go
@@ -10,7 +10,7 @@
 	"lavenderpond/core/key"
 )
 
-// setting is an entry of settingTable.
+// setting defines one key of the settings file.
 type setting struct {
 	keyPath
 	// defaultValue is used if the file doesn't have the key. It is empty for required
--- a/io/ini/value_kind.go
+++ b/io/ini/value_kind.go
@@ -26,8 +26,8 @@
 // maxNameLen is the maximum length of the name of an entry or zone, in bytes.
 const maxNameLen = 63
 
-// isValidName reports whether s can be the name of an entry or zone. Such names are parts
-// of row keys and request ids, whose separators are "/", "#" and "~".
+// isValidName reports whether s can be the name of an entry or zone. Such names are
+// parts of row keys, entry ids and request ids, whose separators are "/", "#" and "~".
 func isValidName(s string) bool {
 	return s != "" && len(s) <= maxNameLen &&
 		strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_") == ""
--- a/io/netrpc/codec.go
+++ b/io/netrpc/codec.go
@@ -98,7 +98,7 @@
 func (c *serverCodec) Close() error { return c.conn.Close() }
 
 // clientCodec is an rpc.ClientCodec. rpc.Client serializes the calls of WriteRequest.
-// client.start increments w.pending before.
+// Before each of them, client.start increments w.pending.
 type clientCodec struct {
 	conn io.ReadWriteCloser
 	dec  *gob.Decoder
--- a/io/netrpc/serve_test.go
+++ b/io/netrpc/serve_test.go
@@ -144,7 +144,7 @@
 	return c.goroutines
 }
 
-// TestLastWriterFlushes checks that when two goroutines write at once, only the second
+// TestLastWriterFlushes checks that when two goroutines write concurrently, only the last
 // one flushes. It must also flush if its own message can't be encoded, or the first
 // message would remain in the buffer.
 func TestLastWriterFlushes(t *testing.T) {
--- a/io/peer/forward.go
+++ b/io/peer/forward.go
@@ -38,11 +38,11 @@
 	// FromCaller means that the call came directly from a caller.
 	FromCaller ForwardStage = iota
 	// ToHomeZone means that the call was forwarded to an entry of its home zone, which
-	// looks for the holder.
+	// searches for the holder.
 	ToHomeZone
 	// ToHolder means that the call was forwarded to the presumed holder of its shard.
-	// A receiver that isn't the holder rejects the call at once, and the sender looks
-	// for the holder again.
+	// A receiver that isn't the holder rejects the call immediately, and the sender
+	// searches for the holder again.
 	ToHolder
 )
 
--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -102,7 +102,7 @@
 	}}
 }
 
-// Decide returns whether this entry may start the request now.
+// Decide returns the verdict on whether this entry may start the request now.
 func (sm *ShardManager) Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict {
 	sm.mu.Lock()
 	defer sm.mu.Unlock()
--- a/io/peer/shard_batch.go
+++ b/io/peer/shard_batch.go
@@ -21,8 +21,8 @@
 	StartAcks []shard.StartAck
 	Copies    []shard.MirrorCopy
 	CopyAcks  []shard.CopyAck
-	// Look tells To to read the rows, because a shard was handed over to it. Otherwise
-	// requests would have to wait until its next regular read.
+	// Look tells To to read the shard rows immediately, because a shard was handed over
+	// to it. Otherwise requests would have to wait until its next regular read.
 	Look bool
 }
 
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -12,7 +12,7 @@
 )
 
 // unseenEntryTimeout is how long an entry that is named in a row, and that this entry
-// has never seen in the list, must be missing from the list to count as ended. Entries
+// has never seen in the live list, must be missing from it to count as ended. Entries
 // are named in rows only after they were listed, so the timeout only has to cover the
 // delay between two readers of the list.
 const unseenEntryTimeout = 30 * time.Second
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -20,7 +20,7 @@
 
 // TestShardsAreBalanced checks that three entries that start with an empty table get the
 // same number of shards, each with a successor in sync, and that a fourth entry gets its
-// share by hand-overs.
+// share by handovers.
 func TestShardsAreBalanced(t *testing.T) {
 	z := newShardZone(t, "a1", "a2", "a3")
 	z.advance(10 * time.Second)
--- a/io/peer/shard_zone_test.go
+++ b/io/peer/shard_zone_test.go
@@ -100,7 +100,7 @@
 	return e
 }
 
-// kill stops an entry immediately, without a hand-over. It remains in the list of live
+// kill stops an entry immediately, without a handover. It remains in the list of live
 // entries.
 func (z *shardZone) kill(name string) {
 	e := z.entries[name]
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -98,9 +98,9 @@
 	crossZoneVersion     core.Version
 	crossZoneWithdrawals setDigest
 
-	// For tests only. noCrossZone disables the exchange with other zones, sequential
-	// exchanges with one zone after the other, and skipWithdrawalCheck accepts evidence
-	// of freshness without the withdrawals that it depends on.
+	// For tests only. noCrossZone disables the exchange with other zones. sequential
+	// makes the exchanges with other zones run one after the other. skipWithdrawalCheck
+	// accepts evidence of freshness without the withdrawals that it depends on.
 	noCrossZone, sequential, skipWithdrawalCheck bool
 }
 
@@ -165,8 +165,8 @@
 	return s.exchangeWithFirst(ctx, preceding)
 }
 
-// peersByID returns the entries of a zone sorted by id, without Self. The first one
-// that answers is the relay. If entries disagree about which one answers, a zone has two
+// peersByID returns the entries of a zone without Self, sorted by id. The first one that
+// answers is the relay. If entries disagree about which one that is, the zone has two
 // relays for a while, which only costs additional messages.
 func (s *Spread) peersByID(zone core.ZoneID) []Member {
 	var peers []Member
@@ -229,8 +229,8 @@
 }
 
 // merge applies the state received from an entry of zone. held is the digest of the
-// withdrawals that this entry held before: a sender whose own digest is the same omits
-// the list.
+// withdrawals that this entry had before the exchange: a sender whose own digest is the
+// same omits the list. sent is as for Replica.FromPeer.
 func (s *Spread) merge(t Told, held setDigest, zone core.ZoneID, sent time.Time) error {
 	if s.skipWithdrawalCheck {
 		held = t.Unrecorded
--- a/io/supervisor/supervisor.go
+++ b/io/supervisor/supervisor.go
@@ -89,7 +89,7 @@
 	return c.Run(ctx)
 }
 
-// Sleep waits for d and returns true. If ctx ends first, it returns false at once.
+// Sleep waits for d and returns true. If ctx ends first, it returns false immediately.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/io/supervisor/workers_test.go
+++ b/io/supervisor/workers_test.go
@@ -37,8 +37,8 @@
 	assert.Equal(t, len(w.idle), 0)
 }
 
-// TestWorkersNeverQueue starts more functions at once than goroutines are kept idle,
-// and each function waits for all others. Every function gets its own goroutine, as in
+// TestWorkersNeverQueue runs more functions at the same time than goroutines are kept
+// idle, and each waits for all others. Every function gets its own goroutine, as in
 // a Group, so that they don't deadlock. Only maxIdleWorkers goroutines stay idle.
 func TestWorkersNeverQueue(t *testing.T) {
 	const n = 4 * maxIdleWorkers
