--- a/io/entry/budgets.go
+++ b/io/entry/budgets.go
@@ -22,7 +22,7 @@
 			return
 		}
 		if err := sync.Round(ctx, d.now()); err != nil {
-			d.log.Debug().Err(err).Msg("sync of pool budgets failed")
+			d.log.Debug().Err(err).Msg("failed to sync the pool budgets")
 		}
 	})
 }
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -308,7 +308,7 @@
 			pause = announceRetryInterval
 		}
 		if err := d.directory.Refresh(ctx, d.platform); err != nil {
-			d.log.Debug().Err(err).Msg("directory refresh failed")
+			d.log.Debug().Err(err).Msg("failed to refresh the directory")
 		}
 		if !supervisor.Sleep(ctx, pause) {
 			return nil
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -179,7 +179,7 @@
 	deadline := time.Now().Add(testTimeout)
 	for !check() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("gave up waiting for %s", what)
+			f.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/io/entry/leases.go
+++ b/io/entry/leases.go
@@ -74,6 +74,6 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := d.shards.Release(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("hand-over of shards incomplete")
+		d.log.Warn().Err(err).Msg("failed to hand over all shards")
 	}
 }
