--- a/io/entry/budgets.go
+++ b/io/entry/budgets.go
@@ -9,8 +9,8 @@
 )
 
 // budgetSyncInterval is the time between two comparisons of the pools' disruption
-// budgets with the effective configuration. A comparison that finds no difference sends
-// no messages.
+// budgets with the configuration in force. A comparison that finds no difference makes
+// no calls to the table.
 const budgetSyncInterval = 5 * time.Second
 
 // syncBudgets writes configured exceptions and defaults to the pools' rows while this
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -152,7 +152,7 @@
 }
 
 // awaitReply handles the event that event creates for a new waiter, and waits for the
-// reply. If ctx ends first, the caller has disconnected; its request continues.
+// reply. If ctx ends first, the caller no longer waits; its request continues.
 func (r *Requests) awaitReply(ctx context.Context, key core.RequestKey, event func(home.Waiter) home.Event) core.Answer {
 	reply := make(chan core.Answer, 1)
 	r.mu.Lock()
--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -159,6 +159,7 @@
 	return nil
 }
 
+// now returns the wall-clock time without Go's monotonic reading; see ShardConfig.Now.
 func (sm *ShardManager) now() time.Time { return sm.cfg.Now().Round(0) }
 
 func (sm *ShardManager) handle(e shard.Event) {
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -34,6 +34,8 @@
 	return supervisor.Every(ctx, listInterval, sm.refreshEntries)
 }
 
+// refreshEntries reads the live list and tells the LeaseManager which entries are live
+// and which have ended.
 func (sm *ShardManager) refreshEntries(ctx context.Context) {
 	live, err := sm.cfg.Live.Live(ctx, sm.cfg.Params.Zone)
 	if err != nil {
--- a/io/peer/shard_table.go
+++ b/io/peer/shard_table.go
@@ -45,9 +45,10 @@
 	return len(swaps) > 0 || readPending
 }
 
-// executeSwap executes a swap and reports its outcome to the LeaseManager. If an earlier
-// swap of the same batch has failed, the swap isn't sent: a queue of swaps that each
-// wait for a timeout would delay the reads. It returns whether the table answered.
+// executeSwap executes a swap and reports its outcome to the LeaseManager. With tableDown,
+// which means that the table didn't answer an earlier swap of the same batch, the swap
+// isn't sent: a queue of swaps that each wait for a timeout would delay the reads.
+// executeSwap returns whether the table answered.
 func (sm *ShardManager) executeSwap(ctx context.Context, c shard.SwapRow, tableDown bool) (ok bool) {
 	settled := shard.SwapSettled{Shard: c.Shard, Version: c.Version, SentAt: sm.now(), Outcome: shard.SwapUnreachable}
 	if !tableDown {
