--- a/io/entry/leases.go
+++ b/io/entry/leases.go
@@ -37,7 +37,7 @@
 	}
 	d.allotments.Ledger.Self, d.allotments.Ledger.Zone = d.id, s.Zone
 	// A deadline may exceed MaxLifetime by the skew bound, and the lease is counted one
-	// skew bound longer. The other two skew bounds are a margin.
+	// skew bound longer. The ledger is given two more skew bounds than that.
 	d.allotments.Ledger.MaxLifetime, d.allotments.Ledger.Skew = s.MaxLifetime+4*s.SkewBound, s.SkewBound
 	h.Leases, h.Limiter, h.Config = d.shards, d.allotments.Limiter(), d.config
 }
