--- a/io/peer/shard.go
+++ b/io/peer/shard.go
@@ -102,7 +102,7 @@
 	}}
 }
 
-// Decide returns whether this entry may start the request now.
+// Decide returns the verdict on whether this entry may start the request now.
 func (sm *ShardManager) Decide(now time.Time, key core.RequestKey, firstSent, deadline time.Time) shard.Verdict {
 	sm.mu.Lock()
 	defer sm.mu.Unlock()
@@ -159,6 +159,7 @@
 	return nil
 }
 
+// now returns the wall-clock time without Go's monotonic reading; see ShardConfig.Now.
 func (sm *ShardManager) now() time.Time { return sm.cfg.Now().Round(0) }
 
 func (sm *ShardManager) handle(e shard.Event) {
--- a/io/peer/shard_list.go
+++ b/io/peer/shard_list.go
@@ -12,7 +12,7 @@
 )
 
 // unseenEntryTimeout is how long an entry that is named in a row, and that this entry
-// has never seen in the list, must be missing from the list to count as ended. Entries
+// has never seen in the live list, must be missing from it to count as ended. Entries
 // are named in rows only after they were listed, so the timeout only has to cover the
 // delay between two readers of the list.
 const unseenEntryTimeout = 30 * time.Second
@@ -34,6 +34,8 @@
 	return supervisor.Every(ctx, listInterval, sm.refreshEntries)
 }
 
+// refreshEntries reads the live list and tells the LeaseManager which entries are live
+// and which have ended.
 func (sm *ShardManager) refreshEntries(ctx context.Context) {
 	live, err := sm.cfg.Live.Live(ctx, sm.cfg.Params.Zone)
 	if err != nil {
