--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -100,10 +100,10 @@
 }
 
 // allowProbe lets one call through per pause.
-func allowProbe(now time.Time, next *time.Time, pause time.Duration) Decision {
+func allowProbe(now time.Time, next *time.Time, interval time.Duration) Decision {
 	if now.Before(*next) {
 		return Refuse
 	}
-	*next = now.Add(pause)
+	*next = now.Add(interval)
 	return Probe
 }
--- a/core/emulator/capacity.go
+++ b/core/emulator/capacity.go
@@ -72,9 +72,9 @@
 
 // checkCapacity checks that a start does not overload a VM that ignores its capacity. Other
 // VMs refuse such starts themselves.
-func (g *checker) checkCapacity(v *vm, r *vmRun) {
+func (c *checker) checkCapacity(v *vm, r *taskRun) {
 	used, limit := v.used(), v.capacityLimit()
 	if v.machine.ignoresCapacity && !used.FitsIn(limit) {
-		g.violationf("%v attempt %d overloads %s: CPU %d of %d", r.task, r.attempt, v.id, used.CPU, limit.CPU)
+		c.violationf("%v attempt %d overloads %s: CPU %d of %d", r.task, r.attempt, v.id, used.CPU, limit.CPU)
 	}
 }
--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -19,14 +19,14 @@
 	// request to evacuate it.
 	evacuationLimit time.Duration
 	// running are the attempts of each task that run.
-	running map[job.TaskID][]*vmRun
+	running map[job.TaskID][]*taskRun
 	// doneAt is when each task was first done. notedDone are the tasks whose end as done
 	// an owner has noted.
-	doneAt    map[job.TaskID]time.Time
-	notedDone map[job.TaskID]bool
+	doneAt           map[job.TaskID]time.Time
+	acknowledgedDone map[job.TaskID]bool
 	// failedRuns counts the attempts of each task that failed, notedFailed those of them
 	// that an owner has noted.
-	failedRuns, notedFailed map[job.TaskID]int
+	failedRuns, acknowledgedFailures map[job.TaskID]int
 	// crashes counts the VMs that crashed while they ran each task, startsAfterCrashLimit
 	// the starts of crashing tasks after crashLimit such crashes.
 	crashes, startsAfterCrashLimit map[job.TaskID]int
@@ -51,8 +51,8 @@
 
 func newChecker(w *World) *checker {
 	return &checker{
-		w: w, running: map[job.TaskID][]*vmRun{}, doneAt: map[job.TaskID]time.Time{},
-		notedDone: map[job.TaskID]bool{}, failedRuns: map[job.TaskID]int{}, notedFailed: map[job.TaskID]int{},
+		w: w, running: map[job.TaskID][]*taskRun{}, doneAt: map[job.TaskID]time.Time{},
+		acknowledgedDone: map[job.TaskID]bool{}, failedRuns: map[job.TaskID]int{}, acknowledgedFailures: map[job.TaskID]int{},
 		crashes: map[job.TaskID]int{}, lastCrash: map[job.TaskID]time.Time{}, startsAfterCrashLimit: map[job.TaskID]int{}, mayGiveUp: map[job.ID]bool{}, gaveUp: map[job.TaskID]bool{},
 		states:    map[job.ID]job.State{},
 		lastStart: map[job.TaskID]time.Time{}, inMaintenance: map[job.MachineID]bool{}, stoppedAt: map[job.TaskID]time.Time{},
@@ -60,205 +60,205 @@
 }
 
 // violationf records a violated invariant.
-func (g *checker) violationf(format string, args ...any) {
-	g.violations = append(g.violations, fmt.Sprintf("%7.3f s: ", g.w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
+func (c *checker) violationf(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%7.3f s: ", c.w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
 }
 
 // taskStarted checks a start: the task does not run already, and no end of it as done was
 // noted; the steps before it are done; the VM, its zone and its job may take the start; and
 // the account stays within its quota.
-func (g *checker) taskStarted(v *vm, r *vmRun) {
-	t := g.w.jobs[r.task.Job]
+func (c *checker) taskStarted(v *vm, r *taskRun) {
+	t := c.w.jobs[r.task.Job]
 	step := &t.Body.Steps[r.task.Step]
-	g.lastStart[r.task] = g.w.now
-	if len(g.running[r.task]) > 0 && !step.Speculative {
-		other := g.running[r.task][0]
-		g.violationf("%v attempt %d starts on %s while attempt %d has been running since %.3f s", r.task, r.attempt, v.id, other.attempt, other.startedAt.Sub(epoch).Seconds())
+	c.lastStart[r.task] = c.w.now
+	if len(c.running[r.task]) > 0 && !step.Speculative {
+		other := c.running[r.task][0]
+		c.violationf("%v attempt %d starts on %s while attempt %d has been running since %.3f s", r.task, r.attempt, v.id, other.attempt, other.startedAt.Sub(epoch).Seconds())
 	}
-	if g.notedDone[r.task] && !step.Speculative {
-		g.violationf("%v attempt %d starts on %s after an owner noted the task as done", r.task, r.attempt, v.id)
+	if c.acknowledgedDone[r.task] && !step.Speculative {
+		c.violationf("%v attempt %d starts on %s after an owner noted the task as done", r.task, r.attempt, v.id)
 	}
-	g.checkMaxAttempts(t, r)
-	g.checkCrashingTask(t, v, r)
-	g.checkCapacity(v, r)
-	if requestedAt, ok := g.w.evacuated[v.machine.zone]; ok && g.w.now.Sub(requestedAt) > g.evacuationLimit {
-		g.violationf("%v starts on %s in zone %s, which has been evacuated since %.3f s", r.task, v.id, v.machine.zone, requestedAt.Sub(epoch).Seconds())
+	c.checkMaxAttempts(t, r)
+	c.checkCrashingTask(t, v, r)
+	c.checkCapacity(v, r)
+	if requestedAt, ok := c.w.evacuated[v.machine.zone]; ok && c.w.now.Sub(requestedAt) > c.evacuationLimit {
+		c.violationf("%v starts on %s in zone %s, which has been evacuated since %.3f s", r.task, v.id, v.machine.zone, requestedAt.Sub(epoch).Seconds())
 	}
 	if step.LongRunning {
-		g.w.after(longRunningStartup, func() { g.startupDone(r) })
+		c.w.after(longRunningStartup, func() { c.startupDone(r) })
 	}
 	for _, a := range step.After {
 		for i := range t.Body.Steps[a].Count {
 			predecessor := job.TaskID{Job: r.task.Job, Occurrence: r.task.Occurrence, Step: a, Index: i}
-			if g.doneAt[predecessor].IsZero() {
-				g.violationf("%v starts before %v of an earlier step is done", r.task, predecessor)
+			if c.doneAt[predecessor].IsZero() {
+				c.violationf("%v starts before %v of an earlier step is done", r.task, predecessor)
 			}
 		}
 	}
-	if g.states[r.task.Job] == job.Completed {
-		g.violationf("%v starts after its job was shown as completed", r.task)
+	if c.states[r.task.Job] == job.Completed {
+		c.violationf("%v starts after its job was shown as completed", r.task)
 	}
-	if t.cancelledAt.IsZero() || g.w.now.Sub(t.cancelledAt) < 3*time.Second || g.lateOrderShare > 0 {
-		g.running[r.task] = append(g.running[r.task], r)
-		g.checkQuota(t)
+	if t.cancelledAt.IsZero() || c.w.now.Sub(t.cancelledAt) < 3*time.Second || c.lateOrderShare > 0 {
+		c.running[r.task] = append(c.running[r.task], r)
+		c.checkQuota(t)
 		return
 	}
-	g.violationf("%v starts %s after its job was cancelled", r.task, g.w.now.Sub(t.cancelledAt))
-	g.running[r.task] = append(g.running[r.task], r)
+	c.violationf("%v starts %s after its job was cancelled", r.task, c.w.now.Sub(t.cancelledAt))
+	c.running[r.task] = append(c.running[r.task], r)
 }
 
 // checkQuota checks the CPU that an account uses. It tolerates a tenth of the quota plus the
 // largest running task of the account above the quota.
-func (g *checker) checkQuota(t *trackedJob) {
-	account := g.w.config.Account(t.Terms.Account)
+func (c *checker) checkQuota(t *trackedJob) {
+	account := c.w.config.Account(t.Terms.Account)
 	if account == nil || account.Quota.CPU == 0 {
 		return
 	}
 	used, largest := int64(0), int64(0)
-	for id, runs := range g.running {
-		o := g.w.jobs[id.Job]
-		if o.Terms.Account != t.Terms.Account {
+	for id, runs := range c.running {
+		other := c.w.jobs[id.Job]
+		if other.Terms.Account != t.Terms.Account {
 			continue
 		}
-		cpu := o.Body.Steps[id.Step].Resources.CPU
+		cpu := other.Body.Steps[id.Step].Resources.CPU
 		used += cpu * int64(len(runs))
 		largest = max(largest, cpu)
 	}
 	if used > account.Quota.CPU*11/10+largest {
-		g.violationf("account %s exceeds its quota: CPU %d of %d", t.Terms.Account, used, account.Quota.CPU)
+		c.violationf("account %s exceeds its quota: CPU %d of %d", t.Terms.Account, used, account.Quota.CPU)
 	}
 }
 
 // removeRun removes an attempt from those that run.
-func (g *checker) removeRun(r *vmRun) {
-	runs := g.running[r.task]
-	for i, x := range runs {
-		if x == r {
-			g.running[r.task] = append(runs[:i:i], runs[i+1:]...)
+func (c *checker) removeRun(r *taskRun) {
+	runs := c.running[r.task]
+	for i, other := range runs {
+		if other == r {
+			c.running[r.task] = append(runs[:i:i], runs[i+1:]...)
 		}
 	}
-	if len(g.running[r.task]) == 0 {
-		delete(g.running, r.task)
+	if len(c.running[r.task]) == 0 {
+		delete(c.running, r.task)
 	}
 }
 
 // taskEnded records the end of an attempt.
-func (g *checker) taskEnded(_ *vm, r *vmRun, how job.Ending) {
-	g.removeRun(r)
+func (c *checker) taskEnded(_ *vm, r *taskRun, how job.Ending) {
+	c.removeRun(r)
 	switch {
-	case how == job.EndedDone && g.doneAt[r.task].IsZero():
-		g.doneAt[r.task] = g.w.now
+	case how == job.EndedDone && c.doneAt[r.task].IsZero():
+		c.doneAt[r.task] = c.w.now
 	case how == job.EndedFailed:
-		g.failedRuns[r.task]++
+		c.failedRuns[r.task]++
 	}
 }
 
 // runLost records an attempt that was lost with its VM. The task may be started again.
-func (g *checker) runLost(_ *vm, r *vmRun) { g.removeRun(r) }
+func (c *checker) runLost(_ *vm, r *taskRun) { c.removeRun(r) }
 
-// endNoted records that an owner has noted an end, which occurred at ended. It checks that
+// endAcknowledged records that an owner has noted an end, which occurred at ended. It checks that
 // the task was not started again since, unless the lease of its VM was found expired since.
-func (g *checker) endNoted(v *vm, e job.End, ended time.Time) {
+func (c *checker) endAcknowledged(v *vm, e job.End, ended time.Time) {
 	if e.How == job.EndedFailed {
-		g.notedFailed[e.Task]++
+		c.acknowledgedFailures[e.Task]++
 	}
 	if e.How != job.EndedDone {
 		return
 	}
-	lastStart := g.lastStart[e.Task]
-	if v.leaseExpiredAt.Before(ended) && lastStart.After(ended) && !g.w.jobs[e.Task.Job].Body.Steps[e.Task.Step].Speculative {
-		g.violationf("%v was started again at %.3f s although its end on %s at %.3f s was still to be noted", e.Task, lastStart.Sub(epoch).Seconds(), v.id, ended.Sub(epoch).Seconds())
+	lastStart := c.lastStart[e.Task]
+	if v.leaseExpiredAt.Before(ended) && lastStart.After(ended) && !c.w.jobs[e.Task.Job].Body.Steps[e.Task.Step].Speculative {
+		c.violationf("%v was started again at %.3f s although its end on %s at %.3f s was still to be noted", e.Task, lastStart.Sub(epoch).Seconds(), v.id, ended.Sub(epoch).Seconds())
 	}
-	g.notedDone[e.Task] = true
+	c.acknowledgedDone[e.Task] = true
 }
 
 // taskStopping checks that a long-running step does not miss more tasks because of stop orders
 // than its disruption budget allows. Tasks of cancelled jobs, on draining VMs or still in their
 // startup do not count.
-func (g *checker) taskStopping(v *vm, r *vmRun) {
-	t := g.w.jobs[r.task.Job]
+func (c *checker) taskStopping(v *vm, r *taskRun) {
+	t := c.w.jobs[r.task.Job]
 	step := &t.Body.Steps[r.task.Step]
-	if !step.HasDisruptionBudget || !t.cancelledAt.IsZero() || v.draining || g.w.now.Sub(r.startedAt) < longRunningStartup {
+	if !step.HasDisruptionBudget || !t.cancelledAt.IsZero() || v.draining || c.w.now.Sub(r.startedAt) < longRunningStartup {
 		return
 	}
-	g.stoppedAt[r.task] = g.w.now
+	c.stoppedAt[r.task] = c.w.now
 	others := 0
 	for i := range step.Count {
 		id := r.task
 		id.Index = i
-		_, stopped := g.stoppedAt[id]
+		_, stopped := c.stoppedAt[id]
 		if i != r.task.Index && stopped {
 			others++
 		}
 	}
 	if others >= step.DisruptionBudget {
-		g.violationf("%v is stopped while %d other tasks of its step are stopped; the disruption budget is %d", r.task, others, step.DisruptionBudget)
+		c.violationf("%v is stopped while %d other tasks of its step are stopped; the disruption budget is %d", r.task, others, step.DisruptionBudget)
 	}
 }
 
 // startupDone records that a long-running task is at work. From then on it no longer counts
 // as stopped by an order.
-func (g *checker) startupDone(r *vmRun) {
-	if slices.Contains(g.running[r.task], r) && !r.stopping {
-		delete(g.stoppedAt, r.task)
+func (c *checker) startupDone(r *taskRun) {
+	if slices.Contains(c.running[r.task], r) && !r.stopping {
+		delete(c.stoppedAt, r.task)
 	}
 }
 
 // vmRemoved checks that a move or maintenance of a machine ends no task that was not told
 // to stop.
-func (g *checker) vmRemoved(v *vm) {
+func (c *checker) vmRemoved(v *vm) {
 	for _, r := range v.runs {
 		if !r.stopping {
-			g.violationf("%v is lost: the machine of %s is taken out of service while the task runs", r.task, v.id)
+			c.violationf("%v is lost: the machine of %s is taken out of service while the task runs", r.task, v.id)
 		}
 	}
 }
 
 // maintenanceStarted checks that not too many machines are in maintenance.
-func (g *checker) maintenanceStarted(m *machine) {
-	g.inMaintenance[m.id] = true
-	if n := len(g.inMaintenance); n > g.w.maxConcurrentMaintenance() {
-		g.violationf("%d machines are in maintenance, the limit is %d", n, g.w.maxConcurrentMaintenance())
+func (c *checker) maintenanceStarted(m *machine) {
+	c.inMaintenance[m.id] = true
+	if n := len(c.inMaintenance); n > c.w.maxConcurrentMaintenance() {
+		c.violationf("%d machines are in maintenance, the limit is %d", n, c.w.maxConcurrentMaintenance())
 	}
 }
 
 // machineReturned records that a machine is in service again.
-func (g *checker) machineReturned(m *machine) { delete(g.inMaintenance, m.id) }
+func (c *checker) machineReturned(m *machine) { delete(c.inMaintenance, m.id) }
 
-func (g *checker) wavePublished(s job.WaveState) { g.waveState = s }
+func (c *checker) wavePublished(s job.WaveState) { c.waveState = s }
 
 // jobStatePublished checks and records the state of a job that callers see from now on.
-func (g *checker) jobStatePublished(id job.ID, s job.State) {
-	t := g.w.jobs[id]
-	if g.states[id] == s {
+func (c *checker) jobStatePublished(id job.ID, s job.State) {
+	t := c.w.jobs[id]
+	if c.states[id] == s {
 		return
 	}
-	g.states[id] = s
+	c.states[id] = s
 	switch s {
 	case job.Completed:
-		g.w.Stats.Completed++
-		if g.w.now.Sub(t.submittedAt) <= t.latencyTarget() {
-			g.w.Stats.InTime++
+		c.w.Stats.Completed++
+		if c.w.now.Sub(t.submittedAt) <= t.latencyTarget() {
+			c.w.Stats.InTime++
 		}
 		for step := range t.Body.Steps {
 			for i := range t.Body.Steps[step].Count {
-				if g.doneAt[job.TaskID{Job: id, Step: step, Index: i}].IsZero() {
-					g.violationf("%s is shown as completed before task %d.%d is done", id, step, i)
+				if c.doneAt[job.TaskID{Job: id, Step: step, Index: i}].IsZero() {
+					c.violationf("%s is shown as completed before task %d.%d is done", id, step, i)
 				}
 			}
 		}
 	case job.Failed:
-		g.w.Stats.Failed++
+		c.w.Stats.Failed++
 		if !t.allTasksFail && t.failingTask == noTask && t.crashingTask == noTask {
-			g.w.Stats.GivenUp++
+			c.w.Stats.GivenUp++
 		}
-		if !g.anyTaskExhausted(t) && !g.mayGiveUp[id] {
-			g.violationf("%s is shown as failed although no task has failed all attempts or may be given up", id)
+		if !c.anyTaskExhausted(t) && !c.mayGiveUp[id] {
+			c.violationf("%s is shown as failed although no task has failed all attempts or may be given up", id)
 		}
 	case job.Cancelled:
-		g.w.Stats.Cancelled++
+		c.w.Stats.Cancelled++
 		if t.cancelledAt.IsZero() {
-			g.violationf("%s is shown as cancelled although its caller did not cancel it", id)
+			c.violationf("%s is shown as cancelled although its caller did not cancel it", id)
 		}
 	case job.Pending, job.Running:
 	}
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -29,7 +29,7 @@
 
 // scheduleCrash schedules the crash of a VM by a task that runs on it, which does not happen
 // if the attempt ends before. Until then the task reports progress like any other.
-func (v *vm) scheduleCrash(r *vmRun, runTime time.Duration) {
+func (v *vm) scheduleCrash(r *taskRun, runTime time.Duration) {
 	r.runTime = runTime
 	v.w.after(v.w.randomBetween(minCrashDelay, maxCrashDelay), func() {
 		if !v.up || !slices.Contains(v.runs, r) {
@@ -41,24 +41,24 @@
 }
 
 // vmCrashed counts the crash of a VM for all tasks that run on it.
-func (g *checker) vmCrashed(v *vm) {
+func (c *checker) vmCrashed(v *vm) {
 	for _, r := range v.runs {
-		g.crashes[r.task]++
-		g.lastCrash[r.task] = g.w.now
-		if g.crashes[r.task] >= minCrashesToGiveUp {
-			g.mayGiveUp[r.task.Job] = true
+		c.crashes[r.task]++
+		c.lastCrash[r.task] = c.w.now
+		if c.crashes[r.task] >= minCrashesToGiveUp {
+			c.mayGiveUp[r.task.Job] = true
 		}
 	}
 }
 
 // checkCrashingTask checks that a task that crashes its VMs is not started without limit.
-func (g *checker) checkCrashingTask(t *trackedJob, v *vm, r *vmRun) {
-	if r.task != t.crashingTask || g.crashes[r.task] < crashLimit {
+func (c *checker) checkCrashingTask(t *trackedJob, v *vm, r *taskRun) {
+	if r.task != t.crashingTask || c.crashes[r.task] < crashLimit {
 		return
 	}
-	g.startsAfterCrashLimit[r.task]++
-	if n := g.startsAfterCrashLimit[r.task]; n == maxStartsAfterCrashLimit+1 {
-		g.violationf("%v attempt %d on %s is start %d after %d VMs crashed while they ran the task", r.task, r.attempt, v.id, n, crashLimit)
+	c.startsAfterCrashLimit[r.task]++
+	if n := c.startsAfterCrashLimit[r.task]; n == maxStartsAfterCrashLimit+1 {
+		c.violationf("%v attempt %d on %s is start %d after %d VMs crashed while they ran the task", r.task, r.attempt, v.id, n, crashLimit)
 	}
 }
 
@@ -67,16 +67,16 @@
 func (t *trackedJob) mustFinish() bool { return t.crashingTask == noTask }
 
 // givenUpWithCause reports whether an owner has given up the task after enough crashes.
-func (g *checker) givenUpWithCause(id job.TaskID) bool {
-	return g.gaveUp[id] && g.crashes[id] >= minCrashesToGiveUp
+func (c *checker) givenUpWithCause(id job.TaskID) bool {
+	return c.gaveUp[id] && c.crashes[id] >= minCrashesToGiveUp
 }
 
 // longRunningGivenUp reports whether a long-running task was given up. Its step then lacks
 // the task for good, so its disruption budget may never allow the maintenance of the
 // machines that run the other tasks of the step.
-func (g *checker) longRunningGivenUp() bool {
-	for id := range g.gaveUp {
-		if g.w.jobs[id.Job].Body.LongRunning() && g.givenUpWithCause(id) {
+func (c *checker) longRunningGivenUp() bool {
+	for id := range c.gaveUp {
+		if c.w.jobs[id.Job].Body.LongRunning() && c.givenUpWithCause(id) {
 			return true
 		}
 	}
@@ -85,14 +85,14 @@
 
 // checkLongRunning checks that all tasks of a long-running job run, except those that were
 // given up.
-func (g *checker) checkLongRunning(t *trackedJob) {
+func (c *checker) checkLongRunning(t *trackedJob) {
 	for i := range t.Body.Steps[0].Count {
 		id := job.TaskID{Job: t.ID, Index: i}
-		if at, ok := g.lastCrash[id]; ok && g.w.now.Sub(at) < maxRestartDelay {
+		if at, ok := c.lastCrash[id]; ok && c.w.now.Sub(at) < maxRestartDelay {
 			continue
 		}
-		if len(g.running[id]) == 0 && !g.givenUpWithCause(id) {
-			g.violationf("%s.0.0.%d is long-running and does not run", t.ID, i)
+		if len(c.running[id]) == 0 && !c.givenUpWithCause(id) {
+			c.violationf("%s.0.0.%d is long-running and does not run", t.ID, i)
 		}
 	}
 }
--- a/core/emulator/entry_vm.go
+++ b/core/emulator/entry_vm.go
@@ -153,16 +153,16 @@
 func (e *entryVM) takeOver(run int, seen lease.Observation, row ownerRow) {
 	t := e.w.table
 	sent := e.w.now
-	turn := row.turn + 1
+	tenureNumber := row.tenureNumber + 1
 	version, won := int64(0), false
 	e.callTable(time.Second, true, func() {
-		version, won = t.swapOwner(int64(seen.Owner), int64(seen.Renewal), ownerRow{entryVM: e.name, run: run, turn: turn})
+		version, won = t.swapOwner(int64(seen.Owner), int64(seen.Renewal), ownerRow{entryVM: e.name, run: run, tenureNumber: tenureNumber})
 	}, func(ok bool) {
 		if !ok || !won {
 			e.w.after(pollInterval+e.w.randomBetween(0, pollInterval), func() { e.pollOwner(run) })
 			return
 		}
-		o := &owner{entryVM: e, run: run, fence: version, renewal: version, turn: turn, renewAt: e.w.now}
+		o := &owner{entryVM: e, run: run, fence: version, renewal: version, tenureNumber: tenureNumber, renewAt: e.w.now}
 		o.ownership.Confirm(sent, sent)
 		e.owner = o
 		o.loadState()
--- a/core/emulator/failing_jobs.go
+++ b/core/emulator/failing_jobs.go
@@ -6,10 +6,10 @@
 var noTask job.TaskID
 
 // anyTaskExhausted reports whether all attempts of one of the job's tasks have failed.
-func (g *checker) anyTaskExhausted(t *trackedJob) bool {
+func (c *checker) anyTaskExhausted(t *trackedJob) bool {
 	for step := range t.Body.Steps {
 		for i := range t.Body.Steps[step].Count {
-			if g.failedRuns[job.TaskID{Job: t.ID, Step: step, Index: i}] >= t.Terms.MaxAttempts {
+			if c.failedRuns[job.TaskID{Job: t.ID, Step: step, Index: i}] >= t.Terms.MaxAttempts {
 				return true
 			}
 		}
@@ -19,9 +19,9 @@
 
 // checkMaxAttempts checks that a task is not started after an owner has noted the failure of
 // all its attempts.
-func (g *checker) checkMaxAttempts(t *trackedJob, r *vmRun) {
-	if n := g.notedFailed[r.task]; !r.longRunning && n >= t.Terms.MaxAttempts {
-		g.violationf("%v attempt %d starts after the failure of %d attempts was noted", r.task, r.attempt, n)
+func (c *checker) checkMaxAttempts(t *trackedJob, r *taskRun) {
+	if n := c.acknowledgedFailures[r.task]; !r.longRunning && n >= t.Terms.MaxAttempts {
+		c.violationf("%v attempt %d starts after the failure of %d attempts was noted", r.task, r.attempt, n)
 	}
 }
 
--- a/core/emulator/fault.go
+++ b/core/emulator/fault.go
@@ -107,30 +107,30 @@
 }
 
 // inject begins the fault, and schedules its end.
-func (x Fault) inject(w *World) {
+func (f Fault) inject(w *World) {
 	e := w.ownerEntryVM()
-	switch x.Kind {
+	switch f.Kind {
 	case KillOwner:
 		e.kill()
-		w.after(x.For, func() { e.restart() })
+		w.after(f.For, func() { e.restart() })
 	case FreezeOwner:
 		e.freeze()
-		w.after(x.For, e.thaw)
+		w.after(f.For, e.thaw)
 	case KillAll:
 		for _, e := range w.entryVMs {
 			e.kill()
-			w.after(x.For, func() { e.restart() })
+			w.after(f.For, func() { e.restart() })
 		}
 	case StopOwner:
 		e.shutDown()
-		w.after(x.For, func() { e.restart() })
+		w.after(f.For, func() { e.restart() })
 	case CutOwnerFromTable:
 		e.unreachable["table"] = true
-		w.after(x.For, func() { delete(e.unreachable, "table") })
+		w.after(f.For, func() { delete(e.unreachable, "table") })
 	case CutZone:
-		x.isolateZone(w)
+		f.isolateZone(w)
 	default:
-		x.injectTableFault(w)
+		f.injectTableFault(w)
 	}
 }
 
@@ -143,63 +143,63 @@
 
 // isolateZone cuts a random availability zone off from the other zones, in both
 // directions, and from the table.
-func (x Fault) isolateZone(w *World) {
+func (f Fault) isolateZone(w *World) {
 	zone := zoneName(w.rng.IntN(zoneCount))
 	for _, e := range w.entryVMs {
 		if e.zone != zone {
 			e.unreachable[zone] = true
-			w.after(x.For, func() { delete(e.unreachable, zone) })
+			w.after(f.For, func() { delete(e.unreachable, zone) })
 			continue
 		}
 		for i := range zoneCount {
 			if other := zoneName(i); other != zone {
 				e.unreachable[other] = true
-				w.after(x.For, func() { delete(e.unreachable, other) })
+				w.after(f.For, func() { delete(e.unreachable, other) })
 			}
 		}
 		e.unreachable["table"] = true
-		w.after(x.For, func() { delete(e.unreachable, "table") })
+		w.after(f.For, func() { delete(e.unreachable, "table") })
 	}
 }
 
-func (x Fault) injectTableFault(w *World) {
+func (f Fault) injectTableFault(w *World) {
 	t := w.table
-	switch x.Kind {
+	switch f.Kind {
 	case TableDown:
 		t.down = true
-		w.after(x.For, func() { t.down = false })
+		w.after(f.For, func() { t.down = false })
 	case TableSlow:
 		t.extraDelay = 250 * time.Millisecond
-		w.after(x.For, func() { t.extraDelay = 0 })
+		w.after(f.For, func() { t.extraDelay = 0 })
 	case AnswersLost, AnswersLostLate:
-		t.lostAnswerShare, t.lateWrites = 0.35, x.Kind == AnswersLostLate
-		w.after(x.For, func() { t.lostAnswerShare = 0 })
+		t.lostAnswerShare, t.lateWrites = 0.35, f.Kind == AnswersLostLate
+		w.after(f.For, func() { t.lostAnswerShare = 0 })
 	default:
-		x.injectVMFault(w)
+		f.injectVMFault(w)
 	}
 }
 
 // injectVMFault affects each VM with probability Share.
-func (x Fault) injectVMFault(w *World) {
+func (f Fault) injectVMFault(w *World) {
 	for _, m := range w.machines {
 		v := m.vm
-		if v == nil || !v.up || !w.chance(x.Share) {
+		if v == nil || !v.up || !w.chance(f.Share) {
 			continue
 		}
-		switch x.Kind {
+		switch f.Kind {
 		case VMsCrash:
-			w.crashVM(v, x.For, false)
+			w.crashVM(v, f.For, false)
 		case VMsCrashSameID:
-			w.crashVM(v, x.For, true)
+			w.crashVM(v, f.For, true)
 		case VMsFail:
 			v.failing = true
-			w.after(x.For, func() { v.failing = false })
+			w.after(f.For, func() { v.failing = false })
 		case VMsSlow:
 			v.slowdown = 5
-			w.after(x.For, func() { v.slowdown = 1 })
+			w.after(f.For, func() { v.slowdown = 1 })
 		case VMsHang:
 			v.hanging = true
-			w.after(x.For, func() { v.hanging = false })
+			w.after(f.For, func() { v.hanging = false })
 		}
 	}
 }
--- a/core/emulator/machines.go
+++ b/core/emulator/machines.go
@@ -10,14 +10,14 @@
 func (w *World) listMachines() []job.Machine {
 	var out []job.Machine
 	for _, m := range w.machines {
-		x := job.Machine{
+		listed := job.Machine{
 			ID: m.id, Pool: m.pool, State: m.state, Zone: m.zone, Labels: []job.Label{"a", m.rack},
 			Capacity: fullCapacity,
 		}
 		if m.vm != nil && m.vm.up {
-			x.VM = m.vm.id
+			listed.VM = m.vm.id
 		}
-		out = append(out, x)
+		out = append(out, listed)
 	}
 	return out
 }
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -17,12 +17,12 @@
 	run     int
 	// fence is the version of the row that made it the owner, renewal that of its last
 	// renewal. turn numbers the terms of ownership, batch the commits of this one.
-	fence     int64
-	renewal   int64
-	turn      int64
-	batch     int64
-	ownership lease.Ownership
-	scheduler *schedule.Scheduler
+	fence        int64
+	renewal      int64
+	tenureNumber int64
+	batch        int64
+	ownership    lease.Ownership
+	scheduler    *schedule.Scheduler
 	// pendingSaves are the saves for the next commit; committing is set during a commit.
 	pendingSaves []schedule.Command
 	committing   bool
@@ -55,7 +55,7 @@
 	now := o.entryVM.w.now
 	o.scheduler = schedule.New(schedule.Settings{
 		OrderIssuer: o.entryVM.name, FormerOrders: valuesByKey(t.orders),
-		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.turn * 10_000), TookOver: now,
+		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.tenureNumber * 10_000), TookOver: now,
 		LeaseMax: leaseMax, TaskStopMax: taskStopMax,
 		MachineLease: 3 * time.Second,
 		Observer:     o,
@@ -167,7 +167,7 @@
 		w.Stats.Starts++
 		sent := w.now
 		o.sendOrder(c.VM, orderTimeout, func(v *vm, answer func(job.Report)) {
-			if w.lateStartsBeforeHold || !v.cannotDetectLate(c.Order.Fence, sent) {
+			if w.lateStartsBeforeHold || !v.cannotRefuseLate(c.Order.Fence, sent) {
 				answer(v.startTask(c.Order, o.entryVM.name))
 			}
 		}, func(now time.Time, out schedule.Outcome, r job.Report) {
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -109,10 +109,10 @@
 // Run simulates a scenario and returns the violated invariants and the statistics.
 func Run(sc Scenario) (violations []string, stats Stats) {
 	w := newWorld(sc)
-	for _, x := range sc.Faults {
-		w.at(leadTime+x.At, func() {
-			w.tracef("fault %s for %s", x.Kind, x.For)
-			x.inject(w)
+	for _, fault := range sc.Faults {
+		w.at(leadTime+fault.At, func() {
+			w.tracef("fault %s for %s", fault.Kind, fault.For)
+			fault.inject(w)
 		})
 	}
 	for _, e := range sc.Evacuations {
@@ -233,9 +233,9 @@
 }
 
 // terms returns the terms of a job in the queue, submitted by account a.
-func (w *World) terms(queue job.QueueName, a job.AccountName) job.Terms {
+func (w *World) terms(queue job.QueueName, account job.AccountName) job.Terms {
 	q := w.config.Queue(queue)
-	return job.Terms{Queue: queue, Pool: q.Pool, Account: a, MaxAttempts: q.MaxAttempts, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
+	return job.Terms{Queue: queue, Pool: q.Pool, Account: account, MaxAttempts: q.MaxAttempts, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
 }
 
 func (w *World) submitJob(sc Scenario, queue job.QueueName) {
@@ -248,14 +248,14 @@
 	}
 	body := job.Body{Spec: "work"}
 	for s := range 1 + w.rng.IntN(2) {
-		st := job.Step{
+		step := job.Step{
 			Count: 2 + w.rng.IntN(8), Resources: job.Resources{CPU: 800 + w.rng.Int64N(2500), MemMB: 1000},
 			Estimate: time.Duration(math.Exp(w.rng.NormFloat64()*0.5) * float64(t.meanRunTime)),
 		}
 		if s > 0 {
-			st.After = []int{s - 1}
+			step.After = []int{s - 1}
 		}
-		body.Steps = append(body.Steps, st)
+		body.Steps = append(body.Steps, step)
 	}
 	t.Job = job.Job{ID: w.newJobID(), Terms: w.terms(queue, account), Body: body}
 	w.addFaultyTasks(t, sc)
--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -41,10 +41,10 @@
 
 // ownerRow says which process owns the fleet. turn numbers the terms of ownership.
 type ownerRow struct {
-	entryVM string
-	run     int
-	turn    int64
-	vacant  bool
+	entryVM      string
+	run          int
+	tenureNumber int64
+	vacant       bool
 }
 
 // renewalRow is the owner's last renewal. batch identifies the commit that wrote it.
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -57,9 +57,9 @@
 	capacities []capacityChange
 	// runs are the attempts that run, unnotedEnds the ends that no owner has noted yet.
 	// lastEnd is the number of the latest end.
-	runs        []*vmRun
-	unnotedEnds []job.End
-	lastEnd     int64
+	runs               []*taskRun
+	unacknowledgedEnds []job.End
+	lastEnd            int64
 	// endedAt is when each end occurred, by its number. leaseExpiredAt is when the lease
 	// was last found expired.
 	endedAt        map[int64]time.Time
@@ -74,8 +74,8 @@
 	hanging  bool
 }
 
-// vmRun is an attempt of a task that runs on a VM.
-type vmRun struct {
+// taskRun is an attempt of a task that runs on a VM.
+type taskRun struct {
 	task      job.TaskID
 	attempt   job.Attempt
 	startedAt time.Time
@@ -145,11 +145,11 @@
 }
 
 // endRun ends an attempt and adds it to the ends to report.
-func (v *vm) endRun(r *vmRun, how job.Ending) {
-	v.runs = slices.DeleteFunc(v.runs, func(o *vmRun) bool { return o == r })
+func (v *vm) endRun(r *taskRun, how job.Ending) {
+	v.runs = slices.DeleteFunc(v.runs, func(o *taskRun) bool { return o == r })
 	v.lastEnd++
 	v.endedAt[v.lastEnd] = v.w.now
-	v.unnotedEnds = append(v.unnotedEnds, job.End{Number: v.lastEnd, Task: r.task, Attempt: r.attempt, How: how})
+	v.unacknowledgedEnds = append(v.unacknowledgedEnds, job.End{Number: v.lastEnd, Task: r.task, Attempt: r.attempt, How: how})
 	v.closedAttempts[r.task] = max(v.closedAttempts[r.task], r.attempt)
 	v.w.checker.taskEnded(v, r, how)
 }
@@ -177,10 +177,10 @@
 	return job.Report{Clock: v.clock(), Refused: refused}
 }
 
-// cannotDetectLate reports whether this VM has no means to refuse a late order: the VM
+// cannotRefuseLate reports whether this VM has no means to refuse a late order: the VM
 // started after the order was sent, and no owner that knows of this has sent it a hold order
 // yet. So the VM has seen no higher fence, and its clock is behind all deadlines.
-func (v *vm) cannotDetectLate(f job.Fence, sent time.Time) bool {
+func (v *vm) cannotRefuseLate(f job.Fence, sent time.Time) bool {
 	return v.startedAt.After(sent) && v.fence <= f
 }
 
@@ -216,7 +216,7 @@
 	if !v.fits(step.Reservation()) {
 		return v.newReport(job.RefusedCapacity)
 	}
-	r := &vmRun{
+	r := &taskRun{
 		task: o.Task, attempt: o.Attempt, startedAt: v.w.now, resources: step.Reservation(), longRunning: step.LongRunning, startedBy: issuer,
 		fails: v.failing || t.allTasksFail || o.Task == t.failingTask || v.w.chance(t.failureRate),
 	}
@@ -237,7 +237,7 @@
 
 // scheduleEnd schedules the end of an attempt. One that fails does so after half its run
 // time; hanging and long-running attempts have no end.
-func (v *vm) scheduleEnd(r *vmRun, runTime time.Duration) {
+func (v *vm) scheduleEnd(r *taskRun, runTime time.Duration) {
 	if v.hanging {
 		return
 	}
@@ -262,7 +262,7 @@
 
 // progressPercent returns the reported progress. A long-running attempt reports 100 once its
 // startup is over.
-func (r *vmRun) progressPercent(now time.Time) int {
+func (r *taskRun) progressPercent(now time.Time) int {
 	ran := now.Sub(r.startedAt)
 	switch {
 	case r.longRunning && ran >= longRunningStartup:
@@ -303,9 +303,9 @@
 	if o.Deadline > 0 {
 		v.extendLease(o.Deadline)
 	}
-	v.unnotedEnds = slices.DeleteFunc(v.unnotedEnds, func(e job.End) bool {
+	v.unacknowledgedEnds = slices.DeleteFunc(v.unacknowledgedEnds, func(e job.End) bool {
 		if e.Number <= o.Noted {
-			v.w.checker.endNoted(v, e, v.endedAt[e.Number])
+			v.w.checker.endAcknowledged(v, e, v.endedAt[e.Number])
 			return true
 		}
 		return false
@@ -318,16 +318,16 @@
 	if !v.up {
 		return
 	}
-	if len(v.unnotedEnds) == 0 && v.w.now.Before(until) {
+	if len(v.unacknowledgedEnds) == 0 && v.w.now.Before(until) {
 		v.w.after(5*time.Millisecond, func() { v.awaitEnd(until, answer) })
 		return
 	}
 	r := v.newReport(job.NotRefused)
 	r.Born = job.Born(v.startedAt.UnixMilli())
 	r.Lists = true
-	r.Finished = slices.Clone(v.unnotedEnds)
-	for _, x := range v.runs {
-		r.Running = append(r.Running, job.RunningTask{Task: x.task, Attempt: x.attempt, Percent: x.progressPercent(v.w.now)})
+	r.Finished = slices.Clone(v.unacknowledgedEnds)
+	for _, run := range v.runs {
+		r.Running = append(r.Running, job.RunningTask{Task: run.task, Attempt: run.attempt, Percent: run.progressPercent(v.w.now)})
 	}
 	answer(r)
 }
--- a/core/job/vm.go
+++ b/core/job/vm.go
@@ -95,10 +95,10 @@
 	EndedStopped
 	// EndedLeaseExpired means that the VM ended the run because its lease expired.
 	EndedLeaseExpired
-	// EndedBroken is the platform's ending "broken". The task starts again.
-	EndedBroken
-	// EndedAlone means that a gang member gave up waiting for the other members.
-	EndedAlone
+	// EndedGangBroken is the platform's ending "broken". The task starts again.
+	EndedGangBroken
+	// EndedGangTimeout means that a gang member gave up waiting for the other members.
+	EndedGangTimeout
 )
 
 // String returns the ending in snake case.
--- a/core/lease/watcher.go
+++ b/core/lease/watcher.go
@@ -34,17 +34,17 @@
 // TakeoverDue processes an observation and reports whether to attempt a takeover. The
 // attempt must require both versions to be unchanged, so that a renewal made in the meantime
 // prevents the takeover.
-func (w *Watcher) TakeoverDue(s Observation) bool {
-	unowned := s.Owner == 0 || s.Vacant || s.PreviousRun
+func (w *Watcher) TakeoverDue(o Observation) bool {
+	unowned := o.Owner == 0 || o.Vacant || o.PreviousRun
 	if unowned && !w.LowCapacity {
 		return true
 	}
-	if s.Owner != w.owner || s.Renewal != w.renewal || w.takeoverAt.IsZero() {
-		w.owner, w.renewal = s.Owner, s.Renewal
-		w.takeoverAt = s.Received.Add(w.waitPeriod(unowned))
+	if o.Owner != w.owner || o.Renewal != w.renewal || w.takeoverAt.IsZero() {
+		w.owner, w.renewal = o.Owner, o.Renewal
+		w.takeoverAt = o.Received.Add(w.waitPeriod(unowned))
 		return false
 	}
-	return !s.Sent.Before(w.takeoverAt)
+	return !o.Sent.Before(w.takeoverAt)
 }
 
 // waitPeriod returns how long the owner's rows must remain unchanged before a takeover.
--- a/io/entry/budgets.go
+++ b/io/entry/budgets.go
@@ -18,7 +18,7 @@
 func (d *Daemon) syncBudgets(ctx context.Context) error {
 	sync := operator.BudgetSync{Table: d.platform, View: d.config.View, Pool: d.fleet.Pool}
 	return supervisor.Every(ctx, budgetSyncInterval, func(ctx context.Context) {
-		if !d.controller.State().Holds {
+		if !d.controller.State().HoldsLease {
 			return
 		}
 		if err := sync.Round(ctx, d.now()); err != nil {
--- a/io/operator/config.go
+++ b/io/operator/config.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &pb.ApplyChangeReply{Version: uint64(applied.Version), Repeated: applied.Before, Note: s.changeNote(ctx, c, m)}, nil
+	return &pb.ApplyChangeReply{Version: uint64(applied.Version), Repeated: applied.Repeated, Note: s.changeNote(ctx, c, m)}, nil
 }
 
 // mergeBase returns the row that supplies the fields that m leaves out, and whether the
--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -57,8 +57,8 @@
 	Ledger limit.Ledger
 	mu     sync.Mutex
 
-	// driver serializes rounds and guards the fields below, up to pending.
-	driver sync.Mutex
+	// roundMu serializes rounds and guards the fields below, up to pending.
+	roundMu sync.Mutex
 	// The revisions up to which the zone's and the teams' rows were read.
 	zoneRowsRevision, teamRowsRevision table.Revision
 	// teamRowsPolledAt is when the last poll that read the team rows was sent.
@@ -103,8 +103,8 @@
 
 // Round reports changes to the ledger and executes the resulting commands.
 func (a *Allotments) Round(ctx context.Context) {
-	a.driver.Lock()
-	defer a.driver.Unlock()
+	a.roundMu.Lock()
+	defer a.roundMu.Unlock()
 	a.process(ctx, a.collectEvents(ctx)...)
 }
 
@@ -129,9 +129,9 @@
 // Release gives back the slots that aren't in use. It returns once all moves are settled
 // or ctx ends. Slots of running requests stay counted until their leases end.
 func (a *Allotments) Release(ctx context.Context) {
-	a.driver.Lock()
+	a.roundMu.Lock()
 	a.process(ctx, limit.Stop{})
-	a.driver.Unlock()
+	a.roundMu.Unlock()
 	for !a.released() && ctx.Err() == nil {
 		a.Round(ctx)
 		if !supervisor.Sleep(ctx, a.interval()) {
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -19,8 +19,8 @@
 type ApplyResult struct {
 	// Version is the configuration version that contains the change.
 	Version core.Version `json:"version"`
-	// Before is true if the change had already taken effect earlier under its change id.
-	Before bool `json:"before,omitempty"`
+	// Repeated is true if the change had already taken effect earlier under its change id.
+	Repeated bool `json:"before,omitempty"`
 }
 
 // Apply applies c to t under the change id. The change takes effect at most once, however
@@ -81,7 +81,7 @@
 		return ApplyResult{}, true, err
 	}
 	if applied {
-		return ApplyResult{Version: record.Version, Before: !a.outcomeUnknown}, true, nil
+		return ApplyResult{Version: record.Version, Repeated: !a.outcomeUnknown}, true, nil
 	}
 	if err := a.checkBase(ctx, rows); err != nil {
 		return ApplyResult{}, true, err
--- a/io/platform/controller.go
+++ b/io/platform/controller.go
@@ -67,11 +67,11 @@
 
 // ControllerState is the state of a Controller that a dump shows.
 type ControllerState struct {
-	Holds     bool                 `json:"holds"`
-	Wave      maintenance.Wave     `json:"wave"`
-	Progress  maintenance.Progress `json:"progress"`
-	LastTick  time.Time            `json:"last_tick,omitzero"`
-	LastError string               `json:"last_error,omitempty"`
+	HoldsLease bool                 `json:"holds"`
+	Wave       maintenance.Wave     `json:"wave"`
+	Progress   maintenance.Progress `json:"progress"`
+	LastTick   time.Time            `json:"last_tick,omitzero"`
+	LastError  string               `json:"last_error,omitempty"`
 	// BadRows is the number of rows that can't be decoded. Their VMs and pools are left
 	// alone.
 	BadRows int `json:"bad_rows"`
--- a/io/platform/controller_late_reboot_test.go
+++ b/io/platform/controller_late_reboot_test.go
@@ -12,7 +12,7 @@
 
 // now is the controllers' clock. Its second reading after a status query is the one right
 // before a reboot is sent.
-func (s *session) now() time.Time {
+func (s *zoneSimulation) now() time.Time {
 	s.clockReadsSinceStatus++
 	if s.clockReadsSinceStatus == 2 {
 		s.pauseAt("decided", s.lastStatusVM)
@@ -22,7 +22,7 @@
 
 // pauseAt pauses the controller for ten minutes if the test asks for it at this point. The
 // other controller continues meanwhile. At the end, vm gets a task.
-func (s *session) pauseAt(point string, vm fleet.Ref) {
+func (s *zoneSimulation) pauseAt(point string, vm fleet.Ref) {
 	if s.pauseWhen == nil || s.paused || vm.VM == "" || !s.pauseWhen(point, vm) {
 		return
 	}
@@ -53,7 +53,7 @@
 		{"sent, all safeguards", "sent", false, false, 0},
 		{"sent, platform accepts late requests", "sent", false, true, 1},
 	} {
-		s := newSession(t, 1, faults{})
+		s := newZoneSimulation(t, 1, faults{})
 		s.world.Unfenced = c.unfenced
 		for _, controller := range s.controllers {
 			controller.skipDeadlineCheck = c.skipDeadlineCheck
--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -91,7 +91,7 @@
 func (c *Controller) setHoldsLease(held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.Holds = held
+	c.state.HoldsLease = held
 }
 
 // entries returns the zone's entries on the live list, except those that are leaving. If
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -13,14 +13,14 @@
 	"lavenderpond/core/route"
 )
 
-// sessionTotals sums up the results of some sessions.
-type sessionTotals struct{ breaches, cutOff, finished, halted, stops, moves int }
+// simulationTotals sums up the results of some sessions.
+type simulationTotals struct{ breaches, cutOff, finished, halted, stops, moves int }
 
-func runSessions(t *testing.T, seeds uint64, f faults, setup func(*session)) sessionTotals {
+func runSimulations(t *testing.T, seeds uint64, f faults, setup func(*zoneSimulation)) simulationTotals {
 	t.Helper()
-	var totals sessionTotals
+	var totals simulationTotals
 	for seed := range seeds {
-		s := newSession(t, seed, f)
+		s := newZoneSimulation(t, seed, f)
 		if setup != nil {
 			setup(s)
 		}
@@ -58,18 +58,18 @@
 // lags, a rack fails during the wave, an operator moves VMs, and one entry dispatches by the
 // view that it had at the start. The rows, the VM's own refusal and the reboot's deadline
 // prevent both.
-func TestSessions(t *testing.T) {
+func TestSimulations(t *testing.T) {
 	const seeds = 60
-	totals := runSessions(t, seeds, allFaults, nil)
+	totals := runSimulations(t, seeds, allFaults, nil)
 	t.Logf("%+v of %d sessions", totals, seeds)
 	assert.Assert(t, totals.finished > seeds/2, "too few sessions finished the maintenance: %+v", totals)
 }
 
 // If VMs don't refuse work, requests from the entry with the stale view run at the time of a
 // reboot and are cut off.
-func TestSessionsWithoutRefusal(t *testing.T) {
+func TestSimulationsWithoutRefusal(t *testing.T) {
 	const seeds = 10
-	totals := runSessions(t, seeds, allFaults, func(s *session) { s.ignoreDrain = true })
+	totals := runSimulations(t, seeds, allFaults, func(s *zoneSimulation) { s.ignoreDrain = true })
 	t.Logf("VMs accept work while they drain: %+v of %d sessions", totals, seeds)
 	assert.Assert(t, totals.cutOff > 0)
 }
@@ -77,7 +77,7 @@
 // An entry must stop sending work to a leaving VM as soon as one source reports it, while
 // the other sources fail. An outage of the table must leave the view unchanged.
 func TestFleetWatcher(t *testing.T) {
-	s := newSession(t, 1, faults{})
+	s := newZoneSimulation(t, 1, faults{})
 	s.advance()
 	changes := 0
 	w := &FleetWatcher{
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -19,7 +19,7 @@
 // slowZone is a zone with 1,430 VMs. Each call to the platform takes delay on the injected
 // clock, and the other controller ticks during the calls, once per interval.
 type slowZone struct {
-	*session
+	*zoneSimulation
 	delay        time.Duration
 	otherTickAt  time.Time
 	otherTicking bool
@@ -33,7 +33,7 @@
 func newSlowZone(t *testing.T, delay time.Duration) *slowZone {
 	size := sim.Size{Zones: 1, Pools: 31, PoolVMs: 46, SpareVMs: 4, RackVMs: 4, MaxUnavailable: 4}
 	w := sim.NewWorld(1, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC), size, size.MaxUnavailable)
-	z := &slowZone{session: &session{t: t, rand: rand.New(rand.NewPCG(1, 4)), world: w}, delay: delay, otherTickAt: w.Now.Add(testStep)}
+	z := &slowZone{zoneSimulation: &zoneSimulation{t: t, rand: rand.New(rand.NewPCG(1, 4)), world: w}, delay: delay, otherTickAt: w.Now.Add(testStep)}
 	for i := range 2 {
 		z.controllers = append(z.controllers, &Controller{
 			Zone: "z0", Self: core.EntryID(fmt.Sprint("entry", i)), Table: z, Live: z, VMs: z,
@@ -56,17 +56,17 @@
 
 func (z *slowZone) Read(ctx context.Context, key table.Key) (table.Row, error) {
 	z.simulateCall()
-	return z.session.Read(ctx, key)
+	return z.zoneSimulation.Read(ctx, key)
 }
 
 func (z *slowZone) Changes(ctx context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
 	z.simulateCall()
-	return z.session.Changes(ctx, prefix, since)
+	return z.zoneSimulation.Changes(ctx, prefix, since)
 }
 
 func (z *slowZone) Transact(ctx context.Context, tx table.Transaction) error {
 	z.simulateCall()
-	return z.session.Transact(ctx, tx)
+	return z.zoneSimulation.Transact(ctx, tx)
 }
 
 // Live lists the VMs that are up. It doesn't lag.
@@ -85,7 +85,7 @@
 	if !z.otherTicking {
 		z.checked += len(requests)
 	}
-	results, err := z.session.CheckVMs(ctx, zone, requests)
+	results, err := z.zoneSimulation.CheckVMs(ctx, zone, requests)
 	if z.alterReply != nil {
 		return z.alterReply(results)
 	}
@@ -95,7 +95,7 @@
 func (z *slowZone) Status(ctx context.Context, vm fleet.Ref) (VMStatus, error) {
 	z.simulateCall()
 	z.singleChecks++
-	return z.session.Status(ctx, vm)
+	return z.zoneSimulation.Status(ctx, vm)
 }
 
 // tick runs a tick of the first controller and returns how long it took.
--- a/io/platform/fleet_rows.go
+++ b/io/platform/fleet_rows.go
@@ -26,8 +26,8 @@
 	// sortedVMs and poolsByID are derived from the rows and rebuilt after a row has changed.
 	sortedVMs []*fleet.VMRow
 	poolsByID map[core.PoolID]fleet.PoolRow
-	// unreported holds the latest state of the VM rows that changed since TakeChanged.
-	unreported map[table.Key]*fleet.VMRow
+	// changedVMs holds the latest state of the VM rows that changed since TakeChanged.
+	changedVMs map[table.Key]*fleet.VMRow
 }
 
 // Poll reads the changes to zone's VMs and to the pools.
@@ -94,11 +94,11 @@
 func (r *FleetRows) TakeChanged() []*fleet.VMRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed := make([]*fleet.VMRow, 0, len(r.unreported))
-	for _, vm := range r.unreported {
+	changed := make([]*fleet.VMRow, 0, len(r.changedVMs))
+	for _, vm := range r.changedVMs {
 		changed = append(changed, vm)
 	}
-	clear(r.unreported)
+	clear(r.changedVMs)
 	return changed
 }
 
@@ -167,10 +167,10 @@
 	if vm == nil {
 		return // A row that can't be decoded changes nothing in the watcher's view.
 	}
-	if r.unreported == nil {
-		r.unreported = make(map[table.Key]*fleet.VMRow)
+	if r.changedVMs == nil {
+		r.changedVMs = make(map[table.Key]*fleet.VMRow)
 	}
-	r.unreported[row.Key] = vm
+	r.changedVMs[row.Key] = vm
 }
 
 func (r *FleetRows) updatePool(row table.Row) {
--- a/io/platform/fleet_rows_test.go
+++ b/io/platform/fleet_rows_test.go
@@ -31,7 +31,7 @@
 // controller writes while the watcher's poll is under way, so that the poll's answer is older
 // than the write and arrives after it. The versions show which row is newer.
 func TestFleetRowsKeepWriteOverOldAnswer(t *testing.T) {
-	s := newSession(t, 1, faults{})
+	s := newZoneSimulation(t, 1, faults{})
 	key := s.world.Machines()[0].Ref.Key()
 	slow, rows, ctx := &slowTable{Table: s}, &FleetRows{}, t.Context()
 	write := func(build func(vm fleet.VMRow, pool fleet.PoolRow) (table.Transaction, error)) {
@@ -65,7 +65,7 @@
 // The entry's watcher must stop sending work to the VM nevertheless: it processes the changes
 // in the shared rows even if its poll fails.
 func TestWatcherSeesControllerWrites(t *testing.T) {
-	s := newSession(t, 1, faults{})
+	s := newZoneSimulation(t, 1, faults{})
 	rows := &FleetRows{}
 	w := &FleetWatcher{Zone: "z0", Table: s, Live: s, Now: func() time.Time { return s.world.Now }, Rows: rows}
 	c := s.controllers[0]
--- a/io/platform/session_test.go
+++ b/io/platform/simulation_test.go
@@ -52,9 +52,9 @@
 	return f.listLag + leaseIntervals*testStep + testTiming.RebootWindow + 3*testStep
 }
 
-// session is one zone with two controllers and three entries, on top of a sim.World.
+// zoneSimulation is one zone with two controllers and three entries, on top of a sim.World.
 // Controllers access the World only through methods of the session, which fail and pause.
-type session struct {
+type zoneSimulation struct {
 	t           *testing.T
 	faults      faults
 	rand        *rand.Rand
@@ -83,11 +83,11 @@
 	vms []Liveness
 }
 
-func newSession(t *testing.T, seed uint64, f faults) *session {
+func newZoneSimulation(t *testing.T, seed uint64, f faults) *zoneSimulation {
 	size := sim.Size{Name: "test", Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 6, RackVMs: 4, MaxUnavailable: 2}
 	w := sim.NewWorld(seed, time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC), size, size.MaxUnavailable)
 	w.RebootTime, w.Unseen, w.Faults = 30*time.Second, f.maxUnseen(), f.vms
-	s := &session{t: t, faults: f, rand: rand.New(rand.NewPCG(seed, 4)), world: w, views: make([]map[fleet.Ref]fleet.State, 3), moving: make(map[fleet.Ref]core.PoolID)}
+	s := &zoneSimulation{t: t, faults: f, rand: rand.New(rand.NewPCG(seed, 4)), world: w, views: make([]map[fleet.Ref]fleet.State, 3), moving: make(map[fleet.Ref]core.PoolID)}
 	for i := range 2 {
 		s.controllers = append(s.controllers, &Controller{
 			Zone: "z0", Self: core.NewEntryID(fmt.Sprint("entry", i), w.Now), Table: s, Live: s, VMs: s,
@@ -113,7 +113,7 @@
 }
 
 // run simulates up to four hours. It returns when the maintenance has ended.
-func (s *session) run() maintenance.Wave {
+func (s *zoneSimulation) run() maintenance.Wave {
 	for n := range 4 * 720 {
 		if s.faults.rackFails && n == 60 {
 			s.world.FailAll(s.world.Rack(s.rand.IntN(8)), 10*time.Minute)
@@ -129,16 +129,16 @@
 	return s.wave()
 }
 
-func (s *session) wave() maintenance.Wave {
+func (s *zoneSimulation) wave() maintenance.Wave {
 	row, err := maintenance.DecodeWave("z0", s.world.Table.Read(maintenance.WaveKey("z0")))
 	assert.NilError(s.t, err)
 	return row.Wave
 }
 
 // advance advances the World by one step and lets each entry dispatch by its own view.
-func (s *session) advance() {
+func (s *zoneSimulation) advance() {
 	s.world.Advance(testStep)
-	s.operate()
+	s.moveRandomVM()
 	for i := range s.views {
 		if s.views[i] == nil || !s.faults.staleEntry || i > 0 {
 			s.views[i] = make(map[fleet.Ref]fleet.State)
@@ -165,10 +165,10 @@
 	s.listHistory = append(s.listHistory, snapshot)
 }
 
-// operate lets an operator move a VM together with its place in the pool, in a race with
+// moveRandomVM lets an operator move a VM together with its place in the pool, in a race with
 // drains, and keeps track of the actual sizes of the pools: the place leaves the old pool with
 // the VM and counts in the new pool once the VM serves there.
-func (s *session) operate() {
+func (s *zoneSimulation) moveRandomVM() {
 	for ref, from := range s.moving {
 		vm := s.world.Row(ref).VM
 		switch {
@@ -198,7 +198,7 @@
 }
 
 // checkPools compares the pools' member counts with the VMs' rows. Each VM is in one pool.
-func (s *session) checkPools() error {
+func (s *zoneSimulation) checkPools() error {
 	members := make(map[core.PoolID]int)
 	for _, m := range s.world.Machines() {
 		members[s.world.Row(m.Ref).VM.Pool]++
@@ -213,7 +213,7 @@
 
 // pause is called between a controller's decision and its effect. At random, it lets the
 // World and the other controller continue for a while.
-func (s *session) pause() {
+func (s *zoneSimulation) pause() {
 	if s.paused || s.rand.Float64() >= s.faults.pauses {
 		return
 	}
@@ -227,30 +227,30 @@
 
 // tick runs a tick of controller i. It ignores errors, which come from lost answers and an
 // unreachable table, and which the next tick must handle.
-func (s *session) tick(i int) {
+func (s *zoneSimulation) tick(i int) {
 	before := s.active
 	s.active = i
 	_ = s.controllers[i].Tick(context.Background())
 	s.active = before
 }
 
-func (s *session) Read(_ context.Context, key table.Key) (table.Row, error) {
+func (s *zoneSimulation) Read(_ context.Context, key table.Key) (table.Row, error) {
 	s.pause()
-	return s.world.Table.Read(key), s.down()
+	return s.world.Table.Read(key), s.tableError()
 }
 
-func (s *session) Scan(_ context.Context, prefix string) ([]table.Row, table.Revision, error) {
-	return s.world.Table.Scan(prefix), s.world.Table.Revision(), s.down()
+func (s *zoneSimulation) Scan(_ context.Context, prefix string) ([]table.Row, table.Revision, error) {
+	return s.world.Table.Scan(prefix), s.world.Table.Revision(), s.tableError()
 }
 
-func (s *session) Changes(_ context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
-	return s.world.Table.Changes(prefix, since), s.world.Table.Revision(), s.down()
+func (s *zoneSimulation) Changes(_ context.Context, prefix string, since table.Revision) ([]table.Row, table.Revision, error) {
+	return s.world.Table.Changes(prefix, since), s.world.Table.Revision(), s.tableError()
 }
 
-func (s *session) Transact(_ context.Context, tx table.Transaction) error {
+func (s *zoneSimulation) Transact(_ context.Context, tx table.Transaction) error {
 	s.lastStatusVM = fleet.Ref{}
 	s.pause()
-	if err := s.down(); err != nil {
+	if err := s.tableError(); err != nil {
 		return err
 	}
 	err := s.world.Transact(tx)
@@ -260,21 +260,21 @@
 	return err
 }
 
-func (s *session) down() error {
+func (s *zoneSimulation) tableError() error {
 	if s.rand.Float64() < s.faults.tableDown {
 		return table.ErrUnreachable
 	}
 	return nil
 }
 
-func (s *session) Live(context.Context, core.ZoneID) ([]Liveness, error) {
+func (s *zoneSimulation) Live(context.Context, core.ZoneID) ([]Liveness, error) {
 	i, _ := slices.BinarySearchFunc(s.listHistory, s.world.Now.Add(-s.faults.listLag), func(l listSnapshot, at time.Time) int {
 		return l.at.Compare(at)
 	})
 	return s.listHistory[min(i, len(s.listHistory)-1)].vms, nil
 }
 
-func (s *session) Drain(_ context.Context, vm fleet.Ref, r DrainRequest) error {
+func (s *zoneSimulation) Drain(_ context.Context, vm fleet.Ref, r DrainRequest) error {
 	s.pause()
 	if s.ignoreDrain {
 		return nil
@@ -282,7 +282,7 @@
 	return s.world.Drain(vm, r.Until, r.Fence)
 }
 
-func (s *session) Status(_ context.Context, vm fleet.Ref) (VMStatus, error) {
+func (s *zoneSimulation) Status(_ context.Context, vm fleet.Ref) (VMStatus, error) {
 	status := VMStatus{Up: s.world.Machine(vm).Up, Running: s.world.Running(vm)}
 	s.pause()
 	s.lastStatusVM, s.clockReadsSinceStatus = vm, 0
@@ -290,7 +290,7 @@
 }
 
 // CheckVMs checks one VM after the other, so that pauses happen between any two.
-func (s *session) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
+func (s *zoneSimulation) CheckVMs(ctx context.Context, zone core.ZoneID, requests []CheckRequest) ([]CheckResult, error) {
 	var results []CheckResult
 	for _, request := range requests {
 		vm, roll := fleet.Ref{Zone: zone, VM: request.VM}, s.rand.Float64()
@@ -314,7 +314,7 @@
 	return results, nil
 }
 
-func (s *session) Reboot(_ context.Context, vm fleet.Ref, r RebootRequest) error {
+func (s *zoneSimulation) Reboot(_ context.Context, vm fleet.Ref, r RebootRequest) error {
 	s.pause()
 	s.pauseAt("sent", vm)
 	if s.faults.staleEntry && s.rand.IntN(4) == 0 {
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -23,10 +23,10 @@
 	running map[job.TaskID]map[job.VMID]bool
 	// done are the tasks with an attempt that ended as done, noted those of them whose end
 	// an owner has noted.
-	done, noted map[job.TaskID]bool
-	jobs        map[job.ID]*submittedJob
-	violations  []string
-	startCount  int
+	done, acknowledged map[job.TaskID]bool
+	jobs               map[job.ID]*submittedJob
+	violations         []string
+	startCount         int
 	// crashes counts the VMs that have crashed while they ran a task, startsAfterCrashLimit
 	// the starts of the task after crashLimit such crashes.
 	crashes, startsAfterCrashLimit map[job.TaskID]int
@@ -98,126 +98,126 @@
 func NewChecker() *Checker {
 	return &Checker{
 		now: time.Now, startedAt: time.Now(), running: map[job.TaskID]map[job.VMID]bool{}, done: map[job.TaskID]bool{},
-		noted: map[job.TaskID]bool{}, jobs: map[job.ID]*submittedJob{},
+		acknowledged: map[job.TaskID]bool{}, jobs: map[job.ID]*submittedJob{},
 		crashes: map[job.TaskID]int{}, startsAfterCrashLimit: map[job.TaskID]int{},
 		placements: map[job.VMID]*Placement{}, evacuated: map[job.ZoneName]time.Time{},
 	}
 }
 
 // violationf records a violated invariant. j.mu must be held.
-func (j *Checker) violationf(format string, args ...any) {
-	at := j.now().Sub(j.startedAt).Seconds()
-	j.violations = append(j.violations, fmt.Sprintf("%8.3f s  ", at)+fmt.Sprintf(format, args...))
+func (c *Checker) violationf(format string, args ...any) {
+	at := c.now().Sub(c.startedAt).Seconds()
+	c.violations = append(c.violations, fmt.Sprintf("%8.3f s  ", at)+fmt.Sprintf(format, args...))
 }
 
 // Reportf records a failure that another part of the soak test has found.
-func (j *Checker) Reportf(format string, args ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violationf(format, args...)
+func (c *Checker) Reportf(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violationf(format, args...)
 }
 
 // Violations returns the violations recorded so far.
-func (j *Checker) Violations() []string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.violations
+func (c *Checker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violations
 }
 
 // Placed records the placement of a VM that starts or restarts.
-func (j *Checker) Placed(vm job.VMID, p Placement) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.placements[vm] = &p
+func (c *Checker) Placed(vm job.VMID, p Placement) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.placements[vm] = &p
 }
 
 // Resized records a change of the capacity of a VM.
-func (j *Checker) Resized(vm job.VMID, capacity int64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	p := j.placements[vm]
-	p.previous = append(p.previous, pastCapacity{p.Capacity, j.now()})
+func (c *Checker) Resized(vm job.VMID, capacity int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.placements[vm]
+	p.previous = append(p.previous, pastCapacity{p.Capacity, c.now()})
 	p.Capacity = capacity
 }
 
 // Evacuated records the request to start no tasks in the zone. It applies once
 // evacuationLimit has passed.
-func (j *Checker) Evacuated(z job.ZoneName) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.evacuated[z] = j.now()
+func (c *Checker) Evacuated(z job.ZoneName) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.evacuated[z] = c.now()
 }
 
 // Reopened records that tasks may start in the zone again.
-func (j *Checker) Reopened(z job.ZoneName) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	delete(j.evacuated, z)
+func (c *Checker) Reopened(z job.ZoneName) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.evacuated, z)
 }
 
 // Started implements standin.Observer.
-func (j *Checker) Started(vm job.VMID, t job.TaskID, n job.Attempt, _ string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.startCount++
-	k := j.jobs[t.Job]
-	if k == nil || t.Step >= len(k.steps) {
-		j.violationf("%v starts on %s: no caller submitted this task", t, vm)
+func (c *Checker) Started(vm job.VMID, t job.TaskID, n job.Attempt, _ string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.startCount++
+	submitted := c.jobs[t.Job]
+	if submitted == nil || t.Step >= len(submitted.steps) {
+		c.violationf("%v starts on %s: no caller submitted this task", t, vm)
 		return
 	}
-	k.started = true
-	if requestedAt, ok := j.evacuated[j.placements[vm].Zone]; ok && j.now().Sub(requestedAt) > evacuationLimit {
-		j.violationf("%v starts on %s in a zone that has been evacuated for %s", t, vm, j.now().Sub(requestedAt))
+	submitted.started = true
+	if requestedAt, ok := c.evacuated[c.placements[vm].Zone]; ok && c.now().Sub(requestedAt) > evacuationLimit {
+		c.violationf("%v starts on %s in a zone that has been evacuated for %s", t, vm, c.now().Sub(requestedAt))
 	}
-	if others := j.running[t]; len(others) > 0 {
-		j.violationf("%v starts on %s as attempt %d while it runs on %v", t, vm, n, others)
+	if others := c.running[t]; len(others) > 0 {
+		c.violationf("%v starts on %s as attempt %d while it runs on %v", t, vm, n, others)
 	}
-	if j.noted[t] {
-		j.violationf("%v starts on %s as attempt %d after it was noted as done", t, vm, n)
+	if c.acknowledged[t] {
+		c.violationf("%v starts on %s as attempt %d after it was noted as done", t, vm, n)
 	}
-	for _, s := range k.steps[t.Step].After {
-		if !j.stepDone(t.Job, s, k.steps[s].Count) {
-			j.violationf("%v starts before step %d is done", t, s)
+	for _, s := range submitted.steps[t.Step].After {
+		if !c.stepDone(t.Job, s, submitted.steps[s].Count) {
+			c.violationf("%v starts before step %d is done", t, s)
 		}
 	}
-	if j.running[t] == nil {
-		j.running[t] = map[job.VMID]bool{}
+	if c.running[t] == nil {
+		c.running[t] = map[job.VMID]bool{}
 	}
-	j.running[t][vm] = true
-	j.checkCapacity(vm, t)
-	j.checkStartsAfterCrashes(vm, t)
+	c.running[t][vm] = true
+	c.checkCapacity(vm, t)
+	c.checkStartsAfterCrashes(vm, t)
 }
 
 // checkCapacity checks that a start does not overload a VM that ignores its capacity. Other
 // VMs refuse such starts themselves.
-func (j *Checker) checkCapacity(vm job.VMID, t job.TaskID) {
-	p := j.placements[vm]
+func (c *Checker) checkCapacity(vm job.VMID, t job.TaskID) {
+	p := c.placements[vm]
 	var used int64
-	for x, vms := range j.running {
+	for x, vms := range c.running {
 		if vms[vm] {
-			used += j.jobs[x.Job].steps[x.Step].CPU
+			used += c.jobs[x.Job].steps[x.Step].CPU
 		}
 	}
-	if limit := p.capacityLimit(j.now()); p.IgnoresCapacity && used > limit {
-		j.violationf("%v overloads %s: CPU %d of %d", t, vm, used, limit)
+	if limit := p.capacityLimit(c.now()); p.IgnoresCapacity && used > limit {
+		c.violationf("%v overloads %s: CPU %d of %d", t, vm, used, limit)
 	}
 }
 
 // checkStartsAfterCrashes checks that a task that crashes VMs is not started without limit.
-func (j *Checker) checkStartsAfterCrashes(vm job.VMID, t job.TaskID) {
-	if !j.jobs[t.Job].spec.CrashesVM(t) || j.crashes[t] < crashLimit {
+func (c *Checker) checkStartsAfterCrashes(vm job.VMID, t job.TaskID) {
+	if !c.jobs[t.Job].spec.CrashesVM(t) || c.crashes[t] < crashLimit {
 		return
 	}
-	j.startsAfterCrashLimit[t]++
-	if j.startsAfterCrashLimit[t] > maxStartsAfterCrashLimit {
-		j.violationf("%v starts on %s after %d VMs crashed while they ran it", t, vm, j.crashes[t])
+	c.startsAfterCrashLimit[t]++
+	if c.startsAfterCrashLimit[t] > maxStartsAfterCrashLimit {
+		c.violationf("%v starts on %s after %d VMs crashed while they ran it", t, vm, c.crashes[t])
 	}
 }
 
 // stepDone reports whether all tasks of a step are done.
-func (j *Checker) stepDone(id job.ID, step, count int) bool {
+func (c *Checker) stepDone(id job.ID, step, count int) bool {
 	for i := range count {
-		if !j.done[job.TaskID{Job: id, Step: step, Index: i}] {
+		if !c.done[job.TaskID{Job: id, Step: step, Index: i}] {
 			return false
 		}
 	}
@@ -225,83 +225,83 @@
 }
 
 // Ended implements standin.Observer.
-func (j *Checker) Ended(vm job.VMID, t job.TaskID, _ job.Attempt, how string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	delete(j.running[t], vm)
+func (c *Checker) Ended(vm job.VMID, t job.TaskID, _ job.Attempt, how string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.running[t], vm)
 	switch how {
 	case "done":
-		j.done[t] = true
+		c.done[t] = true
 	case "lost":
-		j.crashes[t]++
+		c.crashes[t]++
 	}
 }
 
 // Noted implements standin.Observer.
-func (j *Checker) Noted(t job.TaskID, how string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) Noted(t job.TaskID, how string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if how == "done" {
-		j.noted[t] = true
+		c.acknowledged[t] = true
 	}
 }
 
 // Submitting records a job before its first submission.
-func (j *Checker) Submitting(id job.ID, spec standin.Spec, steps []standin.StepBody) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.jobs[id] = &submittedJob{spec: spec, steps: steps}
+func (c *Checker) Submitting(id job.ID, spec standin.Spec, steps []standin.StepBody) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[id] = &submittedJob{spec: spec, steps: steps}
 }
 
 // SubmitAnswered records the HTTP status of a submission; 0 means no answer.
-func (j *Checker) SubmitAnswered(id job.ID, status int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) SubmitAnswered(id job.ID, status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case status == 200:
-		j.jobs[id].accepted = true
+		c.jobs[id].accepted = true
 	case status != 429 && status != 503:
-		j.jobs[id].unknown = true
+		c.jobs[id].unknown = true
 	}
 }
 
 // Cancelling records that a caller is about to cancel a job.
-func (j *Checker) Cancelling(id job.ID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.jobs[id].cancelled = true
+func (c *Checker) Cancelling(id job.ID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[id].cancelled = true
 }
 
 // StateReturned checks the answer to a request for the state of a job.
-func (j *Checker) StateReturned(id job.ID, status int, state string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	k := j.jobs[id]
+func (c *Checker) StateReturned(id job.ID, status int, state string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	submitted := c.jobs[id]
 	switch {
-	case status == 410 && k.accepted:
-		j.violationf("%s was accepted, but the system has forgotten it", id)
+	case status == 410 && submitted.accepted:
+		c.violationf("%s was accepted, but the system has forgotten it", id)
 	case status != 200:
 		return
 	case state == "completed":
-		for s := range k.steps {
-			if !j.stepDone(id, s, k.steps[s].Count) {
-				j.violationf("%s is shown as completed, but step %d is not done", id, s)
+		for s := range submitted.steps {
+			if !c.stepDone(id, s, submitted.steps[s].Count) {
+				c.violationf("%s is shown as completed, but step %d is not done", id, s)
 			}
 		}
-	case state == "cancelled" && !k.cancelled:
-		j.violationf("%s is shown as cancelled, but its caller did not cancel it", id)
-	case state == "failed" && !j.mayFail(id):
-		j.violationf("%s is shown as failed, but no task may be given up", id)
+	case state == "cancelled" && !submitted.cancelled:
+		c.violationf("%s is shown as cancelled, but its caller did not cancel it", id)
+	case state == "failed" && !c.mayFail(id):
+		c.violationf("%s is shown as failed, but no task may be given up", id)
 		return
 	}
 	if state == "completed" || state == "cancelled" || state == "failed" {
-		k.final = state
+		submitted.final = state
 	}
 }
 
 // mayFail reports whether enough VMs have crashed while they ran one of the job's tasks.
-func (j *Checker) mayFail(id job.ID) bool {
-	for t, n := range j.crashes {
+func (c *Checker) mayFail(id job.ID) bool {
+	for t, n := range c.crashes {
 		if t.Job == id && n >= minCrashesToFail {
 			return true
 		}
@@ -311,20 +311,20 @@
 
 // Unfinished describes the accepted jobs that have no final state and the long-running tasks
 // that do not run. It leaves out jobs with a task that crashes VMs.
-func (j *Checker) Unfinished() []string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) Unfinished() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []string
-	for id, k := range j.jobs {
+	for id, submitted := range c.jobs {
 		switch {
-		case !k.accepted || k.cancelled || k.spec.Crash != nil:
-		case k.spec.LongRunning:
-			for i := range k.steps[0].Count {
-				if t := (job.TaskID{Job: id, Index: i}); len(j.running[t]) == 0 {
+		case !submitted.accepted || submitted.cancelled || submitted.spec.Crash != nil:
+		case submitted.spec.LongRunning:
+			for i := range submitted.steps[0].Count {
+				if t := (job.TaskID{Job: id, Index: i}); len(c.running[t]) == 0 {
 					out = append(out, fmt.Sprintf("%v is long-running and does not run", t))
 				}
 			}
-		case k.final == "":
+		case submitted.final == "":
 			out = append(out, fmt.Sprintf("%s was accepted and has not finished", id))
 		}
 	}
@@ -333,14 +333,14 @@
 
 // Settled reports whether all accepted jobs have finished or, if long-running, run. Jobs with
 // a task that crashes VMs must have finished.
-func (j *Checker) Settled() bool {
-	if len(j.Unfinished()) > 0 {
+func (c *Checker) Settled() bool {
+	if len(c.Unfinished()) > 0 {
 		return false
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, k := range j.jobs {
-		if k.accepted && !k.cancelled && k.spec.Crash != nil && k.final == "" {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, submitted := range c.jobs {
+		if submitted.accepted && !submitted.cancelled && submitted.spec.Crash != nil && submitted.final == "" {
 			return false
 		}
 	}
@@ -348,34 +348,34 @@
 }
 
 // Finish does the checks that are possible only at the end of the soak test.
-func (j *Checker) Finish() {
-	for _, o := range j.Unfinished() {
-		j.Reportf("at the end: %s", o)
+func (c *Checker) Finish() {
+	for _, o := range c.Unfinished() {
+		c.Reportf("at the end: %s", o)
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for id, k := range j.jobs {
-		if k.started && !k.accepted && !k.unknown {
-			j.violationf("%s has run, but all its submissions were refused", id)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, submitted := range c.jobs {
+		if submitted.started && !submitted.accepted && !submitted.unknown {
+			c.violationf("%s has run, but all its submissions were refused", id)
 		}
 	}
 }
 
 // Summary returns the counts of jobs and starts as text.
-func (j *Checker) Summary() string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) Summary() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	accepted, completed, crashing := 0, 0, 0
-	for _, k := range j.jobs {
-		if k.accepted {
+	for _, submitted := range c.jobs {
+		if submitted.accepted {
 			accepted++
 		}
-		if k.final == "completed" {
+		if submitted.final == "completed" {
 			completed++
 		}
-		if k.accepted && k.spec.Crash != nil {
+		if submitted.accepted && submitted.spec.Crash != nil {
 			crashing++
 		}
 	}
-	return fmt.Sprintf("%d jobs, %d accepted, %d completed, %d with a task that crashes VMs, %d starts", len(j.jobs), accepted, completed, crashing, j.startCount)
+	return fmt.Sprintf("%d jobs, %d accepted, %d completed, %d with a task that crashes VMs, %d starts", len(c.jobs), accepted, completed, crashing, c.startCount)
 }
--- a/io/soak/faults.go
+++ b/io/soak/faults.go
@@ -168,10 +168,10 @@
 	var g supervisor.Group
 	defer g.Wait()
 	for ctx.Err() == nil {
-		x := faults[rng.IntN(len(faults))]
-		duration := x.extraDuration + minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
-		description, end := x.inject(f, rng)
-		report(fmt.Sprintf("%s %s for %s", x.name, description, duration.Round(time.Millisecond)))
+		kind := faults[rng.IntN(len(faults))]
+		duration := kind.extraDuration + minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
+		description, end := kind.inject(f, rng)
+		report(fmt.Sprintf("%s %s for %s", kind.name, description, duration.Round(time.Millisecond)))
 		g.Go(func() {
 			supervisor.Sleep(ctx, duration)
 			end()
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -86,17 +86,17 @@
 // fleet is the system under test: daemons, VMs, the stand-ins of the platform and the links
 // between them.
 type fleet struct {
-	binary        string
-	folder        string
-	table         *standin.Table
-	cloud         *standin.Machines
-	checker       *Checker
-	entries       []*entry
-	machines      []*machine
-	rng           *rand.Rand
-	servers       []*http.Server
-	group         supervisor.Group
-	configVersion int
+	binary          string
+	folder          string
+	table           *standin.Table
+	machinesService *standin.Machines
+	checker         *Checker
+	entries         []*entry
+	machines        []*machine
+	rng             *rand.Rand
+	servers         []*http.Server
+	group           supervisor.Group
+	configVersion   int
 	// mu guards rng and evacuated. evacuated counts the evacuation requests in force for
 	// each availability zone.
 	mu        sync.Mutex
@@ -168,10 +168,10 @@
 )
 
 // serveLink serves a link until ctx ends.
-func (f *fleet) serveLink(ctx context.Context, l *link.Link, x link.Forward) {
+func (f *fleet) serveLink(ctx context.Context, l *link.Link, forward link.Forward) {
 	var err error
 	for range maxLinkAttempts {
-		if err = l.Serve(ctx, x); err == nil || !supervisor.Sleep(ctx, linkRetryDelay) {
+		if err = l.Serve(ctx, forward); err == nil || !supervisor.Sleep(ctx, linkRetryDelay) {
 			return
 		}
 	}
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	cloud, err := f.serve(f.cloud)
+	machinesAddress, err := f.serve(f.machinesService)
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 	}
 	f.publishMachines()
 	for i := range entries {
-		if err := f.addEntry(ctx, i, table, cloud); err != nil {
+		if err := f.addEntry(ctx, i, table, machinesAddress); err != nil {
 			return err
 		}
 	}
@@ -306,14 +306,14 @@
 	var list []job.Machine
 	for _, m := range f.machines {
 		m.mu.Lock()
-		x := job.Machine{ID: job.MachineID(m.name), Pool: standin.Pool, State: job.MachineUp, Zone: m.zone, VM: m.vm.ID, Capacity: job.Resources{CPU: vmCapacity}}
+		listed := job.Machine{ID: job.MachineID(m.name), Pool: standin.Pool, State: job.MachineUp, Zone: m.zone, VM: m.vm.ID, Capacity: job.Resources{CPU: vmCapacity}}
 		if m.down {
-			x.State, x.VM = "down", ""
+			listed.State, listed.VM = "down", ""
 		}
 		m.mu.Unlock()
-		list = append(list, x)
+		list = append(list, listed)
 	}
-	f.cloud.Set(list)
+	f.machinesService.Set(list)
 }
 
 // reconfigure writes the configuration with a new version.
@@ -348,7 +348,7 @@
 }
 
 // addEntry sets up the links and the settings file of a daemon.
-func (f *fleet) addEntry(ctx context.Context, i int, table, cloud netip.AddrPort) error {
+func (f *fleet) addEntry(ctx context.Context, i int, table, machinesAddress netip.AddrPort) error {
 	e := &entry{name: fmt.Sprintf("entry-%d", i), exited: make(chan struct{})}
 	close(e.exited)
 	front, err := freeAddress()
@@ -359,11 +359,11 @@
 	if err != nil {
 		return err
 	}
-	var tableAt, cloudAt netip.AddrPort
+	var tableAt, machinesAt netip.AddrPort
 	if e.tableLink, tableAt, err = f.addLink(ctx, e.name+"-table", table); err != nil {
 		return err
 	}
-	if e.machinesLink, cloudAt, err = f.addLink(ctx, e.name+"-machines", cloud); err != nil {
+	if e.machinesLink, machinesAt, err = f.addLink(ctx, e.name+"-machines", machinesAddress); err != nil {
 		return err
 	}
 	if e.frontLink, e.callerAddress, err = f.addLink(ctx, e.name+"-front", front); err != nil {
@@ -376,7 +376,7 @@
 	if err != nil {
 		return err
 	}
-	text := standin.SettingsText(e.name, string(f.zone(i)), peer, front.String(), ready.String(), tableAt.String(), cloudAt.String())
+	text := standin.SettingsText(e.name, string(f.zone(i)), peer, front.String(), ready.String(), tableAt.String(), machinesAt.String())
 	return errors.Wrap(os.WriteFile(e.settingsFile, []byte(text), 0o600), "write settings of daemon")
 }
 
--- a/io/soak/soak.go
+++ b/io/soak/soak.go
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	f := &fleet{
-		binary: s.Binary, folder: s.Folder, table: standin.NewTable(), cloud: &standin.Machines{},
+		binary: s.Binary, folder: s.Folder, table: standin.NewTable(), machinesService: &standin.Machines{},
 		checker: NewChecker(), rng: rand.New(rand.NewPCG(s.Seed, 1)),
 	}
 	defer f.close()
