--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -99,7 +99,7 @@
 	return Call
 }
 
-// allowProbe lets one call through per pause.
+// allowProbe lets one call through per interval.
 func allowProbe(now time.Time, next *time.Time, interval time.Duration) Decision {
 	if now.Before(*next) {
 		return Refuse
--- a/core/emulator/capacity.go
+++ b/core/emulator/capacity.go
@@ -52,7 +52,7 @@
 }
 
 // capacityLimit returns the most that may run on the VM. A decrease of the capacity counts
-// once the entry VMs must know of it, an increase at once.
+// once the entry VMs must know of it, an increase immediately.
 func (v *vm) capacityLimit() job.Resources {
 	limit := v.capacity()
 	for i := len(v.capacities) - 1; i > 0; i-- {
--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -18,14 +18,14 @@
 	// evacuationLimit is how long tasks may still start in an availability zone after the
 	// request to evacuate it.
 	evacuationLimit time.Duration
-	// running are the attempts of each task that run.
+	// running are the current runs of each task.
 	running map[job.TaskID][]*taskRun
-	// doneAt is when each task was first done. notedDone are the tasks whose end as done
-	// an owner has noted.
+	// doneAt is when each task was first done. acknowledgedDone are the tasks whose end as
+	// done an owner has acknowledged.
 	doneAt           map[job.TaskID]time.Time
 	acknowledgedDone map[job.TaskID]bool
-	// failedRuns counts the attempts of each task that failed, notedFailed those of them
-	// that an owner has noted.
+	// failedRuns counts the failed runs of each task, acknowledgedFailures those of them
+	// whose end an owner has acknowledged.
 	failedRuns, acknowledgedFailures map[job.TaskID]int
 	// crashes counts the VMs that crashed while they ran each task, startsAfterCrashLimit
 	// the starts of crashing tasks after crashLimit such crashes.
@@ -65,7 +65,7 @@
 }
 
 // taskStarted checks a start: the task does not run already, and no end of it as done was
-// noted; the steps before it are done; the VM, its zone and its job may take the start; and
+// acknowledged; the steps before it are done; the VM, its zone and its job may take the start; and
 // the account stays within its quota.
 func (c *checker) taskStarted(v *vm, r *taskRun) {
 	t := c.w.jobs[r.task.Job]
@@ -129,7 +129,7 @@
 	}
 }
 
-// removeRun removes an attempt from those that run.
+// removeRun removes a run that is over from the current ones.
 func (c *checker) removeRun(r *taskRun) {
 	runs := c.running[r.task]
 	for i, other := range runs {
@@ -142,7 +142,7 @@
 	}
 }
 
-// taskEnded records the end of an attempt.
+// taskEnded records the end of a run.
 func (c *checker) taskEnded(_ *vm, r *taskRun, how job.Ending) {
 	c.removeRun(r)
 	switch {
@@ -153,11 +153,12 @@
 	}
 }
 
-// runLost records an attempt that was lost with its VM. The task may be started again.
+// runLost records a run that was lost with its VM. The task may be started again.
 func (c *checker) runLost(_ *vm, r *taskRun) { c.removeRun(r) }
 
-// endAcknowledged records that an owner has noted an end, which occurred at ended. It checks that
-// the task was not started again since, unless the lease of its VM was found expired since.
+// endAcknowledged records that an owner has acknowledged an end, which occurred at ended. It
+// checks that the task was not started again since, unless the lease of its VM was found
+// expired since.
 func (c *checker) endAcknowledged(v *vm, e job.End, ended time.Time) {
 	if e.How == job.EndedFailed {
 		c.acknowledgedFailures[e.Task]++
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -27,8 +27,8 @@
 	maxRestartDelay = 8 * time.Second
 )
 
-// scheduleCrash schedules the crash of a VM by a task that runs on it, which does not happen
-// if the attempt ends before. Until then the task reports progress like any other.
+// scheduleCrash schedules the crash of a VM by a task that runs on it. The VM does not
+// crash if the run ends before. Until the crash the task reports progress like any other.
 func (v *vm) scheduleCrash(r *taskRun, runTime time.Duration) {
 	r.runTime = runTime
 	v.w.after(v.w.randomBetween(minCrashDelay, maxCrashDelay), func() {
--- a/core/emulator/entry_vm.go
+++ b/core/emulator/entry_vm.go
@@ -12,7 +12,7 @@
 const (
 	// pollInterval is the time between two reads of the row of the owner by other entry VMs.
 	pollInterval = 150 * time.Millisecond
-	// tickInterval is the time between two iterations of the loop of the owner,
+	// tickInterval is the time between two scheduling rounds of the owner,
 	// renewInterval that between two renewals of its ownership.
 	tickInterval  = 40 * time.Millisecond
 	renewInterval = 250 * time.Millisecond
--- a/core/emulator/failing_jobs.go
+++ b/core/emulator/failing_jobs.go
@@ -17,8 +17,8 @@
 	return false
 }
 
-// checkMaxAttempts checks that a task is not started after an owner has noted the failure of
-// all its attempts.
+// checkMaxAttempts checks that a task is not started after an owner has acknowledged the
+// failure of all its attempts.
 func (c *checker) checkMaxAttempts(t *trackedJob, r *taskRun) {
 	if n := c.acknowledgedFailures[r.task]; !r.longRunning && n >= t.Terms.MaxAttempts {
 		c.violationf("%v attempt %d starts after the failure of %d attempts was noted", r.task, r.attempt, n)
@@ -41,7 +41,7 @@
 const soleTaskCPU = vmCPU * 6 / 10
 
 // enlargeTasks makes the tasks of the job so large that each runs on a VM of its own. An end
-// is then noted at once, even while ends of other tasks are not stored yet.
+// is then acknowledged immediately, even while ends of other tasks are not stored yet.
 func (t *trackedJob) enlargeTasks() {
 	for i := range t.Body.Steps {
 		t.Body.Steps[i].Resources.CPU = soleTaskCPU
--- a/core/emulator/fault.go
+++ b/core/emulator/fault.go
@@ -73,7 +73,7 @@
 const cutCrashShare = 0.4
 
 // RandomCutsWithCrashes returns n random cuts of the owner from the table, each followed by
-// crashes of VMs within a second, before another process takes over. What only the previous
+// crashes of VMs within a second, before another process takes over. What only the former
 // owner knows of these VMs is lost.
 func RandomCutsWithCrashes(seed uint64, length time.Duration, n int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 5))
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -11,12 +11,12 @@
 	"lavenderpond/core/schedule"
 )
 
-// owner is the state of an entry VM while it owns the fleet, for one term of ownership.
+// owner is the state of an entry VM while it owns the fleet, for one tenure.
 type owner struct {
 	entryVM *entryVM
 	run     int
 	// fence is the version of the row that made it the owner, renewal that of its last
-	// renewal. turn numbers the terms of ownership, batch the commits of this one.
+	// renewal. tenureNumber counts the takeovers, batch the commits of this tenure.
 	fence        int64
 	renewal      int64
 	tenureNumber int64
@@ -36,7 +36,7 @@
 	ended bool
 }
 
-// loadState reads what the previous owner stored, and starts the loops of the owner.
+// loadState reads what former owners stored, and starts the loops of the owner.
 func (o *owner) loadState() {
 	e, t := o.entryVM, o.entryVM.w.table
 	e.callTable(2*time.Second, false, func() { o.restore(t) }, func(ok bool) {
@@ -125,7 +125,7 @@
 	o.vmChangesRead = len(t.vmChanges)
 }
 
-// tick is one iteration of the owner's loop. The owner learns of changes only while it can
+// tick runs one scheduling round and schedules the next one. The owner learns of changes only while it can
 // reach the table.
 func (o *owner) tick() {
 	o.entryVM.callIfRunning(o.run, func() {
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -19,7 +19,7 @@
 	EntryVMs, VMsPerPool, StandbyMachines int
 	// JobsPerSecond is the mean rate of submissions to each of the two queues.
 	JobsPerSecond float64
-	// Burst multiplies the rate of each queue in turn; 0 means no bursts.
+	// Burst multiplies the rate of one queue after the other; 0 means no bursts.
 	Burst float64
 	// LongRunning is the number of long-running jobs in each of the two queues.
 	LongRunning int
@@ -61,7 +61,7 @@
 	// failingTask is the one task of the job that always fails, crashingTask the one that
 	// crashes every VM that starts it. Both are noTask for other jobs.
 	failingTask, crashingTask job.TaskID
-	// failureRate is the probability that an attempt of a task fails without other cause.
+	// failureRate is the probability that a run of a task fails without other cause.
 	// meanRunTime is the run time of the tasks, from which each differs slightly.
 	failureRate float64
 	meanRunTime time.Duration
@@ -69,7 +69,7 @@
 
 // runTime returns how long a task runs on a VM of normal speed.
 func (t *trackedJob) runTime(id job.TaskID) time.Duration {
-	// Tasks of a step differ slightly; all attempts of a task take equally long.
+	// Tasks of a step differ slightly; all runs of a task take equally long.
 	spread := 0.85 + 0.3*float64((id.Index*7+id.Step*3)%10)/10
 	return time.Duration(float64(t.meanRunTime) * spread)
 }
@@ -207,7 +207,7 @@
 		at := time.Duration(0)
 		for at < sc.Length {
 			rate := sc.JobsPerSecond
-			// The queues have bursts in turn, four seconds each.
+			// The queues have bursts one after the other, four seconds each.
 			if sc.Burst > 0 && int(at/(4*time.Second))%4 == q {
 				rate *= sc.Burst
 			}
--- a/core/emulator/scenario_test.go
+++ b/core/emulator/scenario_test.go
@@ -164,7 +164,7 @@
 //   - 2012: a VM that a new owner had no report of counted as empty, and its machine
 //     went into maintenance while tasks ran;
 //   - 3111: a restarted VM accepted a start; its lease was computed from the clock of the
-//     previous run of the VM, and the task was started a second time;
+//     previous life of the VM, and the task was started a second time;
 //   - 1059: after two takeovers in a row, the second new owner did not know of the first
 //     one's orders for a machine;
 //   - 3025: a new owner did not count tasks on unreachable VMs against the quota of their
@@ -173,12 +173,12 @@
 //     last job did; runs therefore continue until all jobs have finished, up to about four
 //     minutes;
 //   - 2034, 2066: a start without an answer reached a VM restarted under the same ID;
-//   - 5016, 5020, 5090: the end of a done task was noted before the failure of its job was
-//     stored, and the next owner started the task again.
+//   - 5016, 5020, 5090: the end of a done task was acknowledged before the failure of its job
+//     was stored, and the next owner started the task again.
 func TestRegressionSeeds(t *testing.T) {
 	runSeeds(t, []uint64{1003, 1050, 1055, 1059, 2012, 2034, 2066, 3025, 3068, 3111, 3166, 5016, 5020, 5090})
 }
 
-// Guards against lost ends of tasks: a late hold order for the previous run of a VM reaches the
+// Guards against lost ends of tasks: a late hold order for the previous life of a VM reaches the
 // restarted VM, which then forgets ends that no owner has seen.
 func TestLateHoldToRestartedVM(t *testing.T) { runSeeds(t, []uint64{2050, 8009}) }
--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -39,7 +39,7 @@
 	refused map[*entryVM]bool
 }
 
-// ownerRow says which process owns the fleet. turn numbers the terms of ownership.
+// ownerRow says which process owns the fleet. tenureNumber counts the takeovers.
 type ownerRow struct {
 	entryVM      string
 	run          int
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -37,7 +37,7 @@
 	lastOrderAt time.Time
 }
 
-// vm is one run of a VM, from its start to its crash or removal. A VM that starts again
+// vm is one life of a VM, from its start to its crash or removal. A VM that starts again
 // is another vm, possibly under the same ID.
 type vm struct {
 	w         *World
@@ -55,8 +55,8 @@
 	lease job.VMClock
 	// capacities has all capacities so far, the current one last.
 	capacities []capacityChange
-	// runs are the attempts that run, unnotedEnds the ends that no owner has noted yet.
-	// lastEnd is the number of the latest end.
+	// runs are the current runs, unacknowledgedEnds the ends that no owner has acknowledged
+	// yet. lastEnd is the number of the latest end.
 	runs               []*taskRun
 	unacknowledgedEnds []job.End
 	lastEnd            int64
@@ -74,15 +74,15 @@
 	hanging  bool
 }
 
-// taskRun is an attempt of a task that runs on a VM.
+// taskRun is a run of a task on a VM.
 type taskRun struct {
 	task      job.TaskID
 	attempt   job.Attempt
 	startedAt time.Time
-	// runTime is the time from the start to the planned end of the attempt; 0 if it hangs or
-	// is long-running and has none.
+	// runTime is the time from the start to the planned end; 0 if the run hangs or is
+	// long-running and has no planned end.
 	runTime time.Duration
-	// fails is set if the attempt will end as failed.
+	// fails is set if the run will end as failed.
 	fails       bool
 	resources   job.Resources
 	longRunning bool
@@ -97,7 +97,7 @@
 	return job.VMClock(float64(v.w.now.Sub(v.startedAt).Milliseconds()) * v.clockRate)
 }
 
-// used returns the resources of all running attempts.
+// used returns the resources of all current runs.
 func (v *vm) used() job.Resources {
 	var sum job.Resources
 	for _, r := range v.runs {
@@ -144,7 +144,7 @@
 	w.after(10*time.Millisecond, func() { w.checkLease(v) })
 }
 
-// endRun ends an attempt and adds it to the ends to report.
+// endRun ends a run and adds its end to those to report.
 func (v *vm) endRun(r *taskRun, how job.Ending) {
 	v.runs = slices.DeleteFunc(v.runs, func(o *taskRun) bool { return o == r })
 	v.lastEnd++
@@ -235,8 +235,8 @@
 	return v.newReport(job.NotRefused)
 }
 
-// scheduleEnd schedules the end of an attempt. One that fails does so after half its run
-// time; hanging and long-running attempts have no end.
+// scheduleEnd schedules the end of a run. One that fails does so after half its run time;
+// hanging runs and those of long-running tasks have no planned end.
 func (v *vm) scheduleEnd(r *taskRun, runTime time.Duration) {
 	if v.hanging {
 		return
@@ -260,7 +260,7 @@
 	})
 }
 
-// progressPercent returns the reported progress. A long-running attempt reports 100 once its
+// progressPercent returns the reported progress. A long-running task reports 100 once its
 // startup is over.
 func (r *taskRun) progressPercent(now time.Time) int {
 	ran := now.Sub(r.startedAt)
@@ -273,7 +273,7 @@
 	return int(min(99, 100*ran/r.runTime))
 }
 
-// stopTask carries out a stop order. The attempt ends some time later, within taskStopMax.
+// stopTask carries out a stop order. The run ends some time later, within taskStopMax.
 func (v *vm) stopTask(t job.TaskID, a job.Attempt, f job.Fence) job.Report {
 	if v.rejectsFence(f) {
 		return v.newReport(job.RefusedStaleFence)
@@ -294,7 +294,7 @@
 }
 
 // hold carries out a hold order: it extends the lease, forgets the ends that the owner has
-// noted, and answers once there is an end to report or the wait is over.
+// acknowledged, and answers once there is an end to report or the wait is over.
 func (v *vm) hold(o job.HoldOrder, answer func(job.Report)) {
 	if v.rejectsFence(o.Fence) {
 		answer(v.newReport(job.RefusedStaleFence))
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -31,7 +31,7 @@
 // if there is none.
 type Checkpoint string
 
-// Attempt numbers the starts of a task, beginning with 1.
+// Attempt numbers the starts of a task. A later start has a higher number.
 type Attempt int64
 
 // Resources is an amount of each kind of VM resource.
--- a/core/job/machine.go
+++ b/core/job/machine.go
@@ -21,7 +21,7 @@
 	WaveCompleted
 )
 
-// MachineID identifies a machine. A machine runs as one VM after another.
+// MachineID identifies a machine. A machine runs one VM after another.
 type MachineID string
 
 // MachineState is the state of a machine as reported by the platform.
@@ -43,7 +43,7 @@
 	Zone     ZoneName
 	Labels   []Label
 	Capacity Resources
-	// VM identifies the VM that the machine currently runs as; empty if it is off.
+	// VM identifies the VM that the machine currently runs; empty if there is none.
 	VM VMID
 }
 
--- a/core/job/state.go
+++ b/core/job/state.go
@@ -84,7 +84,7 @@
 }
 
 // TaskFailures lists the failed runs of one task. It stores the attempts instead of a
-// count, because VMs report ends that the former owner has stored to the new owner again.
+// count, because VMs report an end to a new owner again even if a former owner stored it.
 type TaskFailures struct {
 	Occurrence int       `json:"k,omitempty"`
 	Step       int       `json:"s"`
--- a/core/job/vm.go
+++ b/core/job/vm.go
@@ -95,9 +95,11 @@
 	EndedStopped
 	// EndedLeaseExpired means that the VM ended the run because its lease expired.
 	EndedLeaseExpired
-	// EndedGangBroken is the platform's ending "broken". The task starts again.
+	// EndedGangBroken means that a gang member ended because another member of its gang
+	// ended. The task starts again.
 	EndedGangBroken
-	// EndedGangTimeout means that a gang member gave up waiting for the other members.
+	// EndedGangTimeout means that a gang member gave up waiting for the other members of its
+	// gang.
 	EndedGangTimeout
 )
 
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -29,8 +29,8 @@
 	// accept compression. Compressing smaller answers with gzip costs a tenth of the
 	// entry's processor time.
 	compressMinBytes = 16 << 10
-	// base64GrowthQuarters bounds the size of a body in the JSON codec, which encodes it in
-	// base64. It is in quarters of the body's own size.
+	// base64GrowthQuarters is the factor, in quarters, by which a body may grow in the JSON
+	// codec, which encodes it in base64.
 	base64GrowthQuarters = 6
 )
 
--- a/io/operator/budget_test.go
+++ b/io/operator/budget_test.go
@@ -15,8 +15,8 @@
 	pb "lavenderpond/io/gen/lavenderpond/v1"
 )
 
-// TestSyncBudgets checks that a sync follows the begin and the end of an exception, and
-// that it never overwrites a newer budget. An operator lowers the budget while a sync is
+// TestSyncBudgets checks that a sync follows the beginning and the end of an exception,
+// and that it never overwrites a newer budget. An operator lowers the budget while a sync is
 // at work. Without the check of the head row, the sync restores the old budget, which
 // permits one drain too many.
 func TestSyncBudgets(t *testing.T) {
@@ -60,7 +60,7 @@
 // TestSyncBudgetsCost bounds the table calls of a sync. With hundreds of pools and a
 // change every 20 s, a controller that reads all configuration and pools for each change
 // would use up the table's read capacity. A round without a difference reads nothing,
-// also after a change of a team. The begin and the end of an exception on a pool each
+// also after a change of a team. The beginning and the end of an exception on a pool each
 // cost one read and one write of that pool.
 func TestSyncBudgetsCost(t *testing.T) {
 	h := newHistory(1, &Server{})
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestExportDeletes guards against three failures: the monitor misses a change for good,
-// an operator's repeated change is applied twice, or the table grows without end. For
+// an operator's repeated change is applied twice, or the table grows without bound. For
 // some days operators make changes while two exporters copy and delete, also in the
 // middle of each other's rounds. The table and the object store are down at times and
 // lose answers, and the store loses objects that it had confirmed. The test also shows
--- a/io/operator/export_test.go
+++ b/io/operator/export_test.go
@@ -44,8 +44,8 @@
 }
 
 // TestExport checks that every accepted change reaches the object store as the table has
-// it, while the table and the store fail at times and two entries export at once. If the
-// progress is saved before the objects are stored, records are missing for good.
+// it, while the table and the store fail at times and two entries export concurrently. If
+// the progress is saved before the objects are stored, records are missing for good.
 func TestExport(t *testing.T) {
 	missing := func(seed uint64, saveProgressFirst bool) int {
 		h := newHistory(seed, &Server{})
--- a/io/operator/lists.go
+++ b/io/operator/lists.go
@@ -200,8 +200,8 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Number of records that ListAudit returns by default and at most. The number of all
-// records grows without end.
+// Number of records that ListAudit returns by default and at most. The
+// total number of records grows without bound.
 const (
 	defaultAuditCount = 50
 	maxAuditCount     = 1000
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -72,7 +72,7 @@
 	Entry     core.EntryID
 	Zone      core.ZoneID
 	Confirmed bool
-	// Detail is the reason if it isn't confirmed.
+	// Detail says why it isn't confirmed; empty if it is.
 	Detail string
 }
 
--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -282,7 +282,7 @@
 
 // findEnded returns an event for each entry of this zone that holds allotments and has
 // ended according to the live list: the list has its name with a later start, or
-// doesn't have it any more.
+// no longer has it.
 func (a *Allotments) findEnded(ctx context.Context) []limit.Event {
 	live, err := a.Live.Live(ctx, a.Ledger.Zone)
 	if err != nil {
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -19,7 +19,7 @@
 type ApplyResult struct {
 	// Version is the configuration version that contains the change.
 	Version core.Version `json:"version"`
-	// Repeated is true if the change had already taken effect earlier under its change id.
+	// Repeated is true if the change had already taken effect under its change id.
 	Repeated bool `json:"before,omitempty"`
 }
 
--- a/io/platform/config_watcher.go
+++ b/io/platform/config_watcher.go
@@ -113,8 +113,8 @@
 func (w *ConfigWatcher) recordWithdrawal(ctx context.Context, withdrawal key.Withdrawal, row table.Row) error {
 	k := config.Key{Team: withdrawal.Team}
 	if err := row.Decode(&k); err != nil || k.Withdrawn || k.Team == "" {
-		// The withdrawal is recorded by now and read with the next poll, or the key is of
-		// no known team, so that no request can use it.
+		// The table has the withdrawal already, and the next poll will read it. Or the key
+		// belongs to no known team, so that no request can use it.
 		return err
 	}
 	author := withdrawal.Author
--- a/io/platform/configuration.go
+++ b/io/platform/configuration.go
@@ -21,7 +21,7 @@
 	// Skew is the maximum difference between the clocks of two machines.
 	Skew time.Duration
 	// OnWithdrawn receives the keys that were withdrawn, so that queued requests that use
-	// them are refused at once. It is called without the lock.
+	// them are refused immediately. It is called without the lock.
 	OnWithdrawn func([]core.KeyDigest)
 	// OnChange is called without the lock after the view changed.
 	OnChange func()
--- a/io/platform/controller_check.go
+++ b/io/platform/controller_check.go
@@ -12,8 +12,8 @@
 // Bounds of a tick's status checks.
 const (
 	// maxChecksPerTick bounds the VMs that are checked in a tick; the others come first in
-	// the next one. Otherwise, a zone of 1,430 VMs that returns all at once would keep the
-	// controller from planning, and occupy its network, for minutes.
+	// the next one. Otherwise, a zone of 1,430 VMs that all return at the same time would
+	// keep the controller from planning, and occupy its network, for minutes.
 	maxChecksPerTick = 256
 	// maxChecksPerCall bounds the VMs of one call, so that the platform can answer it
 	// within a request's timeout.
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -13,7 +13,7 @@
 	"lavenderpond/core/route"
 )
 
-// simulationTotals sums up the results of some sessions.
+// simulationTotals sums up the results of some simulations.
 type simulationTotals struct{ breaches, cutOff, finished, halted, stops, moves int }
 
 func runSimulations(t *testing.T, seeds uint64, f faults, setup func(*zoneSimulation)) simulationTotals {
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -127,7 +127,7 @@
 
 // A zone of 1,430 VMs fails and later returns as a whole. If each VM were checked by a call
 // of its own, the controller's tick would outlast its lease: the second entry would start to
-// do the same work, the transactions of the two would fail in turn, and callers would wait
+// do the same work, the transactions of the two would conflict, and callers would wait
 // for the zone's VMs. With bulk checks that are bounded per tick, and a lease that is
 // renewed between them, one controller must record all VMs as failed and later return all of
 // them to service.
--- a/io/platform/fleet_rows_test.go
+++ b/io/platform/fleet_rows_test.go
@@ -62,8 +62,8 @@
 }
 
 // An entry's controller takes a VM out of service, and then the table becomes unreachable.
-// The entry's watcher must stop sending work to the VM nevertheless: it processes the changes
-// in the shared rows even if its poll fails.
+// The entry's watcher must still stop sending work to the VM: it processes the changes in the
+// shared rows even if its poll fails.
 func TestWatcherSeesControllerWrites(t *testing.T) {
 	s := newZoneSimulation(t, 1, faults{})
 	rows := &FleetRows{}
--- a/io/platform/simulation_test.go
+++ b/io/platform/simulation_test.go
@@ -25,7 +25,7 @@
 
 const testStep = 5 * time.Second
 
-// faults are the faults that a session simulates. Fractions are per call.
+// faults are the faults that a zoneSimulation injects. Fractions are per call.
 type faults struct {
 	lostAnswers, tableDown float64
 	// omittedVMs is the fraction of VMs that the reply to a bulk status check omits, half of
@@ -38,7 +38,7 @@
 	listLag time.Duration
 	// staleEntry makes one entry dispatch by the view that it had at the start.
 	staleEntry bool
-	// rackFails makes a rack fail during the session.
+	// rackFails makes a rack fail during the simulation.
 	rackFails bool
 	// moves is the fraction of steps in which an operator moves a VM.
 	moves float64
@@ -53,7 +53,7 @@
 }
 
 // zoneSimulation is one zone with two controllers and three entries, on top of a sim.World.
-// Controllers access the World only through methods of the session, which fail and pause.
+// Controllers access the World only through methods of the simulation, which fail and pause.
 type zoneSimulation struct {
 	t           *testing.T
 	faults      faults
--- a/io/platform/standin/live.go
+++ b/io/platform/standin/live.go
@@ -28,7 +28,7 @@
 type LiveReport struct {
 	platform.Liveness
 	Control string `json:"control,omitempty"`
-	// Gone removes the VM from the list at once.
+	// Gone removes the VM from the list immediately.
 	Gone bool `json:"gone,omitempty"`
 }
 
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -21,8 +21,8 @@
 	startedAt time.Time
 	// running are the VMs that run each task.
 	running map[job.TaskID]map[job.VMID]bool
-	// done are the tasks with an attempt that ended as done, noted those of them whose end
-	// an owner has noted.
+	// done are the tasks with a run that ended as done, acknowledged those of them whose end
+	// an owner has acknowledged.
 	done, acknowledged map[job.TaskID]bool
 	jobs               map[job.ID]*submittedJob
 	violations         []string
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -40,7 +40,7 @@
 	settingsFile string
 	logFile      string
 	// frontLink carries calls to the daemon; callerAddress is the address where it takes
-	// them. The other links carry calls of the daemon to the table and to the cloud.
+	// them. The other links carry its calls to the table and to the machines service.
 	frontLink, tableLink, machinesLink *link.Link
 	callerAddress                      netip.AddrPort
 
@@ -301,7 +301,7 @@
 	f.publishMachines()
 }
 
-// publishMachines updates the list of machines of the stand-in of the cloud.
+// publishMachines updates the list of machines of the stand-in for the machines service.
 func (f *fleet) publishMachines() {
 	var list []job.Machine
 	for _, m := range f.machines {
--- a/io/target/standin/control.go
+++ b/io/target/standin/control.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// Crash takes the VM down at once. Its running tasks stop, and it forgets the answers of
+// Crash takes the VM down immediately. Its running tasks stop, and it forgets the answers of
 // tasks that ended.
 func (v *VM) Crash() {
 	v.setDown(true)
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -38,7 +38,7 @@
 
 // Faults describes how a VM misbehaves.
 type Faults struct {
-	// FailAll fails every task at once.
+	// FailAll fails every task immediately.
 	FailAll bool `json:"fail_all,omitempty"`
 	// RefuseAll refuses every task as invalid.
 	RefuseAll bool `json:"refuse_all,omitempty"`
@@ -55,7 +55,7 @@
 }
 
 // Work is the JSON form of a task's body that the simulated VM understands. A task with
-// any other body takes no time and gets an answer all the same.
+// any other body takes no time and still gets an answer.
 type Work struct {
 	RunMs       int64 `json:"run_ms"`
 	AnswerBytes int   `json:"answer_bytes"`
