--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -79,7 +79,7 @@
 		c.violationf("%v attempt %d starts on %s after an owner noted the task as done", r.task, r.attempt, v.id)
 	}
 	c.checkMaxAttempts(t, r)
-	c.checkCrashingTask(t, v, r)
+	c.checkStartsAfterCrashes(t, v, r)
 	c.checkCapacity(v, r)
 	if requestedAt, ok := c.w.evacuated[v.machine.zone]; ok && c.w.now.Sub(requestedAt) > c.evacuationLimit {
 		c.violationf("%v starts on %s in zone %s, which has been evacuated since %.3f s", r.task, v.id, v.machine.zone, requestedAt.Sub(epoch).Seconds())
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// checkCrashingTask checks that a task that crashes its VMs is not started without limit.
-func (c *checker) checkCrashingTask(t *trackedJob, v *vm, r *taskRun) {
+// checkStartsAfterCrashes checks that a task that crashes its VMs is not started without limit.
+func (c *checker) checkStartsAfterCrashes(t *trackedJob, v *vm, r *taskRun) {
 	if r.task != t.crashingTask || c.crashes[r.task] < crashLimit {
 		return
 	}
@@ -71,10 +71,10 @@
 	return c.gaveUp[id] && c.crashes[id] >= minCrashesToGiveUp
 }
 
-// longRunningGivenUp reports whether a long-running task was given up. Its step then lacks
+// anyLongRunningGivenUp reports whether a long-running task was given up. Its step then lacks
 // the task for good, so its disruption budget may never allow the maintenance of the
 // machines that run the other tasks of the step.
-func (c *checker) longRunningGivenUp() bool {
+func (c *checker) anyLongRunningGivenUp() bool {
 	for id := range c.gaveUp {
 		if c.w.jobs[id.Job].Body.LongRunning() && c.givenUpWithCause(id) {
 			return true
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -310,7 +310,7 @@
 			w.checker.violationf("%s, submitted at %.3f s, is still %s", t.ID, t.submittedAt.Sub(epoch).Seconds(), state)
 		}
 	}
-	if w.hasWave && w.checker.waveState != job.WaveCompleted && !w.checker.longRunningGivenUp() {
+	if w.hasWave && w.checker.waveState != job.WaveCompleted && !w.checker.anyLongRunningGivenUp() {
 		w.checker.violationf("the maintenance wave is not completed")
 	}
 }
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -123,13 +123,13 @@
 	w.vms[id] = v
 	w.allVMs = append(w.allVMs, v)
 	w.after(w.randomBetween(50*time.Millisecond, 300*time.Millisecond), func() { w.table.putVM(v) })
-	w.checkLease(v)
+	w.enforceLease(v)
 	return v
 }
 
-// checkLease ends all running tasks once the lease has expired. It repeats while the VM is
+// enforceLease ends all running tasks once the lease has expired. It repeats while the VM is
 // up.
-func (w *World) checkLease(v *vm) {
+func (w *World) enforceLease(v *vm) {
 	if !v.up {
 		return
 	}
@@ -141,7 +141,7 @@
 			v.endRun(r, job.EndedLeaseExpired)
 		}
 	}
-	w.after(10*time.Millisecond, func() { w.checkLease(v) })
+	w.after(10*time.Millisecond, func() { w.enforceLease(v) })
 }
 
 // endRun ends a run and adds its end to those to report.
--- a/io/platform/allot_limits.go
+++ b/io/platform/allot_limits.go
@@ -62,11 +62,11 @@
 // mayBeOutdated reports whether the limits in force may differ from those reported. If
 // the head is empty, the view has some rows of a change but not all of them, and the
 // others may arrive at any time.
-func (t *limitsReport) mayBeOutdated(now time.Time, v *config.View) bool {
-	if t.head.Version == 0 || v.Head().Version != t.head.Version {
+func (r *limitsReport) mayBeOutdated(now time.Time, v *config.View) bool {
+	if r.head.Version == 0 || v.Head().Version != r.head.Version {
 		return true
 	}
-	return !now.Before(t.reportedAt.Add(limitsRefreshInterval)) || !t.validUntil.IsZero() && !now.Before(t.validUntil)
+	return !now.Before(r.reportedAt.Add(limitsRefreshInterval)) || !r.validUntil.IsZero() && !now.Before(r.validUntil)
 }
 
 // nextExceptionEnd returns when the first exception ends, or zero if there is none.
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -73,9 +73,9 @@
 	// shrinkLimit is how long starts may still exceed the capacity of a VM after a decrease,
 	// which the VM reports only with its next heartbeat.
 	shrinkLimit = 3*time.Second + heartbeatInterval
-	// minCrashesToFail is how many VMs must crash while they run a task before its job may
+	// minCrashesToGiveUp is how many VMs must crash while they run a task before its job may
 	// fail.
-	minCrashesToFail = 2
+	minCrashesToGiveUp = 2
 	// crashLimit is the number of crashes after which a crashing task may be started only
 	// maxStartsAfterCrashLimit times more.
 	crashLimit               = 3
@@ -302,7 +302,7 @@
 // mayFail reports whether enough VMs have crashed while they ran one of the job's tasks.
 func (c *Checker) mayFail(id job.ID) bool {
 	for t, n := range c.crashes {
-		if t.Job == id && n >= minCrashesToFail {
+		if t.Job == id && n >= minCrashesToGiveUp {
 			return true
 		}
 	}
--- a/io/soak/faults.go
+++ b/io/soak/faults.go
@@ -59,7 +59,7 @@
 	}},
 	{name: "cut_from_callers", inject: func(f *fleet, rng *rand.Rand) (string, func()) {
 		e := f.entries[rng.IntN(len(f.entries))]
-		return breakLink(e.frontLink, e.name, rng)
+		return breakLink(e.callerLink, e.name, rng)
 	}},
 	{name: "cut_vm", inject: func(f *fleet, rng *rand.Rand) (string, func()) {
 		m := f.machines[rng.IntN(len(f.machines))]
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -39,10 +39,10 @@
 	name         string
 	settingsFile string
 	logFile      string
-	// frontLink carries calls to the daemon; callerAddress is the address where it takes
+	// callerLink carries calls to the daemon; callerAddress is the address where it takes
 	// them. The other links carry its calls to the table and to the machines service.
-	frontLink, tableLink, machinesLink *link.Link
-	callerAddress                      netip.AddrPort
+	callerLink, tableLink, machinesLink *link.Link
+	callerAddress                       netip.AddrPort
 
 	mu sync.Mutex
 	// command is the latest process; exited is closed once it has ended.
@@ -351,7 +351,7 @@
 func (f *fleet) addEntry(ctx context.Context, i int, table, machinesAddress netip.AddrPort) error {
 	e := &entry{name: fmt.Sprintf("entry-%d", i), exited: make(chan struct{})}
 	close(e.exited)
-	front, err := freeAddress()
+	daemonAddress, err := freeAddress()
 	if err != nil {
 		return err
 	}
@@ -366,7 +366,7 @@
 	if e.machinesLink, machinesAt, err = f.addLink(ctx, e.name+"-machines", machinesAddress); err != nil {
 		return err
 	}
-	if e.frontLink, e.callerAddress, err = f.addLink(ctx, e.name+"-front", front); err != nil {
+	if e.callerLink, e.callerAddress, err = f.addLink(ctx, e.name+"-front", daemonAddress); err != nil {
 		return err
 	}
 	e.settingsFile = filepath.Join(f.folder, e.name+".toml")
@@ -376,7 +376,7 @@
 	if err != nil {
 		return err
 	}
-	text := standin.SettingsText(e.name, string(f.zone(i)), peer, front.String(), ready.String(), tableAt.String(), machinesAt.String())
+	text := standin.SettingsText(e.name, string(f.zone(i)), peer, daemonAddress.String(), ready.String(), tableAt.String(), machinesAt.String())
 	return errors.Wrap(os.WriteFile(e.settingsFile, []byte(text), 0o600), "write settings of daemon")
 }
 
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -31,20 +31,20 @@
 	dropConnection, dropAfterBody bool
 }
 
-func (p fakeTarget) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	if p.dropConnection {
+func (f fakeTarget) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	if f.dropConnection {
 		panic(http.ErrAbortHandler)
 	}
 	for name, value := range map[string]string{
-		HeaderTask: p.task, HeaderAttempt: p.attempt, HeaderLength: p.length, HeaderNotStarted: p.notStarted, HeaderState: p.state,
+		HeaderTask: f.task, HeaderAttempt: f.attempt, HeaderLength: f.length, HeaderNotStarted: f.notStarted, HeaderState: f.state,
 	} {
 		if value != "" {
 			w.Header().Set(name, value)
 		}
 	}
-	w.WriteHeader(p.status)
-	_, _ = w.Write([]byte(p.body))
-	if p.dropAfterBody {
+	w.WriteHeader(f.status)
+	_, _ = w.Write([]byte(f.body))
+	if f.dropAfterBody {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
