--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -14,8 +14,9 @@
 const (
 	// leaseIntervals is how many control intervals a lease lasts after its renewal.
 	leaseIntervals = 4
-	// takeoverDelayIntervals is how many control intervals the relay leaves a free lease to
-	// the other entries, each of which reads the lease once per interval.
+	// takeoverDelayIntervals is how many control intervals the zone's relay leaves a free
+	// lease to the other entries, each of which reads the lease once per interval. See
+	// maintenance.LeasePolicy.
 	takeoverDelayIntervals = 2
 )
 
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -39,8 +39,8 @@
 	name         string
 	settingsFile string
 	logFile      string
-	// callerLink carries calls to the daemon; callerAddress is the address where it takes
-	// them. The other links carry its calls to the table and to the machines service.
+	// callerLink carries callers' calls to the daemon and listens at callerAddress. The other
+	// links carry the daemon's calls to the table and to the machines service.
 	callerLink, tableLink, machinesLink *link.Link
 	callerAddress                       netip.AddrPort
 
