--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -76,7 +76,7 @@
 		c.violationf("%v attempt %d starts on %s while attempt %d has been running since %.3f s", r.task, r.attempt, v.id, other.attempt, other.startedAt.Sub(epoch).Seconds())
 	}
 	if c.acknowledgedDone[r.task] && !step.Speculative {
-		c.violationf("%v attempt %d starts on %s after an owner noted the task as done", r.task, r.attempt, v.id)
+		c.violationf("%v attempt %d starts on %s after an owner acknowledged the task as done", r.task, r.attempt, v.id)
 	}
 	c.checkMaxAttempts(t, r)
 	c.checkStartsAfterCrashes(t, v, r)
@@ -168,7 +168,7 @@
 	}
 	lastStart := c.lastStart[e.Task]
 	if v.leaseExpiredAt.Before(ended) && lastStart.After(ended) && !c.w.jobs[e.Task.Job].Body.Steps[e.Task.Step].Speculative {
-		c.violationf("%v was started again at %.3f s although its end on %s at %.3f s was still to be noted", e.Task, lastStart.Sub(epoch).Seconds(), v.id, ended.Sub(epoch).Seconds())
+		c.violationf("%v was started again at %.3f s although its end on %s at %.3f s was not acknowledged yet", e.Task, lastStart.Sub(epoch).Seconds(), v.id, ended.Sub(epoch).Seconds())
 	}
 	c.acknowledgedDone[e.Task] = true
 }
--- a/core/emulator/failing_jobs.go
+++ b/core/emulator/failing_jobs.go
@@ -21,7 +21,7 @@
 // failure of all its attempts.
 func (c *checker) checkMaxAttempts(t *trackedJob, r *taskRun) {
 	if n := c.acknowledgedFailures[r.task]; !r.longRunning && n >= t.Terms.MaxAttempts {
-		c.violationf("%v attempt %d starts after the failure of %d attempts was noted", r.task, r.attempt, n)
+		c.violationf("%v attempt %d starts after the failure of %d attempts was acknowledged", r.task, r.attempt, n)
 	}
 }
 
--- a/io/operator/export_delete.go
+++ b/io/operator/export_delete.go
@@ -142,7 +142,7 @@
 	if err := e.Objects.Put(ctx, AuditObject(v), value); err != nil {
 		return errors.Wrapf(err, "store audit record %d again", v)
 	}
-	return errors.Errorf("audit record %d was not in the object store; it was stored again", v)
+	return errors.Errorf("audit record %d was missing or damaged in the object store; it was stored again", v)
 }
 
 func (e *Exporter) now() time.Time {
--- a/io/operator/fleet_change.go
+++ b/io/operator/fleet_change.go
@@ -56,7 +56,7 @@
 	case mayHaveApplied:
 		return nil, core.Errorf(core.CodeChangeUnknown, "change %s may have taken effect: repeat it under the same change id (%v)", m.ChangeId, lastErr)
 	case errors.Is(lastErr, table.ErrConflict):
-		return nil, core.Errorf(core.CodeConflict, "other changes kept coming first; repeat change %s", m.ChangeId)
+		return nil, core.Errorf(core.CodeConflict, "other changes took effect first; repeat change %s", m.ChangeId)
 	default:
 		return nil, core.Errorf(core.CodePlatformDown, "this call changed nothing; repeat change %s when the table is back (%v)", m.ChangeId, lastErr)
 	}
--- a/io/platform/allotments_test.go
+++ b/io/platform/allotments_test.go
@@ -134,7 +134,7 @@
 				exceeded++
 			}
 		}
-		t.Logf("assume lost answers applied %t: %d of %d seeds above the limit of %d, at most %d requests ran", assumeLostApplied, exceeded, seeds, allotLimit, maxRunning)
+		t.Logf("assumeLostApplied %t: %d of %d seeds above the limit of %d, at most %d requests ran", assumeLostApplied, exceeded, seeds, allotLimit, maxRunning)
 		assert.Check(t, assumeLostApplied == (exceeded > 0))
 	}
 }
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -151,7 +151,7 @@
 		return core.Errorf(core.CodeChangeUnknown, "change %s may have taken effect: repeat it under the same change id (%v)", a.id, err)
 	}
 	if errors.Is(err, table.ErrConflict) {
-		return core.Errorf(core.CodeConflict, "other changes kept coming first; repeat change %s", a.id)
+		return core.Errorf(core.CodeConflict, "other changes took effect first; repeat change %s", a.id)
 	}
 	return core.Errorf(core.CodePlatformDown, "nothing was changed; repeat change %s when the table is back (%v)", a.id, err)
 }
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -131,7 +131,7 @@
 				wrongSeeds++
 			}
 		}
-		t.Logf("ignore the record of the change id %t: %d of %d seeds wrong, %d changes done, %d refused after a race", ignoreRecord, wrongSeeds, seeds, done, races)
+		t.Logf("ignoreRecord %t: %d of %d seeds wrong, %d changes done, %d refused after a race", ignoreRecord, wrongSeeds, seeds, done, races)
 		assert.Check(t, wrongSeeds > 0 == ignoreRecord)
 	}
 }
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -61,8 +61,8 @@
 func TestSimulations(t *testing.T) {
 	const seeds = 60
 	totals := runSimulations(t, seeds, allFaults, nil)
-	t.Logf("%+v of %d sessions", totals, seeds)
-	assert.Assert(t, totals.finished > seeds/2, "too few sessions finished the maintenance: %+v", totals)
+	t.Logf("%+v of %d simulations", totals, seeds)
+	assert.Assert(t, totals.finished > seeds/2, "too few simulations finished the maintenance: %+v", totals)
 }
 
 // If VMs don't refuse work, requests from the entry with the stale view run at the time of a
@@ -70,7 +70,7 @@
 func TestSimulationsWithoutRefusal(t *testing.T) {
 	const seeds = 10
 	totals := runSimulations(t, seeds, allFaults, func(s *zoneSimulation) { s.ignoreDrain = true })
-	t.Logf("VMs accept work while they drain: %+v of %d sessions", totals, seeds)
+	t.Logf("VMs accept work while they drain: %+v of %d simulations", totals, seeds)
 	assert.Assert(t, totals.cutOff > 0)
 }
 
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -173,7 +173,7 @@
 		c.violationf("%v starts on %s as attempt %d while it runs on %v", t, vm, n, others)
 	}
 	if c.acknowledged[t] {
-		c.violationf("%v starts on %s as attempt %d after it was noted as done", t, vm, n)
+		c.violationf("%v starts on %s as attempt %d after it was acknowledged as done", t, vm, n)
 	}
 	for _, s := range submitted.steps[t.Step].After {
 		if !c.stepDone(t.Job, s, submitted.steps[s].Count) {
