--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -19,7 +19,7 @@
 	partProbeInterval  = 200 * time.Millisecond
 )
 
-// Decision tells the caller of the table what to do with a call.
+// Decision says what to do with a call to the table.
 type Decision int
 
 // The decisions about a call.
@@ -40,7 +40,7 @@
 // Breaker tracks whether the table and its parts answer one process. The zero value has
 // received no answer.
 //
-// Each part is judged only by its own answers. If availability were judged by the part
+// Whether a part is available depends only on its own answers. If it depended on the part
 // that holds the owner's rows, an outage of that part would make a process refuse every
 // caller, although most of the jobs could be stored in other parts.
 type Breaker struct {
--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -45,7 +45,7 @@
 	// waveState is the last published state of the maintenance wave.
 	waveState job.WaveState
 	// stoppedAt is when each long-running task with a disruption budget was stopped by an
-	// order. The entry is removed once the task is at work again.
+	// order. The entry is removed once the startup of its next run is over.
 	stoppedAt map[job.TaskID]time.Time
 }
 
@@ -197,16 +197,16 @@
 	}
 }
 
-// startupDone records that a long-running task is at work. From then on it no longer counts
-// as stopped by an order.
+// startupDone records that the startup of a long-running task is over. From then on the task
+// no longer counts as stopped by an order.
 func (c *checker) startupDone(r *taskRun) {
 	if slices.Contains(c.running[r.task], r) && !r.stopping {
 		delete(c.stoppedAt, r.task)
 	}
 }
 
-// vmRemoved checks that a move or maintenance of a machine ends no task that was not told
-// to stop.
+// vmRemoved checks that a move or maintenance of a machine ends no task that was not
+// ordered to stop.
 func (c *checker) vmRemoved(v *vm) {
 	for _, r := range v.runs {
 		if !r.stopping {
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -72,7 +72,7 @@
 }
 
 // anyLongRunningGivenUp reports whether a long-running task was given up. Its step then lacks
-// the task for good, so its disruption budget may never allow the maintenance of the
+// the task permanently, so its disruption budget may never allow the maintenance of the
 // machines that run the other tasks of the step.
 func (c *checker) anyLongRunningGivenUp() bool {
 	for id := range c.gaveUp {
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -125,8 +125,8 @@
 	o.vmChangesRead = len(t.vmChanges)
 }
 
-// tick runs one scheduling round and schedules the next one. The owner learns of changes only while it can
-// reach the table.
+// tick runs one scheduling round and schedules the next one. The owner reads changes only
+// while it can reach the table.
 func (o *owner) tick() {
 	o.entryVM.callIfRunning(o.run, func() {
 		if o.ended {
--- a/core/lease/ownership.go
+++ b/core/lease/ownership.go
@@ -14,8 +14,8 @@
 	// taskStartPeriod is how long after its last confirmation the owner may start tasks.
 	// It may extend past a takeover: the new owner's fence blocks starts on all VMs that
 	// it has reached, and for jobs that may run on other VMs the new owner waits until
-	// the tasks started there are over. While no process can reach the table, nobody
-	// takes over and callers' jobs continue.
+	// the tasks started there are over. While no process can reach the table, none
+	// takes over, and callers' jobs continue.
 	taskStartPeriod = 2900 * time.Millisecond
 	// leaseExtensionPeriod is how long after its last confirmation the owner may extend
 	// the leases of VMs. It is long enough that short outages of the table end no tasks.
--- a/io/operator/change_test.go
+++ b/io/operator/change_test.go
@@ -237,9 +237,9 @@
 }
 
 // TestWithdrawWhileTableDown checks the withdrawal of a leaked key while the table is
-// down. The withdrawal is in force at the entry immediately, and the report tells that
+// down. The withdrawal is in force at the entry immediately, and the report says that
 // the table hasn't recorded it. If the table were written first, the command would fail and
-// the leaked key would go on working.
+// the leaked key would keep working.
 func TestWithdrawWhileTableDown(t *testing.T) {
 	m := &pb.WithdrawRequest{ChangeId: "c1", Author: "ana", Digest: string(core.Digest("leaked")), Team: "imaging"}
 	withdraw := func(s *Server) (*singleEntryBackend, *pb.WithdrawReply) {
--- a/io/operator/export.go
+++ b/io/operator/export.go
@@ -104,7 +104,7 @@
 //
 // It saves the progress only after the objects are stored. In the other order, an
 // exporter that ends in between or an object store that is down would leave a gap that
-// nobody fills, and the monitor would miss an accepted change.
+// is never filled, and the monitor would miss an accepted change.
 func (e *Exporter) export(ctx context.Context, row table.Row, progress exportProgress, head core.Version) error {
 	first, last := progress.Copied+1, min(head, progress.Copied+exportBatch)
 	progress.Copied = last
--- a/io/operator/export_delete.go
+++ b/io/operator/export_delete.go
@@ -26,13 +26,13 @@
 // rows a day at 4,300 changes.
 //
 // One transaction deletes the rows, saves the progress and checks the previous progress.
-// So only one of two exporters deletes, and after a lost answer the progress row tells
-// what was done. With separate transactions, the progress could pass rows that nobody
-// would ever delete.
+// So only one of two exporters deletes, and after a lost answer the progress row shows
+// what was done. With separate transactions, the progress could pass rows that are never
+// deleted.
 //
 // If the progress has changed since this exporter's last round, the exporter of another
-// entry is at work, and this one deletes nothing. Otherwise all entries would read the
-// records of a backlog in vain, some 70 reads a second with 30 entries.
+// entry is deleting, and this one deletes nothing. Otherwise all entries would read the
+// records of a backlog without need, some 70 reads a second with 30 entries.
 func (e *Exporter) deleteExpired(ctx context.Context, row table.Row, progress exportProgress) error {
 	if progress.Deleted >= progress.Copied || e.now().Before(progress.DeleteAt) {
 		return nil
@@ -113,7 +113,7 @@
 // deleteAt returns when the record of a change id may be deleted. If it were deleted
 // earlier, an operator who repeats a change after a lost answer would apply it a second
 // time, over what others have changed since. The audit record stays as long, because it
-// tells what the change was merged with and who won a race.
+// shows what the change was merged with and which of two racing changes came first.
 func (e *Exporter) deleteAt(a config.AuditRecord, r config.ChangeRecord) time.Time {
 	if e.deleteEarly {
 		return time.Time{}
@@ -128,7 +128,7 @@
 }
 
 // verifyStored checks that the object store holds the audit record of version v. An
-// object that the store lost or truncated since the copy would be gone for good once the
+// object that the store lost or truncated since the copy would be lost permanently once the
 // row is deleted, and the monitor would miss an accepted change. Such an object is stored
 // again, and verified in a later round.
 func (e *Exporter) verifyStored(ctx context.Context, v core.Version, value []byte) error {
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -103,7 +103,7 @@
 	return r.violation
 }
 
-// TestExportDeletes guards against three failures: the monitor misses a change for good,
+// TestExportDeletes guards against three failures: the monitor never sees a change,
 // an operator's repeated change is applied twice, or the table grows without bound. For
 // some days operators make changes while two exporters copy and delete, also in the
 // middle of each other's rounds. The table and the object store are down at times and
@@ -263,7 +263,7 @@
 	for i, record := range list() {
 		assert.Equal(t, record.String(), before[i].String())
 	}
-	// The store loses one record: the list reports it as missing and goes on.
+	// The store loses one record: the list reports it as missing and continues.
 	delete(r.store.objects, AuditObject(core.Version(before[2].Version)))
 	before[2] = &pb.AuditRecord{Version: before[2].Version, Kind: KindRecordMissing}
 	for i, record := range list() {
@@ -280,7 +280,7 @@
 }
 
 // concurrentTable runs the pending exporters' rounds right before a transaction takes
-// effect. All rounds then start from the same progress, and one transaction wins. It
+// effect. All rounds then start from the same progress, and one transaction succeeds. It
 // counts reads.
 type concurrentTable struct {
 	*faultyTable
@@ -309,7 +309,7 @@
 // TestExportSingleDeleter checks that entries don't all work on the same backlog. After a
 // long outage of the object store, all entries find a backlog at the same moment. If each
 // read the same records in every round, they would use up the table's read capacity.
-// After the first round one exporter goes on alone. When it ends, another takes over.
+// After the first round only one exporter continues. When it ends, another takes over.
 func TestExportSingleDeleter(t *testing.T) {
 	const entries, changes = 30, 8 * deleteBatch
 	r := newExportSimulation(1, Exporter{})
@@ -335,7 +335,7 @@
 	for range 2 {
 		assert.Equal(t, round(all), entries*readsToCheck+readsOfBatch)
 	}
-	// The transaction of the last exporter took effect first, so that one is at work. When
+	// The transaction of the last exporter took effect first, so that one continues. When
 	// it ends, the others first see its last progress, then that the progress stays.
 	rest := all[:entries-1]
 	assert.Equal(t, round(rest), len(rest)*readsToCheck)
--- a/io/operator/export_test.go
+++ b/io/operator/export_test.go
@@ -45,7 +45,7 @@
 
 // TestExport checks that every accepted change reaches the object store as the table has
 // it, while the table and the store fail at times and two entries export concurrently. If
-// the progress is saved before the objects are stored, records are missing for good.
+// the progress is saved before the objects are stored, records are missing permanently.
 func TestExport(t *testing.T) {
 	missing := func(seed uint64, saveProgressFirst bool) int {
 		h := newHistory(seed, &Server{})
--- a/io/operator/fleet_change.go
+++ b/io/operator/fleet_change.go
@@ -32,7 +32,7 @@
 
 // applyFleetChange applies c at most once. Like a change of configuration, c gets a
 // version, an audit record and a record of its change id, all in the transaction that
-// makes the change. After a lost answer, the record of the change id tells whether the
+// makes the change. After a lost answer, the record of the change id shows whether the
 // change took effect.
 func (s *Server) applyFleetChange(ctx context.Context, m *pb.ApplyChangeRequest, c fleetChange) (*pb.ApplyChangeReply, error) {
 	var lastErr error
@@ -138,8 +138,7 @@
 		t.Set(table.AuditKey(head.Version), audit))
 }
 
-// changeDigest returns a digest by which two different changes under one change id are
-// told apart. It leaves out the deadline of a drain, because an operator who repeats the
+// changeDigest returns a digest that distinguishes different changes under one change id. It leaves out the deadline of a drain, because an operator who repeats the
 // command later gives a later deadline.
 func changeDigest(m *pb.ApplyChangeRequest) string {
 	m = proto.CloneOf(m)
--- a/io/operator/note.go
+++ b/io/operator/note.go
@@ -12,7 +12,7 @@
 )
 
 // changeNote returns what an operator should know after change c, or "". A new limit
-// doesn't stop running tasks, so the note tells how far the team is still above it.
+// doesn't stop running tasks, so the note says how far the team is still above it.
 func (s *Server) changeNote(ctx context.Context, c config.Change, m *pb.ApplyChangeRequest) string {
 	if note := s.missingReferenceNote(ctx, c); note != "" {
 		return note
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -67,7 +67,7 @@
 	Queued  int
 }
 
-// Confirmation tells whether a change or a withdrawal is in force at an entry.
+// Confirmation says whether a change or a withdrawal is in force at an entry.
 type Confirmation struct {
 	Entry     core.EntryID
 	Zone      core.ZoneID
--- a/io/operator/withdraw.go
+++ b/io/operator/withdraw.go
@@ -16,7 +16,7 @@
 
 // digestPattern matches the digests of keys as entries compute them. The key itself or a
 // digest in upper case would match no key. If it were accepted, the report would say "in
-// force" at every entry while the leaked key goes on working.
+// force" at every entry while the leaked key keeps working.
 var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
 // Withdraw implements OperatorService. It informs the entries before it writes the table,
--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -27,7 +27,7 @@
 	// endedEntriesInterval is the time between two reads of the live list.
 	endedEntriesInterval = 5 * time.Second
 	// maxListLag is longer than the live list ever lags. An entry that started longer ago
-	// than this and isn't listed must have been listed before, so it is gone for good.
+	// than this and isn't listed must have been listed before, so it has ended.
 	maxListLag = 10 * time.Minute
 	// maxPassesPerRound bounds the passes in one round. A pass executes the pending
 	// commands and passes their results to the ledger, which may issue new commands.
--- a/io/platform/allotments_test.go
+++ b/io/platform/allotments_test.go
@@ -76,7 +76,7 @@
 	_, err := Apply(context.Background(), tbl, team, "c1", now)
 	assert.NilError(t, err)
 	a, b := newAllotEntry(tbl, "za", "a#1000", clock), newAllotEntry(tbl, "zb", "b#1000", clock)
-	// The daemon of b dies while requests run. Its successor learns that from the list.
+	// The daemon of b ends while requests run. Its successor detects that from the list.
 	successor := newAllotEntry(tbl, "zb", "b#2000", clock)
 	successor.live.live = []Liveness{{Name: "b", Zone: "zb", Started: time.UnixMilli(2000)}}
 	a.allotments.assumeLostApplied, b.allotments.assumeLostApplied, successor.allotments.assumeLostApplied = assumeLostApplied, assumeLostApplied, assumeLostApplied
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// The operator whose change comes second must learn which change came first and what the row
-// contains now.
+// The error for the operator whose change comes second must name the change that came first
+// and what the row contains now.
 func TestConflictNamesTheWinner(t *testing.T) {
 	tbl := &lossyTable{reliable: true}
 	team := func(author string, n core.Slots) config.Change {
--- a/io/platform/platform.go
+++ b/io/platform/platform.go
@@ -55,6 +55,6 @@
 // the actual state.
 type LiveList interface {
 	// Live returns the VMs of zone that are live or leaving. A VM that was listed before
-	// and is missing now is gone for good.
+	// and is missing now is gone permanently.
 	Live(ctx context.Context, zone core.ZoneID) ([]Liveness, error)
 }
--- a/io/platform/standin/entries.go
+++ b/io/platform/standin/entries.go
@@ -59,7 +59,7 @@
 		_ = conn.Close()
 	}
 	// A VM that is slow to answer still exists, and a VM that isn't listed counts as gone
-	// for good.
+	// permanently.
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updateLive(LiveReport{Liveness: platform.Liveness{Name: e.Entry.Name(), Zone: e.Zone, Started: e.Entry.Started()}})
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -35,7 +35,7 @@
 	fleet  *fleet
 	client http.Client
 	rng    *rand.Rand
-	// submitted counts the submitted jobs, number tells callers apart; IDs of jobs have both.
+	// submitted counts the submitted jobs, number identifies the caller; IDs of jobs contain both.
 	submitted int
 	number    int
 	// crashOffset says which of every crashOneIn jobs has a task that crashes VMs.
--- a/io/target/client.go
+++ b/io/target/client.go
@@ -22,7 +22,7 @@
 // queryTimeout bounds each call other than the start of a task.
 const queryTimeout = 2 * time.Second
 
-// Client starts tasks on targets, asks about them and stops them. It is safe for
+// Client starts tasks on targets, queries them and stops them. It is safe for
 // concurrent use.
 type Client struct {
 	// Now is the clock; nil means time.Now.
@@ -82,7 +82,7 @@
 	return c.readEnd(resp, d)
 }
 
-// Ask asks the target for the state of a task, and for its answer if it has ended.
+// Ask queries the state of a task on the target, and its answer if the task has ended.
 func (c *Client) Ask(ctx context.Context, address string, key core.RequestKey) home.Finding {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
--- a/io/target/protocol.go
+++ b/io/target/protocol.go
@@ -1,9 +1,8 @@
 // Package target implements the protocol with target VMs. Its client starts tasks under a
-// lease, accepts only complete answers, asks about tasks whose answer was lost, and stops
-// tasks.
+// lease, accepts only complete answers, queries tasks whose answer was lost, and stops tasks.
 //
 // The protocol runs over HTTP. POST /tasks/TEAM/ID starts a task and returns its answer,
-// GET asks about the task, and DELETE stops it. Times in headers are Unix milliseconds.
+// GET queries the task, and DELETE stops it. Times in headers are Unix milliseconds.
 package target
 
 import (
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -1,5 +1,5 @@
 // Package standin simulates target VMs for tests. A simulated VM has slots, honours
-// leases, and records every start, so that tests can check which tasks ran. It can be told
+// leases, and records every start, so that tests can check which tasks ran. It can be set
 // to lose, truncate, misdirect or delay answers, to fail tasks, to refuse new tasks, and
 // to go down.
 package standin
