--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -32,7 +32,7 @@
 	crashes, startsAfterCrashLimit map[job.TaskID]int
 	// lastCrash is when a VM last crashed while it ran each task.
 	lastCrash map[job.TaskID]time.Time
-	// gaveUp are the tasks that an owner reports as given up.
+	// gaveUp are the tasks that an owner has reported as given up.
 	gaveUp map[job.TaskID]bool
 	// mayGiveUp are the jobs that may be shown as failed because of crashes.
 	mayGiveUp map[job.ID]bool
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -15,8 +15,8 @@
 	// minDowntime and maxDowntime bound the time until that VM starts again.
 	minDowntime = time.Second
 	maxDowntime = 5 * time.Second
-	// minCrashesToGiveUp is how many VMs must have crashed while they ran a task before its
-	// job may be shown as failed.
+	// minCrashesToGiveUp is how many VMs must have crashed while they ran a task before the
+	// task may be given up, which fails its job.
 	minCrashesToGiveUp = 2
 	// crashLimit is the number of crashes after which a crashing task may be started only
 	// maxStartsAfterCrashLimit times more.
--- a/core/emulator/scenario_test.go
+++ b/core/emulator/scenario_test.go
@@ -133,7 +133,7 @@
 // crash.
 func TestWithLateOrders(t *testing.T) { runRange(t, lateOrdersFrom, 16) }
 
-// Guards against an account with a small quota that has more running, under any owner.
+// Guards against an account that runs more than its small quota allows, under any owner.
 func TestQuotaHolds(t *testing.T) { runRange(t, quotaFrom, 6) }
 
 // Availability zones are evacuated, one, several or all at a time, while owners are lost,
--- a/io/platform/fleet_rows.go
+++ b/io/platform/fleet_rows.go
@@ -12,7 +12,7 @@
 )
 
 // FleetRows is a daemon's only set of decoded rows: those of its zone's VMs, and those of
-// all pools. The FleetWatcher and the Controller share it, because a second set cost a
+// all pools. The FleetWatcher and the Controller share it, because a second set costs a
 // controller 4.3 MB in a zone of 1,430 VMs (docs/CAPACITY.md). The zero value is ready to
 // use. A FleetRows is safe for concurrent use.
 type FleetRows struct {
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -73,8 +73,8 @@
 	// shrinkLimit is how long starts may still exceed the capacity of a VM after a decrease,
 	// which the VM reports only with its next heartbeat.
 	shrinkLimit = 3*time.Second + heartbeatInterval
-	// minCrashesToGiveUp is how many VMs must crash while they run a task before its job may
-	// fail.
+	// minCrashesToGiveUp is how many VMs must crash while they run a task before the task may
+	// be given up, which fails its job.
 	minCrashesToGiveUp = 2
 	// crashLimit is the number of crashes after which a crashing task may be started only
 	// maxStartsAfterCrashLimit times more.
