--- a/core/emulator/capacity.go
+++ b/core/emulator/capacity.go
@@ -52,7 +52,7 @@
 }
 
 // capacityLimit returns the most that may run on the VM. A decrease of the capacity counts
-// once the entry VMs must know of it, an increase at once.
+// once the entry VMs must know of it, an increase immediately.
 func (v *vm) capacityLimit() job.Resources {
 	limit := v.capacity()
 	for i := len(v.capacities) - 1; i > 0; i-- {
@@ -72,9 +72,9 @@
 
 // checkCapacity checks that a start does not overload a VM that ignores its capacity. Other
 // VMs refuse such starts themselves.
-func (g *checker) checkCapacity(v *vm, r *vmRun) {
+func (c *checker) checkCapacity(v *vm, r *taskRun) {
 	used, limit := v.used(), v.capacityLimit()
 	if v.machine.ignoresCapacity && !used.FitsIn(limit) {
-		g.violationf("%v attempt %d overloads %s: CPU %d of %d", r.task, r.attempt, v.id, used.CPU, limit.CPU)
+		c.violationf("%v attempt %d overloads %s: CPU %d of %d", r.task, r.attempt, v.id, used.CPU, limit.CPU)
 	}
 }
--- a/core/emulator/failing_jobs.go
+++ b/core/emulator/failing_jobs.go
@@ -6,10 +6,10 @@
 var noTask job.TaskID
 
 // anyTaskExhausted reports whether all attempts of one of the job's tasks have failed.
-func (g *checker) anyTaskExhausted(t *trackedJob) bool {
+func (c *checker) anyTaskExhausted(t *trackedJob) bool {
 	for step := range t.Body.Steps {
 		for i := range t.Body.Steps[step].Count {
-			if g.failedRuns[job.TaskID{Job: t.ID, Step: step, Index: i}] >= t.Terms.MaxAttempts {
+			if c.failedRuns[job.TaskID{Job: t.ID, Step: step, Index: i}] >= t.Terms.MaxAttempts {
 				return true
 			}
 		}
@@ -17,11 +17,11 @@
 	return false
 }
 
-// checkMaxAttempts checks that a task is not started after an owner has noted the failure of
-// all its attempts.
-func (g *checker) checkMaxAttempts(t *trackedJob, r *vmRun) {
-	if n := g.notedFailed[r.task]; !r.longRunning && n >= t.Terms.MaxAttempts {
-		g.violationf("%v attempt %d starts after the failure of %d attempts was noted", r.task, r.attempt, n)
+// checkMaxAttempts checks that a task is not started after an owner has acknowledged the
+// failure of all its attempts.
+func (c *checker) checkMaxAttempts(t *trackedJob, r *taskRun) {
+	if n := c.acknowledgedFailures[r.task]; !r.longRunning && n >= t.Terms.MaxAttempts {
+		c.violationf("%v attempt %d starts after the failure of %d attempts was acknowledged", r.task, r.attempt, n)
 	}
 }
 
@@ -41,7 +41,7 @@
 const soleTaskCPU = vmCPU * 6 / 10
 
 // enlargeTasks makes the tasks of the job so large that each runs on a VM of its own. An end
-// is then noted at once, even while ends of other tasks are not stored yet.
+// is then acknowledged immediately, even while ends of other tasks are not stored yet.
 func (t *trackedJob) enlargeTasks() {
 	for i := range t.Body.Steps {
 		t.Body.Steps[i].Resources.CPU = soleTaskCPU
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -11,18 +11,18 @@
 	"lavenderpond/core/schedule"
 )
 
-// owner is the state of an entry VM while it owns the fleet, for one term of ownership.
+// owner is the state of an entry VM while it owns the fleet, for one tenure.
 type owner struct {
 	entryVM *entryVM
 	run     int
 	// fence is the version of the row that made it the owner, renewal that of its last
-	// renewal. turn numbers the terms of ownership, batch the commits of this one.
-	fence     int64
-	renewal   int64
-	turn      int64
-	batch     int64
-	ownership lease.Ownership
-	scheduler *schedule.Scheduler
+	// renewal. tenureNumber counts the takeovers, batch the commits of this tenure.
+	fence        int64
+	renewal      int64
+	tenureNumber int64
+	batch        int64
+	ownership    lease.Ownership
+	scheduler    *schedule.Scheduler
 	// pendingSaves are the saves for the next commit; committing is set during a commit.
 	pendingSaves []schedule.Command
 	committing   bool
@@ -36,7 +36,7 @@
 	ended bool
 }
 
-// loadState reads what the previous owner stored, and starts the loops of the owner.
+// loadState reads what former owners stored, and starts the loops of the owner.
 func (o *owner) loadState() {
 	e, t := o.entryVM, o.entryVM.w.table
 	e.callTable(2*time.Second, false, func() { o.restore(t) }, func(ok bool) {
@@ -55,7 +55,7 @@
 	now := o.entryVM.w.now
 	o.scheduler = schedule.New(schedule.Settings{
 		OrderIssuer: o.entryVM.name, FormerOrders: valuesByKey(t.orders),
-		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.turn * 10_000), TookOver: now,
+		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.tenureNumber * 10_000), TookOver: now,
 		LeaseMax: leaseMax, TaskStopMax: taskStopMax,
 		MachineLease: 3 * time.Second,
 		Observer:     o,
@@ -125,8 +125,8 @@
 	o.vmChangesRead = len(t.vmChanges)
 }
 
-// tick is one iteration of the owner's loop. The owner learns of changes only while it can
-// reach the table.
+// tick runs one scheduling round and schedules the next one. The owner reads changes only
+// while it can reach the table.
 func (o *owner) tick() {
 	o.entryVM.callIfRunning(o.run, func() {
 		if o.ended {
@@ -167,7 +167,7 @@
 		w.Stats.Starts++
 		sent := w.now
 		o.sendOrder(c.VM, orderTimeout, func(v *vm, answer func(job.Report)) {
-			if w.lateStartsBeforeHold || !v.cannotDetectLate(c.Order.Fence, sent) {
+			if w.lateStartsBeforeHold || !v.cannotRefuseLate(c.Order.Fence, sent) {
 				answer(v.startTask(c.Order, o.entryVM.name))
 			}
 		}, func(now time.Time, out schedule.Outcome, r job.Report) {
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -19,7 +19,7 @@
 	EntryVMs, VMsPerPool, StandbyMachines int
 	// JobsPerSecond is the mean rate of submissions to each of the two queues.
 	JobsPerSecond float64
-	// Burst multiplies the rate of each queue in turn; 0 means no bursts.
+	// Burst multiplies the rate of one queue after the other; 0 means no bursts.
 	Burst float64
 	// LongRunning is the number of long-running jobs in each of the two queues.
 	LongRunning int
@@ -61,7 +61,7 @@
 	// failingTask is the one task of the job that always fails, crashingTask the one that
 	// crashes every VM that starts it. Both are noTask for other jobs.
 	failingTask, crashingTask job.TaskID
-	// failureRate is the probability that an attempt of a task fails without other cause.
+	// failureRate is the probability that a run of a task fails without other cause.
 	// meanRunTime is the run time of the tasks, from which each differs slightly.
 	failureRate float64
 	meanRunTime time.Duration
@@ -69,7 +69,7 @@
 
 // runTime returns how long a task runs on a VM of normal speed.
 func (t *trackedJob) runTime(id job.TaskID) time.Duration {
-	// Tasks of a step differ slightly; all attempts of a task take equally long.
+	// Tasks of a step differ slightly; all runs of a task take equally long.
 	spread := 0.85 + 0.3*float64((id.Index*7+id.Step*3)%10)/10
 	return time.Duration(float64(t.meanRunTime) * spread)
 }
@@ -109,10 +109,10 @@
 // Run simulates a scenario and returns the violated invariants and the statistics.
 func Run(sc Scenario) (violations []string, stats Stats) {
 	w := newWorld(sc)
-	for _, x := range sc.Faults {
-		w.at(leadTime+x.At, func() {
-			w.tracef("fault %s for %s", x.Kind, x.For)
-			x.inject(w)
+	for _, fault := range sc.Faults {
+		w.at(leadTime+fault.At, func() {
+			w.tracef("fault %s for %s", fault.Kind, fault.For)
+			fault.inject(w)
 		})
 	}
 	for _, e := range sc.Evacuations {
@@ -207,7 +207,7 @@
 		at := time.Duration(0)
 		for at < sc.Length {
 			rate := sc.JobsPerSecond
-			// The queues have bursts in turn, four seconds each.
+			// The queues have bursts one after the other, four seconds each.
 			if sc.Burst > 0 && int(at/(4*time.Second))%4 == q {
 				rate *= sc.Burst
 			}
@@ -233,9 +233,9 @@
 }
 
 // terms returns the terms of a job in the queue, submitted by account a.
-func (w *World) terms(queue job.QueueName, a job.AccountName) job.Terms {
+func (w *World) terms(queue job.QueueName, account job.AccountName) job.Terms {
 	q := w.config.Queue(queue)
-	return job.Terms{Queue: queue, Pool: q.Pool, Account: a, MaxAttempts: q.MaxAttempts, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
+	return job.Terms{Queue: queue, Pool: q.Pool, Account: account, MaxAttempts: q.MaxAttempts, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
 }
 
 func (w *World) submitJob(sc Scenario, queue job.QueueName) {
@@ -248,14 +248,14 @@
 	}
 	body := job.Body{Spec: "work"}
 	for s := range 1 + w.rng.IntN(2) {
-		st := job.Step{
+		step := job.Step{
 			Count: 2 + w.rng.IntN(8), Resources: job.Resources{CPU: 800 + w.rng.Int64N(2500), MemMB: 1000},
 			Estimate: time.Duration(math.Exp(w.rng.NormFloat64()*0.5) * float64(t.meanRunTime)),
 		}
 		if s > 0 {
-			st.After = []int{s - 1}
+			step.After = []int{s - 1}
 		}
-		body.Steps = append(body.Steps, st)
+		body.Steps = append(body.Steps, step)
 	}
 	t.Job = job.Job{ID: w.newJobID(), Terms: w.terms(queue, account), Body: body}
 	w.addFaultyTasks(t, sc)
@@ -310,7 +310,7 @@
 			w.checker.violationf("%s, submitted at %.3f s, is still %s", t.ID, t.submittedAt.Sub(epoch).Seconds(), state)
 		}
 	}
-	if w.hasWave && w.checker.waveState != job.WaveCompleted && !w.checker.longRunningGivenUp() {
+	if w.hasWave && w.checker.waveState != job.WaveCompleted && !w.checker.anyLongRunningGivenUp() {
 		w.checker.violationf("the maintenance wave is not completed")
 	}
 }
--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -39,12 +39,12 @@
 	refused map[*entryVM]bool
 }
 
-// ownerRow says which process owns the fleet. turn numbers the terms of ownership.
+// ownerRow says which process owns the fleet. tenureNumber counts the takeovers.
 type ownerRow struct {
-	entryVM string
-	run     int
-	turn    int64
-	vacant  bool
+	entryVM      string
+	run          int
+	tenureNumber int64
+	vacant       bool
 }
 
 // renewalRow is the owner's last renewal. batch identifies the commit that wrote it.
--- a/core/emulator/vm.go
+++ b/core/emulator/vm.go
@@ -37,7 +37,7 @@
 	lastOrderAt time.Time
 }
 
-// vm is one run of a VM, from its start to its crash or removal. A VM that starts again
+// vm is one life of a VM, from its start to its crash or removal. A VM that starts again
 // is another vm, possibly under the same ID.
 type vm struct {
 	w         *World
@@ -55,11 +55,11 @@
 	lease job.VMClock
 	// capacities has all capacities so far, the current one last.
 	capacities []capacityChange
-	// runs are the attempts that run, unnotedEnds the ends that no owner has noted yet.
-	// lastEnd is the number of the latest end.
-	runs        []*vmRun
-	unnotedEnds []job.End
-	lastEnd     int64
+	// runs are the current runs, unacknowledgedEnds the ends that no owner has acknowledged
+	// yet. lastEnd is the number of the latest end.
+	runs               []*taskRun
+	unacknowledgedEnds []job.End
+	lastEnd            int64
 	// endedAt is when each end occurred, by its number. leaseExpiredAt is when the lease
 	// was last found expired.
 	endedAt        map[int64]time.Time
@@ -74,15 +74,15 @@
 	hanging  bool
 }
 
-// vmRun is an attempt of a task that runs on a VM.
-type vmRun struct {
+// taskRun is a run of a task on a VM.
+type taskRun struct {
 	task      job.TaskID
 	attempt   job.Attempt
 	startedAt time.Time
-	// runTime is the time from the start to the planned end of the attempt; 0 if it hangs or
-	// is long-running and has none.
+	// runTime is the time from the start to the planned end; 0 if the run hangs or is
+	// long-running and has no planned end.
 	runTime time.Duration
-	// fails is set if the attempt will end as failed.
+	// fails is set if the run will end as failed.
 	fails       bool
 	resources   job.Resources
 	longRunning bool
@@ -97,7 +97,7 @@
 	return job.VMClock(float64(v.w.now.Sub(v.startedAt).Milliseconds()) * v.clockRate)
 }
 
-// used returns the resources of all running attempts.
+// used returns the resources of all current runs.
 func (v *vm) used() job.Resources {
 	var sum job.Resources
 	for _, r := range v.runs {
@@ -123,13 +123,13 @@
 	w.vms[id] = v
 	w.allVMs = append(w.allVMs, v)
 	w.after(w.randomBetween(50*time.Millisecond, 300*time.Millisecond), func() { w.table.putVM(v) })
-	w.checkLease(v)
+	w.enforceLease(v)
 	return v
 }
 
-// checkLease ends all running tasks once the lease has expired. It repeats while the VM is
+// enforceLease ends all running tasks once the lease has expired. It repeats while the VM is
 // up.
-func (w *World) checkLease(v *vm) {
+func (w *World) enforceLease(v *vm) {
 	if !v.up {
 		return
 	}
@@ -141,15 +141,15 @@
 			v.endRun(r, job.EndedLeaseExpired)
 		}
 	}
-	w.after(10*time.Millisecond, func() { w.checkLease(v) })
+	w.after(10*time.Millisecond, func() { w.enforceLease(v) })
 }
 
-// endRun ends an attempt and adds it to the ends to report.
-func (v *vm) endRun(r *vmRun, how job.Ending) {
-	v.runs = slices.DeleteFunc(v.runs, func(o *vmRun) bool { return o == r })
+// endRun ends a run and adds its end to those to report.
+func (v *vm) endRun(r *taskRun, how job.Ending) {
+	v.runs = slices.DeleteFunc(v.runs, func(o *taskRun) bool { return o == r })
 	v.lastEnd++
 	v.endedAt[v.lastEnd] = v.w.now
-	v.unnotedEnds = append(v.unnotedEnds, job.End{Number: v.lastEnd, Task: r.task, Attempt: r.attempt, How: how})
+	v.unacknowledgedEnds = append(v.unacknowledgedEnds, job.End{Number: v.lastEnd, Task: r.task, Attempt: r.attempt, How: how})
 	v.closedAttempts[r.task] = max(v.closedAttempts[r.task], r.attempt)
 	v.w.checker.taskEnded(v, r, how)
 }
@@ -177,10 +177,10 @@
 	return job.Report{Clock: v.clock(), Refused: refused}
 }
 
-// cannotDetectLate reports whether this VM has no means to refuse a late order: the VM
+// cannotRefuseLate reports whether this VM has no means to refuse a late order: the VM
 // started after the order was sent, and no owner that knows of this has sent it a hold order
 // yet. So the VM has seen no higher fence, and its clock is behind all deadlines.
-func (v *vm) cannotDetectLate(f job.Fence, sent time.Time) bool {
+func (v *vm) cannotRefuseLate(f job.Fence, sent time.Time) bool {
 	return v.startedAt.After(sent) && v.fence <= f
 }
 
@@ -216,7 +216,7 @@
 	if !v.fits(step.Reservation()) {
 		return v.newReport(job.RefusedCapacity)
 	}
-	r := &vmRun{
+	r := &taskRun{
 		task: o.Task, attempt: o.Attempt, startedAt: v.w.now, resources: step.Reservation(), longRunning: step.LongRunning, startedBy: issuer,
 		fails: v.failing || t.allTasksFail || o.Task == t.failingTask || v.w.chance(t.failureRate),
 	}
@@ -235,9 +235,9 @@
 	return v.newReport(job.NotRefused)
 }
 
-// scheduleEnd schedules the end of an attempt. One that fails does so after half its run
-// time; hanging and long-running attempts have no end.
-func (v *vm) scheduleEnd(r *vmRun, runTime time.Duration) {
+// scheduleEnd schedules the end of a run. One that fails does so after half its run time;
+// hanging runs and those of long-running tasks have no planned end.
+func (v *vm) scheduleEnd(r *taskRun, runTime time.Duration) {
 	if v.hanging {
 		return
 	}
@@ -260,9 +260,9 @@
 	})
 }
 
-// progressPercent returns the reported progress. A long-running attempt reports 100 once its
+// progressPercent returns the reported progress. A long-running task reports 100 once its
 // startup is over.
-func (r *vmRun) progressPercent(now time.Time) int {
+func (r *taskRun) progressPercent(now time.Time) int {
 	ran := now.Sub(r.startedAt)
 	switch {
 	case r.longRunning && ran >= longRunningStartup:
@@ -273,7 +273,7 @@
 	return int(min(99, 100*ran/r.runTime))
 }
 
-// stopTask carries out a stop order. The attempt ends some time later, within taskStopMax.
+// stopTask carries out a stop order. The run ends some time later, within taskStopMax.
 func (v *vm) stopTask(t job.TaskID, a job.Attempt, f job.Fence) job.Report {
 	if v.rejectsFence(f) {
 		return v.newReport(job.RefusedStaleFence)
@@ -294,7 +294,7 @@
 }
 
 // hold carries out a hold order: it extends the lease, forgets the ends that the owner has
-// noted, and answers once there is an end to report or the wait is over.
+// acknowledged, and answers once there is an end to report or the wait is over.
 func (v *vm) hold(o job.HoldOrder, answer func(job.Report)) {
 	if v.rejectsFence(o.Fence) {
 		answer(v.newReport(job.RefusedStaleFence))
@@ -303,9 +303,9 @@
 	if o.Deadline > 0 {
 		v.extendLease(o.Deadline)
 	}
-	v.unnotedEnds = slices.DeleteFunc(v.unnotedEnds, func(e job.End) bool {
+	v.unacknowledgedEnds = slices.DeleteFunc(v.unacknowledgedEnds, func(e job.End) bool {
 		if e.Number <= o.Noted {
-			v.w.checker.endNoted(v, e, v.endedAt[e.Number])
+			v.w.checker.endAcknowledged(v, e, v.endedAt[e.Number])
 			return true
 		}
 		return false
@@ -318,16 +318,16 @@
 	if !v.up {
 		return
 	}
-	if len(v.unnotedEnds) == 0 && v.w.now.Before(until) {
+	if len(v.unacknowledgedEnds) == 0 && v.w.now.Before(until) {
 		v.w.after(5*time.Millisecond, func() { v.awaitEnd(until, answer) })
 		return
 	}
 	r := v.newReport(job.NotRefused)
 	r.Born = job.Born(v.startedAt.UnixMilli())
 	r.Lists = true
-	r.Finished = slices.Clone(v.unnotedEnds)
-	for _, x := range v.runs {
-		r.Running = append(r.Running, job.RunningTask{Task: x.task, Attempt: x.attempt, Percent: x.progressPercent(v.w.now)})
+	r.Finished = slices.Clone(v.unacknowledgedEnds)
+	for _, run := range v.runs {
+		r.Running = append(r.Running, job.RunningTask{Task: run.task, Attempt: run.attempt, Percent: run.progressPercent(v.w.now)})
 	}
 	answer(r)
 }
--- a/core/job/vm.go
+++ b/core/job/vm.go
@@ -95,10 +95,12 @@
 	EndedStopped
 	// EndedLeaseExpired means that the VM ended the run because its lease expired.
 	EndedLeaseExpired
-	// EndedBroken is the platform's ending "broken". The task starts again.
-	EndedBroken
-	// EndedAlone means that a gang member gave up waiting for the other members.
-	EndedAlone
+	// EndedGangBroken means that a gang member ended because another member of its gang
+	// ended. The task starts again.
+	EndedGangBroken
+	// EndedGangTimeout means that a gang member gave up waiting for the other members of its
+	// gang.
+	EndedGangTimeout
 )
 
 // String returns the ending in snake case.
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -67,12 +67,12 @@
 	Queued  int
 }
 
-// Confirmation tells whether a change or a withdrawal is in force at an entry.
+// Confirmation says whether a change or a withdrawal is in force at an entry.
 type Confirmation struct {
 	Entry     core.EntryID
 	Zone      core.ZoneID
 	Confirmed bool
-	// Detail is the reason if it isn't confirmed.
+	// Detail says why it isn't confirmed; empty if it is.
 	Detail string
 }
 
--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -27,7 +27,7 @@
 	// endedEntriesInterval is the time between two reads of the live list.
 	endedEntriesInterval = 5 * time.Second
 	// maxListLag is longer than the live list ever lags. An entry that started longer ago
-	// than this and isn't listed must have been listed before, so it is gone for good.
+	// than this and isn't listed must have been listed before, so it has ended.
 	maxListLag = 10 * time.Minute
 	// maxPassesPerRound bounds the passes in one round. A pass executes the pending
 	// commands and passes their results to the ledger, which may issue new commands.
@@ -57,8 +57,8 @@
 	Ledger limit.Ledger
 	mu     sync.Mutex
 
-	// driver serializes rounds and guards the fields below, up to pending.
-	driver sync.Mutex
+	// roundMu serializes rounds and guards the fields below, up to pending.
+	roundMu sync.Mutex
 	// The revisions up to which the zone's and the teams' rows were read.
 	zoneRowsRevision, teamRowsRevision table.Revision
 	// teamRowsPolledAt is when the last poll that read the team rows was sent.
@@ -103,8 +103,8 @@
 
 // Round reports changes to the ledger and executes the resulting commands.
 func (a *Allotments) Round(ctx context.Context) {
-	a.driver.Lock()
-	defer a.driver.Unlock()
+	a.roundMu.Lock()
+	defer a.roundMu.Unlock()
 	a.process(ctx, a.collectEvents(ctx)...)
 }
 
@@ -129,9 +129,9 @@
 // Release gives back the slots that aren't in use. It returns once all moves are settled
 // or ctx ends. Slots of running requests stay counted until their leases end.
 func (a *Allotments) Release(ctx context.Context) {
-	a.driver.Lock()
+	a.roundMu.Lock()
 	a.process(ctx, limit.Stop{})
-	a.driver.Unlock()
+	a.roundMu.Unlock()
 	for !a.released() && ctx.Err() == nil {
 		a.Round(ctx)
 		if !supervisor.Sleep(ctx, a.interval()) {
@@ -282,7 +282,7 @@
 
 // findEnded returns an event for each entry of this zone that holds allotments and has
 // ended according to the live list: the list has its name with a later start, or
-// doesn't have it any more.
+// no longer has it.
 func (a *Allotments) findEnded(ctx context.Context) []limit.Event {
 	live, err := a.Live.Live(ctx, a.Ledger.Zone)
 	if err != nil {
--- a/io/platform/change.go
+++ b/io/platform/change.go
@@ -19,8 +19,8 @@
 type ApplyResult struct {
 	// Version is the configuration version that contains the change.
 	Version core.Version `json:"version"`
-	// Before is true if the change had already taken effect earlier under its change id.
-	Before bool `json:"before,omitempty"`
+	// Repeated is true if the change had already taken effect under its change id.
+	Repeated bool `json:"before,omitempty"`
 }
 
 // Apply applies c to t under the change id. The change takes effect at most once, however
@@ -81,7 +81,7 @@
 		return ApplyResult{}, true, err
 	}
 	if applied {
-		return ApplyResult{Version: record.Version, Before: !a.outcomeUnknown}, true, nil
+		return ApplyResult{Version: record.Version, Repeated: !a.outcomeUnknown}, true, nil
 	}
 	if err := a.checkBase(ctx, rows); err != nil {
 		return ApplyResult{}, true, err
@@ -151,7 +151,7 @@
 		return core.Errorf(core.CodeChangeUnknown, "change %s may have taken effect: repeat it under the same change id (%v)", a.id, err)
 	}
 	if errors.Is(err, table.ErrConflict) {
-		return core.Errorf(core.CodeConflict, "other changes kept coming first; repeat change %s", a.id)
+		return core.Errorf(core.CodeConflict, "other changes took effect first; repeat change %s", a.id)
 	}
 	return core.Errorf(core.CodePlatformDown, "nothing was changed; repeat change %s when the table is back (%v)", a.id, err)
 }
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -131,13 +131,13 @@
 				wrongSeeds++
 			}
 		}
-		t.Logf("ignore the record of the change id %t: %d of %d seeds wrong, %d changes done, %d refused after a race", ignoreRecord, wrongSeeds, seeds, done, races)
+		t.Logf("ignoreRecord %t: %d of %d seeds wrong, %d changes done, %d refused after a race", ignoreRecord, wrongSeeds, seeds, done, races)
 		assert.Check(t, wrongSeeds > 0 == ignoreRecord)
 	}
 }
 
-// The operator whose change comes second must learn which change came first and what the row
-// contains now.
+// The error for the operator whose change comes second must name the change that came first
+// and what the row contains now.
 func TestConflictNamesTheWinner(t *testing.T) {
 	tbl := &lossyTable{reliable: true}
 	team := func(author string, n core.Slots) config.Change {
--- a/io/platform/controller_lease.go
+++ b/io/platform/controller_lease.go
@@ -14,8 +14,9 @@
 const (
 	// leaseIntervals is how many control intervals a lease lasts after its renewal.
 	leaseIntervals = 4
-	// takeoverDelayIntervals is how many control intervals the relay leaves a free lease to
-	// the other entries, each of which reads the lease once per interval.
+	// takeoverDelayIntervals is how many control intervals the zone's relay leaves a free
+	// lease to the other entries, each of which reads the lease once per interval. See
+	// maintenance.LeasePolicy.
 	takeoverDelayIntervals = 2
 )
 
@@ -91,7 +92,7 @@
 func (c *Controller) setHoldsLease(held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.Holds = held
+	c.state.HoldsLease = held
 }
 
 // entries returns the zone's entries on the live list, except those that are leaving. If
