--- a/cmd/lavenderpond-experiment/run.go
+++ b/cmd/lavenderpond-experiment/run.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	if n, ok := e.(experiment.WorkloadFilter); ok && r.Workload != "" {
-		e = n.FilterWorkload(r.Workload)
+	if filter, ok := e.(experiment.WorkloadFilter); ok && r.Workload != "" {
+		e = filter.FilterWorkload(r.Workload)
 	}
 	var rows []experiment.Row
 	for seed := r.FirstSeed; seed < r.FirstSeed+r.Seeds; seed++ {
--- a/cmd/lavenderpond-load/check.go
+++ b/cmd/lavenderpond-load/check.go
@@ -44,7 +44,7 @@
 	// as done that never started.
 	DoubleStarts     int `json:"doubles"`
 	FalseNotRun      int `json:"false_not_run"`
-	NotWhole         int `json:"not_whole"`
+	InvalidBodies    int `json:"not_whole"`
 	DoneWithoutStart int `json:"done_without_start"`
 }
 
@@ -67,7 +67,7 @@
 	if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
 		return err
 	}
-	if r.DoubleStarts+r.FalseNotRun+r.NotWhole+r.DoneWithoutStart > 0 {
+	if r.DoubleStarts+r.FalseNotRun+r.InvalidBodies+r.DoneWithoutStart > 0 {
 		return errors.New("callers received answers that contradict the recorded starts")
 	}
 	return nil
@@ -81,13 +81,13 @@
 	}
 	done, notRun, lastNotRun := false, true, false
 	for _, a := range list {
-		r.noteOutage(a)
+		r.recordFailure(a)
 		isDone := a.Outcome == pb.Outcome_OUTCOME_DONE.String()
 		done = done || isDone
 		lastNotRun = a.Outcome == pb.Outcome_OUTCOME_NOT_RUN.String()
 		notRun = notRun && lastNotRun
-		if isDone && !a.Whole {
-			r.NotWhole++
+		if isDone && !a.BodyValid {
+			r.InvalidBodies++
 		}
 	}
 	switch {
@@ -108,10 +108,10 @@
 	}
 }
 
-// noteOutage records the time of an attempt that an entry answered but could not pass to
+// recordFailure records the time of an attempt that an entry answered but could not pass to
 // a holder. An attempt without an answer doesn't count: an entry that is down refuses
 // connections, which says nothing about the rest of the fleet.
-func (r *checkResult) noteOutage(a attempt) {
+func (r *checkResult) recordFailure(a attempt) {
 	if a.Code != core.CodeNoHolder.String() && a.Code != core.CodeHomeUnreachable.String() && a.Code != core.CodeZoneUnreachable.String() {
 		return
 	}
--- a/cmd/lavenderpond-load/entries.go
+++ b/cmd/lavenderpond-load/entries.go
@@ -43,8 +43,8 @@
 	Attempt int    `json:"attempt"`
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
-	// Whole says that the body of the answer is complete and belongs to this id.
-	Whole bool `json:"whole"`
+	// BodyValid says that the body of the answer is complete and belongs to this id.
+	BodyValid bool `json:"whole"`
 	// AtMs is the time of the answer, in Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
 }
@@ -129,7 +129,7 @@
 	a := attempt{ID: c.Team + "/" + string(req.Key.ID), Attempt: int(req.Attempt), Outcome: "no_answer", AtMs: time.Now().UnixMilli()}
 	if err == nil {
 		a.Outcome, a.Code = answer.Outcome.String(), answer.CodeName
-		a.Whole = strings.HasPrefix(string(answer.Body), "done "+a.ID+",") && len(answer.Body) >= c.Bytes
+		a.BodyValid = strings.HasPrefix(string(answer.Body), "done "+a.ID+",") && len(answer.Body) >= c.Bytes
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -29,9 +29,9 @@
 	rowsPerTransaction = 500
 	// vmsPerRack is the number of VMs in a rack.
 	vmsPerRack = 4
-	// livePostInterval is how often the VMs are reported as up. The platform's stand-in
+	// liveReportInterval is how often the VMs are reported as up. The platform's stand-in
 	// forgets a VM after 3 s without a report.
-	livePostInterval = time.Second
+	liveReportInterval = time.Second
 	// churnTeams is the number of teams whose allotments are rewritten. The allotments of
 	// a team are spread over churnZones zones, and over churnEntries entries in each
 	// zone. These are the numbers of the two-year size.
@@ -70,43 +70,43 @@
 		return err
 	}
 	c.client = platform.NewClient("http://" + c.Platform.String())
-	c.configRows()
-	c.fleetRows()
+	c.addConfigRows()
+	c.addFleetRows()
 	if err := c.flush(ctx); err != nil {
 		return err
 	}
 	fmt.Println("filled", c.key(1, 0))
 	var g supervisor.Group
-	g.Go(func() { _ = supervisor.Every(ctx, livePostInterval, c.postLive) })
+	g.Go(func() { _ = supervisor.Every(ctx, liveReportInterval, c.reportLive) })
 	g.Go(func() { c.churn(ctx) })
 	err := c.serveControl(ctx)
 	g.Wait()
 	return err
 }
 
-// configRows adds the rows of pools, queues, teams and keys, and finally the head of the
+// addConfigRows adds the rows of pools, queues, teams and keys, and finally the head of the
 // configuration.
-func (c *fillCommand) configRows() {
+func (c *fillCommand) addConfigRows() {
 	for i := range c.Pools {
-		c.set(table.PoolConfigKey(c.pool(i)), config.Pool{MaxUnavailable: 2, LendsIdle: true})
-		c.set(table.QueueKey(core.QueueID(c.pool(i))), config.Queue{Pool: c.pool(i), Overflow: true, MaxQueued: 500})
+		c.addRow(table.PoolConfigKey(c.pool(i)), config.Pool{MaxUnavailable: 2, LendsIdle: true})
+		c.addRow(table.QueueKey(core.QueueID(c.pool(i))), config.Queue{Pool: c.pool(i), Overflow: true, MaxQueued: 500})
 	}
 	for i := 1; i <= c.Teams; i++ {
-		c.set(table.TeamKey(c.team(i)), config.Team{Share: 1, Limit: 200})
+		c.addRow(table.TeamKey(c.team(i)), config.Team{Share: 1, Limit: 200})
 		for k := range c.Keys {
-			c.set(table.KeyDigestKey(core.Digest(c.key(i, k))), config.Key{Team: c.team(i)})
+			c.addRow(table.KeyDigestKey(core.Digest(c.key(i, k))), config.Key{Team: c.team(i)})
 		}
 	}
 	version := core.Version(c.Teams*(1+c.Keys) + 2*c.Pools)
-	c.set(table.ConfigHead, config.Head{Version: version, Change: "fill"})
+	c.addRow(table.ConfigHead, config.Head{Version: version, Change: "fill"})
 	// These changes have no audit records. They are marked as exported and deleted, since
 	// otherwise every exporter would look for each of the missing records.
-	c.set("export/audit", map[string]core.Version{"version": version, "deleted": version})
+	c.addRow("export/audit", map[string]core.Version{"version": version, "deleted": version})
 }
 
-// fleetRows adds the rows of the VMs, and the rows of the pools, which list the VMs that
+// addFleetRows adds the rows of the VMs, and the rows of the pools, which list the VMs that
 // are out.
-func (c *fillCommand) fleetRows() {
+func (c *fillCommand) addFleetRows() {
 	pools := make([]fleet.Pool, c.Pools)
 	for i := range pools {
 		pools[i].MaxUnavailable = 2
@@ -125,15 +125,15 @@
 				vm.State = fleet.Failed
 				pool.Out = append(pool.Out, fleet.OutVM{Ref: ref, Since: since})
 			}
-			c.set(ref.Key(), vm)
+			c.addRow(ref.Key(), vm)
 		}
 	}
 	for i, p := range pools {
-		c.set(table.PoolStateKey(c.pool(i)), p)
+		c.addRow(table.PoolStateKey(c.pool(i)), p)
 	}
 }
 
-func (c *fillCommand) set(key table.Key, value any) {
+func (c *fillCommand) addRow(key table.Key, value any) {
 	var t table.Transaction
 	if err := t.Set(key, value); err != nil {
 		panic(err) // All values are plain structs, which can be encoded.
@@ -179,17 +179,17 @@
 	})
 }
 
-// postLive reports all VMs to the platform, which keeps them on its live list.
-func (c *fillCommand) postLive(ctx context.Context) {
-	var posts []standin.LiveReport
+// reportLive reports all VMs to the platform, which keeps them on its live list.
+func (c *fillCommand) reportLive(ctx context.Context) {
+	var reports []standin.LiveReport
 	for _, z := range c.Zones {
 		for i := range c.VMs {
-			posts = append(posts, standin.LiveReport{
+			reports = append(reports, standin.LiveReport{
 				Liveness: platform.Liveness{Name: string(vmName(z, i)), Zone: z}, Control: "http://" + c.Control.String(),
 			})
 		}
 	}
-	body, err := json.Marshal(posts)
+	body, err := json.Marshal(reports)
 	if err != nil {
 		return
 	}
--- a/cmd/lavenderpond-standin/link_test.go
+++ b/cmd/lavenderpond-standin/link_test.go
@@ -68,26 +68,26 @@
 }
 
 // connect returns both ends of a new connection.
-func (l *testLink) connect() (here, there net.Conn) {
+func (l *testLink) connect() (client, server net.Conn) {
 	l.t.Helper()
 	for until := time.Now().Add(testTimeout); ; {
 		conn, err := net.Dial("tcp", l.address)
 		if err == nil {
-			here = conn
+			client = conn
 			break
 		}
 		assert.Assert(l.t, time.Now().Before(until), "%v", err)
 		time.Sleep(time.Millisecond)
 	}
-	there = <-l.accepted
+	server = <-l.accepted
 	deadline := time.Now().Add(testTimeout)
-	assert.NilError(l.t, here.SetDeadline(deadline))
-	assert.NilError(l.t, there.SetDeadline(deadline))
+	assert.NilError(l.t, client.SetDeadline(deadline))
+	assert.NilError(l.t, server.SetDeadline(deadline))
 	l.t.Cleanup(func() {
-		_ = here.Close()
-		_ = there.Close()
+		_ = client.Close()
+		_ = server.Close()
 	})
-	return here, there
+	return client, server
 }
 
 // awaitReceived waits until the link has received n bytes more than before.
@@ -113,17 +113,17 @@
 // accepts connections.
 func TestLinkRefuses(t *testing.T) {
 	l := newTestLink(t)
-	here, there := l.connect()
-	assert.Equal(t, transfer(t, here, there, "ping"), "ping")
-	assert.Equal(t, transfer(t, there, here, "pong"), "pong")
+	client, server := l.connect()
+	assert.Equal(t, transfer(t, client, server, "ping"), "ping")
+	assert.Equal(t, transfer(t, server, client, "pong"), "pong")
 	l.setState(link.Refused)
-	_, err := io.ReadAll(there)
+	_, err := io.ReadAll(server)
 	assert.Assert(t, err == nil || errors.Is(err, syscall.ECONNRESET), "%v", err)
 	_, err = net.Dial("tcp", l.address)
 	assert.Assert(t, errors.Is(err, syscall.ECONNREFUSED), "%v", err)
 	l.setState(link.Open)
-	here, there = l.connect()
-	assert.Equal(t, transfer(t, here, there, "again"), "again")
+	client, server = l.connect()
+	assert.Equal(t, transfer(t, client, server, "again"), "again")
 }
 
 // TestLinkDiscards checks the state Silent: bytes that are sent meanwhile never arrive,
@@ -131,32 +131,32 @@
 // break, because its stream has a gap and the peer would otherwise read half a message.
 func TestLinkDiscards(t *testing.T) {
 	l := newTestLink(t)
-	here, there := l.connect()
-	assert.Equal(t, transfer(t, here, there, "before"), "before")
+	client, server := l.connect()
+	assert.Equal(t, transfer(t, client, server, "before"), "before")
 	l.setState(link.Silent)
 	received := l.links["a.b"].BytesReceived()
-	_, err := io.WriteString(here, "during\n")
+	_, err := io.WriteString(client, "during\n")
 	assert.NilError(t, err)
 	l.awaitReceived(received, int64(len("during\n")))
 	l.setState(link.Open)
-	_, _ = io.WriteString(here, "after\n")
-	got, _ := io.ReadAll(there)
+	_, _ = io.WriteString(client, "after\n")
+	got, _ := io.ReadAll(server)
 	assert.Equal(t, string(got), "")
-	here, there = l.connect()
-	assert.Equal(t, transfer(t, here, there, "again"), "again")
+	client, server = l.connect()
+	assert.Equal(t, transfer(t, client, server, "again"), "again")
 }
 
 // TestLinkHolds checks the state Held, which simulates late answers: bytes that are sent
 // meanwhile arrive after the link is opened again, in order and on the same connection.
 func TestLinkHolds(t *testing.T) {
 	l := newTestLink(t)
-	here, there := l.connect()
+	client, server := l.connect()
 	l.setState(link.Held)
-	_, err := io.WriteString(here, "late ")
+	_, err := io.WriteString(client, "late ")
 	assert.NilError(t, err)
 	l.awaitReceived(0, int64(len("late ")))
 	l.setState(link.Open)
-	assert.Equal(t, transfer(t, here, there, "words"), "late words")
+	assert.Equal(t, transfer(t, client, server, "words"), "late words")
 }
 
 // TestLinkStopsWithContext checks that an open link stops at once when its context ends.
--- a/cmd/lavenderpond-standin/outage.go
+++ b/cmd/lavenderpond-standin/outage.go
@@ -92,12 +92,12 @@
 	return unknown
 }
 
-// livePosts returns the posts of the VMs that are up.
-func (o *outages) livePosts(posts []platformstandin.LiveReport) []platformstandin.LiveReport {
+// liveReports returns the posts of the VMs that are up.
+func (o *outages) liveReports(reports []platformstandin.LiveReport) []platformstandin.LiveReport {
 	var list []platformstandin.LiveReport
-	for _, p := range posts {
-		if down, _ := o.isDown(core.VMID(p.Name)); !down {
-			list = append(list, p)
+	for _, r := range reports {
+		if down, _ := o.isDown(core.VMID(r.Name)); !down {
+			list = append(list, r)
 		}
 	}
 	return list
--- a/cmd/lavenderpond-standin/targets.go
+++ b/cmd/lavenderpond-standin/targets.go
@@ -18,8 +18,8 @@
 	"lavenderpond/io/target/standin"
 )
 
-// livePostInterval is how often the VMs report to the platform that they are up.
-const livePostInterval = time.Second
+// liveReportInterval is how often the VMs report to the platform that they are up.
+const liveReportInterval = time.Second
 
 type targetsCommand struct {
 	Listen      netip.AddrPort `help:"Loopback address and port of the first VM; the others follow." default:"127.0.0.1:8000"`
@@ -39,14 +39,14 @@
 	if c.LogStarts {
 		starts = &standin.StartLog{}
 	}
-	var posts []platformstandin.LiveReport
+	var reports []platformstandin.LiveReport
 	vmOutages := newOutages()
 	for i := range c.Count {
 		vm := &standin.VM{
 			ID: core.VMID(fmt.Sprintf("%s-%03d", c.Prefix, i)), Slots: core.Slots(c.Slots), Log: starts,
 		}
 		address := netip.AddrPortFrom(c.Listen.Addr(), c.Listen.Port()+uint16(i))
-		posts = append(posts, platformstandin.LiveReport{
+		reports = append(reports, platformstandin.LiveReport{
 			Liveness: platform.Liveness{Name: string(vm.ID), Zone: core.ZoneID(c.Zone)},
 			Control:  "http://" + address.String(),
 		})
@@ -60,7 +60,7 @@
 		})
 	}
 	node.Children = append(node.Children, supervisor.Child{Name: "live", Run: func(ctx context.Context) error {
-		return supervisor.Every(ctx, livePostInterval, func(ctx context.Context) { c.postLive(ctx, vmOutages.livePosts(posts), log) })
+		return supervisor.Every(ctx, liveReportInterval, func(ctx context.Context) { c.reportLive(ctx, vmOutages.liveReports(reports), log) })
 	}})
 	log.Info().Stringer("listen", c.Listen).Int("count", c.Count).Str("zone", c.Zone).Msg("serving targets")
 	return node.Run(ctx)
@@ -79,9 +79,9 @@
 	return mux
 }
 
-// postLive reports the VMs to the platform, which keeps them on its live list.
-func (c *targetsCommand) postLive(ctx context.Context, posts []platformstandin.LiveReport, log zerolog.Logger) {
-	body, err := json.Marshal(posts)
+// reportLive reports the VMs to the platform, which keeps them on its live list.
+func (c *targetsCommand) reportLive(ctx context.Context, reports []platformstandin.LiveReport, log zerolog.Logger) {
+	body, err := json.Marshal(reports)
 	if err != nil {
 		return
 	}
--- a/cmd/lavenderpond/defaults.go
+++ b/cmd/lavenderpond/defaults.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return err
 	}
-	a.showView(reply.View)
+	a.warnView(reply.View)
 	var g grid
 	g.add("SHARE", "LIMIT", "MAX UNAVAILABLE", "MAX QUEUED", "MAX BODY", "ROW VERSION")
 	g.add(reply.Share, reply.Limit, reply.MaxUnavailable, reply.MaxQueued, reply.MaxBody, reply.RowVersion)
--- a/cmd/lavenderpond/exceptions.go
+++ b/cmd/lavenderpond/exceptions.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	a.showView(reply.View)
+	a.warnView(reply.View)
 	var g grid
 	g.add("ID", "SCOPE", "VALUE", "END", "ENDED", "AUTHOR", "REASON")
 	for _, e := range reply.Exceptions {
--- a/cmd/lavenderpond/keys.go
+++ b/cmd/lavenderpond/keys.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	a.showView(reply.View)
+	a.warnView(reply.View)
 	var g grid
 	g.add("TEAM", "STATE", "DIGEST")
 	for _, k := range reply.Keys {
--- a/cmd/lavenderpond/output.go
+++ b/cmd/lavenderpond/output.go
@@ -46,9 +46,9 @@
 	return w.Flush()
 }
 
-// showView warns on standard error that a list comes from the configuration that an entry
+// warnView warns on standard error that a list comes from the configuration that an entry
 // holds, which may be outdated. It prints nothing if v is nil.
-func (a *app) showView(v *pb.View) {
+func (a *app) warnView(v *pb.View) {
 	if v != nil {
 		a.warnf("the table is down: this is the view of entry %s at version %d\n", v.Entry, v.Version)
 	}
--- a/cmd/lavenderpond/queues.go
+++ b/cmd/lavenderpond/queues.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return err
 	}
-	a.showView(reply.View)
+	a.warnView(reply.View)
 	var g grid
 	g.add("QUEUE", "POOL", "OVERFLOW", "MAX QUEUED", "ROW VERSION")
 	for _, q := range reply.Queues {
--- a/cmd/lavenderpond/requests.go
+++ b/cmd/lavenderpond/requests.go
@@ -51,7 +51,7 @@
 	}
 	answer, err := a.callEntries(m.Deadline.AsTime().Add(answerGrace), c.ID, func(ctx context.Context, t callerClient) (*pb.Answer, error) {
 		m.Attempt++
-		return checkAnswer(t.Submit(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.SubmitRequest])))
+		return checkAnswer(t.Submit(ctx, t.authorize(connect.NewRequest(m)).(*connect.Request[pb.SubmitRequest])))
 	})
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 	if c.NoWait && answer.Outcome == pb.Outcome_OUTCOME_PENDING {
 		return a.showAnswer(answer)
 	}
-	return a.finish(answer)
+	return a.showOutcome(answer)
 }
 
 // requestArg identifies a request that was submitted earlier.
@@ -74,12 +74,12 @@
 func (c fetchCmd) Run(a *app) error {
 	m := &pb.FetchRequest{Team: c.Team, Id: c.ID}
 	answer, err := a.callEntries(a.now().Add(a.Timeout), c.ID, func(ctx context.Context, t callerClient) (*pb.Answer, error) {
-		return checkAnswer(t.Fetch(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.FetchRequest])))
+		return checkAnswer(t.Fetch(ctx, t.authorize(connect.NewRequest(m)).(*connect.Request[pb.FetchRequest])))
 	})
 	if err != nil {
 		return err
 	}
-	return a.finish(answer)
+	return a.showOutcome(answer)
 }
 
 type cancelCmd struct{ requestArg }
@@ -88,7 +88,7 @@
 func (c cancelCmd) Run(a *app) error {
 	m := &pb.CancelRequest{Team: c.Team, Id: c.ID}
 	answer, err := a.callEntries(a.now().Add(a.Timeout), c.ID, func(ctx context.Context, t callerClient) (*pb.Answer, error) {
-		return checkAnswer(t.Cancel(ctx, t.sign(connect.NewRequest(m)).(*connect.Request[pb.CancelRequest])))
+		return checkAnswer(t.Cancel(ctx, t.authorize(connect.NewRequest(m)).(*connect.Request[pb.CancelRequest])))
 	})
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 	if core.Code(answer.Code) == core.CodeCancelled {
 		return a.showAnswer(answer)
 	}
-	return a.finish(answer)
+	return a.showOutcome(answer)
 }
 
 // callerClient calls the callers' service of one entry with the team key.
@@ -105,7 +105,7 @@
 	key string
 }
 
-func (t callerClient) sign(r connect.AnyRequest) connect.AnyRequest {
+func (t callerClient) authorize(r connect.AnyRequest) connect.AnyRequest {
 	r.Header().Set("Authorization", "Bearer "+t.key)
 	return r
 }
@@ -186,9 +186,9 @@
 	return r.Msg, nil
 }
 
-// finish prints an answer that is done. For any other answer it returns an error with the
+// showOutcome prints an answer that is done. For any other answer it returns an error with the
 // matching exit code, and prints the answer only as JSON.
-func (a *app) finish(m *pb.Answer) error {
+func (a *app) showOutcome(m *pb.Answer) error {
 	if m.Outcome == pb.Outcome_OUTCOME_DONE || a.Output == "json" {
 		if err := a.showAnswer(m); err != nil || m.Outcome == pb.Outcome_OUTCOME_DONE {
 			return err
--- a/cmd/lavenderpond/teams.go
+++ b/cmd/lavenderpond/teams.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	a.showView(reply.View)
+	a.warnView(reply.View)
 	if len(reply.Unreachable) > 0 {
 		a.warnf("running and queued leave out %s\n", strings.Join(reply.Unreachable, ", "))
 	}
--- a/cmd/lavenderpond/trace.go
+++ b/cmd/lavenderpond/trace.go
@@ -41,7 +41,7 @@
 		return failf(exitRefused, "no line of the logs concerns job %s", c.Job)
 	}
 	for _, l := range h.Lines {
-		a.printf("%s %s %s%s\n", l.At.Format(traceTimeLayout), l.Node, l.Event, fieldsText(l.Fields))
+		a.printf("%s %s %s%s\n", l.At.Format(traceTimeLayout), l.Node, l.Event, formatFields(l.Fields))
 	}
 	if h.Omitted > 0 {
 		a.printf("%d log lines, of any job, were omitted to limit the size of the logs; some may be missing above\n", h.Omitted)
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// fieldsText formats fields as name=value, sorted by name.
-func fieldsText(fields map[string]any) string {
+// formatFields formats fields as name=value, sorted by name.
+func formatFields(fields map[string]any) string {
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(fields)) {
 		fmt.Fprintf(&b, " %s=%v", k, fields[k])
--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -64,7 +64,7 @@
 // per zone, so that the roll-out takes a comparable time. The second is an eighth of it,
 // at least one VM, which is the careful use of the naive planner.
 func (e Experiment) Run(seed uint64) []experiment.Row {
-	budgetWave := max(1, e.Size.Pools*e.Size.MaxUnavailable/e.Size.Zones)
+	waveSize := max(1, e.Size.Pools*e.Size.MaxUnavailable/e.Size.Zones)
 	var rows []experiment.Row
 	for _, v := range []struct {
 		name     string
@@ -72,10 +72,10 @@
 		budgeted bool
 	}{
 		{"spread", spread.Planner{}, true},
-		{"naive", fixed.Planner{Size: budgetWave}, false},
-		{"naive_small", fixed.Planner{Size: max(1, budgetWave/8)}, false},
+		{"naive", fixed.Planner{Size: waveSize}, false},
+		{"naive_small", fixed.Planner{Size: max(1, waveSize/8)}, false},
 	} {
-		r := e.rollOut(seed, v.planner, v.budgeted)
+		r := e.runRollout(seed, v.planner, v.budgeted)
 		for _, m := range r.measures() {
 			rows = append(rows, experiment.Row{
 				Experiment: e.Name(), Workload: e.Size.Name, Variant: v.name, Seed: seed, Measure: m.name, Value: m.value,
@@ -99,9 +99,9 @@
 	idleSpareVMs, missingVMs int
 }
 
-// rollOut runs until every zone finished or the deadline passed. If budgeted is false, the
+// runRollout runs until every zone finished or the deadline passed. If budgeted is false, the
 // rows of the pools allow any number of stops, as for a planner without budgets.
-func (e Experiment) rollOut(seed uint64, p maintenance.Planner, budgeted bool) *rollout {
+func (e Experiment) runRollout(seed uint64, p maintenance.Planner, budgeted bool) *rollout {
 	rowBudget := e.Size.MaxUnavailable
 	if !budgeted {
 		rowBudget = e.Size.PoolVMs
@@ -211,7 +211,7 @@
 	return []measure{
 		{"rollout_hours", endedAt.Sub(runStart).Hours()},
 		{"breaches", float64(len(r.world.Breaches))},
-		{"cut_off", float64(len(r.world.CutOff))},
+		{"cut_off", float64(len(r.world.Interruptions))},
 		{"short_vm_hours", float64(r.missingVMs) * stepsPerSample * stepTime.Hours()},
 		{"moves", float64(moves)},
 		{"stops", float64(r.world.Stops)},
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -87,8 +87,8 @@
 
 	// Breaches lists the planned stops that exceeded a budget, CutOff those that
 	// interrupted running work. Stops counts all planned stops.
-	Breaches, CutOff []string
-	Stops            int
+	Breaches, Interruptions []string
+	Stops                   int
 
 	vms      []*SimulatedVM
 	vmsByRef map[fleet.Ref]*SimulatedVM
@@ -334,7 +334,7 @@
 // count as missing VMs, but all VMs that are down because of a planned stop do.
 func (w *World) recordViolations(v *SimulatedVM) {
 	if w.Running(v.Ref) > 0 {
-		w.CutOff = append(w.CutOff, fmt.Sprintf("%s at %s", v.Ref, w.Now.Format(time.RFC3339)))
+		w.Interruptions = append(w.Interruptions, fmt.Sprintf("%s at %s", v.Ref, w.Now.Format(time.RFC3339)))
 	}
 	pool := w.Row(v.Ref).VM.Pool
 	if pool == SparePool {
--- a/core/experiment/replay/counters.go
+++ b/core/experiment/replay/counters.go
@@ -18,8 +18,8 @@
 	firstDuringOutage, attemptsDuringOutage, firstAfterOutage, attemptsAfterOutage int
 }
 
-// countFirst counts a first attempt if it was made during the outage or after it.
-func (c *counters) countFirst(s *simulation, j *job) {
+// countFirstAttempt counts a first attempt if it was made during the outage or after it.
+func (c *counters) countFirstAttempt(s *simulation, j *job) {
 	switch {
 	case s.inOutage(j.item.Enqueued):
 		c.firstDuringOutage++
@@ -80,7 +80,7 @@
 	c.givenUp++
 }
 
-func (c *counters) unknown(j *job) {
+func (c *counters) endUnknown(j *job) {
 	j.state = ended
 	c.unknowns++
 }
--- a/core/experiment/replay/replay_test.go
+++ b/core/experiment/replay/replay_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// oneBurstRound returns w limited to one round in which each queue has one burst.
-func oneBurstRound(w Workload) Workload {
+// oneRotation returns w limited to one round in which each queue has one burst.
+func oneRotation(w Workload) Workload {
 	w.Horizon = phases * burstLength
 	return w
 }
@@ -18,7 +18,7 @@
 func TestEveryRequestEnds(t *testing.T) {
 	faults := Faults{BadTarget: true, Outage: 0.5, Cancellations: 0.5, Impossible: 0.05}
 	for _, p := range []Policy{Naive(), Queueing(), Overflow(), Moves(), Shared(), Split()} {
-		m := Run(oneBurstRound(Consortium()), p, faults, 1)
+		m := Run(oneRotation(Consortium()), p, faults, 1)
 		sum := m["done_in_time"] + m["done_late"] + m["refused_early"] + m["refused_late"] +
 			m["outcome_unknown"] + m["given_up"]
 		assert.Assert(t, sum > 0.999999 && sum < 1.000001, "%s: %v", p.Name, sum)
@@ -28,7 +28,7 @@
 // TestRunIsDeterministic checks that the same seed produces the same measures, and that
 // another seed changes them.
 func TestRunIsDeterministic(t *testing.T) {
-	w := oneBurstRound(Consortium())
+	w := oneRotation(Consortium())
 	assert.DeepEqual(t, Run(w, Overflow(), Faults{}, 5), Run(w, Overflow(), Faults{}, 5))
 	assert.Assert(t, Run(w, Overflow(), Faults{}, 5)["wait_p99"] != Run(w, Overflow(), Faults{}, 6)["wait_p99"])
 }
@@ -36,7 +36,7 @@
 // TestDemandKeepsItsMean checks that the mean demand over a round of bursts matches the
 // load of the workload.
 func TestDemandKeepsItsMean(t *testing.T) {
-	w := oneBurstRound(Magnolia())
+	w := oneRotation(Magnolia())
 	offered := time.Duration(0)
 	for _, j := range demand(w, Faults{}, 1) {
 		offered += j.run
--- a/core/experiment/replay/simulation.go
+++ b/core/experiment/replay/simulation.go
@@ -132,7 +132,7 @@
 func (s *simulation) arrive(j *job) {
 	if j.submissions == 0 {
 		j.entry.budget.First(s.now)
-		s.counters.countFirst(s, j)
+		s.counters.countFirstAttempt(s, j)
 	}
 	j.submissions++
 	s.enqueue(j)
@@ -315,7 +315,7 @@
 		}
 	}
 	if !retry.SafeToRetry(p, j.kind.Idempotent) {
-		s.counters.unknown(j)
+		s.counters.endUnknown(j)
 		return
 	}
 	if p == retry.NotSent && s.policy.RequeueUnsent {
--- a/core/home/dispatch.go
+++ b/core/home/dispatch.go
@@ -161,16 +161,16 @@
 		h.requeue(now, r, now)
 		return
 	}
-	if r.number == 0 {
+	if r.dispatchNumber == 0 {
 		h.Budget.First(now)
 	}
 	h.counts.Dispatched++
 	delete(h.awaitingAck, r.request.Key)
 	r.phase = running
-	r.number++
+	r.dispatchNumber++
 	r.startedAt = now
 	h.emit(Dispatch{
-		Request: r.request, VM: r.vm, Number: r.number, StartBy: startBy, LeaseUntil: r.request.Deadline,
+		Request: r.request, VM: r.vm, Number: r.dispatchNumber, StartBy: startBy, LeaseUntil: r.request.Deadline,
 	})
 }
 
--- a/core/home/dump.go
+++ b/core/home/dump.go
@@ -70,7 +70,7 @@
 			break
 		}
 		d.Unfinished = append(d.Unfinished, RecordDump{
-			Key: key.String(), Phase: r.phase.String(), VM: r.vm, Number: r.number,
+			Key: key.String(), Phase: r.phase.String(), VM: r.vm, Number: r.dispatchNumber,
 			Deadline: r.request.Deadline, Waiters: len(r.waiters),
 		})
 	}
--- a/core/home/ended.go
+++ b/core/home/ended.go
@@ -11,7 +11,7 @@
 // but the latest: such a report is late, and that dispatch is already settled.
 func (h *Home) handleEnded(now time.Time, e Ended) {
 	r := h.records[e.Key]
-	if r == nil || r.number != e.Number && !h.disabled.dispatchNumber || (r.phase != running && r.phase != ended) {
+	if r == nil || r.dispatchNumber != e.Number && !h.disabled.dispatchNumber || (r.phase != running && r.phase != ended) {
 		return
 	}
 	if r.phase == ended {
@@ -78,7 +78,7 @@
 		// again. Without the pause, a full pool would be asked in a loop.
 		notBefore = now.Add(h.Params.FullBackoff)
 	case Unreachable, Leaving:
-		notBefore = h.Budget.Backoff(now, int(r.number))
+		notBefore = h.Budget.Backoff(now, int(r.dispatchNumber))
 	}
 	h.requeue(now, r, notBefore)
 }
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -41,9 +41,9 @@
 	// Pool returns the pool of a queue and whether its requests may overflow to
 	// other pools.
 	Pool(now time.Time, q core.QueueID) (pool core.PoolID, overflow bool, ok bool)
-	// KeyGood returns whether a team key may start work now, and if not, the code
+	// VerifyKey returns whether a team key may start work now, and if not, the code
 	// of the reason.
-	KeyGood(now time.Time, team core.TeamID, key core.KeyDigest) (core.Code, bool)
+	VerifyKey(now time.Time, team core.TeamID, key core.KeyDigest) (core.Code, bool)
 }
 
 // Params are the time limits and other limits of a Home.
--- a/core/home/record.go
+++ b/core/home/record.go
@@ -40,8 +40,8 @@
 
 	// vm is the chosen target.
 	vm core.VMID
-	// number is the number of the latest dispatch; zero before the first.
-	number core.Attempt
+	// dispatchNumber is the number of the latest dispatch; zero before the first.
+	dispatchNumber core.Attempt
 	// startedAt is when the latest dispatch was sent.
 	startedAt time.Time
 	// tried are the targets that refused the request as invalid or failed to run it.
--- a/core/home/session_test.go
+++ b/core/home/session_test.go
@@ -51,7 +51,7 @@
 	return "p", false, q == "stack"
 }
 
-func (f *fakeConfig) KeyGood(_ time.Time, _ core.TeamID, d core.KeyDigest) (core.Code, bool) {
+func (f *fakeConfig) VerifyKey(_ time.Time, _ core.TeamID, d core.KeyDigest) (core.Code, bool) {
 	if f.withdrawn[d] {
 		return core.CodeKeyWithdrawn, false
 	}
--- a/core/home/submit.go
+++ b/core/home/submit.go
@@ -56,7 +56,7 @@
 // however many attempts reach its home and in whatever order.
 func (h *Home) join(now time.Time, r *record, e Submit) {
 	sameBody := sha256.Sum256(e.Request.Body) == r.bodyHash
-	if r.phase == ended && r.number == 0 && r.cancelled {
+	if r.phase == ended && r.dispatchNumber == 0 && r.cancelled {
 		sameBody = true // the cancellation may have arrived before the request, without a body
 	}
 	if !sameBody && !r.fromFormerHolder {
@@ -101,7 +101,7 @@
 		// The record of an earlier attempt may have been dropped already.
 		return h.refuse(req.Attempt, core.NotRun{Code: core.CodeDeadlinePassed})
 	}
-	if code, ok := h.Config.KeyGood(now, req.Key.Team, req.KeyDigest); !ok {
+	if code, ok := h.Config.VerifyKey(now, req.Key.Team, req.KeyDigest); !ok {
 		return core.NotRun{Code: code}
 	}
 	if _, _, ok := h.Config.Pool(now, req.Queue); !ok {
--- a/core/limit/initial.go
+++ b/core/limit/initial.go
@@ -13,11 +13,11 @@
 // last lease could have expired.
 const newEntryPeriod = 2 * time.Minute
 
-// NextInitialAllotments returns up to n of teams for which this entry has no allotment
+// TeamsWithoutAllotment returns up to n of teams for which this entry has no allotment
 // although part of the limit is free. Each entry of the fleet starts at a different
 // position in the list. Otherwise all entries would write the same rows at the same
 // time, and most of the writes would conflict.
-func (l *Ledger) NextInitialAllotments(teams []core.TeamID, n int) []core.TeamID {
+func (l *Ledger) TeamsWithoutAllotment(teams []core.TeamID, n int) []core.TeamID {
 	var missing []core.TeamID
 	first := l.spreadOffset(len(teams))
 	for i := range teams {
--- a/core/limit/initial_test.go
+++ b/core/limit/initial_test.go
@@ -138,7 +138,7 @@
 func (c *coldStart) run() *coldStart {
 	for c.seconds < coldStartMaxSeconds && c.missingAllotments() > 0 {
 		for _, l := range c.ledgers {
-			for _, team := range l.NextInitialAllotments(c.teams, c.perSecond) {
+			for _, team := range l.TeamsWithoutAllotment(c.teams, c.perSecond) {
 				l.RecordDemand(c.now, team)
 			}
 		}
@@ -196,7 +196,7 @@
 func (c *coldStart) missingAllotments() int {
 	n := 0
 	for _, l := range c.ledgers {
-		n += len(l.NextInitialAllotments(c.teams, len(c.teams)))
+		n += len(l.TeamsWithoutAllotment(c.teams, len(c.teams)))
 	}
 	return n
 }
--- a/core/maintenance/session_test.go
+++ b/core/maintenance/session_test.go
@@ -103,7 +103,7 @@
 		assert.NilError(t, z.Tick())
 		r.record()
 	}
-	assert.Equal(t, len(z.World.Breaches)+len(z.World.CutOff), 0)
+	assert.Equal(t, len(z.World.Breaches)+len(z.World.Interruptions), 0)
 	golden.Assert(t, r.String(), "session.txt")
 }
 
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -34,8 +34,8 @@
 	Unreadable int
 }
 
-// maxLine is the maximum length of a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line, in bytes.
+const maxLineBytes = 1 << 20
 
 // contextEvents are the events that affect every job, such as a change of the process
 // that owns the jobs or of the configuration in force.
@@ -57,7 +57,7 @@
 	vms := map[string]bool{}
 	for _, r := range logs {
 		s := bufio.NewScanner(r)
-		s.Buffer(nil, maxLine)
+		s.Buffer(nil, maxLineBytes)
 		for s.Scan() {
 			l, ok := parse(s.Text())
 			if !ok {
--- a/io/entry/allotments.go
+++ b/io/entry/allotments.go
@@ -31,7 +31,7 @@
 		if d.now().Before(d.started.Add(initialAllotmentDelay)) {
 			return
 		}
-		for _, team := range d.allotments.NextInitialAllotments(d.teams(), initialAllotmentsPerRound) {
+		for _, team := range d.allotments.TeamsWithoutAllotment(d.teams(), initialAllotmentsPerRound) {
 			d.allotments.Limiter().RecordDemand(d.now(), team)
 		}
 	})
--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -34,8 +34,8 @@
 	return pool, overflow, ok
 }
 
-// KeyGood implements home.Configuration.
-func (c *configuration) KeyGood(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
+// VerifyKey implements home.Configuration.
+func (c *configuration) VerifyKey(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
 	return c.CheckKey(now, team, digest)
 }
 
--- a/io/entry/safeguards_test.go
+++ b/io/entry/safeguards_test.go
@@ -76,8 +76,8 @@
 // anyKey is a home.Configuration that accepts every key.
 type anyKey struct{ home.Configuration }
 
-// KeyGood implements home.Configuration.
-func (anyKey) KeyGood(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
+// VerifyKey implements home.Configuration.
+func (anyKey) VerifyKey(time.Time, core.TeamID, core.KeyDigest) (core.Code, bool) { return 0, true }
 
 // noLimit is a limit.Limiter that allows every start.
 type noLimit struct{ limit.Limiter }
--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -87,11 +87,11 @@
 	return a.Ledger.Dump()
 }
 
-// NextInitialAllotments calls the ledger's method of the same name.
-func (a *Allotments) NextInitialAllotments(teams []core.TeamID, n int) []core.TeamID {
+// TeamsWithoutAllotment calls the ledger's method of the same name.
+func (a *Allotments) TeamsWithoutAllotment(teams []core.TeamID, n int) []core.TeamID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.Ledger.NextInitialAllotments(teams, n)
+	return a.Ledger.TeamsWithoutAllotment(teams, n)
 }
 
 // Child returns the supervised goroutine that runs the rounds.
--- a/io/platform/controller_late_reboot_test.go
+++ b/io/platform/controller_late_reboot_test.go
@@ -69,6 +69,6 @@
 		}
 		assert.Assert(t, paused, c.name)
 		_ = s.controllers[0].Tick(context.Background())
-		assert.Equal(t, len(s.world.CutOff), c.cut, c.name)
+		assert.Equal(t, len(s.world.Interruptions), c.cut, c.name)
 	}
 }
--- a/io/platform/controller_test.go
+++ b/io/platform/controller_test.go
@@ -30,7 +30,7 @@
 		if len(s.world.Breaches) > 0 {
 			totals.breaches++
 		}
-		if len(s.world.CutOff) > 0 {
+		if len(s.world.Interruptions) > 0 {
 			totals.cutOff++
 		}
 		switch w.Status {
@@ -41,7 +41,7 @@
 		}
 		assert.NilError(t, s.checkPools(), "seed %d", seed)
 		if setup == nil {
-			assert.Assert(t, len(s.world.Breaches)+len(s.world.CutOff) == 0, "seed %d: %v %v", seed, s.world.Breaches, s.world.CutOff)
+			assert.Assert(t, len(s.world.Breaches)+len(s.world.Interruptions) == 0, "seed %d: %v %v", seed, s.world.Breaches, s.world.Interruptions)
 		}
 	}
 	return totals
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -257,7 +257,7 @@
 	}
 	z.tick()
 	assert.Equal(t, z.count(fleet.Stopped)+z.count(fleet.Verifying), 0)
-	assert.Equal(t, len(z.world.CutOff), 0)
+	assert.Equal(t, len(z.world.Interruptions), 0)
 }
 
 // If the only suspicion against a failed VM were lost, its pool's budget would be used as if
