--- a/cmd/lavenderpond-load/check.go
+++ b/cmd/lavenderpond-load/check.go
@@ -39,9 +39,9 @@
 	// took to recover.
 	FailedForMs                   int64 `json:"failed_for_ms"`
 	firstFailureMs, lastFailureMs int64
-	// The following counts must be zero. They count ids that started more than once, ids
-	// answered as not_run that started, done answers that were truncated, and ids answered
-	// as done that never started.
+	// The following must be zero. They count ids that started more than once, ids whose
+	// last answer was not_run although they started, done answers with a body that was
+	// truncated or belonged to another id, and ids answered as done that never started.
 	DoubleStarts     int `json:"doubles"`
 	FalseNotRun      int `json:"false_not_run"`
 	InvalidBodies    int `json:"not_whole"`
@@ -73,6 +73,7 @@
 	return nil
 }
 
+// addRequest adds the attempts of one id, in order, and the number of its starts.
 func (r *checkResult) addRequest(list []attempt, starts int) {
 	r.IDs++
 	r.Starts += starts
--- a/cmd/lavenderpond-load/entries.go
+++ b/cmd/lavenderpond-load/entries.go
@@ -43,7 +43,7 @@
 	Attempt int    `json:"attempt"`
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
-	// BodyValid says that the body of the answer is complete and belongs to this id.
+	// BodyValid reports that the body of the answer is complete and belongs to this id.
 	BodyValid bool `json:"whole"`
 	// AtMs is the time of the answer, in Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
@@ -70,8 +70,8 @@
 	return c.run(ctx, func(ctx context.Context, n int) string { return c.request(ctx, run, n) }).print()
 }
 
-// request sends request number n, repeats it if Retry is set, and returns the name of the
-// last answer.
+// request sends request number n and repeats it if Retry is set. It returns the code name
+// of the last attempt's answer, or "error" if that attempt got none.
 func (c *entriesCommand) request(ctx context.Context, run int64, n int) string {
 	now := time.Now()
 	id := fmt.Sprintf("load-%d-%d", run, n)
--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -55,8 +55,8 @@
 	// to accept work.
 	Since   time.Duration  `help:"How long ago the VMs began to serve." default:"1h"`
 	Targets netip.AddrPort `help:"First address of the VMs' task services." default:"127.0.0.1:20000"`
-	// Churn rewrites allotment rows in the way of allotments that move between entries,
-	// for teams that exist only for this purpose.
+	// Churn rewrites allotment rows as if allotments moved between entries, for teams that
+	// exist only for this purpose.
 	Churn float64 `help:"Moves of allotments a second, in turn over the teams." default:"0"`
 
 	client *platform.Client
@@ -133,6 +133,7 @@
 	}
 }
 
+// addRow adds a row to the writes that flush sends.
 func (c *fillCommand) addRow(key table.Key, value any) {
 	var t table.Transaction
 	if err := t.Set(key, value); err != nil {
@@ -141,6 +142,7 @@
 	c.writes = append(c.writes, t.Writes...)
 }
 
+// flush writes the added rows to the table, in transactions of limited size.
 func (c *fillCommand) flush(ctx context.Context) error {
 	for len(c.writes) > 0 {
 		n := min(rowsPerTransaction, len(c.writes))
--- a/cmd/lavenderpond-standin/link_test.go
+++ b/cmd/lavenderpond-standin/link_test.go
@@ -159,7 +159,7 @@
 	assert.Equal(t, transfer(t, client, server, "words"), "late words")
 }
 
-// TestLinkStopsWithContext checks that an open link stops at once when its context ends.
+// TestLinkStopsWithContext checks that an open link stops immediately when its context ends.
 // Otherwise it would listen again and again until its address was in use.
 func TestLinkStopsWithContext(t *testing.T) {
 	links, err := parseLinks([]string{"a.b=127.0.0.1:0=127.0.0.1:1"})
--- a/cmd/lavenderpond-standin/outage.go
+++ b/cmd/lavenderpond-standin/outage.go
@@ -14,8 +14,8 @@
 
 // outages tracks which VMs of a targets process are down, as after a power failure of
 // their rack. While a VM is down, nothing listens at its address and it is missing from
-// the live list. The work that ran on it is cut off and forgotten. The record of starts
-// is kept for the tests.
+// the live list. The work that ran on it is lost. The record of starts is kept for the
+// tests.
 type outages struct {
 	mu   sync.Mutex
 	vms  map[core.VMID]*standin.VM
@@ -92,7 +92,7 @@
 	return unknown
 }
 
-// liveReports returns the posts of the VMs that are up.
+// liveReports returns the reports of those VMs that are up.
 func (o *outages) liveReports(reports []platformstandin.LiveReport) []platformstandin.LiveReport {
 	var list []platformstandin.LiveReport
 	for _, r := range reports {
--- a/cmd/lavenderpond-standin/serve.go
+++ b/cmd/lavenderpond-standin/serve.go
@@ -15,7 +15,7 @@
 // headerTimeout limits how long reading the headers of a request may take.
 const headerTimeout = 5 * time.Second
 
-// serve serves h at address until ctx ends, with at most limit connections at once if
+// serve serves h at address until ctx ends, with at most limit concurrent connections if
 // limit is positive. Only loopback addresses are allowed, because a stand-in must never
 // be reachable from a real network.
 func serve(ctx context.Context, address netip.AddrPort, h http.Handler, limit int) error {
--- a/cmd/lavenderpond/client.go
+++ b/cmd/lavenderpond/client.go
@@ -103,7 +103,7 @@
 }
 
 // askAny calls the entries in turn until one answers. A refusal counts as an answer,
-// unless it says only that this entry doesn't reach the table.
+// unless it says only that this entry can't reach the table.
 func askAny[Q, R any](a *app, f call[Q, R], m *Q) (*R, error) {
 	clients, err := a.operatorClients()
 	if err != nil {
--- a/cmd/lavenderpond/confirmations.go
+++ b/cmd/lavenderpond/confirmations.go
@@ -81,7 +81,7 @@
 	return failf(exitPartlyConfirmed, "%s can't be confirmed everywhere in %s", what, strings.Join(zones, ", "))
 }
 
-// zones returns the number of zones with at least one confirming entry, and the number
+// zones returns the number of zones with at least one entry that confirmed, and the number
 // of all zones.
 func (r *confirmationSet) zones() (confirming, all int) {
 	zones := map[string]bool{}
--- a/cmd/lavenderpond/exit.go
+++ b/cmd/lavenderpond/exit.go
@@ -87,6 +87,7 @@
 // Unwrap returns the error without its exit code.
 func (f *exitError) Unwrap() error { return f.error }
 
+// failf returns an error with the given exit code.
 func failf(exit exitCode, format string, args ...any) error {
 	return &exitError{exit, errors.Errorf(format, args...)}
 }
--- a/cmd/lavenderpond/output.go
+++ b/cmd/lavenderpond/output.go
@@ -47,7 +47,7 @@
 }
 
 // warnView warns on standard error that a list comes from the configuration that an entry
-// holds, which may be outdated. It prints nothing if v is nil.
+// holds, which may be outdated, and not from the table. It prints nothing if v is nil.
 func (a *app) warnView(v *pb.View) {
 	if v != nil {
 		a.warnf("the table is down: this is the view of entry %s at version %d\n", v.Entry, v.Version)
--- a/cmd/lavenderpond/requests.go
+++ b/cmd/lavenderpond/requests.go
@@ -105,6 +105,7 @@
 	key string
 }
 
+// authorize adds the team key to r and returns r.
 func (t callerClient) authorize(r connect.AnyRequest) connect.AnyRequest {
 	r.Header().Set("Authorization", "Bearer "+t.key)
 	return r
@@ -186,8 +187,8 @@
 	return r.Msg, nil
 }
 
-// showOutcome prints an answer that is done. For any other answer it returns an error with the
-// matching exit code, and prints the answer only as JSON.
+// showOutcome prints an answer that is done. For any other answer it returns an error with
+// the matching exit code, and prints the answer only if the output is JSON.
 func (a *app) showOutcome(m *pb.Answer) error {
 	if m.Outcome == pb.Outcome_OUTCOME_DONE || a.Output == "json" {
 		if err := a.showAnswer(m); err != nil || m.Outcome == pb.Outcome_OUTCOME_DONE {
--- a/cmd/lavenderpond/status.go
+++ b/cmd/lavenderpond/status.go
@@ -13,8 +13,9 @@
 
 type statusCmd struct{}
 
-// Run lists the status of every entry that is known to the entries given. A status from
-// an entry itself, or from one that reached it, takes precedence over "no answer".
+// Run lists the status of every entry that is known to the entries asked. A status that an
+// entry reports of itself or of an entry that it reached takes precedence over a report
+// that the entry is unreachable.
 func (statusCmd) Run(a *app) error {
 	replies, err := askAll(a, operatorClient.FleetStatus, &pb.FleetStatusRequest{})
 	if err != nil {
--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -21,9 +21,9 @@
 )
 
 // failureRates are the rates that users expect at the two-year size: of 10,000 VMs, 170
-// fail per day, and of 2,500 racks, one fails per week. Two values are assumptions: a
-// tenth of the failures lasts for hours, and after 0.5% of the reboots the VM stays down
-// for hours.
+// fail per day, and of 2,500 racks, one fails per week. The other two values are
+// assumptions: a tenth of the failures lasts for hours, and after 0.5% of the reboots the
+// VM stays down for hours.
 var failureRates = Faults{FailuresPerVMDay: 170.0 / 10000, LongFailureShare: 0.1, FailuresPerRackWeek: 1.0 / 2500, NotBackShare: 0.005}
 
 // Durations of the experiment. A step corresponds to a tick of the controller.
@@ -36,7 +36,7 @@
 	stepsPerSample = 10
 )
 
-// runStart is the simulated time at which a roll-out starts, an arbitrary date.
+// runStart is the simulated time at which a rollout starts, an arbitrary date.
 var runStart = time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC)
 
 func init() {
@@ -61,8 +61,8 @@
 // Run implements experiment.Experiment.
 //
 // The naive planner runs with two wave sizes. The first is the sum of the pools' budgets
-// per zone, so that the roll-out takes a comparable time. The second is an eighth of it,
-// at least one VM, which is the careful use of the naive planner.
+// per zone, so that the rollout takes a comparable time. The second is an eighth of it, but
+// at least one VM, as a cautious operator would choose.
 func (e Experiment) Run(seed uint64) []experiment.Row {
 	waveSize := max(1, e.Size.Pools*e.Size.MaxUnavailable/e.Size.Zones)
 	var rows []experiment.Row
@@ -85,7 +85,7 @@
 	return rows
 }
 
-// rollout is the state of one roll-out of maintenance over the fleet.
+// rollout is the state of one rollout: the maintenance of every VM of the fleet.
 type rollout struct {
 	size  Size
 	world *World
@@ -94,13 +94,14 @@
 	endedAt time.Time
 	halts   int
 	steps   int
-	// idleSpareVMs adds up the idle spare VMs in all samples, missingVMs the VMs that
-	// the pools lacked beyond their budgets.
+	// idleSpareVMs is the sum over all samples of the idle spare VMs, missingVMs that of
+	// the VMs that the pools lacked beyond their budgets.
 	idleSpareVMs, missingVMs int
 }
 
-// runRollout runs until every zone finished or the deadline passed. If budgeted is false, the
-// rows of the pools allow any number of stops, as for a planner without budgets.
+// runRollout maintains the fleet until every zone has finished or the deadline has passed.
+// If budgeted is false, the rows of the pools allow any number of stops, as for a planner
+// without budgets.
 func (e Experiment) runRollout(seed uint64, p maintenance.Planner, budgeted bool) *rollout {
 	rowBudget := e.Size.MaxUnavailable
 	if !budgeted {
@@ -136,7 +137,7 @@
 	}
 }
 
-// step advances the fleet by a tick and reports whether a zone still runs its wave.
+// step advances the fleet by one step and reports whether a zone still runs its wave.
 func (r *rollout) step() bool {
 	r.world.Advance(stepTime)
 	working := false
@@ -148,7 +149,7 @@
 		case maintenance.Running:
 			working = true
 		case maintenance.Halted:
-			// The operator resumes a halted wave at once.
+			// The operator resumes a halted wave immediately.
 			r.halts++
 			working = true
 			err := z.ApplyOperatorChange(func(w maintenance.WaveRow) (table.Transaction, error) {
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -1,7 +1,7 @@
 // Package maintenance compares the planners of VM maintenance under pseudo-random
-// failures. Its World simulates VMs and their platform. It knows which VMs really serve,
-// whatever their rows say, and checks the budgets of the pools against that. The failure
-// tests of maintenance use it, too.
+// failures. Its World simulates VMs and their platform. The World knows which VMs actually
+// serve, whatever their rows say, and checks the budgets of the pools against that. Tests
+// of the maintenance code use it, too.
 package maintenance
 
 import (
@@ -27,7 +27,7 @@
 	BackAt time.Time
 	// DownSince is when the VM went down.
 	DownSince time.Time
-	// Planned says that the VM is down because of a reboot, not because of a failure.
+	// Planned reports that the VM is down because of a reboot, not because of a failure.
 	Planned bool
 	// BusyUntil is when the last task that runs on the VM ends.
 	BusyUntil time.Time
@@ -38,8 +38,8 @@
 
 	// row is the decoded row of the VM. It is replaced as a whole when the row changes.
 	row *fleet.VMRow
-	// fence is the highest row version that a drain of the VM carried. Requests with a
-	// lower one are refused.
+	// fence is the row version that the latest accepted drain of the VM carried. Requests
+	// with a lower one are refused.
 	fence core.Version
 }
 
@@ -85,7 +85,7 @@
 	Budget int
 	Sizes  map[core.PoolID]int
 
-	// Breaches lists the planned stops that exceeded a budget, CutOff those that
+	// Breaches lists the planned stops that exceeded a budget, Interruptions those that
 	// interrupted running work. Stops counts all planned stops.
 	Breaches, Interruptions []string
 	Stops                   int
--- a/core/experiment/maintenance/zone.go
+++ b/core/experiment/maintenance/zone.go
@@ -29,8 +29,8 @@
 	Clock    func() time.Time
 
 	vms []*SimulatedVM
-	// rows are the rows of vms when the World's count of the zone's changes was
-	// zoneChanges.
+	// rows holds the rows of vms. It is valid while the World's count of changes in the
+	// zone equals zoneChanges.
 	rows        []*fleet.VMRow
 	zoneChanges int
 }
@@ -38,8 +38,8 @@
 // maxStepsPerTick is the maximum number of steps of a VM per tick, as in the controller.
 const maxStepsPerTick = 3
 
-// ApplyOperatorChange applies an operator's change to the wave row of the zone. The
-// argument build returns the transaction for the current row.
+// ApplyOperatorChange applies an operator's change to the wave row of the zone. It calls
+// build with the current row to obtain the transaction.
 func (z *Zone) ApplyOperatorChange(build func(maintenance.WaveRow) (table.Transaction, error)) error {
 	row, err := z.readWave()
 	if err != nil {
@@ -103,7 +103,7 @@
 	return z.plan()
 }
 
-// stepVM takes the next step of the driver for a VM, with what the VM reports as input.
+// stepVM observes a VM and executes the driver's next step for it.
 func (z *Zone) stepVM(vm fleet.VMRow, v *SimulatedVM) error {
 	w := z.World
 	var observed maintenance.Observation
@@ -173,7 +173,8 @@
 	return false
 }
 
-// transact applies t, unless it is empty, and counts a move of the VM to another pool.
+// transact applies t, unless it is empty. It counts a move if t put the VM into another
+// pool.
 func (z *Zone) transact(t table.Transaction, vm fleet.VMRow) error {
 	if len(t.Writes) == 0 {
 		return nil
--- a/core/experiment/replay/counters.go
+++ b/core/experiment/replay/counters.go
@@ -10,11 +10,13 @@
 	doneInTime, late, refusedEarly, refusedLate int
 	unknowns, givenUp, cancelled                int
 	moves, retries, resubmissions, fullRefusals int
-	useful, wasted                              time.Duration
+	// useful is the total duration of runs that succeeded before the deadline, wasted that
+	// of all other runs.
+	useful, wasted time.Duration
 	// usefulInHorizon is the part of useful that falls within the workload's horizon.
 	usefulInHorizon    time.Duration
 	waits, urgentWaits []time.Duration
-	// First attempts and dispatches during the outage and after it.
+	// Numbers of first attempts and of all dispatches, during the outage and after it.
 	firstDuringOutage, attemptsDuringOutage, firstAfterOutage, attemptsAfterOutage int
 }
 
@@ -50,6 +52,7 @@
 	c.usefulInHorizon += max(0, run-max(0, after))
 }
 
+// finish ends j, which succeeded before its deadline or late.
 func (c *counters) finish(_ time.Time, j *job, late bool) {
 	j.state = ended
 	wait := j.firstStart.Sub(j.item.Enqueued)
@@ -64,7 +67,7 @@
 	c.doneInTime++
 }
 
-// refuse counts a final refusal. It is early if more than half of the time between the
+// refuse ends j with a final refusal. The refusal counts as early if more than half of the time between the
 // first sending and the deadline is left, so that the caller can still react.
 func (c *counters) refuse(now time.Time, j *job) {
 	j.state = ended
@@ -75,16 +78,19 @@
 	c.refusedLate++
 }
 
+// giveUp ends j after a failed dispatch that isn't retried.
 func (c *counters) giveUp(j *job) {
 	j.state = ended
 	c.givenUp++
 }
 
+// endUnknown ends j with an unknown outcome: it may have run and isn't safe to retry.
 func (c *counters) endUnknown(j *job) {
 	j.state = ended
 	c.unknowns++
 }
 
+// cancel ends j because its caller cancelled it.
 func (c *counters) cancel(j *job) {
 	j.state = ended
 	c.cancelled++
--- a/core/experiment/replay/demand.go
+++ b/core/experiment/replay/demand.go
@@ -27,8 +27,9 @@
 	queueIndex int
 
 	failedTargets retry.FailedTargets
-	// retries counts the retries after failed dispatches. A dispatch to a target that
-	// was full doesn't count. submissions counts how often the caller sent the request.
+	// retries counts the retries that the retry budget allowed. A dispatch to a target that
+	// was full doesn't count, nor does a return to the queue because the target was
+	// unreachable. submissions counts how often the caller sent the request.
 	retries, submissions int
 	state                jobState
 	started              bool
--- a/core/experiment/replay/fault.go
+++ b/core/experiment/replay/fault.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Faults are the faults injected into a run. The zero value injects none. The faults of
-// targets hit one pool, the faulty pool.
+// Faults are the faults injected into a run. The zero value injects none. BadTarget,
+// Outage and Brownout affect the targets of one pool, the faulty pool.
 type Faults struct {
-	// BadTarget lets one target of the faulty pool fail all work quickly, from a quarter
-	// of the run to its end.
+	// BadTarget makes one target of the faulty pool fail all work quickly, from
+	// badTargetStart to the end of the run.
 	BadTarget bool
 	// Outage is the fraction of the faulty pool's targets that refuse connections between
 	// outageStart and outageEnd.
 	Outage float64
 	// Brownout is the fraction of the faulty pool's targets that fail all work quickly
-	// during the same time.
+	// between outageStart and outageEnd.
 	Brownout float64
 	// Cancellations is the fraction of the waiting requests that is cancelled at each of
 	// the cancelWaveTimes.
@@ -44,8 +44,8 @@
 	return runStart.Add(seconds(fraction * w.Horizon.Seconds()))
 }
 
-// faultyPool returns the index of the pool that faults hit. It is the pool whose queue
-// has a burst when an outage begins.
+// faultyPool returns the index of the pool whose targets are affected by faults. It is the
+// pool whose queue has a burst when an outage begins.
 func (w Workload) faultyPool() int {
 	return int(w.timeAt(outageStart).Sub(runStart)/burstLength) % phases
 }
--- a/core/experiment/replay/fleet.go
+++ b/core/experiment/replay/fleet.go
@@ -17,7 +17,7 @@
 	// originalPool is the pool in which the VM started, pool the one in which it is now.
 	// index is its number within originalPool.
 	originalPool, pool, index, zone int
-	// speed divides run times.
+	// speed is relative to a normal VM. Run times are divided by it.
 	speed   float64
 	running core.Slots
 	// moving marks a VM that takes no new work because it moves to the pool moveTo. It
@@ -101,8 +101,8 @@
 // is longer than a burst.
 const moveDelay = 15 * time.Second
 
-// moveThreshold is the backlog from which on a VM is moved to the queue's pool, as a number
-// of waiting requests in a zone.
+// moveThreshold is the number of waiting requests of a queue in a zone at which a VM is
+// moved to the queue's pool.
 const moveThreshold = slotsPerVM
 
 // planMoves moves VMs to pools with a backlog. At most one VM per pool and zone is out at
--- a/core/experiment/replay/policy.go
+++ b/core/experiment/replay/policy.go
@@ -27,7 +27,8 @@
 	// Budget creates the retry budget of an entry. If it is nil, retries are immediate
 	// and unlimited.
 	Budget func(rng *rand.Rand) retry.Budget
-	// BoundTargets gives up a request after it failed on retry.MaxTargets targets.
+	// BoundTargets makes entries give up a request that has failed on retry.MaxTargets
+	// targets.
 	BoundTargets bool
 	// RequeueUnsent puts a request that wasn't sent because its target was unreachable
 	// back into its queue, without using the retry budget.
@@ -122,7 +123,7 @@
 	}
 }
 
-// unlimitedRetries is a retry budget that allows every retry at once.
+// unlimitedRetries is a retry budget that allows every retry immediately.
 type unlimitedRetries struct{}
 
 func (unlimitedRetries) First(time.Time) {}
--- a/core/experiment/replay/replay_test.go
+++ b/core/experiment/replay/replay_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// oneRotation returns w limited to one round in which each queue has one burst.
+// oneRotation returns w limited to one rotation, in which each queue has one burst.
 func oneRotation(w Workload) Workload {
 	w.Horizon = phases * burstLength
 	return w
@@ -33,7 +33,7 @@
 	assert.Assert(t, Run(w, Overflow(), Faults{}, 5)["wait_p99"] != Run(w, Overflow(), Faults{}, 6)["wait_p99"])
 }
 
-// TestDemandKeepsItsMean checks that the mean demand over a round of bursts matches the
+// TestDemandKeepsItsMean checks that the mean demand over a rotation of bursts matches the
 // load of the workload.
 func TestDemandKeepsItsMean(t *testing.T) {
 	w := oneRotation(Magnolia())
--- a/core/experiment/replay/simulation.go
+++ b/core/experiment/replay/simulation.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// refillSlot fills the slot of v that j released. A slot that was lent to another queue is
-// first offered to the queue of its own pool.
+// refillSlot fills the slot of v that j released. A slot that j borrowed from another
+// pool is offered to that pool's queue first.
 func (s *simulation) refillSlot(j *job, v *vm) {
 	if v.pool != j.queueIndex {
 		s.dispatch(j.entry)
@@ -223,7 +223,7 @@
 	return true
 }
 
-// leaveQueue marks j as no longer waiting in a queue.
+// leaveQueue marks j as no longer waiting in its queue.
 func (s *simulation) leaveQueue(j *job) {
 	j.state = notQueued
 	s.shares.addWaiting(j, -1)
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -20,7 +20,7 @@
 	At    time.Time
 	Node  string
 	Event string
-	// Fields are the line's other fields.
+	// Fields holds the other fields of the line.
 	Fields map[string]any
 }
 
@@ -50,7 +50,7 @@
 	"machine_upkept": true, "machine_moved": true,
 }
 
-// Read returns the history of the job from logs.
+// Read returns the history of a job from the logs of several processes.
 func Read(job string, logs ...io.Reader) (History, error) {
 	var h History
 	var all []Line
--- a/core/trace/trace_test.go
+++ b/core/trace/trace_test.go
@@ -22,8 +22,8 @@
 {"level":"info","node":"edge-2","event":"owner_no_more","time":2500}
 `
 
-// The history contains the job's own lines in order of time, the context events between
-// them, and the events of only those VMs on which the job ran.
+// TestHistoryOfAJob checks that the history contains the job's own lines in order of time,
+// the context events between them, and the events of only those VMs on which the job ran.
 func TestHistoryOfAJob(t *testing.T) {
 	h, err := trace.Read("0000", strings.NewReader(firstLog), strings.NewReader(secondLog))
 	assert.NilError(t, err)
