--- a/cmd/lavenderpond-load/entries.go
+++ b/cmd/lavenderpond-load/entries.go
@@ -66,15 +66,15 @@
 		defer func() { _ = file.Close() }()
 		c.records = json.NewEncoder(file)
 	}
-	run := time.Now().UnixNano()
-	return c.run(ctx, func(ctx context.Context, n int) string { return c.request(ctx, run, n) }).print()
+	runID := time.Now().UnixNano()
+	return c.run(ctx, func(ctx context.Context, n int) string { return c.request(ctx, runID, n) }).print()
 }
 
 // request sends request number n and repeats it if Retry is set. It returns the code name
 // of the last attempt's answer, or "error" if that attempt got none.
-func (c *entriesCommand) request(ctx context.Context, run int64, n int) string {
+func (c *entriesCommand) request(ctx context.Context, runID int64, n int) string {
 	now := time.Now()
-	id := fmt.Sprintf("load-%d-%d", run, n)
+	id := fmt.Sprintf("load-%d-%d", runID, n)
 	if c.Home != "" {
 		id = c.Home + "~" + id
 	}
--- a/cmd/lavenderpond-load/targets.go
+++ b/cmd/lavenderpond-load/targets.go
@@ -24,13 +24,13 @@
 		return err
 	}
 	client := target.NewClient(64, 1<<20)
-	run := time.Now().UnixNano()
+	runID := time.Now().UnixNano()
 	return c.run(ctx, func(ctx context.Context, n int) string {
 		address := netip.AddrPortFrom(c.First.Addr(), c.First.Port()+uint16(n%c.Count))
 		deadline := time.Now().Add(10 * time.Second)
 		end := client.Start(ctx, address.String(), home.Dispatch{
 			Request: core.Request{
-				Key:  core.RequestKey{Team: "load", ID: core.RequestID(fmt.Sprintf("%d-%d", run, n))},
+				Key:  core.RequestKey{Team: "load", ID: core.RequestID(fmt.Sprintf("%d-%d", runID, n))},
 				Body: c.body(),
 			},
 			Number: 1, StartBy: deadline, LeaseUntil: deadline,
--- a/cmd/lavenderpond-standin/serve.go
+++ b/cmd/lavenderpond-standin/serve.go
@@ -67,14 +67,14 @@
 
 type limitedConn struct {
 	net.Conn
-	slots chan struct{}
-	done  bool
+	slots  chan struct{}
+	closed bool
 }
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	if !c.done {
-		c.done = true
+	if !c.closed {
+		c.closed = true
 		<-c.slots
 	}
 	return c.Conn.Close()
--- a/cmd/lavenderpond/confirmations.go
+++ b/cmd/lavenderpond/confirmations.go
@@ -90,8 +90,8 @@
 			zones[c.Zone] = zones[c.Zone] || c.Confirmed
 		}
 	}
-	for _, yes := range zones {
-		if yes {
+	for _, confirmed := range zones {
+		if confirmed {
 			confirming++
 		}
 	}
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -99,9 +99,9 @@
 	down     []*SimulatedVM
 	// zoneChanges counts the changes of VM rows in each zone.
 	zoneChanges map[core.ZoneID]int
-	// untilVMFault and untilRackFault are the remaining intervals until the next failure,
+	// untilVMFailure and untilRackFailure are the remaining intervals until the next failure,
 	// in units of the mean interval.
-	untilVMFault, untilRackFault float64
+	untilVMFailure, untilRackFailure float64
 }
 
 // SparePool is the name of the spare pool.
@@ -229,12 +229,12 @@
 		}
 		return back
 	})
-	for range w.poissonEvents(&w.untilVMFault, w.Faults.FailuresPerVMDay*float64(len(w.vms))*d.Hours()/24) {
+	for range w.poissonEvents(&w.untilVMFailure, w.Faults.FailuresPerVMDay*float64(len(w.vms))*d.Hours()/24) {
 		if v := w.vms[w.Rand.IntN(len(w.vms))]; v.Up {
 			w.Fail(v, w.failureDuration())
 		}
 	}
-	for range w.poissonEvents(&w.untilRackFault, w.Faults.FailuresPerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
+	for range w.poissonEvents(&w.untilRackFailure, w.Faults.FailuresPerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
 		w.FailAll(w.Rack(w.Rand.IntN(len(w.rackIDs))), w.uniform(2*time.Hour, 8*time.Hour))
 	}
 }
--- a/core/experiment/replay/simulation.go
+++ b/core/experiment/replay/simulation.go
@@ -25,17 +25,17 @@
 
 // simulation is the state of one run.
 type simulation struct {
-	workload Workload
-	policy   Policy
-	faults   Faults
-	rng      *rand.Rand
-	now      time.Time
-	events   eventHeap
-	entries  []*entry
-	vms      []*vm
-	byID     map[core.VMID]*vm
-	jobs     []*job
-	byKey    map[core.RequestKey]*job
+	workload  Workload
+	policy    Policy
+	faults    Faults
+	rng       *rand.Rand
+	now       time.Time
+	events    eventHeap
+	entries   []*entry
+	vms       []*vm
+	vmsByID   map[core.VMID]*vm
+	jobs      []*job
+	jobsByKey map[core.RequestKey]*job
 	// runningByTeam counts the slots that each team uses in the whole fleet. It is
 	// compared with limits, as a simple form of the real limiter.
 	runningByTeam map[core.TeamID]core.Slots
@@ -51,14 +51,14 @@
 		rng:           rand.New(rand.NewPCG(seed, 7)),
 		now:           runStart,
 		entries:       newEntries(w, p, seed),
-		byID:          make(map[core.VMID]*vm),
-		byKey:         make(map[core.RequestKey]*job),
+		vmsByID:       make(map[core.VMID]*vm),
+		jobsByKey:     make(map[core.RequestKey]*job),
 		runningByTeam: make(map[core.TeamID]core.Slots),
 		limits:        make(map[core.TeamID]core.Slots),
 	}
 	s.vms = newFleet(s.rng)
 	for _, v := range s.vms {
-		s.byID[v.id] = v
+		s.vmsByID[v.id] = v
 	}
 	for _, a := range w.Accounts {
 		s.limits[a.Team] = a.Limit
@@ -77,7 +77,7 @@
 	s.jobs = demand(s.workload, s.faults, seed)
 	for i, j := range s.jobs {
 		j.entry = s.entries[i%len(s.entries)]
-		s.byKey[j.item.Key] = j
+		s.jobsByKey[j.item.Key] = j
 		s.events.add(j.item.Enqueued, func() { s.arrive(j) })
 	}
 	end := s.workload.timeAt(1).Add(overrun)
@@ -113,7 +113,7 @@
 func (s *simulation) onTick() {
 	for _, e := range s.entries {
 		for _, item := range e.queue.Expired(s.now) {
-			j := s.byKey[item.Key]
+			j := s.jobsByKey[item.Key]
 			s.leaveQueue(j)
 			s.onRefused(j, time.Time{})
 		}
@@ -208,7 +208,7 @@
 			return false
 		}
 		var free bool
-		criteria := s.criteria(s.byKey[i.Key])
+		criteria := s.criteria(s.jobsByKey[i.Key])
 		criteria.Overflow = overflow
 		vm, free = e.router.Pick(s.now, criteria)
 		return free
@@ -216,10 +216,10 @@
 	if !ok {
 		return false
 	}
-	j := s.byKey[item.Key]
+	j := s.jobsByKey[item.Key]
 	s.leaveQueue(j)
 	e.router.Started(s.now, vm)
-	s.send(j, s.byID[vm])
+	s.send(j, s.vmsByID[vm])
 	return true
 }
 
