--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -99,8 +99,8 @@
 	down     []*SimulatedVM
 	// zoneChanges counts the changes of VM rows in each zone.
 	zoneChanges map[core.ZoneID]int
-	// untilVMFailure and untilRackFailure are the remaining intervals until the next failure,
-	// in units of the mean interval.
+	// untilVMFailure and untilRackFailure are the remaining intervals until the next
+	// failure, in units of the mean interval.
 	untilVMFailure, untilRackFailure float64
 }
 
