--- a/cmd/lavenderpond-load/check.go
+++ b/cmd/lavenderpond-load/check.go
@@ -39,12 +39,12 @@
 	// took to recover.
 	FailedForMs                   int64 `json:"failed_for_ms"`
 	firstFailureMs, lastFailureMs int64
-	// The following counts must be zero. They count ids that started more than once, ids
-	// answered as not_run that started, done answers that were truncated, and ids answered
-	// as done that never started.
+	// The following must be zero. They count ids that started more than once, ids whose
+	// last answer was not_run although they started, done answers with a body that was
+	// truncated or belonged to another id, and ids answered as done that never started.
 	DoubleStarts     int `json:"doubles"`
 	FalseNotRun      int `json:"false_not_run"`
-	NotWhole         int `json:"not_whole"`
+	InvalidBodies    int `json:"not_whole"`
 	DoneWithoutStart int `json:"done_without_start"`
 }
 
@@ -67,12 +67,13 @@
 	if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
 		return err
 	}
-	if r.DoubleStarts+r.FalseNotRun+r.NotWhole+r.DoneWithoutStart > 0 {
+	if r.DoubleStarts+r.FalseNotRun+r.InvalidBodies+r.DoneWithoutStart > 0 {
 		return errors.New("callers received answers that contradict the recorded starts")
 	}
 	return nil
 }
 
+// addRequest adds the attempts of one id, in order, and the number of its starts.
 func (r *checkResult) addRequest(list []attempt, starts int) {
 	r.IDs++
 	r.Starts += starts
@@ -81,13 +82,13 @@
 	}
 	done, notRun, lastNotRun := false, true, false
 	for _, a := range list {
-		r.noteOutage(a)
+		r.recordFailure(a)
 		isDone := a.Outcome == pb.Outcome_OUTCOME_DONE.String()
 		done = done || isDone
 		lastNotRun = a.Outcome == pb.Outcome_OUTCOME_NOT_RUN.String()
 		notRun = notRun && lastNotRun
-		if isDone && !a.Whole {
-			r.NotWhole++
+		if isDone && !a.BodyValid {
+			r.InvalidBodies++
 		}
 	}
 	switch {
@@ -108,10 +109,10 @@
 	}
 }
 
-// noteOutage records the time of an attempt that an entry answered but could not pass to
+// recordFailure records the time of an attempt that an entry answered but could not pass to
 // a holder. An attempt without an answer doesn't count: an entry that is down refuses
 // connections, which says nothing about the rest of the fleet.
-func (r *checkResult) noteOutage(a attempt) {
+func (r *checkResult) recordFailure(a attempt) {
 	if a.Code != core.CodeNoHolder.String() && a.Code != core.CodeHomeUnreachable.String() && a.Code != core.CodeZoneUnreachable.String() {
 		return
 	}
--- a/cmd/lavenderpond-load/entries.go
+++ b/cmd/lavenderpond-load/entries.go
@@ -43,8 +43,8 @@
 	Attempt int    `json:"attempt"`
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
-	// Whole says that the body of the answer is complete and belongs to this id.
-	Whole bool `json:"whole"`
+	// BodyValid reports that the body of the answer is complete and belongs to this id.
+	BodyValid bool `json:"whole"`
 	// AtMs is the time of the answer, in Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
 }
@@ -66,15 +66,15 @@
 		defer func() { _ = file.Close() }()
 		c.records = json.NewEncoder(file)
 	}
-	run := time.Now().UnixNano()
-	return c.run(ctx, func(ctx context.Context, n int) string { return c.request(ctx, run, n) }).print()
+	runID := time.Now().UnixNano()
+	return c.run(ctx, func(ctx context.Context, n int) string { return c.request(ctx, runID, n) }).print()
 }
 
-// request sends request number n, repeats it if Retry is set, and returns the name of the
-// last answer.
-func (c *entriesCommand) request(ctx context.Context, run int64, n int) string {
+// request sends request number n and repeats it if Retry is set. It returns the code name
+// of the last attempt's answer, or "error" if that attempt got none.
+func (c *entriesCommand) request(ctx context.Context, runID int64, n int) string {
 	now := time.Now()
-	id := fmt.Sprintf("load-%d-%d", run, n)
+	id := fmt.Sprintf("load-%d-%d", runID, n)
 	if c.Home != "" {
 		id = c.Home + "~" + id
 	}
@@ -129,7 +129,7 @@
 	a := attempt{ID: c.Team + "/" + string(req.Key.ID), Attempt: int(req.Attempt), Outcome: "no_answer", AtMs: time.Now().UnixMilli()}
 	if err == nil {
 		a.Outcome, a.Code = answer.Outcome.String(), answer.CodeName
-		a.Whole = strings.HasPrefix(string(answer.Body), "done "+a.ID+",") && len(answer.Body) >= c.Bytes
+		a.BodyValid = strings.HasPrefix(string(answer.Body), "done "+a.ID+",") && len(answer.Body) >= c.Bytes
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -1,7 +1,7 @@
 // Package maintenance compares the planners of VM maintenance under pseudo-random
-// failures. Its World simulates VMs and their platform. It knows which VMs really serve,
-// whatever their rows say, and checks the budgets of the pools against that. The failure
-// tests of maintenance use it, too.
+// failures. Its World simulates VMs and their platform. The World knows which VMs actually
+// serve, whatever their rows say, and checks the budgets of the pools against that. Tests
+// of the maintenance code use it, too.
 package maintenance
 
 import (
@@ -27,7 +27,7 @@
 	BackAt time.Time
 	// DownSince is when the VM went down.
 	DownSince time.Time
-	// Planned says that the VM is down because of a reboot, not because of a failure.
+	// Planned reports that the VM is down because of a reboot, not because of a failure.
 	Planned bool
 	// BusyUntil is when the last task that runs on the VM ends.
 	BusyUntil time.Time
@@ -38,8 +38,8 @@
 
 	// row is the decoded row of the VM. It is replaced as a whole when the row changes.
 	row *fleet.VMRow
-	// fence is the highest row version that a drain of the VM carried. Requests with a
-	// lower one are refused.
+	// fence is the row version that the latest accepted drain of the VM carried. Requests
+	// with a lower one are refused.
 	fence core.Version
 }
 
@@ -85,10 +85,10 @@
 	Budget int
 	Sizes  map[core.PoolID]int
 
-	// Breaches lists the planned stops that exceeded a budget, CutOff those that
+	// Breaches lists the planned stops that exceeded a budget, Interruptions those that
 	// interrupted running work. Stops counts all planned stops.
-	Breaches, CutOff []string
-	Stops            int
+	Breaches, Interruptions []string
+	Stops                   int
 
 	vms      []*SimulatedVM
 	vmsByRef map[fleet.Ref]*SimulatedVM
@@ -99,9 +99,9 @@
 	down     []*SimulatedVM
 	// zoneChanges counts the changes of VM rows in each zone.
 	zoneChanges map[core.ZoneID]int
-	// untilVMFault and untilRackFault are the remaining intervals until the next failure,
-	// in units of the mean interval.
-	untilVMFault, untilRackFault float64
+	// untilVMFailure and untilRackFailure are the remaining intervals until the next
+	// failure, in units of the mean interval.
+	untilVMFailure, untilRackFailure float64
 }
 
 // SparePool is the name of the spare pool.
@@ -229,12 +229,12 @@
 		}
 		return back
 	})
-	for range w.poissonEvents(&w.untilVMFault, w.Faults.FailuresPerVMDay*float64(len(w.vms))*d.Hours()/24) {
+	for range w.poissonEvents(&w.untilVMFailure, w.Faults.FailuresPerVMDay*float64(len(w.vms))*d.Hours()/24) {
 		if v := w.vms[w.Rand.IntN(len(w.vms))]; v.Up {
 			w.Fail(v, w.failureDuration())
 		}
 	}
-	for range w.poissonEvents(&w.untilRackFault, w.Faults.FailuresPerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
+	for range w.poissonEvents(&w.untilRackFailure, w.Faults.FailuresPerRackWeek*float64(len(w.rackIDs))*d.Hours()/(24*7)) {
 		w.FailAll(w.Rack(w.Rand.IntN(len(w.rackIDs))), w.uniform(2*time.Hour, 8*time.Hour))
 	}
 }
@@ -334,7 +334,7 @@
 // count as missing VMs, but all VMs that are down because of a planned stop do.
 func (w *World) recordViolations(v *SimulatedVM) {
 	if w.Running(v.Ref) > 0 {
-		w.CutOff = append(w.CutOff, fmt.Sprintf("%s at %s", v.Ref, w.Now.Format(time.RFC3339)))
+		w.Interruptions = append(w.Interruptions, fmt.Sprintf("%s at %s", v.Ref, w.Now.Format(time.RFC3339)))
 	}
 	pool := w.Row(v.Ref).VM.Pool
 	if pool == SparePool {
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -20,7 +20,7 @@
 	At    time.Time
 	Node  string
 	Event string
-	// Fields are the line's other fields.
+	// Fields holds the other fields of the line.
 	Fields map[string]any
 }
 
@@ -34,8 +34,8 @@
 	Unreadable int
 }
 
-// maxLine is the maximum length of a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line, in bytes.
+const maxLineBytes = 1 << 20
 
 // contextEvents are the events that affect every job, such as a change of the process
 // that owns the jobs or of the configuration in force.
@@ -50,14 +50,14 @@
 	"machine_upkept": true, "machine_moved": true,
 }
 
-// Read returns the history of the job from logs.
+// Read returns the history of a job from the logs of several processes.
 func Read(job string, logs ...io.Reader) (History, error) {
 	var h History
 	var all []Line
 	vms := map[string]bool{}
 	for _, r := range logs {
 		s := bufio.NewScanner(r)
-		s.Buffer(nil, maxLine)
+		s.Buffer(nil, maxLineBytes)
 		for s.Scan() {
 			l, ok := parse(s.Text())
 			if !ok {
