--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -195,7 +195,7 @@
 		})
 	case schedule.PublishWave:
 		w.checker.wavePublished(c.State)
-	case schedule.Pace, schedule.RequestTickets, schedule.DeleteJob:
+	case schedule.Pace, schedule.RequestApproval, schedule.DeleteJob:
 	}
 }
 
--- a/core/schedule/acknowledge_test.go
+++ b/core/schedule/acknowledge_test.go
@@ -29,7 +29,7 @@
 // confirmedStarts returns the n starts of the next round, all of them confirmed.
 func (h *harness) confirmedStarts(n int) []Start {
 	h.t.Helper()
-	starts := only[Start](h.step(0))
+	starts := only[Start](h.advance(0))
 	assert.Equal(h.t, len(starts), n)
 	for _, c := range starts {
 		h.confirm(c)
@@ -45,7 +45,7 @@
 		assert.Equal(h.t, acknowledgedAt(h.roundWithoutStoring(100*time.Millisecond), vm), int64(0))
 	}
 	h.store(save)
-	h.lists(string(vm), nil)
+	h.answerHold(string(vm), nil)
 	assert.Equal(h.t, acknowledgedAt(h.roundWithoutStoring(100*time.Millisecond), vm), int64(1))
 }
 
@@ -54,48 +54,48 @@
 func TestEndOfFailedJobIsAcknowledgedOnceFailureIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second})
+	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second})
 	starts := h.confirmedStarts(2)
 	bad, good := starts[0], starts[1]
-	h.lists(string(bad.VM), nil, end(1, bad, job.EndedFailed))
-	bad = one[Start](h, h.step(100*time.Millisecond))
+	h.answerHold(string(bad.VM), nil, end(1, bad, job.EndedFailed))
+	bad = one[Start](h, h.advance(100*time.Millisecond))
 	h.confirm(bad)
-	h.lists(string(bad.VM), nil, end(2, bad, job.EndedFailed))
+	h.answerHold(string(bad.VM), nil, end(2, bad, job.EndedFailed))
 	failure := one[Save](h, h.roundWithoutStoring(100*time.Millisecond))
 	assert.Equal(t, failure.Progress.State, job.Failed)
-	h.lists(string(good.VM), nil, end(1, good, job.EndedDone))
+	h.answerHold(string(good.VM), nil, end(1, good, job.EndedDone))
 	h.checkAcknowledgedOnceStored(good.VM, failure)
 }
 
 // Guards against VMs that delete the ends of a gang before the one end that counts for
 // all members is stored.
-func TestEndsOfGangAreAcknowledgedOnceOneIsStored(t *testing.T) {
+func TestGangEndsAreAcknowledgedOnceGangIsStoredAsDone(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second, Gang: true})
+	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second, Gang: true})
 	starts := h.confirmedStarts(2)
 	first, second := starts[0], starts[1]
-	h.lists(string(first.VM), nil, end(1, first, job.EndedDone))
+	h.answerHold(string(first.VM), nil, end(1, first, job.EndedDone))
 	done := one[Save](h, h.roundWithoutStoring(time.Second))
-	h.lists(string(second.VM), nil, end(1, second, job.EndedDone))
+	h.answerHold(string(second.VM), nil, end(1, second, job.EndedDone))
 	h.checkAcknowledgedOnceStored(second.VM, done)
 }
 
 // Guards against a new life of a VM that deletes its first ends. A hold that was sent before
 // the owner knew of that life carries an end number of the previous one.
-func TestHoldToSilentVMAcknowledgesNothing(t *testing.T) {
+func TestHoldToSilentVMAcknowledgesNoEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
-	h.lists("one", nil, end(1, start, job.EndedDone))
-	h.lists("one", nil)
-	assert.Equal(t, acknowledgedAt(h.step(100*time.Millisecond), "one"), int64(1))
+	h.answerHold("one", nil, end(1, start, job.EndedDone))
+	h.answerHold("one", nil)
+	assert.Equal(t, acknowledgedAt(h.advance(100*time.Millisecond), "one"), int64(1))
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Unanswered, job.Report{})
 	sent := 0
 	for range 20 {
-		for _, c := range only[Hold](h.step(100 * time.Millisecond)) {
+		for _, c := range only[Hold](h.advance(100 * time.Millisecond)) {
 			sent++
 			assert.Equal(t, c.Order.Noted, int64(0))
 			h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
--- a/core/schedule/acknowledgeorder_test.go
+++ b/core/schedule/acknowledgeorder_test.go
@@ -11,54 +11,54 @@
 
 // Guards against an end that is acknowledged, along with all before it, while one before
 // it is not stored.
-func TestEndAfterUnstoredOneIsNotAcknowledged(t *testing.T) {
+func TestNoEndIsAcknowledgedBeforeEarlierEndsAreStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
 	unknown := job.End{Number: 2, Task: job.TaskID{Job: "unknown"}, How: job.EndedDone}
-	h.lists("one", nil, end(1, start, job.EndedDone), unknown)
+	h.answerHold("one", nil, end(1, start, job.EndedDone), unknown)
 	save := one[Save](h, h.roundWithoutStoring(time.Second))
-	h.lists("one", nil, end(1, start, job.EndedDone), unknown)
+	h.answerHold("one", nil, end(1, start, job.EndedDone), unknown)
 	assert.Equal(t, acknowledgedAt(h.roundWithoutStoring(time.Second), "one"), int64(0))
 	h.store(save)
-	h.lists("one", nil)
+	h.answerHold("one", nil)
 	assert.Equal(t, acknowledgedAt(h.roundWithoutStoring(time.Second), "one"), int64(2))
 }
 
 // Guards against an end that is acknowledged because the save of another one is stored.
-func TestStoredSaveAcknowledgesNoLaterEnd(t *testing.T) {
+func TestStoredSaveAcknowledgesOnlyItsOwnEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	h.job("k", "free", small)
-	starts := only[Start](h.step(0))
+	h.addJob("j", "free", smallStep)
+	h.addJob("k", "free", smallStep)
+	starts := only[Start](h.advance(0))
 	assert.Equal(t, len(starts), 2)
 	var saves []Save
 	for i, c := range starts {
 		h.confirm(c)
-		h.lists("one", nil, end(int64(i+1), c, job.EndedDone))
+		h.answerHold("one", nil, end(int64(i+1), c, job.EndedDone))
 		saves = append(saves, one[Save](h, h.roundWithoutStoring(time.Millisecond)))
 	}
 	for i, c := range saves {
 		h.store(c)
-		h.lists("one", nil)
+		h.answerHold("one", nil)
 		assert.Equal(t, acknowledgedAt(h.roundWithoutStoring(time.Second), "one"), int64(i+1))
 	}
 }
 
 // Guards against end numbers of a previous life that count for the new one. Its ends
 // would be skipped, or deleted before anyone has seen them.
-func TestEndNumbersOfPreviousLifeAreForgotten(t *testing.T) {
+func TestRestartResetsEndNumbers(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	h.job("k", "free", small)
+	h.addJob("j", "free", smallStep)
+	h.addJob("k", "free", smallStep)
 	starts := h.confirmedStarts(2)
-	h.lists("one", nil, end(1, starts[0], job.EndedDone))
-	h.step(0)
-	h.lists("one", nil, end(2, starts[1], job.EndedDone))
+	h.answerHold("one", nil, end(1, starts[0], job.EndedDone))
+	h.advance(0)
+	h.answerHold("one", nil, end(2, starts[1], job.EndedDone))
 	unstored := one[Save](h, h.roundWithoutStoring(time.Second))
 	restartedReport := func(clock job.VMClock, ended ...job.End) {
 		h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: clock, Born: 2, Lists: true, Finished: ended})
@@ -66,10 +66,10 @@
 	restartedReport(10)
 	h.s.VMListed(h.now, entryOf("one", 8000, 2))
 	h.store(unstored)
-	hold := one[Hold](h, h.step(100*time.Millisecond))
+	hold := one[Hold](h, h.advance(100*time.Millisecond))
 	assert.Equal(t, hold.Order.Noted, int64(0))
-	h.job("l", "free", small)
-	next := one[Start](h, h.step(time.Millisecond))
+	h.addJob("l", "free", smallStep)
+	next := one[Start](h, h.advance(time.Millisecond))
 	h.s.StartAnswered(h.now, next, Answered, job.Report{Clock: 30, Born: 2})
 	restartedReport(1000, end(1, next, job.EndedDone))
 	assert.Equal(t, one[Save](h, h.roundWithoutStoring(time.Second)).Progress.State, job.Completed)
--- a/core/schedule/approval.go
+++ b/core/schedule/approval.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	st.approvalRequested, st.approvalRetryAt = true, a.now.Add(approvalRetryDelay)
-	a.s.emit(RequestTickets{Step: job.StepID{Job: j.ID, Occurrence: o.number, Step: i}, VMs: vms})
+	a.s.emit(RequestApproval{Step: job.StepID{Job: j.ID, Occurrence: o.index, Step: i}, VMs: vms})
 	return false
 }
 
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -54,7 +54,7 @@
 	var q *poolQueue
 	for _, o := range j.occurrences {
 		for i := range o.steps {
-			if o.steps[i].open == 0 || !o.ready(i) {
+			if o.steps[i].openTasks == 0 || !o.ready(i) {
 				continue
 			}
 			reservation := o.steps[i].def.Reservation()
@@ -91,7 +91,7 @@
 			return
 		}
 		for i := range o.steps {
-			if o.steps[i].open > 0 && o.ready(i) {
+			if o.steps[i].openTasks > 0 && o.ready(i) {
 				a.startStep(j, o, i)
 			}
 		}
@@ -129,21 +129,21 @@
 		if !a.withinQuota(j, st.def.Resources) {
 			return
 		}
-		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
+		id := job.TaskID{Job: j.ID, Occurrence: o.index, Step: i, Index: t}
 		n := a.chooseVM(placement{job: j, step: st, task: task, id: id})
 		if n < 0 {
 			// The step's other tasks need the same resources.
 			return
 		}
-		a.start(j, st, id, task, a.index.vms[n].vm, a.s.nextAttempt(task))
+		a.startTask(j, st, id, task, a.index.vms[n].vm, a.s.nextAttempt(task))
 		a.index.reposition(n)
 	}
 }
 
 // nextAttempt returns the number of the task's next attempt.
 func (s *Scheduler) nextAttempt(t *taskState) job.Attempt {
-	t.attempt = max(t.attempt, s.settings.AttemptBase) + 1
-	return t.attempt
+	t.lastAttempt = max(t.lastAttempt, s.settings.AttemptBase) + 1
+	return t.lastAttempt
 }
 
 // countPossibleUsage sums up what each account may be running on VMs that have not reported to
@@ -203,9 +203,9 @@
 		(limit.GPU == 0 || after.GPU <= limit.GPU)
 }
 
-// start books a run of the task on the VM, and sends the start as soon as it is stored that the
+// startTask books a run of the task on the VM, and sends the start as soon as it is stored that the
 // job may run on the VM.
-func (a *assignment) start(j *jobState, st *stepState, id job.TaskID, t *taskState, v *vmState, n job.Attempt) {
+func (a *assignment) startTask(j *jobState, st *stepState, id job.TaskID, t *taskState, v *vmState, n job.Attempt) {
 	s := a.s
 	s.reportPlaced(a.now, j)
 	if !j.possibleVMs.Has(v.id) {
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -24,16 +24,16 @@
 func TestPlannedStartIsSentOnlyIfItFits(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
+	h.addJob("j", "free", smallStep)
 	saves := h.roundWithoutStoring(0)
 	h.resize("one", 500)
 	for _, c := range saves {
 		h.store(c)
 	}
 	assert.Equal(t, len(only[Start](h.s.TakeCommands())), 0)
-	assert.Equal(t, len(only[Start](h.step(0))), 0)
+	assert.Equal(t, len(only[Start](h.advance(0))), 0)
 	h.resize("one", 8000)
-	one[Start](h, h.step(0))
+	one[Start](h, h.advance(0))
 }
 
 // Guards against starting tasks beside a run whose size is unknown before it has ended.
@@ -41,13 +41,13 @@
 	h := newHarness(t)
 	h.ready("one")
 	unknown := job.RunningTask{Task: job.TaskID{Job: "unknown"}, Attempt: 7}
-	h.lists("one", []job.RunningTask{unknown})
-	one[Stop](h, h.step(0))
-	h.job("j", "free", small)
-	assert.Equal(t, len(only[Start](h.step(0))), 0)
+	h.answerHold("one", []job.RunningTask{unknown})
+	one[Stop](h, h.advance(0))
+	h.addJob("j", "free", smallStep)
+	assert.Equal(t, len(only[Start](h.advance(0))), 0)
 	h.now = h.now.Add(100 * time.Millisecond)
-	h.lists("one", nil, job.End{Number: 1, Task: unknown.Task, Attempt: 7, How: job.EndedStopped})
-	one[Start](h, h.step(0))
+	h.answerHold("one", nil, job.End{Number: 1, Task: unknown.Task, Attempt: 7, How: job.EndedStopped})
+	one[Start](h, h.advance(0))
 }
 
 // Guards against starts that rely on the capacity and labels of a VM's previous life.
@@ -57,12 +57,12 @@
 	h.now = h.now.Add(time.Second)
 	restarted := job.Report{Clock: 10, Born: 2, Lists: true}
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, restarted)
-	h.job("j", "free", small)
-	assert.Equal(t, len(only[Start](h.step(0))), 0)
+	h.addJob("j", "free", smallStep)
+	assert.Equal(t, len(only[Start](h.advance(0))), 0)
 	h.resize("one", 8000)
-	assert.Equal(t, len(only[Start](h.step(0))), 0, "task started while the entry is of the previous life")
+	assert.Equal(t, len(only[Start](h.advance(0))), 0, "task started while the entry is of the previous life")
 	h.s.VMListed(h.now, entryOf("one", 8000, 2))
-	one[Start](h, h.step(0))
+	one[Start](h, h.advance(0))
 }
 
 // Guards against starts that are refused again and again because the news of a shrunken VM is
@@ -70,36 +70,36 @@
 func TestRefusedStartsBackOff(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
+	h.addJob("j", "free", smallStep)
 	refused := 0
 	for range 100 {
-		for _, c := range only[Start](h.step(100 * time.Millisecond)) {
+		for _, c := range only[Start](h.advance(100 * time.Millisecond)) {
 			refused++
 			h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedCapacity})
 		}
 	}
 	assert.Assert(t, refused <= 10, "%d starts refused within 10 s", refused)
 	h.resize("one", 4000)
-	one[Start](h, h.step(0))
+	one[Start](h, h.advance(0))
 }
 
 // listOneAndOff lists the machine of the VM "one" and a machine that is off.
 func (h *harness) listOneAndOff() {
 	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
-		{ID: "m-off", Pool: off, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-off", Pool: poolOff, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
 	})
 }
 
 // Guards against a pool that gets no machine although one of its long-running tasks, which may
 // share a VM, finds no capacity.
-func TestPoolGetsVMForLongRunningTaskThatMayShare(t *testing.T) {
+func TestPoolGetsVMForLongRunningTaskWithoutPerVMLimit(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.listOneAndOff()
-	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}, LongRunning: true})
-	h.confirm(one[Start](h, h.step(0)))
-	assert.Equal(t, one[Move](h, h.step(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
+	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}, LongRunning: true})
+	h.confirm(one[Start](h, h.advance(0)))
+	assert.Equal(t, one[Move](h, h.advance(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
 // Guards against a pool that gets no machine although a long-running task fits on none of its
@@ -109,13 +109,13 @@
 	h.ready("one")
 	h.listOneAndOff()
 	h.resize("one", 1000)
-	h.job("j", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 2000}, LongRunning: true})
-	assert.Equal(t, one[Move](h, h.step(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
+	h.addJob("j", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 2000}, LongRunning: true})
+	assert.Equal(t, one[Move](h, h.advance(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
 // Guards against moving machines by the capacity in the machine list, which lags behind that of
 // the VM.
-func TestIdleMachineHasTheCapacityOfItsVM(t *testing.T) {
+func TestIdleMachineCapacityComesFromItsVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.s.MachinesListed(h.now, []job.Machine{
@@ -136,14 +136,14 @@
 		h.s.config.Pool(poolA).EnforcesCapacity = enforced
 		h.ready("one")
 		h.s.DirectoryRead(h.now)
-		h.job("j", "free", small)
-		one[Start](h, h.step(0))
+		h.addJob("j", "free", smallStep)
+		one[Start](h, h.advance(0))
 		h.now = h.now.Add(2500 * time.Millisecond)
-		h.lists("one", nil)
-		h.job("k", "free", small)
-		assert.Equal(t, len(only[Start](h.step(0))) > 0, enforced)
-		h.job("l", "free", small)
+		h.answerHold("one", nil)
+		h.addJob("k", "free", smallStep)
+		assert.Equal(t, len(only[Start](h.advance(0))) > 0, enforced)
+		h.addJob("l", "free", smallStep)
 		h.s.DirectoryRead(h.now)
-		assert.Assert(t, len(only[Start](h.step(0))) > 0)
+		assert.Assert(t, len(only[Start](h.advance(0))) > 0)
 	}
 }
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -65,9 +65,9 @@
 	VM       job.VMID
 }
 
-// RequestTickets asks the queue's approval service which VMs may run a step. The service
+// RequestApproval asks the queue's approval service which VMs may run a step. The service
 // issues a ticket for each approved VM.
-type RequestTickets struct {
+type RequestApproval struct {
 	Step job.StepID
 	VMs  []job.VMID
 }
@@ -120,21 +120,21 @@
 	State  job.WaveState
 }
 
-func (Start) command()          {}
-func (Stop) command()           {}
-func (Pace) command()           {}
-func (Hold) command()           {}
-func (Save) command()           {}
-func (SaveVM) command()         {}
-func (DropVM) command()         {}
-func (SaveWave) command()       {}
-func (SaveOrder) command()      {}
-func (DropOrder) command()      {}
-func (DeleteJob) command()      {}
-func (RequestTickets) command() {}
-func (Move) command()           {}
-func (Maintain) command()       {}
-func (PublishWave) command()    {}
+func (Start) command()           {}
+func (Stop) command()            {}
+func (Pace) command()            {}
+func (Hold) command()            {}
+func (Save) command()            {}
+func (SaveVM) command()          {}
+func (DropVM) command()          {}
+func (SaveWave) command()        {}
+func (SaveOrder) command()       {}
+func (DropOrder) command()       {}
+func (DeleteJob) command()       {}
+func (RequestApproval) command() {}
+func (Move) command()            {}
+func (Maintain) command()        {}
+func (PublishWave) command()     {}
 
 // SequenceOf returns the sequence number of a save. ok is false for other commands.
 func SequenceOf(c Command) (sequence int64, ok bool) {
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -46,21 +46,21 @@
 func (c *crashHarness) confirm(o Start) { c.s.StartAnswered(c.now, o, Answered, c.report(o.VM)) }
 
 // list answers a hold of a VM with the given lists.
-func (c *crashHarness) list(vm job.VMID, running []job.RunningTask, ended ...job.End) {
+func (c *crashHarness) answerHold(vm job.VMID, running []job.RunningTask, ended ...job.End) {
 	r := c.report(vm)
 	r.Lists, r.Running, r.Finished = true, running, ended
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Answered, r)
 }
 
-// listAll answers a hold of each VM, except those given, with empty lists.
-func (c *crashHarness) listAll(without ...job.VMID) {
+// answerAllHolds answers a hold of each VM, except those given, with empty lists.
+func (c *crashHarness) answerAllHolds(without ...job.VMID) {
 	for _, id := range c.s.VMs() {
 		out := false
 		for _, w := range without {
 			out = out || w == id
 		}
 		if !out {
-			c.list(id, nil)
+			c.answerHold(id, nil)
 		}
 		if c.full {
 			c.s.vms.Get(id).fullUntil = c.now.Add(time.Second)
@@ -70,48 +70,48 @@
 
 // crash ends a VM's life. The VM returns three seconds later under the same ID.
 func (c *crashHarness) crash(vm job.VMID) {
-	c.step(30 * time.Millisecond)
+	c.advance(30 * time.Millisecond)
 	c.silence(vm, 3*time.Second)
-	c.revive(vm)
+	c.restart(vm)
 }
 
 // silence makes a VM silent for d and checks that no task starts elsewhere meanwhile.
 func (c *crashHarness) silence(vm job.VMID, d time.Duration) {
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Unanswered, job.Report{})
 	for until := c.now.Add(d); c.now.Before(until); {
-		c.listAll(vm)
-		assert.Equal(c.t, len(only[Start](c.step(100*time.Millisecond))), 0, "the task may still run elsewhere")
+		c.answerAllHolds(vm)
+		assert.Equal(c.t, len(only[Start](c.advance(100*time.Millisecond))), 0, "the task may still run elsewhere")
 	}
 }
 
-// revive restarts a VM under the same ID.
-func (c *crashHarness) revive(vm job.VMID) {
+// restart restarts a VM under the same ID.
+func (c *crashHarness) restart(vm job.VMID) {
 	l := c.lives[vm]
 	l.born++
 	l.since = c.now.Add(-10 * time.Millisecond)
 	c.s.VMListed(c.now, entryOf(string(vm), 8000, l.born))
-	c.list(vm, nil)
+	c.answerHold(vm, nil)
 }
 
 // startOf returns the next start of a task, or false if there is none within 5 s.
 // Meanwhile all VMs answer with empty lists, which end no run because the task has none.
 func (c *crashHarness) startOf(task job.TaskID) (Start, bool) {
 	for range 50 {
-		starts := append(c.pendingStarts, only[Start](c.step(100*time.Millisecond))...)
+		starts := append(c.pendingStarts, only[Start](c.advance(100*time.Millisecond))...)
 		c.pendingStarts = nil
 		for _, o := range starts {
 			if o.Order.Task == task {
 				return o, true
 			}
 		}
-		c.listAll()
+		c.answerAllHolds()
 	}
 	return Start{}, false
 }
 
 // answerStops answers the stops of runs that may not have begun.
 func (c *crashHarness) answerStops() {
-	commands := c.step(10 * time.Millisecond)
+	commands := c.advance(10 * time.Millisecond)
 	for _, x := range only[Stop](commands) {
 		c.s.StopAnswered(c.now, x, Answered, c.report(x.VM))
 	}
@@ -121,7 +121,7 @@
 // startsUntilGivenUp submits a job of one task, passes each start of it to crash, and
 // returns how often it was started.
 func (c *crashHarness) startsUntilGivenUp(step job.Step, crash func(o Start)) int {
-	c.job("j", "free", step)
+	c.addJob("j", "free", step)
 	for n := range 12 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
 		if !ok {
@@ -146,14 +146,14 @@
 // their VM don't count as failed.
 func TestTaskThatCrashesItsVMsIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{0, 100 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
-		for _, step := range []job.Step{small, {Count: 1, Resources: small.Resources, LongRunning: true}} {
+		for _, step := range []job.Step{smallStep, {Count: 1, Resources: smallStep.Resources, LongRunning: true}} {
 			t.Run(fmt.Sprintf("%s long-running %t", after, step.LongRunning), func(t *testing.T) {
 				c := newCrashHarness(t, "one", "two", "three")
 				c.checkStarts(c.startsUntilGivenUp(step, func(o Start) {
 					c.confirm(o)
 					if after > 0 {
 						c.now = c.now.Add(after)
-						c.list(o.VM, []job.RunningTask{running(o, 0)})
+						c.answerHold(o.VM, []job.RunningTask{running(o, 0)})
 					}
 					c.crash(o.VM)
 				}))
@@ -166,7 +166,7 @@
 // Guards against a task that crashes its VM before the start is answered.
 func TestTaskThatCrashesItsVMBeforeStartIsAnsweredIsGivenUp(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
-	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
+	c.checkStarts(c.startsUntilGivenUp(smallStep, func(o Start) {
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
 		c.crash(o.VM)
 		c.answerStops()
@@ -174,25 +174,25 @@
 }
 
 // Guards against a crash that isn't counted because the VM returns under a new ID.
-func TestCrashCountsWhenMachineRunsNewVM(t *testing.T) {
+func TestCrashIsCountedWhenVMReturnsUnderNewID(t *testing.T) {
 	h := newHarness(t)
 	h.ready("vm-0")
-	h.job("j", "free", small)
+	h.addJob("j", "free", smallStep)
 	n := 0
 	for ; n < 12; n++ {
-		starts := only[Start](h.step(100 * time.Millisecond))
+		starts := only[Start](h.advance(100 * time.Millisecond))
 		if len(starts) == 0 {
 			break
 		}
 		o := starts[0]
 		h.s.StartAnswered(h.now, o, Answered, job.Report{Clock: h.clock(), Born: job.Born(n + 1)})
 		h.s.HoldAnswered(h.now, Hold{VM: o.VM}, Unanswered, job.Report{})
-		h.step(3 * time.Second)
+		h.advance(3 * time.Second)
 		next := job.VMID(fmt.Sprintf("vm-%d", n+1))
 		h.s.VMListed(h.now, job.VMRecord{
 			ID: next, Pool: poolA, Address: "vm", Capacity: job.Resources{CPU: 8000, MemMB: 8000}, Machine: "m-vm-0", Born: job.Born(n + 2),
 		})
-		h.step(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 		h.s.HoldAnswered(h.now, Hold{VM: next}, Answered, job.Report{Clock: h.clock(), Born: job.Born(n + 2), Lists: true})
 		h.now = h.now.Add(time.Millisecond)
 		h.s.MachinesListed(h.now, []job.Machine{{ID: "m-vm-0", Pool: poolA, State: job.MachineUp, VM: next}})
@@ -202,15 +202,15 @@
 
 // Guards against a crash that isn't counted because the VM returns only after its lease
 // has expired.
-func TestCrashCountsWhenVMReturnsAfterItsLease(t *testing.T) {
+func TestCrashIsCountedWhenVMReturnsAfterLeaseExpiry(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three", "four")
-	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
+	c.checkStarts(c.startsUntilGivenUp(smallStep, func(o Start) {
 		c.confirm(o)
-		c.step(30 * time.Millisecond)
+		c.advance(30 * time.Millisecond)
 		c.full = true
 		c.silence(o.VM, 8*time.Second)
 		c.full = false
-		c.revive(o.VM)
+		c.restart(o.VM)
 	}))
 }
 
@@ -218,13 +218,13 @@
 // crash.
 func TestCrashCountsSurviveTakeover(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
-	c.checkStarts(c.startsUntilGivenUp(small, func(o Start) {
+	c.checkStarts(c.startsUntilGivenUp(smallStep, func(o Start) {
 		c.confirm(o)
-		c.step(30 * time.Millisecond)
+		c.advance(30 * time.Millisecond)
 		c.silence(o.VM, time.Second)
-		c.takeOver("j", small)
+		c.takeOver("j", smallStep)
 		c.silence(o.VM, 2*time.Second)
-		c.revive(o.VM)
+		c.restart(o.VM)
 		c.answerStops()
 	}))
 }
@@ -253,7 +253,7 @@
 // Guards against a job that is given up because its VM was drained.
 func TestDrainedVMIsNotCountedAsCrash(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
-	c.job("j", "free", small)
+	c.addJob("j", "free", smallStep)
 	for range 6 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
 		assert.Assert(t, ok)
@@ -266,18 +266,18 @@
 
 // Guards against harmless tasks that are lost repeatedly beside the one that crashes
 // their VM. Tasks that lost a VM must not share one.
-func TestTasksThatLostTheirVMAreKeptApart(t *testing.T) {
+func TestTasksOfCrashedVMAreKeptApart(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
-	c.job("bad", "free", small)
-	c.job("good", "free", small)
-	first := only[Start](c.step(0))
+	c.addJob("bad", "free", smallStep)
+	c.addJob("good", "free", smallStep)
+	first := only[Start](c.advance(0))
 	assert.Equal(t, len(first), 2)
 	assert.Equal(t, first[0].VM, first[1].VM, "both are packed on one VM")
 	for _, o := range first {
 		c.confirm(o)
 	}
 	c.crash(first[0].VM)
-	again := only[Start](c.step(100 * time.Millisecond))
+	again := only[Start](c.advance(100 * time.Millisecond))
 	assert.Equal(t, len(again), 2)
 	assert.Assert(t, again[0].VM != again[1].VM)
 }
@@ -286,15 +286,15 @@
 // years apart.
 func TestStableLongRunningTaskResetsCrashCounts(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
-	c.job("j", "free", job.Step{Count: 1, Resources: small.Resources, LongRunning: true})
+	c.addJob("j", "free", job.Step{Count: 1, Resources: smallStep.Resources, LongRunning: true})
 	for range 8 {
 		o, ok := c.startOf(job.TaskID{Job: "j"})
 		assert.Assert(t, ok)
 		c.confirm(o)
 		for range 20 {
-			c.step(time.Second)
-			c.listAll(o.VM)
-			c.list(o.VM, []job.RunningTask{running(o, 100)})
+			c.advance(time.Second)
+			c.answerAllHolds(o.VM)
+			c.answerHold(o.VM, []job.RunningTask{running(o, 100)})
 		}
 		c.crash(o.VM)
 	}
@@ -304,8 +304,8 @@
 // crashes VMs.
 func TestSiblingsOfGivenUpLongRunningTaskContinue(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
-	c.job("j", "free", job.Step{Count: 2, Resources: small.Resources, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true})
-	starts := only[Start](c.step(0))
+	c.addJob("j", "free", job.Step{Count: 2, Resources: smallStep.Resources, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true})
+	starts := only[Start](c.advance(0))
 	assert.Equal(t, len(starts), 2)
 	bad, good := starts[0], starts[1]
 	c.confirm(bad)
@@ -313,11 +313,11 @@
 	n := 1
 	for range 200 {
 		c.s.HoldAnswered(c.now, Hold{VM: bad.VM}, Unanswered, job.Report{})
-		c.step(time.Second)
-		c.revive(bad.VM)
-		c.listAll(good.VM)
-		c.list(good.VM, []job.RunningTask{running(good, 100)})
-		commands := c.step(100 * time.Millisecond)
+		c.advance(time.Second)
+		c.restart(bad.VM)
+		c.answerAllHolds(good.VM)
+		c.answerHold(good.VM, []job.RunningTask{running(good, 100)})
+		commands := c.advance(100 * time.Millisecond)
 		for _, o := range only[Start](commands) {
 			assert.Equal(t, o.Order.Task, bad.Order.Task)
 			bad = o
@@ -332,44 +332,44 @@
 
 // Guards against one start too many of a task whose last VM may have crashed or only be
 // cut off.
-func TestTaskAtItsCrashLimitWaitsForItsVM(t *testing.T) {
+func TestTaskThatMayHaveReachedCrashLimitWaits(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three", "four", "five", "six")
-	c.job("j", "free", small)
+	c.addJob("j", "free", smallStep)
 	task := job.TaskID{Job: "j"}
 	for range maxCrashes {
 		o, ok := c.startOf(task)
 		assert.Assert(t, ok)
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
-		c.step(30 * time.Millisecond)
+		c.advance(30 * time.Millisecond)
 		c.silence(o.VM, 8*time.Second)
 		if n := len(c.s.jobs.Get("j").occurrences[0].steps[0].tasks[0].crashes.attempts); n < maxCrashes-1 {
-			c.revive(o.VM)
+			c.restart(o.VM)
 			c.answerStops()
 			continue
 		}
 		for range 60 {
-			c.listAll(o.VM)
-			assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
+			c.answerAllHolds(o.VM)
+			assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 0)
 		}
 	}
 }
 
 // Guards against harmless tasks that count as the sole suspect of a crash because the
 // other tasks on their VM were freed first.
-func TestTasksThatLostVMTogetherAreNotSoleSuspects(t *testing.T) {
+func TestTasksOnSameCrashedVMAreNotSoleSuspects(t *testing.T) {
 	for name, after := range map[string]time.Duration{"within the lease": 3 * time.Second, "after it": 8 * time.Second} {
 		c := newCrashHarness(t, "one", "two", "three")
-		c.job("j", "free", job.Step{Count: 3, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second})
-		starts := only[Start](c.step(0))
+		c.addJob("j", "free", job.Step{Count: 3, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second})
+		starts := only[Start](c.advance(0))
 		assert.Equal(t, len(starts), 3)
 		for _, o := range starts {
 			assert.Equal(t, o.VM, starts[0].VM)
 			c.confirm(o)
 		}
-		c.step(30 * time.Millisecond)
+		c.advance(30 * time.Millisecond)
 		c.full = true
 		c.silence(starts[0].VM, after)
-		c.revive(starts[0].VM)
+		c.restart(starts[0].VM)
 		for i, x := range c.s.jobs.Get("j").occurrences[0].steps[0].tasks {
 			assert.Equal(t, x.crashes.confirmed, 1, "%s, task %d", name, i)
 			assert.Equal(t, x.crashes.soleSuspect, 0, "%s, task %d", name, i)
@@ -381,7 +381,7 @@
 // another task. Nothing may start beside a task whose next crash is the last.
 func TestNothingStartsBesideAnIsolatedTask(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
-	c.job("j", "free", job.Step{Count: 1, Resources: small.Resources, LongRunning: true})
+	c.addJob("j", "free", job.Step{Count: 1, Resources: smallStep.Resources, LongRunning: true})
 	task := job.TaskID{Job: "j"}
 	for range maxCrashes - 1 {
 		o, ok := c.startOf(task)
@@ -389,18 +389,18 @@
 		c.s.StartAnswered(c.now, o, Unanswered, job.Report{})
 		c.crash(o.VM)
 		c.answerStops()
-		c.listAll()
+		c.answerAllHolds()
 	}
 	o, ok := c.startOf(task)
 	assert.Assert(t, ok)
 	c.confirm(o)
 	for i := range 7 {
-		c.job(fmt.Sprintf("k%d", i), "free", job.Step{Count: 1, Resources: job.Resources{CPU: 7000, MemMB: 100}, Estimate: time.Second})
-		for _, x := range only[Start](c.step(time.Second)) {
+		c.addJob(fmt.Sprintf("k%d", i), "free", job.Step{Count: 1, Resources: job.Resources{CPU: 7000, MemMB: 100}, Estimate: time.Second})
+		for _, x := range only[Start](c.advance(time.Second)) {
 			assert.Assert(t, x.VM != o.VM || i > 4, "%d s after the start", i)
 			c.confirm(x)
 		}
-		c.list(o.VM, []job.RunningTask{running(o, 100)})
+		c.answerHold(o.VM, []job.RunningTask{running(o, 100)})
 	}
 	assert.Equal(t, c.s.vms.Get(o.VM).isolatedRuns, 0)
 }
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -12,9 +12,9 @@
 // readyIn brings up a VM in an availability zone and returns the commands that follow.
 func (h *harness) readyIn(zone job.ZoneName, id string) []Command {
 	h.listVMInZone(id, zone)
-	h.step(0)
-	h.lists(id, nil)
-	return h.step(30 * time.Millisecond)
+	h.advance(0)
+	h.answerHold(id, nil)
+	return h.advance(30 * time.Millisecond)
 }
 
 // Guards against starts in an evacuated zone, including starts on VMs that are listed there
@@ -24,19 +24,19 @@
 	h.readyIn("east", "one")
 	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
 	h.readyIn("east", "two")
-	h.job("j", "free", small)
-	assert.Equal(t, len(only[Start](h.step(time.Second))), 0)
+	h.addJob("j", "free", smallStep)
+	assert.Equal(t, len(only[Start](h.advance(time.Second))), 0)
 	assert.Equal(t, one[Start](h, h.readyIn("west", "three")).VM, job.VMID("three"))
 	h.s.SetEvacuatedZones(nil)
-	h.job("k", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 8000, MemMB: 100}})
-	assert.Equal(t, len(only[Start](h.step(0))), 1, "no start after the evacuation ended")
+	h.addJob("k", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 8000, MemMB: 100}})
+	assert.Equal(t, len(only[Start](h.advance(0))), 1, "no start after the evacuation ended")
 }
 
 // Guards against sending a start that was planned before the evacuation and waits for its save.
 func TestPlannedStartIsNotSentIntoAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t)
 	h.readyIn("east", "one")
-	h.job("j", "free", small)
+	h.addJob("j", "free", smallStep)
 	h.s.Tick(h.now)
 	h.s.Assign(h.now, h.now)
 	commands := h.s.TakeCommands()
@@ -45,7 +45,7 @@
 	for _, c := range commands {
 		h.store(c)
 	}
-	assert.Equal(t, len(only[Start](h.step(0))), 0)
+	assert.Equal(t, len(only[Start](h.advance(0))), 0)
 	assert.Equal(t, one[Start](h, h.readyIn("west", "two")).VM, job.VMID("two"))
 }
 
@@ -55,31 +55,31 @@
 	h := newHarness(t)
 	h.readyIn("east", "one")
 	h.readyIn("east", "two")
-	h.job("l", "free", job.Step{
+	h.addJob("l", "free", job.Step{
 		Count: 2, Resources: job.Resources{CPU: 6000, MemMB: 100}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true,
 	})
-	starts := only[Start](h.step(0))
+	starts := only[Start](h.advance(0))
 	assert.Equal(t, len(starts), 2)
 	for _, c := range starts {
 		h.confirm(c)
-		h.lists(string(c.VM), []job.RunningTask{running(c, 100)})
+		h.answerHold(string(c.VM), []job.RunningTask{running(c, 100)})
 	}
 	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
-	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0, "task stopped although no VM elsewhere has room")
+	assert.Equal(t, len(only[Stop](h.advance(100*time.Millisecond))), 0, "task stopped although no VM elsewhere has room")
 	h.readyIn("west", "three")
 	h.readyIn("west", "four")
 	first := h.stoppingRuns()
 	assert.Equal(t, len(first), 1, "want one task stopped at a time")
-	h.step(300 * time.Millisecond)
-	h.lists(string(first[0].vm.id), nil, job.End{Number: 1, Task: first[0].task, Attempt: first[0].attempt, How: job.EndedStopped})
-	again := one[Start](h, h.step(0))
+	h.advance(300 * time.Millisecond)
+	h.answerHold(string(first[0].vm.id), nil, job.End{Number: 1, Task: first[0].task, Attempt: first[0].attempt, How: job.EndedStopped})
+	again := one[Start](h, h.advance(0))
 	assert.Assert(t, again.VM == "three" || again.VM == "four", again.VM)
 	h.confirm(again)
-	h.lists(string(again.VM), []job.RunningTask{running(again, 40)})
-	h.step(50 * time.Millisecond)
+	h.answerHold(string(again.VM), []job.RunningTask{running(again, 40)})
+	h.advance(50 * time.Millisecond)
 	assert.Equal(t, len(h.stoppingRuns()), 0, "second task stopped before the first is fully running")
-	h.lists(string(again.VM), []job.RunningTask{running(again, 100)})
-	h.step(50 * time.Millisecond)
+	h.answerHold(string(again.VM), []job.RunningTask{running(again, 100)})
+	h.advance(50 * time.Millisecond)
 	assert.Equal(t, len(h.stoppingRuns()), 1)
 }
 
@@ -105,16 +105,16 @@
 	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, Zone: "east", VM: "one", Capacity: job.Resources{CPU: 8000}},
 		{ID: "m-two", Pool: poolA, State: job.MachineUp, Zone: "west", VM: "two", Capacity: job.Resources{CPU: 8000}},
-		{ID: "m-off-east", Pool: off, State: job.MachineUp, Zone: "east", Capacity: job.Resources{CPU: 8000}},
-		{ID: "m-off-west", Pool: off, State: job.MachineUp, Zone: "west", Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-off-east", Pool: poolOff, State: job.MachineUp, Zone: "east", Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-off-west", Pool: poolOff, State: job.MachineUp, Zone: "west", Capacity: job.Resources{CPU: 8000}},
 	})
 	h.s.SetEvacuatedZones([]job.ZoneName{"east"})
 	capacity := h.s.poolCapacity(h.now)
 	assert.Equal(t, capacity.available[poolA], int64(8000))
-	h.job("j", "free", job.Step{Count: 40, Resources: job.Resources{CPU: 1000, MemMB: 10}, Estimate: time.Second})
+	h.addJob("j", "free", job.Step{Count: 40, Resources: job.Resources{CPU: 1000, MemMB: 10}, Estimate: time.Second})
 	var moved []job.MachineID
 	for range 10 {
-		for _, m := range only[Move](h.step(100 * time.Millisecond)) {
+		for _, m := range only[Move](h.advance(100 * time.Millisecond)) {
 			moved = append(moved, m.Machine)
 		}
 	}
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -15,20 +15,20 @@
 func TestLeaseOfSilentVMExpires(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
 	other := map[job.VMID]string{"one": "two", "two": "one"}[start.VM]
 	freed := false
 	h.s.HoldAnswered(h.now, Hold{VM: start.VM}, Unanswered, job.Report{})
 	for range 100 {
-		commands := h.step(100 * time.Millisecond)
+		commands := h.advance(100 * time.Millisecond)
 		for _, c := range only[Hold](commands) {
 			if c.VM == start.VM {
 				h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
 			}
 		}
-		h.lists(other, nil)
+		h.answerHold(other, nil)
 		if again := only[Start](commands); len(again) > 0 {
 			freed = true
 			assert.Assert(t, again[0].Order.Attempt > start.Order.Attempt)
@@ -41,18 +41,18 @@
 
 // Guards against a second run of a task whose start had no answer. Only a list taken
 // after the start's deadline proves that the task doesn't run.
-func TestUnansweredStartIsFreedByALaterList(t *testing.T) {
+func TestUnansweredStartIsFreedByListAfterItsDeadline(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
-	h.step(100 * time.Millisecond)
-	h.lists(string(start.VM), nil)
-	assert.Equal(t, len(only[Start](h.step(0))), 0)
-	h.step(700 * time.Millisecond)
-	h.lists(string(start.VM), nil)
-	again := one[Start](h, h.step(0))
+	h.advance(100 * time.Millisecond)
+	h.answerHold(string(start.VM), nil)
+	assert.Equal(t, len(only[Start](h.advance(0))), 0)
+	h.advance(700 * time.Millisecond)
+	h.answerHold(string(start.VM), nil)
+	again := one[Start](h, h.advance(0))
 	assert.Assert(t, again.Order.Attempt > start.Order.Attempt)
 }
 
@@ -62,14 +62,14 @@
 func TestLostStartIsStoppedOnRestartedVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
-	h.step(700 * time.Millisecond)
-	h.lists("one", nil)
-	h.step(0)
+	h.advance(700 * time.Millisecond)
+	h.answerHold("one", nil)
+	h.advance(0)
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 3, Born: 2, Lists: true})
-	stops := only[Stop](h.step(0))
+	stops := only[Stop](h.advance(0))
 	assert.Assert(t, len(stops) > 0)
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
@@ -79,15 +79,15 @@
 func TestEndedJobIsNotRunAgain(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
-	h.step(time.Second)
-	h.lists("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedDone})
-	save := only[Save](h.step(0))
+	h.advance(time.Second)
+	h.answerHold("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedDone})
+	save := only[Save](h.advance(0))
 	assert.Equal(t, save[len(save)-1].Progress.State, job.Completed)
-	h.job("j", "free", small)
-	assert.Equal(t, len(only[Start](h.step(time.Second))), 0)
+	h.addJob("j", "free", smallStep)
+	assert.Equal(t, len(only[Start](h.advance(time.Second))), 0)
 }
 
 // Guards against an end that nobody knows of after its owner died. A VM deletes
@@ -95,11 +95,11 @@
 func TestEndIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
 	h.now = h.now.Add(time.Second)
-	h.lists("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedDone})
+	h.answerHold("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedDone})
 	h.now = h.now.Add(time.Second)
 	h.s.Tick(h.now)
 	commands := h.s.TakeCommands()
@@ -107,18 +107,18 @@
 	for _, c := range commands {
 		h.store(c)
 	}
-	h.lists("one", nil)
-	assert.Equal(t, one[Hold](h, h.step(30*time.Millisecond)).Order.Noted, int64(1))
+	h.answerHold("one", nil)
+	assert.Equal(t, one[Hold](h, h.advance(30*time.Millisecond)).Order.Noted, int64(1))
 }
 
 // Guards against a lease that expires under a task started during a hold. The start's own
 // deadline passes long before the next hold, so the hold must have extended the lease
 // when it was sent.
-func TestIdleVMIsHeldWithADeadline(t *testing.T) {
+func TestHoldOfIdleVMExtendsLease(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.lists("one", nil)
-	hold := one[Hold](h, h.step(30*time.Millisecond))
+	h.answerHold("one", nil)
+	hold := one[Hold](h, h.advance(30*time.Millisecond))
 	assert.Assert(t, hold.Order.Deadline >= h.clock()+5000, "%+v", hold.Order)
 }
 
@@ -131,14 +131,14 @@
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
 	for range 80 {
-		commands := h.step(100 * time.Millisecond)
+		commands := h.advance(100 * time.Millisecond)
 		assert.Equal(t, len(only[Maintain](commands)), 0)
 		for range only[Hold](commands) {
 			h.s.HoldAnswered(h.now, Hold{VM: "one"}, Unanswered, job.Report{})
 		}
 	}
-	h.lists("one", nil)
-	assert.Equal(t, len(only[Maintain](h.step(100*time.Millisecond))), 1)
+	h.answerHold("one", nil)
+	assert.Equal(t, len(only[Maintain](h.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against an outdated machine list that ends a maintenance. The list was requested
@@ -148,20 +148,20 @@
 	h := newHarness(t)
 	list := func(requestedAt time.Time, state job.MachineState) {
 		h.s.MachinesListed(requestedAt, []job.Machine{
-			{ID: "m-1", Pool: off, State: state}, {ID: "m-2", Pool: off, State: job.MachineUp},
+			{ID: "m-1", Pool: poolOff, State: state}, {ID: "m-2", Pool: poolOff, State: job.MachineUp},
 		})
 	}
 	list(h.now, job.MachineUp)
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 1}, nil)
-	first := one[Maintain](h, h.step(100*time.Millisecond))
+	first := one[Maintain](h, h.advance(100*time.Millisecond))
 	requestedAt := h.now
 	h.now = h.now.Add(10 * time.Millisecond)
 	h.s.MaintainAnswered(h.now, first, Answered, job.MachineAccepted)
 	h.now = h.now.Add(3 * time.Second)
 	list(requestedAt, job.MachineUp)
-	assert.Equal(t, len(only[Maintain](h.step(10*time.Millisecond))), 0)
+	assert.Equal(t, len(only[Maintain](h.advance(10*time.Millisecond))), 0)
 	list(h.now, job.MachineUp)
-	second := one[Maintain](h, h.step(10*time.Millisecond))
+	second := one[Maintain](h, h.advance(10*time.Millisecond))
 	assert.Assert(t, second.Machine != first.Machine)
 }
 
@@ -170,15 +170,15 @@
 func TestBusyMachineCountsAsInMaintenance(t *testing.T) {
 	h := newHarness(t)
 	h.s.MachinesListed(h.now, []job.Machine{
-		{ID: "m-1", Pool: off, State: job.MachineUp}, {ID: "m-2", Pool: off, State: job.MachineUp},
+		{ID: "m-1", Pool: poolOff, State: job.MachineUp}, {ID: "m-2", Pool: poolOff, State: job.MachineUp},
 	})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 1}, nil)
-	first := one[Maintain](h, h.step(100*time.Millisecond))
+	first := one[Maintain](h, h.advance(100*time.Millisecond))
 	h.s.MaintainAnswered(h.now, first, Unanswered, job.MachineAccepted)
-	again := one[Maintain](h, h.step(time.Second))
+	again := one[Maintain](h, h.advance(time.Second))
 	assert.Equal(t, again.Machine, first.Machine)
 	h.s.MaintainAnswered(h.now, again, Answered, job.MachineBusy)
-	assert.Equal(t, len(only[Maintain](h.step(time.Second))), 0)
+	assert.Equal(t, len(only[Maintain](h.advance(time.Second))), 0)
 }
 
 // Guards against more unavailable tasks than the disruption budget of a long-running step
@@ -186,29 +186,29 @@
 func TestMaintenanceWaitsWhileTaskIsUnavailable(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", job.Step{
+	h.addJob("j", "free", job.Step{
 		Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true,
 	})
-	starts := only[Start](h.step(0))
+	starts := only[Start](h.advance(0))
 	assert.Equal(t, len(starts), 2)
 	for _, c := range starts {
 		h.confirm(c)
-		h.lists(string(c.VM), []job.RunningTask{running(c, 100)})
+		h.answerHold(string(c.VM), []job.RunningTask{running(c, 100)})
 	}
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
-	for _, c := range only[Hold](h.step(time.Second)) {
+	for _, c := range only[Hold](h.advance(time.Second)) {
 		if c.VM == "two" {
 			h.s.HoldAnswered(h.now, Hold{VM: "two"}, Unanswered, job.Report{})
 		}
 	}
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
-	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0)
+	assert.Equal(t, len(only[Stop](h.advance(100*time.Millisecond))), 0)
 	for _, c := range starts {
 		if c.VM == "two" {
-			h.lists("two", []job.RunningTask{running(c, 100)})
+			h.answerHold("two", []job.RunningTask{running(c, 100)})
 		}
 	}
-	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 1)
+	assert.Equal(t, len(only[Stop](h.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against a start that is sent before it is stored that the job may run on the VM.
@@ -216,7 +216,7 @@
 func TestPossibleVMIsStoredBeforeStart(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
+	h.addJob("j", "free", smallStep)
 	h.s.Assign(h.now, h.now)
 	commands := h.s.TakeCommands()
 	assert.Equal(t, len(only[Start](commands)), 0)
@@ -233,16 +233,16 @@
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
 	h.ready("one")
 	add := func(id string, vms ...job.VMID) {
-		j := job.Job{ID: job.ID(id), Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
+		j := job.Job{ID: job.ID(id), Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{smallStep}}}
 		h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: vms}, true)
 	}
 	add("there", "unreported")
 	add("elsewhere", "one")
-	start := one[Start](h, h.step(0))
+	start := one[Start](h, h.advance(0))
 	assert.Equal(t, start.Order.Task.Job, job.ID("elsewhere"))
 	h.now = h.now.Add(11 * time.Second)
-	h.lists("one", []job.RunningTask{running(start, 10)})
-	start = one[Start](h, h.step(0))
+	h.answerHold("one", []job.RunningTask{running(start, 10)})
+	start = one[Start](h, h.advance(0))
 	assert.Equal(t, start.Order.Task.Job, job.ID("there"))
 }
 
@@ -255,8 +255,8 @@
 	wide := job.Step{Count: 4, Resources: job.Resources{CPU: 1000}, Estimate: time.Second}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{wide}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
-	h.job("new", "capped", wide)
-	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
+	h.addJob("new", "capped", wide)
+	assert.Equal(t, len(only[Start](h.advance(0))), 1, "4 of 5 cores may be in use already")
 }
 
 // Guards against exceeding an account's quota. A former owner is cut off from the table but
@@ -273,8 +273,8 @@
 		{Count: 4, Resources: resources, Estimate: time.Second, After: []int{0}},
 	}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
-	h.job("new", "capped", job.Step{Count: 4, Resources: resources, Estimate: time.Second})
-	assert.Equal(t, len(only[Start](h.step(0))), 1, "4 of 5 cores may be in use already")
+	h.addJob("new", "capped", job.Step{Count: 4, Resources: resources, Estimate: time.Second})
+	assert.Equal(t, len(only[Start](h.advance(0))), 1, "4 of 5 cores may be in use already")
 }
 
 // Guards against two owners that both move long-running tasks for the same maintenance,
@@ -284,18 +284,18 @@
 	h := newHarness(t)
 	h.ready("one", "two")
 	longRunning := job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, DisruptionBudget: 1, HasDisruptionBudget: true}
-	h.job("j", "free", longRunning)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", longRunning)
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
-	h.lists(string(start.VM), []job.RunningTask{running(start, 100)})
+	h.answerHold(string(start.VM), []job.RunningTask{running(start, 100)})
 	h.listMachinesOf("one", "two")
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{job.MachineID("m-" + start.VM)}, MaxConcurrent: 1}, nil)
 	h.s.SetRights(Rights{StartTasks: true, ExtendLeases: true})
-	assert.Equal(t, len(only[Stop](h.step(time.Second))), 0)
-	h.job("new", "free", small)
-	assert.Equal(t, len(only[Start](h.step(0))), 1)
+	assert.Equal(t, len(only[Stop](h.advance(time.Second))), 0)
+	h.addJob("new", "free", smallStep)
+	assert.Equal(t, len(only[Start](h.advance(0))), 1)
 	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	assert.Equal(t, len(only[Stop](h.step(0))), 1)
+	assert.Equal(t, len(only[Stop](h.advance(0))), 1)
 }
 
 // Guards against orders from two owners to the same machine in quick succession. The
@@ -310,9 +310,9 @@
 	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-1", State: job.MachineUp}, {ID: "m-2", State: job.MachineUp}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 2}, nil)
-	assert.Equal(t, one[Maintain](h, h.step(time.Second)).Machine, job.MachineID("m-2"))
-	assert.Equal(t, len(only[Maintain](h.step(3*time.Second))), 0)
-	assert.Equal(t, one[Maintain](h, h.step(time.Second)).Machine, job.MachineID("m-1"))
+	assert.Equal(t, one[Maintain](h, h.advance(time.Second)).Machine, job.MachineID("m-2"))
+	assert.Equal(t, len(only[Maintain](h.advance(3*time.Second))), 0)
+	assert.Equal(t, one[Maintain](h, h.advance(time.Second)).Machine, job.MachineID("m-1"))
 }
 
 // Guards against a failed run that counts twice because its end is listed again after a
@@ -320,34 +320,34 @@
 func TestFailedRunsAreCountedOnce(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
 	end := job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedFailed}
-	h.lists(string(start.VM), nil, end)
+	h.answerHold(string(start.VM), nil, end)
 	end.Number = 2
-	h.lists(string(start.VM), nil, end)
-	second := one[Start](h, h.step(time.Second))
+	h.answerHold(string(start.VM), nil, end)
+	second := one[Start](h, h.advance(time.Second))
 	assert.Assert(t, second.VM != start.VM, "a task avoids the VM where it failed")
 	h.confirm(second)
-	h.lists(string(second.VM), nil, job.End{Number: 1, Task: second.Order.Task, Attempt: second.Order.Attempt, How: job.EndedFailed})
-	saves := only[Save](h.step(0))
+	h.answerHold(string(second.VM), nil, job.End{Number: 1, Task: second.Order.Task, Attempt: second.Order.Attempt, How: job.EndedFailed})
+	saves := only[Save](h.advance(0))
 	assert.Equal(t, saves[len(saves)-1].Progress.State, job.Failed)
 }
 
 // Guards against runs that survive the cancellation of their job. Stops are repeated
 // until the runs are gone, and nothing of the job starts.
-func TestCancelStopsWhatRuns(t *testing.T) {
+func TestCancelStopsRuns(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}})
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}})
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
 	h.s.Cancel(h.now, "j")
-	assert.Equal(t, one[Stop](h, h.step(0)).Attempt, start.Order.Attempt)
-	assert.Equal(t, one[Stop](h, h.step(700*time.Millisecond)).Attempt, start.Order.Attempt)
-	h.lists("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedStopped})
-	commands := h.step(time.Second)
+	assert.Equal(t, one[Stop](h, h.advance(0)).Attempt, start.Order.Attempt)
+	assert.Equal(t, one[Stop](h, h.advance(700*time.Millisecond)).Attempt, start.Order.Attempt)
+	h.answerHold("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedStopped})
+	commands := h.advance(time.Second)
 	assert.Equal(t, len(only[Stop](commands))+len(only[Start](commands)), 0)
 }
 
@@ -363,17 +363,17 @@
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
 	list := func(ended ...job.End) {
-		h.lists("one", []job.RunningTask{{Task: job.TaskID{Job: "j"}, Attempt: 7, Percent: 100}})
+		h.answerHold("one", []job.RunningTask{{Task: job.TaskID{Job: "j"}, Attempt: 7, Percent: 100}})
 		var there []job.RunningTask
 		if len(ended) == 0 {
 			there = []job.RunningTask{{Task: job.TaskID{Job: "j", Index: 1}, Attempt: 7, Percent: 100}}
 		}
-		h.lists("two", there, ended...)
+		h.answerHold("two", there, ended...)
 	}
 	list()
-	assert.Equal(t, len(only[Stop](h.step(100*time.Millisecond))), 0)
+	assert.Equal(t, len(only[Stop](h.advance(100*time.Millisecond))), 0)
 	list(job.End{Number: 1, Task: job.TaskID{Job: "j", Index: 1}, Attempt: 7, How: job.EndedStopped})
-	assert.Equal(t, len(only[Stop](h.step(2*time.Second))), 0, "the other task is unavailable")
+	assert.Equal(t, len(only[Stop](h.advance(2*time.Second))), 0, "the other task is unavailable")
 }
 
 // Guards against job rows that are never deleted, all of which each new owner would read.
@@ -381,9 +381,9 @@
 func TestEndedJobsAreDeletedEventually(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddEndedJob(h.now, "old")
-	assert.Equal(t, len(only[DeleteJob](h.step(5*time.Minute))), 0)
-	assert.Equal(t, one[DeleteJob](h, h.step(7*time.Minute)).Job, job.ID("old"))
-	assert.Equal(t, len(only[DeleteJob](h.step(7*time.Minute))), 0)
+	assert.Equal(t, len(only[DeleteJob](h.advance(5*time.Minute))), 0)
+	assert.Equal(t, one[DeleteJob](h, h.advance(7*time.Minute)).Job, job.ID("old"))
+	assert.Equal(t, len(only[DeleteJob](h.advance(7*time.Minute))), 0)
 }
 
 // Guards against a long-running task that never runs because its pool has too few VMs. Two
@@ -394,10 +394,10 @@
 	h.ready("one")
 	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
-		{ID: "m-off", Pool: off, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
+		{ID: "m-off", Pool: poolOff, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
 	})
-	h.job("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1})
-	commands := h.step(0)
+	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1})
+	commands := h.advance(0)
 	assert.Equal(t, len(only[Start](commands)), 1)
 	assert.Equal(t, one[Move](h, commands), Move{Machine: "m-off", Pool: poolA})
 }
@@ -408,11 +408,11 @@
 func TestSpareCPUTaskIsSlowedForServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("spare", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true, Estimate: time.Minute})
-	spareCPU := one[Start](h, h.step(0))
+	h.addJob("spare", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true, Estimate: time.Minute})
+	spareCPU := one[Start](h, h.advance(0))
 	h.confirm(spareCPU)
-	h.job("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
-	serve := one[Start](h, h.step(0))
+	h.addJob("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
+	serve := one[Start](h, h.advance(0))
 	h.confirm(serve)
 	for _, x := range []struct {
 		tail    int64
@@ -421,8 +421,8 @@
 		busy := running(serve, 100)
 		busy.Load = x.tail
 		h.now = h.now.Add(600 * time.Millisecond)
-		h.lists("one", []job.RunningTask{busy, running(spareCPU, 10)})
-		assert.Equal(t, one[Pace](h, h.step(0)).Percent, x.percent)
+		h.answerHold("one", []job.RunningTask{busy, running(spareCPU, 10)})
+		assert.Equal(t, one[Pace](h, h.advance(0)).Percent, x.percent)
 	}
 }
 
@@ -430,26 +430,26 @@
 func TestSpareCPUTaskIsNotPlacedBesideServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
-	h.confirm(one[Start](h, h.step(0)))
-	h.job("spare", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true})
-	assert.Equal(t, len(only[Start](h.step(0))), 0)
+	h.addJob("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
+	h.confirm(one[Start](h, h.advance(0)))
+	h.addJob("spare", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true})
+	assert.Equal(t, len(only[Start](h.advance(0))), 0)
 }
 
 // Guards against a run that is freed by a list of the same millisecond in which its VM
 // accepted the stop. The run may have begun in between.
-func TestListFromSameMillisecondAsStopFreesNothing(t *testing.T) {
+func TestListFromSameMillisecondAsStopFreesNoRun(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.s.Cancel(h.now, "j")
-	stop := one[Stop](h, h.step(0))
+	stop := one[Stop](h, h.advance(0))
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock(), Born: 1})
-	h.lists("one", nil)
+	h.answerHold("one", nil)
 	assert.Equal(t, h.s.vms.Get("one").runs.Len(), 1)
 	h.now = h.now.Add(time.Millisecond)
-	h.lists("one", nil)
+	h.answerHold("one", nil)
 	assert.Equal(t, h.s.vms.Get("one").runs.Len(), 0)
 }
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -17,39 +17,39 @@
 // the task's VM. The present owner may have acknowledged the end there.
 func TestFormerOwnerRestartsNoTaskAfterLeaseExpiry(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
-	c.job("j", "free", small)
+	c.addJob("j", "free", smallStep)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
 	assert.Assert(t, ok)
 	c.confirm(o)
-	c.step(30 * time.Millisecond)
+	c.advance(30 * time.Millisecond)
 	c.full = true
 	c.silence(o.VM, 5*time.Second)
 	c.loseOrderRight()
 	c.full = false
 	for range 20 {
-		c.listAll(o.VM)
-		assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
+		c.answerAllHolds(o.VM)
+		assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 0)
 	}
 	c.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	c.listAll(o.VM)
-	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
+	c.answerAllHolds(o.VM)
+	assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against a former owner that starts a task again because its VM has restarted.
 // The end may have been acknowledged before.
 func TestFormerOwnerRestartsNoTaskOfRestartedVM(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
-	c.job("j", "free", small)
+	c.addJob("j", "free", smallStep)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
 	assert.Assert(t, ok)
 	c.confirm(o)
 	c.loseOrderRight()
 	c.crash(o.VM)
 	for range 20 {
-		assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
+		assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 0)
 	}
 	c.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
+	assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against a former owner that assumes an unreachable VM to be free. The present
@@ -58,14 +58,14 @@
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
 	h.ready("one")
-	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
+	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{smallStep}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
 	h.loseOrderRight()
 	for range 110 {
-		h.lists("one", nil)
-		assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
+		h.answerHold("one", nil)
+		assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0)
 	}
 	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	h.lists("one", nil)
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 1)
+	h.answerHold("one", nil)
+	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 1)
 }
--- a/core/schedule/gang.go
+++ b/core/schedule/gang.go
@@ -31,9 +31,9 @@
 	st.gangAttempt = max(st.gangAttempt, a.s.settings.AttemptBase) + 1
 	for t := range st.tasks {
 		task := &st.tasks[t]
-		task.checkpoint, task.attempt = checkpoint, st.gangAttempt
-		id := job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t}
-		a.start(j, st, id, task, chosen[t], st.gangAttempt)
+		task.checkpoint, task.lastAttempt = checkpoint, st.gangAttempt
+		id := job.TaskID{Job: j.ID, Occurrence: o.index, Step: i, Index: t}
+		a.startTask(j, st, id, task, chosen[t], st.gangAttempt)
 	}
 }
 
--- a/core/schedule/gang_test.go
+++ b/core/schedule/gang_test.go
@@ -15,19 +15,19 @@
 func TestIncompleteGangIsStopped(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two", "three")
-	gang := small
+	gang := smallStep
 	gang.Count, gang.Gang, gang.Resources.CPU = 2, true, 8000
-	h.job("j", "free", gang)
-	starts := only[Start](h.step(10 * time.Millisecond))
+	h.addJob("j", "free", gang)
+	starts := only[Start](h.advance(10 * time.Millisecond))
 	assert.Equal(t, len(starts), 2)
 	h.confirm(starts[0])
 	h.s.StartAnswered(h.now, starts[1], Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedCapacity})
-	stop := one[Stop](h, h.step(time.Millisecond))
+	stop := one[Stop](h, h.advance(time.Millisecond))
 	assert.Equal(t, stop.VM, starts[0].VM)
 	assert.Equal(t, stop.Attempt, starts[0].Order.Attempt)
 	c := starts[0]
-	h.lists(string(c.VM), nil, job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedStopped})
-	again := only[Start](h.step(time.Millisecond))
+	h.answerHold(string(c.VM), nil, job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedStopped})
+	again := only[Start](h.advance(time.Millisecond))
 	assert.Equal(t, len(again), 2)
 	assert.Assert(t, again[0].Order.Attempt > c.Order.Attempt)
 	assert.Equal(t, again[0].Order.Attempt, again[1].Order.Attempt)
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -22,8 +22,8 @@
 
 // poolA is the pool of the tests' queue, and off a standby pool.
 const (
-	poolA = job.PoolName("a")
-	off   = job.PoolName("off")
+	poolA   = job.PoolName("a")
+	poolOff = job.PoolName("off")
 )
 
 // newHarness returns a harness with a configuration and all rights.
@@ -36,7 +36,7 @@
 	c := &job.Configuration{
 		Version:  1,
 		Queues:   []job.Queue{{Name: "q", Pool: poolA, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}},
-		Pools:    []job.Pool{{Name: poolA}, {Name: off, Standby: true}},
+		Pools:    []job.Pool{{Name: poolA}, {Name: poolOff, Standby: true}},
 		Accounts: []job.Account{{Name: "capped", Quota: job.Resources{CPU: 5000}}, {Name: "free"}},
 	}
 	c.Index()
@@ -45,9 +45,9 @@
 	return h
 }
 
-// step advances the time by d and returns the commands of three rounds. Saves are stored
+// advance advances the time by d and returns the commands of three rounds. Saves are stored
 // immediately.
-func (h *harness) step(d time.Duration) []Command {
+func (h *harness) advance(d time.Duration) []Command {
 	h.now = h.now.Add(d)
 	var out []Command
 	for range 3 {
@@ -83,8 +83,8 @@
 // clock returns the clock reading of all VMs.
 func (h *harness) clock() job.VMClock { return job.VMClock(h.now.Sub(begin).Milliseconds()) + 1000 }
 
-// lists answers a hold of the VM with the given lists.
-func (h *harness) lists(id string, running []job.RunningTask, ended ...job.End) {
+// answerHold answers a hold of the VM with the given lists.
+func (h *harness) answerHold(id string, running []job.RunningTask, ended ...job.End) {
 	h.s.HoldAnswered(h.now, Hold{VM: job.VMID(id)}, Answered, job.Report{
 		Clock: h.clock(), Born: 1, Lists: true, Running: running, Finished: ended,
 	})
@@ -95,15 +95,15 @@
 	for _, id := range ids {
 		h.listVM(id)
 	}
-	h.step(0)
+	h.advance(0)
 	for _, id := range ids {
-		h.lists(id, nil)
+		h.answerHold(id, nil)
 	}
-	h.step(30 * time.Millisecond)
+	h.advance(30 * time.Millisecond)
 }
 
-// job adds a job of the given steps.
-func (h *harness) job(id string, account job.AccountName, steps ...job.Step) {
+// addJob adds a job of the given steps.
+func (h *harness) addJob(id string, account job.AccountName, steps ...job.Step) {
 	j := job.Job{ID: job.ID(id), Body: job.Body{Spec: "x", Steps: steps}}
 	j.Terms = job.Terms{Queue: "q", Pool: poolA, Account: account, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}
 	h.s.AddJob(h.now, j, nil, false)
@@ -138,5 +138,5 @@
 	return out[0]
 }
 
-// small is a step of one short task.
-var small = job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
+// smallStep is a step of one short task.
+var smallStep = job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -57,18 +57,18 @@
 }
 
 // HoldAnswered handles the outcome of a hold.
-func (s *Scheduler) HoldAnswered(now time.Time, c Hold, out Outcome, r job.Report) {
+func (s *Scheduler) HoldAnswered(now time.Time, c Hold, outcome Outcome, r job.Report) {
 	v := s.vms.Get(c.VM)
 	if v == nil {
 		return
 	}
 	if c.Probe {
-		s.probeAnswered(now, v, out, r)
+		s.probeAnswered(now, v, outcome, r)
 		return
 	}
 	v.holdInFlight = false
-	if out != Answered || !r.Lists {
-		s.holdFailed(now, v, out, r)
+	if outcome != Answered || !r.Lists {
+		s.holdFailed(now, v, outcome, r)
 		return
 	}
 	if !s.recordAnswer(now, v, r) {
@@ -122,12 +122,12 @@
 }
 
 // holdFailed handles a hold without a usable answer and schedules the next one.
-func (s *Scheduler) holdFailed(now time.Time, v *vmState, out Outcome, r job.Report) {
-	if out == Answered {
+func (s *Scheduler) holdFailed(now time.Time, v *vmState, outcome Outcome, r job.Report) {
+	if outcome == Answered {
 		s.recordAnswer(now, v, r)
 	} else if !v.silent {
 		v.silent, v.silentSince = true, now
-		s.decided(Decision{Kind: VMSilent, VM: v.id, Reason: out.String(), Age: now.Sub(v.lastAnswer)})
+		s.decided(Decision{Kind: VMSilent, VM: v.id, Reason: outcome.String(), Age: now.Sub(v.lastAnswer)})
 	}
 	v.holdFailures++
 	v.nextHoldAt = now.Add(holdRetryDelay * time.Duration(min(v.holdFailures, 4)))
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -72,7 +72,7 @@
 }
 
 // endLife handles the end of a VM's life once that is certain.
-func (s *Scheduler) endLife(now time.Time, v *vmState, why string) {
+func (s *Scheduler) endLife(now time.Time, v *vmState, reason string) {
 	v.inheritedUntil = time.Time{}
 	v.lifeEnded = true
 	s.countExpiredRunCrashes(now, v)
@@ -88,7 +88,7 @@
 		s.countCrash(now, r)
 	}
 	for _, r := range ended {
-		s.freeWithUnknownEnd(now, r, why)
+		s.freeWithUnknownEnd(now, r, reason)
 	}
 }
 
@@ -99,7 +99,7 @@
 		return false
 	}
 	o := s.recentOrders.Get(id)
-	return o.issuer == "" || o.issuer == s.settings.OrderIssuer || now.After(o.at.Add(s.settings.MachineLease+formerOrderSlack))
+	return o.issuer == "" || o.issuer == s.settings.OrderIssuer || now.After(o.givenAt.Add(s.settings.MachineLease+formerOrderSlack))
 }
 
 // pendingOrder is an order for a machine. It is held back until it is stored that the machine
@@ -113,8 +113,8 @@
 // recentOrder is an order that was given to a machine recently.
 type recentOrder struct {
 	issuer string
-	// at is when the order was given, or the time of the takeover if a former owner gave it.
-	at time.Time
+	// givenAt is when the order was given, or the time of the takeover if a former owner gave it.
+	givenAt time.Time
 }
 
 // recentOrderPeriod is how long an order counts as recent. The next owner may order the machine
@@ -132,7 +132,7 @@
 // orderMachine sends an order as soon as it is stored that the machine has one.
 func (s *Scheduler) orderMachine(now time.Time, id job.MachineID, c Command) {
 	s.pruneOrders(now)
-	s.recentOrders.Set(id, recentOrder{issuer: s.settings.OrderIssuer, at: now})
+	s.recentOrders.Set(id, recentOrder{issuer: s.settings.OrderIssuer, givenAt: now})
 	s.dirtyOrders = append(s.dirtyOrders, id)
 	s.pendingOrders = append(s.pendingOrders, pendingOrder{saveSequence: s.nextSaveSequence(), machine: id, command: c})
 }
@@ -147,7 +147,7 @@
 	}
 	s.nextPruneOrders = now.Add(pruneOrdersInterval)
 	for id, o := range s.recentOrders.All() {
-		if now.Sub(o.at) > s.recentOrderPeriod() {
+		if now.Sub(o.givenAt) > s.recentOrderPeriod() {
 			s.recentOrders.Delete(id)
 			s.dirtyOrders = append(s.dirtyOrders, id)
 		}
@@ -169,7 +169,7 @@
 		if s.rights.OrderMachines && (v == nil || v.runs.Len() == 0) {
 			// The order's age counts from its sending and not from the decision: when the table
 			// is slow, seconds lie between them.
-			s.recentOrders.Set(o.machine, recentOrder{issuer: s.settings.OrderIssuer, at: now})
+			s.recentOrders.Set(o.machine, recentOrder{issuer: s.settings.OrderIssuer, givenAt: now})
 			s.emit(o.command)
 			return true
 		}
--- a/core/schedule/maintenance.go
+++ b/core/schedule/maintenance.go
@@ -142,7 +142,7 @@
 }
 
 // MaintainAnswered handles the outcome of an order for maintenance.
-func (s *Scheduler) MaintainAnswered(now time.Time, c Maintain, out Outcome, why job.MachineRefusal) {
+func (s *Scheduler) MaintainAnswered(now time.Time, c Maintain, outcome Outcome, refusal job.MachineRefusal) {
 	m, w := s.machines.Get(c.Machine), s.waves.Get(c.Wave)
 	if m == nil || w == nil {
 		return
@@ -150,18 +150,18 @@
 	m.awaitingAnswer = false
 	m.answeredAt = now
 	switch {
-	case out == Answered && why == job.MachineAccepted:
+	case outcome == Answered && refusal == job.MachineAccepted:
 		s.decided(Decision{Kind: MachineMaintained, VM: m.orderedVM, Reason: string(m.ID)})
 		if v := s.vms.Get(m.orderedVM); v != nil {
 			s.endLife(now, v, "machine is in upkeep")
 		}
-	case out == Unanswered:
+	case outcome == Unanswered:
 		// The order may be carried out later, so it is repeated until its outcome is known.
 		m.retryAt = now.Add(machineRetryDelay)
-	case out == NotDone:
+	case outcome == NotDone:
 		delete(w.inMaintenance, m.ID)
 		m.retryAt = now.Add(machineRetryDelay)
-	case why == job.MachineOtherWave:
+	case refusal == job.MachineOtherWave:
 		delete(w.inMaintenance, m.ID)
 		w.done[m.ID] = true
 	default:
@@ -224,10 +224,10 @@
 
 // relocateLongRunning moves long-running tasks off a VM, as far as the disruption budgets of
 // their steps allow.
-func (s *Scheduler) relocateLongRunning(now time.Time, v *vmState, why string) {
+func (s *Scheduler) relocateLongRunning(now time.Time, v *vmState, reason string) {
 	for _, r := range v.runs.All() {
 		if s.mayRelocate(now, r) {
-			s.stopRun(now, r, why)
+			s.stopRun(now, r, reason)
 		}
 	}
 }
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -62,19 +62,19 @@
 }
 
 // MoveAnswered handles the outcome of a move.
-func (s *Scheduler) MoveAnswered(now time.Time, c Move, out Outcome, why job.MachineRefusal) {
+func (s *Scheduler) MoveAnswered(now time.Time, c Move, outcome Outcome, refusal job.MachineRefusal) {
 	m := s.machines.Get(c.Machine)
 	if m == nil || m.movingTo != c.Pool {
 		return
 	}
 	m.awaitingAnswer = false
 	switch {
-	case out == Answered && why == job.MachineAccepted:
+	case outcome == Answered && refusal == job.MachineAccepted:
 		m.answeredAt = now
 		if v := s.vms.Get(m.orderedVM); v != nil {
 			s.endLife(now, v, "machine moves to another pool")
 		}
-	case out == Unanswered:
+	case outcome == Unanswered:
 		// The move may be carried out at any time, so the VM gets no tasks until its outcome is
 		// known.
 		m.retryAt = now.Add(moveRetryDelay)
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -167,14 +167,14 @@
 }
 
 // work predicts the core-seconds that the job still needs, and those that it needs in total.
-func (s *Scheduler) work(j *jobState) (left, all float64) {
+func (s *Scheduler) work(j *jobState) (remaining, total float64) {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
 			st := o.steps[i].def
-			one := float64(st.Resources.CPU) / 1000 * s.predictRunTime(j, st).Seconds()
-			all += one * float64(st.Count)
-			left += one * float64(st.Count-o.steps[i].done)
+			perTask := float64(st.Resources.CPU) / 1000 * s.predictRunTime(j, st).Seconds()
+			total += perTask * float64(st.Count)
+			remaining += perTask * float64(st.Count-o.steps[i].doneTasks)
 		}
 	}
-	return left, all
+	return remaining, total
 }
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -12,7 +12,7 @@
 // completeStep marks a job's step as complete, with the run times of its tasks.
 func (h *harness) completeStep(j *jobState, step int, took ...time.Duration) {
 	st := &j.occurrences[0].steps[step]
-	st.runTimes, st.done = took, len(took)
+	st.runTimes, st.doneTasks = took, len(took)
 	for _, d := range took {
 		h.s.learnRunTime(j, d)
 	}
@@ -20,7 +20,7 @@
 }
 
 func (h *harness) newJob(id string, steps ...job.Step) *jobState {
-	h.job(id, "free", steps...)
+	h.addJob(id, "free", steps...)
 	return h.s.jobs.Get(job.ID(id))
 }
 
@@ -29,17 +29,17 @@
 	assert.Assert(t, got > want*95/100 && got < want*105/100, "%s, want about %s", got, want)
 }
 
-var pair = job.Step{Count: 2, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: 1400 * time.Millisecond}
+var pairStep = job.Step{Count: 2, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: 1400 * time.Millisecond}
 
 // Guards against jobs that are predicted to be in time but end late: a step takes as long as
 // the longest of its tasks and not as long as a typical one.
 func TestStepTakesAsLongAsItsLongestTask(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
-		h.completeStep(h.newJob(string(rune('a'+i)), pair), 0, time.Second, 2*time.Second)
+		h.completeStep(h.newJob(string(rune('a'+i)), pairStep), 0, time.Second, 2*time.Second)
 	}
-	j := h.newJob("new", pair)
-	assertNear(t, h.s.predictRunTime(j, &pair), 1414*time.Millisecond)
+	j := h.newJob("new", pairStep)
+	assertNear(t, h.s.predictRunTime(j, &pairStep), 1414*time.Millisecond)
 	assertNear(t, h.s.remainingTime(j, j.occurrences[0]), 2*time.Second)
 	assertNear(t, j.objective.Sub(j.arrived), 3200*time.Millisecond+time.Second)
 }
@@ -47,14 +47,14 @@
 // Guards against giving up a long job as late, and against overestimating the slack of a short
 // one. Once a step is complete, the run times of its tasks must be used for the later
 // steps.
-func TestOwnRunTimesPredictLaterSteps(t *testing.T) {
+func TestRunTimesOfCompleteStepPredictLaterSteps(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
-		h.completeStep(h.newJob(string(rune('a'+i)), pair), 0, time.Second, time.Second)
+		h.completeStep(h.newJob(string(rune('a'+i)), pairStep), 0, time.Second, time.Second)
 	}
-	after := pair
+	after := pairStep
 	after.After = []int{0}
-	j := h.newJob("long", pair, after)
+	j := h.newJob("long", pairStep, after)
 	h.completeStep(j, 0, 4*time.Second, 4*time.Second)
 	assertNear(t, h.s.remainingTime(j, j.occurrences[0]), 4*time.Second)
 	due, _ := h.s.objective(j)
@@ -65,17 +65,17 @@
 func TestSlowRunsDontChangeStragglerRatio(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
-		h.completeStep(h.newJob(string(rune('a'+i)), wide), 0, time.Second, time.Second, time.Second, 9*time.Second)
+		h.completeStep(h.newJob(string(rune('a'+i)), wideStep), 0, time.Second, time.Second, time.Second, 9*time.Second)
 	}
 	assert.Equal(t, h.s.queueStats("q").steps, 0)
 }
 
-var wide = job.Step{Count: 4, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
+var wideStep = job.Step{Count: 4, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
 
 // A step with a run that this owner hasn't seen in full must not change the statistics.
 func TestPartlyObservedStepsDontChangeStatistics(t *testing.T) {
 	h := newHarness(t)
-	j := h.newJob("j", pair)
+	j := h.newJob("j", pairStep)
 	h.completeStep(j, 0, time.Second)
 	assert.Equal(t, j.typicalRun, time.Duration(0))
 	assert.Equal(t, h.s.queueStats("q").steps, 0)
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -90,13 +90,13 @@
 	if j.longRunning {
 		return c
 	}
-	left, all := s.work(j)
+	remaining, total := s.work(j)
 	mean := s.queueStats(j.Terms.Queue).meanWork
 	relative := 1.0
 	if mean > 0 {
-		relative = all / mean
+		relative = total / mean
 	}
-	c.density = (valueBase + valuePerRelativeWork*relative) / max(left, minRemainingWork)
+	c.density = (valueBase + valuePerRelativeWork*relative) / max(remaining, minRemainingWork)
 	ready := now.Add(s.remainingTime(j, j.currentOccurrence()))
 	switch {
 	case !ready.After(j.objective):
@@ -115,7 +115,7 @@
 // currentOccurrence returns the first occurrence that isn't complete.
 func (j *jobState) currentOccurrence() *occurrence {
 	for _, o := range j.occurrences {
-		if o.done < len(o.steps) {
+		if o.doneSteps < len(o.steps) {
 			return o
 		}
 	}
--- a/core/schedule/order_test.go
+++ b/core/schedule/order_test.go
@@ -30,7 +30,7 @@
 
 // The sorted candidates must match a selection that repeatedly picks the job that comes before
 // all others.
-func TestOrderMatchesNaiveSelection(t *testing.T) {
+func TestCandidateOrderMatchesNaiveSelection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 50 {
 		h := newHarness(t)
@@ -38,7 +38,7 @@
 		for i := range 20 {
 			h.now = h.now.Add(time.Duration(rng.IntN(300)) * time.Millisecond)
 			id := fmt.Sprintf("j%02d", i)
-			h.job(id, "free", job.Step{
+			h.addJob(id, "free", job.Step{
 				Count: 1 + rng.IntN(9), Resources: job.Resources{CPU: rng.Int64N(4000)}, LongRunning: rng.IntN(8) == 0,
 				Estimate: time.Duration(rng.IntN(3000)) * time.Millisecond,
 			})
@@ -66,10 +66,10 @@
 // A job that can no longer be in time comes after all that can, however little work it needs.
 func TestLateJobsComeLast(t *testing.T) {
 	h := newHarness(t)
-	h.job("late", "free", small)
+	h.addJob("late", "free", smallStep)
 	late := h.s.jobs.Get("late")
 	h.now = h.now.Add(3 * time.Second)
-	h.job("fresh", "free", job.Step{Count: 9, Resources: job.Resources{CPU: 1000}, Estimate: time.Second})
+	h.addJob("fresh", "free", job.Step{Count: 9, Resources: job.Resources{CPU: 1000}, Estimate: time.Second})
 	out := h.s.candidates(h.now, []*jobState{late, h.s.jobs.Get("fresh")})
 	assert.Equal(t, out[0].job.ID, job.ID("fresh"))
 	assert.Equal(t, out[1].rank, rankLate)
--- a/core/schedule/placement_test.go
+++ b/core/schedule/placement_test.go
@@ -17,7 +17,7 @@
 	return h.s.TakeCommands()
 }
 
-func endOf(c Start) job.End {
+func firstEnd(c Start) job.End {
 	return job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone}
 }
 
@@ -32,29 +32,29 @@
 			Machine: job.MachineID("m-" + id), Born: 1, Labels: []job.Label{"r1-1"},
 		})
 	}
-	h.step(0)
-	h.lists("one", nil)
-	h.lists("two", nil)
-	h.step(30 * time.Millisecond)
-	wide := small
+	h.advance(0)
+	h.answerHold("one", nil)
+	h.answerHold("two", nil)
+	h.advance(30 * time.Millisecond)
+	wide := smallStep
 	wide.Resources.CPU = 8000
 	second := wide
 	second.After = []int{0}
-	h.job("j", "free", wide, second)
-	h.job("k", "free", wide)
-	first := only[Start](h.step(10 * time.Millisecond))
+	h.addJob("j", "free", wide, second)
+	h.addJob("k", "free", wide)
+	first := only[Start](h.advance(10 * time.Millisecond))
 	assert.Equal(t, len(first), 2, "want both jobs started, each on its own VM")
 	for _, c := range first {
 		h.confirm(c)
 	}
-	h.step(0)
+	h.advance(0)
 	mine, other := first[0], first[1]
 	if mine.Order.Task.Job == "k" {
 		mine, other = other, mine
 	}
 	// Both tasks end, and the VM of the first step takes no more tasks.
-	h.lists(string(mine.VM), nil, endOf(mine))
-	h.lists(string(other.VM), nil, endOf(other))
+	h.answerHold(string(mine.VM), nil, firstEnd(mine))
+	h.answerHold(string(other.VM), nil, firstEnd(other))
 	h.s.vms.Get(mine.VM).draining = true
 	next := one[Start](h, h.roundWithoutStoring(10*time.Millisecond))
 	assert.Equal(t, next.VM, other.VM)
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -196,10 +196,10 @@
 	for _, o := range j.occurrences {
 		for i := range o.steps {
 			st := &o.steps[i]
-			if st.open == 0 || !o.ready(i) {
+			if st.openTasks == 0 || !o.ready(i) {
 				continue
 			}
-			sum += float64(st.open) * float64(st.def.Reservation().CPU) / 1000 * s.predictRunTime(j, st.def).Seconds()
+			sum += float64(st.openTasks) * float64(st.def.Reservation().CPU) / 1000 * s.predictRunTime(j, st.def).Seconds()
 		}
 	}
 	return sum
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -62,8 +62,8 @@
 	h.s.MachinesListed(h.now, list)
 }
 
-// jobIn submits a job to a queue.
-func (h *harness) jobIn(queue job.QueueName, id string, steps ...job.Step) {
+// addJobTo submits a job to a queue.
+func (h *harness) addJobTo(queue job.QueueName, id string, steps ...job.Step) {
 	h.s.AddJob(h.now, h.jobOf(queue, id, steps...), nil, false)
 }
 
@@ -94,13 +94,13 @@
 	h.s.AddJob(h.now, h.jobOf("qb", "cut", wide), &job.Progress{State: job.Running, VMs: []job.VMID{"far"}}, true)
 	h.listVMs(poolA, "a1")
 	h.listVMs(poolB, "b1", "b2", "b3", "b4", "far")
-	h.step(0)
+	h.advance(0)
 	for _, id := range []string{"a1", "b1", "b2", "b3", "b4"} {
-		h.lists(id, nil)
+		h.answerHold(id, nil)
 	}
 	h.listMachines()
-	h.jobIn("qa", "burst", wide)
-	moves := movesOf(h.step(firstReportGrace + 200*time.Millisecond))
+	h.addJobTo("qa", "burst", wide)
+	moves := movesOf(h.advance(firstReportGrace + 200*time.Millisecond))
 	assert.Equal(t, len(moves[poolB]), 0)
 	assert.Assert(t, len(moves[poolA]) >= 3, "%v", moves)
 }
@@ -112,17 +112,17 @@
 	h := newPoolsHarness(t)
 	h.listVMs(poolA, "a1")
 	h.listVMs(poolB, "b1", "b2")
-	h.step(0)
+	h.advance(0)
 	for _, id := range []string{"a1", "b1", "b2"} {
-		h.lists(id, nil)
+		h.answerHold(id, nil)
 	}
 	h.listMachines()
-	h.step(30 * time.Millisecond)
+	h.advance(30 * time.Millisecond)
 	first := job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 5000}, Estimate: time.Second}
 	next := job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second, After: []int{0}}
-	h.jobIn("qb", "j1", first, next)
-	h.jobIn("qb", "j2", first, next)
-	starts := only[Start](h.step(0))
+	h.addJobTo("qb", "j1", first, next)
+	h.addJobTo("qb", "j2", first, next)
+	starts := only[Start](h.advance(0))
 	assert.Equal(t, len(starts), 2)
 	for _, c := range starts {
 		h.confirm(c)
@@ -130,13 +130,13 @@
 	// The two ran on different VMs, since neither VM has the memory for both.
 	assert.Assert(t, starts[0].VM != starts[1].VM)
 	h.now = h.now.Add(2 * time.Second)
-	h.jobIn("qa", "burst", job.Step{Count: 60, Resources: job.Resources{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second})
-	h.step(sizingInterval)
+	h.addJobTo("qa", "burst", job.Step{Count: 60, Resources: job.Resources{CPU: 2000, MemMB: 100}, Estimate: 2 * time.Second})
+	h.advance(sizingInterval)
 	var nextVMs []job.VMID
 	moved := 0
 	for i, c := range starts {
-		h.lists(string(c.VM), nil, job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone})
-		commands := h.step(sizingInterval)
+		h.answerHold(string(c.VM), nil, job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone})
+		commands := h.advance(sizingInterval)
 		for _, n := range only[Start](commands) {
 			if h.s.jobs.Get(n.Order.Task.Job).Terms.Pool == poolB {
 				nextVMs = append(nextVMs, n.VM)
@@ -146,7 +146,7 @@
 		moved += len(only[Move](commands))
 		assert.Equal(t, len(nextVMs), i+1, fmt.Sprint(commands))
 	}
-	moved += len(only[Move](h.step(sizingInterval)))
+	moved += len(only[Move](h.advance(sizingInterval)))
 	assert.Equal(t, nextVMs[0], nextVMs[1], "next steps run on different VMs")
 	assert.Equal(t, moved, 1, "want one machine moved to the pool that bursts")
 }
--- a/core/schedule/probe.go
+++ b/core/schedule/probe.go
@@ -49,9 +49,9 @@
 }
 
 // probeAnswered handles the outcome of a probe.
-func (s *Scheduler) probeAnswered(now time.Time, v *vmState, out Outcome, r job.Report) {
+func (s *Scheduler) probeAnswered(now time.Time, v *vmState, outcome Outcome, r job.Report) {
 	v.probeInFlight = false
-	if out != Answered || !r.Lists || !s.recordAnswer(now, v, r) {
+	if outcome != Answered || !r.Lists || !s.recordAnswer(now, v, r) {
 		return
 	}
 	s.applyLists(now, v, r)
--- a/core/schedule/probe_test.go
+++ b/core/schedule/probe_test.go
@@ -32,35 +32,35 @@
 func TestTaskOfUnansweredStartStartsElsewhereSoon(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", small)
-	lost := one[Start](h, h.step(10*time.Millisecond))
-	commands := h.step(startAnswerTimeout + 10*time.Millisecond)
+	h.addJob("j", "free", smallStep)
+	lost := one[Start](h, h.advance(10*time.Millisecond))
+	commands := h.advance(startAnswerTimeout + 10*time.Millisecond)
 	probe := probes(commands)
 	assert.Equal(t, len(probe), 1)
 	assert.Equal(t, probe[0].Order.Deadline, job.VMClock(0), "a probe does not extend the lease")
 	h.answerProbe(probe[0])
-	stop := one[Stop](h, h.step(time.Millisecond))
+	stop := one[Stop](h, h.advance(time.Millisecond))
 	assert.Equal(t, stop.Attempt, lost.Order.Attempt)
-	assert.Equal(t, len(only[Start](h.step(time.Millisecond))), 0, "the first start may still be carried out")
+	assert.Equal(t, len(only[Start](h.advance(time.Millisecond))), 0, "the first start may still be carried out")
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock(), Born: 1})
-	probe = probes(h.step(probeInterval))
+	probe = probes(h.advance(probeInterval))
 	assert.Equal(t, len(probe), 1)
 	h.answerProbe(probe[0])
-	again := one[Start](h, h.step(time.Millisecond))
+	again := one[Start](h, h.advance(time.Millisecond))
 	assert.Assert(t, again.Order.Attempt > lost.Order.Attempt)
 }
 
 // Guards against a run that is stopped because only the answer to its start was lost. The
 // list shows that it runs.
-func TestLostAnswerOfAStartStopsNothing(t *testing.T) {
+func TestRunIsNotStoppedWhenItsStartAnswerIsLost(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(10*time.Millisecond))
-	probe := probes(h.step(startAnswerTimeout + 10*time.Millisecond))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(10*time.Millisecond))
+	probe := probes(h.advance(startAnswerTimeout + 10*time.Millisecond))
 	assert.Equal(t, len(probe), 1)
 	h.answerProbe(probe[0], running(start, 10))
-	commands := h.step(time.Millisecond)
+	commands := h.advance(time.Millisecond)
 	assert.Equal(t, len(only[Stop](commands)), 0)
 	assert.Equal(t, h.s.jobs.Get("j").state, job.Running)
 }
@@ -71,13 +71,13 @@
 func TestSilentVMGetsNoMoreStarts(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	first := one[Start](h, h.step(10*time.Millisecond))
-	h.step(startAnswerTimeout + 10*time.Millisecond)
-	h.job("k", "free", small)
-	assert.Equal(t, len(only[Start](h.step(50*time.Millisecond))), 0)
-	h.lists("one", []job.RunningTask{running(first, 10)})
-	assert.Equal(t, len(only[Start](h.step(time.Millisecond))), 1)
+	h.addJob("j", "free", smallStep)
+	first := one[Start](h, h.advance(10*time.Millisecond))
+	h.advance(startAnswerTimeout + 10*time.Millisecond)
+	h.addJob("k", "free", smallStep)
+	assert.Equal(t, len(only[Start](h.advance(50*time.Millisecond))), 0)
+	h.answerHold("one", []job.RunningTask{running(first, 10)})
+	assert.Equal(t, len(only[Start](h.advance(time.Millisecond))), 1)
 }
 
 // Guards against a run that reappears after its end. The answer to a probe arrives before
@@ -85,13 +85,13 @@
 func TestOlderListIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(10*time.Millisecond))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(10*time.Millisecond))
 	h.confirm(start)
 	older := h.clock()
-	h.step(100 * time.Millisecond)
+	h.advance(100 * time.Millisecond)
 	end := job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedFailed}
-	h.lists("one", nil, end)
+	h.answerHold("one", nil, end)
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{
 		Clock: older, Born: 1, Lists: true, Running: []job.RunningTask{running(start, 50)},
 	})
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -88,7 +88,7 @@
 			reservation: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account, pacePercent: 100,
 		}
 		r.setKind(st.def)
-		t.attempt = max(t.attempt, x.Attempt)
+		t.lastAttempt = max(t.lastAttempt, x.Attempt)
 		switch {
 		case x.Born != 0 && v.born > x.Born:
 			s.countCrash(now, r)
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -135,10 +135,10 @@
 		for i := range st.tasks {
 			st.tasks[i].done = true
 		}
-		st.done = len(st.tasks)
+		st.doneTasks = len(st.tasks)
 	} else {
 		t.done = true
-		st.done++
+		st.doneTasks++
 	}
 	st.recount()
 	j.ratedAt = time.Time{}
@@ -150,12 +150,12 @@
 		return true
 	}
 	s.learnStep(j, st)
-	o.done++
-	if o.done < len(o.steps) {
+	o.doneSteps++
+	if o.doneSteps < len(o.steps) {
 		return true
 	}
-	j.doneCount++
-	if j.doneCount == len(j.occurrences) {
+	j.doneOccurrences++
+	if j.doneOccurrences == len(j.occurrences) {
 		s.finish(now, j, job.Completed)
 	}
 	return true
@@ -169,19 +169,19 @@
 		t.notBefore = now
 		return false
 	}
-	if slices.Contains(t.failed, e.Attempt) {
+	if slices.Contains(t.failedAttempts, e.Attempt) {
 		return false
 	}
 	if st.def.Gang {
 		// A gang fails as a whole, so one count stands for all members.
 		t = &st.tasks[0]
-		if slices.Contains(t.failed, e.Attempt) {
+		if slices.Contains(t.failedAttempts, e.Attempt) {
 			return false
 		}
 	}
-	t.failed = append(t.failed, e.Attempt)
+	t.failedAttempts = append(t.failedAttempts, e.Attempt)
 	s.markDirty(j)
-	if len(t.failed) >= s.maxAttempts(j) {
+	if len(t.failedAttempts) >= s.maxAttempts(j) {
 		s.finish(now, j, job.Failed)
 	}
 	return true
@@ -249,7 +249,7 @@
 		s.stopRun(now, r, "no longer wanted")
 		return
 	}
-	t.attempt = max(t.attempt, e.Attempt)
+	t.lastAttempt = max(t.lastAttempt, e.Attempt)
 	if st.def.Gang {
 		st.gangAttempt = max(st.gangAttempt, e.Attempt)
 	}
--- a/core/schedule/restart_test.go
+++ b/core/schedule/restart_test.go
@@ -12,23 +12,23 @@
 // Guards against a second run of a task that a new life of its VM has begun. Answers to
 // starts don't say which life gave them, and the directory may report a new life before a
 // list does.
-func TestStartAnsweredByRestartedVMIsNotFreed(t *testing.T) {
+func TestRunConfirmedByRestartedVMIsNotFreed(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
 	h.ready("one", "two")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: 50})
 	h.now = h.now.Add(300 * time.Millisecond)
 	h.s.VMListed(h.now, job.VMRecord{
 		ID: start.VM, Pool: poolA, Address: string(start.VM), Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 		Machine: job.MachineID("m-" + string(start.VM)), Born: 2,
 	})
-	assert.Equal(t, len(only[Start](h.step(0))), 0, "the task may be running or have ended in the new life")
+	assert.Equal(t, len(only[Start](h.advance(0))), 0, "the task may be running or have ended in the new life")
 	h.s.HoldAnswered(h.now, Hold{VM: start.VM}, Answered, job.Report{
 		Clock: 400, Born: 2, Lists: true, Finished: []job.End{end(1, start, job.EndedDone)},
 	})
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
+	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0)
 	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
@@ -40,39 +40,39 @@
 	h.now = h.now.Add(20 * time.Second)
 	h.ready("one", "two")
 	h.now = h.now.Add(2 * time.Second)
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: 50})
 	leaseEnd := h.now.Add(6 * time.Second)
 	other := map[job.VMID]string{"one": "two", "two": "one"}[start.VM]
 	h.s.HoldAnswered(h.now, Hold{VM: start.VM}, Unanswered, job.Report{})
 	for h.now.Before(leaseEnd) {
-		commands := h.step(100 * time.Millisecond)
+		commands := h.advance(100 * time.Millisecond)
 		for _, c := range only[Hold](commands) {
 			if c.VM == start.VM {
 				h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
 			}
 		}
-		h.lists(other, nil)
+		h.answerHold(other, nil)
 		assert.Equal(t, len(only[Start](commands)), 0, "%s before the lease expires", leaseEnd.Sub(h.now))
 	}
 }
 
 // Guards against a new life that deletes its first ends. Probes go to a VM that leaves a
 // start unanswered, long before its hold fails and it counts as silent.
-func TestProbeAcknowledgesNothing(t *testing.T) {
+func TestProbeAcknowledgesNoEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	first := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	first := one[Start](h, h.advance(0))
 	h.confirm(first)
-	h.lists("one", nil, end(1, first, job.EndedDone))
-	h.step(0)
-	h.lists("one", nil)
-	assert.Equal(t, acknowledgedAt(h.step(30*time.Millisecond), "one"), int64(1))
-	h.job("k", "free", small)
-	one[Start](h, h.step(0))
-	probe := probes(h.step(startAnswerTimeout + 10*time.Millisecond))
+	h.answerHold("one", nil, end(1, first, job.EndedDone))
+	h.advance(0)
+	h.answerHold("one", nil)
+	assert.Equal(t, acknowledgedAt(h.advance(30*time.Millisecond), "one"), int64(1))
+	h.addJob("k", "free", smallStep)
+	one[Start](h, h.advance(0))
+	probe := probes(h.advance(startAnswerTimeout + 10*time.Millisecond))
 	assert.Equal(t, len(probe), 1)
 	assert.Equal(t, probe[0].Order.Noted, int64(0))
 }
@@ -82,43 +82,43 @@
 func TestLostStartIsStoppedOnRestartedVMAfterItWasUnlisted(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.s.SetRights(Rights{ExtendLeases: true})
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
-	h.step(700 * time.Millisecond)
-	h.lists("one", nil)
+	h.advance(700 * time.Millisecond)
+	h.answerHold("one", nil)
 	h.s.VMUnlisted(h.now, "one")
 	for range 8 {
-		for _, c := range only[Hold](h.step(time.Second)) {
+		for _, c := range only[Hold](h.advance(time.Second)) {
 			h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
 		}
 	}
 	assert.Assert(t, h.now.Sub(begin) < maxOrderDelay)
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 3, Born: 2, Lists: true})
-	stops := only[Stop](h.step(0))
+	stops := only[Stop](h.advance(0))
 	assert.Assert(t, len(stops) > 0)
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
 
 // Guards against a second run of a task whose end isn't listed because a VM lists a
 // limited number of ends at a time.
-func TestIncompleteListOfEndsFreesNothing(t *testing.T) {
+func TestIncompleteListOfEndsFreesNoRun(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.confirm(start)
-	h.step(time.Second)
+	h.advance(time.Second)
 	var ends []job.End
 	for n := range int64(500) {
 		ends = append(ends, job.End{Number: n + 1, Task: job.TaskID{Job: "other", Index: int(n)}, How: job.EndedDone})
 	}
-	h.lists(string(start.VM), nil, ends...)
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0, "the next list may contain its end")
-	h.lists(string(start.VM), nil, end(501, start, job.EndedDone))
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
+	h.answerHold(string(start.VM), nil, ends...)
+	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0, "the next list may contain its end")
+	h.answerHold(string(start.VM), nil, end(501, start, job.EndedDone))
+	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0)
 	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
@@ -128,8 +128,8 @@
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: h.clock()})
 	born := h.now
@@ -137,7 +137,7 @@
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Unanswered, job.Report{})
 	var again []Start
 	for range 30 {
-		commands := h.step(100 * time.Millisecond)
+		commands := h.advance(100 * time.Millisecond)
 		again = append(again, only[Start](commands)...)
 		for _, c := range only[Stop](commands) {
 			h.s.StopAnswered(h.now, c, Answered, job.Report{Clock: clock()})
@@ -156,31 +156,31 @@
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
-	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
+	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{smallStep}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
-	assert.Equal(t, len(only[Start](h.step(30*time.Millisecond))), 0, "the task may be running there")
+	assert.Equal(t, len(only[Start](h.advance(30*time.Millisecond))), 0, "the task may be running there")
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 900, Born: 2, Lists: true})
-	assert.Equal(t, len(only[Start](h.step(0))), 1)
+	assert.Equal(t, len(only[Start](h.advance(0))), 1)
 }
 
 // Guards against a second run of a task whose end doesn't fit into the first list that a
 // new owner gets from its VM.
-func TestVMHasReportedOnceItListsAllEnds(t *testing.T) {
+func TestVMCountsAsReportedOnceItListsAllEnds(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
 	h.listVM("one")
-	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
+	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{smallStep}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 	var ends []job.End
 	for n := range int64(500) {
 		ends = append(ends, job.End{Number: n + 1, Task: job.TaskID{Job: "other", Index: int(n)}, How: job.EndedDone})
 	}
-	h.lists("one", nil, ends...)
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0, "the next list may contain its end")
-	h.lists("one", nil)
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 1)
+	h.answerHold("one", nil, ends...)
+	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0, "the next list may contain its end")
+	h.answerHold("one", nil)
+	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against a run that is never freed. A stop that the previous life accepted
@@ -189,14 +189,14 @@
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
 	h.ready("one")
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.s.Cancel(h.now, "j")
 	stop := one[Stop](h, h.roundWithoutStoring(0))
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock()})
-	again := only[Stop](h.step(stopRetryDelay))
+	again := only[Stop](h.advance(stopRetryDelay))
 	assert.Assert(t, len(again) > 0)
 	h.s.StopAnswered(h.now, again[0], Answered, job.Report{Clock: 700})
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 800, Born: 2, Lists: true})
@@ -205,17 +205,17 @@
 
 // Guards against orders to a previous life that a new one carries out late: a start, or a
 // hold that acknowledges ends.
-func TestOrdersToRestartedVMInvalidateEarlierOrders(t *testing.T) {
+func TestOrdersToRestartedVMCarryRaisedFence(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
 	h.s.RaiseFence(9)
-	h.lists("one", nil)
-	assert.Equal(t, one[Hold](h, h.step(100*time.Millisecond)).Order.Fence, job.Fence(5))
+	h.answerHold("one", nil)
+	assert.Equal(t, one[Hold](h, h.advance(100*time.Millisecond)).Order.Fence, job.Fence(5))
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 10, Born: 2, Lists: true})
 	h.s.VMListed(h.now, entryOf("one", 8000, 2))
-	assert.Equal(t, one[Hold](h, h.step(100*time.Millisecond)).Order.Fence, job.Fence(9))
-	h.job("j", "free", small)
-	start := one[Start](h, h.step(0))
+	assert.Equal(t, one[Hold](h, h.advance(100*time.Millisecond)).Order.Fence, job.Fence(9))
+	h.addJob("j", "free", smallStep)
+	start := one[Start](h, h.advance(0))
 	assert.Equal(t, start.Order.Fence, job.Fence(9))
 	h.s.Cancel(h.now, "j")
 	assert.Equal(t, one[Stop](h, h.roundWithoutStoring(startAnswerTimeout)).Fence, job.Fence(9))
--- a/core/schedule/round_bench_test.go
+++ b/core/schedule/round_bench_test.go
@@ -28,11 +28,11 @@
 			Machine: job.MachineID("m-" + id), Born: 1,
 		})
 	}
-	h.step(0)
+	h.advance(0)
 	for _, v := range h.s.vms.All() {
-		h.lists(string(v.id), nil)
+		h.answerHold(string(v.id), nil)
 	}
-	h.step(30 * time.Millisecond)
+	h.advance(30 * time.Millisecond)
 	for i := range waiting + vms {
 		p := pools[i%len(pools)]
 		j := job.Job{ID: job.ID(fmt.Sprintf("%016x", i)), Body: job.Body{Spec: "x", Steps: []job.Step{
@@ -42,7 +42,7 @@
 		j.Terms = job.Terms{Queue: job.QueueName(p), Pool: p, Account: "free", MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}
 		h.s.AddJob(h.now, j, nil, false)
 	}
-	for _, c := range h.step(0) {
+	for _, c := range h.advance(0) {
 		if x, ok := c.(Start); ok {
 			h.confirm(x)
 		}
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -237,12 +237,12 @@
 }
 
 // StartAnswered handles the outcome of a start.
-func (s *Scheduler) StartAnswered(now time.Time, c Start, out Outcome, rep job.Report) {
+func (s *Scheduler) StartAnswered(now time.Time, c Start, outcome Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
 	if v == nil {
 		return
 	}
-	if out == Answered && !s.recordAnswerFrom(now, v, c.Life, rep) {
+	if outcome == Answered && !s.recordAnswerFrom(now, v, c.Life, rep) {
 		return
 	}
 	r := v.runs.Get(runKey{c.Order.Task, c.Order.Attempt})
@@ -250,23 +250,23 @@
 		return
 	}
 	switch {
-	case out == Answered && rep.Refused == job.NotRefused:
+	case outcome == Answered && rep.Refused == job.NotRefused:
 		s.confirmRun(now, r, rep.Clock)
 		return
-	case out == Unanswered:
+	case outcome == Unanswered:
 		r.setPhase(runUnanswered)
 		if v.lastAnswer.Before(r.orderedAt) {
 			v.suspectUntil = now.Add(noAnswerPause)
 		}
 		return
-	case out == Answered && rep.Refused == job.RefusedCapacity:
+	case outcome == Answered && rep.Refused == job.RefusedCapacity:
 		v.markFull(now)
-	case out == Answered && rep.Refused == job.RefusedTicket:
+	case outcome == Answered && rep.Refused == job.RefusedTicket:
 		s.dropTickets(c.Order.Task)
-	case out != Answered:
+	case outcome != Answered:
 		v.suspectUntil = now.Add(noAnswerPause)
 	}
-	s.releaseNotBegun(now, r, out, rep.Refused)
+	s.releaseNotBegun(now, r, outcome, rep.Refused)
 }
 
 const (
@@ -294,9 +294,9 @@
 }
 
 // releaseNotBegun releases a run that is known not to have begun.
-func (s *Scheduler) releaseNotBegun(now time.Time, r *run, out Outcome, refusal job.Refusal) {
-	reason := out.String()
-	if out == Answered {
+func (s *Scheduler) releaseNotBegun(now time.Time, r *run, outcome Outcome, refusal job.Refusal) {
+	reason := outcome.String()
+	if outcome == Answered {
 		reason = refusal.String()
 	}
 	s.decided(Decision{
@@ -309,9 +309,9 @@
 }
 
 // StopAnswered handles the outcome of a stop.
-func (s *Scheduler) StopAnswered(now time.Time, c Stop, out Outcome, rep job.Report) {
+func (s *Scheduler) StopAnswered(now time.Time, c Stop, outcome Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
-	if v == nil || out != Answered || !s.recordAnswerFrom(now, v, c.Life, rep) {
+	if v == nil || outcome != Answered || !s.recordAnswerFrom(now, v, c.Life, rep) {
 		return
 	}
 	r := v.runs.Get(runKey{c.Task, c.Attempt})
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -123,15 +123,15 @@
 	p.VMs = j.possibleVMs.Keys()
 	for _, o := range j.occurrences {
 		for i := range o.steps {
-			d := job.StepDone{Occurrence: o.number, Step: i}
+			d := job.StepDone{Occurrence: o.index, Step: i}
 			for t := range o.steps[i].tasks {
 				task := &o.steps[i].tasks[t]
 				if task.done {
 					d.Tasks = append(d.Tasks, t)
 				}
-				task.addCrashes(&p, job.TaskID{Job: j.ID, Occurrence: o.number, Step: i, Index: t})
-				if len(task.failed) > 0 && !task.done {
-					f := job.TaskFailures{Occurrence: o.number, Step: i, Task: t, Attempts: slices.Clone(task.failed)}
+				task.addCrashes(&p, job.TaskID{Job: j.ID, Occurrence: o.index, Step: i, Index: t})
+				if len(task.failedAttempts) > 0 && !task.done {
+					f := job.TaskFailures{Occurrence: o.index, Step: i, Task: t, Attempts: slices.Clone(task.failedAttempts)}
 					p.Failed = append(p.Failed, f)
 				}
 			}
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -107,7 +107,7 @@
 	}
 	// These orders are stored with this owner's own, so that the next owner knows of them too.
 	for _, o := range s.FormerOrders {
-		out.recentOrders.Set(o.Machine, recentOrder{issuer: o.Issuer, at: s.TookOver})
+		out.recentOrders.Set(o.Machine, recentOrder{issuer: o.Issuer, givenAt: s.TookOver})
 	}
 	return out
 }
@@ -183,11 +183,11 @@
 	}
 	st := &jobState{Job: j, arrived: now, inherited: inherited, longRunning: j.Body.LongRunning()}
 	for k := range j.Body.OccurrenceCount() {
-		o := &occurrence{number: k, due: j.Body.Due(k), steps: make([]stepState, len(j.Body.Steps))}
+		o := &occurrence{index: k, due: j.Body.Due(k), steps: make([]stepState, len(j.Body.Steps))}
 		for i := range o.steps {
 			o.steps[i].def = &j.Body.Steps[i]
 			o.steps[i].tasks = make([]taskState, j.Body.Steps[i].Count)
-			o.steps[i].open = j.Body.Steps[i].Count
+			o.steps[i].openTasks = j.Body.Steps[i].Count
 		}
 		st.occurrences = append(st.occurrences, o)
 	}
@@ -198,9 +198,9 @@
 	st.objective, st.lateLimit = s.objective(st)
 	if !st.longRunning && !inherited {
 		st.beyondShare = s.config != nil && s.shares.exceeds(now, s.config.Account(j.Terms.Account))
-		left, all := s.work(st)
-		s.poolStats(s.pool(st)).addArrival(now, left)
-		s.queueStats(j.Terms.Queue).addJob(all)
+		remaining, total := s.work(st)
+		s.poolStats(s.pool(st)).addArrival(now, remaining)
+		s.queueStats(j.Terms.Queue).addJob(total)
 	}
 	s.jobs.Set(j.ID, st)
 	if st.takenOver {
@@ -228,22 +228,22 @@
 		for _, t := range d.Tasks {
 			if t < len(st.tasks) && !st.tasks[t].done {
 				st.tasks[t].done = true
-				st.done++
+				st.doneTasks++
 			}
 		}
 		st.recount()
 		if st.complete() {
-			o.done++
+			o.doneSteps++
 		}
 	}
 	for _, o := range j.occurrences {
-		if o.done == len(o.steps) {
-			j.doneCount++
+		if o.doneSteps == len(o.steps) {
+			j.doneOccurrences++
 		}
 	}
 	for _, f := range p.Failed {
 		if t := j.taskAt(f.Occurrence, f.Step, f.Task); t != nil {
-			t.failed = f.Attempts
+			t.failedAttempts = f.Attempts
 		}
 	}
 	j.restoreCrashes(p)
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -18,8 +18,8 @@
 
 // share is a token bucket of the jobs that an account may still submit.
 type share struct {
-	tokens float64
-	at     time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
 // exceeds counts a job of the account and reports whether it exceeds the account's share.
@@ -31,11 +31,11 @@
 	capacity := max(1, a.Weight*shareWindow.Seconds())
 	x := s[a.Name]
 	if x == nil {
-		x = &share{tokens: capacity, at: now}
+		x = &share{tokens: capacity, updatedAt: now}
 		s[a.Name] = x
 	}
-	x.tokens = min(capacity, x.tokens+a.Weight*now.Sub(x.at).Seconds())
-	x.at = now
+	x.tokens = min(capacity, x.tokens+a.Weight*now.Sub(x.updatedAt).Seconds())
+	x.updatedAt = now
 	if x.tokens < 1 {
 		return true
 	}
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -33,29 +33,29 @@
 	h := newSharesHarness(t)
 	h.ready("one")
 	for i := range 40 {
-		h.job(fmt.Sprintf("hot%02d", i), "hot", small)
+		h.addJob(fmt.Sprintf("hot%02d", i), "hot", smallStep)
 	}
-	first := only[Start](h.step(0))
+	first := only[Start](h.advance(0))
 	assert.Equal(t, len(first), 8)
-	h.job("single", "quiet", small)
+	h.addJob("single", "quiet", smallStep)
 	for _, c := range first {
 		h.confirm(c)
 	}
-	h.step(time.Second)
+	h.advance(time.Second)
 	var ends []job.End
 	for i, c := range first {
 		ends = append(ends, job.End{Number: int64(i + 1), Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone})
 	}
-	h.lists("one", nil, ends...)
-	next := only[Start](h.step(0))
+	h.answerHold("one", nil, ends...)
+	next := only[Start](h.advance(0))
 	assert.Equal(t, len(next), 8, "all capacity is used")
-	place := -1
+	position := -1
 	for i, c := range next {
 		if c.Order.Task.Job == "single" {
-			place = i
+			position = i
 		}
 	}
-	assert.Assert(t, place >= 0, "%v", next)
+	assert.Assert(t, position >= 0, "%v", next)
 }
 
 // Guards against jobs beyond an account's share that are held back while capacity is
@@ -64,9 +64,9 @@
 	h := newSharesHarness(t)
 	h.ready("one", "two", "three", "four", "five")
 	for i := range 40 {
-		h.job(fmt.Sprintf("hot%02d", i), "hot", small)
+		h.addJob(fmt.Sprintf("hot%02d", i), "hot", smallStep)
 	}
-	assert.Equal(t, len(only[Start](h.step(0))), 40)
+	assert.Equal(t, len(only[Start](h.advance(0))), 40)
 }
 
 // Guards against an account that gets more than its share over a long time, apart from
@@ -93,7 +93,7 @@
 func TestInheritedJobsExceedNoShare(t *testing.T) {
 	h := newSharesHarness(t)
 	for i := range 100 {
-		j := job.Job{ID: job.ID(fmt.Sprintf("j%02d", i)), Body: job.Body{Steps: []job.Step{small}}}
+		j := job.Job{ID: job.ID(fmt.Sprintf("j%02d", i)), Body: job.Body{Steps: []job.Step{smallStep}}}
 		j.Terms = job.Terms{Queue: "q", Pool: poolA, Account: "hot"}
 		h.s.AddJob(h.now, j, nil, true)
 		assert.Assert(t, !h.s.jobs.Get(j.ID).beyondShare)
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -38,9 +38,9 @@
 	runs             []*shrinkingRun
 	// unansweredStarts are starts that got no answer but may still be carried out.
 	unansweredStarts []*shrinkingRun
-	barredAttempt    map[job.TaskID]job.Attempt
+	barredAttempts   map[job.TaskID]job.Attempt
 	ended            []job.End
-	number           int64
+	lastEnd          int64
 }
 
 type shrinkingRun struct {
@@ -79,7 +79,7 @@
 }
 
 func (v *shrinkingVM) mayBegin(r *shrinkingRun, clock job.VMClock) bool {
-	return clock <= r.deadline && v.barredAttempt[r.task] < r.attempt
+	return clock <= r.deadline && v.barredAttempts[r.task] < r.attempt
 }
 
 // begin starts a task, which ends after a while unless it is a long-running task.
@@ -97,9 +97,9 @@
 		return
 	}
 	v.runs = slices.Delete(v.runs, i, i+1)
-	v.number++
-	v.ended = append(v.ended, job.End{Number: v.number, Task: r.task, Attempt: r.attempt, How: how})
-	v.barredAttempt[r.task] = max(v.barredAttempt[r.task], r.attempt)
+	v.lastEnd++
+	v.ended = append(v.ended, job.End{Number: v.lastEnd, Task: r.task, Attempt: r.attempt, How: how})
+	v.barredAttempts[r.task] = max(v.barredAttempts[r.task], r.attempt)
 }
 
 // expireLease ends all runs once the VM's lease has expired.
@@ -120,7 +120,7 @@
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Resources.CPU, c.Order.Deadline}
 	used := v.used(f.clock())
 	assert.Assert(f.t, used+r.cpu <= v.reportedCPU, "%v on %s: used CPU %d plus reservation %d exceeds capacity %d", r.task, v.id, used, r.cpu, v.reportedCPU)
-	answer := func(out Outcome, rep job.Report) { f.s.StartAnswered(f.now, c, out, rep) }
+	answer := func(outcome Outcome, rep job.Report) { f.s.StartAnswered(f.now, c, outcome, rep) }
 	switch {
 	case v.silent || f.rng.IntN(20) == 0:
 		v.unansweredStarts = append(v.unansweredStarts, r)
@@ -147,7 +147,7 @@
 		f.s.StopAnswered(f.now, c, Unanswered, job.Report{})
 		return
 	}
-	v.barredAttempt[c.Task] = max(v.barredAttempt[c.Task], c.Attempt)
+	v.barredAttempts[c.Task] = max(v.barredAttempts[c.Task], c.Attempt)
 	for _, r := range v.runs {
 		if r.task == c.Task && r.attempt <= c.Attempt {
 			f.after(f.between(10, 400), func() { v.end(r, job.EndedStopped) })
@@ -183,17 +183,17 @@
 			continue
 		}
 		e.run()
-		f.carryOut()
+		f.execute()
 	}
 	for _, v := range f.vms {
 		f.expireLease(v)
 	}
 	f.s.Tick(f.now)
 	f.s.Assign(f.now, f.now)
-	f.carryOut()
+	f.execute()
 }
 
-func (f *shrinkingFleet) carryOut() {
+func (f *shrinkingFleet) execute() {
 	for _, c := range f.s.TakeCommands() {
 		switch c := c.(type) {
 		case Start:
@@ -229,11 +229,11 @@
 	def.Gang, def.LongRunning = f.rng.IntN(5) == 0, f.rng.IntN(9) == 0
 	id := job.ID(fmt.Sprintf("j-%d", n))
 	f.steps[id] = def
-	f.job(string(id), "free", def)
+	f.addJob(string(id), "free", def)
 }
 
 // disturb makes a random change every few rounds.
-func (f *shrinkingFleet) disturb(turn int) {
+func (f *shrinkingFleet) disturb(round int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
 	case 0, 1:
@@ -241,16 +241,16 @@
 	case 2:
 		v.silent = f.rng.IntN(3) == 0
 	case 3, 4, 5:
-		f.submit(turn)
+		f.submit(round)
 	case 6:
-		f.s.Cancel(f.now, job.ID(fmt.Sprintf("j-%d", f.rng.IntN(turn+1))))
+		f.s.Cancel(f.now, job.ID(fmt.Sprintf("j-%d", f.rng.IntN(round+1))))
 	}
 }
 
 func newShrinking(t *testing.T, seed uint64, enforcesCapacity bool) *shrinkingFleet {
 	f := &shrinkingFleet{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), enforcesCapacity: enforcesCapacity, steps: map[job.ID]job.Step{}}
 	for _, id := range []string{"one", "two", "three"} {
-		v := &shrinkingVM{id: id, barredAttempt: map[job.TaskID]job.Attempt{}, lease: 6000}
+		v := &shrinkingVM{id: id, barredAttempts: map[job.TaskID]job.Attempt{}, lease: 6000}
 		v.runs = []*shrinkingRun{{task: job.TaskID{Job: job.ID("former-" + id)}, attempt: 7, cpu: f.rng.Int64N(8000), deadline: 6000}}
 		f.vms = append(f.vms, v)
 		f.resize(v, 8000)
@@ -264,11 +264,11 @@
 
 // Guards against starts beyond the capacity of a VM that shrinks and grows, and against jobs
 // that don't complete once capacity is free.
-func TestShrinkingVMs(t *testing.T) {
+func TestStartsFitShrinkingVMs(t *testing.T) {
 	for seed := range uint64(80) {
 		f := newShrinking(t, seed, seed%2 == 0)
-		for turn := range 800 {
-			f.disturb(turn)
+		for round := range 800 {
+			f.disturb(round)
 			f.round()
 		}
 		for _, v := range f.vms {
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -146,19 +146,19 @@
 		shortfall, vacated := int64(0), int64(0)
 		for _, p := range pools {
 			shortfall += max(0, p.Need-p.Have)
-			left, heaviest, lightest := p.Have, int64(-1), int64(vmCPU+1)
+			remaining, heaviest, lightest := p.Have, int64(-1), int64(vmCPU+1)
 			for _, v := range vms {
 				switch {
 				case v.Pool != p.Name:
 				case out[v.ID]:
-					left -= v.CPU
+					remaining -= v.CPU
 					vacated += v.CPU
 					heaviest = max(heaviest, v.Used)
 				default:
 					lightest = min(lightest, v.Used)
 				}
 			}
-			assert.Assert(t, heaviest < 0 || left >= max(p.Need, p.Used), "round %d: %s is left short", round, p.Name)
+			assert.Assert(t, heaviest < 0 || remaining >= max(p.Need, p.Used), "round %d: %s is left short", round, p.Name)
 			assert.Assert(t, heaviest <= lightest, "round %d: %s keeps a less loaded VM", round, p.Name)
 		}
 		assert.Assert(t, vacated <= shortfall+vmCPU/2, "round %d: CPU of vacated VMs is %d, shortfall is %d", round, vacated, shortfall)
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -56,13 +56,13 @@
 	if usual <= 0 || float64(progressed) >= minProgress || r.percent >= 100 {
 		return
 	}
-	left := remainingTime(span, progressed, r.percent)
+	remaining := remainingTime(span, progressed, r.percent)
 	r.vm.slowUntil = now.Add(slowPause)
-	s.decided(Decision{Kind: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, After: left})
+	s.decided(Decision{Kind: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, After: remaining})
 	if st.def.Gang || t.slowStops >= maxSlowStops {
 		return
 	}
-	if left.Seconds() > slowStopMargin*(usual+s.settings.TaskStopMax).Seconds() {
+	if remaining.Seconds() > slowStopMargin*(usual+s.settings.TaskStopMax).Seconds() {
 		t.slowStops++
 		s.stopRun(now, r, "slow")
 	}
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -91,11 +91,11 @@
 
 // taskState is the state of one task of a step.
 type taskState struct {
-	done       bool
-	failed     []job.Attempt
-	runs       []*run
-	attempt    job.Attempt
-	checkpoint job.Checkpoint
+	done           bool
+	failedAttempts []job.Attempt
+	runs           []*run
+	lastAttempt    job.Attempt
+	checkpoint     job.Checkpoint
 	// notBefore delays the next start after a failure.
 	notBefore time.Time
 	// avoidVM is the VM on which the last run failed.
@@ -132,11 +132,11 @@
 
 // stepState is the state of one step of an occurrence.
 type stepState struct {
-	def   *job.Step
-	tasks []taskState
-	done  int
-	// open counts the tasks that wait for a start.
-	open int
+	def       *job.Step
+	tasks     []taskState
+	doneTasks int
+	// openTasks counts the tasks that wait for a start.
+	openTasks int
 	// tickets holds a ticket for each VM that may run the step, if its queue requires an
 	// approval. They are used until ticketsUntil.
 	tickets           map[job.VMID]string
@@ -153,34 +153,34 @@
 	gangAttempt job.Attempt
 }
 
-func (s *stepState) complete() bool { return s.done == len(s.tasks) }
+func (s *stepState) complete() bool { return s.doneTasks == len(s.tasks) }
 
 // recount updates the count of open tasks after a task has changed.
 func (s *stepState) recount() {
-	s.open = 0
+	s.openTasks = 0
 	for i := range s.tasks {
 		if s.tasks[i].open() {
-			s.open++
+			s.openTasks++
 		}
 	}
 }
 
 // occurrence is one scheduled execution of a job's steps.
 type occurrence struct {
-	number int
-	due    time.Time
-	steps  []stepState
-	done   int
+	index     int
+	due       time.Time
+	steps     []stepState
+	doneSteps int
 }
 
 // jobState is a job that isn't over, or whose end isn't stored yet.
 type jobState struct {
 	job.Job
-	arrived     time.Time
-	state       job.State
-	occurrences []*occurrence
-	doneCount   int
-	begun       bool
+	arrived         time.Time
+	state           job.State
+	occurrences     []*occurrence
+	doneOccurrences int
+	begun           bool
 	// placed is set once the job's first task has been given a VM.
 	placed bool
 	// inherited is set if a former owner may have started tasks of the job. It is cleared once
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -16,10 +16,10 @@
 	h.s.AddInheritedVM(RosterVM{ID: "gone", Address: "gone", Pool: poolA, Machine: "m-gone"})
 	h.s.AddInheritedVM(RosterVM{ID: "there", Address: "there", Pool: poolA, Machine: "m-there"})
 	h.listVM("there")
-	assert.Equal(t, string(one[Hold](h, h.step(0)).VM), "there")
-	h.lists("there", nil)
+	assert.Equal(t, string(one[Hold](h, h.advance(0)).VM), "there")
+	h.answerHold("there", nil)
 	held := map[string]bool{}
-	for _, c := range only[Hold](h.step(unlistedHoldDelay)) {
+	for _, c := range only[Hold](h.advance(unlistedHoldDelay)) {
 		held[string(c.VM)] = true
 	}
 	assert.Assert(t, held["gone"], "it may still run tasks, so it is held later")
@@ -28,9 +28,9 @@
 // Guards against a machine that gets orders from two owners within its lease because the
 // first owner's order waited for the table, and against a machine that is blocked for
 // longer than necessary.
-func TestOrderIsRecentFromItsSending(t *testing.T) {
+func TestMachineOrderAgeCountsFromSending(t *testing.T) {
 	h := newHarness(t)
-	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-1", Pool: off, State: job.MachineUp}})
+	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-1", Pool: poolOff, State: job.MachineUp}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1"}, MaxConcurrent: 1}, nil)
 	h.s.Tick(h.now)
 	saves := h.s.TakeCommands()
@@ -49,7 +49,7 @@
 
 // Guards against a second run of a task. A machine list that lags behind shows the life
 // before the one on which a former owner started the task.
-func TestOutdatedMachineListFreesNoVM(t *testing.T) {
+func TestOutdatedMachineListFreesNoRun(t *testing.T) {
 	old := job.Machine{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "former"}
 	for name, order := range map[string][]string{
 		"before the directory": {"machines", "directory"},
@@ -58,7 +58,7 @@
 		h := newHarness(t)
 		h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
 		h.ready("two")
-		j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
+		j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{smallStep}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 		h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 		for _, what := range order {
 			h.now = h.now.Add(100 * time.Millisecond)
@@ -69,22 +69,22 @@
 			}
 			h.now = h.now.Add(100 * time.Millisecond)
 		}
-		assert.Equal(t, len(only[Start](h.step(0))), 0, name)
+		assert.Equal(t, len(only[Start](h.advance(0))), 0, name)
 	}
 }
 
 // Guards against a job that waits for the end of a VM's lease although the machine has a
 // newer life.
-func TestNewVMOnSameMachineFreesPreviousVM(t *testing.T) {
+func TestNewVMOnSameMachineFreesRunsOfPreviousVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
 	h.ready("two")
-	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{small}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
+	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{smallStep}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 	h.listVM("one")
 	h.s.VMListed(h.now, job.VMRecord{ID: "next", Pool: poolA, Address: "next", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
-	assert.Equal(t, len(only[Start](h.step(0))), 0)
+	assert.Equal(t, len(only[Start](h.advance(0))), 0)
 	h.now = h.now.Add(100 * time.Millisecond)
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "next"}})
-	assert.Equal(t, len(only[Start](h.step(0))), 1)
+	assert.Equal(t, len(only[Start](h.advance(0))), 1)
 }
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -123,7 +123,7 @@
 		case schedule.Hold:
 			vm := o.router.holdRoute(now, c)
 			o.workers.Go(func() { o.hold(ctx, vm, c) })
-		case schedule.RequestTickets:
+		case schedule.RequestApproval:
 			o.workers.Go(func() { o.requestApprovals(ctx, c) })
 		case schedule.Maintain:
 			o.workers.Go(func() { o.startMaintenance(ctx, c) })
@@ -192,7 +192,7 @@
 	o.send(ctx, holdAnswered{c, outcome, r})
 }
 
-func (o *owner) requestApprovals(ctx context.Context, c schedule.RequestTickets) {
+func (o *owner) requestApprovals(ctx context.Context, c schedule.RequestApproval) {
 	callCtx, cancel := context.WithTimeout(ctx, approvalTimeout)
 	defer cancel()
 	a, err := o.node.approvals.Approve(callCtx, c.Step, c.VMs)
