--- a/core/schedule/acknowledge_test.go
+++ b/core/schedule/acknowledge_test.go
@@ -14,8 +14,8 @@
 	return job.End{Number: number, Task: c.Order.Task, Attempt: c.Order.Attempt, How: how}
 }
 
-// acknowledgedAt returns the highest end number that a hold among the commands acknowledges to
-// the VM.
+// acknowledgedAt returns the highest end number that the holds among the commands acknowledge
+// to the VM, or 0.
 func acknowledgedAt(commands []Command, vm job.VMID) int64 {
 	acknowledged := int64(0)
 	for _, c := range only[Hold](commands) {
@@ -67,8 +67,8 @@
 	h.checkAcknowledgedOnceStored(good.VM, failure)
 }
 
-// Guards against VMs that delete the ends of a gang before the one end that counts for
-// all members is stored.
+// Guards against VMs that delete the ends of a gang before they are stored. The first end
+// counts for all members, so the end of another member must wait for the same save.
 func TestGangEndsAreAcknowledgedOnceGangIsStoredAsDone(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
@@ -81,8 +81,9 @@
 	h.checkAcknowledgedOnceStored(second.VM, done)
 }
 
-// Guards against a new life of a VM that deletes its first ends. A hold that was sent before
-// the owner knew of that life carries an end number of the previous one.
+// Guards against a restarted VM that deletes ends that nobody has read. A hold that was sent
+// before the owner knew of the restart would acknowledge ends by their numbers before it, and
+// the restarted VM numbers its ends from 1 again.
 func TestHoldToSilentVMAcknowledgesNoEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/acknowledgeorder_test.go
+++ b/core/schedule/acknowledgeorder_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against an end that is acknowledged, along with all before it, while one before
-// it is not stored.
+// Guards against acknowledging an end before all earlier ends are stored: a VM deletes them
+// together with it. The second end, of an unknown job, needs no save itself.
 func TestNoEndIsAcknowledgedBeforeEarlierEndsAreStored(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -27,7 +27,7 @@
 	assert.Equal(t, acknowledgedAt(h.roundWithoutStoring(time.Second), "one"), int64(2))
 }
 
-// Guards against an end that is acknowledged because the save of another one is stored.
+// Guards against acknowledging an end because the save of an earlier end is stored.
 func TestStoredSaveAcknowledgesOnlyItsOwnEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -48,8 +48,8 @@
 	}
 }
 
-// Guards against end numbers of a previous life that count for the new one. Its ends
-// would be skipped, or deleted before anyone has seen them.
+// Guards against end numbers that are kept across a restart of the VM, which numbers its ends
+// from 1 again. The new ends would be skipped, or deleted before anyone has seen them.
 func TestRestartResetsEndNumbers(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/approval.go
+++ b/core/schedule/approval.go
@@ -44,8 +44,8 @@
 	ticketExpiryMargin = 200 * time.Millisecond
 )
 
-// ApprovalAnswered handles the answer on which VMs may run a step. Without tickets, the request
-// has failed.
+// ApprovalAnswered handles the answer to a RequestApproval command. tickets holds a ticket for
+// each approved VM. Without tickets, the request has failed.
 func (s *Scheduler) ApprovalAnswered(now time.Time, id job.StepID, tickets map[job.VMID]string, valid time.Duration) {
 	_, _, st, _ := s.task(job.TaskID{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 	if st == nil {
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -36,7 +36,8 @@
 	one[Start](h, h.advance(0))
 }
 
-// Guards against starting tasks beside a run whose size is unknown before it has ended.
+// Guards against starting tasks beside a run of an unknown job. The run's reservation is
+// unknown, so nothing may start on the VM until the run has ended.
 func TestRunOfUnknownJobBlocksStarts(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -50,7 +51,7 @@
 	one[Start](h, h.advance(0))
 }
 
-// Guards against starts that rely on the capacity and labels of a VM's previous life.
+// Guards against starts that rely on the capacity and labels that a VM had before it restarted.
 func TestRestartedVMAcceptsTasksOnceListed(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -91,8 +92,8 @@
 	})
 }
 
-// Guards against a pool that gets no machine although one of its long-running tasks, which may
-// share a VM, finds no capacity.
+// Guards against a pool that gets no machine although one of its long-running tasks finds no
+// capacity. The step doesn't limit its tasks per VM, so only the waiting task shows the need.
 func TestPoolGetsVMForLongRunningTaskWithoutPerVMLimit(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -113,8 +114,8 @@
 	assert.Equal(t, one[Move](h, h.advance(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
-// Guards against moving machines by the capacity in the machine list, which lags behind that of
-// the VM.
+// Guards against planning moves with the capacity in the machine list, which lags behind the
+// capacity that the VM has.
 func TestIdleMachineCapacityComesFromItsVM(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -6,12 +6,12 @@
 	"lavenderpond/core/job"
 )
 
-// Command is an action that the scheduler wants carried out.
+// Command is an action that the scheduler asks its caller to execute.
 type Command interface{ command() }
 
-// Start orders a task's start on a VM in an availability zone. Life is the VM's life as
-// known when the order is sent, since the answer doesn't always name the life that gives
-// it.
+// Start orders a task's start on a VM in an availability zone. Life identifies the boot of
+// the VM that is known when the order is sent, since the answer doesn't always name the
+// boot that gives it.
 type Start struct {
 	VM    job.VMID
 	Life  job.Born
@@ -37,8 +37,8 @@
 	Percent int
 }
 
-// Hold extends a VM's lease and asks for its lists. A probe only asks for the lists, and
-// may be sent while another hold is in flight.
+// Hold extends a VM's lease and asks for the lists of its running and ended tasks. A probe
+// only asks for the lists, and may be sent while another hold is in flight.
 type Hold struct {
 	VM    job.VMID
 	Order job.HoldOrder
@@ -66,7 +66,7 @@
 }
 
 // RequestApproval asks the queue's approval service which VMs may run a step. The service
-// issues a ticket for each approved VM.
+// issues a ticket for each approved VM. The answer is passed to Scheduler.ApprovalAnswered.
 type RequestApproval struct {
 	Step job.StepID
 	VMs  []job.VMID
@@ -136,7 +136,7 @@
 func (Maintain) command()        {}
 func (PublishWave) command()     {}
 
-// SequenceOf returns the sequence number of a save. ok is false for other commands.
+// SequenceOf returns the sequence of a save. ok is false for commands that store nothing.
 func SequenceOf(c Command) (sequence int64, ok bool) {
 	switch c := c.(type) {
 	case Save:
@@ -171,9 +171,9 @@
 const (
 	// Answered: the report holds the answer, which may be a refusal.
 	Answered Outcome = iota
-	// NotDone: the order wasn't carried out and can't be any more.
+	// NotDone: the order wasn't executed and can't be any more.
 	NotDone
-	// Unanswered: the order may have been carried out, or may still be.
+	// Unanswered: the order may have been executed, or may still be.
 	Unanswered
 	// Unhealthy: the VM refuses all orders.
 	Unhealthy
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -19,8 +19,8 @@
 	// ran beside the one at fault.
 	maxCrashesAtStart = 2
 	startCrashWindow  = 100 * time.Millisecond
-	// separationPeriod is how long after its VM's crash a task waits for a VM without another
-	// such task.
+	// separationPeriod is how long after its VM's crash a task waits for a VM that runs no
+	// other task under which a VM crashed.
 	separationPeriod = 2 * time.Second
 	// isolationWait is how long a task whose next crash is the last waits for a VM
 	// without any run that may crash it.
@@ -33,8 +33,8 @@
 type crashes struct {
 	attempts []job.Attempt
 	// confirmed counts the crashes under runs that the VM had confirmed to this owner. Of
-	// these, atStart counts those within startCrashWindow of the start, and alone those
-	// for which nothing else on the VM could be the cause.
+	// these, atStart counts those within startCrashWindow of the start, and soleSuspect
+	// those for which no other run on the VM could be the cause.
 	confirmed, atStart, soleSuspect int
 }
 
@@ -55,8 +55,7 @@
 // runs without others on its VM, so that nothing else can be the cause.
 func (c crashes) needsIsolation() bool { return len(c.attempts) >= maxCrashes-1 }
 
-// countCrash counts the end of a VM's life against the task of a run that is not released
-// yet. A run that may not have begun counts too, since the VM may have crashed before it
+// countCrash counts a VM's crash against the task of a run that is not released yet. A run that may not have begun counts too, since the VM may have crashed before it
 // answered.
 func (s *Scheduler) countCrash(now time.Time, r *run) {
 	j, _, _, t := s.task(r.task)
@@ -150,9 +149,9 @@
 	s.markDirty(j)
 }
 
-// mustBeSeparate reports whether a task that has lost a VM must avoid this VM because it
-// runs another such task. Keeping them apart shows which of them is at fault if a VM
-// crashes.
+// mustBeSeparate reports whether a task under which a VM crashed must avoid this VM because
+// another task under which a VM crashed runs there. Keeping them apart shows which of them
+// is at fault if a VM crashes.
 func (t *taskState) mustBeSeparate(now time.Time, v *vmState) bool {
 	if !t.crashes.any() || !now.Before(t.separateUntil) {
 		return false
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -14,13 +14,15 @@
 type crashHarness struct {
 	*harness
 	lives map[job.VMID]*life
-	// full makes the VMs temporarily refuse tasks for lack of capacity.
+	// full makes the scheduler believe that the VMs have refused a task for lack of capacity,
+	// so that nothing starts.
 	full bool
 	// pendingStarts are starts that answerStops collected for startOf.
 	pendingStarts []Start
 }
 
-// life is the current life of a VM.
+// life is the current boot of a simulated VM: born is what the VM reports, since when its clock
+// was zero.
 type life struct {
 	born  job.Born
 	since time.Time
@@ -36,7 +38,7 @@
 	return c
 }
 
-// report returns a report by the current life of a VM.
+// report returns a report by a VM, without lists.
 func (c *crashHarness) report(vm job.VMID) job.Report {
 	l := c.lives[vm]
 	return job.Report{Clock: job.VMClock(c.now.Sub(l.since).Milliseconds()), Born: l.born}
@@ -68,7 +70,7 @@
 	}
 }
 
-// crash ends a VM's life. The VM returns three seconds later under the same ID.
+// crash makes a VM crash. It restarts three seconds later under the same ID.
 func (c *crashHarness) crash(vm job.VMID) {
 	c.advance(30 * time.Millisecond)
 	c.silence(vm, 3*time.Second)
@@ -84,7 +86,7 @@
 	}
 }
 
-// restart restarts a VM under the same ID.
+// restart lets a VM report a new life under the same ID.
 func (c *crashHarness) restart(vm job.VMID) {
 	l := c.lives[vm]
 	l.born++
@@ -264,8 +266,8 @@
 	}
 }
 
-// Guards against harmless tasks that are lost repeatedly beside the one that crashes
-// their VM. Tasks that lost a VM must not share one.
+// Guards against harmless tasks that are lost repeatedly because they run beside a task that
+// crashes their VM. Tasks whose VM crashed must not share a VM again.
 func TestTasksOfCrashedVMAreKeptApart(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.addJob("bad", "free", smallStep)
@@ -330,8 +332,8 @@
 	assert.Equal(t, c.s.jobs.Get("j").state, job.Running)
 }
 
-// Guards against one start too many of a task whose last VM may have crashed or only be
-// cut off.
+// Guards against starting a task once too often. Its last VM may have crashed, which would
+// reach the crash limit, or may only be cut off. The task must wait until that is known.
 func TestTaskThatMayHaveReachedCrashLimitWaits(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three", "four", "five", "six")
 	c.addJob("j", "free", smallStep)
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against a task that never runs again after its VM lost power. Each hold sent to
-// the VM may still be carried out, as far as the owner knows. If those holds extended the
+// Guards against a task that never runs again after its VM lost power. The VM may
+// still execute each hold sent to it, as far as the owner knows. If those holds extended the
 // lease, it would never expire.
 func TestLeaseOfSilentVMExpires(t *testing.T) {
 	h := newHarness(t)
@@ -56,7 +56,7 @@
 	assert.Assert(t, again.Order.Attempt > start.Order.Attempt)
 }
 
-// Guards against a start that a restarted VM carries out late. The unanswered start was
+// Guards against a start that a restarted VM executes late. The unanswered start was
 // freed, and the VM then restarted under the same ID. The new clock is behind the start's
 // deadline, so the run must be stopped explicitly.
 func TestLostStartIsStoppedOnRestartedVM(t *testing.T) {
@@ -90,7 +90,7 @@
 	assert.Equal(t, len(only[Start](h.advance(time.Second))), 0)
 }
 
-// Guards against an end that nobody knows of after its owner died. A VM deletes
+// Guards against an end that is lost because the owner that read it dies. A VM deletes
 // acknowledged ends, so an end is acknowledged only once it is stored.
 func TestEndIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
@@ -166,7 +166,7 @@
 }
 
 // Guards against exceeding a wave's limit. A machine refuses an order as busy because an
-// earlier order, whose answer was lost, is being carried out. It counts as in maintenance.
+// earlier order, whose answer was lost, is being executed. It counts as in maintenance.
 func TestBusyMachineCountsAsInMaintenance(t *testing.T) {
 	h := newHarness(t)
 	h.s.MachinesListed(h.now, []job.Machine{
--- a/core/schedule/gang_test.go
+++ b/core/schedule/gang_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a gang that starts incomplete. When a VM refuses one member, the other would
 // wait for it for seconds and end without it, and the job would be late. The other member
-// must be stopped at once, and the gang must restart when it has ended.
+// must be stopped immediately, and the gang must restart when it has ended.
 func TestIncompleteGangIsStopped(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two", "three")
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -10,17 +10,18 @@
 	"lavenderpond/core/job"
 )
 
-// harness feeds events to a scheduler and collects its commands.
+// harness feeds events to a scheduler and collects its commands. It simulates VMs that hold 8
+// cores each and share one clock.
 type harness struct {
 	t   testing.TB
 	s   *Scheduler
 	now time.Time
 }
 
-// begin is the time at which each test starts.
+// begin is the time of the takeover, at which each test starts.
 var begin = time.Unix(1_800_000_000, 0)
 
-// poolA is the pool of the tests' queue, and off a standby pool.
+// poolA is the pool of the tests' queue, and poolOff a standby pool.
 const (
 	poolA   = job.PoolName("a")
 	poolOff = job.PoolName("off")
@@ -72,7 +73,7 @@
 // listVM feeds a VM's directory entry to the scheduler.
 func (h *harness) listVM(id string) { h.listVMInZone(id, "") }
 
-// listVMInZone is seen for a VM in an availability zone.
+// listVMInZone is listVM for a VM in an availability zone.
 func (h *harness) listVMInZone(id string, zone job.ZoneName) {
 	h.s.VMListed(h.now, job.VMRecord{
 		ID: job.VMID(id), Pool: poolA, Address: id, Zone: zone, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
@@ -90,7 +91,7 @@
 	})
 }
 
-// ready lets VMs appear and answer a hold, after which they accept tasks.
+// ready lists VMs and lets them answer a hold, after which they accept tasks.
 func (h *harness) ready(ids ...string) {
 	for _, id := range ids {
 		h.listVM(id)
@@ -109,7 +110,7 @@
 	h.s.AddJob(h.now, j, nil, false)
 }
 
-// confirm answers a start positively.
+// confirm answers a start: the VM has started the task.
 func (h *harness) confirm(c Start) {
 	h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1})
 }
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -11,8 +11,8 @@
 	// hold. The lease is extended at least that often, so a VM that is cut off keeps its
 	// tasks for at least the longest lease less busyHoldWait.
 	busyHoldWait = 700 * time.Millisecond
-	// idleHoldWait is the same for a VM without runs. It is the longest wait that VMs
-	// allow.
+	// idleHoldWait is how long a VM without runs may wait before it answers a hold. It is
+	// the longest wait that VMs allow.
 	idleHoldWait = 2 * time.Second
 	// minHoldInterval is the minimum time between two holds. It keeps a VM that answers
 	// immediately from being called in a tight loop.
@@ -28,7 +28,7 @@
 		return
 	}
 	o := job.HoldOrder{Fence: v.fence, Noted: v.acknowledgedForHold()}
-	// An unanswered hold may be carried out later, so a hold to a silent VM doesn't
+	// The VM may execute an unanswered hold later, so a hold to a silent VM doesn't
 	// extend the lease. Otherwise the lease of a VM that is gone would never expire for
 	// this owner.
 	if v.clock.Known() && !v.silent {
@@ -46,9 +46,9 @@
 	s.emit(Hold{VM: v.id, Order: o})
 }
 
-// acknowledgedForHold returns the number of the last end that a hold acknowledges, and that
-// the VM may then delete. It is 0 for a silent VM, which may have crashed: its next life
-// numbers its ends from 1 again.
+// acknowledgedForHold returns the number of the last end that a hold acknowledges. The VM may
+// then delete all ends up to it. It is 0 for a silent VM, which may have crashed: if it
+// restarts, it numbers its ends from 1 again, and must not delete ends that nobody has read.
 func (v *vmState) acknowledgedForHold() int64 {
 	if v.silent {
 		return 0
@@ -89,8 +89,8 @@
 	}
 }
 
-// recordAnswer records that a VM has answered. It returns false if the answer is from a
-// previous life.
+// recordAnswer records that a VM has answered. It returns false if the VM gave the answer
+// before its last restart.
 func (s *Scheduler) recordAnswer(now time.Time, v *vmState, r job.Report) bool {
 	if r.Born != 0 && v.born != 0 && r.Born != v.born {
 		if r.Born < v.born {
@@ -112,8 +112,8 @@
 }
 
 // recordAnswerFrom records an answer to an order that was sent to the given life of the
-// VM. An answer that doesn't name its life is ignored if another life is known by now,
-// since its clock may belong to either.
+// VM. If the VM is known to have restarted since, an answer that doesn't name its life is
+// ignored, because its clock reading may belong to either life.
 func (s *Scheduler) recordAnswerFrom(now time.Time, v *vmState, life job.Born, r job.Report) bool {
 	if r.Born == 0 && life != v.born {
 		return false
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -55,23 +55,24 @@
 	}
 }
 
-// endReplacedLife frees the runs of a VM whose machine is listed with a newer life. A machine
-// has one life at a time, so the older one has ended. After a crash this frees the tasks
-// seconds before the VM's lease expires.
+// endReplacedLife frees the runs of a VM whose machine is listed with a VM that booted later
+// under another ID. A machine hosts one VM at a time, so the older one is gone. After a crash
+// this frees the tasks seconds before the lease of the older VM expires.
 func (s *Scheduler) endReplacedLife(requestedAt time.Time, v *vmState) {
 	m := v.host
 	if m == nil || m.VM == "" || m.VM == v.id || !v.firstListedAt.Before(requestedAt) {
 		return
 	}
-	// The list lags and may show the life before this one. The directory tells which of the two
-	// is newer.
+	// The list lags and may show the VM that the machine hosted before this one. The directory
+	// tells which of the two booted later.
 	if other := s.vms.Get(m.VM); other == nil || !other.listed || other.born <= v.born {
 		return
 	}
 	s.endLife(requestedAt, v, "machine runs a newer VM life")
 }
 
-// endLife handles the end of a VM's life once that is certain.
+// endLife handles a VM that has certainly crashed or been shut down. It releases the planned
+// runs, and frees those that the VM had confirmed or that are known only from a record.
 func (s *Scheduler) endLife(now time.Time, v *vmState, reason string) {
 	v.inheritedUntil = time.Time{}
 	v.lifeEnded = true
@@ -118,7 +119,7 @@
 }
 
 // recentOrderPeriod is how long an order counts as recent. The next owner may order the machine
-// at once after that, so the period covers everything that it would otherwise wait for. It is
+// immediately after that, so the period covers everything that it would otherwise wait for. It is
 // no longer than that: a new owner can't move machines with a recent order, and on a fleet
 // whose queues burst one after the other, most machines are given one within eight seconds.
 func (s *Scheduler) recentOrderPeriod() time.Duration {
--- a/core/schedule/maintenance.go
+++ b/core/schedule/maintenance.go
@@ -24,7 +24,7 @@
 	// cordonAhead is how many machines beyond the wave's limit are emptied in advance, so that
 	// the next one is empty when one comes back.
 	cordonAhead = 1
-	// machineRetryDelay is the pause before an order that wasn't carried out is repeated.
+	// machineRetryDelay is the pause before an order that wasn't executed is repeated.
 	machineRetryDelay = 500 * time.Millisecond
 )
 
@@ -156,7 +156,7 @@
 			s.endLife(now, v, "machine is in upkeep")
 		}
 	case outcome == Unanswered:
-		// The order may be carried out later, so it is repeated until its outcome is known.
+		// The order may be executed later, so it is repeated until its outcome is known.
 		m.retryAt = now.Add(machineRetryDelay)
 	case outcome == NotDone:
 		delete(w.inMaintenance, m.ID)
@@ -244,8 +244,8 @@
 }
 
 // mayBeStopping reports whether a former owner may have ordered the run to stop. The VM lists
-// such a run as running until it has stopped; once this returns false, the VM's list would show
-// its end.
+// the run as running until it has stopped. mayBeStopping returns false once so much time has
+// passed since the VM's first report that a stopped run would be listed as ended.
 func (s *Scheduler) mayBeStopping(now time.Time, r *run) bool {
 	return r.adopted && now.Before(r.vm.firstReportedAt.Add(s.settings.TaskStopMax+busyHoldWait))
 }
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -75,7 +75,7 @@
 			s.endLife(now, v, "machine moves to another pool")
 		}
 	case outcome == Unanswered:
-		// The move may be carried out at any time, so the VM gets no tasks until its outcome is
+		// The move may be executed at any time, so the VM gets no tasks until its outcome is
 		// known.
 		m.retryAt = now.Add(moveRetryDelay)
 	default:
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -29,7 +29,7 @@
 	// time. Estimates are off by up to 0.9 of a log unit; run times of a queue vary by about
 	// half of one.
 	estimateWeight = 0.25
-	// minSamples is the number of samples from which learned values are used.
+	// minSamples is how many samples a learned value needs before it is used.
 	minSamples = 10
 	// minRunSeconds keeps the logarithms of run times finite.
 	minRunSeconds = 0.01
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -16,7 +16,7 @@
 	// rankInTime: the job can complete by its objective.
 	rankInTime
 	// rankLate: the job can only complete after its objective but before its late limit, when
-	// it is worth a small part of its value.
+	// its result is worth only a fraction of its value.
 	rankLate
 	// rankBeyondShare: the job's account has submitted more than its share.
 	rankBeyondShare
--- a/core/schedule/ordered.go
+++ b/core/schedule/ordered.go
@@ -17,8 +17,8 @@
 	deleted bool
 }
 
-// minCompactEntries is the number of entries from which deleted entries are kept for a while
-// and removed together.
+// minCompactEntries is the size from which the map keeps deleted entries until they outnumber
+// the others, and then removes them together. Smaller maps remove them immediately.
 const minCompactEntries = 32
 
 // Get returns the value of k, or the zero value.
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -19,8 +19,8 @@
 )
 
 // pace slows down the spare-CPU tasks on a VM when a serving task there comes near its latency
-// target. Placement keeps the two apart; they share a VM only when the serving task had no
-// other place.
+// target. Placement keeps the two apart; they share a VM only when the serving task fits
+// on no other.
 func (s *Scheduler) pace(now time.Time, v *vmState) {
 	if now.Before(v.nextPaceAt) || v.silent {
 		return
--- a/core/schedule/placement_test.go
+++ b/core/schedule/placement_test.go
@@ -17,6 +17,7 @@
 	return h.s.TakeCommands()
 }
 
+// firstEnd returns the successful end of the run that c started, numbered as its VM's first.
 func firstEnd(c Start) job.End {
 	return job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone}
 }
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -107,7 +107,7 @@
 
 // Guards against a pool with spare capacity whose machines never become idle because a little
 // runs on each of its VMs. When another pool is short, the next steps of its jobs must share a
-// VM, so that the other VM becomes idle and its machine moves at once.
+// VM, so that the other VM becomes idle and its machine moves immediately.
 func TestVMIsVacatedForPoolWithShortfall(t *testing.T) {
 	h := newPoolsHarness(t)
 	h.listVMs(poolA, "a1")
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -12,7 +12,7 @@
 const expiredRunRetention = 30 * time.Second
 
 // countExpiredRunCrashes counts a crash for the runs that were freed when the VM's lease
-// expired, once its life is known to have ended.
+// expired, once the VM is known to have crashed.
 func (s *Scheduler) countExpiredRunCrashes(now time.Time, v *vmState) {
 	for _, r := range v.expiredRuns {
 		s.countCrash(now, r)
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -106,11 +106,11 @@
 	return false
 }
 
-// fullyObserved reports whether this owner has observed the whole run. A run that resumed
-// from a checkpoint or started under a former owner has done part of its work before.
+// fullyObserved reports whether this owner has observed the task's whole work. A run that
+// resumed from a checkpoint or started under a former owner did some of it before.
 func (r *run) fullyObserved() bool { return !r.resumed && !r.adopted }
 
-// ranFor returns how long the run took, or 0 if part of its work was done earlier.
+// ranFor returns how long the run took, or 0 if the run wasn't fully observed.
 func (r *run) ranFor(now time.Time) time.Duration {
 	switch {
 	case !r.fullyObserved():
--- a/core/schedule/restart_test.go
+++ b/core/schedule/restart_test.go
@@ -9,9 +9,9 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against a second run of a task that a new life of its VM has begun. Answers to
-// starts don't say which life gave them, and the directory may report a new life before a
-// list does.
+// Guards against a second run of a task that its VM started after a restart. Answers to
+// starts don't say which life of the VM gave them, and the directory may show the restart
+// before a list does.
 func TestRunConfirmedByRestartedVMIsNotFreed(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -32,9 +32,9 @@
 	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
-// Guards against a lease that lasts longer than the owner assumes. A new life that
-// carries out a start grants a full lease from then on, although the deadlines of the
-// previous life pass earlier.
+// Guards against a lease that lasts longer than the owner assumes. A restarted VM that
+// executes a start grants a full lease from then on, although the deadlines of the orders to
+// its previous life pass earlier.
 func TestLeaseOfRestartedVMCountsFromStartOfTask(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -58,8 +58,9 @@
 	}
 }
 
-// Guards against a new life that deletes its first ends. Probes go to a VM that leaves a
-// start unanswered, long before its hold fails and it counts as silent.
+// Guards against a restarted VM that deletes its first ends because a probe acknowledges ends
+// of its previous life. Probes go to a VM that leaves a start unanswered, long before its hold
+// fails and it counts as silent.
 func TestProbeAcknowledgesNoEnd(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -77,8 +78,9 @@
 	assert.Equal(t, probe[0].Order.Noted, int64(0))
 }
 
-// Guards against a start that a new life carries out late while its task runs elsewhere.
-// The VM's state is deleted seconds before that becomes impossible.
+// Guards against a start that a restarted VM executes late while the task runs elsewhere. The
+// owner must remember the start of an unlisted VM for maxOrderDelay, longer than it otherwise
+// keeps the VM's state.
 func TestLostStartIsStoppedOnRestartedVMAfterItWasUnlisted(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
@@ -122,8 +124,8 @@
 	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
-// Guards against a clock reading of the previous life that is taken for one of the new
-// life. The answer to a start arrives after the directory reported the new life.
+// Guards against a clock reading from before a VM's restart that is taken for one of its new
+// clock. The answer to a start arrives after the directory showed the restart.
 func TestLateAnswerOfPreviousLifeIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -150,8 +152,8 @@
 	assert.Assert(t, again[0].Order.Deadline < 5000, "deadline %d", again[0].Order.Deadline)
 }
 
-// Guards against a second run of a task that a former owner began on a new life without
-// knowing of that life. The roster names the life before it.
+// Guards against a second run of a task that a former owner started on a restarted VM without
+// knowing of the restart. The roster names the VM's previous life.
 func TestRestartedInheritedVMMustReportFirst(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
@@ -183,8 +185,8 @@
 	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 1)
 }
 
-// Guards against a run that is never freed. A stop that the previous life accepted
-// doesn't affect the new one.
+// Guards against a run that is never freed. A stop that the VM accepted before it restarted
+// has no effect after the restart.
 func TestStopAcceptedByPreviousLifeIsSentAgain(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -203,8 +205,9 @@
 	assert.Equal(t, h.s.vms.Get("one").runs.Len(), 0)
 }
 
-// Guards against orders to a previous life that a new one carries out late: a start, or a
-// hold that acknowledges ends.
+// Guards against orders to a VM's previous life that arrive late and are executed after the
+// restart: a start, or a hold that acknowledges ends. Orders to the restarted VM carry a
+// higher fencing token, after which the VM refuses the earlier ones.
 func TestOrdersToRestartedVMCarryRaisedFence(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one")
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -203,8 +203,8 @@
 // confirmRun records that a run has started.
 func (s *Scheduler) confirmRun(now time.Time, r *run, clock job.VMClock) {
 	r.setPhase(runConfirmed)
-	// A new life of the VM may have carried out a start that was sent to the previous
-	// one. Its lease counts from this clock reading.
+	// The VM may have restarted and executed a start that was sent to its previous life.
+	// The lease of the new life counts from this clock reading.
 	longest := clock + job.VMClock(s.settings.LeaseMax.Milliseconds())
 	v := r.vm
 	v.leaseEnd = max(v.leaseEnd, min(r.startBy, longest))
@@ -214,8 +214,8 @@
 	}
 	r.confirmedClock = max(r.confirmedClock, clock)
 	if r.confirmedByNewLife() && v.clock.Known() {
-		// A life that isn't known yet grants a full lease, whatever the clock of the
-		// known life says.
+		// The VM has restarted, and this owner knows the clock of the previous life only.
+		// The new life grants a full lease, whatever that clock says.
 		v.leaseEnd = max(v.leaseEnd, v.clock.Estimate(now)+job.VMClock(s.settings.LeaseMax.Milliseconds()))
 	}
 	j := s.jobs.Get(r.task.Job)
@@ -229,9 +229,9 @@
 	})
 }
 
-// confirmedByNewLife reports whether a run was confirmed by a later life of its VM than
-// the one it was ordered for. Answers to starts don't name the life, but the clock of a
-// new life starts again from zero.
+// confirmedByNewLife reports whether a run was confirmed after its VM restarted, by a later
+// life than the one it was ordered for. Answers to starts may not name the life, but its
+// clock gives it away: it starts from zero and is far behind the start's deadline.
 func (r *run) confirmedByNewLife() bool {
 	return r.phase == runConfirmed && r.confirmedClock < r.startBy-2*job.VMClock(startWindow.Milliseconds())
 }
@@ -271,12 +271,12 @@
 
 const (
 	// fullPause is how long a VM that refused a task for lack of capacity gets no new ones,
-	// unless its directory entry changes its capacity or names a new life before. News of
-	// the reduced capacity may take longer, so the pause doubles with each further refusal,
-	// at most fullDoublings times.
+	// unless its directory entry shows another capacity or a restart before. The directory
+	// may take longer to show the reduced capacity, so the pause doubles with each further
+	// refusal, at most fullDoublings times.
 	fullPause     = 200 * time.Millisecond
 	fullDoublings = 4
-	// refusalWindow is how long after a pause another refusal counts as a further one.
+	// refusalWindow is how long after a pause another refusal still doubles the next pause.
 	refusalWindow = 2 * time.Second
 )
 
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -113,7 +113,7 @@
 	return false
 }
 
-// progress returns the part of the job's state that must be stored. A job that is over needs no
+// progress returns the state of the job that must be stored. A job that is over needs no
 // details, since none of its tasks will start again.
 func (j *jobState) progress() job.Progress {
 	p := job.Progress{State: j.state}
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -73,7 +73,7 @@
 	// nextForgetEnded is the next time to forget jobs that ended long ago.
 	nextForgetEnded time.Time
 	rights          Rights
-	// fence is the fencing token for VM lives that begin from this point on.
+	// fence is the fencing token for VMs that appear or restart from now on.
 	fence    job.Fence
 	queues   map[job.QueueName]*queueStats
 	machines orderedMap[job.MachineID, *machineState]
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -26,7 +26,7 @@
 }
 
 // Guards against an account that delays the jobs of others. One account sends forty jobs
-// at once, another a single job a moment later, and the VM takes eight tasks at a time.
+// together, another a single job a moment later, and the VM takes eight tasks at a time.
 // The single job must start when the first tasks end. In order of arrival it would wait
 // for four rounds and be late.
 func TestHotAccountDoesNotDelayOthers(t *testing.T) {
@@ -89,7 +89,7 @@
 }
 
 // Guards against inherited jobs that count against their accounts' shares. A new owner
-// reads hundreds of jobs at once, but they were submitted over a long time.
+// reads hundreds of jobs together, but they were submitted over a long time.
 func TestInheritedJobsExceedNoShare(t *testing.T) {
 	h := newSharesHarness(t)
 	for i := range 100 {
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -36,7 +36,7 @@
 	silent           bool
 	lease            job.VMClock
 	runs             []*shrinkingRun
-	// unansweredStarts are starts that got no answer but may still be carried out.
+	// unansweredStarts are starts that got no answer but may still be executed.
 	unansweredStarts []*shrinkingRun
 	barredAttempts   map[job.TaskID]job.Attempt
 	ended            []job.End
@@ -114,7 +114,7 @@
 
 func (f *shrinkingFleet) report() job.Report { return job.Report{Clock: f.clock(), Born: 1} }
 
-// start carries out a start, and asserts that it fits.
+// start executes a start, and asserts that it fits.
 func (f *shrinkingFleet) start(c Start) {
 	v := f.vm(c.VM)
 	r := &shrinkingRun{c.Order.Task, c.Order.Attempt, f.steps[c.Order.Task.Job].Resources.CPU, c.Order.Deadline}
@@ -172,7 +172,7 @@
 	f.s.HoldAnswered(f.now, c, Answered, rep)
 }
 
-// round runs one round and carries out the resulting commands.
+// round runs one scheduling round and executes the resulting commands.
 func (f *shrinkingFleet) round() {
 	f.now = f.now.Add(10 * time.Millisecond)
 	due := f.events
@@ -256,7 +256,7 @@
 		f.resize(v, 8000)
 	}
 	for n := range 4 {
-		// Negative numbers don't collide with those of rounds.
+		// Jobs are named by the round that submits them; these come before the first round.
 		f.submit(-1 - n)
 	}
 	return f
--- a/core/schedule/sizing/spread.go
+++ b/core/schedule/sizing/spread.go
@@ -17,7 +17,7 @@
 )
 
 // spread divides idle machines that no pool needs among the pools in proportion to their
-// weights, so that the next burst finds them in place. A machine arrives 1.5 seconds after its
+// weights, so that the next burst finds them in its pool. A machine arrives 1.5 seconds after its
 // order, so the first callers of a burst depend on what is already there. Without spreading,
 // all idle machines stay in the pool that had the last burst, and the next pool has one to five
 // VMs.
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -24,8 +24,8 @@
 	// slowPause is how long a VM with a slow run gets no new tasks. Other slow runs there
 	// extend the pause.
 	slowPause = 2 * time.Second
-	// slowStopMargin is how many times longer the rest of a slow run must take than a new
-	// run elsewhere, including the stop of this one, for the slow run to be stopped.
+	// slowStopMargin is the factor by which the remaining time of a slow run must exceed the
+	// time of a new run elsewhere, including the stop of the slow one, before it is stopped.
 	slowStopMargin = 1.3
 	// maxSlowStops limits how often the runs of one task are stopped as slow.
 	maxSlowStops = 2
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -21,8 +21,8 @@
 	runConfirmed
 )
 
-// run is one start of a task on a VM. It is kept until it is certain not to execute any
-// more.
+// run is one execution of a task on a VM, from the decision to start it. It is kept until
+// the VM is certain not to execute it any more.
 type run struct {
 	task    job.TaskID
 	attempt job.Attempt
@@ -42,8 +42,11 @@
 	orderedAt      time.Time
 	confirmedAt    time.Time
 	percent        int
-	load           int64
-	pacePercent    int
+	// load is the tail latency in milliseconds of a task that serves users, and the CPU
+	// usage of other tasks.
+	load int64
+	// pacePercent is the pace that a spare-CPU task was last given.
+	pacePercent int
 	// stopping is set once a stop was ordered. resendStopAt is when to repeat it.
 	stopping     bool
 	resendStopAt time.Time
@@ -64,7 +67,7 @@
 	longRunning, serving, spareCPU bool
 	// resumed is set if the run continued from a checkpoint.
 	resumed bool
-	// lastList is the number of the VM's last list that contained the run.
+	// lastList is the VM's listCount as of the last list that contained the run.
 	lastList int64
 	// listedAt is when a list last contained the run. progressAt and progressPercent are
 	// the earlier reading that the next one is compared with.
@@ -108,7 +111,7 @@
 	// endUnknown is set once a run ended in a way that no list can report any more.
 	endUnknown bool
 	// crashes counts the VMs that crashed under the task. Until separateUntil the task
-	// shares no VM with another such task.
+	// shares no VM with another task under which a VM crashed.
 	crashes       crashes
 	separateUntil time.Time
 	// expiredRuns are the runs that were freed because their VM's lease expired.
@@ -147,7 +150,7 @@
 	rack job.Label
 	// runTimes are the durations of the successful runs.
 	runTimes []time.Duration
-	// longestRun is the longest of them, once all tasks have ended.
+	// longestRun is the longest of runTimes, once all tasks have ended.
 	longestRun time.Duration
 	// gangAttempt is the attempt that all members of a gang share.
 	gangAttempt job.Attempt
@@ -197,8 +200,8 @@
 	// use to its caller.
 	objective time.Time
 	lateLimit time.Time
-	// dirty is set while the job must be saved. lastSave is the sequence number of its
-	// last save.
+	// dirty is set while the job has changes that no save contains. lastSave is the
+	// sequence of its last save.
 	dirty    bool
 	lastSave int64
 	// endedAt is when the job ended.
@@ -218,8 +221,12 @@
 
 func (j *jobState) over() bool { return j.state.Final() }
 
-// vmState is the state of a VM as this owner knows it. A VM's life lasts until it crashes
-// or is replaced. The next life may have the same ID, and a greater born.
+// vmState is the state of a VM as this owner knows it.
+//
+// A life of a VM is one boot of it. It is identified by the VM's ID and born, the time of the
+// boot. A VM that crashes and restarts under the same ID begins a new life with a greater
+// born: its runs are gone, its clock starts from zero and its ends are numbered from 1 again.
+// A machine hosts one life at a time.
 type vmState struct {
 	id       job.VMID
 	address  string
@@ -230,10 +237,10 @@
 	capacity job.Resources
 	used     job.Resources
 	machine  job.MachineID
-	// host is that machine's state, or nil if it isn't listed.
+	// host is the state of the VM's machine, or nil if the machine isn't listed.
 	host *machineState
 	born job.Born
-	// entryBorn is the life that the VM's directory entry belongs to.
+	// entryBorn is the born of the life that the VM's directory entry describes.
 	entryBorn job.Born
 	// fence is greater than that of all orders sent to a previous life, so the current
 	// life refuses those that arrive late.
@@ -246,7 +253,8 @@
 	evacuated bool
 
 	clock lease.Clock
-	// leaseEnd is the latest deadline of any order sent.
+	// leaseEnd is the time on the VM's clock up to which its lease may last: the latest
+	// deadline of any order sent to it.
 	leaseEnd job.VMClock
 	runs     orderedMap[runKey, *run]
 	// longRunningRuns, servingRuns and spareCPURuns count the runs of each kind, and
@@ -274,9 +282,10 @@
 	listClock job.VMClock
 	listCount int64
 
-	// lastEnd is the number of the last end handled, and acknowledgedEnd that of the last one
-	// that is stored. Holds acknowledge it, and the VM may then delete all ends up to it.
-	// unsavedEnds are those in between.
+	// A VM numbers the ends of its runs. lastEnd is the number of the last end handled.
+	// acknowledgedEnd is the number of the last end that is stored together with all ends
+	// before it: holds acknowledge that end, and the VM may then delete all ends up to it.
+	// unsavedEnds are the ends between the two.
 	lastEnd         int64
 	acknowledgedEnd int64
 	unsavedEnds     []unsavedEnd
@@ -306,7 +315,7 @@
 	// slowUntil is when the VM may get tasks again after a slow run.
 	slowUntil time.Time
 	// fullUntil is when the VM may get tasks again after it refused one for lack of capacity.
-	// refusals counts such refusals in a row.
+	// refusals counts these refusals in a row.
 	fullUntil time.Time
 	refusals  int
 	// rosterEntry is the VM's entry in the roster, and rosterSave the save that stores
@@ -318,10 +327,11 @@
 	cordoned bool
 	// vacating VMs get tasks only if no other VM has room.
 	vacating bool
-	// lostStarts are unanswered starts that this life of the VM can no longer carry out.
-	// A new life under the same ID still could.
+	// lostStarts are unanswered starts that the VM's current life can no longer execute,
+	// but that the VM might still execute if it restarts under the same ID.
 	lostStarts []*run
-	// lifeEnded is set once the VM's life has certainly ended.
+	// lifeEnded is set once the VM's current life is known to have ended, and cleared when
+	// the VM answers a hold.
 	lifeEnded bool
 	// expiredRuns are the runs that were freed because the lease expired. They are kept until
 	// it is known whether the VM crashed, or until expiredRunsUntil.
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -47,8 +47,8 @@
 	assert.Assert(t, !h.s.recentOrders.Has("m-1"))
 }
 
-// Guards against a second run of a task. A machine list that lags behind shows the life
-// before the one on which a former owner started the task.
+// Guards against a second run of a task. A machine list that lags behind shows the VM that the
+// machine hosted before the one on which a former owner started the task.
 func TestOutdatedMachineListFreesNoRun(t *testing.T) {
 	old := job.Machine{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "former"}
 	for name, order := range map[string][]string{
@@ -73,8 +73,8 @@
 	}
 }
 
-// Guards against a job that waits for the end of a VM's lease although the machine has a
-// newer life.
+// Guards against a job that waits for the end of a VM's lease although the VM's machine already
+// hosts a newer VM.
 func TestNewVMOnSameMachineFreesRunsOfPreviousVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Tick carries out the periodic work: holds, probes, repeated stops, expired leases,
+// Tick does the periodic work: holds, probes, repeated stops, expired leases,
 // evacuations, maintenance and pool sizes.
 func (s *Scheduler) Tick(now time.Time) {
 	s.anyUnreported = false
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -14,7 +14,7 @@
 	// VM refuses an order that arrives late, and long against the round trip to a slow
 	// VM.
 	startWindow = 600 * time.Millisecond
-	// stopRetryDelay is the pause before an ineffective stop is sent again.
+	// stopRetryDelay is the pause before a stop is sent again because the run hasn't ended.
 	stopRetryDelay = 600 * time.Millisecond
 	// clockSlack allows for VM clocks that are read in whole milliseconds.
 	clockSlack job.VMClock = 5
@@ -24,8 +24,8 @@
 	forgetAfter = 3 * time.Second
 )
 
-// maxOrderDelay is how long after it was sent an unanswered order may still be carried
-// out. The start's deadline doesn't prevent that on a VM that crashed and restarted under
+// maxOrderDelay is how long after it was sent a VM may still execute an unanswered order.
+// The start's deadline doesn't prevent that on a VM that crashed and restarted under
 // the same ID, because its clock starts again from zero.
 const maxOrderDelay = 13 * time.Second
 
@@ -76,11 +76,12 @@
 func (s *Scheduler) DirectoryRead(asOf time.Time) { s.directoryAsOf = asOf }
 
 // shrinkMargin covers a start that was sent on the basis of an old reading. It may still
-// be carried out for startWindow, and for longer on a slow clock.
+// be executed for startWindow, and for longer on a slow clock.
 const shrinkMargin = time.Second
 
-// capacityKnown reports whether the VM's capacity is known well enough for a start. VMs of a
-// pool that enforces its capacity refuse what doesn't fit.
+// capacityKnown reports whether the directory was read recently enough to rely on the VM's
+// capacity for a start. In a pool that enforces capacity this isn't necessary: its VMs refuse
+// tasks that don't fit.
 func (s *Scheduler) capacityKnown(now time.Time, v *vmState) bool {
 	within := s.settings.ShrinkNotice
 	if within == 0 || now.Sub(s.directoryAsOf) < within-shrinkMargin {
@@ -90,7 +91,7 @@
 	return p != nil && p.EnforcesCapacity
 }
 
-// setMachine records which machine hosts the VM.
+// setMachine sets the machine that hosts the VM.
 func (s *Scheduler) setMachine(v *vmState, id job.MachineID) {
 	v.machine, v.host = id, s.machines.Get(id)
 }
@@ -151,10 +152,10 @@
 // VMCount returns the number of known VMs.
 func (s *Scheduler) VMCount() int { return s.vms.Len() }
 
-// vmRestarted handles a VM that crashed and restarted under the same ID. Its runs are
-// gone, and its clock and the numbers of its ends start again. Unanswered starts may
-// still arrive and be carried out, because the new clock is behind their deadlines. They
-// are stopped explicitly before their tasks start elsewhere.
+// vmRestarted handles a VM that crashed and restarted under the same ID, which begins a new
+// life at born. Its runs are gone, its clock starts from zero and its ends are numbered from
+// 1 again. Unanswered starts may still arrive and be executed, because the new clock is
+// behind their deadlines. They are stopped explicitly before their tasks start elsewhere.
 func (s *Scheduler) vmRestarted(now time.Time, v *vmState, born job.Born) {
 	s.decided(Decision{Kind: VMRestarted, VM: v.id, Reason: fmt.Sprintf("%d ends of the previous life were noted", v.acknowledgedEnd)})
 	v.born, v.fence = born, s.fence
@@ -210,9 +211,9 @@
 	return v.entryCurrent() && !v.draining && !v.evacuated && v.reported && !v.silent && v.clock.Known()
 }
 
-// entryCurrent reports whether the VM's directory entry belongs to its current life.
-// Capacity and labels may differ between lives, so they are unknown until the new entry
-// is there.
+// entryCurrent reports whether the VM's directory entry describes its current life.
+// Capacity and labels may change when a VM restarts, so they are unknown until the directory
+// has its new entry.
 func (v *vmState) entryCurrent() bool { return v.listed && v.entryBorn >= v.born }
 
 // leaseExpired reports whether the lease of a silent VM has certainly expired.
