--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -61,7 +61,7 @@
 	h.addJob("j", "free", smallStep)
 	assert.Equal(t, len(only[Start](h.advance(0))), 0)
 	h.resize("one", 8000)
-	assert.Equal(t, len(only[Start](h.advance(0))), 0, "task started while the entry is of the previous life")
+	assert.Equal(t, len(only[Start](h.advance(0))), 0, "task started although the directory entry is from before the restart")
 	h.s.VMListed(h.now, entryOf("one", 8000, 2))
 	one[Start](h, h.advance(0))
 }
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -82,7 +82,7 @@
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Unanswered, job.Report{})
 	for until := c.now.Add(d); c.now.Before(until); {
 		c.answerAllHolds(vm)
-		assert.Equal(c.t, len(only[Start](c.advance(100*time.Millisecond))), 0, "the task may still run elsewhere")
+		assert.Equal(c.t, len(only[Start](c.advance(100*time.Millisecond))), 0, "task started while its VM may still run it")
 	}
 }
 
@@ -399,7 +399,7 @@
 	for i := range 7 {
 		c.addJob(fmt.Sprintf("k%d", i), "free", job.Step{Count: 1, Resources: job.Resources{CPU: 7000, MemMB: 100}, Estimate: time.Second})
 		for _, x := range only[Start](c.advance(time.Second)) {
-			assert.Assert(t, x.VM != o.VM || i > 4, "%d s after the start", i)
+			assert.Assert(t, x.VM != o.VM || i > 4, "task started beside the isolated one %d s after its start", i)
 			c.confirm(x)
 		}
 		c.answerHold(o.VM, []job.RunningTask{running(o, 100)})
--- a/core/schedule/probe_test.go
+++ b/core/schedule/probe_test.go
@@ -41,7 +41,7 @@
 	h.answerProbe(probe[0])
 	stop := one[Stop](h, h.advance(time.Millisecond))
 	assert.Equal(t, stop.Attempt, lost.Order.Attempt)
-	assert.Equal(t, len(only[Start](h.advance(time.Millisecond))), 0, "the first start may still be carried out")
+	assert.Equal(t, len(only[Start](h.advance(time.Millisecond))), 0, "the VM may still execute the first start")
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock(), Born: 1})
 	probe = probes(h.advance(probeInterval))
 	assert.Equal(t, len(probe), 1)
--- a/core/schedule/restart_test.go
+++ b/core/schedule/restart_test.go
@@ -24,7 +24,7 @@
 		ID: start.VM, Pool: poolA, Address: string(start.VM), Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 		Machine: job.MachineID("m-" + string(start.VM)), Born: 2,
 	})
-	assert.Equal(t, len(only[Start](h.advance(0))), 0, "the task may be running or have ended in the new life")
+	assert.Equal(t, len(only[Start](h.advance(0))), 0, "the restarted VM may be running the task or have completed it")
 	h.s.HoldAnswered(h.now, Hold{VM: start.VM}, Answered, job.Report{
 		Clock: 400, Born: 2, Lists: true, Finished: []job.End{end(1, start, job.EndedDone)},
 	})
@@ -148,8 +148,8 @@
 			h.s.HoldAnswered(h.now, c, Answered, job.Report{Clock: clock(), Born: 2, Lists: true})
 		}
 	}
-	assert.Assert(t, len(again) > 0, "the task is stuck")
-	assert.Assert(t, again[0].Order.Deadline < 5000, "deadline %d", again[0].Order.Deadline)
+	assert.Assert(t, len(again) > 0, "the task is never started again")
+	assert.Assert(t, again[0].Order.Deadline < 5000, "deadline %d is not on the clock of the restarted VM", again[0].Order.Deadline)
 }
 
 // Guards against a second run of a task that a former owner started on a restarted VM without
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -83,8 +83,8 @@
 			}
 		}
 		most := int(a.Weight * (time.Minute + shareWindow).Seconds())
-		assert.Assert(t, within <= most, "%d of %d", within, n)
-		assert.Assert(t, within >= min(n, most-2), "%d of %d", within, n)
+		assert.Assert(t, within <= most, "%d of %d jobs are within the share", within, n)
+		assert.Assert(t, within >= min(n, most-2), "%d of %d jobs are within the share", within, n)
 	}
 }
 
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -22,7 +22,7 @@
 	for _, c := range only[Hold](h.advance(unlistedHoldDelay)) {
 		held[string(c.VM)] = true
 	}
-	assert.Assert(t, held["gone"], "it may still run tasks, so it is held later")
+	assert.Assert(t, held["gone"], "unlisted VM is never held, although it may still run tasks")
 }
 
 // Guards against a machine that gets orders from two owners within its lease because the
@@ -52,8 +52,8 @@
 func TestOutdatedMachineListFreesNoRun(t *testing.T) {
 	old := job.Machine{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "former"}
 	for name, order := range map[string][]string{
-		"before the directory": {"machines", "directory"},
-		"after it":             {"directory", "machines"},
+		"machine list before the directory": {"machines", "directory"},
+		"machine list after the directory":  {"directory", "machines"},
 	} {
 		h := newHarness(t)
 		h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -157,7 +157,7 @@
 // 1 again. Unanswered starts may still arrive and be executed, because the new clock is
 // behind their deadlines. They are stopped explicitly before their tasks start elsewhere.
 func (s *Scheduler) vmRestarted(now time.Time, v *vmState, born job.Born) {
-	s.decided(Decision{Kind: VMRestarted, VM: v.id, Reason: fmt.Sprintf("%d ends of the previous life were noted", v.acknowledgedEnd)})
+	s.decided(Decision{Kind: VMRestarted, VM: v.id, Reason: fmt.Sprintf("%d ends of the previous life were acknowledged", v.acknowledgedEnd)})
 	v.born, v.fence = born, s.fence
 	v.clock, v.leaseEnd = lease.Clock{}, 0
 	v.lastEnd, v.acknowledgedEnd, v.unsavedEnds, v.listClock = 0, 0, nil, 0
