--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -203,8 +203,8 @@
 		(limit.GPU == 0 || after.GPU <= limit.GPU)
 }
 
-// startTask books a run of the task on the VM, and sends the start as soon as it is stored that the
-// job may run on the VM.
+// startTask books a run of the task on the VM, and sends the start as soon as it is stored that
+// the job may run on the VM.
 func (a *assignment) startTask(j *jobState, st *stepState, id job.TaskID, t *taskState, v *vmState, n job.Attempt) {
 	s := a.s
 	s.reportPlaced(a.now, j)
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -55,7 +55,8 @@
 // runs without others on its VM, so that nothing else can be the cause.
 func (c crashes) needsIsolation() bool { return len(c.attempts) >= maxCrashes-1 }
 
-// countCrash counts a VM's crash against the task of a run that is not released yet. A run that may not have begun counts too, since the VM may have crashed before it
+// countCrash counts a VM's crash against the task of a run that is not released yet. A
+// run that may not have begun counts too, since the VM may have crashed before it
 // answered.
 func (s *Scheduler) countCrash(now time.Time, r *run) {
 	j, _, _, t := s.task(r.task)
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -9,9 +9,9 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against a task that never runs again after its VM lost power. The VM may
-// still execute each hold sent to it, as far as the owner knows. If those holds extended the
-// lease, it would never expire.
+// Guards against a task that never runs again after its VM lost power. As far as the owner
+// knows, the VM may still execute each hold sent to it. If those holds extended the lease, it
+// would never expire.
 func TestLeaseOfSilentVMExpires(t *testing.T) {
 	h := newHarness(t)
 	h.ready("one", "two")
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -46,7 +46,7 @@
 	return h
 }
 
-// advance advances the time by d and returns the commands of three rounds. Saves are stored
+// advance moves the time forward by d and returns the commands of three rounds. Saves are stored
 // immediately.
 func (h *harness) advance(d time.Duration) []Command {
 	h.now = h.now.Add(d)
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -1,6 +1,14 @@
 // Package schedule decides which task runs on which VM, and tracks the state of both. It uses
 // no clock, network or goroutines: callers pass in events together with the current time, and
 // collect the resulting commands.
+//
+// One process at a time owns the fleet and runs a Scheduler. If it fails, another process takes
+// over with a Scheduler of its own. The owner sends Start commands to VMs. A VM runs tasks only
+// while its lease lasts, which Hold commands extend. A VM answers a hold with a report that
+// lists its running tasks and the ends of those that have ended. The owner acknowledges an end
+// once its consequences are stored, and the VM then deletes the end. A VM that leaves a hold
+// unanswered is silent: its tasks may still be running, and are started elsewhere only once its
+// lease has expired or the VM is known to have crashed.
 package schedule
 
 import (
