--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -42,7 +42,7 @@
 
 // String returns the counts as text.
 func (c crashes) String() string {
-	return fmt.Sprintf("%d VM crashes, %d under confirmed runs, %d at task start, %d alone", len(c.attempts), c.confirmed, c.atStart, c.soleSuspect)
+	return fmt.Sprintf("%d VM crashes, %d under confirmed runs, %d at task start, %d as sole suspect", len(c.attempts), c.confirmed, c.atStart, c.soleSuspect)
 }
 
 // limitReached reports whether the task must not start any more.
