--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -226,7 +226,7 @@
 		st.rack = v.rack
 	}
 	if r.requiredSave <= s.storedSequence {
-		s.send(a.now, r)
+		s.sendStart(a.now, r)
 		return
 	}
 	s.plannedStarts = append(s.plannedStarts, r)
@@ -238,7 +238,7 @@
 		return
 	}
 	j.placed = true
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), After: now.Sub(j.arrived),
 		Slack: j.objective.Sub(now.Add(s.remainingTime(j, j.currentOccurrence()))),
 	})
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -72,7 +72,7 @@
 		t.separateUntil = now.Add(isolationWait)
 	}
 	s.markDirty(j)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskLostVM, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
 		Reason: t.crashes.String(),
 	})
@@ -95,7 +95,7 @@
 // giveUp ends a job because one of its tasks must not start any more. A long-running job
 // continues with its remaining tasks.
 func (s *Scheduler) giveUp(now time.Time, j *jobState, r *run) {
-	s.decided(Decision{Kind: TaskGivenUp, Job: j.ID, Task: r.task, Reason: "VMs crashed under it"})
+	s.reportDecision(Decision{Kind: TaskGivenUp, Job: j.ID, Task: r.task, Reason: "VMs crashed under it"})
 	if !j.longRunning || j.noTaskCanRun() {
 		s.finish(now, j, job.Failed)
 	}
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -24,12 +24,12 @@
 	for _, z := range zones {
 		next[z] = struct{}{}
 		if !s.evacuatedZones.has(z) {
-			s.decided(Decision{Kind: ZoneEvacuated, Reason: string(z)})
+			s.reportDecision(Decision{Kind: ZoneEvacuated, Reason: string(z)})
 		}
 	}
 	for _, z := range slices.Sorted(maps.Keys(s.evacuatedZones)) {
 		if !next.has(z) {
-			s.decided(Decision{Kind: ZoneReopened, Reason: string(z)})
+			s.reportDecision(Decision{Kind: ZoneReopened, Reason: string(z)})
 		}
 	}
 	s.evacuatedZones = next
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -21,9 +21,9 @@
 	holdRetryDelay = 250 * time.Millisecond
 )
 
-// hold sends the next hold to a VM if it is due. A hold extends the VM's lease and asks
+// sendHold sends the next hold to a VM if it is due. A hold extends the VM's lease and asks
 // for its lists.
-func (s *Scheduler) hold(now time.Time, v *vmState) {
+func (s *Scheduler) sendHold(now time.Time, v *vmState) {
 	if v.holdInFlight || now.Before(v.nextHoldAt) || !s.rights.ExtendLeases || v.address == "" {
 		return
 	}
@@ -105,7 +105,7 @@
 		v.clock.Observe(r.Clock, now)
 	}
 	if v.silent {
-		s.decided(Decision{Kind: VMBack, VM: v.id, Age: now.Sub(v.lastAnswer)})
+		s.reportDecision(Decision{Kind: VMBack, VM: v.id, Age: now.Sub(v.lastAnswer)})
 	}
 	v.lastAnswer, v.silent, v.holdFailures = now, false, 0
 	return true
@@ -127,7 +127,7 @@
 		s.recordAnswer(now, v, r)
 	} else if !v.silent {
 		v.silent, v.silentSince = true, now
-		s.decided(Decision{Kind: VMSilent, VM: v.id, Reason: outcome.String(), Age: now.Sub(v.lastAnswer)})
+		s.reportDecision(Decision{Kind: VMSilent, VM: v.id, Reason: outcome.String(), Age: now.Sub(v.lastAnswer)})
 	}
 	v.holdFailures++
 	v.nextHoldAt = now.Add(holdRetryDelay * time.Duration(min(v.holdFailures, 4)))
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -37,7 +37,7 @@
 			s.machines.Set(m.ID, x)
 		}
 		if x.State != m.State || x.VM != m.VM {
-			s.decided(Decision{Kind: MachineSeen, VM: m.VM, Reason: string(m.ID) + " " + string(m.State)})
+			s.reportDecision(Decision{Kind: MachineSeen, VM: m.VM, Reason: string(m.ID) + " " + string(m.State)})
 		}
 		x.Machine, x.listedAt = m, requestedAt
 		if v := s.vms.Get(m.VM); v != nil {
--- a/core/schedule/maintenance.go
+++ b/core/schedule/maintenance.go
@@ -39,7 +39,7 @@
 		x.done[id] = true
 	}
 	s.waves.Set(w.Number, x)
-	s.decided(Decision{Kind: WaveChanged, Reason: "begun"})
+	s.reportDecision(Decision{Kind: WaveChanged, Reason: "begun"})
 }
 
 // advanceWaves advances each wave: it empties machines, orders their maintenance and waits for
@@ -103,7 +103,7 @@
 // completeWave publishes the wave as completed.
 func (s *Scheduler) completeWave(now time.Time, w *waveState) {
 	w.publishedState = job.WaveCompleted
-	s.decided(Decision{Kind: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
+	s.reportDecision(Decision{Kind: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
 	s.emit(PublishWave{Number: w.Number, State: job.WaveCompleted})
 }
 
@@ -151,7 +151,7 @@
 	m.answeredAt = now
 	switch {
 	case outcome == Answered && refusal == job.MachineAccepted:
-		s.decided(Decision{Kind: MachineMaintained, VM: m.orderedVM, Reason: string(m.ID)})
+		s.reportDecision(Decision{Kind: MachineMaintained, VM: m.orderedVM, Reason: string(m.ID)})
 		if v := s.vms.Get(m.orderedVM); v != nil {
 			s.endLife(now, v, "machine is in upkeep")
 		}
@@ -261,7 +261,7 @@
 		if i == r.task.Index {
 			continue
 		}
-		x := t.live()
+		x := t.activeRun()
 		if x == nil || x.percent < 100 || x.phase != runConfirmed || x.vm.silent || s.mayBeStopping(now, x) {
 			unavailable++
 		}
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -57,7 +57,7 @@
 	if v := s.vms.Get(m.VM); v != nil {
 		v.cordoned = true
 	}
-	s.decided(Decision{Kind: MachineMoved, VM: m.VM, Reason: string(x.Machine) + " " + string(x.From) + " to " + string(x.To)})
+	s.reportDecision(Decision{Kind: MachineMoved, VM: m.VM, Reason: string(x.Machine) + " " + string(x.From) + " to " + string(x.To)})
 	s.orderMachine(now, x.Machine, Move{Machine: x.Machine, Pool: x.To})
 }
 
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -57,7 +57,7 @@
 	j := h.newJob("long", pairStep, after)
 	h.completeStep(j, 0, 4*time.Second, 4*time.Second)
 	assertNear(t, h.s.remainingTime(j, j.occurrences[0]), 4*time.Second)
-	due, _ := h.s.objective(j)
+	due, _ := h.s.predictObjective(j)
 	assertNear(t, due.Sub(j.arrived), 8*time.Second*16/10+time.Second)
 }
 
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -78,7 +78,7 @@
 // rateJob returns the rating of the job, which may be up to ratingInterval old.
 func (s *Scheduler) rateJob(now time.Time, j *jobState) candidate {
 	if j.ratedAt.IsZero() || now.Sub(j.ratedAt) >= ratingInterval {
-		j.objective, j.lateLimit = s.objective(j)
+		j.objective, j.lateLimit = s.predictObjective(j)
 		j.rating, j.ratedAt = s.newCandidate(now, j), now
 	}
 	return j.rating
@@ -90,7 +90,7 @@
 	if j.longRunning {
 		return c
 	}
-	remaining, total := s.work(j)
+	remaining, total := s.predictWork(j)
 	mean := s.queueStats(j.Terms.Queue).meanWork
 	relative := 1.0
 	if mean > 0 {
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -18,10 +18,10 @@
 	paceMinPercent  = 10
 )
 
-// pace slows down the spare-CPU tasks on a VM when a serving task there comes near its latency
+// adjustPace slows down the spare-CPU tasks on a VM when a serving task there comes near its latency
 // target. Placement keeps the two apart; they share a VM only when the serving task fits
 // on no other.
-func (s *Scheduler) pace(now time.Time, v *vmState) {
+func (s *Scheduler) adjustPace(now time.Time, v *vmState) {
 	if now.Before(v.nextPaceAt) || v.silent {
 		return
 	}
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -277,7 +277,7 @@
 		v := s.vms.Get(id)
 		v.vacating = true
 		if !wasVacating[id] {
-			s.decided(Decision{Kind: VMVacated, VM: id, Reason: string(v.pool)})
+			s.reportDecision(Decision{Kind: VMVacated, VM: id, Reason: string(v.pool)})
 		}
 	}
 }
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -68,7 +68,7 @@
 	case t.done:
 		reason = "task is done"
 	}
-	s.decided(Decision{Kind: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: reason})
+	s.reportDecision(Decision{Kind: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: reason})
 }
 
 // applyEnd applies an end to its task and reports whether it must be stored.
@@ -83,7 +83,7 @@
 	if j == nil {
 		return false
 	}
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskEnded, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: e.How.String(),
 		Age: ranFor, After: now.Sub(j.arrived),
 	})
@@ -242,9 +242,9 @@
 		r.reservation, r.cost, r.account = st.def.Reservation(), st.def.Resources, j.Terms.Account
 		r.setKind(st.def)
 	}
-	wanted := j != nil && !j.over() && !t.done && (t.live() == nil || st.def.Speculative)
+	wanted := j != nil && !j.over() && !t.done && (t.activeRun() == nil || st.def.Speculative)
 	s.addRun(r, st, t)
-	s.decided(Decision{Kind: TaskAdopted, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
+	s.reportDecision(Decision{Kind: TaskAdopted, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
 	if !wanted {
 		s.stopRun(now, r, "no longer wanted")
 		return
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -7,19 +7,19 @@
 	"lavenderpond/core/job"
 )
 
-// sendPlanned sends the planned starts whose saves are stored.
-func (s *Scheduler) sendPlanned(now time.Time) {
+// sendPlannedStarts sends the planned starts whose saves are stored.
+func (s *Scheduler) sendPlannedStarts(now time.Time) {
 	s.plannedStarts = slices.DeleteFunc(s.plannedStarts, func(r *run) bool {
 		if r.requiredSave > s.storedSequence {
 			return false
 		}
-		s.send(now, r)
+		s.sendStart(now, r)
 		return true
 	})
 }
 
-// send sends a planned start, or releases the run if the task may not start any more.
-func (s *Scheduler) send(now time.Time, r *run) {
+// sendStart sends a planned start, or releases the run if the task may not start any more.
+func (s *Scheduler) sendStart(now time.Time, r *run) {
 	v := r.vm
 	if v.runs.Get(runKey{r.task, r.attempt}) != r {
 		return
@@ -35,7 +35,7 @@
 	r.resumed = t.checkpoint != ""
 	r.startBy = v.clock.Estimate(now) + job.VMClock(startWindow.Milliseconds())
 	v.leaseEnd = max(v.leaseEnd, r.startBy)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.lastAnswer),
 		After: now.Sub(j.arrived),
 	})
@@ -145,7 +145,7 @@
 
 // freeRun releases a run that ended without being listed as ended.
 func (s *Scheduler) freeRun(now time.Time, r *run, reason string) {
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 		Age: now.Sub(r.vm.lastAnswer),
 	})
@@ -166,7 +166,7 @@
 	r.stopping = true
 	r.vm.stoppingRuns++
 	r.resendStopAt = now.Add(stopRetryDelay)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 	})
 	s.emit(r.vm.stopOrder(r))
@@ -223,7 +223,7 @@
 		return
 	}
 	s.markBegun(j)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskStarted, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
 		Age: now.Sub(r.orderedAt), After: now.Sub(j.arrived),
 	})
@@ -299,7 +299,7 @@
 	if outcome == Answered {
 		reason = refusal.String()
 	}
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskNotBegun, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 		Age: now.Sub(r.orderedAt),
 	})
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -58,7 +58,7 @@
 // waited for them.
 func (s *Scheduler) SavesStored(now time.Time, sequence int64) {
 	s.storedSequence = max(s.storedSequence, sequence)
-	s.sendPlanned(now)
+	s.sendPlannedStarts(now)
 	s.sendPendingOrders(now)
 	for _, v := range s.vms.All() {
 		v.advanceAcknowledged(s.storedSequence)
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -155,8 +155,8 @@
 // emit issues a command.
 func (s *Scheduler) emit(c Command) { s.commands = append(s.commands, c) }
 
-// decided reports a decision to the observer, if there is one.
-func (s *Scheduler) decided(d Decision) {
+// reportDecision reports a decision to the observer, if there is one.
+func (s *Scheduler) reportDecision(d Decision) {
 	if s.settings.Observer != nil {
 		s.settings.Observer.Decided(d)
 	}
@@ -203,10 +203,10 @@
 		st.restore(p)
 		st.takenOver = inherited && len(p.VMs) > 0
 	}
-	st.objective, st.lateLimit = s.objective(st)
+	st.objective, st.lateLimit = s.predictObjective(st)
 	if !st.longRunning && !inherited {
 		st.beyondShare = s.config != nil && s.shares.exceeds(now, s.config.Account(j.Terms.Account))
-		remaining, total := s.work(st)
+		remaining, total := s.predictWork(st)
 		s.poolStats(s.pool(st)).addArrival(now, remaining)
 		s.queueStats(j.Terms.Queue).addJob(total)
 	}
@@ -214,9 +214,9 @@
 	if st.takenOver {
 		s.restoreStarts(now, st, p)
 	}
-	s.decided(Decision{Kind: JobAdopted, Job: j.ID, Reason: string(j.Terms.Queue)})
+	s.reportDecision(Decision{Kind: JobAdopted, Job: j.ID, Reason: string(j.Terms.Queue)})
 	if st.beyondShare {
-		s.decided(Decision{Kind: JobBeyondShare, Job: j.ID, Reason: string(j.Terms.Account)})
+		s.reportDecision(Decision{Kind: JobBeyondShare, Job: j.ID, Reason: string(j.Terms.Account)})
 	}
 }
 
@@ -263,7 +263,7 @@
 	if j == nil || j.over() {
 		return
 	}
-	s.decided(Decision{Kind: JobCancelled, Job: id, After: now.Sub(j.arrived)})
+	s.reportDecision(Decision{Kind: JobCancelled, Job: id, After: now.Sub(j.arrived)})
 	s.finish(now, j, job.Cancelled)
 }
 
@@ -271,7 +271,7 @@
 func (s *Scheduler) finish(now time.Time, j *jobState, state job.State) {
 	j.state, j.endedAt = state, now
 	s.markDirty(j)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: JobEnded, Job: j.ID, Reason: state.String(), After: now.Sub(j.arrived), Slack: j.objective.Sub(now),
 	})
 	for _, o := range j.occurrences {
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -247,7 +247,7 @@
 	}
 }
 
-func newShrinking(t *testing.T, seed uint64, enforcesCapacity bool) *shrinkingFleet {
+func newShrinkingFleet(t *testing.T, seed uint64, enforcesCapacity bool) *shrinkingFleet {
 	f := &shrinkingFleet{harness: newHarness(t), rng: rand.New(rand.NewPCG(seed, 1)), enforcesCapacity: enforcesCapacity, steps: map[job.ID]job.Step{}}
 	for _, id := range []string{"one", "two", "three"} {
 		v := &shrinkingVM{id: id, barredAttempts: map[job.TaskID]job.Attempt{}, lease: 6000}
@@ -266,7 +266,7 @@
 // that don't complete once capacity is free.
 func TestStartsFitShrinkingVMs(t *testing.T) {
 	for seed := range uint64(80) {
-		f := newShrinking(t, seed, seed%2 == 0)
+		f := newShrinkingFleet(t, seed, seed%2 == 0)
 		for round := range 800 {
 			f.disturb(round)
 			f.round()
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -16,7 +16,7 @@
 
 const vmCPU = 32_000
 
-func idle(id, pool string, since time.Duration) sizing.Machine {
+func idleMachine(id, pool string, since time.Duration) sizing.Machine {
 	return sizing.Machine{ID: job.MachineID(id), Pool: job.PoolName(pool), CPU: vmCPU, IdleSince: now.Add(-since)}
 }
 
@@ -29,7 +29,7 @@
 		{Name: "off", Standby: true},
 	}
 	machines := []sizing.Machine{
-		idle("q1", "quiet", time.Second), idle("q2", "quiet", time.Second), idle("q3", "quiet", time.Second), idle("s1", "off", 0),
+		idleMachine("q1", "quiet", time.Second), idleMachine("q2", "quiet", time.Second), idleMachine("q3", "quiet", time.Second), idleMachine("s1", "off", 0),
 	}
 	moves := sizing.Plan(now, pools, machines)
 	assert.Equal(t, fmt.Sprint(moves), "[{q1 quiet burst} {q2 quiet burst} {s1 off burst}]")
@@ -38,7 +38,7 @@
 // A machine that became idle a moment ago stays: its queue's next task is likely on its way.
 func TestRecentlyIdleMachineStays(t *testing.T) {
 	pools := []sizing.Pool{{Name: "burst", Need: 3 * vmCPU}, {Name: "quiet", Have: 2 * vmCPU}}
-	moves := sizing.Plan(now, pools, []sizing.Machine{idle("q1", "quiet", 10*time.Millisecond)})
+	moves := sizing.Plan(now, pools, []sizing.Machine{idleMachine("q1", "quiet", 10*time.Millisecond)})
 	assert.Equal(t, len(moves), 0)
 }
 
@@ -55,7 +55,7 @@
 	}
 	var machines []sizing.Machine
 	for i := range 12 {
-		machines = append(machines, idle(fmt.Sprintf("m%02d", i), "after", 2*time.Second))
+		machines = append(machines, idleMachine(fmt.Sprintf("m%02d", i), "after", 2*time.Second))
 	}
 	to := map[job.PoolName]int{}
 	for _, m := range sizing.Plan(now, pools, machines) {
@@ -124,11 +124,11 @@
 			Name: job.PoolName(name), Need: rng.Int64N(8 * vmCPU), Have: int64(n+rng.IntN(4)) * vmCPU,
 		})
 		for i := range n {
-			machines = append(machines, idle(fmt.Sprintf("%s-%d", name, i), name, time.Second))
+			machines = append(machines, idleMachine(fmt.Sprintf("%s-%d", name, i), name, time.Second))
 		}
 	}
 	for i := range rng.IntN(4) {
-		machines = append(machines, idle(fmt.Sprintf("off-%d", i), "off", time.Second))
+		machines = append(machines, idleMachine(fmt.Sprintf("off-%d", i), "off", time.Second))
 	}
 	return pools, machines
 }
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -123,8 +123,8 @@
 	return !t.done && len(t.runs) == 0 && !t.crashes.limitReached() && !t.mayReachCrashLimit()
 }
 
-// live returns a run of the task that isn't stopping, or nil.
-func (t *taskState) live() *run {
+// activeRun returns a run of the task that isn't stopping, or nil.
+func (t *taskState) activeRun() *run {
 	for _, r := range t.runs {
 		if !r.stopping {
 			return r
--- a/core/schedule/suspect.go
+++ b/core/schedule/suspect.go
@@ -22,7 +22,7 @@
 	}
 	pause := min(suspectPause<<min(v.failedRuns-failuresToSuspect, 4), suspectPauseMax)
 	v.suspectUntil = now.Add(pause)
-	s.decided(Decision{Kind: VMSuspected, VM: v.id, Reason: "consecutive failed runs", Age: pause})
+	s.reportDecision(Decision{Kind: VMSuspected, VM: v.id, Reason: "consecutive failed runs", Age: pause})
 }
 
 // countSuccess resets the VM's count of consecutive failed runs.
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -17,9 +17,9 @@
 			s.repeatStops(now, v)
 		}
 		if v.spareCPURuns > 0 {
-			s.pace(now, v)
+			s.adjustPace(now, v)
 		}
-		s.hold(now, v)
+		s.sendHold(now, v)
 	}
 	s.stopOnDraining(now)
 	s.relocateEvacuated(now)
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -46,7 +46,7 @@
 func (s *Scheduler) VMListed(now time.Time, e job.VMRecord) {
 	v := s.vm(e.ID)
 	if v.firstListedAt.IsZero() {
-		s.decided(Decision{Kind: VMFound, VM: e.ID, Reason: string(e.Pool)})
+		s.reportDecision(Decision{Kind: VMFound, VM: e.ID, Reason: string(e.Pool)})
 		v.nextHoldAt, v.firstListedAt, v.idleSince = now, now, now
 	}
 	if e.Born != 0 && v.born != 0 && e.Born > v.born {
@@ -67,7 +67,7 @@
 	s.updateRoster(v)
 	v.setLabels(e.Labels)
 	if e.Draining && !v.draining {
-		s.decided(Decision{Kind: VMDraining, VM: v.id, Reason: e.RemainingTime.String()})
+		s.reportDecision(Decision{Kind: VMDraining, VM: v.id, Reason: e.RemainingTime.String()})
 	}
 	v.draining = e.Draining
 }
@@ -127,7 +127,7 @@
 		return
 	}
 	v.listed, v.unlistedAt = false, now
-	s.decided(Decision{Kind: VMGone, VM: id})
+	s.reportDecision(Decision{Kind: VMGone, VM: id})
 }
 
 // VMs returns the IDs of the VMs that are currently listed.
@@ -157,7 +157,7 @@
 // 1 again. Unanswered starts may still arrive and be executed, because the new clock is
 // behind their deadlines. They are stopped explicitly before their tasks start elsewhere.
 func (s *Scheduler) vmRestarted(now time.Time, v *vmState, born job.Born) {
-	s.decided(Decision{Kind: VMRestarted, VM: v.id, Reason: fmt.Sprintf("%d ends of the previous life were acknowledged", v.acknowledgedEnd)})
+	s.reportDecision(Decision{Kind: VMRestarted, VM: v.id, Reason: fmt.Sprintf("%d ends of the previous life were acknowledged", v.acknowledgedEnd)})
 	v.born, v.fence = born, s.fence
 	v.clock, v.leaseEnd = lease.Clock{}, 0
 	v.lastEnd, v.acknowledgedEnd, v.unsavedEnds, v.listClock = 0, 0, nil, 0
