--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -13,8 +13,9 @@
 // recently confirmed its ownership.
 func (h *harness) loseOrderRight() { h.s.SetRights(Rights{StartTasks: true, ExtendLeases: true}) }
 
-// Guards against a former owner that starts a task again elsewhere because it can't reach
-// the task's VM. The present owner may have acknowledged the end there.
+// Guards against a former owner that starts a task again elsewhere because the lease of its
+// unreachable VM has expired. The present owner may have reached the VM and acknowledged the
+// task's end, which the VM then deleted.
 func TestFormerOwnerRestartsNoTaskAfterLeaseExpiry(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
 	c.addJob("j", "free", smallStep)
@@ -35,8 +36,8 @@
 	assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that starts a task again because its VM has restarted.
-// The end may have been acknowledged before.
+// Guards against a former owner that starts a task again because its VM has restarted. The
+// present owner may have read the task's end before the restart.
 func TestFormerOwnerRestartsNoTaskOfRestartedVM(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
 	c.addJob("j", "free", smallStep)
@@ -52,8 +53,8 @@
 	assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that assumes an unreachable VM to be free. The present
-// owner may have found tasks there.
+// Guards against a former owner that starts a job's tasks elsewhere because no lease can last
+// any more on a VM that it never reached. The present owner may have found the tasks there.
 func TestFormerOwnerStartsNoTaskThatMayRunOnUnreportedVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -155,8 +155,8 @@
 	return longest
 }
 
-// predictObjective predicts when the job is due, and the limit after which its result is of no use to
-// its caller.
+// predictObjective predicts when the job is due, and the limit after which its result is of no
+// use to its caller.
 func (s *Scheduler) predictObjective(j *jobState) (due, lateLimit time.Time) {
 	stretch := j.Terms.Stretch
 	if stretch <= 0 {
@@ -166,7 +166,8 @@
 	return j.arrived.Add(allowed), j.arrived.Add(lateLimitFactor * allowed)
 }
 
-// predictWork predicts the core-seconds that the job still needs, and those that it needs in total.
+// predictWork predicts the core-seconds that the job still needs, and those that it needs in
+// total.
 func (s *Scheduler) predictWork(j *jobState) (remaining, total float64) {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -18,9 +18,9 @@
 	paceMinPercent  = 10
 )
 
-// adjustPace slows down the spare-CPU tasks on a VM when a serving task there comes near its latency
-// target. Placement keeps the two apart; they share a VM only when the serving task fits
-// on no other.
+// adjustPace slows down the spare-CPU tasks on a VM when a serving task there comes near its
+// latency target. Placement keeps the two apart; they share a VM only when the serving task
+// fits on no other.
 func (s *Scheduler) adjustPace(now time.Time, v *vmState) {
 	if now.Before(v.nextPaceAt) || v.silent {
 		return
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -55,7 +55,8 @@
 	v.unsavedEnds = append(v.unsavedEnds, unsavedEnd{number: e.Number, save: save})
 }
 
-// reportRedundantEnd reports an end that has no effect because another event came first.
+// reportRedundantEnd reports an end that changes nothing, because its job is over, its task is
+// done or the failed run was counted before.
 func (s *Scheduler) reportRedundantEnd(v *vmState, e job.End) {
 	j, _, st, t := s.task(e.Task)
 	if j == nil || st.def.LongRunning || (e.How != job.EndedDone && e.How != job.EndedFailed) {
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -8,7 +8,7 @@
 // lists its running tasks and the ends of those that have ended. The owner acknowledges an end
 // once its consequences are stored, and the VM then deletes the end. A VM that leaves a hold
 // unanswered is silent: its tasks may still be running, and are started elsewhere only once its
-// lease has expired or the VM is known to have crashed.
+// lease has expired or the VM is known to have crashed or been shut down.
 package schedule
 
 import (
@@ -23,17 +23,17 @@
 type Settings struct {
 	// Fence is the fencing token that lets VMs refuse the orders of former owners.
 	Fence job.Fence
-	// AttemptBase is below every attempt number of this owner and above those of all former
-	// owners.
+	// AttemptBase is less than every attempt number of this owner and greater than those of
+	// all former owners.
 	AttemptBase job.Attempt
-	// TookOver is when this owner took over.
+	// TookOver is when this owner took over the fleet.
 	TookOver time.Time
 	// LeaseMax is the longest lease that a VM grants.
 	LeaseMax time.Duration
 	// TaskStopMax is the longest time that a task takes to stop.
 	TaskStopMax time.Duration
-	// ShrinkNotice is how long a VM's former capacity may still be relied on after it has
-	// shrunk; 0 means without limit.
+	// ShrinkNotice is how long after a VM has shrunk starts may still rely on the capacity that
+	// it had before; 0 means without limit.
 	ShrinkNotice time.Duration
 	// MachineLease is how long this owner doesn't order a machine after an order of another
 	// issuer.
@@ -155,7 +155,7 @@
 // emit issues a command.
 func (s *Scheduler) emit(c Command) { s.commands = append(s.commands, c) }
 
-// reportDecision reports a decision to the observer, if there is one.
+// reportDecision passes a decision to the observer, if there is one.
 func (s *Scheduler) reportDecision(d Decision) {
 	if s.settings.Observer != nil {
 		s.settings.Observer.Decided(d)
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -35,7 +35,8 @@
 	assert.Equal(t, fmt.Sprint(moves), "[{q1 quiet burst} {q2 quiet burst} {s1 off burst}]")
 }
 
-// A machine that became idle a moment ago stays: its queue's next task is likely on its way.
+// Guards against moving a machine that became idle a moment ago: the next task of a queue that
+// uses its pool is probably on its way.
 func TestRecentlyIdleMachineStays(t *testing.T) {
 	pools := []sizing.Pool{{Name: "burst", Need: 3 * vmCPU}, {Name: "quiet", Have: 2 * vmCPU}}
 	moves := sizing.Plan(now, pools, []sizing.Machine{idleMachine("q1", "quiet", 10*time.Millisecond)})
