--- a/core/schedule/approval.go
+++ b/core/schedule/approval.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	st.approvalRequested, st.approvalRetryAt = true, a.now.Add(approvalRetryDelay)
-	a.s.emit(RequestTickets{Step: job.StepID{Job: j.ID, Occurrence: o.number, Step: i}, VMs: vms})
+	a.s.emit(RequestApproval{Step: job.StepID{Job: j.ID, Occurrence: o.index, Step: i}, VMs: vms})
 	return false
 }
 
@@ -40,12 +40,12 @@
 	approvalMaxVMs = 30
 	// approvalRetryDelay is the pause before an approval request without an answer is repeated.
 	approvalRetryDelay = time.Second
-	// ticketExpiryMargin is how long before their expiry tickets are no longer used.
+	// ticketExpiryMargin is how long before they expire tickets are no longer used.
 	ticketExpiryMargin = 200 * time.Millisecond
 )
 
-// ApprovalAnswered handles the answer on which VMs may run a step. Without tickets, the request
-// has failed.
+// ApprovalAnswered handles the answer to a RequestApproval command. tickets holds a ticket for
+// each approved VM. Without tickets, the request has failed.
 func (s *Scheduler) ApprovalAnswered(now time.Time, id job.StepID, tickets map[job.VMID]string, valid time.Duration) {
 	_, _, st, _ := s.task(job.TaskID{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 	if st == nil {
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -13,59 +13,60 @@
 // recently confirmed its ownership.
 func (h *harness) loseOrderRight() { h.s.SetRights(Rights{StartTasks: true, ExtendLeases: true}) }
 
-// Guards against a former owner that starts a task again elsewhere because it can't reach
-// the task's VM. The present owner may have acknowledged the end there.
+// Guards against a former owner that starts a task again elsewhere because the lease of its
+// unreachable VM has expired. The present owner may have reached the VM and acknowledged the
+// task's end, which the VM then deleted.
 func TestFormerOwnerRestartsNoTaskAfterLeaseExpiry(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
-	c.job("j", "free", small)
+	c.addJob("j", "free", smallStep)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
 	assert.Assert(t, ok)
 	c.confirm(o)
-	c.step(30 * time.Millisecond)
+	c.advance(30 * time.Millisecond)
 	c.full = true
 	c.silence(o.VM, 5*time.Second)
 	c.loseOrderRight()
 	c.full = false
 	for range 20 {
-		c.listAll(o.VM)
-		assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
+		c.answerAllHolds(o.VM)
+		assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 0)
 	}
 	c.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	c.listAll(o.VM)
-	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
+	c.answerAllHolds(o.VM)
+	assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that starts a task again because its VM has restarted.
-// The end may have been acknowledged before.
+// Guards against a former owner that starts a task again because its VM has restarted. The
+// present owner may have read the task's end before the restart.
 func TestFormerOwnerRestartsNoTaskOfRestartedVM(t *testing.T) {
 	c := newCrashHarness(t, "one", "two")
-	c.job("j", "free", small)
+	c.addJob("j", "free", smallStep)
 	o, ok := c.startOf(job.TaskID{Job: "j"})
 	assert.Assert(t, ok)
 	c.confirm(o)
 	c.loseOrderRight()
 	c.crash(o.VM)
 	for range 20 {
-		assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 0)
+		assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 0)
 	}
 	c.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	assert.Equal(t, len(only[Start](c.step(100*time.Millisecond))), 1)
+	assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that assumes an unreachable VM to be free. The present
-// owner may have found tasks there.
+// Guards against a former owner that starts a job's tasks elsewhere because no lease can last
+// any more on a VM that it never reached. The present owner may have found the tasks there.
 func TestFormerOwnerStartsNoTaskThatMayRunOnUnreportedVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
 	h.ready("one")
-	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{small}}}
+	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{smallStep}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
 	h.loseOrderRight()
 	for range 110 {
-		h.lists("one", nil)
-		assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 0)
+		h.answerHold("one", nil)
+		assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0)
 	}
 	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	h.lists("one", nil)
-	assert.Equal(t, len(only[Start](h.step(100*time.Millisecond))), 1)
+	h.answerHold("one", nil)
+	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 1)
 }
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -10,20 +10,21 @@
 	"lavenderpond/core/job"
 )
 
-// harness feeds events to a scheduler and collects its commands.
+// harness feeds events to a scheduler and collects its commands. It simulates VMs that hold 8
+// cores each and share one clock.
 type harness struct {
 	t   testing.TB
 	s   *Scheduler
 	now time.Time
 }
 
-// begin is the time at which each test starts.
+// begin is the time of the takeover, at which each test starts.
 var begin = time.Unix(1_800_000_000, 0)
 
-// poolA is the pool of the tests' queue, and off a standby pool.
+// poolA is the pool of the tests' queue, and poolOff a standby pool.
 const (
-	poolA = job.PoolName("a")
-	off   = job.PoolName("off")
+	poolA   = job.PoolName("a")
+	poolOff = job.PoolName("off")
 )
 
 // newHarness returns a harness with a configuration and all rights.
@@ -36,7 +37,7 @@
 	c := &job.Configuration{
 		Version:  1,
 		Queues:   []job.Queue{{Name: "q", Pool: poolA, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}},
-		Pools:    []job.Pool{{Name: poolA}, {Name: off, Standby: true}},
+		Pools:    []job.Pool{{Name: poolA}, {Name: poolOff, Standby: true}},
 		Accounts: []job.Account{{Name: "capped", Quota: job.Resources{CPU: 5000}}, {Name: "free"}},
 	}
 	c.Index()
@@ -45,9 +46,9 @@
 	return h
 }
 
-// step advances the time by d and returns the commands of three rounds. Saves are stored
+// advance moves the time forward by d and returns the commands of three rounds. Saves are stored
 // immediately.
-func (h *harness) step(d time.Duration) []Command {
+func (h *harness) advance(d time.Duration) []Command {
 	h.now = h.now.Add(d)
 	var out []Command
 	for range 3 {
@@ -72,7 +73,7 @@
 // listVM feeds a VM's directory entry to the scheduler.
 func (h *harness) listVM(id string) { h.listVMInZone(id, "") }
 
-// listVMInZone is seen for a VM in an availability zone.
+// listVMInZone is listVM for a VM in an availability zone.
 func (h *harness) listVMInZone(id string, zone job.ZoneName) {
 	h.s.VMListed(h.now, job.VMRecord{
 		ID: job.VMID(id), Pool: poolA, Address: id, Zone: zone, Capacity: job.Resources{CPU: 8000, MemMB: 8000},
@@ -83,33 +84,33 @@
 // clock returns the clock reading of all VMs.
 func (h *harness) clock() job.VMClock { return job.VMClock(h.now.Sub(begin).Milliseconds()) + 1000 }
 
-// lists answers a hold of the VM with the given lists.
-func (h *harness) lists(id string, running []job.RunningTask, ended ...job.End) {
+// answerHold answers a hold of the VM with the given lists.
+func (h *harness) answerHold(id string, running []job.RunningTask, ended ...job.End) {
 	h.s.HoldAnswered(h.now, Hold{VM: job.VMID(id)}, Answered, job.Report{
 		Clock: h.clock(), Born: 1, Lists: true, Running: running, Finished: ended,
 	})
 }
 
-// ready lets VMs appear and answer a hold, after which they accept tasks.
+// ready lists VMs and lets them answer a hold, after which they accept tasks.
 func (h *harness) ready(ids ...string) {
 	for _, id := range ids {
 		h.listVM(id)
 	}
-	h.step(0)
+	h.advance(0)
 	for _, id := range ids {
-		h.lists(id, nil)
+		h.answerHold(id, nil)
 	}
-	h.step(30 * time.Millisecond)
+	h.advance(30 * time.Millisecond)
 }
 
-// job adds a job of the given steps.
-func (h *harness) job(id string, account job.AccountName, steps ...job.Step) {
+// addJob adds a job of the given steps.
+func (h *harness) addJob(id string, account job.AccountName, steps ...job.Step) {
 	j := job.Job{ID: job.ID(id), Body: job.Body{Spec: "x", Steps: steps}}
 	j.Terms = job.Terms{Queue: "q", Pool: poolA, Account: account, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: time.Second}
 	h.s.AddJob(h.now, j, nil, false)
 }
 
-// confirm answers a start positively.
+// confirm answers a start: the VM has started the task.
 func (h *harness) confirm(c Start) {
 	h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1})
 }
@@ -138,5 +139,5 @@
 	return out[0]
 }
 
-// small is a step of one short task.
-var small = job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
+// smallStep is a step of one short task.
+var smallStep = job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
--- a/core/schedule/machine.go
+++ b/core/schedule/machine.go
@@ -37,7 +37,7 @@
 			s.machines.Set(m.ID, x)
 		}
 		if x.State != m.State || x.VM != m.VM {
-			s.decided(Decision{Kind: MachineSeen, VM: m.VM, Reason: string(m.ID) + " " + string(m.State)})
+			s.reportDecision(Decision{Kind: MachineSeen, VM: m.VM, Reason: string(m.ID) + " " + string(m.State)})
 		}
 		x.Machine, x.listedAt = m, requestedAt
 		if v := s.vms.Get(m.VM); v != nil {
@@ -55,24 +55,25 @@
 	}
 }
 
-// endReplacedLife frees the runs of a VM whose machine is listed with a newer life. A machine
-// has one life at a time, so the older one has ended. After a crash this frees the tasks
-// seconds before the VM's lease expires.
+// endReplacedLife frees the runs of a VM whose machine is listed with a VM that booted later
+// under another ID. A machine hosts one VM at a time, so the older one is gone. After a crash
+// this frees the tasks seconds before the lease of the older VM expires.
 func (s *Scheduler) endReplacedLife(requestedAt time.Time, v *vmState) {
 	m := v.host
 	if m == nil || m.VM == "" || m.VM == v.id || !v.firstListedAt.Before(requestedAt) {
 		return
 	}
-	// The list lags and may show the life before this one. The directory tells which of the two
-	// is newer.
+	// The list lags and may show the VM that the machine hosted before this one. The directory
+	// tells which of the two booted later.
 	if other := s.vms.Get(m.VM); other == nil || !other.listed || other.born <= v.born {
 		return
 	}
 	s.endLife(requestedAt, v, "machine runs a newer VM life")
 }
 
-// endLife handles the end of a VM's life once that is certain.
-func (s *Scheduler) endLife(now time.Time, v *vmState, why string) {
+// endLife handles a VM that has certainly crashed or been shut down. It releases the planned
+// runs, and frees those that the VM had confirmed or that are known only from a record.
+func (s *Scheduler) endLife(now time.Time, v *vmState, reason string) {
 	v.inheritedUntil = time.Time{}
 	v.lifeEnded = true
 	s.countExpiredRunCrashes(now, v)
@@ -88,7 +89,7 @@
 		s.countCrash(now, r)
 	}
 	for _, r := range ended {
-		s.freeWithUnknownEnd(now, r, why)
+		s.freeWithUnknownEnd(now, r, reason)
 	}
 }
 
@@ -99,7 +100,7 @@
 		return false
 	}
 	o := s.recentOrders.Get(id)
-	return o.issuer == "" || o.issuer == s.settings.OrderIssuer || now.After(o.at.Add(s.settings.MachineLease+formerOrderSlack))
+	return o.issuer == "" || o.issuer == s.settings.OrderIssuer || now.After(o.givenAt.Add(s.settings.MachineLease+formerOrderSlack))
 }
 
 // pendingOrder is an order for a machine. It is held back until it is stored that the machine
@@ -113,12 +114,12 @@
 // recentOrder is an order that was given to a machine recently.
 type recentOrder struct {
 	issuer string
-	// at is when the order was given, or the time of the takeover if a former owner gave it.
-	at time.Time
+	// givenAt is when the order was given, or the time of the takeover if a former owner gave it.
+	givenAt time.Time
 }
 
 // recentOrderPeriod is how long an order counts as recent. The next owner may order the machine
-// at once after that, so the period covers everything that it would otherwise wait for. It is
+// immediately after that, so the period covers everything that it would otherwise wait for. It is
 // no longer than that: a new owner can't move machines with a recent order, and on a fleet
 // whose queues burst one after the other, most machines are given one within eight seconds.
 func (s *Scheduler) recentOrderPeriod() time.Duration {
@@ -132,7 +133,7 @@
 // orderMachine sends an order as soon as it is stored that the machine has one.
 func (s *Scheduler) orderMachine(now time.Time, id job.MachineID, c Command) {
 	s.pruneOrders(now)
-	s.recentOrders.Set(id, recentOrder{issuer: s.settings.OrderIssuer, at: now})
+	s.recentOrders.Set(id, recentOrder{issuer: s.settings.OrderIssuer, givenAt: now})
 	s.dirtyOrders = append(s.dirtyOrders, id)
 	s.pendingOrders = append(s.pendingOrders, pendingOrder{saveSequence: s.nextSaveSequence(), machine: id, command: c})
 }
@@ -147,7 +148,7 @@
 	}
 	s.nextPruneOrders = now.Add(pruneOrdersInterval)
 	for id, o := range s.recentOrders.All() {
-		if now.Sub(o.at) > s.recentOrderPeriod() {
+		if now.Sub(o.givenAt) > s.recentOrderPeriod() {
 			s.recentOrders.Delete(id)
 			s.dirtyOrders = append(s.dirtyOrders, id)
 		}
@@ -169,7 +170,7 @@
 		if s.rights.OrderMachines && (v == nil || v.runs.Len() == 0) {
 			// The order's age counts from its sending and not from the decision: when the table
 			// is slow, seconds lie between them.
-			s.recentOrders.Set(o.machine, recentOrder{issuer: s.settings.OrderIssuer, at: now})
+			s.recentOrders.Set(o.machine, recentOrder{issuer: s.settings.OrderIssuer, givenAt: now})
 			s.emit(o.command)
 			return true
 		}
--- a/core/schedule/maintenance.go
+++ b/core/schedule/maintenance.go
@@ -24,7 +24,7 @@
 	// cordonAhead is how many machines beyond the wave's limit are emptied in advance, so that
 	// the next one is empty when one comes back.
 	cordonAhead = 1
-	// machineRetryDelay is the pause before an order that wasn't carried out is repeated.
+	// machineRetryDelay is the pause before an order that wasn't executed is repeated.
 	machineRetryDelay = 500 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 		x.done[id] = true
 	}
 	s.waves.Set(w.Number, x)
-	s.decided(Decision{Kind: WaveChanged, Reason: "begun"})
+	s.reportDecision(Decision{Kind: WaveChanged, Reason: "begun"})
 }
 
 // advanceWaves advances each wave: it empties machines, orders their maintenance and waits for
@@ -103,7 +103,7 @@
 // completeWave publishes the wave as completed.
 func (s *Scheduler) completeWave(now time.Time, w *waveState) {
 	w.publishedState = job.WaveCompleted
-	s.decided(Decision{Kind: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
+	s.reportDecision(Decision{Kind: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
 	s.emit(PublishWave{Number: w.Number, State: job.WaveCompleted})
 }
 
@@ -142,7 +142,7 @@
 }
 
 // MaintainAnswered handles the outcome of an order for maintenance.
-func (s *Scheduler) MaintainAnswered(now time.Time, c Maintain, out Outcome, why job.MachineRefusal) {
+func (s *Scheduler) MaintainAnswered(now time.Time, c Maintain, outcome Outcome, refusal job.MachineRefusal) {
 	m, w := s.machines.Get(c.Machine), s.waves.Get(c.Wave)
 	if m == nil || w == nil {
 		return
@@ -150,18 +150,18 @@
 	m.awaitingAnswer = false
 	m.answeredAt = now
 	switch {
-	case out == Answered && why == job.MachineAccepted:
-		s.decided(Decision{Kind: MachineMaintained, VM: m.orderedVM, Reason: string(m.ID)})
+	case outcome == Answered && refusal == job.MachineAccepted:
+		s.reportDecision(Decision{Kind: MachineMaintained, VM: m.orderedVM, Reason: string(m.ID)})
 		if v := s.vms.Get(m.orderedVM); v != nil {
 			s.endLife(now, v, "machine is in upkeep")
 		}
-	case out == Unanswered:
-		// The order may be carried out later, so it is repeated until its outcome is known.
+	case outcome == Unanswered:
+		// The order may be executed later, so it is repeated until its outcome is known.
 		m.retryAt = now.Add(machineRetryDelay)
-	case out == NotDone:
+	case outcome == NotDone:
 		delete(w.inMaintenance, m.ID)
 		m.retryAt = now.Add(machineRetryDelay)
-	case why == job.MachineOtherWave:
+	case refusal == job.MachineOtherWave:
 		delete(w.inMaintenance, m.ID)
 		w.done[m.ID] = true
 	default:
@@ -224,10 +224,10 @@
 
 // relocateLongRunning moves long-running tasks off a VM, as far as the disruption budgets of
 // their steps allow.
-func (s *Scheduler) relocateLongRunning(now time.Time, v *vmState, why string) {
+func (s *Scheduler) relocateLongRunning(now time.Time, v *vmState, reason string) {
 	for _, r := range v.runs.All() {
 		if s.mayRelocate(now, r) {
-			s.stopRun(now, r, why)
+			s.stopRun(now, r, reason)
 		}
 	}
 }
@@ -244,8 +244,8 @@
 }
 
 // mayBeStopping reports whether a former owner may have ordered the run to stop. The VM lists
-// such a run as running until it has stopped; once this returns false, the VM's list would show
-// its end.
+// the run as running until it has stopped. mayBeStopping returns false once so much time has
+// passed since the VM's first report that a stopped run would be listed as ended.
 func (s *Scheduler) mayBeStopping(now time.Time, r *run) bool {
 	return r.adopted && now.Before(r.vm.firstReportedAt.Add(s.settings.TaskStopMax+busyHoldWait))
 }
@@ -261,7 +261,7 @@
 		if i == r.task.Index {
 			continue
 		}
-		x := t.live()
+		x := t.activeRun()
 		if x == nil || x.percent < 100 || x.phase != runConfirmed || x.vm.silent || s.mayBeStopping(now, x) {
 			unavailable++
 		}
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -29,7 +29,7 @@
 	// time. Estimates are off by up to 0.9 of a log unit; run times of a queue vary by about
 	// half of one.
 	estimateWeight = 0.25
-	// minSamples is the number of samples from which learned values are used.
+	// minSamples is how many samples a learned value needs before it is used.
 	minSamples = 10
 	// minRunSeconds keeps the logarithms of run times finite.
 	minRunSeconds = 0.01
@@ -155,9 +155,9 @@
 	return longest
 }
 
-// objective predicts when the job is due, and the limit after which its result is of no use to
-// its caller.
-func (s *Scheduler) objective(j *jobState) (due, lateLimit time.Time) {
+// predictObjective predicts when the job is due, and the limit after which its result is of no
+// use to its caller.
+func (s *Scheduler) predictObjective(j *jobState) (due, lateLimit time.Time) {
 	stretch := j.Terms.Stretch
 	if stretch <= 0 {
 		stretch = defaultStretch
@@ -166,15 +166,16 @@
 	return j.arrived.Add(allowed), j.arrived.Add(lateLimitFactor * allowed)
 }
 
-// work predicts the core-seconds that the job still needs, and those that it needs in total.
-func (s *Scheduler) work(j *jobState) (left, all float64) {
+// predictWork predicts the core-seconds that the job still needs, and those that it needs in
+// total.
+func (s *Scheduler) predictWork(j *jobState) (remaining, total float64) {
 	for _, o := range j.occurrences {
 		for i := range o.steps {
 			st := o.steps[i].def
-			one := float64(st.Resources.CPU) / 1000 * s.predictRunTime(j, st).Seconds()
-			all += one * float64(st.Count)
-			left += one * float64(st.Count-o.steps[i].done)
+			perTask := float64(st.Resources.CPU) / 1000 * s.predictRunTime(j, st).Seconds()
+			total += perTask * float64(st.Count)
+			remaining += perTask * float64(st.Count-o.steps[i].doneTasks)
 		}
 	}
-	return left, all
+	return remaining, total
 }
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -16,7 +16,7 @@
 	// rankInTime: the job can complete by its objective.
 	rankInTime
 	// rankLate: the job can only complete after its objective but before its late limit, when
-	// it is worth a small part of its value.
+	// its result is worth only a fraction of its value.
 	rankLate
 	// rankBeyondShare: the job's account has submitted more than its share.
 	rankBeyondShare
@@ -78,7 +78,7 @@
 // rateJob returns the rating of the job, which may be up to ratingInterval old.
 func (s *Scheduler) rateJob(now time.Time, j *jobState) candidate {
 	if j.ratedAt.IsZero() || now.Sub(j.ratedAt) >= ratingInterval {
-		j.objective, j.lateLimit = s.objective(j)
+		j.objective, j.lateLimit = s.predictObjective(j)
 		j.rating, j.ratedAt = s.newCandidate(now, j), now
 	}
 	return j.rating
@@ -90,13 +90,13 @@
 	if j.longRunning {
 		return c
 	}
-	left, all := s.work(j)
+	remaining, total := s.predictWork(j)
 	mean := s.queueStats(j.Terms.Queue).meanWork
 	relative := 1.0
 	if mean > 0 {
-		relative = all / mean
+		relative = total / mean
 	}
-	c.density = (valueBase + valuePerRelativeWork*relative) / max(left, minRemainingWork)
+	c.density = (valueBase + valuePerRelativeWork*relative) / max(remaining, minRemainingWork)
 	ready := now.Add(s.remainingTime(j, j.currentOccurrence()))
 	switch {
 	case !ready.After(j.objective):
@@ -115,7 +115,7 @@
 // currentOccurrence returns the first occurrence that isn't complete.
 func (j *jobState) currentOccurrence() *occurrence {
 	for _, o := range j.occurrences {
-		if o.done < len(o.steps) {
+		if o.doneSteps < len(o.steps) {
 			return o
 		}
 	}
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -12,7 +12,7 @@
 const expiredRunRetention = 30 * time.Second
 
 // countExpiredRunCrashes counts a crash for the runs that were freed when the VM's lease
-// expired, once its life is known to have ended.
+// expired, once the VM is known to have crashed.
 func (s *Scheduler) countExpiredRunCrashes(now time.Time, v *vmState) {
 	for _, r := range v.expiredRuns {
 		s.countCrash(now, r)
@@ -88,7 +88,7 @@
 			reservation: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account, pacePercent: 100,
 		}
 		r.setKind(st.def)
-		t.attempt = max(t.attempt, x.Attempt)
+		t.lastAttempt = max(t.lastAttempt, x.Attempt)
 		switch {
 		case x.Born != 0 && v.born > x.Born:
 			s.countCrash(now, r)
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -55,7 +55,8 @@
 	v.unsavedEnds = append(v.unsavedEnds, unsavedEnd{number: e.Number, save: save})
 }
 
-// reportRedundantEnd reports an end that has no effect because another event came first.
+// reportRedundantEnd reports an end that changes nothing, because its job is over, its task is
+// done or the failed run was counted before.
 func (s *Scheduler) reportRedundantEnd(v *vmState, e job.End) {
 	j, _, st, t := s.task(e.Task)
 	if j == nil || st.def.LongRunning || (e.How != job.EndedDone && e.How != job.EndedFailed) {
@@ -68,7 +69,7 @@
 	case t.done:
 		reason = "task is done"
 	}
-	s.decided(Decision{Kind: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: reason})
+	s.reportDecision(Decision{Kind: EndRedundant, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: reason})
 }
 
 // applyEnd applies an end to its task and reports whether it must be stored.
@@ -83,7 +84,7 @@
 	if j == nil {
 		return false
 	}
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskEnded, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: e.How.String(),
 		Age: ranFor, After: now.Sub(j.arrived),
 	})
@@ -106,11 +107,11 @@
 	return false
 }
 
-// fullyObserved reports whether this owner has observed the whole run. A run that resumed
-// from a checkpoint or started under a former owner has done part of its work before.
+// fullyObserved reports whether this owner has observed the task's whole work. A run that
+// resumed from a checkpoint or started under a former owner did some of it before.
 func (r *run) fullyObserved() bool { return !r.resumed && !r.adopted }
 
-// ranFor returns how long the run took, or 0 if part of its work was done earlier.
+// ranFor returns how long the run took, or 0 if the run wasn't fully observed.
 func (r *run) ranFor(now time.Time) time.Duration {
 	switch {
 	case !r.fullyObserved():
@@ -135,10 +136,10 @@
 		for i := range st.tasks {
 			st.tasks[i].done = true
 		}
-		st.done = len(st.tasks)
+		st.doneTasks = len(st.tasks)
 	} else {
 		t.done = true
-		st.done++
+		st.doneTasks++
 	}
 	st.recount()
 	j.ratedAt = time.Time{}
@@ -150,12 +151,12 @@
 		return true
 	}
 	s.learnStep(j, st)
-	o.done++
-	if o.done < len(o.steps) {
+	o.doneSteps++
+	if o.doneSteps < len(o.steps) {
 		return true
 	}
-	j.doneCount++
-	if j.doneCount == len(j.occurrences) {
+	j.doneOccurrences++
+	if j.doneOccurrences == len(j.occurrences) {
 		s.finish(now, j, job.Completed)
 	}
 	return true
@@ -169,19 +170,19 @@
 		t.notBefore = now
 		return false
 	}
-	if slices.Contains(t.failed, e.Attempt) {
+	if slices.Contains(t.failedAttempts, e.Attempt) {
 		return false
 	}
 	if st.def.Gang {
 		// A gang fails as a whole, so one count stands for all members.
 		t = &st.tasks[0]
-		if slices.Contains(t.failed, e.Attempt) {
+		if slices.Contains(t.failedAttempts, e.Attempt) {
 			return false
 		}
 	}
-	t.failed = append(t.failed, e.Attempt)
+	t.failedAttempts = append(t.failedAttempts, e.Attempt)
 	s.markDirty(j)
-	if len(t.failed) >= s.maxAttempts(j) {
+	if len(t.failedAttempts) >= s.maxAttempts(j) {
 		s.finish(now, j, job.Failed)
 	}
 	return true
@@ -242,14 +243,14 @@
 		r.reservation, r.cost, r.account = st.def.Reservation(), st.def.Resources, j.Terms.Account
 		r.setKind(st.def)
 	}
-	wanted := j != nil && !j.over() && !t.done && (t.live() == nil || st.def.Speculative)
+	wanted := j != nil && !j.over() && !t.done && (t.activeRun() == nil || st.def.Speculative)
 	s.addRun(r, st, t)
-	s.decided(Decision{Kind: TaskAdopted, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
+	s.reportDecision(Decision{Kind: TaskAdopted, Job: e.Task.Job, Task: e.Task, Attempt: e.Attempt, VM: v.id})
 	if !wanted {
 		s.stopRun(now, r, "no longer wanted")
 		return
 	}
-	t.attempt = max(t.attempt, e.Attempt)
+	t.lastAttempt = max(t.lastAttempt, e.Attempt)
 	if st.def.Gang {
 		st.gangAttempt = max(st.gangAttempt, e.Attempt)
 	}
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -7,19 +7,19 @@
 	"lavenderpond/core/job"
 )
 
-// sendPlanned sends the planned starts whose saves are stored.
-func (s *Scheduler) sendPlanned(now time.Time) {
+// sendPlannedStarts sends the planned starts whose saves are stored.
+func (s *Scheduler) sendPlannedStarts(now time.Time) {
 	s.plannedStarts = slices.DeleteFunc(s.plannedStarts, func(r *run) bool {
 		if r.requiredSave > s.storedSequence {
 			return false
 		}
-		s.send(now, r)
+		s.sendStart(now, r)
 		return true
 	})
 }
 
-// send sends a planned start, or releases the run if the task may not start any more.
-func (s *Scheduler) send(now time.Time, r *run) {
+// sendStart sends a planned start, or releases the run if the task may not start any more.
+func (s *Scheduler) sendStart(now time.Time, r *run) {
 	v := r.vm
 	if v.runs.Get(runKey{r.task, r.attempt}) != r {
 		return
@@ -35,7 +35,7 @@
 	r.resumed = t.checkpoint != ""
 	r.startBy = v.clock.Estimate(now) + job.VMClock(startWindow.Milliseconds())
 	v.leaseEnd = max(v.leaseEnd, r.startBy)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.lastAnswer),
 		After: now.Sub(j.arrived),
 	})
@@ -145,7 +145,7 @@
 
 // freeRun releases a run that ended without being listed as ended.
 func (s *Scheduler) freeRun(now time.Time, r *run, reason string) {
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskFreed, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 		Age: now.Sub(r.vm.lastAnswer),
 	})
@@ -166,7 +166,7 @@
 	r.stopping = true
 	r.vm.stoppingRuns++
 	r.resendStopAt = now.Add(stopRetryDelay)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskStopping, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 	})
 	s.emit(r.vm.stopOrder(r))
@@ -203,8 +203,8 @@
 // confirmRun records that a run has started.
 func (s *Scheduler) confirmRun(now time.Time, r *run, clock job.VMClock) {
 	r.setPhase(runConfirmed)
-	// A new life of the VM may have carried out a start that was sent to the previous
-	// one. Its lease counts from this clock reading.
+	// The VM may have restarted and executed a start that was sent to its previous life.
+	// The lease of the new life counts from this clock reading.
 	longest := clock + job.VMClock(s.settings.LeaseMax.Milliseconds())
 	v := r.vm
 	v.leaseEnd = max(v.leaseEnd, min(r.startBy, longest))
@@ -214,8 +214,8 @@
 	}
 	r.confirmedClock = max(r.confirmedClock, clock)
 	if r.confirmedByNewLife() && v.clock.Known() {
-		// A life that isn't known yet grants a full lease, whatever the clock of the
-		// known life says.
+		// The VM has restarted, and this owner knows the clock of the previous life only.
+		// The new life grants a full lease, whatever that clock says.
 		v.leaseEnd = max(v.leaseEnd, v.clock.Estimate(now)+job.VMClock(s.settings.LeaseMax.Milliseconds()))
 	}
 	j := s.jobs.Get(r.task.Job)
@@ -223,26 +223,26 @@
 		return
 	}
 	s.markBegun(j)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskStarted, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
 		Age: now.Sub(r.orderedAt), After: now.Sub(j.arrived),
 	})
 }
 
-// confirmedByNewLife reports whether a run was confirmed by a later life of its VM than
-// the one it was ordered for. Answers to starts don't name the life, but the clock of a
-// new life starts again from zero.
+// confirmedByNewLife reports whether a run was confirmed after its VM restarted, by a later
+// life than the one it was ordered for. Answers to starts may not name the life, but its
+// clock gives it away: it starts from zero and is far behind the start's deadline.
 func (r *run) confirmedByNewLife() bool {
 	return r.phase == runConfirmed && r.confirmedClock < r.startBy-2*job.VMClock(startWindow.Milliseconds())
 }
 
 // StartAnswered handles the outcome of a start.
-func (s *Scheduler) StartAnswered(now time.Time, c Start, out Outcome, rep job.Report) {
+func (s *Scheduler) StartAnswered(now time.Time, c Start, outcome Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
 	if v == nil {
 		return
 	}
-	if out == Answered && !s.recordAnswerFrom(now, v, c.Life, rep) {
+	if outcome == Answered && !s.recordAnswerFrom(now, v, c.Life, rep) {
 		return
 	}
 	r := v.runs.Get(runKey{c.Order.Task, c.Order.Attempt})
@@ -250,33 +250,33 @@
 		return
 	}
 	switch {
-	case out == Answered && rep.Refused == job.NotRefused:
+	case outcome == Answered && rep.Refused == job.NotRefused:
 		s.confirmRun(now, r, rep.Clock)
 		return
-	case out == Unanswered:
+	case outcome == Unanswered:
 		r.setPhase(runUnanswered)
 		if v.lastAnswer.Before(r.orderedAt) {
 			v.suspectUntil = now.Add(noAnswerPause)
 		}
 		return
-	case out == Answered && rep.Refused == job.RefusedCapacity:
+	case outcome == Answered && rep.Refused == job.RefusedCapacity:
 		v.markFull(now)
-	case out == Answered && rep.Refused == job.RefusedTicket:
+	case outcome == Answered && rep.Refused == job.RefusedTicket:
 		s.dropTickets(c.Order.Task)
-	case out != Answered:
+	case outcome != Answered:
 		v.suspectUntil = now.Add(noAnswerPause)
 	}
-	s.releaseNotBegun(now, r, out, rep.Refused)
+	s.releaseNotBegun(now, r, outcome, rep.Refused)
 }
 
 const (
 	// fullPause is how long a VM that refused a task for lack of capacity gets no new ones,
-	// unless its directory entry changes its capacity or names a new life before. News of
-	// the reduced capacity may take longer, so the pause doubles with each further refusal,
-	// at most fullDoublings times.
+	// unless its directory entry shows another capacity or a restart before. The directory
+	// may take longer to show the reduced capacity, so the pause doubles with each further
+	// refusal, at most fullDoublings times.
 	fullPause     = 200 * time.Millisecond
 	fullDoublings = 4
-	// refusalWindow is how long after a pause another refusal counts as a further one.
+	// refusalWindow is how long after a pause another refusal still doubles the next pause.
 	refusalWindow = 2 * time.Second
 )
 
@@ -294,12 +294,12 @@
 }
 
 // releaseNotBegun releases a run that is known not to have begun.
-func (s *Scheduler) releaseNotBegun(now time.Time, r *run, out Outcome, refusal job.Refusal) {
-	reason := out.String()
-	if out == Answered {
+func (s *Scheduler) releaseNotBegun(now time.Time, r *run, outcome Outcome, refusal job.Refusal) {
+	reason := outcome.String()
+	if outcome == Answered {
 		reason = refusal.String()
 	}
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: TaskNotBegun, Job: r.task.Job, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Reason: reason,
 		Age: now.Sub(r.orderedAt),
 	})
@@ -309,9 +309,9 @@
 }
 
 // StopAnswered handles the outcome of a stop.
-func (s *Scheduler) StopAnswered(now time.Time, c Stop, out Outcome, rep job.Report) {
+func (s *Scheduler) StopAnswered(now time.Time, c Stop, outcome Outcome, rep job.Report) {
 	v := s.vms.Get(c.VM)
-	if v == nil || out != Answered || !s.recordAnswerFrom(now, v, c.Life, rep) {
+	if v == nil || outcome != Answered || !s.recordAnswerFrom(now, v, c.Life, rep) {
 		return
 	}
 	r := v.runs.Get(runKey{c.Task, c.Attempt})
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -1,6 +1,14 @@
 // Package schedule decides which task runs on which VM, and tracks the state of both. It uses
 // no clock, network or goroutines: callers pass in events together with the current time, and
 // collect the resulting commands.
+//
+// One process at a time owns the fleet and runs a Scheduler. If it fails, another process takes
+// over with a Scheduler of its own. The owner sends Start commands to VMs. A VM runs tasks only
+// while its lease lasts, which Hold commands extend. A VM answers a hold with a report that
+// lists its running tasks and the ends of those that have ended. The owner acknowledges an end
+// once its consequences are stored, and the VM then deletes the end. A VM that leaves a hold
+// unanswered is silent: its tasks may still be running, and are started elsewhere only once its
+// lease has expired or the VM is known to have crashed or been shut down.
 package schedule
 
 import (
@@ -15,17 +23,17 @@
 type Settings struct {
 	// Fence is the fencing token that lets VMs refuse the orders of former owners.
 	Fence job.Fence
-	// AttemptBase is below every attempt number of this owner and above those of all former
-	// owners.
+	// AttemptBase is less than every attempt number of this owner and greater than those of
+	// all former owners.
 	AttemptBase job.Attempt
-	// TookOver is when this owner took over.
+	// TookOver is when this owner took over the fleet.
 	TookOver time.Time
 	// LeaseMax is the longest lease that a VM grants.
 	LeaseMax time.Duration
 	// TaskStopMax is the longest time that a task takes to stop.
 	TaskStopMax time.Duration
-	// ShrinkNotice is how long a VM's former capacity may still be relied on after it has
-	// shrunk; 0 means without limit.
+	// ShrinkNotice is how long after a VM has shrunk starts may still rely on the capacity that
+	// it had before; 0 means without limit.
 	ShrinkNotice time.Duration
 	// MachineLease is how long this owner doesn't order a machine after an order of another
 	// issuer.
@@ -73,7 +81,7 @@
 	// nextForgetEnded is the next time to forget jobs that ended long ago.
 	nextForgetEnded time.Time
 	rights          Rights
-	// fence is the fencing token for VM lives that begin from this point on.
+	// fence is the fencing token for VMs that appear or restart from now on.
 	fence    job.Fence
 	queues   map[job.QueueName]*queueStats
 	machines orderedMap[job.MachineID, *machineState]
@@ -107,7 +115,7 @@
 	}
 	// These orders are stored with this owner's own, so that the next owner knows of them too.
 	for _, o := range s.FormerOrders {
-		out.recentOrders.Set(o.Machine, recentOrder{issuer: o.Issuer, at: s.TookOver})
+		out.recentOrders.Set(o.Machine, recentOrder{issuer: o.Issuer, givenAt: s.TookOver})
 	}
 	return out
 }
@@ -147,8 +155,8 @@
 // emit issues a command.
 func (s *Scheduler) emit(c Command) { s.commands = append(s.commands, c) }
 
-// decided reports a decision to the observer, if there is one.
-func (s *Scheduler) decided(d Decision) {
+// reportDecision passes a decision to the observer, if there is one.
+func (s *Scheduler) reportDecision(d Decision) {
 	if s.settings.Observer != nil {
 		s.settings.Observer.Decided(d)
 	}
@@ -183,11 +191,11 @@
 	}
 	st := &jobState{Job: j, arrived: now, inherited: inherited, longRunning: j.Body.LongRunning()}
 	for k := range j.Body.OccurrenceCount() {
-		o := &occurrence{number: k, due: j.Body.Due(k), steps: make([]stepState, len(j.Body.Steps))}
+		o := &occurrence{index: k, due: j.Body.Due(k), steps: make([]stepState, len(j.Body.Steps))}
 		for i := range o.steps {
 			o.steps[i].def = &j.Body.Steps[i]
 			o.steps[i].tasks = make([]taskState, j.Body.Steps[i].Count)
-			o.steps[i].open = j.Body.Steps[i].Count
+			o.steps[i].openTasks = j.Body.Steps[i].Count
 		}
 		st.occurrences = append(st.occurrences, o)
 	}
@@ -195,20 +203,20 @@
 		st.restore(p)
 		st.takenOver = inherited && len(p.VMs) > 0
 	}
-	st.objective, st.lateLimit = s.objective(st)
+	st.objective, st.lateLimit = s.predictObjective(st)
 	if !st.longRunning && !inherited {
 		st.beyondShare = s.config != nil && s.shares.exceeds(now, s.config.Account(j.Terms.Account))
-		left, all := s.work(st)
-		s.poolStats(s.pool(st)).addArrival(now, left)
-		s.queueStats(j.Terms.Queue).addJob(all)
+		remaining, total := s.predictWork(st)
+		s.poolStats(s.pool(st)).addArrival(now, remaining)
+		s.queueStats(j.Terms.Queue).addJob(total)
 	}
 	s.jobs.Set(j.ID, st)
 	if st.takenOver {
 		s.restoreStarts(now, st, p)
 	}
-	s.decided(Decision{Kind: JobAdopted, Job: j.ID, Reason: string(j.Terms.Queue)})
+	s.reportDecision(Decision{Kind: JobAdopted, Job: j.ID, Reason: string(j.Terms.Queue)})
 	if st.beyondShare {
-		s.decided(Decision{Kind: JobBeyondShare, Job: j.ID, Reason: string(j.Terms.Account)})
+		s.reportDecision(Decision{Kind: JobBeyondShare, Job: j.ID, Reason: string(j.Terms.Account)})
 	}
 }
 
@@ -228,22 +236,22 @@
 		for _, t := range d.Tasks {
 			if t < len(st.tasks) && !st.tasks[t].done {
 				st.tasks[t].done = true
-				st.done++
+				st.doneTasks++
 			}
 		}
 		st.recount()
 		if st.complete() {
-			o.done++
+			o.doneSteps++
 		}
 	}
 	for _, o := range j.occurrences {
-		if o.done == len(o.steps) {
-			j.doneCount++
+		if o.doneSteps == len(o.steps) {
+			j.doneOccurrences++
 		}
 	}
 	for _, f := range p.Failed {
 		if t := j.taskAt(f.Occurrence, f.Step, f.Task); t != nil {
-			t.failed = f.Attempts
+			t.failedAttempts = f.Attempts
 		}
 	}
 	j.restoreCrashes(p)
@@ -255,7 +263,7 @@
 	if j == nil || j.over() {
 		return
 	}
-	s.decided(Decision{Kind: JobCancelled, Job: id, After: now.Sub(j.arrived)})
+	s.reportDecision(Decision{Kind: JobCancelled, Job: id, After: now.Sub(j.arrived)})
 	s.finish(now, j, job.Cancelled)
 }
 
@@ -263,7 +271,7 @@
 func (s *Scheduler) finish(now time.Time, j *jobState, state job.State) {
 	j.state, j.endedAt = state, now
 	s.markDirty(j)
-	s.decided(Decision{
+	s.reportDecision(Decision{
 		Kind: JobEnded, Job: j.ID, Reason: state.String(), After: now.Sub(j.arrived), Slack: j.objective.Sub(now),
 	})
 	for _, o := range j.occurrences {
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -24,8 +24,8 @@
 	// slowPause is how long a VM with a slow run gets no new tasks. Other slow runs there
 	// extend the pause.
 	slowPause = 2 * time.Second
-	// slowStopMargin is how many times longer the rest of a slow run must take than a new
-	// run elsewhere, including the stop of this one, for the slow run to be stopped.
+	// slowStopMargin is the factor by which the remaining time of a slow run must exceed the
+	// time of a new run elsewhere, including the stop of the slow one, before it is stopped.
 	slowStopMargin = 1.3
 	// maxSlowStops limits how often the runs of one task are stopped as slow.
 	maxSlowStops = 2
@@ -56,13 +56,13 @@
 	if usual <= 0 || float64(progressed) >= minProgress || r.percent >= 100 {
 		return
 	}
-	left := remainingTime(span, progressed, r.percent)
+	remaining := remainingTime(span, progressed, r.percent)
 	r.vm.slowUntil = now.Add(slowPause)
-	s.decided(Decision{Kind: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, After: left})
+	s.reportDecision(Decision{Kind: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, After: remaining})
 	if st.def.Gang || t.slowStops >= maxSlowStops {
 		return
 	}
-	if left.Seconds() > slowStopMargin*(usual+s.settings.TaskStopMax).Seconds() {
+	if remaining.Seconds() > slowStopMargin*(usual+s.settings.TaskStopMax).Seconds() {
 		t.slowStops++
 		s.stopRun(now, r, "slow")
 	}
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Tick carries out the periodic work: holds, probes, repeated stops, expired leases,
+// Tick does the periodic work: holds, probes, repeated stops, expired leases,
 // evacuations, maintenance and pool sizes.
 func (s *Scheduler) Tick(now time.Time) {
 	s.anyUnreported = false
@@ -17,9 +17,9 @@
 			s.repeatStops(now, v)
 		}
 		if v.spareCPURuns > 0 {
-			s.pace(now, v)
+			s.adjustPace(now, v)
 		}
-		s.hold(now, v)
+		s.sendHold(now, v)
 	}
 	s.stopOnDraining(now)
 	s.relocateEvacuated(now)
