--- a/cmd/lavenderpond-load/targets.go
+++ b/cmd/lavenderpond-load/targets.go
@@ -33,7 +33,7 @@
 				Key:  core.RequestKey{Team: "load", ID: core.RequestID(fmt.Sprintf("%d-%d", runID, n))},
 				Body: c.body(),
 			},
-			Number: 1, StartBy: deadline, LeaseUntil: deadline,
+			DispatchNumber: 1, StartBy: deadline, LeaseUntil: deadline,
 		})
 		return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", end), "home."))
 	}).print()
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -12,15 +12,15 @@
 const MaxExceptionDuration = 366 * 24 * time.Hour
 
 var (
-	namePattern   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
-	changePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.:-]{0,127}$`)
-	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	namePattern     = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
+	changeIDPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.:-]{0,127}$`)
+	digestPattern   = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
 // validate returns an error if a value of the change is not allowed.
 func validate(c Change, id core.ChangeID, now time.Time) error {
-	if !changePattern.MatchString(string(id)) {
-		return invalidValue("change id", string(id), "letters, digits and _.:- up to 128")
+	if !changeIDPattern.MatchString(string(id)) {
+		return invalidValueError("change id", string(id), "letters, digits and _.:- up to 128")
 	}
 	if c.ChangedBy() == "" {
 		return core.Errorf(core.CodeReasonMissing, "%s needs an author", Kind(c))
@@ -68,10 +68,10 @@
 		return core.Errorf(core.CodeReasonMissing, "exception %s needs an end", c.ID)
 	}
 	if !c.End.After(now) || c.End.After(now.Add(MaxExceptionDuration)) {
-		return invalidValue("end", c.End.Format(time.RFC3339), "a time ahead, at most 366 days")
+		return invalidValueError("end", c.End.Format(time.RFC3339), "a time ahead, at most 366 days")
 	}
 	if len(c.Value) == 0 {
-		return invalidValue("value", "nothing", "at least one setting to replace")
+		return invalidValueError("value", "nothing", "at least one setting to replace")
 	}
 	switch kind, _ := splitKey(c.Scope); kind {
 	case kindTeam:
@@ -83,7 +83,7 @@
 	case kindDefaults:
 		return checkFields(c.Value, defaultsFields)
 	default:
-		return invalidValue("scope", string(c.Scope), "the key of a team, pool, queue or defaults row")
+		return invalidValueError("scope", string(c.Scope), "the key of a team, pool, queue or defaults row")
 	}
 }
 
@@ -91,7 +91,7 @@
 	for _, name := range sortedKeys(values) {
 		f, ok := fields[name]
 		if !ok {
-			return invalidValue("value", name, strings.Join(sortedKeys(fields), ", "))
+			return invalidValueError("value", name, strings.Join(sortedKeys(fields), ", "))
 		}
 		if err := checkRange(name, values[name], f.max); err != nil {
 			return err
@@ -104,7 +104,7 @@
 	if namePattern.MatchString(name) {
 		return nil
 	}
-	return invalidValue(setting, name, "letters, digits and _.- up to 64")
+	return invalidValueError(setting, name, "letters, digits and _.- up to 64")
 }
 
 func checkRange(setting string, n, maxValue int) error {
@@ -129,7 +129,7 @@
 	return core.Errorf(core.CodeInvalidSetting, "a key's digest is its SHA-256 in 64 hex digits")
 }
 
-func invalidValue(setting, got, allowed string) error {
+func invalidValueError(setting, got, allowed string) error {
 	return core.Errorf(core.CodeInvalidSetting, "%s is %q; allowed: %s", setting, got, allowed)
 }
 
--- a/core/experiment/maintenance/experiment.go
+++ b/core/experiment/maintenance/experiment.go
@@ -72,8 +72,8 @@
 		budgeted bool
 	}{
 		{"spread", spread.Planner{}, true},
-		{"naive", fixed.Planner{Size: waveSize}, false},
-		{"naive_small", fixed.Planner{Size: max(1, waveSize/8)}, false},
+		{"naive", fixed.Planner{BatchSize: waveSize}, false},
+		{"naive_small", fixed.Planner{BatchSize: max(1, waveSize/8)}, false},
 	} {
 		r := e.runRollout(seed, v.planner, v.budgeted)
 		for _, m := range r.measures() {
--- a/core/fleet/admin.go
+++ b/core/fleet/admin.go
@@ -66,7 +66,7 @@
 	switch {
 	case v.State != Serving:
 		v.State, v.Resize = Verifying, grow
-		p = p.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
+		p = p.addOutVM(OutVM{Ref: vm.Ref, Planned: true, Since: now})
 	case grow:
 		p.Size++
 	}
@@ -86,7 +86,7 @@
 	if vm.VM.State != Failed && vm.VM.State != Stopped && vm.VM.State != Verifying {
 		return t, core.Errorf(core.CodeConflict, "VM %s is %s; drain it first", vm.Ref, vm.VM.State)
 	}
-	p := pool.Pool.removeOut(vm.Ref)
+	p := pool.Pool.removeOutVM(vm.Ref)
 	p.Members--
 	// Size doesn't yet include a VM that was added with grow and hasn't served. Lowering
 	// Size for it would allow one VM too many to be taken out.
--- a/core/fleet/pool.go
+++ b/core/fleet/pool.go
@@ -52,8 +52,8 @@
 	return n
 }
 
-// FindOut returns the entry of vm in Out.
-func (p Pool) FindOut(vm Ref) (OutVM, bool) {
+// FindOutVM returns the entry of vm in Out.
+func (p Pool) FindOutVM(vm Ref) (OutVM, bool) {
 	i := slices.IndexFunc(p.Out, func(o OutVM) bool { return o.Ref == vm })
 	if i < 0 {
 		return OutVM{}, false
@@ -61,15 +61,15 @@
 	return p.Out[i], true
 }
 
-// addOut returns p with o in Out, replacing any entry of the same VM.
-func (p Pool) addOut(o OutVM) Pool {
-	p = p.removeOut(o.Ref)
+// addOutVM returns p with o in Out, replacing any entry of the same VM.
+func (p Pool) addOutVM(o OutVM) Pool {
+	p = p.removeOutVM(o.Ref)
 	p.Out = append(p.Out, o)
 	return p
 }
 
-// removeOut returns p without an entry of vm in Out.
-func (p Pool) removeOut(vm Ref) Pool {
+// removeOutVM returns p without an entry of vm in Out.
+func (p Pool) removeOutVM(vm Ref) Pool {
 	p.Out = slices.DeleteFunc(slices.Clone(p.Out), func(o OutVM) bool { return o.Ref == vm })
 	return p
 }
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -57,7 +57,7 @@
 	v := vm.VM
 	v.State, v.Since = Cordoned, now
 	v.Change, v.Wave, v.MoveTo, v.Resize, v.DrainBy = p.Change, p.Wave, p.MoveTo, p.Resize, p.DrainBy
-	poolValue := pool.Pool.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
+	poolValue := pool.Pool.addOutVM(OutVM{Ref: vm.Ref, Planned: true, Since: now})
 	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: poolValue})
 }
 
@@ -169,7 +169,7 @@
 	}
 	p := pool.Pool
 	if !r.noFailureCount {
-		p = p.addOut(OutVM{Ref: vm.Ref, Since: now})
+		p = p.addOutVM(OutVM{Ref: vm.Ref, Since: now})
 	}
 	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
 }
@@ -194,14 +194,14 @@
 	if vm.VM.State != Stopped && vm.VM.State != Verifying {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is %s; it must be drained before it moves", vm.Ref, vm.VM.State)
 	}
-	v, fromPool, toPool := vm.VM, from.Pool.removeOut(vm.Ref), to.Pool
+	v, fromPool, toPool := vm.VM, from.Pool.removeOutVM(vm.Ref), to.Pool
 	v.Pool, v.State, v.Since, v.MoveTo = to.ID, Verifying, now, ""
 	fromPool.Members--
 	toPool.Members++
 	if v.Resize {
 		fromPool.Size--
 	}
-	toPool = toPool.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
+	toPool = toPool.addOutVM(OutVM{Ref: vm.Ref, Planned: true, Since: now})
 	t, err := newTransaction(rowWrites{vm: &vm, vmValue: v, pool: &from, poolValue: fromPool})
 	if err != nil {
 		return t, err
@@ -214,7 +214,7 @@
 	if err := vm.checkInPool(pool); err != nil {
 		return table.Transaction{}, err
 	}
-	v, p := vm.VM, pool.Pool.removeOut(vm.Ref)
+	v, p := vm.VM, pool.Pool.removeOutVM(vm.Ref)
 	if v.Resize && v.MoveTo == "" {
 		p.Size++
 	}
--- a/core/fleet/rules_test.go
+++ b/core/fleet/rules_test.go
@@ -231,18 +231,18 @@
 	return breaches, miscounts
 }
 
-// TestRaces guards against a pool with fewer serving VMs than its budget allows, and
+// TestConcurrentTransactions guards against a pool with fewer serving VMs than its budget allows, and
 // against a VM that two pools count. Controllers and operators act concurrently on stale
 // views: permits, moves, failures and returns interleave, and answers are lost after the
 // write took effect. Every transaction checks the rows of the VM and the pool, so only one
 // of two that were decided on the same state takes effect.
-func TestRaces(t *testing.T) {
+func TestConcurrentTransactions(t *testing.T) {
 	runRaces(t, 300, Rules{})
 }
 
-// TestRacesWithoutSafeguard checks that each safeguard is needed: without it, some seed
+// TestConcurrentTransactionSafeguardsAreNeeded checks that each safeguard is needed: without it, some seed
 // exceeds a budget or gets a counter wrong.
-func TestRacesWithoutSafeguard(t *testing.T) {
+func TestConcurrentTransactionSafeguardsAreNeeded(t *testing.T) {
 	const seeds = 100
 	for _, c := range []struct {
 		name  string
@@ -259,11 +259,11 @@
 	}
 }
 
-// TestOperatorsRace covers an operator's command that repeats a change whose answer was
+// TestConcurrentOperatorChanges covers an operator's command that repeats a change whose answer was
 // lost, while another operator moves the same VM. The repetition is recognised by its
 // change id, and the second operator gets a conflict. Deleting a pool and lowering its
 // budget race in the same way.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentOperatorChanges(t *testing.T) {
 	r := newRaceSimulation(t, 1, Rules{})
 	read := r.table.Read
 	vm, a := r.vm(read, Ref{"z", "a0"}), r.pool(read, "a")
--- a/core/home/command.go
+++ b/core/home/command.go
@@ -20,8 +20,8 @@
 type Dispatch struct {
 	Request core.Request
 	VM      core.VMID
-	// Number counts the dispatches of this request, from 1.
-	Number core.Attempt
+	// DispatchNumber counts the dispatches of this request, from 1.
+	DispatchNumber core.Attempt
 	// StartBy is the latest time at which the task may start: the earlier of the
 	// expiry of this entry's shard lease and the request's deadline. The sender
 	// checks it right before the write, and the target enforces it.
--- a/core/home/dispatch.go
+++ b/core/home/dispatch.go
@@ -170,7 +170,7 @@
 	r.dispatchNumber++
 	r.startedAt = now
 	h.emit(Dispatch{
-		Request: r.request, VM: r.vm, Number: r.dispatchNumber, StartBy: startBy, LeaseUntil: r.request.Deadline,
+		Request: r.request, VM: r.vm, DispatchNumber: r.dispatchNumber, StartBy: startBy, LeaseUntil: r.request.Deadline,
 	})
 }
 
@@ -205,7 +205,7 @@
 		h.finish(r, core.NotRun{Code: core.CodeEntryStopping, ComeBackAt: now})
 		return
 	}
-	refusal, ok := h.Queue.Push(now, itemOf(now, r.request), 0)
+	refusal, ok := h.Queue.Push(now, queueItem(now, r.request), 0)
 	if !ok {
 		h.finishUnstarted(now, r, refusal)
 	}
--- a/core/home/dump.go
+++ b/core/home/dump.go
@@ -50,12 +50,12 @@
 
 // RecordDump is the state of an unfinished request in a Dump.
 type RecordDump struct {
-	Key      string       `json:"key"`
-	Phase    string       `json:"phase"`
-	VM       core.VMID    `json:"vm,omitempty"`
-	Number   core.Attempt `json:"dispatches"`
-	Deadline time.Time    `json:"deadline"`
-	Waiters  int          `json:"waiters"`
+	Key        string       `json:"key"`
+	Phase      string       `json:"phase"`
+	VM         core.VMID    `json:"vm,omitempty"`
+	Dispatches core.Attempt `json:"dispatches"`
+	Deadline   time.Time    `json:"deadline"`
+	Waiters    int          `json:"waiters"`
 }
 
 // Dump returns the state, with at most maxDumpedRecords of the unfinished requests.
@@ -70,7 +70,7 @@
 			break
 		}
 		d.Unfinished = append(d.Unfinished, RecordDump{
-			Key: key.String(), Phase: r.phase.String(), VM: r.vm, Number: r.dispatchNumber,
+			Key: key.String(), Phase: r.phase.String(), VM: r.vm, Dispatches: r.dispatchNumber,
 			Deadline: r.request.Deadline, Waiters: len(r.waiters),
 		})
 	}
--- a/core/home/ended.go
+++ b/core/home/ended.go
@@ -11,7 +11,7 @@
 // but the latest: such a report is late, and that dispatch is already settled.
 func (h *Home) handleEnded(now time.Time, e Ended) {
 	r := h.records[e.Key]
-	if r == nil || r.dispatchNumber != e.Number && !h.disabled.dispatchNumber || (r.phase != running && r.phase != ended) {
+	if r == nil || r.dispatchNumber != e.DispatchNumber && !h.disabled.dispatchNumber || (r.phase != running && r.phase != ended) {
 		return
 	}
 	if r.phase == ended {
--- a/core/home/event.go
+++ b/core/home/event.go
@@ -55,9 +55,9 @@
 
 // Ended reports how a dispatch ended.
 type Ended struct {
-	Key    core.RequestKey
-	Number core.Attempt
-	End    End
+	Key            core.RequestKey
+	DispatchNumber core.Attempt
+	End            End
 }
 
 // Asked is the reply to an AskTarget command.
--- a/core/home/lending_test.go
+++ b/core/home/lending_test.go
@@ -52,7 +52,7 @@
 			return n - 8
 		}
 		b.wait(time.Millisecond)
-		collect(b.handle(Ended{Key: open[n].Request.Key, Number: open[n].Number, End: Answered{}}))
+		collect(b.handle(Ended{Key: open[n].Request.Key, DispatchNumber: open[n].DispatchNumber, End: Answered{}}))
 	}
 	return len(open) - 8
 }
--- a/core/home/session_test.go
+++ b/core/home/session_test.go
@@ -151,12 +151,12 @@
 	case Submit:
 		return fmt.Sprintf("submit %s attempt=%d waiter=%d", v.Request.Key, v.Request.Attempt, v.Waiter)
 	case Dispatch:
-		return fmt.Sprintf("dispatch %s to=%s number=%d start_by=%s lease_until=%s", v.Request.Key, v.VM, v.Number,
+		return fmt.Sprintf("dispatch %s to=%s number=%d start_by=%s lease_until=%s", v.Request.Key, v.VM, v.DispatchNumber,
 			v.StartBy.Sub(epoch), v.LeaseUntil.Sub(epoch))
 	case Reply:
 		return fmt.Sprintf("reply waiter=%d %s %s", v.Waiter, v.Key, showAnswer(v.Answer))
 	case Ended:
-		return fmt.Sprintf("ended %s number=%d %T%+v", v.Key, v.Number, v.End, v.End)
+		return fmt.Sprintf("ended %s number=%d %T%+v", v.Key, v.DispatchNumber, v.End, v.End)
 	default:
 		return fmt.Sprintf("%T%+v", v, v)
 	}
@@ -190,14 +190,14 @@
 	b.submit("b", 1)
 	b.submit("a", 2)
 	b.wait(40 * time.Millisecond)
-	b.handle(Ended{Key: key("a"), Number: 1, End: Answered{Body: []byte("plate a")}})
+	b.handle(Ended{Key: key("a"), DispatchNumber: 1, End: Answered{Body: []byte("plate a")}})
 	b.notef("The answer is kept: an attempt after it runs nothing.")
 	b.submit("a", 3)
 	b.notef("The same id with another body is another request, and is refused.")
 	b.submit("a", 4, func(r *core.Request) { r.Body = []byte("else") })
 	b.notef("A late end of an old dispatch changes nothing.")
-	b.handle(Ended{Key: key("a"), Number: 1, End: Lost{}})
-	b.handle(Ended{Key: key("b"), Number: 1, End: Answered{Body: []byte("plate b")}})
+	b.handle(Ended{Key: key("a"), DispatchNumber: 1, End: Lost{}})
+	b.handle(Ended{Key: key("b"), DispatchNumber: 1, End: Answered{Body: []byte("plate b")}})
 	return b.out.String()
 }
 
@@ -213,11 +213,11 @@
 	b := newTestbed(1, "vm-1", "vm-2")
 	change(b.home)
 	b.submit("a", 1)
-	b.handle(Ended{Key: key("a"), Number: 1, End: Lost{}})
+	b.handle(Ended{Key: key("a"), DispatchNumber: 1, End: Lost{}})
 	b.submit("a", 2)
 	b.handle(Asked{Key: key("a"), Finding: FoundDone{Body: []byte("plate a")}})
 	b.submit("b", 1)
-	b.handle(Ended{Key: key("b"), Number: 1, End: Damaged{}})
+	b.handle(Ended{Key: key("b"), DispatchNumber: 1, End: Damaged{}})
 	b.wait(2100 * time.Millisecond)
 	b.handle(Asked{Key: key("b"), Finding: FoundNoAnswer{}})
 	b.notef("The team's only slot is still counted, although vm-2 is free.")
@@ -243,22 +243,22 @@
 	b.submit("b", 2)
 	b.notef("Cancelled while running: stopped, and the outcome is unknown.")
 	b.handle(Cancel{Key: key("a"), Waiter: 91})
-	b.handle(Ended{Key: key("a"), Number: 1, End: Stopped{}})
+	b.handle(Ended{Key: key("a"), DispatchNumber: 1, End: Stopped{}})
 	b.notef("A cancellation that overtakes its request.")
 	b.handle(Cancel{Key: key("c"), Waiter: 92})
 	b.submit("c", 1)
 	b.notef("The job is called invalid three times, by the only target there is: given up.")
 	b.submit("d", 1)
-	b.handle(Ended{Key: key("d"), Number: 1, End: NotStarted{Reason: Invalid}})
-	b.handle(Ended{Key: key("d"), Number: 2, End: NotStarted{Reason: Invalid}})
-	b.handle(Ended{Key: key("d"), Number: 3, End: NotStarted{Reason: Invalid}})
+	b.handle(Ended{Key: key("d"), DispatchNumber: 1, End: NotStarted{Reason: Invalid}})
+	b.handle(Ended{Key: key("d"), DispatchNumber: 2, End: NotStarted{Reason: Invalid}})
+	b.handle(Ended{Key: key("d"), DispatchNumber: 3, End: NotStarted{Reason: Invalid}})
 	b.notef("A withdrawn key: what waits is refused, what runs finishes.")
 	b.submit("e", 1)
 	b.submit("f", 1)
 	b.config.withdrawn["good"] = true
 	b.handle(KeyWithdrawn{Digest: "good"})
 	b.submit("g", 1)
-	b.handle(Ended{Key: key("e"), Number: 1, End: Answered{Body: []byte("plate e")}})
+	b.handle(Ended{Key: key("e"), DispatchNumber: 1, End: Answered{Body: []byte("plate e")}})
 	return b.out.String()
 }
 
@@ -291,12 +291,12 @@
 	return b.out.String()
 }
 
-// TestSessionsNeedTheirSafeguards disables one safeguard at a time and expects a
+// TestSessionSafeguardsAreNeeded disables one safeguard at a time and expects a
 // session to deviate from its golden file: an attempt runs in spite of an existing
 // record, "not run" is answered after the lease expired or to a later attempt, a
 // withdrawn key still starts work, a job that can never run is retried forever, or
 // a slot is released too early.
-func TestSessionsNeedTheirSafeguards(t *testing.T) {
+func TestSessionSafeguardsAreNeeded(t *testing.T) {
 	for _, c := range []struct {
 		name, file string
 		session    func(change func(*Home)) string
--- a/core/home/simulation_test.go
+++ b/core/home/simulation_test.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// TestPropertyNeedsItsSafeguards checks that the property fails if the home sends
+// TestAtMostOnceSafeguardsAreNeeded checks that the property fails if the home sends
 // a request whose answer was lost to another target, or runs each attempt
 // separately.
-func TestPropertyNeedsItsSafeguards(t *testing.T) {
+func TestAtMostOnceSafeguardsAreNeeded(t *testing.T) {
 	for name, off := range map[string]disabledSafeguards{"no retry after loss": {noRetryAfterLoss: true}, "join attempts": {joinAttempts: true}} {
 		failed, startedTwice, first := 0, 0, ""
 		for seed := range uint64(100) {
@@ -134,7 +134,7 @@
 	if started {
 		sim.starts[d.Request.Key]++
 	}
-	sim.record(sim.handle(Ended{Key: d.Request.Key, Number: d.Number, End: end}))
+	sim.record(sim.handle(Ended{Key: d.Request.Key, DispatchNumber: d.DispatchNumber, End: end}))
 }
 
 func (sim *simulation) finding() Finding {
@@ -176,16 +176,16 @@
 	return ""
 }
 
-// TestTeamSlotOutlivesUnknownOutcome loses an answer while the target can't be
+// TestTeamSlotHeldAfterUnknownOutcome loses an answer while the target can't be
 // asked. The caller gets its final answer while the task may still be running: the
 // team's slot must stay counted until the end of the task's lease plus the skew
 // bound.
-func TestTeamSlotOutlivesUnknownOutcome(t *testing.T) {
+func TestTeamSlotHeldAfterUnknownOutcome(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		b := newTestbed(1, "vm-1", "vm-2")
 		b.home.disabled.keepTeamSlot = off
 		b.submit("a", 1)
-		b.handle(Ended{Key: key("a"), Number: 1, End: Lost{}})
+		b.handle(Ended{Key: key("a"), DispatchNumber: 1, End: Lost{}})
 		b.wait(3 * time.Second)
 		b.handle(Asked{Key: key("a"), Finding: FoundNoAnswer{}})
 		assert.Equal(t, b.limits.Running(b.now, "lyra") == 1, !off)
@@ -195,16 +195,16 @@
 	}
 }
 
-// TestRepeatedEndOfEarlierDispatch repeats the refusal of a full target after the
+// TestLateEndOfEarlierDispatchIsIgnored repeats the refusal of a full target after the
 // request was sent to another one. If the repeated refusal were accepted, the
 // running request would be sent again and run twice. The dispatch number
 // distinguishes the two.
-func TestRepeatedEndOfEarlierDispatch(t *testing.T) {
+func TestLateEndOfEarlierDispatchIsIgnored(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		b := newTestbed(4, "vm-1", "vm-2")
 		b.home.disabled.dispatchNumber = off
 		dispatches := b.submit("a", 1)
-		full := Ended{Key: key("a"), Number: 1, End: NotStarted{Reason: Full}}
+		full := Ended{Key: key("a"), DispatchNumber: 1, End: NotStarted{Reason: Full}}
 		dispatches = append(dispatches, b.handle(full)...)
 		b.wait(time.Second)
 		dispatches = append(dispatches, b.handle(Tick{})...)
@@ -245,7 +245,7 @@
 	b.handle(Tick{})
 	commands := b.handle(Fetch{Key: key("a"), Waiter: 11})
 	assert.DeepEqual(t, commands, []Command{Reply{Waiter: 11, Key: key("a"), Answer: core.NotRun{Code: core.CodeDeadlinePassed}}})
-	b.handle(Ended{Key: key("first"), Number: 1, End: Answered{}})
+	b.handle(Ended{Key: key("first"), DispatchNumber: 1, End: Answered{}})
 	req.Attempt, req.Deadline = 2, epoch.Add(time.Minute)
 	commands = b.handle(Submit{Request: req, Waiter: 12})
 	assert.Equal(t, len(commands), 1)
--- a/core/home/submit.go
+++ b/core/home/submit.go
@@ -36,7 +36,7 @@
 	}
 	pool, overflow, _ := h.Config.Pool(now, e.Request.Queue)
 	idle := h.Router.Idle(now, route.Criteria{Pool: pool, Overflow: overflow, Urgent: e.Request.Urgent})
-	if refusal, ok := h.Queue.Push(now, itemOf(now, e.Request), idle); !ok {
+	if refusal, ok := h.Queue.Push(now, queueItem(now, e.Request), idle); !ok {
 		h.reply(e.Waiter, key, refusal)
 		return
 	}
@@ -118,7 +118,7 @@
 	return core.RefusalAnswer(attempt, refusal)
 }
 
-func itemOf(now time.Time, req core.Request) queue.Item {
+func queueItem(now time.Time, req core.Request) queue.Item {
 	return queue.Item{
 		Key: req.Key, Queue: req.Queue, Urgent: req.Urgent, Deadline: req.Deadline,
 		Enqueued: now, DeclaredRun: req.DeclaredRun,
--- a/core/key/bench_test.go
+++ b/core/key/bench_test.go
@@ -10,9 +10,9 @@
 	"lavenderpond/core/table"
 )
 
-// BenchmarkRingMemory measures the memory of a ring by number of keys, a tenth of them
+// BenchmarkKeyringMemory measures the memory of a ring by number of keys, a tenth of them
 // withdrawn, and the time of a check.
-func BenchmarkRingMemory(b *testing.B) {
+func BenchmarkKeyringMemory(b *testing.B) {
 	for _, keys := range []int{186, 1860, 18600} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
 			var rows []table.Row
@@ -23,7 +23,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			r := &Ring{}
+			r := &Keyring{}
 			r.Apply(rows)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
--- a/core/key/ring.go
+++ b/core/key/keyring.go
@@ -12,11 +12,11 @@
 	"lavenderpond/core/table"
 )
 
-// DefaultMaxStaleness is the maximum age of the list of keys unless Ring.MaxStaleness
+// DefaultMaxStaleness is the maximum age of the list of keys unless Keyring.MaxStaleness
 // is set. See docs/design/keys.md for the trade-off.
 const DefaultMaxStaleness = 10 * time.Second
 
-// MaxStalenessLimit is the largest effective value of Ring.MaxStaleness.
+// MaxStalenessLimit is the largest effective value of Keyring.MaxStaleness.
 const MaxStalenessLimit = 15 * time.Minute
 
 // Withdrawal records that a key was withdrawn. Withdrawals are only ever added and
@@ -29,9 +29,9 @@
 	Reason string         `json:"reason,omitempty"`
 }
 
-// Ring is an entry's list of team keys. The zero value knows no keys and is never
-// fresh. A Ring is not safe for concurrent use.
-type Ring struct {
+// Keyring is an entry's list of team keys. The zero value knows no keys and is never
+// fresh. A Keyring is not safe for concurrent use.
+type Keyring struct {
 	// Zone is the entry's own zone.
 	Zone core.ZoneID
 	// Zones lists all zones of the fleet, including the own one.
@@ -72,7 +72,7 @@
 // Apply adds the rows under "key/" and returns the digests of the keys that they
 // withdraw. Other rows are ignored. The caller must ensure by row version that no row
 // is older than one applied before. A withdrawal takes effect regardless of the order.
-func (r *Ring) Apply(rows []table.Row) []core.KeyDigest {
+func (r *Keyring) Apply(rows []table.Row) []core.KeyDigest {
 	var withdrawn []core.KeyDigest
 	for _, row := range rows {
 		d, ok := digestFromKey(row.Key)
@@ -98,7 +98,7 @@
 
 // Withdraw adds withdrawals received from an operator or a peer, which may not be in
 // the table yet, and returns the digests of the keys that weren't withdrawn before.
-func (r *Ring) Withdraw(withdrawals ...Withdrawal) []core.KeyDigest {
+func (r *Keyring) Withdraw(withdrawals ...Withdrawal) []core.KeyDigest {
 	var withdrawn []core.KeyDigest
 	for _, w := range withdrawals {
 		if r.markWithdrawn(w.Digest) {
@@ -111,7 +111,7 @@
 
 // Unrecorded returns the withdrawals that haven't been read from the table yet, sorted
 // by digest. They must be written to the table and sent to peers.
-func (r *Ring) Unrecorded() []Withdrawal {
+func (r *Keyring) Unrecorded() []Withdrawal {
 	list := make([]Withdrawal, 0, len(r.unrecorded))
 	for _, w := range r.unrecorded {
 		list = append(list, w)
@@ -122,11 +122,11 @@
 
 // Withdrawn reports whether the key with digest d is withdrawn. Queued requests that
 // were submitted with it are refused; running ones finish.
-func (r *Ring) Withdrawn(d core.KeyDigest) bool { return r.withdrawn[d] }
+func (r *Keyring) Withdrawn(d core.KeyDigest) bool { return r.withdrawn[d] }
 
 // RecordTableRead records that the ring holds every withdrawal that was in the table
 // when this entry's own read was sent, at sent.
-func (r *Ring) RecordTableRead(sent time.Time) {
+func (r *Keyring) RecordTableRead(sent time.Time) {
 	r.tableReadAt = latest(r.tableReadAt, sent)
 	r.joined = true
 }
@@ -134,7 +134,7 @@
 // RecordZoneContact records that an entry of zone z, which has joined, answered a
 // message sent by this entry at sent. The contents of the answer must have been added
 // to the ring before.
-func (r *Ring) RecordZoneContact(z core.ZoneID, sent time.Time) {
+func (r *Keyring) RecordZoneContact(z core.ZoneID, sent time.Time) {
 	put(&r.zoneContacts, z, latest(r.zoneContacts[z], sent))
 	if z == r.Zone && !r.Started.IsZero() && !sent.Before(r.Started) {
 		r.joined = true
@@ -144,7 +144,7 @@
 
 // tryJoin lets the ring represent its zone if the data received from others covers the
 // time before this process started.
-func (r *Ring) tryJoin() {
+func (r *Keyring) tryJoin() {
 	if r.joined || r.Started.IsZero() {
 		return
 	}
@@ -164,11 +164,11 @@
 // have it, or once all zones have it, so each of the two covers every accepted withdrawal.
 // If every zone were required, the loss of one zone during a table outage would stop
 // all others.
-func (r *Ring) CompleteAsOf() time.Time { return latest(r.tableReadAt, r.zoneMajorityAt()) }
+func (r *Keyring) CompleteAsOf() time.Time { return latest(r.tableReadAt, r.zoneMajorityAt()) }
 
 // zoneMajorityAt returns the latest time since which a majority of zones has been
 // contacted, or the zero time if there is none. The own zone counts without a contact once the ring has joined.
-func (r *Ring) zoneMajorityAt() time.Time {
+func (r *Keyring) zoneMajorityAt() time.Time {
 	needed := len(r.Zones)/2 + 1
 	if r.joined {
 		needed--
@@ -190,7 +190,7 @@
 }
 
 // FreshUntil returns when the list becomes stale if no further data is received.
-func (r *Ring) FreshUntil() time.Time {
+func (r *Keyring) FreshUntil() time.Time {
 	completeAsOf := r.CompleteAsOf()
 	if completeAsOf.IsZero() {
 		return time.Time{}
@@ -205,7 +205,7 @@
 // Fresh reports whether the list is fresh at now. In a fleet with a single zone, the
 // list of an entry that has joined is always fresh, because the entry receives every
 // withdrawal directly.
-func (r *Ring) Fresh(now time.Time) bool {
+func (r *Keyring) Fresh(now time.Time) bool {
 	singleZone := r.joined && len(r.Zones) == 1
 	return singleZone || r.disabled.alwaysFresh || now.Before(r.FreshUntil())
 }
@@ -213,7 +213,7 @@
 // Check decides whether a request of team may be accepted with a key of digest d. If
 // not, the code is CodeKeyWithdrawn, CodeKeysStale (another entry or a later attempt
 // may succeed) or CodeBadKey.
-func (r *Ring) Check(now time.Time, team core.TeamID, d core.KeyDigest) (core.Code, bool) {
+func (r *Keyring) Check(now time.Time, team core.TeamID, d core.KeyDigest) (core.Code, bool) {
 	if r.withdrawn[d] {
 		return core.CodeKeyWithdrawn, false
 	}
@@ -229,15 +229,15 @@
 }
 
 // Team returns the team to which a known digest belongs.
-func (r *Ring) Team(d core.KeyDigest) (core.TeamID, bool) {
+func (r *Keyring) Team(d core.KeyDigest) (core.TeamID, bool) {
 	t, ok := r.teams[d]
 	return t, ok
 }
 
-// Len returns the number of known digests and the number of withdrawn ones.
-func (r *Ring) Len() (known, withdrawn int) { return len(r.teams), len(r.withdrawn) }
+// Counts returns the number of known digests and the number of withdrawn ones.
+func (r *Keyring) Counts() (known, withdrawn int) { return len(r.teams), len(r.withdrawn) }
 
-func (r *Ring) markWithdrawn(d core.KeyDigest) bool {
+func (r *Keyring) markWithdrawn(d core.KeyDigest) bool {
 	if r.withdrawn[d] {
 		return false
 	}
@@ -248,7 +248,7 @@
 // applyGrant does nothing in production. A row that isn't marked as withdrawn may be
 // older than a withdrawal received directly, so it never reverts a withdrawal. Tests
 // disable this rule to show its effect.
-func (r *Ring) applyGrant(d core.KeyDigest) {
+func (r *Keyring) applyGrant(d core.KeyDigest) {
 	if r.disabled.forgetWithdrawals {
 		delete(r.withdrawn, d)
 	}
--- a/core/key/ring_test.go
+++ b/core/key/keyring_test.go
@@ -61,7 +61,7 @@
 
 type testEntry struct {
 	view          config.View
-	ring          Ring
+	keyring       Keyring
 	clockOffset   time.Duration
 	tableRevision table.Revision
 	baseVersion   core.Version
@@ -78,7 +78,7 @@
 
 func (w *simulation) newEntry(i int) *testEntry {
 	e := &testEntry{clockOffset: time.Duration(w.r.IntN(int(testSkew))) - testSkew/2}
-	e.ring = Ring{
+	e.keyring = Keyring{
 		Zone: testZones[i/2], Zones: testZones, MaxStaleness: testMaxStaleness,
 		Started: w.now.Add(e.clockOffset), disabled: w.disabled,
 	}
@@ -114,7 +114,7 @@
 			}
 			m.deliver()
 		}
-		w.record(e)
+		w.recordWithdrawals(e)
 		w.read(e)
 		w.exchange(e, w.entries[w.r.IntN(len(w.entries))])
 	}
@@ -187,11 +187,11 @@
 func (w *simulation) withdrawIn(k *testKey, partition int) {
 	receivedPerZone := map[core.ZoneID]int{}
 	for _, e := range w.entries {
-		if w.partition[e.ring.Zone] != partition {
+		if w.partition[e.keyring.Zone] != partition {
 			continue
 		}
-		e.ring.Withdraw(Withdrawal{Digest: k.digest, Team: testTeam, Author: "bo"})
-		receivedPerZone[e.ring.Zone]++
+		e.keyring.Withdraw(Withdrawal{Digest: k.digest, Team: testTeam, Author: "bo"})
+		receivedPerZone[e.keyring.Zone]++
 	}
 	zones := 0
 	for _, n := range receivedPerZone {
@@ -205,34 +205,34 @@
 	}
 }
 
-// record writes the withdrawals that an entry received directly to the table, as the
+// recordWithdrawals writes the withdrawals that an entry received directly to the table, as the
 // entry's watcher does.
-func (w *simulation) record(e *testEntry) {
-	if w.cutFromTable[e.ring.Zone] || w.chance(70) {
+func (w *simulation) recordWithdrawals(e *testEntry) {
+	if w.cutFromTable[e.keyring.Zone] || w.chance(70) {
 		return
 	}
-	for _, x := range e.ring.Unrecorded() {
-		if !w.recorded(x.Digest) {
+	for _, x := range e.keyring.Unrecorded() {
+		if !w.isRecorded(x.Digest) {
 			w.applyChange(config.WithdrawKey{Author: x.Author, Team: x.Team, Digest: x.Digest})
 		}
 	}
 }
 
-func (w *simulation) recorded(d core.KeyDigest) bool {
+func (w *simulation) isRecorded(d core.KeyDigest) bool {
 	var k config.Key
 	return w.table.Read(table.KeyDigestKey(d)).Decode(&k) == nil && k.Withdrawn
 }
 
-// forgotten reports whether a withdrawal that isn't in the table is no longer known to
+// isForgotten reports whether a withdrawal that isn't in the table is no longer known to
 // any entry of some zone, because all entries that had received it restarted.
-func (w *simulation) forgotten(k *testKey) bool {
+func (w *simulation) isForgotten(k *testKey) bool {
 	holders := map[core.ZoneID]bool{}
 	for _, e := range w.entries {
-		holders[e.ring.Zone] = holders[e.ring.Zone] || e.ring.Withdrawn(k.digest)
+		holders[e.keyring.Zone] = holders[e.keyring.Zone] || e.keyring.Withdrawn(k.digest)
 	}
 	for _, z := range testZones {
 		if !holders[z] {
-			return !w.recorded(k.digest)
+			return !w.isRecorded(k.digest)
 		}
 	}
 	return false
@@ -252,7 +252,7 @@
 	return err == nil && w.table.Transact(t) == nil
 }
 
-func (w *simulation) asOf(e *testEntry, sent time.Time) time.Time {
+func (w *simulation) evidenceTime(e *testEntry, sent time.Time) time.Time {
 	if w.dateOnReceipt {
 		sent = w.now
 	}
@@ -261,7 +261,7 @@
 
 // read reads the table. The answer arrives later.
 func (w *simulation) read(e *testEntry) {
-	if w.tableDown || w.cutFromTable[e.ring.Zone] || w.chance(70) {
+	if w.tableDown || w.cutFromTable[e.keyring.Zone] || w.chance(70) {
 		return
 	}
 	d := config.Delta{Base: e.baseVersion, Rows: append(w.table.Changes(table.PrefixConfig, e.tableRevision), w.table.Changes(table.PrefixKey, e.tableRevision)...)}
@@ -271,9 +271,9 @@
 	sent, revision := w.now, w.table.Revision()
 	w.send(e, func() {
 		applied, _ := e.view.Apply(d, config.FromTable)
-		e.ring.Apply(applied)
+		e.keyring.Apply(applied)
 		if e.view.Version() >= d.Version {
-			e.ring.RecordTableRead(w.asOf(e, sent))
+			e.keyring.RecordTableRead(w.evidenceTime(e, sent))
 			e.tableRevision, e.baseVersion = max(e.tableRevision, revision), max(e.baseVersion, d.Version)
 		}
 	})
@@ -281,18 +281,18 @@
 
 // exchange requests the state of another entry. The answer arrives later.
 func (w *simulation) exchange(e, other *testEntry) {
-	if e == other || w.partition[e.ring.Zone] != w.partition[other.ring.Zone] {
+	if e == other || w.partition[e.keyring.Zone] != w.partition[other.keyring.Zone] {
 		return
 	}
-	sent, s, d := w.now, other.ring.Summary(), other.view.DeltaSince(e.view.Version())
-	zone := other.ring.Zone
+	sent, s, d := w.now, other.keyring.Summary(), other.view.DeltaSince(e.view.Version())
+	zone := other.keyring.Zone
 	w.send(e, func() {
 		applied, _ := e.view.Apply(d, config.FromPeer)
-		e.ring.Apply(applied)
+		e.keyring.Apply(applied)
 		caughtUp := e.view.Version() >= d.Version
-		e.ring.Merge(s, caughtUp, testSkew)
+		e.keyring.Merge(s, caughtUp, testSkew)
 		if caughtUp && s.Joined {
-			e.ring.RecordZoneContact(zone, w.asOf(e, sent))
+			e.keyring.RecordZoneContact(zone, w.evidenceTime(e, sent))
 		}
 	})
 }
@@ -303,8 +303,8 @@
 // its zone, or from the table once it is recorded, so for that entry the time starts
 // later.
 func (w *simulation) deadlineStart(k *testKey, e *testEntry) time.Time {
-	started := e.ring.Started.Add(-e.clockOffset)
-	if k.recordedAt.IsZero() && w.recorded(k.digest) {
+	started := e.keyring.Started.Add(-e.clockOffset)
+	if k.recordedAt.IsZero() && w.isRecorded(k.digest) {
 		k.recordedAt = w.now
 	}
 	if !started.After(k.acceptedAt) || (!k.recordedAt.IsZero() && !k.recordedAt.After(started)) {
@@ -315,13 +315,13 @@
 
 func (w *simulation) check() {
 	for _, k := range w.keys[max(0, len(w.keys)-12):] {
-		if !k.acceptedAt.IsZero() && w.forgotten(k) {
+		if !k.acceptedAt.IsZero() && w.isForgotten(k) {
 			k.acceptedAt = time.Time{}
 			w.forgottenCount++
 		}
 		for _, e := range w.entries {
 			w.checks++
-			code, ok := e.ring.Check(w.now.Add(e.clockOffset), testTeam, k.digest)
+			code, ok := e.keyring.Check(w.now.Add(e.clockOffset), testTeam, k.digest)
 			if !ok {
 				w.refusals++
 				k.refusedBy[e] = k.refusedBy[e] || code == core.CodeKeyWithdrawn
--- a/core/key/session_test.go
+++ b/core/key/session_test.go
@@ -19,7 +19,7 @@
 // everything and its list becomes stale.
 func TestSession(t *testing.T) {
 	var b strings.Builder
-	r := Ring{Zone: "za", Zones: []core.ZoneID{"za", "zb", "zc"}, Started: testStart}
+	r := Keyring{Zone: "za", Zones: []core.ZoneID{"za", "zb", "zc"}, Started: testStart}
 	good, leaked, late := core.Digest("good"), core.Digest("leaked"), core.Digest("late")
 	row := func(d core.KeyDigest, version core.Version, withdrawn bool) table.Row {
 		return table.MustRow(table.KeyDigestKey(d), version, config.Key{Team: testTeam, Withdrawn: withdrawn})
@@ -52,16 +52,16 @@
 	golden.Assert(t, b.String(), "session.golden")
 }
 
-// FuzzRingApply feeds arbitrary data to the decoder of key rows. Whatever the rows
+// FuzzKeyringApply feeds arbitrary data to the decoder of key rows. Whatever the rows
 // contain, a withdrawn key stays withdrawn, and only a row of the team makes a key
 // valid.
-func FuzzRingApply(f *testing.F) {
+func FuzzKeyringApply(f *testing.F) {
 	f.Add([]byte(`{"team":"frames"}`))
 	f.Add([]byte(`{"team":"frames","withdrawn":false}`))
 	f.Add([]byte(`{"team":"frames","withdrawn":"no"}`))
 	f.Add([]byte(`[1]`))
 	f.Fuzz(func(t *testing.T, value []byte) {
-		var r Ring
+		var r Keyring
 		r.RecordTableRead(testStart)
 		withdrawn, other := core.Digest("ended"), core.Digest("other")
 		r.Withdraw(Withdrawal{Digest: withdrawn})
--- a/core/key/summary.go
+++ b/core/key/summary.go
@@ -22,14 +22,14 @@
 }
 
 // Summary returns the data to send to a peer.
-func (r *Ring) Summary() Summary {
+func (r *Keyring) Summary() Summary {
 	return Summary{Complete: r.tableReadAt, Contacts: maps.Clone(r.zoneContacts), Joined: r.joined, Withdrawals: r.Unrecorded()}
 }
 
 // Merge adds a peer's summary and returns the digests of the keys that it withdraws.
 // The peer's times are used only if every row that the peer had was applied first, and
 // they are reduced by the maximum clock skew.
-func (r *Ring) Merge(s Summary, caughtUp bool, skew time.Duration) []core.KeyDigest {
+func (r *Keyring) Merge(s Summary, caughtUp bool, skew time.Duration) []core.KeyDigest {
 	withdrawn := r.Withdraw(s.Withdrawals...)
 	if !caughtUp {
 		return withdrawn
--- a/core/limit/decide.go
+++ b/core/limit/decide.go
@@ -79,8 +79,8 @@
 // draft computes the move that the rows call for.
 func (l *Ledger) draft(now time.Time, a *teamAllotment) draft {
 	d := draft{teamRow: a.teamRow.clone(), zoneRow: a.zoneRow.clone(), slots: a.slots}
-	dropExpired(d.teamRow.Wanted, now)
-	dropExpired(d.zoneRow.Wanted, now)
+	dropExpired(d.teamRow.DemandMarks, now)
+	dropExpired(d.zoneRow.DemandMarks, now)
 	l.reclaimEntries(now, &d)
 	l.reclaimZones(now, &d)
 	l.adjust(now, a, &d)
@@ -123,21 +123,21 @@
 // by them can still be running. The deadline is stored in the row, so that the wait
 // continues if the entry that started it ends as well.
 func (l *Ledger) reclaimEntries(now time.Time, d *draft) {
-	for e := range d.zoneRow.Reclaim {
+	for e := range d.zoneRow.ReclaimAt {
 		if _, ok := d.zoneRow.Entries[e]; !ok {
-			delete(d.zoneRow.Reclaim, e)
+			delete(d.zoneRow.ReclaimAt, e)
 		}
 	}
 	for e := range d.zoneRow.Entries {
-		end, marked := d.zoneRow.Reclaim[e]
+		end, marked := d.zoneRow.ReclaimAt[e]
 		switch {
 		case e == l.Self:
 		case marked && !now.Before(end), l.goneEntries[e] && l.disabled.reclaimImmediately:
 			delete(d.zoneRow.Entries, e)
-			delete(d.zoneRow.Reclaim, e)
+			delete(d.zoneRow.ReclaimAt, e)
 			d.worthwhile = true
 		case !marked && l.goneEntries[e]:
-			put(&d.zoneRow.Reclaim, e, l.lastLeaseEnd(now))
+			put(&d.zoneRow.ReclaimAt, e, l.lastLeaseEnd(now))
 			d.worthwhile = true
 		}
 	}
@@ -153,7 +153,7 @@
 			continue
 		}
 		delete(d.teamRow.Zones, z)
-		delete(d.teamRow.Wanted, z)
+		delete(d.teamRow.DemandMarks, z)
 		d.clearedZones = append(d.clearedZones, z)
 		d.worthwhile = true
 	}
@@ -190,7 +190,7 @@
 	case demand && idle == 0:
 		l.take(d, min(free, l.increment(now, a, d)))
 	case demand:
-	case d.teamRow.Short.After(now) && free <= 0:
+	case d.teamRow.ShortUntil.After(now) && free <= 0:
 		l.giveBack(d, min(idle, d.slots-a.usage.peak(now)))
 	case !now.Before(a.usage.lastUsed.Add(l.retention())):
 		// The minimum allotment is kept. Otherwise the entry would take it again as an
@@ -226,7 +226,7 @@
 // current allotment, the minimum allotment and about an entry's share of the free
 // slots, or a single slot while the limit is short.
 func (l *Ledger) increment(now time.Time, a *teamAllotment, d *draft) core.Slots {
-	if d.teamRow.Short.After(now) {
+	if d.teamRow.ShortUntil.After(now) {
 		return 1
 	}
 	const entries = 32
@@ -243,15 +243,15 @@
 // countStarved returns the number of other zones in which an entry waits with less than
 // its even share, plus the number of such entries in this zone other than this one.
 func (l *Ledger) countStarved(now time.Time, d *draft) int {
-	return countOtherMarks(d.teamRow.Wanted, l.Zone, now) + countOtherMarks(d.zoneRow.Wanted, l.Self, now)
+	return countOtherMarks(d.teamRow.DemandMarks, l.Zone, now) + countOtherMarks(d.zoneRow.DemandMarks, l.Self, now)
 }
 
 // evenShare returns the entry's even share of the limit among those that hold or want
 // slots. The limit is divided among zones first, then within the zone, and rounded
 // down.
 func (l *Ledger) evenShare(now time.Time, limit core.Slots, d *draft) core.Slots {
-	zones := countClaimants(d.teamRow.Zones, d.teamRow.Wanted, l.Zone, now)
-	entries := countClaimants(d.zoneRow.Entries, d.zoneRow.Wanted, l.Self, now)
+	zones := countClaimants(d.teamRow.Zones, d.teamRow.DemandMarks, l.Zone, now)
+	entries := countClaimants(d.zoneRow.Entries, d.zoneRow.DemandMarks, l.Self, now)
 	return limit / core.Slots(zones*entries)
 }
 
@@ -284,20 +284,20 @@
 // single mark for a short limit serves all entries, so that a burst doesn't cost a
 // write per entry.
 func (l *Ledger) updateMarks(now time.Time, waits bool, even core.Slots, d *draft) {
-	_, marked := d.zoneRow.Wanted[l.Self]
+	_, marked := d.zoneRow.DemandMarks[l.Self]
 	belowShare := d.slots == 0 || d.slots < even
 	switch {
 	case waits && belowShare && !marked:
-		put(&d.zoneRow.Wanted, l.Self, now.Add(demandMarkTTL))
-		put(&d.teamRow.Wanted, l.Zone, now.Add(demandMarkTTL))
+		put(&d.zoneRow.DemandMarks, l.Self, now.Add(demandMarkTTL))
+		put(&d.teamRow.DemandMarks, l.Zone, now.Add(demandMarkTTL))
 		d.worthwhile = true
-	case waits && !belowShare && !d.teamRow.Short.After(now):
-		d.teamRow.Short = now.Add(demandMarkTTL)
+	case waits && !belowShare && !d.teamRow.ShortUntil.After(now):
+		d.teamRow.ShortUntil = now.Add(demandMarkTTL)
 		d.worthwhile = true
 	case marked && !belowShare:
-		delete(d.zoneRow.Wanted, l.Self)
-		if len(d.zoneRow.Wanted) == 0 {
-			delete(d.teamRow.Wanted, l.Zone)
+		delete(d.zoneRow.DemandMarks, l.Self)
+		if len(d.zoneRow.DemandMarks) == 0 {
+			delete(d.teamRow.DemandMarks, l.Zone)
 		}
 	}
 }
--- a/core/limit/initial.go
+++ b/core/limit/initial.go
@@ -79,7 +79,7 @@
 // nil while the limit is short, or if an entry that isn't known to have ended already
 // has an allotment.
 func (l *Ledger) newEntries(now time.Time, d *draft) []core.EntryID {
-	if d.teamRow.Short.After(now) {
+	if d.teamRow.ShortUntil.After(now) {
 		return nil
 	}
 	var newcomers []core.EntryID
--- a/core/limit/initial_test.go
+++ b/core/limit/initial_test.go
@@ -29,9 +29,9 @@
 	return m
 }
 
-// givenToOthers returns the number of allotments for entries other than self in the
+// countAllottedToOthers returns the number of allotments for entries other than self in the
 // first move of self's zone.
-func givenToOthers(self core.EntryID, t table.Transaction) int {
+func countAllottedToOthers(self core.EntryID, t table.Transaction) int {
 	given := 0
 	for _, write := range t.Writes {
 		var r ZoneRow
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -49,8 +49,8 @@
 	served      int
 	lostAnswers int
 	moves       int
-	// givenToOthers counts the allotments that an entry gave to another one.
-	givenToOthers int
+	// allottedToOthers counts the allotments that an entry gave to another one.
+	allottedToOthers int
 	// maxOverAllotted is the maximum number of slots by which the allotments in the
 	// rows exceeded a constant limit.
 	maxOverAllotted core.Slots
@@ -217,7 +217,7 @@
 
 func (w *simulation) transact(n *testEntry, t table.Transaction) Result {
 	w.moves++
-	w.givenToOthers += givenToOthers(n.ledger.Self, t)
+	w.allottedToOthers += countAllottedToOthers(n.ledger.Self, t)
 	switch {
 	case w.tableDown || n.isolated || n.cutFromTable:
 		return ResultNotSent
@@ -326,7 +326,7 @@
 			w := newSimulation(seed, disabledSafeguards{}, changeLimits).run()
 			assert.Assert(t, w.maxExcess <= 0, "seed %d: running requests exceed the limit by %d\n%s", seed, w.maxExcess, w.dumpEntries())
 			assert.Assert(t, w.maxOverAllotted <= 0, "seed %d: allotments exceed the limit by %d slots", seed, w.maxOverAllotted)
-			served, moves, lost, given = served+w.served, moves+w.moves, lost+w.lostAnswers, given+w.givenToOthers
+			served, moves, lost, given = served+w.served, moves+w.moves, lost+w.lostAnswers, given+w.allottedToOthers
 		}
 		t.Logf("limit changes: %t: %d seeds, %d requests started, %d attempts to send moves, %d answers lost, %d allotments given to other entries in a zone's first move, limit never exceeded",
 			changeLimits, testSeeds, served, moves, lost, given)
@@ -361,7 +361,7 @@
 // another entry then loses the table. The first entry would take the slots that the
 // others gave back. The second one saw that the allotments fit the reduced limit and
 // would start requests in addition to those.
-func TestEntryWithStaleConfigTakesNothing(t *testing.T) {
+func TestEntryWithStaleConfigTakesNoSlots(t *testing.T) {
 	maxExcess := map[bool]core.Slots{}
 	for _, disabled := range []bool{false, true} {
 		for seed := range uint64(safeguardSeeds) {
--- a/core/limit/rows.go
+++ b/core/limit/rows.go
@@ -14,24 +14,24 @@
 	// Zones maps each zone to its allotment, which is the sum of its entries'
 	// allotments.
 	Zones map[core.ZoneID]core.Slots `json:"zones,omitempty"`
-	// Wanted maps each zone in which an entry waits with less than its even share to
+	// DemandMarks maps each zone in which an entry waits with less than its even share to
 	// the expiry of its demand mark.
-	Wanted map[core.ZoneID]time.Time `json:"wanted,omitempty"`
-	// Short is the expiry of the demand mark set by an entry that waits although it has
+	DemandMarks map[core.ZoneID]time.Time `json:"wanted,omitempty"`
+	// ShortUntil is the expiry of the demand mark set by an entry that waits although it has
 	// its even share. Until then, other entries give back the slots they haven't used
 	// recently.
-	Short time.Time `json:"short,omitzero"`
+	ShortUntil time.Time `json:"short,omitzero"`
 }
 
 // ZoneRow is the table row that divides a zone's allotment among its entries.
 type ZoneRow struct {
 	Entries map[core.EntryID]core.Slots `json:"entries,omitempty"`
-	// Reclaim maps each entry that has ended to the latest deadline of a lease it could
+	// ReclaimAt maps each entry that has ended to the latest deadline of a lease it could
 	// have granted. Its allotment is free from then on.
-	Reclaim map[core.EntryID]time.Time `json:"reclaim,omitempty"`
-	// Wanted maps each entry of the zone that waits with less than its even share to
+	ReclaimAt map[core.EntryID]time.Time `json:"reclaim,omitempty"`
+	// DemandMarks maps each entry of the zone that waits with less than its even share to
 	// the expiry of its demand mark.
-	Wanted map[core.EntryID]time.Time `json:"wanted,omitempty"`
+	DemandMarks map[core.EntryID]time.Time `json:"wanted,omitempty"`
 }
 
 // Sum returns the number of slots allotted to zones.
@@ -41,11 +41,11 @@
 func (r ZoneRow) Sum() core.Slots { return sum(r.Entries) }
 
 func (r TeamRow) clone() TeamRow {
-	return TeamRow{Limit: r.Limit, Zones: maps.Clone(r.Zones), Wanted: maps.Clone(r.Wanted), Short: r.Short}
+	return TeamRow{Limit: r.Limit, Zones: maps.Clone(r.Zones), DemandMarks: maps.Clone(r.DemandMarks), ShortUntil: r.ShortUntil}
 }
 
 func (r ZoneRow) clone() ZoneRow {
-	return ZoneRow{Entries: maps.Clone(r.Entries), Reclaim: maps.Clone(r.Reclaim), Wanted: maps.Clone(r.Wanted)}
+	return ZoneRow{Entries: maps.Clone(r.Entries), ReclaimAt: maps.Clone(r.ReclaimAt), DemandMarks: maps.Clone(r.DemandMarks)}
 }
 
 // nonNegative reports whether no allotment is negative. No move writes a negative one.
--- a/core/limit/schedule.go
+++ b/core/limit/schedule.go
@@ -92,10 +92,10 @@
 	if a.running.count() > 0 || !a.readSentAt.IsZero() || !a.limitKnown || a.teamRow.Sum() > a.limit || !l.rowsAsOf(a).After(a.reducedAt) {
 		return true
 	}
-	if a.teamRow.Short.After(now) || countOtherMarks(a.teamRow.Wanted, "", now)+countOtherMarks(a.zoneRow.Wanted, "", now) > 0 {
+	if a.teamRow.ShortUntil.After(now) || countOtherMarks(a.teamRow.DemandMarks, "", now)+countOtherMarks(a.zoneRow.DemandMarks, "", now) > 0 {
 		return true
 	}
-	return now.Before(a.retryAt) || len(a.zoneRow.Reclaim) > 0 || len(l.downZones) > 0 || l.hasGoneHolder(a)
+	return now.Before(a.retryAt) || len(a.zoneRow.ReclaimAt) > 0 || len(l.downZones) > 0 || l.hasGoneHolder(a)
 }
 
 func (l *Ledger) hasGoneHolder(a *teamAllotment) bool {
--- a/core/maintenance/driver.go
+++ b/core/maintenance/driver.go
@@ -216,7 +216,7 @@
 // nextDue returns the deadline of the next maintenance, or zero if the VM was out of
 // service for another reason than a planned reboot.
 func (s *stepper) nextDue() time.Time {
-	out, ok := s.pool.Pool.FindOut(s.vm.Ref)
+	out, ok := s.pool.Pool.FindOutVM(s.vm.Ref)
 	if !ok || !out.Planned || s.vm.VM.RebootBy.IsZero() {
 		return time.Time{}
 	}
--- a/core/maintenance/driver_test.go
+++ b/core/maintenance/driver_test.go
@@ -13,11 +13,11 @@
 	"lavenderpond/core/table"
 )
 
-// TestStoppedBeyondBudgetIsNotRebooted guards against a planned reboot that takes out one
+// TestNoRebootWhenBudgetIsExceeded guards against a planned reboot that takes out one
 // VM more than the budget allows. The answer to the first reboot was lost, so the VM's row
 // still says stopped. The VM is back, and then two others of its pool fail. It must return
 // to service without another reboot, and stay due for maintenance.
-func TestStoppedBeyondBudgetIsNotRebooted(t *testing.T) {
+func TestNoRebootWhenBudgetIsExceeded(t *testing.T) {
 	ref := fleet.Ref{Zone: "z", VM: "v0"}
 	pool := fleet.Pool{MaxUnavailable: 2, Size: 10, Members: 10, Out: []fleet.OutVM{
 		{Ref: ref, Planned: true}, {Ref: fleet.Ref{Zone: "z", VM: "v1"}}, {Ref: fleet.Ref{Zone: "z", VM: "v2"}},
--- a/core/maintenance/fixed/fixed.go
+++ b/core/maintenance/fixed/fixed.go
@@ -10,13 +10,13 @@
 	"lavenderpond/core/maintenance"
 )
 
-// DefaultSize is the default batch size, in VMs.
-const DefaultSize = 5
+// DefaultBatchSize is the default batch size, in VMs.
+const DefaultBatchSize = 5
 
 // Planner is a maintenance.Planner. The zero value is ready to use.
 type Planner struct {
-	// Size is the number of VMs in a batch. 0 means DefaultSize.
-	Size int
+	// BatchSize is the number of VMs in a batch. 0 means DefaultBatchSize.
+	BatchSize int
 }
 
 var _ maintenance.Planner = Planner{}
@@ -26,9 +26,9 @@
 	if v.Wave.Status != maintenance.Running {
 		return nil
 	}
-	size := p.Size
+	size := p.BatchSize
 	if size == 0 {
-		size = DefaultSize
+		size = DefaultBatchSize
 	}
 	waveName := v.Wave.Name(v.Zone)
 	var commands []maintenance.Command
--- a/core/maintenance/lease_policy_test.go
+++ b/core/maintenance/lease_policy_test.go
@@ -24,9 +24,9 @@
 	now     time.Time
 	table   table.Memory
 	entries []*leaseEntry
-	// releases counts the leases that were released, gap counts the consecutive steps
-	// without a holder, and longest is the longest such gap.
-	releases, gap, longestGap int
+	// releases counts the leases that were released. vacantSteps counts the latest
+	// consecutive steps without a holder, and maxVacantSteps is its maximum.
+	releases, vacantSteps, maxVacantSteps int
 }
 
 const (
@@ -54,11 +54,11 @@
 			z.tick(e, ids)
 		}
 	}
-	z.gap++
+	z.vacantSteps++
 	if z.now.Before(z.lease().Until) {
-		z.gap = 0
+		z.vacantSteps = 0
 	}
-	z.longestGap = max(z.longestGap, z.gap)
+	z.maxVacantSteps = max(z.maxVacantSteps, z.vacantSteps)
 }
 
 func (z *leaseZone) tick(e *leaseEntry, ids []core.EntryID) {
@@ -103,7 +103,7 @@
 	z.steps(100)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_1"))
 	assert.Equal(t, z.releases, 1)
-	assert.Equal(t, z.longestGap, 0)
+	assert.Equal(t, z.maxVacantSteps, 0)
 }
 
 // TestLeasePolicyKeepsController guards against a zone without a controller, in which
@@ -116,7 +116,7 @@
 	z.steps(1000)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"))
 	assert.Equal(t, z.releases, 1)
-	assert.Assert(t, z.longestGap <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longestGap)
+	assert.Assert(t, z.maxVacantSteps <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.maxVacantSteps)
 
 	// Another entry resumes and takes the lease. It freezes, and the relay takes over again.
 	z.entries[1].frozen = false
@@ -127,5 +127,5 @@
 	z.steps(1000)
 	assert.Equal(t, z.lease().Holder, core.EntryID("entry_0"))
 	assert.Equal(t, z.releases, 2)
-	assert.Assert(t, z.longestGap <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.longestGap)
+	assert.Assert(t, z.maxVacantSteps <= int(leaseTakeoverDelay/leaseStep), "%d steps without a controller", z.maxVacantSteps)
 }
--- a/core/maintenance/spread/export_test.go
+++ b/core/maintenance/spread/export_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Without returns a planner for tests with the named rule disabled. An empty name
+// WithoutRule returns a planner for tests with the named rule disabled. An empty name
 // disables none.
-func Without(rule string) Planner {
+func WithoutRule(rule string) Planner {
 	p := Planner{RepairAfter: 5 * time.Minute, StopTime: 5 * time.Minute}
 	switch rule {
 	case "halt":
--- a/core/maintenance/spread/repair.go
+++ b/core/maintenance/spread/repair.go
@@ -105,7 +105,7 @@
 			continue
 		}
 		surplus := p.Members - p.Size
-		out, isOut := p.FindOut(vm.Ref)
+		out, isOut := p.FindOutVM(vm.Ref)
 		if missing < 1 || surplus < 1 || !isOut || out.Planned {
 			continue
 		}
--- a/core/maintenance/spread/spread.go
+++ b/core/maintenance/spread/spread.go
@@ -148,7 +148,7 @@
 	if p == nil || vm.VM.State != fleet.Verifying {
 		return
 	}
-	if out, ok := p.FindOut(vm.Ref); ok && !out.Planned {
+	if out, ok := p.FindOutVM(vm.Ref); ok && !out.Planned {
 		p.recovering++
 	}
 }
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -31,7 +31,7 @@
 	size := sim.Size{Zones: 1, Pools: 4, PoolVMs: 10, SpareVMs: 8, RackVMs: 4, MaxUnavailable: 2}
 	w := sim.NewWorld(seed, testStart, size, size.MaxUnavailable)
 	w.RebootTime, w.DrainTime, w.DetectionDelay = time.Minute, time.Minute, 30*time.Second
-	z := &sim.Zone{World: w, ID: "z0", Planner: spread.Without(rule)}
+	z := &sim.Zone{World: w, ID: "z0", Planner: spread.WithoutRule(rule)}
 	prepare(w)
 	for _, build := range []func(maintenance.WaveRow) (table.Transaction, error){
 		func(r maintenance.WaveRow) (table.Transaction, error) {
@@ -122,10 +122,10 @@
 	assert.Assert(t, runSeeds(t, "ramp", 2, breakReboots).broken > with.broken)
 }
 
-// TestSpentBudgetIsRepaired covers a pool whose budget of two is used up by two VMs that
+// TestFailedVMsAreReplacedBySpares covers a pool whose budget of two is used up by two VMs that
 // failed permanently. It allows no planned stop until spare VMs have replaced them.
 // Without the repair, the pool's other VMs miss their maintenance.
-func TestSpentBudgetIsRepaired(t *testing.T) {
+func TestFailedVMsAreReplacedBySpares(t *testing.T) {
 	spendBudget := func(w *sim.World) { w.FailAll(w.VMs()[:2], 100*time.Hour) }
 	// The two failed VMs can't be maintained. The others must be.
 	with := runSeeds(t, "", 2, spendBudget)
--- a/core/queue/fair/property_test.go
+++ b/core/queue/fair/property_test.go
@@ -37,10 +37,10 @@
 		disabled disabledSafeguards
 		check    func(disabled disabledSafeguards, rng *rand.Rand) error
 	}{
-		{"weighted shares", disabledSafeguards{fairness: true}, sharesHold},
-		{"urgent flood starves no team", disabledSafeguards{urgentBound: true}, urgentIsBounded},
-		{"expired items are never popped", disabledSafeguards{expiryCheck: true}, neverExpired},
-		{"work conservation", disabledSafeguards{teamSkipping: true}, workConserving},
+		{"weighted shares", disabledSafeguards{fairness: true}, checkShares},
+		{"urgent flood starves no team", disabledSafeguards{urgentBound: true}, checkUrgentBound},
+		{"expired items are never popped", disabledSafeguards{expiryCheck: true}, checkNoExpiredItems},
+		{"work conservation", disabledSafeguards{teamSkipping: true}, checkWorkConserving},
 	} {
 		t.Run(p.name, func(t *testing.T) {
 			failedSeeds := 0
@@ -60,11 +60,11 @@
 	}
 }
 
-// sharesHold serves teams that always have waiting items, with runs of different
+// checkShares serves teams that always have waiting items, with runs of different
 // lengths. The slot time per share of two teams may differ by no more than their
 // longest runs per share, because each team had at most one run charged before it was
 // measured.
-func sharesHold(disabled disabledSafeguards, rng *rand.Rand) error {
+func checkShares(disabled disabledSafeguards, rng *rand.Rand) error {
 	shares := map[core.TeamID]int{"a": 1, "b": 2, "c": 1 + rng.IntN(6), "d": 9}
 	f := Queue{Share: func(t core.TeamID) int { return shares[t] }, MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	got := map[core.TeamID]float64{}
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// urgentIsBounded adds a flood of urgent work from one team. The other team must
+// checkUrgentBound adds a flood of urgent work from one team. The other team must
 // receive half of the runs, less those by which urgent work may be ahead.
-func urgentIsBounded(disabled disabledSafeguards, rng *rand.Rand) error {
+func checkUrgentBound(disabled disabledSafeguards, rng *rand.Rand) error {
 	f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	const n = 200
 	for i := range n {
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// neverExpired pops at random times, sometimes after a call of Expired.
-func neverExpired(disabled disabledSafeguards, rng *rand.Rand) error {
+// checkNoExpiredItems pops at random times, sometimes after a call of Expired.
+func checkNoExpiredItems(disabled disabledSafeguards, rng *rand.Rand) error {
 	f := Queue{disabled: disabled}
 	now := testStart
 	for n := range 100 {
@@ -132,9 +132,9 @@
 	return nil
 }
 
-// workConserving keeps some teams at their limit. Pop must find the work of any other
+// checkWorkConserving keeps some teams at their limit. Pop must find the work of any other
 // team.
-func workConserving(disabled disabledSafeguards, rng *rand.Rand) error {
+func checkWorkConserving(disabled disabledSafeguards, rng *rand.Rand) error {
 	f := Queue{MaxQueued: fixedBound(1 << 20), disabled: disabled}
 	free := map[core.TeamID]int{}
 	for n := range 100 {
@@ -169,8 +169,8 @@
 func TestCancelOrderDoesNotMatter(t *testing.T) {
 	failedSeeds, firstFailedSeed := 0, uint64(0)
 	for seed := range uint64(100) {
-		assert.Assert(t, cancelOrderIrrelevant(t, disabledSafeguards{}, seed), "seed %d", seed)
-		if !cancelOrderIrrelevant(t, disabledSafeguards{reordering: true}, seed) {
+		assert.Assert(t, sameOrderAfterCancels(t, disabledSafeguards{}, seed), "seed %d", seed)
+		if !sameOrderAfterCancels(t, disabledSafeguards{reordering: true}, seed) {
 			failedSeeds++
 			if failedSeeds == 1 {
 				firstFailedSeed = seed
@@ -181,9 +181,9 @@
 	assert.Assert(t, failedSeeds > 0, "the property is never violated with the safeguard disabled")
 }
 
-// cancelOrderIrrelevant cancels 60 of 100 items in two different orders and reports
+// sameOrderAfterCancels cancels 60 of 100 items in two different orders and reports
 // whether the rest is served in the same order.
-func cancelOrderIrrelevant(t *testing.T, disabled disabledSafeguards, seed uint64) bool {
+func sameOrderAfterCancels(t *testing.T, disabled disabledSafeguards, seed uint64) bool {
 	cancelled := rand.New(rand.NewPCG(seed, 2)).Perm(100)[:60]
 	serve := func() (served []core.RequestKey) {
 		f := Queue{disabled: disabled}
--- a/core/route/least/eject.go
+++ b/core/route/least/eject.go
@@ -34,7 +34,7 @@
 		r.handleProbeResult(now, t, result)
 		return
 	}
-	if !r.outlier(t) {
+	if !r.isOutlier(t) {
 		t.health = healthy
 		if t.resultCount >= minHealthResults && t.failureRate > failingRate && !r.disabled.pacing {
 			// The whole pool is failing, so no target is an outlier. Requests that
@@ -89,8 +89,8 @@
 	t.resultCount = 0
 }
 
-// outlier reports whether t fails much more often than the rest of its pool.
-func (r *Router) outlier(t *target) bool {
+// isOutlier reports whether t fails much more often than the rest of its pool.
+func (r *Router) isOutlier(t *target) bool {
 	if t.resultCount < minHealthResults {
 		return false
 	}
--- a/core/route/least/property_test.go
+++ b/core/route/least/property_test.go
@@ -65,7 +65,7 @@
 
 // Shows that each bound holds with all safeguards and is exceeded when its own
 // safeguard is disabled.
-func TestBounds(t *testing.T) {
+func TestSlotAndEjectionBounds(t *testing.T) {
 	for _, p := range []struct {
 		name     string
 		disabled disabledSafeguards
--- a/core/shard/simulation_test.go
+++ b/core/shard/simulation_test.go
@@ -262,7 +262,7 @@
 	if allowed {
 		sim.dispatch(e, q.key)
 	}
-	sim.do(e, commands)
+	sim.execute(e, commands)
 }
 
 func (sim *simulation) traceAsk(e *simEntry, q simRequest, v Verdict) {
@@ -303,9 +303,9 @@
 	}
 }
 
-func (sim *simulation) handle(e *simEntry, ev Event) { sim.do(e, e.leases.Handle(sim.now(e), ev)) }
+func (sim *simulation) handle(e *simEntry, ev Event) { sim.execute(e, e.leases.Handle(sim.now(e), ev)) }
 
-func (sim *simulation) do(e *simEntry, commands []Command) {
+func (sim *simulation) execute(e *simEntry, commands []Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case Send:
--- a/core/table/keys.go
+++ b/core/table/keys.go
@@ -68,13 +68,13 @@
 // ZoneAllotmentKey returns the key of the row that divides a zone's part of a
 // team's limit among the zone's entries.
 func ZoneAllotmentKey(t core.TeamID, z core.ZoneID) Key {
-	return Key(PrefixZoneAllotment(z) + string(t))
+	return Key(ZoneAllotmentPrefix(z) + string(t))
 }
 
-// PrefixZoneAllotment returns the prefix of the rows that divide z's parts of the
+// ZoneAllotmentPrefix returns the prefix of the rows that divide z's parts of the
 // teams' limits. The zone comes first in the key, so that entries only need to
 // read the rows of their own zone.
-func PrefixZoneAllotment(z core.ZoneID) string { return prefixZoneAllotments + string(z) + "/" }
+func ZoneAllotmentPrefix(z core.ZoneID) string { return prefixZoneAllotments + string(z) + "/" }
 
 // prefixZoneAllotments is the common prefix of these rows in all zones.
 const prefixZoneAllotments = PrefixAllotment + "zone/"
--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -30,8 +30,8 @@
 		measure(b, func(n int64) bool {
 			deadline := time.Now().Add(10 * time.Second)
 			end := c.Start(b.Context(), f.addresses[n%int64(len(f.addresses))], home.Dispatch{
-				Request: core.Request{Key: core.RequestKey{Team: "lyra", ID: core.RequestID(fmt.Sprintf("direct-%d", n))}, Body: []byte(`{}`)},
-				Number:  1, StartBy: deadline, LeaseUntil: deadline,
+				Request:        core.Request{Key: core.RequestKey{Team: "lyra", ID: core.RequestID(fmt.Sprintf("direct-%d", n))}, Body: []byte(`{}`)},
+				DispatchNumber: 1, StartBy: deadline, LeaseUntil: deadline,
 			})
 			_, ok := end.(home.Answered)
 			return ok
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -197,7 +197,7 @@
 	if r.OnDispatchEnded != nil {
 		r.OnDispatchEnded(d.VM, sentAt, end)
 	}
-	r.Handle(home.Ended{Key: d.Request.Key, Number: d.Number, End: end})
+	r.Handle(home.Ended{Key: d.Request.Key, DispatchNumber: d.DispatchNumber, End: end})
 }
 
 // askTarget asks a target about the outcome of a task.
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -24,15 +24,15 @@
 type ringComparison struct {
 	r             *rand.Rand
 	now           time.Time
-	full, compact []*key.Ring
+	full, compact []*key.Keyring
 	transform     func(Told) Told
 }
 
 func newRingComparison(seed uint64, transform func(Told) Told) *ringComparison {
 	c := &ringComparison{r: rand.New(rand.NewPCG(seed, 8)), now: spreadStart, transform: transform}
 	for i := range ringCount {
-		ring := func() *key.Ring {
-			return &key.Ring{Zone: spreadZones[i%len(spreadZones)], Zones: spreadZones, Started: spreadStart}
+		ring := func() *key.Keyring {
+			return &key.Keyring{Zone: spreadZones[i%len(spreadZones)], Zones: spreadZones, Started: spreadStart}
 		}
 		c.full, c.compact = append(c.full, ring()), append(c.compact, ring())
 	}
--- a/io/platform/allot_limits_test.go
+++ b/io/platform/allot_limits_test.go
@@ -165,7 +165,7 @@
 
 	for _, team := range []core.TeamID{"frames", "other"} {
 		var move table.Transaction
-		row := limit.TeamRow{Limit: 4, Zones: map[core.ZoneID]core.Slots{"za": 1, "zb": 3}, Wanted: map[core.ZoneID]time.Time{"zb": now.Add(time.Hour)}}
+		row := limit.TeamRow{Limit: 4, Zones: map[core.ZoneID]core.Slots{"za": 1, "zb": 3}, DemandMarks: map[core.ZoneID]time.Time{"zb": now.Add(time.Hour)}}
 		assert.NilError(t, move.Set(table.TeamAllotmentKey(team), row))
 		assert.NilError(t, move.Set(table.ZoneAllotmentKey(team, "zb"), limit.ZoneRow{Entries: map[core.EntryID]core.Slots{"b#1000": 3}}))
 		assert.NilError(t, tbl.rows.Transact(move))
@@ -186,7 +186,7 @@
 			}
 			entry.rounds(&now, 10)
 		}
-		assert.Equal(t, tbl.polls[table.PrefixZoneAllotment("za")], 60)
+		assert.Equal(t, tbl.polls[table.ZoneAllotmentPrefix("za")], 60)
 		assert.Equal(t, tbl.polls[table.PrefixTeamAllotment], polls)
 	}
 
--- a/io/platform/allotments.go
+++ b/io/platform/allotments.go
@@ -190,7 +190,7 @@
 		return nil
 	}
 	sentAt := a.Now()
-	zone, zoneRevision, err := a.Table.Changes(ctx, table.PrefixZoneAllotment(a.Ledger.Zone), a.zoneRowsRevision)
+	zone, zoneRevision, err := a.Table.Changes(ctx, table.ZoneAllotmentPrefix(a.Ledger.Zone), a.zoneRowsRevision)
 	if err != nil {
 		return nil
 	}
--- a/io/platform/configuration.go
+++ b/io/platform/configuration.go
@@ -14,7 +14,7 @@
 type Configuration struct {
 	Zone  core.ZoneID
 	Zones []core.ZoneID
-	// MaxKeyStaleness is the MaxStaleness of the key.Ring.
+	// MaxKeyStaleness is the MaxStaleness of the key.Keyring.
 	MaxKeyStaleness time.Duration
 	// Started is when this run of the entry began.
 	Started time.Time
@@ -28,7 +28,7 @@
 
 	mu             sync.RWMutex
 	view           config.View
-	ring           key.Ring
+	ring           key.Keyring
 	ringConfigured bool
 }
 
--- a/io/target/client.go
+++ b/io/target/client.go
@@ -66,7 +66,7 @@
 	// well, but the library writes a body of an unknown type separately from the headers,
 	// which costs a second system call for each dispatch.
 	req.GetBody = nil
-	req.Header.Set(HeaderAttempt, strconv.FormatUint(uint64(d.Number), 10))
+	req.Header.Set(HeaderAttempt, strconv.FormatUint(uint64(d.DispatchNumber), 10))
 	setMillis(req.Header, HeaderStartBy, d.StartBy)
 	setMillis(req.Header, HeaderLeaseUntil, d.LeaseUntil)
 	// The clock is read right before the write. If the process was paused after it decided
@@ -178,7 +178,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return home.Failed{}
 	}
-	if resp.Header.Get(HeaderAttempt) != strconv.FormatUint(uint64(d.Number), 10) {
+	if resp.Header.Get(HeaderAttempt) != strconv.FormatUint(uint64(d.DispatchNumber), 10) {
 		return home.Damaged{}
 	}
 	body, err := c.readBody(resp, d.Request.Key)
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -58,7 +58,7 @@
 	c.MaxAnswer = 1000
 	c.HTTP = srv.Client()
 	return c.Start(t.Context(), strings.TrimPrefix(srv.URL, "http://"), home.Dispatch{
-		Request: core.Request{Key: key, Body: []byte("frames")}, Number: 2,
+		Request: core.Request{Key: key, Body: []byte("frames")}, DispatchNumber: 2,
 		StartBy: baseTime.Add(time.Second), LeaseUntil: time.Now().Add(time.Minute),
 	})
 }
@@ -142,7 +142,7 @@
 	srv.Close()
 	c := NewClient(1, 1000)
 	deadline := time.Now().Add(time.Minute)
-	end := c.Start(t.Context(), address, home.Dispatch{Request: core.Request{Key: key}, Number: 1, StartBy: deadline, LeaseUntil: deadline})
+	end := c.Start(t.Context(), address, home.Dispatch{Request: core.Request{Key: key}, DispatchNumber: 1, StartBy: deadline, LeaseUntil: deadline})
 	assert.DeepEqual(t, end, home.End(home.NotStarted{Reason: home.Unreachable}))
 	assert.DeepEqual(t, c.Ask(t.Context(), address, key), home.Finding(home.FoundNoAnswer{}))
 }
@@ -162,7 +162,7 @@
 		h.Set(HeaderLength, length)
 		h.Set(HeaderNotStarted, notStarted)
 		resp := &http.Response{StatusCode: 200, Header: h, Body: newBody(body)}
-		end := c.readEnd(resp, home.Dispatch{Request: core.Request{Key: key}, Number: 2})
+		end := c.readEnd(resp, home.Dispatch{Request: core.Request{Key: key}, DispatchNumber: 2})
 		if a, ok := end.(home.Answered); ok {
 			matches := task == key.String() && attempt == "2" && string(a.Body) == body && notStarted == ""
 			assert.Assert(t, matches && fmt.Sprint(len(body)) == strings.TrimLeft(strings.TrimPrefix(length, "+"), "0") || body == "", "%q %q %q %q", task, attempt, length, body)
@@ -208,7 +208,7 @@
 func startTaskAt(c *Client, srv *httptest.Server, body string) home.End {
 	deadline := time.Now().Add(time.Minute)
 	return c.Start(context.Background(), strings.TrimPrefix(srv.URL, "http://"), home.Dispatch{
-		Request: core.Request{Key: key, Body: []byte(body)}, Number: 2, StartBy: deadline, LeaseUntil: deadline,
+		Request: core.Request{Key: key, Body: []byte(body)}, DispatchNumber: 2, StartBy: deadline, LeaseUntil: deadline,
 	})
 }
 
