--- a/core/config/team.go
+++ b/core/config/team.go
@@ -1,5 +1,5 @@
 // Package config defines the configuration that operators set: its rows in the platform's
-// table, an entry's view of these rows, and the changes to them.
+// table, an entry's view of the rows, and the changes that operators make.
 package config
 
 import (
--- a/core/config/view.go
+++ b/core/config/view.go
@@ -22,7 +22,7 @@
 )
 
 // Delta holds the rows that changed after head version Base, up to head version Version.
-// It may hold additional rows, but none of these is missing.
+// It holds all of the changed rows and may hold others as well.
 type Delta struct {
 	Base    core.Version `json:"base"`
 	Version core.Version `json:"version"`
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -72,7 +72,7 @@
 	// the list, it is gone. Before that, the list may only lag.
 	listed, leaving, gone bool
 	// heldAt is when a connection last showed that the VM accepts no work. It is zero if
-	// none has since the VM last accepted work.
+	// the VM has accepted work since then.
 	heldAt  time.Time
 	probes  int
 	probeAt time.Time
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -7,7 +7,8 @@
 	"lavenderpond/core/table"
 )
 
-// Permit describes why a VM is taken out of service, and for what.
+// Permit describes a permit to take a VM out of service: the change and the wave that
+// request it, the pool that the VM moves to, and the deadline of the drain.
 type Permit struct {
 	// Change identifies the request. A VM whose row carries it already has the permit,
 	// which settles the outcome if an answer was lost.
@@ -17,7 +18,8 @@
 	// MoveTo is the pool that the VM moves to. It is empty if the VM returns to its pool.
 	MoveTo core.PoolID
 	// Resize changes the sizes of the pools with the move: that of the old pool falls by
-	// one, and that of the new pool rises by one. It is unset if a spare VM replaces a failed one.
+	// one, and that of the new pool rises by one. Resize is unset if a spare VM replaces a
+	// failed one.
 	Resize bool
 	// DrainBy is when the permit is withdrawn if the VM is still draining.
 	DrainBy time.Time
--- a/core/fleet/rules_test.go
+++ b/core/fleet/rules_test.go
@@ -231,17 +231,18 @@
 	return breaches, miscounts
 }
 
-// TestConcurrentTransactions guards against a pool with fewer serving VMs than its budget allows, and
-// against a VM that two pools count. Controllers and operators act concurrently on stale
-// views: permits, moves, failures and returns interleave, and answers are lost after the
-// write took effect. Every transaction checks the rows of the VM and the pool, so only one
-// of two that were decided on the same state takes effect.
+// TestConcurrentTransactions guards against a pool with fewer serving VMs than its budget
+// allows, and against a VM that two pools count. Controllers and operators act
+// concurrently on stale views: permits, moves, failures and returns interleave, and
+// answers are lost after the write took effect. Every transaction checks the rows of the
+// VM and the pool, so only one of two transactions that were decided on the same state
+// takes effect.
 func TestConcurrentTransactions(t *testing.T) {
 	runRaces(t, 300, Rules{})
 }
 
-// TestConcurrentTransactionSafeguardsAreNeeded checks that each safeguard is needed: without it, some seed
-// exceeds a budget or gets a counter wrong.
+// TestConcurrentTransactionSafeguardsAreNeeded checks that each safeguard is needed:
+// without the safeguard, some seed exceeds a budget or gets a counter wrong.
 func TestConcurrentTransactionSafeguardsAreNeeded(t *testing.T) {
 	const seeds = 100
 	for _, c := range []struct {
@@ -259,10 +260,10 @@
 	}
 }
 
-// TestConcurrentOperatorChanges covers an operator's command that repeats a change whose answer was
-// lost, while another operator moves the same VM. The repetition is recognised by its
-// change id, and the second operator gets a conflict. Deleting a pool and lowering its
-// budget race in the same way.
+// TestConcurrentOperatorChanges covers an operator's command that repeats a change whose
+// answer was lost, while another operator moves the same VM. The repetition is recognised
+// by its change id, and the second operator gets a conflict. A deletion of the pool and a
+// reduction of its budget also run concurrently with the move.
 func TestConcurrentOperatorChanges(t *testing.T) {
 	r := newRaceSimulation(t, 1, Rules{})
 	read := r.table.Read
--- a/core/home/command.go
+++ b/core/home/command.go
@@ -20,7 +20,7 @@
 type Dispatch struct {
 	Request core.Request
 	VM      core.VMID
-	// DispatchNumber counts the dispatches of this request, from 1.
+	// DispatchNumber numbers the dispatches of this request, starting at 1.
 	DispatchNumber core.Attempt
 	// StartBy is the latest time at which the task may start: the earlier of the
 	// expiry of this entry's shard lease and the request's deadline. The sender
--- a/core/home/event.go
+++ b/core/home/event.go
@@ -43,7 +43,7 @@
 type StartAllowed struct{ Key core.RequestKey }
 
 // StartDenied reports that the start of Key may not be dispatched. Verdict is what
-// is known about the id at this point; nil if there is nothing new.
+// is known about the id at this point. It is nil if nothing new is known.
 type StartDenied struct {
 	Key     core.RequestKey
 	Verdict shard.Verdict
--- a/core/home/simulation_test.go
+++ b/core/home/simulation_test.go
@@ -196,9 +196,9 @@
 }
 
 // TestLateEndOfEarlierDispatchIsIgnored repeats the refusal of a full target after the
-// request was sent to another one. If the repeated refusal were accepted, the
-// running request would be sent again and run twice. The dispatch number
-// distinguishes the two.
+// request was sent to another target. If the repeated refusal were accepted, the
+// running request would be sent again and run twice. The dispatch number shows that
+// the refusal belongs to the earlier dispatch.
 func TestLateEndOfEarlierDispatchIsIgnored(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		b := newTestbed(4, "vm-1", "vm-2")
--- a/core/key/bench_test.go
+++ b/core/key/bench_test.go
@@ -10,8 +10,8 @@
 	"lavenderpond/core/table"
 )
 
-// BenchmarkKeyringMemory measures the memory of a ring by number of keys, a tenth of them
-// withdrawn, and the time of a check.
+// BenchmarkKeyringMemory measures the memory of a keyring by number of keys, a tenth of
+// which are withdrawn, and the time of a check.
 func BenchmarkKeyringMemory(b *testing.B) {
 	for _, keys := range []int{186, 1860, 18600} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
--- a/core/key/keyring.go
+++ b/core/key/keyring.go
@@ -19,9 +19,9 @@
 // MaxStalenessLimit is the largest effective value of Keyring.MaxStaleness.
 const MaxStalenessLimit = 15 * time.Minute
 
-// Withdrawal records that a key was withdrawn. Withdrawals are only ever added and
-// adding one is idempotent, so they may be delivered in any order and any number of
-// times.
+// Withdrawal records that a key was withdrawn. Withdrawals are only ever added, and
+// adding a withdrawal is idempotent, so withdrawals may be delivered in any order and any
+// number of times.
 type Withdrawal struct {
 	Digest core.KeyDigest `json:"digest"`
 	Team   core.TeamID    `json:"team"`
@@ -40,7 +40,7 @@
 	// known to be complete. Zero means DefaultMaxStaleness.
 	MaxStaleness time.Duration
 	// Started is when this process of the entry started, by its own clock. If it is
-	// zero, the ring joins its zone only after a table read by the entry itself.
+	// zero, the keyring joins its zone only after a table read by the entry itself.
 	Started time.Time
 
 	teams map[core.KeyDigest]core.TeamID
@@ -49,10 +49,10 @@
 	withdrawn  map[core.KeyDigest]bool
 	unrecorded map[core.KeyDigest]Withdrawal
 	// tableReadAt is the send time of the latest table read, by this entry or a peer,
-	// whose withdrawals this ring holds.
+	// whose withdrawals this keyring holds.
 	tableReadAt  time.Time
 	zoneContacts map[core.ZoneID]time.Time
-	// joined is true once the ring certainly holds everything that its zone had
+	// joined is true once the keyring certainly holds everything that its zone had
 	// received before this process started. A restarted entry has lost that state and
 	// represents its zone only after joining.
 	joined bool
@@ -124,7 +124,7 @@
 // were submitted with it are refused; running ones finish.
 func (r *Keyring) Withdrawn(d core.KeyDigest) bool { return r.withdrawn[d] }
 
-// RecordTableRead records that the ring holds every withdrawal that was in the table
+// RecordTableRead records that the keyring holds every withdrawal that was in the table
 // when this entry's own read was sent, at sent.
 func (r *Keyring) RecordTableRead(sent time.Time) {
 	r.tableReadAt = latest(r.tableReadAt, sent)
@@ -133,7 +133,7 @@
 
 // RecordZoneContact records that an entry of zone z, which has joined, answered a
 // message sent by this entry at sent. The contents of the answer must have been added
-// to the ring before.
+// to the keyring before.
 func (r *Keyring) RecordZoneContact(z core.ZoneID, sent time.Time) {
 	put(&r.zoneContacts, z, latest(r.zoneContacts[z], sent))
 	if z == r.Zone && !r.Started.IsZero() && !sent.Before(r.Started) {
@@ -142,7 +142,7 @@
 	r.tryJoin()
 }
 
-// tryJoin lets the ring represent its zone if the data received from others covers the
+// tryJoin lets the keyring represent its zone if the data received from others covers the
 // time before this process started.
 func (r *Keyring) tryJoin() {
 	if r.joined || r.Started.IsZero() {
@@ -158,7 +158,7 @@
 	return a
 }
 
-// CompleteAsOf returns the time up to which the ring certainly holds all accepted
+// CompleteAsOf returns the time up to which the keyring certainly holds all accepted
 // withdrawals: the later of the latest table read and the latest contact with a
 // majority of zones. A withdrawal is accepted once the table and a majority of zones
 // have it, or once all zones have it, so each of the two covers every accepted withdrawal.
@@ -167,7 +167,8 @@
 func (r *Keyring) CompleteAsOf() time.Time { return latest(r.tableReadAt, r.zoneMajorityAt()) }
 
 // zoneMajorityAt returns the latest time since which a majority of zones has been
-// contacted, or the zero time if there is none. The own zone counts without a contact once the ring has joined.
+// contacted, or the zero time if there is none. The entry's own zone counts without a
+// contact once the keyring has joined.
 func (r *Keyring) zoneMajorityAt() time.Time {
 	needed := len(r.Zones)/2 + 1
 	if r.joined {
--- a/core/key/keyring_test.go
+++ b/core/key/keyring_test.go
@@ -24,7 +24,7 @@
 
 var testStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// simulation runs entries of five zones with real views and rings, with an unreliable
+// simulation runs entries of five zones with real views and keyrings, with an unreliable
 // table, network partitions between zones, and operators that grant and withdraw keys.
 type simulation struct {
 	r         *rand.Rand
@@ -205,8 +205,8 @@
 	}
 }
 
-// recordWithdrawals writes the withdrawals that an entry received directly to the table, as the
-// entry's watcher does.
+// recordWithdrawals writes the withdrawals that an entry received directly to the table,
+// as the entry's watcher does.
 func (w *simulation) recordWithdrawals(e *testEntry) {
 	if w.cutFromTable[e.keyring.Zone] || w.chance(70) {
 		return
@@ -297,11 +297,10 @@
 	})
 }
 
-// deadlineStart returns the time from which e must refuse k within the maximum
-// staleness. An
-// entry that started after a withdrawal that wasn't in the table yet learns of it from
-// its zone, or from the table once it is recorded, so for that entry the time starts
-// later.
+// deadlineStart returns the start of the period of maximum staleness after which e must
+// refuse k. An entry that started after a withdrawal that wasn't in the table yet learns
+// of the withdrawal from its zone, or from the table once it is recorded there, so the
+// period starts later for that entry.
 func (w *simulation) deadlineStart(k *testKey, e *testEntry) time.Time {
 	started := e.keyring.Started.Add(-e.clockOffset)
 	if k.recordedAt.IsZero() && w.isRecorded(k.digest) {
--- a/core/key/session_test.go
+++ b/core/key/session_test.go
@@ -14,9 +14,9 @@
 	"lavenderpond/core/table"
 )
 
-// TestSession records the course of three keys at one entry: granted, withdrawn
-// directly while the table is down, and checked until the entry is cut off from
-// everything and its list becomes stale.
+// TestSession records the course of three keys at one entry. They are granted, withdrawn
+// directly while the table is down, and checked until the entry is cut off from the table
+// and all peers and its list becomes stale.
 func TestSession(t *testing.T) {
 	var b strings.Builder
 	r := Keyring{Zone: "za", Zones: []core.ZoneID{"za", "zb", "zc"}, Started: testStart}
--- a/core/key/summary.go
+++ b/core/key/summary.go
@@ -7,9 +7,8 @@
 	"lavenderpond/core"
 )
 
-// Summary is what an entry sends to a peer about its ring in addition to the rows. It
-// tells how current the ring is, and contains the withdrawals that aren't in the table
-// yet.
+// Summary describes an entry's keyring to a peer, in addition to the rows. It states how
+// current the keyring is, and contains the withdrawals that aren't in the table yet.
 type Summary struct {
 	// Complete is the time of the latest table read, on the sender's clock.
 	Complete time.Time
--- a/core/limit/event.go
+++ b/core/limit/event.go
@@ -81,8 +81,8 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-// Stop reports that the entry is shutting down. It takes no more slots and gives back
-// those that aren't in use.
+// Stop reports that the entry is shutting down. The entry takes no more slots and gives
+// back the slots that aren't in use.
 type Stop struct{}
 
 func (Limits) isEvent()    {}
--- a/core/limit/initial_test.go
+++ b/core/limit/initial_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/core/table"
 )
 
-// membersOf returns the Members event for n. It contains the entries of its zone and, if
-// any entry has ended, one of those.
+// membersOf returns the Members event for n. It contains the entries of n's zone and, if
+// any entry has ended, one that has.
 func (w *simulation) membersOf(n *testEntry) Members {
 	m := Members{Zones: []core.ZoneID{"z0", "z1", "z2"}}
 	for _, other := range w.entries {
--- a/core/limit/ledger_test.go
+++ b/core/limit/ledger_test.go
@@ -359,8 +359,8 @@
 // Guards against an entry with an outdated configuration that takes slots beyond a
 // reduced limit. The limit is reduced while one entry receives no configuration, and
 // another entry then loses the table. The first entry would take the slots that the
-// others gave back. The second one saw that the allotments fit the reduced limit and
-// would start requests in addition to those.
+// others gave back. The second entry saw that the allotments fit the reduced limit and
+// would start requests in addition to those of the first.
 func TestEntryWithStaleConfigTakesNoSlots(t *testing.T) {
 	maxExcess := map[bool]core.Slots{}
 	for _, disabled := range []bool{false, true} {
--- a/core/limit/session_test.go
+++ b/core/limit/session_test.go
@@ -134,8 +134,8 @@
 }
 
 // Guards against slots of a down zone that are used twice. An operator attests that zone
-// zz is down while it has running work. Others may take
-// its slots only after the last lease that its entries could have granted has expired.
+// zz is down while it has running work. Other zones may take its slots only after the
+// last lease that its entries could have granted has expired.
 func TestZoneDown(t *testing.T) {
 	first := map[bool]int{}
 	for _, disabled := range []bool{false, true} {
@@ -162,10 +162,10 @@
 	assert.Assert(t, first[false] > 62 && first[true] < 62)
 }
 
-// Guards against running requests that keep exceeding a reduced limit. The limit is reduced to half
-// of the running requests. If a gave back the slots of its
-// long-running requests, z would start new requests in addition to them when its own
-// short ones end.
+// Guards against running requests that keep exceeding a reduced limit. The limit is
+// reduced to half of the running requests. If entry a gave back the slots of its
+// long-running requests, entry z would start new requests in addition to those of a when
+// its own short requests end.
 func TestRunningAllotmentsAreKept(t *testing.T) {
 	most := map[bool]core.Slots{}
 	for _, disabled := range []bool{false, true} {
--- a/core/maintenance/check_scheduler.go
+++ b/core/maintenance/check_scheduler.go
@@ -139,9 +139,9 @@
 }
 
 // servingUrgency returns the urgency of a VM that serves according to its row. A VM that
-// returned recently is checked at each call, even after it was told to take work: it
-// may fail again before the live list shows its return. The state of a VM that returned
-// earlier and isn't suspected is dropped.
+// returned recently is checked at each call, even after it was told to accept work,
+// because it may fail again before the live list shows its return. The state of a VM that
+// returned earlier and isn't suspected is dropped.
 func (s *CheckScheduler) servingUrgency(now time.Time, d Driver, vm *fleet.VMRow, suspect bool) urgency {
 	last := s.last[vm.Ref.VM]
 	if suspect && now.Before(last.answered.Add(suspicionClearedFor)) {
--- a/core/maintenance/driver_test.go
+++ b/core/maintenance/driver_test.go
@@ -15,8 +15,8 @@
 
 // TestNoRebootWhenBudgetIsExceeded guards against a planned reboot that takes out one
 // VM more than the budget allows. The answer to the first reboot was lost, so the VM's row
-// still says stopped. The VM is back, and then two others of its pool fail. It must return
-// to service without another reboot, and stay due for maintenance.
+// still says stopped. The VM is back, and then two other VMs of its pool fail. The first
+// VM must return to service without another reboot, and stay due for maintenance.
 func TestNoRebootWhenBudgetIsExceeded(t *testing.T) {
 	ref := fleet.Ref{Zone: "z", VM: "v0"}
 	pool := fleet.Pool{MaxUnavailable: 2, Size: 10, Members: 10, Out: []fleet.OutVM{
--- a/core/maintenance/session_test.go
+++ b/core/maintenance/session_test.go
@@ -41,8 +41,8 @@
 	}))
 }
 
-// recorder logs every change of the wave's and the VMs' rows, as an operator would see
-// them.
+// recorder logs every change of the rows of the wave and the VMs, as an operator would
+// see it.
 type recorder struct {
 	strings.Builder
 	zone *sim.Zone
@@ -107,8 +107,8 @@
 	golden.Assert(t, r.String(), "session.txt")
 }
 
-// TestOperatorChangesRefused checks that an operator's change that doesn't fit the status or has
-// invalid values is refused with the right error code.
+// TestOperatorChangesRefused checks that an operator's change that doesn't fit the status
+// or has invalid values is refused with the right error code.
 func TestOperatorChangesRefused(t *testing.T) {
 	z := newZone(1)
 	try := func(build func(maintenance.WaveRow, maintenance.OperatorChange) (table.Transaction, error)) core.Code {
--- a/core/maintenance/spread/spread.go
+++ b/core/maintenance/spread/spread.go
@@ -195,11 +195,11 @@
 	return due
 }
 
-// rampLimit bounds how many VMs of the wave may be out at the same time. It starts at one, grows
-// with the VMs that come back, and shrinks with those that don't.
+// rampLimit bounds how many VMs of the wave may be out at the same time. The bound starts
+// at one, grows with the VMs that come back, and shrinks with those that don't.
 //
-// Without it, a reboot that breaks VMs would break as many as the budgets allow before
-// the first failure is noticed.
+// Without the bound, a reboot that breaks VMs would break as many as the budgets allow
+// before the first failure is noticed.
 func (r *round) rampLimit() int {
 	if r.noRamp {
 		return len(r.view.VMs)
--- a/core/maintenance/spread/spread_test.go
+++ b/core/maintenance/spread/spread_test.go
@@ -122,8 +122,9 @@
 	assert.Assert(t, runSeeds(t, "ramp", 2, breakReboots).broken > with.broken)
 }
 
-// TestFailedVMsAreReplacedBySpares covers a pool whose budget of two is used up by two VMs that
-// failed permanently. It allows no planned stop until spare VMs have replaced them.
+// TestFailedVMsAreReplacedBySpares covers a pool whose budget of two is used up by two
+// VMs that failed permanently. The pool allows no planned stop until spare VMs have
+// replaced the failed ones.
 // Without the repair, the pool's other VMs miss their maintenance.
 func TestFailedVMsAreReplacedBySpares(t *testing.T) {
 	spendBudget := func(w *sim.World) { w.FailAll(w.VMs()[:2], 100*time.Hour) }
--- a/core/maintenance/wave.go
+++ b/core/maintenance/wave.go
@@ -62,8 +62,9 @@
 // Wave is the row that holds the state of a zone's maintenance.
 type Wave struct {
 	Status Status `json:"status"`
-	// Number counts how often maintenance was started. A VM that did not come back in a
-	// wave that halted therefore doesn't count against the next wave.
+	// Number is the wave's number. It increases when planned or halted maintenance is
+	// started, so a VM that did not come back in a halted wave doesn't count against the
+	// next wave.
 	Number int `json:"number"`
 	// PlannedAt is when the maintenance was planned. A VM that was last maintained before
 	// then is due.
--- a/core/queue/fair/admit.go
+++ b/core/queue/fair/admit.go
@@ -116,8 +116,8 @@
 	return fallbackRun
 }
 
-// shortestRun returns a run time that few of the team's items are below. The declared
-// run time isn't used, because items would be refused for declaring too long a run.
+// shortestRun returns a low quantile of the measured run times, of the team or else of
+// the queue, so that few items run for less. The declared run time isn't used, because items would be refused for declaring too long a run.
 func (f *Queue) shortestRun(s *queueState, t *team) time.Duration {
 	switch {
 	case t.runTimes.trusted():
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -90,7 +90,8 @@
 	Pick(now time.Time, criteria Criteria) (core.VMID, bool)
 	// Started records a dispatch to vm.
 	Started(now time.Time, vm core.VMID)
-	// Ended reverts a Started and uses the result to update the target's statistics.
+	// Ended removes a request that was recorded with Started from the target's count,
+	// and updates the target's statistics with the result.
 	Ended(now time.Time, vm core.VMID, result Result, run time.Duration)
 	// Idle returns the number of slots that a request with these criteria could use
 	// now, according to the available information.
--- a/core/shard/lease_manager.go
+++ b/core/shard/lease_manager.go
@@ -15,11 +15,11 @@
 	shards []shardState
 	live   []core.EntryID
 	ended  map[core.EntryID]bool
-	// refusedUntil holds the entries whose address refused a connection, and until
-	// when they are avoided: a few leases, or until they send a message.
+	// refusedUntil maps each entry whose address refused a connection to the time
+	// until which the entry is avoided: a few leases, or until it sends a message.
 	refusedUntil map[core.EntryID]time.Time
-	// selfListed reports whether the platform has listed this entry. Others can
-	// only learn of this entry's end once it has been listed, so it claims no shards
+	// selfListed reports whether the platform has listed this entry. Other entries
+	// can only learn of this entry's end once it has been listed, so it claims no shards
 	// before that.
 	selfListed bool
 	// tableOK reports whether the table has answered since it last failed. Row
--- a/core/shard/mirror.go
+++ b/core/shard/mirror.go
@@ -8,8 +8,8 @@
 )
 
 // mustMirror reports whether the successor has to ack starts before they are
-// dispatched. It has to while the row says in sync, or may say so once a pending
-// swap takes effect: otherwise a takeover would trust a mirror that lacks a
+// dispatched. This is required while the row is marked in sync, or may be once a
+// pending swap takes effect. Otherwise a takeover would trust a mirror that lacks a
 // start. A successor that has certainly ended can't take over, and an entry that is
 // neither holder nor successor ignores the in-sync mark.
 func (lm *LeaseManager) mustMirror(now time.Time, s *shardState) bool {
--- a/core/shard/safeguards_test.go
+++ b/core/shard/safeguards_test.go
@@ -48,8 +48,8 @@
 
 // TestNoIDRunsTwice checks that no id runs twice while callers retry ids at any
 // entry and the holder is paused, killed, partitioned, or loses the table's
-// answers. Its successor takes over and answers retries at the same time; the
-// simulation varies the order of these events.
+// answers. The holder's successor takes over and answers retries at the same time,
+// and the simulation varies the order of all events.
 func TestNoIDRunsTwice(t *testing.T) {
 	for name, tc := range map[string]struct {
 		faults faults
--- a/core/table/keys.go
+++ b/core/table/keys.go
@@ -65,18 +65,18 @@
 // zones.
 func TeamAllotmentKey(t core.TeamID) Key { return Key(PrefixTeamAllotment + string(t)) }
 
-// ZoneAllotmentKey returns the key of the row that divides a zone's part of a
+// ZoneAllotmentKey returns the key of the row that divides a zone's allotment of a
 // team's limit among the zone's entries.
 func ZoneAllotmentKey(t core.TeamID, z core.ZoneID) Key {
 	return Key(ZoneAllotmentPrefix(z) + string(t))
 }
 
-// ZoneAllotmentPrefix returns the prefix of the rows that divide z's parts of the
-// teams' limits. The zone comes first in the key, so that entries only need to
+// ZoneAllotmentPrefix returns the prefix of the rows that divide z's allotments
+// of the teams' limits. The zone comes first in the key, so that entries only need to
 // read the rows of their own zone.
 func ZoneAllotmentPrefix(z core.ZoneID) string { return prefixZoneAllotments + string(z) + "/" }
 
-// prefixZoneAllotments is the common prefix of these rows in all zones.
+// prefixZoneAllotments is the common prefix of the zone allotment rows of all zones.
 const prefixZoneAllotments = PrefixAllotment + "zone/"
 
 // ParseAllotmentKey returns the team and zone of an allotment row's key. The zone
