--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -117,7 +117,7 @@
 }
 
 // Probes returns the VMs to probe now for whether they accept work again, sorted by
-// name. A VM is probed repeatedly, with linear back-off, until it accepts.
+// name. A VM is probed repeatedly, with linear back-off, until it accepts work.
 func (m *Membership) Probes(now time.Time) []VMRow {
 	var due []VMRow
 	for _, v := range m.vms {
--- a/core/fleet/vm.go
+++ b/core/fleet/vm.go
@@ -67,7 +67,8 @@
 	// Since is when the VM entered State.
 	Since time.Time `json:"since,omitzero"`
 	// Change is the id of the last change that took the VM out of service, or added it to
-	// its pool. It stays until the next change, so that a repeated change is recognised.
+	// its pool. The id stays until the next change, so that a repeated change is
+	// recognised.
 	Change core.ChangeID `json:"change,omitempty"`
 	// Wave is the name of the maintenance wave that last took the VM out of service.
 	Wave string `json:"wave,omitempty"`
--- a/core/shard/bench_test.go
+++ b/core/shard/bench_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkTick measures the CPU time of one tick. A daemon sends ten a second.
+// BenchmarkTick measures the CPU time of one tick. A daemon ticks ten times a second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []core.ShardIndex{8, 32, 128} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/core/shard/row_handler.go
+++ b/core/shard/row_handler.go
@@ -113,8 +113,8 @@
 	s.needsHorizon, s.starts = false, nil
 }
 
-// swap requests a row change. Only one may be pending per shard: a second one
-// could take effect in place of the first without being noticed.
+// swap requests a row change. Only one change may be pending per shard: a second
+// change could take effect in place of the first without being noticed.
 func (lm *LeaseManager) swap(now time.Time, s *shardState, row Row) {
 	if s.pendingSwap != nil || !lm.tableOK {
 		return
--- a/core/shard/simulation_test.go
+++ b/core/shard/simulation_test.go
@@ -13,7 +13,7 @@
 // The simulation runs the LeaseManagers of one zone in steps, with pauses, kills,
 // network partitions, clock skew, table outages, answers that are lost before or
 // after the write took effect, writes that take effect late, reordered messages,
-// and retries at any entry. Its constants are those of the models of the protocol.
+// and retries at any entry. The constants are the same as in the models of the protocol.
 const (
 	stepLength       = 50 * time.Millisecond
 	maxLateSteps     = 60 // delay of a write whose answer was lost
@@ -35,9 +35,9 @@
 	askEverywhere bool
 }
 
-// modelFaults are the probabilities of the models. The others make rare faults
-// coincide: lateFaults uses slow messages, lossyFaults a table that loses most of
-// its answers.
+// modelFaults has the probabilities that the models of the protocol use. The other
+// sets make rare faults coincide: lateFaults has slow messages, and lossyFaults has a
+// table that loses most of its answers.
 var (
 	modelFaults = faults{delay: 3, tableDown: .004, tableUp: .01, partition: .004, heal: .01, pause: .002, kill: .001, answerLost: .2}
 	lateFaults  = faults{delay: 8, tableDown: .008, tableUp: .01, partition: .004, heal: .02, pause: .003, kill: .001, answerLost: .6, falseLeaving: .01, askEverywhere: true}
@@ -135,8 +135,8 @@
 	return simStart.Add(time.Duration(sim.step)*stepLength + e.clockOffset)
 }
 
-// clockOffset returns a random clock offset. Any two differ by at most the skew
-// bound.
+// clockOffset returns a random clock offset. Any two offsets differ by at most the
+// skew bound.
 func (sim *simulation) clockOffset() time.Duration {
 	return time.Duration(sim.r.Int63n(int64(DefaultSkew))) - DefaultSkew/2
 }
