--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -72,7 +72,7 @@
 	// the list, it is gone. Before that, the list may only lag.
 	listed, leaving, gone bool
 	// heldAt is when a connection last showed that the VM accepts no work. It is zero if
-	// none has since the VM last accepted work.
+	// the VM has accepted work since then.
 	heldAt  time.Time
 	probes  int
 	probeAt time.Time
@@ -117,7 +117,7 @@
 }
 
 // Probes returns the VMs to probe now for whether they accept work again, sorted by
-// name. A VM is probed repeatedly, with linear back-off, until it accepts.
+// name. A VM is probed repeatedly, with linear back-off, until it accepts work.
 func (m *Membership) Probes(now time.Time) []VMRow {
 	var due []VMRow
 	for _, v := range m.vms {
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -7,7 +7,8 @@
 	"lavenderpond/core/table"
 )
 
-// Permit describes why a VM is taken out of service, and for what.
+// Permit describes a permit to take a VM out of service: the change and the wave that
+// request it, the pool that the VM moves to, and the deadline of the drain.
 type Permit struct {
 	// Change identifies the request. A VM whose row carries it already has the permit,
 	// which settles the outcome if an answer was lost.
@@ -17,7 +18,8 @@
 	// MoveTo is the pool that the VM moves to. It is empty if the VM returns to its pool.
 	MoveTo core.PoolID
 	// Resize changes the sizes of the pools with the move: that of the old pool falls by
-	// one, and that of the new pool rises by one. It is unset if a spare VM replaces a failed one.
+	// one, and that of the new pool rises by one. Resize is unset if a spare VM replaces a
+	// failed one.
 	Resize bool
 	// DrainBy is when the permit is withdrawn if the VM is still draining.
 	DrainBy time.Time
@@ -57,7 +59,7 @@
 	v := vm.VM
 	v.State, v.Since = Cordoned, now
 	v.Change, v.Wave, v.MoveTo, v.Resize, v.DrainBy = p.Change, p.Wave, p.MoveTo, p.Resize, p.DrainBy
-	poolValue := pool.Pool.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
+	poolValue := pool.Pool.addOutVM(OutVM{Ref: vm.Ref, Planned: true, Since: now})
 	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: poolValue})
 }
 
@@ -169,7 +171,7 @@
 	}
 	p := pool.Pool
 	if !r.noFailureCount {
-		p = p.addOut(OutVM{Ref: vm.Ref, Since: now})
+		p = p.addOutVM(OutVM{Ref: vm.Ref, Since: now})
 	}
 	return r.transaction(rowWrites{vm: &vm, vmValue: v, pool: &pool, poolValue: p})
 }
@@ -194,14 +196,14 @@
 	if vm.VM.State != Stopped && vm.VM.State != Verifying {
 		return table.Transaction{}, core.Errorf(core.CodeConflict, "VM %s is %s; it must be drained before it moves", vm.Ref, vm.VM.State)
 	}
-	v, fromPool, toPool := vm.VM, from.Pool.removeOut(vm.Ref), to.Pool
+	v, fromPool, toPool := vm.VM, from.Pool.removeOutVM(vm.Ref), to.Pool
 	v.Pool, v.State, v.Since, v.MoveTo = to.ID, Verifying, now, ""
 	fromPool.Members--
 	toPool.Members++
 	if v.Resize {
 		fromPool.Size--
 	}
-	toPool = toPool.addOut(OutVM{Ref: vm.Ref, Planned: true, Since: now})
+	toPool = toPool.addOutVM(OutVM{Ref: vm.Ref, Planned: true, Since: now})
 	t, err := newTransaction(rowWrites{vm: &vm, vmValue: v, pool: &from, poolValue: fromPool})
 	if err != nil {
 		return t, err
@@ -214,7 +216,7 @@
 	if err := vm.checkInPool(pool); err != nil {
 		return table.Transaction{}, err
 	}
-	v, p := vm.VM, pool.Pool.removeOut(vm.Ref)
+	v, p := vm.VM, pool.Pool.removeOutVM(vm.Ref)
 	if v.Resize && v.MoveTo == "" {
 		p.Size++
 	}
--- a/core/home/event.go
+++ b/core/home/event.go
@@ -43,7 +43,7 @@
 type StartAllowed struct{ Key core.RequestKey }
 
 // StartDenied reports that the start of Key may not be dispatched. Verdict is what
-// is known about the id at this point; nil if there is nothing new.
+// is known about the id at this point. It is nil if nothing new is known.
 type StartDenied struct {
 	Key     core.RequestKey
 	Verdict shard.Verdict
@@ -55,9 +55,9 @@
 
 // Ended reports how a dispatch ended.
 type Ended struct {
-	Key    core.RequestKey
-	Number core.Attempt
-	End    End
+	Key            core.RequestKey
+	DispatchNumber core.Attempt
+	End            End
 }
 
 // Asked is the reply to an AskTarget command.
--- a/core/limit/initial_test.go
+++ b/core/limit/initial_test.go
@@ -13,8 +13,8 @@
 	"lavenderpond/core/table"
 )
 
-// membersOf returns the Members event for n. It contains the entries of its zone and, if
-// any entry has ended, one of those.
+// membersOf returns the Members event for n. It contains the entries of n's zone and, if
+// any entry has ended, one that has.
 func (w *simulation) membersOf(n *testEntry) Members {
 	m := Members{Zones: []core.ZoneID{"z0", "z1", "z2"}}
 	for _, other := range w.entries {
@@ -29,9 +29,9 @@
 	return m
 }
 
-// givenToOthers returns the number of allotments for entries other than self in the
+// countAllottedToOthers returns the number of allotments for entries other than self in the
 // first move of self's zone.
-func givenToOthers(self core.EntryID, t table.Transaction) int {
+func countAllottedToOthers(self core.EntryID, t table.Transaction) int {
 	given := 0
 	for _, write := range t.Writes {
 		var r ZoneRow
