--- a/cmd/lavenderpond-soak/main.go
+++ b/cmd/lavenderpond-soak/main.go
@@ -53,7 +53,7 @@
 		seed := o.Seed + uint64(i)
 		s := soak.Soak{
 			Seed: seed, Binary: o.Binary, Folder: filepath.Join(o.Folder, strconv.FormatUint(seed, 10)),
-			Entries: o.Entries, Machines: o.Machines, Callers: o.Callers, Trouble: o.Trouble,
+			Entries: o.Entries, Machines: o.Machines, Callers: o.Callers, FaultPeriod: o.Trouble,
 		}
 		if !o.Quiet {
 			startTime := time.Now()
--- a/cmd/lavenderpond/app.go
+++ b/cmd/lavenderpond/app.go
@@ -106,16 +106,16 @@
 	}()
 	parser, err := newParser(a)
 	if err != nil {
-		problemOf(err).show(a.stderr, false)
+		newErrorOutput(err).show(a.stderr, false)
 		return exitInternal
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
-		problemOf(failf(exitUsage, "%v", err)).show(a.stderr, wantsJSON(args))
+		newErrorOutput(failf(exitUsage, "%v", err)).show(a.stderr, wantsJSON(args))
 		return exitUsage
 	}
 	if err := command.Run(a); err != nil {
-		p := problemOf(entryError(err))
+		p := newErrorOutput(entryError(err))
 		p.show(a.stderr, a.Output == "json")
 		return exitCode(p.Exit)
 	}
--- a/cmd/lavenderpond/confirmations.go
+++ b/cmd/lavenderpond/confirmations.go
@@ -81,9 +81,9 @@
 	return failf(exitPartlyConfirmed, "%s can't be confirmed everywhere in %s", what, strings.Join(zones, ", "))
 }
 
-// zones returns the number of zones with at least one entry that confirmed, and the number
+// countZones returns the number of zones with at least one entry that confirmed, and the number
 // of all zones.
-func (r *confirmationSet) zones() (confirming, all int) {
+func (r *confirmationSet) countZones() (confirming, all int) {
 	zones := map[string]bool{}
 	for _, c := range r.list() {
 		if c.Zone != "" {
--- a/cmd/lavenderpond/exit.go
+++ b/cmd/lavenderpond/exit.go
@@ -92,8 +92,8 @@
 	return &exitError{exit, errors.Errorf(format, args...)}
 }
 
-// problem is an error in the form in which it is printed.
-type problem struct {
+// errorOutput is an error in the form in which it is printed.
+type errorOutput struct {
 	Exit       int    `json:"exit_code"`
 	Name       string `json:"exit_name"`
 	Code       int    `json:"code,omitempty"`
@@ -102,8 +102,8 @@
 	ComeBackAt string `json:"come_back_at,omitempty"`
 }
 
-func problemOf(err error) problem {
-	p := problem{Exit: int(exitInternal), Detail: err.Error()}
+func newErrorOutput(err error) errorOutput {
+	p := errorOutput{Exit: int(exitInternal), Detail: err.Error()}
 	var f *exitError
 	var coreErr *core.Error
 	if errors.As(err, &coreErr) {
@@ -120,7 +120,7 @@
 }
 
 // show writes p to w, as text or as a line of JSON.
-func (p problem) show(w io.Writer, asJSON bool) {
+func (p errorOutput) show(w io.Writer, asJSON bool) {
 	if asJSON {
 		// Encoding can't fail, since a problem holds only strings and numbers.
 		data, _ := json.Marshal(p)
--- a/cmd/lavenderpond/fakes_test.go
+++ b/cmd/lavenderpond/fakes_test.go
@@ -37,8 +37,8 @@
 	// answers are lost. After such a loss, the table is down if downAfterLoss is set.
 	loseAnswers   int
 	downAfterLoss bool
-	// race runs once, immediately before the next transaction.
-	race func()
+	// beforeTransact runs once, immediately before the next transaction.
+	beforeTransact func()
 }
 
 func (t *fakeTable) Read(_ context.Context, key table.Key) (table.Row, error) {
@@ -64,8 +64,8 @@
 }
 
 func (t *fakeTable) Transact(_ context.Context, tx table.Transaction) error {
-	if race := t.race; race != nil {
-		t.race = nil
+	if race := t.beforeTransact; race != nil {
+		t.beforeTransact = nil
 		race()
 	}
 	t.mu.Lock()
--- a/cmd/lavenderpond/keys.go
+++ b/cmd/lavenderpond/keys.go
@@ -136,7 +136,7 @@
 	if code := core.Code(m.TableCode); code == core.CodePlatformDown || code == core.CodeChangeUnknown {
 		cause = code.String()
 	}
-	confirming, all := confirmations.zones()
+	confirming, all := confirmations.countZones()
 	if 2*confirming > all {
 		return failf(exitPartlyConfirmed, "in force in %d of %d zones, not yet recorded in the table: %s; repeat with --change-id %s once it can be",
 			confirming, all, cause, changeID)
--- a/cmd/lavenderpond/page_test.go
+++ b/cmd/lavenderpond/page_test.go
@@ -26,7 +26,7 @@
 	page, err := filepath.Abs("../../docs/operators/command-line.md")
 	assert.NilError(t, err)
 	var b strings.Builder
-	b.WriteString(pageHead)
+	b.WriteString(pageHeader)
 	for i, e := range exitTable {
 		assert.Equal(t, int(e.code), i)
 		fmt.Fprintf(&b, "| %d | `%s` | %s |\n", e.code, e.name, e.meaning)
@@ -87,7 +87,7 @@
 	return strings.Join(lines, "\n")
 }
 
-const pageHead = `# Command line
+const pageHeader = `# Command line
 
 Written by ` + "`go test ./cmd/lavenderpond -update`" + `. What to do when is in [guide.md](guide.md).
 
--- a/cmd/lavenderpond/session_test.go
+++ b/cmd/lavenderpond/session_test.go
@@ -116,7 +116,7 @@
 		}
 	case "race":
 		line := strings.Join(words[1:], " ")
-		s.fleet.table.race = func() {
+		s.fleet.table.beforeTransact = func() {
 			fmt.Fprintf(&s.out, "  (in between, bob: %s)\n", line)
 			s.run(t, "bob", line)
 		}
--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// Part names a part of the table.
-type Part string
+// TablePart names a part of the table.
+type TablePart string
 
 const (
 	// maxAnswerAge is the age of the last answer, from any part, beyond which the table is
@@ -46,7 +46,7 @@
 type Breaker struct {
 	lastAnswer  time.Time
 	nextProbeAt time.Time
-	failedParts map[Part]*failedPart
+	failedParts map[TablePart]*failedPart
 }
 
 // failedPart is the state of a part whose last call failed.
@@ -56,7 +56,7 @@
 
 // RecordAnswer records that a part has answered. It reports whether the part had been
 // failing.
-func (b *Breaker) RecordAnswer(now time.Time, p Part) (regained bool) {
+func (b *Breaker) RecordAnswer(now time.Time, p TablePart) (regained bool) {
 	b.RecordContact(now)
 	regained = b.failedParts[p] != nil
 	delete(b.failedParts, p)
@@ -73,9 +73,9 @@
 
 // RecordFailure records that a call to a part was refused or not answered. It reports whether
 // the part had not been failing before.
-func (b *Breaker) RecordFailure(now time.Time, p Part) (lost bool) {
+func (b *Breaker) RecordFailure(now time.Time, p TablePart) (lost bool) {
 	if b.failedParts == nil {
-		b.failedParts = map[Part]*failedPart{}
+		b.failedParts = map[TablePart]*failedPart{}
 	}
 	if b.failedParts[p] != nil {
 		return false
@@ -89,7 +89,7 @@
 
 // Decide returns what to do with a call to a part. It assumes that the caller sends a call
 // for which it returns Probe.
-func (b *Breaker) Decide(now time.Time, p Part) Decision {
+func (b *Breaker) Decide(now time.Time, p TablePart) Decision {
 	if b.SinceLastAnswer(now) > maxAnswerAge {
 		return allowProbe(now, &b.nextProbeAt, tableProbeInterval)
 	}
--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -32,10 +32,10 @@
 	crashes, startsAfterCrashLimit map[job.TaskID]int
 	// lastCrash is when a VM last crashed while it ran each task.
 	lastCrash map[job.TaskID]time.Time
-	// gaveUp are the tasks that an owner has reported as given up.
-	gaveUp map[job.TaskID]bool
-	// mayGiveUp are the jobs that may be shown as failed because of crashes.
-	mayGiveUp map[job.ID]bool
+	// givenUp are the tasks that an owner has reported as given up.
+	givenUp map[job.TaskID]bool
+	// mayFailFromCrashes are the jobs that may be shown as failed because of crashes.
+	mayFailFromCrashes map[job.ID]bool
 	// lastStart is when each task was last started.
 	lastStart map[job.TaskID]time.Time
 	// states are the states of jobs that callers see.
@@ -53,7 +53,7 @@
 	return &checker{
 		w: w, running: map[job.TaskID][]*taskRun{}, doneAt: map[job.TaskID]time.Time{},
 		acknowledgedDone: map[job.TaskID]bool{}, failedRuns: map[job.TaskID]int{}, acknowledgedFailures: map[job.TaskID]int{},
-		crashes: map[job.TaskID]int{}, lastCrash: map[job.TaskID]time.Time{}, startsAfterCrashLimit: map[job.TaskID]int{}, mayGiveUp: map[job.ID]bool{}, gaveUp: map[job.TaskID]bool{},
+		crashes: map[job.TaskID]int{}, lastCrash: map[job.TaskID]time.Time{}, startsAfterCrashLimit: map[job.TaskID]int{}, mayFailFromCrashes: map[job.ID]bool{}, givenUp: map[job.TaskID]bool{},
 		states:    map[job.ID]job.State{},
 		lastStart: map[job.TaskID]time.Time{}, inMaintenance: map[job.MachineID]bool{}, stoppedAt: map[job.TaskID]time.Time{},
 	}
@@ -253,7 +253,7 @@
 		if !t.allTasksFail && t.failingTask == noTask && t.crashingTask == noTask {
 			c.w.Stats.GivenUp++
 		}
-		if !c.anyTaskExhausted(t) && !c.mayGiveUp[id] {
+		if !c.anyTaskExhausted(t) && !c.mayFailFromCrashes[id] {
 			c.violationf("%s is shown as failed although no task has failed all attempts or may be given up", id)
 		}
 	case job.Cancelled:
--- a/core/emulator/crashes.go
+++ b/core/emulator/crashes.go
@@ -46,7 +46,7 @@
 		c.crashes[r.task]++
 		c.lastCrash[r.task] = c.w.now
 		if c.crashes[r.task] >= minCrashesToGiveUp {
-			c.mayGiveUp[r.task.Job] = true
+			c.mayFailFromCrashes[r.task.Job] = true
 		}
 	}
 }
@@ -68,14 +68,14 @@
 
 // givenUpWithCause reports whether an owner has given up the task after enough crashes.
 func (c *checker) givenUpWithCause(id job.TaskID) bool {
-	return c.gaveUp[id] && c.crashes[id] >= minCrashesToGiveUp
+	return c.givenUp[id] && c.crashes[id] >= minCrashesToGiveUp
 }
 
 // anyLongRunningGivenUp reports whether a long-running task was given up. Its step then lacks
 // the task permanently, so its disruption budget may never allow the maintenance of the
 // machines that run the other tasks of the step.
 func (c *checker) anyLongRunningGivenUp() bool {
-	for id := range c.gaveUp {
+	for id := range c.givenUp {
 		if c.w.jobs[id.Job].Body.LongRunning() && c.givenUpWithCause(id) {
 			return true
 		}
--- a/core/emulator/entry_vm.go
+++ b/core/emulator/entry_vm.go
@@ -106,7 +106,7 @@
 		})
 	}
 	e.w.after(timeout, func() { finish(false) })
-	if t.down || t.refused[e] || e.unreachable["table"] {
+	if t.down || t.disconnected[e] || e.unreachable["table"] {
 		return
 	}
 	requestDelay := 2*time.Millisecond + t.extraDelay/2
--- a/core/emulator/evacuation.go
+++ b/core/emulator/evacuation.go
@@ -25,8 +25,8 @@
 	Zone job.ZoneName
 	// At is the time from the end of the lead time to the request.
 	// For is how long it stays in force.
-	At  time.Duration
-	For time.Duration
+	At       time.Duration
+	Duration time.Duration
 }
 
 // RandomEvacuations returns n random evacuations within a scenario of the given length. They
@@ -37,7 +37,7 @@
 	for range n {
 		out = append(out, Evacuation{
 			Zone: zoneName(rng.IntN(zoneCount)), At: time.Duration(rng.Int64N(int64(length))),
-			For: time.Second + time.Duration(rng.Int64N(int64(10*time.Second))),
+			Duration: time.Second + time.Duration(rng.Int64N(int64(10*time.Second))),
 		})
 	}
 	return out
@@ -50,11 +50,11 @@
 		w.after(operatorRetryDelay, func() { e.request(w) })
 		return
 	}
-	w.tracef("zone %s is evacuated for %s", e.Zone, e.For)
+	w.tracef("zone %s is evacuated for %s", e.Zone, e.Duration)
 	if _, known := w.evacuated[e.Zone]; !known {
 		w.evacuated[e.Zone] = w.now
 	}
-	w.after(e.For, func() { e.withdraw(w) })
+	w.after(e.Duration, func() { e.withdraw(w) })
 }
 
 // withdraw takes back the request as soon as the table is up.
--- a/core/emulator/fault.go
+++ b/core/emulator/fault.go
@@ -42,8 +42,8 @@
 	Kind FaultKind
 	// At is the time from the end of the lead time to the fault.
 	// For is how long the fault lasts.
-	At  time.Duration
-	For time.Duration
+	At       time.Duration
+	Duration time.Duration
 	// Share is the share of the VMs that are affected, for faults of VMs.
 	Share float64
 }
@@ -92,7 +92,7 @@
 func randomFault(rng *rand.Rand, k FaultKind, length time.Duration) Fault {
 	return Fault{
 		Kind: k, At: time.Duration(rng.Int64N(int64(length))),
-		For: time.Second + time.Duration(rng.Int64N(int64(6*time.Second))), Share: 0.1 + 0.2*rng.Float64(),
+		Duration: time.Second + time.Duration(rng.Int64N(int64(6*time.Second))), Share: 0.1 + 0.2*rng.Float64(),
 	}
 }
 
@@ -112,21 +112,21 @@
 	switch f.Kind {
 	case KillOwner:
 		e.kill()
-		w.after(f.For, func() { e.restart() })
+		w.after(f.Duration, func() { e.restart() })
 	case FreezeOwner:
 		e.freeze()
-		w.after(f.For, e.thaw)
+		w.after(f.Duration, e.thaw)
 	case KillAll:
 		for _, e := range w.entryVMs {
 			e.kill()
-			w.after(f.For, func() { e.restart() })
+			w.after(f.Duration, func() { e.restart() })
 		}
 	case StopOwner:
 		e.shutDown()
-		w.after(f.For, func() { e.restart() })
+		w.after(f.Duration, func() { e.restart() })
 	case CutOwnerFromTable:
 		e.unreachable["table"] = true
-		w.after(f.For, func() { delete(e.unreachable, "table") })
+		w.after(f.Duration, func() { delete(e.unreachable, "table") })
 	case CutZone:
 		f.isolateZone(w)
 	default:
@@ -148,17 +148,17 @@
 	for _, e := range w.entryVMs {
 		if e.zone != zone {
 			e.unreachable[zone] = true
-			w.after(f.For, func() { delete(e.unreachable, zone) })
+			w.after(f.Duration, func() { delete(e.unreachable, zone) })
 			continue
 		}
 		for i := range zoneCount {
 			if other := zoneName(i); other != zone {
 				e.unreachable[other] = true
-				w.after(f.For, func() { delete(e.unreachable, other) })
+				w.after(f.Duration, func() { delete(e.unreachable, other) })
 			}
 		}
 		e.unreachable["table"] = true
-		w.after(f.For, func() { delete(e.unreachable, "table") })
+		w.after(f.Duration, func() { delete(e.unreachable, "table") })
 	}
 }
 
@@ -167,13 +167,13 @@
 	switch f.Kind {
 	case TableDown:
 		t.down = true
-		w.after(f.For, func() { t.down = false })
+		w.after(f.Duration, func() { t.down = false })
 	case TableSlow:
 		t.extraDelay = 250 * time.Millisecond
-		w.after(f.For, func() { t.extraDelay = 0 })
+		w.after(f.Duration, func() { t.extraDelay = 0 })
 	case AnswersLost, AnswersLostLate:
 		t.lostAnswerShare, t.lateWrites = 0.35, f.Kind == AnswersLostLate
-		w.after(f.For, func() { t.lostAnswerShare = 0 })
+		w.after(f.Duration, func() { t.lostAnswerShare = 0 })
 	default:
 		f.injectVMFault(w)
 	}
@@ -188,18 +188,18 @@
 		}
 		switch f.Kind {
 		case VMsCrash:
-			w.crashVM(v, f.For, false)
+			w.crashVM(v, f.Duration, false)
 		case VMsCrashSameID:
-			w.crashVM(v, f.For, true)
+			w.crashVM(v, f.Duration, true)
 		case VMsFail:
 			v.failing = true
-			w.after(f.For, func() { v.failing = false })
+			w.after(f.Duration, func() { v.failing = false })
 		case VMsSlow:
 			v.slowdown = 5
-			w.after(f.For, func() { v.slowdown = 1 })
+			w.after(f.Duration, func() { v.slowdown = 1 })
 		case VMsHang:
 			v.hanging = true
-			w.after(f.For, func() { v.hanging = false })
+			w.after(f.Duration, func() { v.hanging = false })
 		}
 	}
 }
--- a/core/emulator/golden_test.go
+++ b/core/emulator/golden_test.go
@@ -16,7 +16,7 @@
 	var b strings.Builder
 	s := emulator.Scenario{
 		Seed: 11, Length: 4 * time.Second, EntryVMs: 2, VMsPerPool: 5, StandbyMachines: 1, JobsPerSecond: 0.4, LongRunning: 1, WaveMachines: 1,
-		Faults: []emulator.Fault{{Kind: emulator.KillOwner, At: 2500 * time.Millisecond, For: 2 * time.Second}},
+		Faults: []emulator.Fault{{Kind: emulator.KillOwner, At: 2500 * time.Millisecond, Duration: 2 * time.Second}},
 		Trace:  func(line string) { b.WriteString(line + "\n") },
 	}
 	violations, _ := emulator.Run(s)
--- a/core/emulator/owner.go
+++ b/core/emulator/owner.go
@@ -55,7 +55,7 @@
 	now := o.entryVM.w.now
 	o.scheduler = schedule.New(schedule.Settings{
 		OrderIssuer: o.entryVM.name, FormerOrders: valuesByKey(t.orders),
-		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.tenureNumber * 10_000), TookOver: now,
+		Fence: job.Fence(o.fence), AttemptBase: job.Attempt(o.tenureNumber * 10_000), TakeoverTime: now,
 		LeaseMax: leaseMax, TaskStopMax: taskStopMax,
 		MachineLease: 3 * time.Second,
 		Observer:     o,
@@ -133,7 +133,7 @@
 			return
 		}
 		o.entryVM.w.after(tickInterval, o.tick)
-		if !o.entryVM.unreachable["table"] && !o.entryVM.w.table.down && !o.entryVM.w.table.refused[o.entryVM] {
+		if !o.entryVM.unreachable["table"] && !o.entryVM.w.table.down && !o.entryVM.w.table.disconnected[o.entryVM] {
 			o.readJobs(o.entryVM.w.now)
 			o.readVMs(o.entryVM.w.now)
 			o.scheduler.SetEvacuatedZones(o.entryVM.w.evacuatedZones())
@@ -358,7 +358,7 @@
 // Decided implements schedule.Observer.
 func (o *owner) Decided(d schedule.Decision) {
 	if d.Kind == schedule.TaskGivenUp {
-		o.entryVM.w.checker.gaveUp[d.Task] = true
+		o.entryVM.w.checker.givenUp[d.Task] = true
 	}
 	o.entryVM.w.tracef("%s %s %v attempt %d vm %s: %s, age %s", o.entryVM.name, d.Kind, d.Task, d.Attempt, d.VM, d.Reason, d.Age)
 }
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -19,8 +19,8 @@
 	EntryVMs, VMsPerPool, StandbyMachines int
 	// JobsPerSecond is the mean rate of submissions to each of the two queues.
 	JobsPerSecond float64
-	// Burst multiplies the rate of one queue after the other; 0 means no bursts.
-	Burst float64
+	// BurstFactor multiplies the rate of one queue after the other; 0 means no bursts.
+	BurstFactor float64
 	// LongRunning is the number of long-running jobs in each of the two queues.
 	LongRunning int
 	// WaveMachines is the number of machines in the maintenance wave; 0 means no wave.
@@ -111,7 +111,7 @@
 	w := newWorld(sc)
 	for _, fault := range sc.Faults {
 		w.at(leadTime+fault.At, func() {
-			w.tracef("fault %s for %s", fault.Kind, fault.For)
+			w.tracef("fault %s for %s", fault.Kind, fault.Duration)
 			fault.inject(w)
 		})
 	}
@@ -208,8 +208,8 @@
 		for at < sc.Length {
 			rate := sc.JobsPerSecond
 			// The queues have bursts one after the other, four seconds each.
-			if sc.Burst > 0 && int(at/(4*time.Second))%4 == q {
-				rate *= sc.Burst
+			if sc.BurstFactor > 0 && int(at/(4*time.Second))%4 == q {
+				rate *= sc.BurstFactor
 			}
 			at += time.Duration(w.rng.ExpFloat64() / rate * float64(time.Second))
 			w.at(leadTime+at, func() { w.submitJob(sc, queue) })
--- a/core/emulator/scenario_test.go
+++ b/core/emulator/scenario_test.go
@@ -29,7 +29,7 @@
 // no faults.
 func withoutFaults(seed uint64) emulator.Scenario {
 	return emulator.Scenario{
-		Seed: seed, Length: 20 * time.Second, EntryVMs: 5, VMsPerPool: 8, StandbyMachines: 3, JobsPerSecond: 3, Burst: 3, LongRunning: 2, WaveMachines: 7,
+		Seed: seed, Length: 20 * time.Second, EntryVMs: 5, VMsPerPool: 8, StandbyMachines: 3, JobsPerSecond: 3, BurstFactor: 3, LongRunning: 2, WaveMachines: 7,
 	}
 }
 
@@ -47,8 +47,8 @@
 	seedRange         = 1000
 )
 
-// scenarioOf returns the scenario of a seed.
-func scenarioOf(seed uint64) emulator.Scenario {
+// scenarioForSeed returns the scenario of a seed.
+func scenarioForSeed(seed uint64) emulator.Scenario {
 	s := withoutFaults(seed)
 	switch seed / seedRange * seedRange {
 	case faultsFrom:
@@ -63,7 +63,7 @@
 		s.Evacuations = emulator.RandomEvacuations(seed, s.Length, 3)
 		s.Faults = emulator.RandomFaults(seed, s.Length, int(seed%4))
 	case failingTasksFrom:
-		s.JobsPerSecond, s.Burst, s.FailingShare = 1.5, 0, 0.5
+		s.JobsPerSecond, s.BurstFactor, s.FailingShare = 1.5, 0, 0.5
 		s.Faults = append(emulator.RandomFaults(seed, s.Length, 2), emulator.RandomCutsWithCrashes(seed, s.Length, 3)...)
 	case crashingTasksFrom:
 		s.CrashingShare, s.CrashingLongRunningShare = 0.03, 0.15
@@ -83,7 +83,7 @@
 // runScenario runs the scenario of a seed and fails the test on violations.
 func runScenario(t *testing.T, seed uint64) emulator.Stats {
 	t.Helper()
-	s := scenarioOf(seed)
+	s := scenarioForSeed(seed)
 	violations, stats := emulator.Run(s)
 	assert.Assert(t, len(violations) == 0, "seed %d, faults %v:\n%s", seed, s.Faults, strings.Join(violations, "\n"))
 	return stats
@@ -98,8 +98,8 @@
 	}
 }
 
-// runRange runs the first seeds of a range.
-func runRange(t *testing.T, from, defaultCount uint64) {
+// runSeedRange runs the first seeds of a range.
+func runSeedRange(t *testing.T, from, defaultCount uint64) {
 	var seeds []uint64
 	for i := range scenarioCount(defaultCount) {
 		seeds = append(seeds, from+i)
@@ -118,45 +118,45 @@
 
 // Guards against runs that are not reproducible: a failure could not be reproduced by its seed.
 func TestSameSeedRepeats(t *testing.T) {
-	_, first := emulator.Run(scenarioOf(1007))
-	_, second := emulator.Run(scenarioOf(1007))
+	_, first := emulator.Run(scenarioForSeed(1007))
+	_, second := emulator.Run(scenarioForSeed(1007))
 	assert.Equal(t, fmt.Sprint(first), fmt.Sprint(second))
 }
 
 // Kills, freezes, network cuts, outages and crashes follow each other and overlap. No task
 // may run twice at a time, no step may start out of order, and at the end all accepted jobs
 // must be finished and all long-running tasks must run.
-func TestWithFaults(t *testing.T) { runRange(t, faultsFrom, 24) }
+func TestWithFaults(t *testing.T) { runSeedRange(t, faultsFrom, 24) }
 
 // Guards against late orders that break an invariant, such as a second start of a task. A share
 // of all orders gets no answer and is delivered seconds later, while owners change and VMs
 // crash.
-func TestWithLateOrders(t *testing.T) { runRange(t, lateOrdersFrom, 16) }
+func TestWithLateOrders(t *testing.T) { runSeedRange(t, lateOrdersFrom, 16) }
 
 // Guards against an account that runs more than its small quota allows, under any owner.
-func TestQuotaHolds(t *testing.T) { runRange(t, quotaFrom, 6) }
+func TestQuotaHolds(t *testing.T) { runSeedRange(t, quotaFrom, 6) }
 
 // Availability zones are evacuated, one, several or all at a time, while owners are lost,
 // zones are cut off and the table is unreachable. No process may start a task in a zone once
 // the limit after the request is over, and all accepted jobs must still finish.
-func TestWithEvacuations(t *testing.T) { runRange(t, evacuationsFrom, 16) }
+func TestWithEvacuations(t *testing.T) { runSeedRange(t, evacuationsFrom, 16) }
 
 // Guards against done tasks that the next owner starts again after another task of their job
 // has failed.
-func TestWithFailingTasks(t *testing.T) { runRange(t, failingTasksFrom, 8) }
+func TestWithFailingTasks(t *testing.T) { runSeedRange(t, failingTasksFrom, 8) }
 
 // Guards against a task that crashes one VM after another and is started without limit.
-func TestWithCrashingTasks(t *testing.T) { runRange(t, crashingTasksFrom, 8) }
+func TestWithCrashingTasks(t *testing.T) { runSeedRange(t, crashingTasksFrom, 8) }
 
 // Guards against overload of VMs whose capacity has shrunk and that accept every start.
-func TestWithResizingVMs(t *testing.T) { runRange(t, resizingVMsFrom, 8) }
+func TestWithResizingVMs(t *testing.T) { runSeedRange(t, resizingVMsFrom, 8) }
 
 // Guards against late orders that change which tasks run on a VM restarted under the same ID.
-func TestWithLateOrdersToRestartedVMs(t *testing.T) { runRange(t, reusedIDsFrom, 8) }
+func TestWithLateOrdersToRestartedVMs(t *testing.T) { runSeedRange(t, reusedIDsFrom, 8) }
 
 // Guards against two owners that both start a task while each of them cannot reach some of the
 // VMs.
-func TestWithZonesCutOff(t *testing.T) { runRange(t, zoneCutsFrom, 4) }
+func TestWithZonesCutOff(t *testing.T) { runSeedRange(t, zoneCutsFrom, 4) }
 
 // Seeds that found faults. Known causes:
 //   - 1050: a maintenance order was refused as busy after an earlier order for the
--- a/core/emulator/table.go
+++ b/core/emulator/table.go
@@ -35,8 +35,8 @@
 	extraDelay      time.Duration
 	lostAnswerShare float64
 	lateWrites      bool
-	// refused are the entry VMs whose calls are dropped.
-	refused map[*entryVM]bool
+	// disconnected are the entry VMs whose calls are dropped.
+	disconnected map[*entryVM]bool
 }
 
 // ownerRow says which process owns the fleet. tenureNumber counts the takeovers.
@@ -70,7 +70,7 @@
 	return &table{
 		w: w, progress: map[job.ID]job.Progress{}, waves: map[int64][]job.MachineID{},
 		vms: map[job.VMID]job.VMRecord{}, roster: map[job.VMID]schedule.RosterVM{},
-		orders: map[job.MachineID]schedule.MachineOrder{}, refused: map[*entryVM]bool{},
+		orders: map[job.MachineID]schedule.MachineOrder{}, disconnected: map[*entryVM]bool{},
 	}
 }
 
@@ -119,7 +119,7 @@
 		case schedule.DropVM:
 			delete(t.roster, c.VM)
 		case schedule.SaveWave:
-			t.waves[c.Number] = c.Done
+			t.waves[c.Wave] = c.Done
 		case schedule.SaveOrder:
 			t.orders[c.Order.Machine] = c.Order
 		case schedule.DropOrder:
--- a/core/emulator/trace_test.go
+++ b/core/emulator/trace_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return
 	}
-	s := scenarioOf(seed)
+	s := scenarioForSeed(seed)
 	s.Trace = func(line string) { fmt.Println(line) }
 	violations, _ := emulator.Run(s)
 	for _, v := range violations {
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -23,8 +23,8 @@
 	Ref  fleet.Ref
 	Rack core.RackID
 	Up   bool
-	// BackAt is when a VM that is down comes back. Zero means never.
-	BackAt time.Time
+	// RecoversAt is when a VM that is down comes back. Zero means never.
+	RecoversAt time.Time
 	// DownSince is when the VM went down.
 	DownSince time.Time
 	// Planned reports that the VM is down because of a reboot, not because of a failure.
@@ -223,7 +223,7 @@
 func (w *World) Advance(d time.Duration) {
 	w.Now = w.Now.Add(d)
 	w.down = slices.DeleteFunc(w.down, func(v *SimulatedVM) bool {
-		back := v.Up || !v.BackAt.IsZero() && !w.Now.Before(v.BackAt)
+		back := v.Up || !v.RecoversAt.IsZero() && !w.Now.Before(v.RecoversAt)
 		if back {
 			v.Up, v.Planned = true, false
 		}
@@ -263,7 +263,7 @@
 	if v.Up {
 		w.down = append(w.down, v)
 	}
-	v.Up, v.Planned, v.BackAt, v.BusyUntil = false, false, w.Now.Add(d), time.Time{}
+	v.Up, v.Planned, v.RecoversAt, v.BusyUntil = false, false, w.Now.Add(d), time.Time{}
 }
 
 // FailAll takes several VMs down at the same time.
@@ -322,9 +322,9 @@
 	w.down = append(w.down, v)
 	v.Up, v.Planned, v.DownSince, v.BusyUntil = false, true, w.Now, time.Time{}
 	v.Reboots++
-	v.BackAt = w.Now.Add(w.exponential(w.RebootTime))
+	v.RecoversAt = w.Now.Add(w.exponential(w.RebootTime))
 	if w.chance(w.Faults.NotBackShare) {
-		v.BackAt = w.Now.Add(w.uniform(4*time.Hour, 24*time.Hour))
+		v.RecoversAt = w.Now.Add(w.uniform(4*time.Hour, 24*time.Hour))
 	}
 	return nil
 }
--- a/core/experiment/replay/counters.go
+++ b/core/experiment/replay/counters.go
@@ -8,7 +8,7 @@
 // counters counts the events of a run.
 type counters struct {
 	doneInTime, late, refusedEarly, refusedLate int
-	unknowns, givenUp, cancelled                int
+	unknownOutcomes, givenUp, cancelled         int
 	moves, retries, resubmissions, fullRefusals int
 	// useful is the total duration of runs that succeeded before the deadline, wasted that
 	// of all other runs.
@@ -87,7 +87,7 @@
 // endUnknown ends j with an unknown outcome: it may have run and isn't safe to retry.
 func (c *counters) endUnknown(j *job) {
 	j.state = ended
-	c.unknowns++
+	c.unknownOutcomes++
 }
 
 // cancel ends j because its caller cancelled it.
@@ -107,12 +107,12 @@
 		"refused_early":       float64(c.refusedEarly) / offered,
 		"refused_late":        float64(c.refusedLate) / offered,
 		"done_late":           float64(c.late) / offered,
-		"outcome_unknown":     float64(c.unknowns) / offered,
+		"outcome_unknown":     float64(c.unknownOutcomes) / offered,
 		"given_up":            float64(c.givenUp) / offered,
 		"wasted_work":         ratio(c.wasted.Seconds(), (c.useful + c.wasted).Seconds()),
 		"buffer_cost":         ratio(capacity-c.usefulInHorizon.Seconds(), c.usefulInHorizon.Seconds()),
-		"share_nearness":      s.shares.nearness(),
-		"share_worst_team":    s.shares.worstTeam(),
+		"share_nearness":      s.shares.fairFraction(),
+		"share_worst_team":    s.shares.lowestReceivedFraction(),
 		"moves":               float64(c.moves),
 		"retries_per_request": float64(c.retries) / offered,
 		"returns_per_request": float64(c.resubmissions) / offered,
--- a/core/experiment/replay/replay_test.go
+++ b/core/experiment/replay/replay_test.go
@@ -53,6 +53,6 @@
 	m.queues[0].waiting = []int{50, 50, 0}
 	m.sample(runStart)
 	m.sample(runStart.Add(shareWindow))
-	assert.Equal(t, m.nearness(), 1-8.0/18)
-	assert.Equal(t, m.worstTeam(), 4.0/12)
+	assert.Equal(t, m.fairFraction(), 1-8.0/18)
+	assert.Equal(t, m.lowestReceivedFraction(), 4.0/12)
 }
--- a/core/experiment/replay/share.go
+++ b/core/experiment/replay/share.go
@@ -122,17 +122,17 @@
 	}
 }
 
-// nearness returns the fraction of the contested slot-time that teams received in
+// fairFraction returns the fraction of the contested slot-time that teams received in
 // accordance with their shares.
-func (m *shareMeter) nearness() float64 {
+func (m *shareMeter) fairFraction() float64 {
 	if m.used == 0 {
 		return 1
 	}
 	return 1 - m.misallocated/m.used
 }
 
-// worstTeam returns the lowest fraction of its fair slot-time that any team received.
-func (m *shareMeter) worstTeam() float64 {
+// lowestReceivedFraction returns the lowest fraction of its fair slot-time that any team received.
+func (m *shareMeter) lowestReceivedFraction() float64 {
 	lowest := 1.0
 	for i := range m.fair {
 		if m.fair[i] > 0 {
--- a/core/job/configuration.go
+++ b/core/job/configuration.go
@@ -33,9 +33,9 @@
 // Approval describes the response times of the service that approves VMs for a step
 // and the validity of its approvals.
 type Approval struct {
-	DecideTime  time.Duration
-	TimePerVM   time.Duration
-	ValidPeriod time.Duration
+	DecisionTime time.Duration
+	TimePerVM    time.Duration
+	ValidPeriod  time.Duration
 }
 
 // Pool is a group of VMs.
--- a/core/lease/clock.go
+++ b/core/lease/clock.go
@@ -9,25 +9,25 @@
 // Clock estimates a VM's clock from its readings. The zero value has no reading.
 type Clock struct {
 	reading job.VMClock
-	at      time.Time
+	readAt  time.Time
 }
 
 // Observe records a reading that was received at now.
 func (c *Clock) Observe(reading job.VMClock, now time.Time) {
-	if reading >= c.Earliest(now) || c.at.IsZero() {
-		c.reading, c.at = reading, now
+	if reading >= c.Earliest(now) || c.readAt.IsZero() {
+		c.reading, c.readAt = reading, now
 	}
 }
 
 // Known reports whether there is a reading of the clock.
-func (c *Clock) Known() bool { return !c.at.IsZero() }
+func (c *Clock) Known() bool { return !c.readAt.IsZero() }
 
 // Earliest returns the minimum that the VM's clock can show at now.
 func (c *Clock) Earliest(now time.Time) job.VMClock {
-	return c.reading + job.VMClock(float64(now.Sub(c.at).Milliseconds())*MinClockRate)
+	return c.reading + job.VMClock(float64(now.Sub(c.readAt).Milliseconds())*MinClockRate)
 }
 
 // Estimate returns what the VM's clock shows at now if it runs at the nominal rate.
 func (c *Clock) Estimate(now time.Time) job.VMClock {
-	return c.reading + job.VMClock(now.Sub(c.at).Milliseconds())
+	return c.reading + job.VMClock(now.Sub(c.readAt).Milliseconds())
 }
--- a/core/maintenance/session_test.go
+++ b/core/maintenance/session_test.go
@@ -93,7 +93,7 @@
 		case 300:
 			z.World.Faults.NotBackShare = 0
 			for _, m := range z.World.VMs() {
-				m.BackAt = z.World.Now
+				m.RecoversAt = z.World.Now
 			}
 			if z.Wave().Status == maintenance.Halted {
 				submitChange(t, z, "start-3")
--- a/core/schedule/acknowledge_test.go
+++ b/core/schedule/acknowledge_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/job"
 )
 
-// end returns the end of the run that c started.
-func end(number int64, c Start, how job.Ending) job.End {
+// newEnd returns the end of the run that c started.
+func newEnd(number int64, c Start, how job.Ending) job.End {
 	return job.End{Number: number, Task: c.Order.Task, Attempt: c.Order.Attempt, How: how}
 }
 
@@ -18,7 +18,7 @@
 // to the VM, or 0.
 func acknowledgedAt(commands []Command, vm job.VMID) int64 {
 	acknowledged := int64(0)
-	for _, c := range only[Hold](commands) {
+	for _, c := range commandsOfType[Hold](commands) {
 		if c.VM == vm {
 			acknowledged = max(acknowledged, c.Order.Noted)
 		}
@@ -29,7 +29,7 @@
 // confirmedStarts returns the n starts of the next round, all of them confirmed.
 func (h *harness) confirmedStarts(n int) []Start {
 	h.t.Helper()
-	starts := only[Start](h.advance(0))
+	starts := commandsOfType[Start](h.advance(0))
 	assert.Equal(h.t, len(starts), n)
 	for _, c := range starts {
 		h.confirm(c)
@@ -53,17 +53,17 @@
 // running. The job fails, and its save is in flight when the end of a sibling is listed.
 func TestEndOfFailedJobIsAcknowledgedOnceFailureIsStored(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second})
 	starts := h.confirmedStarts(2)
 	bad, good := starts[0], starts[1]
-	h.answerHold(string(bad.VM), nil, end(1, bad, job.EndedFailed))
-	bad = one[Start](h, h.advance(100*time.Millisecond))
+	h.answerHold(string(bad.VM), nil, newEnd(1, bad, job.EndedFailed))
+	bad = onlyCommand[Start](h, h.advance(100*time.Millisecond))
 	h.confirm(bad)
-	h.answerHold(string(bad.VM), nil, end(2, bad, job.EndedFailed))
-	failure := one[Save](h, h.roundWithoutStoring(100*time.Millisecond))
+	h.answerHold(string(bad.VM), nil, newEnd(2, bad, job.EndedFailed))
+	failure := onlyCommand[Save](h, h.roundWithoutStoring(100*time.Millisecond))
 	assert.Equal(t, failure.Progress.State, job.Failed)
-	h.answerHold(string(good.VM), nil, end(1, good, job.EndedDone))
+	h.answerHold(string(good.VM), nil, newEnd(1, good, job.EndedDone))
 	h.checkAcknowledgedOnceStored(good.VM, failure)
 }
 
@@ -71,13 +71,13 @@
 // counts for all members, so the end of another member must wait for the same save.
 func TestGangEndsAreAcknowledgedOnceGangIsStoredAsDone(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000, MemMB: 100}, Estimate: time.Second, Gang: true})
 	starts := h.confirmedStarts(2)
 	first, second := starts[0], starts[1]
-	h.answerHold(string(first.VM), nil, end(1, first, job.EndedDone))
-	done := one[Save](h, h.roundWithoutStoring(time.Second))
-	h.answerHold(string(second.VM), nil, end(1, second, job.EndedDone))
+	h.answerHold(string(first.VM), nil, newEnd(1, first, job.EndedDone))
+	done := onlyCommand[Save](h, h.roundWithoutStoring(time.Second))
+	h.answerHold(string(second.VM), nil, newEnd(1, second, job.EndedDone))
 	h.checkAcknowledgedOnceStored(second.VM, done)
 }
 
@@ -86,17 +86,17 @@
 // the restarted VM numbers its ends from 1 again.
 func TestHoldToSilentVMAcknowledgesNoEnd(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.confirm(start)
-	h.answerHold("one", nil, end(1, start, job.EndedDone))
+	h.answerHold("one", nil, newEnd(1, start, job.EndedDone))
 	h.answerHold("one", nil)
 	assert.Equal(t, acknowledgedAt(h.advance(100*time.Millisecond), "one"), int64(1))
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Unanswered, job.Report{})
 	sent := 0
 	for range 20 {
-		for _, c := range only[Hold](h.advance(100 * time.Millisecond)) {
+		for _, c := range commandsOfType[Hold](h.advance(100 * time.Millisecond)) {
 			sent++
 			assert.Equal(t, c.Order.Noted, int64(0))
 			h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -212,7 +212,7 @@
 		a.recordPossibleVMs(j, v)
 	}
 	r := &run{
-		task: id, attempt: n, vm: v, reservation: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account,
+		task: id, attempt: n, vm: v, reservation: st.def.Reservation(), quotaUsage: st.def.Resources, account: j.Terms.Account,
 		orderedAt: a.now, pacePercent: 100, requiredSave: j.possibleVMs.Get(v.id),
 	}
 	r.setKind(st.def)
@@ -239,7 +239,7 @@
 	}
 	j.placed = true
 	s.reportDecision(Decision{
-		Kind: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), After: now.Sub(j.arrived),
+		Kind: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), SinceArrival: now.Sub(j.arrived),
 		Slack: j.objective.Sub(now.Add(s.remainingTime(j, j.currentOccurrence()))),
 	})
 }
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -23,69 +23,69 @@
 // Guards against sending a planned start after the VM has shrunk while the save was pending.
 func TestPlannedStartIsSentOnlyIfItFits(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
 	saves := h.roundWithoutStoring(0)
 	h.resize("one", 500)
 	for _, c := range saves {
 		h.store(c)
 	}
-	assert.Equal(t, len(only[Start](h.s.TakeCommands())), 0)
-	assert.Equal(t, len(only[Start](h.advance(0))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.s.TakeCommands())), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0)
 	h.resize("one", 8000)
-	one[Start](h, h.advance(0))
+	onlyCommand[Start](h, h.advance(0))
 }
 
 // Guards against starting tasks beside a run of an unknown job. The run's reservation is
 // unknown, so nothing may start on the VM until the run has ended.
 func TestRunOfUnknownJobBlocksStarts(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	unknown := job.RunningTask{Task: job.TaskID{Job: "unknown"}, Attempt: 7}
 	h.answerHold("one", []job.RunningTask{unknown})
-	one[Stop](h, h.advance(0))
+	onlyCommand[Stop](h, h.advance(0))
 	h.addJob("j", "free", smallStep)
-	assert.Equal(t, len(only[Start](h.advance(0))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0)
 	h.now = h.now.Add(100 * time.Millisecond)
 	h.answerHold("one", nil, job.End{Number: 1, Task: unknown.Task, Attempt: 7, How: job.EndedStopped})
-	one[Start](h, h.advance(0))
+	onlyCommand[Start](h, h.advance(0))
 }
 
 // Guards against starts that rely on the capacity and labels that a VM had before it restarted.
 func TestRestartedVMAcceptsTasksOnceListed(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.now = h.now.Add(time.Second)
 	restarted := job.Report{Clock: 10, Born: 2, Lists: true}
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, restarted)
 	h.addJob("j", "free", smallStep)
-	assert.Equal(t, len(only[Start](h.advance(0))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0)
 	h.resize("one", 8000)
-	assert.Equal(t, len(only[Start](h.advance(0))), 0, "task started although the directory entry is from before the restart")
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0, "task started although the directory entry is from before the restart")
 	h.s.VMListed(h.now, entryOf("one", 8000, 2))
-	one[Start](h, h.advance(0))
+	onlyCommand[Start](h, h.advance(0))
 }
 
 // Guards against starts that are refused again and again because the news of a shrunken VM is
 // late.
 func TestRefusedStartsBackOff(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
 	refused := 0
 	for range 100 {
-		for _, c := range only[Start](h.advance(100 * time.Millisecond)) {
+		for _, c := range commandsOfType[Start](h.advance(100 * time.Millisecond)) {
 			refused++
 			h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Refused: job.RefusedCapacity})
 		}
 	}
 	assert.Assert(t, refused <= 10, "%d starts refused within 10 s", refused)
 	h.resize("one", 4000)
-	one[Start](h, h.advance(0))
+	onlyCommand[Start](h, h.advance(0))
 }
 
-// listOneAndOff lists the machine of the VM "one" and a machine that is off.
-func (h *harness) listOneAndOff() {
+// listRunningAndStandbyMachine lists the machine of the VM "one" and a machine that is off.
+func (h *harness) listRunningAndStandbyMachine() {
 	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
 		{ID: "m-off", Pool: poolOff, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
@@ -96,29 +96,29 @@
 // capacity. The step doesn't limit its tasks per VM, so only the waiting task shows the need.
 func TestPoolGetsVMForLongRunningTaskWithoutPerVMLimit(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
-	h.listOneAndOff()
+	h.addReadyVMs("one")
+	h.listRunningAndStandbyMachine()
 	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}, LongRunning: true})
-	h.confirm(one[Start](h, h.advance(0)))
-	assert.Equal(t, one[Move](h, h.advance(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
+	h.confirm(onlyCommand[Start](h, h.advance(0)))
+	assert.Equal(t, onlyCommand[Move](h, h.advance(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
 // Guards against a pool that gets no machine although a long-running task fits on none of its
 // VMs since they have shrunk.
 func TestPoolGetsVMWhenItsOwnVMsHaveShrunk(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
-	h.listOneAndOff()
+	h.addReadyVMs("one")
+	h.listRunningAndStandbyMachine()
 	h.resize("one", 1000)
 	h.addJob("j", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 2000}, LongRunning: true})
-	assert.Equal(t, one[Move](h, h.advance(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
+	assert.Equal(t, onlyCommand[Move](h, h.advance(longRunningWaitThreshold+sizingInterval)).Machine, job.MachineID("m-off"))
 }
 
 // Guards against planning moves with the capacity in the machine list, which lags behind the
 // capacity that the VM has.
 func TestIdleMachineCapacityComesFromItsVM(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 1000}},
 	})
@@ -135,16 +135,16 @@
 		h := newHarness(t)
 		h.s.settings.ShrinkNotice = 3 * time.Second
 		h.s.config.Pool(poolA).EnforcesCapacity = enforced
-		h.ready("one")
+		h.addReadyVMs("one")
 		h.s.DirectoryRead(h.now)
 		h.addJob("j", "free", smallStep)
-		one[Start](h, h.advance(0))
+		onlyCommand[Start](h, h.advance(0))
 		h.now = h.now.Add(2500 * time.Millisecond)
 		h.answerHold("one", nil)
 		h.addJob("k", "free", smallStep)
-		assert.Equal(t, len(only[Start](h.advance(0))) > 0, enforced)
+		assert.Equal(t, len(commandsOfType[Start](h.advance(0))) > 0, enforced)
 		h.addJob("l", "free", smallStep)
 		h.s.DirectoryRead(h.now)
-		assert.Assert(t, len(only[Start](h.advance(0))) > 0)
+		assert.Assert(t, len(commandsOfType[Start](h.advance(0))) > 0)
 	}
 }
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -87,7 +87,7 @@
 // SaveWave stores which machines of a wave are done. It is ordered with the other saves.
 type SaveWave struct {
 	Sequence int64
-	Number   int64
+	Wave     int64
 	Done     []job.MachineID
 }
 
@@ -116,8 +116,8 @@
 
 // PublishWave publishes the state of a wave.
 type PublishWave struct {
-	Number int64
-	State  job.WaveState
+	Wave  int64
+	State job.WaveState
 }
 
 func (Start) command()           {}
@@ -203,8 +203,8 @@
 	Reason  string
 	// Age is the age of the information behind the decision.
 	Age time.Duration
-	// After is the time since the job's arrival.
-	After time.Duration
+	// SinceArrival is the time since the job's arrival.
+	SinceArrival time.Duration
 	// Slack is the time left until the job's objective, minus the time that the job is
 	// predicted to need.
 	Slack time.Duration
--- a/core/schedule/crash.go
+++ b/core/schedule/crash.go
@@ -144,9 +144,9 @@
 		return
 	}
 	t.crashes = crashes{}
-	r.vm.countKind(r, -1)
+	r.vm.adjustKindCounts(r, -1)
 	r.crashSuspect, r.isolated = false, false
-	r.vm.countKind(r, 1)
+	r.vm.adjustKindCounts(r, 1)
 	s.markDirty(j)
 }
 
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -13,7 +13,7 @@
 // crashHarness simulates VMs that crash and restart under the same ID.
 type crashHarness struct {
 	*harness
-	lives map[job.VMID]*life
+	lives map[job.VMID]*vmLife
 	// full makes the scheduler believe that the VMs have refused a task for lack of capacity,
 	// so that nothing starts.
 	full bool
@@ -21,20 +21,20 @@
 	pendingStarts []Start
 }
 
-// life is the current boot of a simulated VM: born is what the VM reports, since when its clock
+// vmLife is the current boot of a simulated VM: born is what the VM reports, since when its clock
 // was zero.
-type life struct {
+type vmLife struct {
 	born  job.Born
 	since time.Time
 }
 
 // newCrashHarness returns a harness with VMs that accept tasks.
 func newCrashHarness(t *testing.T, ids ...string) *crashHarness {
-	c := &crashHarness{harness: newHarness(t), lives: map[job.VMID]*life{}}
+	c := &crashHarness{harness: newHarness(t), lives: map[job.VMID]*vmLife{}}
 	for _, id := range ids {
-		c.lives[job.VMID(id)] = &life{born: 1, since: c.now.Add(-time.Second)}
+		c.lives[job.VMID(id)] = &vmLife{born: 1, since: c.now.Add(-time.Second)}
 	}
-	c.ready(ids...)
+	c.addReadyVMs(ids...)
 	return c
 }
 
@@ -82,7 +82,7 @@
 	c.s.HoldAnswered(c.now, Hold{VM: vm}, Unanswered, job.Report{})
 	for until := c.now.Add(d); c.now.Before(until); {
 		c.answerAllHolds(vm)
-		assert.Equal(c.t, len(only[Start](c.advance(100*time.Millisecond))), 0, "task started while its VM may still run it")
+		assert.Equal(c.t, len(commandsOfType[Start](c.advance(100*time.Millisecond))), 0, "task started while its VM may still run it")
 	}
 }
 
@@ -99,7 +99,7 @@
 // Meanwhile all VMs answer with empty lists, which end no run because the task has none.
 func (c *crashHarness) startOf(task job.TaskID) (Start, bool) {
 	for range 50 {
-		starts := append(c.pendingStarts, only[Start](c.advance(100*time.Millisecond))...)
+		starts := append(c.pendingStarts, commandsOfType[Start](c.advance(100*time.Millisecond))...)
 		c.pendingStarts = nil
 		for _, o := range starts {
 			if o.Order.Task == task {
@@ -114,10 +114,10 @@
 // answerStops answers the stops of runs that may not have begun.
 func (c *crashHarness) answerStops() {
 	commands := c.advance(10 * time.Millisecond)
-	for _, x := range only[Stop](commands) {
+	for _, x := range commandsOfType[Stop](commands) {
 		c.s.StopAnswered(c.now, x, Answered, c.report(x.VM))
 	}
-	c.pendingStarts = append(c.pendingStarts, only[Start](commands)...)
+	c.pendingStarts = append(c.pendingStarts, commandsOfType[Start](commands)...)
 }
 
 // startsUntilGivenUp submits a job of one task, passes each start of it to crash, and
@@ -155,7 +155,7 @@
 					c.confirm(o)
 					if after > 0 {
 						c.now = c.now.Add(after)
-						c.answerHold(o.VM, []job.RunningTask{running(o, 0)})
+						c.answerHold(o.VM, []job.RunningTask{runningTask(o, 0)})
 					}
 					c.crash(o.VM)
 				}))
@@ -178,11 +178,11 @@
 // Guards against a crash that isn't counted because the VM returns under a new ID.
 func TestCrashIsCountedWhenVMReturnsUnderNewID(t *testing.T) {
 	h := newHarness(t)
-	h.ready("vm-0")
+	h.addReadyVMs("vm-0")
 	h.addJob("j", "free", smallStep)
 	n := 0
 	for ; n < 12; n++ {
-		starts := only[Start](h.advance(100 * time.Millisecond))
+		starts := commandsOfType[Start](h.advance(100 * time.Millisecond))
 		if len(starts) == 0 {
 			break
 		}
@@ -235,7 +235,7 @@
 func (c *crashHarness) takeOver(id job.ID, steps ...job.Step) {
 	former := c.s
 	c.s = New(Settings{
-		Fence: former.settings.Fence + 1, AttemptBase: former.settings.AttemptBase + 100, TookOver: c.now,
+		Fence: former.settings.Fence + 1, AttemptBase: former.settings.AttemptBase + 100, TakeoverTime: c.now,
 		LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond, MachineLease: 3 * time.Second, OrderIssuer: "here",
 	})
 	c.s.Configure(former.config)
@@ -272,14 +272,14 @@
 	c := newCrashHarness(t, "one", "two", "three")
 	c.addJob("bad", "free", smallStep)
 	c.addJob("good", "free", smallStep)
-	first := only[Start](c.advance(0))
+	first := commandsOfType[Start](c.advance(0))
 	assert.Equal(t, len(first), 2)
 	assert.Equal(t, first[0].VM, first[1].VM, "both are packed on one VM")
 	for _, o := range first {
 		c.confirm(o)
 	}
 	c.crash(first[0].VM)
-	again := only[Start](c.advance(100 * time.Millisecond))
+	again := commandsOfType[Start](c.advance(100 * time.Millisecond))
 	assert.Equal(t, len(again), 2)
 	assert.Assert(t, again[0].VM != again[1].VM)
 }
@@ -296,7 +296,7 @@
 		for range 20 {
 			c.advance(time.Second)
 			c.answerAllHolds(o.VM)
-			c.answerHold(o.VM, []job.RunningTask{running(o, 100)})
+			c.answerHold(o.VM, []job.RunningTask{runningTask(o, 100)})
 		}
 		c.crash(o.VM)
 	}
@@ -307,7 +307,7 @@
 func TestSiblingsOfGivenUpLongRunningTaskContinue(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.addJob("j", "free", job.Step{Count: 2, Resources: smallStep.Resources, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true})
-	starts := only[Start](c.advance(0))
+	starts := commandsOfType[Start](c.advance(0))
 	assert.Equal(t, len(starts), 2)
 	bad, good := starts[0], starts[1]
 	c.confirm(bad)
@@ -318,15 +318,15 @@
 		c.advance(time.Second)
 		c.restart(bad.VM)
 		c.answerAllHolds(good.VM)
-		c.answerHold(good.VM, []job.RunningTask{running(good, 100)})
+		c.answerHold(good.VM, []job.RunningTask{runningTask(good, 100)})
 		commands := c.advance(100 * time.Millisecond)
-		for _, o := range only[Start](commands) {
+		for _, o := range commandsOfType[Start](commands) {
 			assert.Equal(t, o.Order.Task, bad.Order.Task)
 			bad = o
 			c.confirm(o)
 			n++
 		}
-		assert.Equal(t, len(only[Stop](commands)), 0, "the sibling is running")
+		assert.Equal(t, len(commandsOfType[Stop](commands)), 0, "the sibling is running")
 	}
 	assert.Assert(t, n >= 2 && n <= maxStarts, "%d starts", n)
 	assert.Equal(t, c.s.jobs.Get("j").state, job.Running)
@@ -351,7 +351,7 @@
 		}
 		for range 60 {
 			c.answerAllHolds(o.VM)
-			assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 0)
+			assert.Equal(t, len(commandsOfType[Start](c.advance(100*time.Millisecond))), 0)
 		}
 	}
 }
@@ -362,7 +362,7 @@
 	for name, after := range map[string]time.Duration{"within the lease": 3 * time.Second, "after it": 8 * time.Second} {
 		c := newCrashHarness(t, "one", "two", "three")
 		c.addJob("j", "free", job.Step{Count: 3, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second})
-		starts := only[Start](c.advance(0))
+		starts := commandsOfType[Start](c.advance(0))
 		assert.Equal(t, len(starts), 3)
 		for _, o := range starts {
 			assert.Equal(t, o.VM, starts[0].VM)
@@ -398,11 +398,11 @@
 	c.confirm(o)
 	for i := range 7 {
 		c.addJob(fmt.Sprintf("k%d", i), "free", job.Step{Count: 1, Resources: job.Resources{CPU: 7000, MemMB: 100}, Estimate: time.Second})
-		for _, x := range only[Start](c.advance(time.Second)) {
+		for _, x := range commandsOfType[Start](c.advance(time.Second)) {
 			assert.Assert(t, x.VM != o.VM || i > 4, "task started beside the isolated one %d s after its start", i)
 			c.confirm(x)
 		}
-		c.answerHold(o.VM, []job.RunningTask{running(o, 100)})
+		c.answerHold(o.VM, []job.RunningTask{runningTask(o, 100)})
 	}
 	assert.Equal(t, c.s.vms.Get(o.VM).isolatedRuns, 0)
 }
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -14,45 +14,45 @@
 // would never expire.
 func TestLeaseOfSilentVMExpires(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.confirm(start)
 	other := map[job.VMID]string{"one": "two", "two": "one"}[start.VM]
 	freed := false
 	h.s.HoldAnswered(h.now, Hold{VM: start.VM}, Unanswered, job.Report{})
 	for range 100 {
 		commands := h.advance(100 * time.Millisecond)
-		for _, c := range only[Hold](commands) {
+		for _, c := range commandsOfType[Hold](commands) {
 			if c.VM == start.VM {
 				h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
 			}
 		}
 		h.answerHold(other, nil)
-		if again := only[Start](commands); len(again) > 0 {
+		if again := commandsOfType[Start](commands); len(again) > 0 {
 			freed = true
 			assert.Assert(t, again[0].Order.Attempt > start.Order.Attempt)
 			break
 		}
 	}
 	assert.Assert(t, freed)
-	assert.Assert(t, h.now.Sub(begin) > 6*time.Second, "freed after %s, before its lease has certainly expired", h.now.Sub(begin))
+	assert.Assert(t, h.now.Sub(startTime) > 6*time.Second, "freed after %s, before its lease has certainly expired", h.now.Sub(startTime))
 }
 
 // Guards against a second run of a task whose start had no answer. Only a list taken
 // after the start's deadline proves that the task doesn't run.
 func TestUnansweredStartIsFreedByListAfterItsDeadline(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.advance(100 * time.Millisecond)
 	h.answerHold(string(start.VM), nil)
-	assert.Equal(t, len(only[Start](h.advance(0))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0)
 	h.advance(700 * time.Millisecond)
 	h.answerHold(string(start.VM), nil)
-	again := one[Start](h, h.advance(0))
+	again := onlyCommand[Start](h, h.advance(0))
 	assert.Assert(t, again.Order.Attempt > start.Order.Attempt)
 }
 
@@ -61,15 +61,15 @@
 // deadline, so the run must be stopped explicitly.
 func TestLostStartIsStoppedOnRestartedVM(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.advance(700 * time.Millisecond)
 	h.answerHold("one", nil)
 	h.advance(0)
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 3, Born: 2, Lists: true})
-	stops := only[Stop](h.advance(0))
+	stops := commandsOfType[Stop](h.advance(0))
 	assert.Assert(t, len(stops) > 0)
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
@@ -78,37 +78,37 @@
 // ended and been dropped from memory.
 func TestEndedJobIsNotRunAgain(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.confirm(start)
 	h.advance(time.Second)
 	h.answerHold("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedDone})
-	save := only[Save](h.advance(0))
+	save := commandsOfType[Save](h.advance(0))
 	assert.Equal(t, save[len(save)-1].Progress.State, job.Completed)
 	h.addJob("j", "free", smallStep)
-	assert.Equal(t, len(only[Start](h.advance(time.Second))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(time.Second))), 0)
 }
 
 // Guards against an end that is lost because the owner that read it dies. A VM deletes
 // acknowledged ends, so an end is acknowledged only once it is stored.
 func TestEndIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.confirm(start)
 	h.now = h.now.Add(time.Second)
 	h.answerHold("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedDone})
 	h.now = h.now.Add(time.Second)
 	h.s.Tick(h.now)
 	commands := h.s.TakeCommands()
-	assert.Equal(t, one[Hold](h, commands).Order.Noted, int64(0))
+	assert.Equal(t, onlyCommand[Hold](h, commands).Order.Noted, int64(0))
 	for _, c := range commands {
 		h.store(c)
 	}
 	h.answerHold("one", nil)
-	assert.Equal(t, one[Hold](h, h.advance(30*time.Millisecond)).Order.Noted, int64(1))
+	assert.Equal(t, onlyCommand[Hold](h, h.advance(30*time.Millisecond)).Order.Noted, int64(1))
 }
 
 // Guards against a lease that expires under a task started during a hold. The start's own
@@ -116,9 +116,9 @@
 // when it was sent.
 func TestHoldOfIdleVMExtendsLease(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.answerHold("one", nil)
-	hold := one[Hold](h, h.advance(30*time.Millisecond))
+	hold := onlyCommand[Hold](h, h.advance(30*time.Millisecond))
 	assert.Assert(t, hold.Order.Deadline >= h.clock()+5000, "%+v", hold.Order)
 }
 
@@ -132,13 +132,13 @@
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
 	for range 80 {
 		commands := h.advance(100 * time.Millisecond)
-		assert.Equal(t, len(only[Maintain](commands)), 0)
-		for range only[Hold](commands) {
+		assert.Equal(t, len(commandsOfType[Maintain](commands)), 0)
+		for range commandsOfType[Hold](commands) {
 			h.s.HoldAnswered(h.now, Hold{VM: "one"}, Unanswered, job.Report{})
 		}
 	}
 	h.answerHold("one", nil)
-	assert.Equal(t, len(only[Maintain](h.advance(100*time.Millisecond))), 1)
+	assert.Equal(t, len(commandsOfType[Maintain](h.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against an outdated machine list that ends a maintenance. The list was requested
@@ -153,15 +153,15 @@
 	}
 	list(h.now, job.MachineUp)
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 1}, nil)
-	first := one[Maintain](h, h.advance(100*time.Millisecond))
+	first := onlyCommand[Maintain](h, h.advance(100*time.Millisecond))
 	requestedAt := h.now
 	h.now = h.now.Add(10 * time.Millisecond)
 	h.s.MaintainAnswered(h.now, first, Answered, job.MachineAccepted)
 	h.now = h.now.Add(3 * time.Second)
 	list(requestedAt, job.MachineUp)
-	assert.Equal(t, len(only[Maintain](h.advance(10*time.Millisecond))), 0)
+	assert.Equal(t, len(commandsOfType[Maintain](h.advance(10*time.Millisecond))), 0)
 	list(h.now, job.MachineUp)
-	second := one[Maintain](h, h.advance(10*time.Millisecond))
+	second := onlyCommand[Maintain](h, h.advance(10*time.Millisecond))
 	assert.Assert(t, second.Machine != first.Machine)
 }
 
@@ -173,57 +173,57 @@
 		{ID: "m-1", Pool: poolOff, State: job.MachineUp}, {ID: "m-2", Pool: poolOff, State: job.MachineUp},
 	})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 1}, nil)
-	first := one[Maintain](h, h.advance(100*time.Millisecond))
+	first := onlyCommand[Maintain](h, h.advance(100*time.Millisecond))
 	h.s.MaintainAnswered(h.now, first, Unanswered, job.MachineAccepted)
-	again := one[Maintain](h, h.advance(time.Second))
+	again := onlyCommand[Maintain](h, h.advance(time.Second))
 	assert.Equal(t, again.Machine, first.Machine)
 	h.s.MaintainAnswered(h.now, again, Answered, job.MachineBusy)
-	assert.Equal(t, len(only[Maintain](h.advance(time.Second))), 0)
+	assert.Equal(t, len(commandsOfType[Maintain](h.advance(time.Second))), 0)
 }
 
 // Guards against more unavailable tasks than the disruption budget of a long-running step
 // allows. One task's VM is silent, so the maintenance of the other's VM has to wait.
 func TestMaintenanceWaitsWhileTaskIsUnavailable(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", job.Step{
 		Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true,
 	})
-	starts := only[Start](h.advance(0))
+	starts := commandsOfType[Start](h.advance(0))
 	assert.Equal(t, len(starts), 2)
 	for _, c := range starts {
 		h.confirm(c)
-		h.answerHold(string(c.VM), []job.RunningTask{running(c, 100)})
+		h.answerHold(string(c.VM), []job.RunningTask{runningTask(c, 100)})
 	}
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one"}})
-	for _, c := range only[Hold](h.advance(time.Second)) {
+	for _, c := range commandsOfType[Hold](h.advance(time.Second)) {
 		if c.VM == "two" {
 			h.s.HoldAnswered(h.now, Hold{VM: "two"}, Unanswered, job.Report{})
 		}
 	}
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-one"}, MaxConcurrent: 1}, nil)
-	assert.Equal(t, len(only[Stop](h.advance(100*time.Millisecond))), 0)
+	assert.Equal(t, len(commandsOfType[Stop](h.advance(100*time.Millisecond))), 0)
 	for _, c := range starts {
 		if c.VM == "two" {
-			h.answerHold("two", []job.RunningTask{running(c, 100)})
+			h.answerHold("two", []job.RunningTask{runningTask(c, 100)})
 		}
 	}
-	assert.Equal(t, len(only[Stop](h.advance(100*time.Millisecond))), 1)
+	assert.Equal(t, len(commandsOfType[Stop](h.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against a start that is sent before it is stored that the job may run on the VM.
 // A new owner that can't reach the VM must know that it has to wait.
 func TestPossibleVMIsStoredBeforeStart(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
 	h.s.Assign(h.now, h.now)
 	commands := h.s.TakeCommands()
-	assert.Equal(t, len(only[Start](commands)), 0)
-	save := one[Save](h, commands)
+	assert.Equal(t, len(commandsOfType[Start](commands)), 0)
+	save := onlyCommand[Save](h, commands)
 	assert.DeepEqual(t, save.Progress.VMs, []job.VMID{"one"})
 	h.s.SavesStored(h.now, save.Sequence)
-	one[Start](h, h.s.TakeCommands())
+	onlyCommand[Start](h, h.s.TakeCommands())
 }
 
 // Guards against jobs that wait without need. A new owner can't reach a VM. Only jobs that
@@ -231,18 +231,18 @@
 func TestOnlyJobsThatMayRunOnUnreportedVMsWait(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
-	h.ready("one")
+	h.addReadyVMs("one")
 	add := func(id string, vms ...job.VMID) {
 		j := job.Job{ID: job.ID(id), Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{smallStep}}}
 		h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: vms}, true)
 	}
 	add("there", "unreported")
 	add("elsewhere", "one")
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	assert.Equal(t, start.Order.Task.Job, job.ID("elsewhere"))
 	h.now = h.now.Add(11 * time.Second)
-	h.answerHold("one", []job.RunningTask{running(start, 10)})
-	start = one[Start](h, h.advance(0))
+	h.answerHold("one", []job.RunningTask{runningTask(start, 10)})
+	start = onlyCommand[Start](h, h.advance(0))
 	assert.Equal(t, start.Order.Task.Job, job.ID("there"))
 }
 
@@ -251,12 +251,12 @@
 func TestTasksOnUnreportedVMsCountAgainstQuota(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
-	h.ready("one")
+	h.addReadyVMs("one")
 	wide := job.Step{Count: 4, Resources: job.Resources{CPU: 1000}, Estimate: time.Second}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{wide}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
 	h.addJob("new", "capped", wide)
-	assert.Equal(t, len(only[Start](h.advance(0))), 1, "4 of 5 cores may be in use already")
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 1, "4 of 5 cores may be in use already")
 }
 
 // Guards against exceeding an account's quota. A former owner is cut off from the table but
@@ -266,7 +266,7 @@
 func TestLaterStepsOnUnreportedVMsCountAgainstQuota(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
-	h.ready("one")
+	h.addReadyVMs("one")
 	resources := job.Resources{CPU: 1000}
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA, Account: "capped"}, Body: job.Body{Steps: []job.Step{
 		{Count: 1, Resources: resources, Estimate: time.Second},
@@ -274,7 +274,7 @@
 	}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
 	h.addJob("new", "capped", job.Step{Count: 4, Resources: resources, Estimate: time.Second})
-	assert.Equal(t, len(only[Start](h.advance(0))), 1, "4 of 5 cores may be in use already")
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 1, "4 of 5 cores may be in use already")
 }
 
 // Guards against two owners that both move long-running tasks for the same maintenance,
@@ -282,20 +282,20 @@
 // table for a second moves none. New tasks still start.
 func TestNoLongRunningTaskMovesWithoutRightToOrderMachines(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	longRunning := job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, DisruptionBudget: 1, HasDisruptionBudget: true}
 	h.addJob("j", "free", longRunning)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.confirm(start)
-	h.answerHold(string(start.VM), []job.RunningTask{running(start, 100)})
+	h.answerHold(string(start.VM), []job.RunningTask{runningTask(start, 100)})
 	h.listMachinesOf("one", "two")
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{job.MachineID("m-" + start.VM)}, MaxConcurrent: 1}, nil)
 	h.s.SetRights(Rights{StartTasks: true, ExtendLeases: true})
-	assert.Equal(t, len(only[Stop](h.advance(time.Second))), 0)
+	assert.Equal(t, len(commandsOfType[Stop](h.advance(time.Second))), 0)
 	h.addJob("new", "free", smallStep)
-	assert.Equal(t, len(only[Start](h.advance(0))), 1)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 1)
 	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	assert.Equal(t, len(only[Stop](h.advance(0))), 1)
+	assert.Equal(t, len(commandsOfType[Stop](h.advance(0))), 1)
 }
 
 // Guards against orders from two owners to the same machine in quick succession. The
@@ -304,34 +304,34 @@
 func TestMachineOrderedByFormerOwnerWaits(t *testing.T) {
 	h := newHarness(t)
 	h.s = New(Settings{
-		Fence: 5, TookOver: begin, MachineLease: 3 * time.Second, OrderIssuer: "here",
+		Fence: 5, TakeoverTime: startTime, MachineLease: 3 * time.Second, OrderIssuer: "here",
 		FormerOrders: []MachineOrder{{Machine: "m-1", Issuer: "there"}},
 	})
 	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-1", State: job.MachineUp}, {ID: "m-2", State: job.MachineUp}})
 	h.s.AddWave(h.now, job.Wave{Number: 1, Machines: []job.MachineID{"m-1", "m-2"}, MaxConcurrent: 2}, nil)
-	assert.Equal(t, one[Maintain](h, h.advance(time.Second)).Machine, job.MachineID("m-2"))
-	assert.Equal(t, len(only[Maintain](h.advance(3*time.Second))), 0)
-	assert.Equal(t, one[Maintain](h, h.advance(time.Second)).Machine, job.MachineID("m-1"))
+	assert.Equal(t, onlyCommand[Maintain](h, h.advance(time.Second)).Machine, job.MachineID("m-2"))
+	assert.Equal(t, len(commandsOfType[Maintain](h.advance(3*time.Second))), 0)
+	assert.Equal(t, onlyCommand[Maintain](h, h.advance(time.Second)).Machine, job.MachineID("m-1"))
 }
 
 // Guards against a failed run that counts twice because its end is listed again after a
 // takeover. A job whose attempts are used up must end as failed.
 func TestFailedRunsAreCountedOnce(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.confirm(start)
 	end := job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedFailed}
 	h.answerHold(string(start.VM), nil, end)
 	end.Number = 2
 	h.answerHold(string(start.VM), nil, end)
-	second := one[Start](h, h.advance(time.Second))
+	second := onlyCommand[Start](h, h.advance(time.Second))
 	assert.Assert(t, second.VM != start.VM, "a task avoids the VM where it failed")
 	h.confirm(second)
 	h.answerHold(string(second.VM), nil, job.End{Number: 1, Task: second.Order.Task, Attempt: second.Order.Attempt, How: job.EndedFailed})
-	saves := only[Save](h.advance(0))
+	saves := commandsOfType[Save](h.advance(0))
 	assert.Equal(t, saves[len(saves)-1].Progress.State, job.Failed)
 }
 
@@ -339,16 +339,16 @@
 // until the runs are gone, and nothing of the job starts.
 func TestCancelStopsRuns(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 5000}})
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.confirm(start)
 	h.s.Cancel(h.now, "j")
-	assert.Equal(t, one[Stop](h, h.advance(0)).Attempt, start.Order.Attempt)
-	assert.Equal(t, one[Stop](h, h.advance(700*time.Millisecond)).Attempt, start.Order.Attempt)
+	assert.Equal(t, onlyCommand[Stop](h, h.advance(0)).Attempt, start.Order.Attempt)
+	assert.Equal(t, onlyCommand[Stop](h, h.advance(700*time.Millisecond)).Attempt, start.Order.Attempt)
 	h.answerHold("one", nil, job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedStopped})
 	commands := h.advance(time.Second)
-	assert.Equal(t, len(only[Stop](commands))+len(only[Start](commands)), 0)
+	assert.Equal(t, len(commandsOfType[Stop](commands))+len(commandsOfType[Start](commands)), 0)
 }
 
 // Guards against stopping two tasks of a step whose disruption budget is one. A former
@@ -356,7 +356,7 @@
 // as available, and the new owner doesn't know of the order.
 func TestMaintenanceWaitsForStopsOfFormerOwner(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	longRunning := job.Step{Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1, DisruptionBudget: 1, HasDisruptionBudget: true}
 	j := job.Job{ID: "j", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{longRunning}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one", "two"}}, true)
@@ -371,9 +371,9 @@
 		h.answerHold("two", there, ended...)
 	}
 	list()
-	assert.Equal(t, len(only[Stop](h.advance(100*time.Millisecond))), 0)
+	assert.Equal(t, len(commandsOfType[Stop](h.advance(100*time.Millisecond))), 0)
 	list(job.End{Number: 1, Task: job.TaskID{Job: "j", Index: 1}, Attempt: 7, How: job.EndedStopped})
-	assert.Equal(t, len(only[Stop](h.advance(2*time.Second))), 0, "the other task is unavailable")
+	assert.Equal(t, len(commandsOfType[Stop](h.advance(2*time.Second))), 0, "the other task is unavailable")
 }
 
 // Guards against job rows that are never deleted, all of which each new owner would read.
@@ -381,9 +381,9 @@
 func TestEndedJobsAreDeletedEventually(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddEndedJob(h.now, "old")
-	assert.Equal(t, len(only[DeleteJob](h.advance(5*time.Minute))), 0)
-	assert.Equal(t, one[DeleteJob](h, h.advance(7*time.Minute)).Job, job.ID("old"))
-	assert.Equal(t, len(only[DeleteJob](h.advance(7*time.Minute))), 0)
+	assert.Equal(t, len(commandsOfType[DeleteJob](h.advance(5*time.Minute))), 0)
+	assert.Equal(t, onlyCommand[DeleteJob](h, h.advance(7*time.Minute)).Job, job.ID("old"))
+	assert.Equal(t, len(commandsOfType[DeleteJob](h.advance(7*time.Minute))), 0)
 }
 
 // Guards against a long-running task that never runs because its pool has too few VMs. Two
@@ -391,15 +391,15 @@
 // machines. A machine must be moved.
 func TestPoolGetsVMsForLongRunningTasks(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.s.MachinesListed(h.now, []job.Machine{
 		{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "one", Capacity: job.Resources{CPU: 8000}},
 		{ID: "m-off", Pool: poolOff, State: job.MachineUp, Capacity: job.Resources{CPU: 8000}},
 	})
 	h.addJob("j", "free", job.Step{Count: 2, Resources: job.Resources{CPU: 1000}, LongRunning: true, MaxPerVM: 1})
 	commands := h.advance(0)
-	assert.Equal(t, len(only[Start](commands)), 1)
-	assert.Equal(t, one[Move](h, commands), Move{Machine: "m-off", Pool: poolA})
+	assert.Equal(t, len(commandsOfType[Start](commands)), 1)
+	assert.Equal(t, onlyCommand[Move](h, commands), Move{Machine: "m-off", Pool: poolA})
 }
 
 // Guards against users who get slow responses for seconds on end. A serving task fits only
@@ -407,45 +407,45 @@
 // is slowed down and then halted. It is sped up again once the latency has fallen.
 func TestSpareCPUTaskIsSlowedForServingTask(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("spare", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true, Estimate: time.Minute})
-	spareCPU := one[Start](h, h.advance(0))
+	spareCPU := onlyCommand[Start](h, h.advance(0))
 	h.confirm(spareCPU)
 	h.addJob("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
-	serve := one[Start](h, h.advance(0))
+	serve := onlyCommand[Start](h, h.advance(0))
 	h.confirm(serve)
 	for _, x := range []struct {
 		tail    int64
 		percent int
 	}{{75, 50}, {80, 25}, {95, 0}, {20, 20}, {20, 40}} {
-		busy := running(serve, 100)
+		busy := runningTask(serve, 100)
 		busy.Load = x.tail
 		h.now = h.now.Add(600 * time.Millisecond)
-		h.answerHold("one", []job.RunningTask{busy, running(spareCPU, 10)})
-		assert.Equal(t, one[Pace](h, h.advance(0)).Percent, x.percent)
+		h.answerHold("one", []job.RunningTask{busy, runningTask(spareCPU, 10)})
+		assert.Equal(t, onlyCommand[Pace](h, h.advance(0)).Percent, x.percent)
 	}
 }
 
 // Guards against spare-CPU tasks that are placed beside a serving one.
 func TestSpareCPUTaskIsNotPlacedBesideServingTask(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("serve", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}, LongRunning: true, TailLatencyTarget: 100 * time.Millisecond})
-	h.confirm(one[Start](h, h.advance(0)))
+	h.confirm(onlyCommand[Start](h, h.advance(0)))
 	h.addJob("spare", "free", job.Step{Count: 1, Resources: job.Resources{CPU: 4000}, SpareCPU: true})
-	assert.Equal(t, len(only[Start](h.advance(0))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0)
 }
 
 // Guards against a run that is freed by a list of the same millisecond in which its VM
 // accepted the stop. The run may have begun in between.
 func TestListFromSameMillisecondAsStopFreesNoRun(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.s.Cancel(h.now, "j")
-	stop := one[Stop](h, h.advance(0))
+	stop := onlyCommand[Stop](h, h.advance(0))
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock(), Born: 1})
 	h.answerHold("one", nil)
 	assert.Equal(t, h.s.vms.Get("one").runs.Len(), 1)
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -29,11 +29,11 @@
 	c.full = false
 	for range 20 {
 		c.answerAllHolds(o.VM)
-		assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 0)
+		assert.Equal(t, len(commandsOfType[Start](c.advance(100*time.Millisecond))), 0)
 	}
 	c.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	c.answerAllHolds(o.VM)
-	assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 1)
+	assert.Equal(t, len(commandsOfType[Start](c.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against a former owner that starts a task again because its VM has restarted. The
@@ -47,10 +47,10 @@
 	c.loseOrderRight()
 	c.crash(o.VM)
 	for range 20 {
-		assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 0)
+		assert.Equal(t, len(commandsOfType[Start](c.advance(100*time.Millisecond))), 0)
 	}
 	c.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
-	assert.Equal(t, len(only[Start](c.advance(100*time.Millisecond))), 1)
+	assert.Equal(t, len(commandsOfType[Start](c.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against a former owner that starts a job's tasks elsewhere because no lease can last
@@ -58,15 +58,15 @@
 func TestFormerOwnerStartsNoTaskThatMayRunOnUnreportedVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
-	h.ready("one")
+	h.addReadyVMs("one")
 	j := job.Job{ID: "there", Terms: job.Terms{Queue: "q", Pool: poolA}, Body: job.Body{Steps: []job.Step{smallStep}}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"unreported"}}, true)
 	h.loseOrderRight()
 	for range 110 {
 		h.answerHold("one", nil)
-		assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0)
+		assert.Equal(t, len(commandsOfType[Start](h.advance(100*time.Millisecond))), 0)
 	}
 	h.s.SetRights(Rights{OrderMachines: true, StartTasks: true, ExtendLeases: true})
 	h.answerHold("one", nil)
-	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 1)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(100*time.Millisecond))), 1)
 }
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -18,8 +18,8 @@
 	now time.Time
 }
 
-// begin is the time of the takeover, at which each test starts.
-var begin = time.Unix(1_800_000_000, 0)
+// startTime is the time of the takeover, at which each test starts.
+var startTime = time.Unix(1_800_000_000, 0)
 
 // poolA is the pool of the tests' queue, and poolOff a standby pool.
 const (
@@ -29,9 +29,9 @@
 
 // newHarness returns a harness with a configuration and all rights.
 func newHarness(t testing.TB) *harness {
-	h := &harness{t: t, now: begin}
+	h := &harness{t: t, now: startTime}
 	h.s = New(Settings{
-		Fence: 5, AttemptBase: 100, TookOver: begin, LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond,
+		Fence: 5, AttemptBase: 100, TakeoverTime: startTime, LeaseMax: 6 * time.Second, TaskStopMax: 400 * time.Millisecond,
 		MachineLease: 3 * time.Second, OrderIssuer: "here",
 	})
 	c := &job.Configuration{
@@ -82,7 +82,7 @@
 }
 
 // clock returns the clock reading of all VMs.
-func (h *harness) clock() job.VMClock { return job.VMClock(h.now.Sub(begin).Milliseconds()) + 1000 }
+func (h *harness) clock() job.VMClock { return job.VMClock(h.now.Sub(startTime).Milliseconds()) + 1000 }
 
 // answerHold answers a hold of the VM with the given lists.
 func (h *harness) answerHold(id string, running []job.RunningTask, ended ...job.End) {
@@ -91,8 +91,8 @@
 	})
 }
 
-// ready lists VMs and lets them answer a hold, after which they accept tasks.
-func (h *harness) ready(ids ...string) {
+// addReadyVMs lists VMs and lets them answer a hold, after which they accept tasks.
+func (h *harness) addReadyVMs(ids ...string) {
 	for _, id := range ids {
 		h.listVM(id)
 	}
@@ -115,13 +115,13 @@
 	h.s.StartAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1})
 }
 
-// running returns a list entry for the run that c started.
-func running(c Start, percent int) job.RunningTask {
+// runningTask returns a list entry for the run that c started.
+func runningTask(c Start, percent int) job.RunningTask {
 	return job.RunningTask{Task: c.Order.Task, Attempt: c.Order.Attempt, Percent: percent}
 }
 
-// only returns the commands of type T.
-func only[T Command](commands []Command) []T {
+// commandsOfType returns the commands of type T.
+func commandsOfType[T Command](commands []Command) []T {
 	var out []T
 	for _, c := range commands {
 		if x, ok := c.(T); ok {
@@ -131,10 +131,10 @@
 	return out
 }
 
-// one returns the only command of type T, and fails the test if there isn't exactly one.
-func one[T Command](h *harness, commands []Command) T {
+// onlyCommand returns the only command of type T, and fails the test if there isn't exactly one.
+func onlyCommand[T Command](h *harness, commands []Command) T {
 	h.t.Helper()
-	out := only[T](commands)
+	out := commandsOfType[T](commands)
 	assert.Equal(h.t, len(out), 1, "%s", fmt.Sprint(commands))
 	return out[0]
 }
--- a/core/schedule/hold.go
+++ b/core/schedule/hold.go
@@ -137,7 +137,7 @@
 func (v *vmState) advanceAcknowledged(stored int64) {
 	n := 0
 	for n < len(v.unsavedEnds) && v.unsavedEnds[n].save <= stored {
-		v.acknowledgedEnd = v.unsavedEnds[n].number
+		v.acknowledgedEnd = v.unsavedEnds[n].endNumber
 		n++
 	}
 	if n > 0 {
--- a/core/schedule/maintenance.go
+++ b/core/schedule/maintenance.go
@@ -62,7 +62,7 @@
 	s.collectReturned(now, w)
 	if !w.published {
 		w.published = true
-		s.emit(PublishWave{Number: w.Number, State: job.WaveRunning})
+		s.emit(PublishWave{Wave: w.Number, State: job.WaveRunning})
 	}
 	var remaining []*machineState
 	for _, id := range w.Machines {
@@ -103,8 +103,8 @@
 // completeWave publishes the wave as completed.
 func (s *Scheduler) completeWave(now time.Time, w *waveState) {
 	w.publishedState = job.WaveCompleted
-	s.reportDecision(Decision{Kind: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
-	s.emit(PublishWave{Number: w.Number, State: job.WaveCompleted})
+	s.reportDecision(Decision{Kind: WaveChanged, Reason: "completed", SinceArrival: now.Sub(w.arrived)})
+	s.emit(PublishWave{Wave: w.Number, State: job.WaveCompleted})
 }
 
 // maintainNext cordons the next machines and orders maintenance for those that are empty. The
--- a/core/schedule/placement_test.go
+++ b/core/schedule/placement_test.go
@@ -43,7 +43,7 @@
 	second.After = []int{0}
 	h.addJob("j", "free", wide, second)
 	h.addJob("k", "free", wide)
-	first := only[Start](h.advance(10 * time.Millisecond))
+	first := commandsOfType[Start](h.advance(10 * time.Millisecond))
 	assert.Equal(t, len(first), 2, "want both jobs started, each on its own VM")
 	for _, c := range first {
 		h.confirm(c)
@@ -57,7 +57,7 @@
 	h.answerHold(string(mine.VM), nil, firstEnd(mine))
 	h.answerHold(string(other.VM), nil, firstEnd(other))
 	h.s.vms.Get(mine.VM).draining = true
-	next := one[Start](h, h.roundWithoutStoring(10*time.Millisecond))
+	next := onlyCommand[Start](h, h.roundWithoutStoring(10*time.Millisecond))
 	assert.Equal(t, next.VM, other.VM)
 	assert.Equal(t, next.Order.Task, job.TaskID{Job: "j", Step: 1})
 }
--- a/core/schedule/pools.go
+++ b/core/schedule/pools.go
@@ -34,13 +34,13 @@
 
 // poolStats tracks the demand for a pool.
 type poolStats struct {
-	// arrival is the arrival rate of work, in core-seconds per second.
-	arrival   float64
-	arrivalAt time.Time
-	// peak is the decaying maximum of the pool's need, in thousandths of a core. It never
+	// arrivalRate is the arrival rate of work, in core-seconds per second.
+	arrivalRate float64
+	arrivalAt   time.Time
+	// peakNeed is the decaying maximum of the pool's need, in thousandths of a core. It never
 	// exceeds the capacity of the fleet.
-	peak   float64
-	peakAt time.Time
+	peakNeed float64
+	peakAt   time.Time
 }
 
 // poolStats returns the statistics of a pool, which are created on first use.
@@ -56,13 +56,13 @@
 // addArrival adds work, in core-seconds, to the average arrival rate.
 func (r *poolStats) addArrival(now time.Time, work float64) {
 	r.decayArrivals(now)
-	r.arrival += work / arrivalDecay.Seconds()
+	r.arrivalRate += work / arrivalDecay.Seconds()
 }
 
 // decayArrivals lets the arrival rate decay up to now.
 func (r *poolStats) decayArrivals(now time.Time) {
 	if !r.arrivalAt.IsZero() {
-		r.arrival *= math.Exp(-now.Sub(r.arrivalAt).Seconds() / arrivalDecay.Seconds())
+		r.arrivalRate *= math.Exp(-now.Sub(r.arrivalAt).Seconds() / arrivalDecay.Seconds())
 	}
 	r.arrivalAt = now
 }
@@ -70,10 +70,10 @@
 // updatePeak raises the decayed peak to the present need if that is larger.
 func (r *poolStats) updatePeak(now time.Time, need float64) {
 	if !r.peakAt.IsZero() {
-		r.peak *= math.Exp(-now.Sub(r.peakAt).Seconds() / peakDecay.Seconds())
+		r.peakNeed *= math.Exp(-now.Sub(r.peakAt).Seconds() / peakDecay.Seconds())
 	}
 	r.peakAt = now
-	r.peak = max(r.peak, need)
+	r.peakNeed = max(r.peakNeed, need)
 }
 
 // sizePools orders machines from pool to pool as demand shifts.
@@ -102,9 +102,9 @@
 		if !p.Standby {
 			r := s.poolStats(p.Name)
 			r.decayArrivals(now)
-			need := (r.arrival + waiting[p.Name]/targetWait.Seconds()) * 1000 / packingFraction
+			need := (r.arrivalRate + waiting[p.Name]/targetWait.Seconds()) * 1000 / packingFraction
 			r.updatePeak(now, min(need, float64(capacity.total())))
-			x.SpareWeight = r.peak
+			x.SpareWeight = r.peakNeed
 			l := longRunning[p.Name]
 			x.Need = max(l.cpu+int64(need), l.requiredVMs()*capacity.largestVMCPU) + l.waiting*capacity.largestVMCPU
 		}
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -77,7 +77,7 @@
 // movesOf groups the moved machines by destination pool.
 func movesOf(commands []Command) map[job.PoolName][]job.MachineID {
 	out := map[job.PoolName][]job.MachineID{}
-	for _, m := range only[Move](commands) {
+	for _, m := range commandsOfType[Move](commands) {
 		out[m.Pool] = append(out[m.Pool], m.Machine)
 	}
 	return out
@@ -122,7 +122,7 @@
 	next := job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second, After: []int{0}}
 	h.addJobTo("qb", "j1", first, next)
 	h.addJobTo("qb", "j2", first, next)
-	starts := only[Start](h.advance(0))
+	starts := commandsOfType[Start](h.advance(0))
 	assert.Equal(t, len(starts), 2)
 	for _, c := range starts {
 		h.confirm(c)
@@ -137,16 +137,16 @@
 	for i, c := range starts {
 		h.answerHold(string(c.VM), nil, job.End{Number: 1, Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone})
 		commands := h.advance(sizingInterval)
-		for _, n := range only[Start](commands) {
+		for _, n := range commandsOfType[Start](commands) {
 			if h.s.jobs.Get(n.Order.Task.Job).Terms.Pool == poolB {
 				nextVMs = append(nextVMs, n.VM)
 				h.confirm(n)
 			}
 		}
-		moved += len(only[Move](commands))
+		moved += len(commandsOfType[Move](commands))
 		assert.Equal(t, len(nextVMs), i+1, fmt.Sprint(commands))
 	}
-	moved += len(only[Move](h.advance(sizingInterval)))
+	moved += len(commandsOfType[Move](h.advance(sizingInterval)))
 	assert.Equal(t, nextVMs[0], nextVMs[1], "next steps run on different VMs")
 	assert.Equal(t, moved, 1, "want one machine moved to the pool that bursts")
 }
--- a/core/schedule/probe_test.go
+++ b/core/schedule/probe_test.go
@@ -12,7 +12,7 @@
 // probes returns the probes among the commands.
 func probes(commands []Command) []Hold {
 	var out []Hold
-	for _, h := range only[Hold](commands) {
+	for _, h := range commandsOfType[Hold](commands) {
 		if h.Probe {
 			out = append(out, h)
 		}
@@ -31,22 +31,22 @@
 // and the task starts elsewhere within a few rounds.
 func TestTaskOfUnansweredStartStartsElsewhereSoon(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", smallStep)
-	lost := one[Start](h, h.advance(10*time.Millisecond))
+	lost := onlyCommand[Start](h, h.advance(10*time.Millisecond))
 	commands := h.advance(startAnswerTimeout + 10*time.Millisecond)
 	probe := probes(commands)
 	assert.Equal(t, len(probe), 1)
 	assert.Equal(t, probe[0].Order.Deadline, job.VMClock(0), "a probe does not extend the lease")
 	h.answerProbe(probe[0])
-	stop := one[Stop](h, h.advance(time.Millisecond))
+	stop := onlyCommand[Stop](h, h.advance(time.Millisecond))
 	assert.Equal(t, stop.Attempt, lost.Order.Attempt)
-	assert.Equal(t, len(only[Start](h.advance(time.Millisecond))), 0, "the VM may still execute the first start")
+	assert.Equal(t, len(commandsOfType[Start](h.advance(time.Millisecond))), 0, "the VM may still execute the first start")
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock(), Born: 1})
 	probe = probes(h.advance(probeInterval))
 	assert.Equal(t, len(probe), 1)
 	h.answerProbe(probe[0])
-	again := one[Start](h, h.advance(time.Millisecond))
+	again := onlyCommand[Start](h, h.advance(time.Millisecond))
 	assert.Assert(t, again.Order.Attempt > lost.Order.Attempt)
 }
 
@@ -54,14 +54,14 @@
 // list shows that it runs.
 func TestRunIsNotStoppedWhenItsStartAnswerIsLost(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(10*time.Millisecond))
+	start := onlyCommand[Start](h, h.advance(10*time.Millisecond))
 	probe := probes(h.advance(startAnswerTimeout + 10*time.Millisecond))
 	assert.Equal(t, len(probe), 1)
-	h.answerProbe(probe[0], running(start, 10))
+	h.answerProbe(probe[0], runningTask(start, 10))
 	commands := h.advance(time.Millisecond)
-	assert.Equal(t, len(only[Stop](commands)), 0)
+	assert.Equal(t, len(commandsOfType[Stop](commands)), 0)
 	assert.Equal(t, h.s.jobs.Get("j").state, job.Running)
 }
 
@@ -70,30 +70,30 @@
 // the VM gets no more until it answers.
 func TestSilentVMGetsNoMoreStarts(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	first := one[Start](h, h.advance(10*time.Millisecond))
+	first := onlyCommand[Start](h, h.advance(10*time.Millisecond))
 	h.advance(startAnswerTimeout + 10*time.Millisecond)
 	h.addJob("k", "free", smallStep)
-	assert.Equal(t, len(only[Start](h.advance(50*time.Millisecond))), 0)
-	h.answerHold("one", []job.RunningTask{running(first, 10)})
-	assert.Equal(t, len(only[Start](h.advance(time.Millisecond))), 1)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(50*time.Millisecond))), 0)
+	h.answerHold("one", []job.RunningTask{runningTask(first, 10)})
+	assert.Equal(t, len(commandsOfType[Start](h.advance(time.Millisecond))), 1)
 }
 
 // Guards against a run that reappears after its end. The answer to a probe arrives before
 // that to an earlier hold, whose list is older.
 func TestOlderListIsIgnored(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(10*time.Millisecond))
+	start := onlyCommand[Start](h, h.advance(10*time.Millisecond))
 	h.confirm(start)
 	older := h.clock()
 	h.advance(100 * time.Millisecond)
 	end := job.End{Number: 1, Task: start.Order.Task, Attempt: start.Order.Attempt, How: job.EndedFailed}
 	h.answerHold("one", nil, end)
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{
-		Clock: older, Born: 1, Lists: true, Running: []job.RunningTask{running(start, 50)},
+		Clock: older, Born: 1, Lists: true, Running: []job.RunningTask{runningTask(start, 50)},
 	})
 	assert.Equal(t, h.s.vms.Get("one").runs.Len(), 0)
 }
--- a/core/schedule/recorded.go
+++ b/core/schedule/recorded.go
@@ -85,7 +85,7 @@
 		r := &run{
 			task: job.TaskID{Job: j.ID, Occurrence: x.Occurrence, Step: x.Step, Index: x.Task}, attempt: x.Attempt, vm: v,
 			phase: runUnanswered, adopted: true, recorded: true, crashSuspect: t.crashes.any(),
-			reservation: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account, pacePercent: 100,
+			reservation: st.def.Reservation(), quotaUsage: st.def.Resources, account: j.Terms.Account, pacePercent: 100,
 		}
 		r.setKind(st.def)
 		t.lastAttempt = max(t.lastAttempt, x.Attempt)
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -33,7 +33,7 @@
 		return
 	}
 	for _, x := range v.runs.All() {
-		if x.lastList != v.listCount {
+		if x.lastListCount != v.listCount {
 			s.applyMissing(now, x, r.Clock)
 		}
 	}
@@ -52,7 +52,7 @@
 		v.acknowledgedEnd = e.Number
 		return
 	}
-	v.unsavedEnds = append(v.unsavedEnds, unsavedEnd{number: e.Number, save: save})
+	v.unsavedEnds = append(v.unsavedEnds, unsavedEnd{endNumber: e.Number, save: save})
 }
 
 // reportRedundantEnd reports an end that changes nothing, because its job is over, its task is
@@ -86,13 +86,13 @@
 	}
 	s.reportDecision(Decision{
 		Kind: TaskEnded, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: e.How.String(),
-		Age: ranFor, After: now.Sub(j.arrived),
+		Age: ranFor, SinceArrival: now.Sub(j.arrived),
 	})
 	if e.Checkpoint != "" {
 		t.checkpoint = e.Checkpoint
 	}
 	if j.over() {
-		s.forgetClosed()
+		s.dropFinishedJobs()
 		return false
 	}
 	switch {
@@ -203,7 +203,7 @@
 		s.adoptRun(now, v, clock, e)
 		return
 	}
-	r.lastList = v.listCount
+	r.lastListCount = v.listCount
 	if r.phase != runConfirmed {
 		s.confirmRun(now, r, clock)
 	}
@@ -237,10 +237,10 @@
 	r := &run{
 		task: e.Task, attempt: e.Attempt, vm: v, phase: runConfirmed, confirmedClock: clock,
 		orderedAt: now, confirmedAt: now, percent: e.Percent, load: e.Load,
-		pacePercent: 100, adopted: true, unknownJob: j == nil, lastList: v.listCount,
+		pacePercent: 100, adopted: true, unknownJob: j == nil, lastListCount: v.listCount,
 	}
 	if j != nil {
-		r.reservation, r.cost, r.account = st.def.Reservation(), st.def.Resources, j.Terms.Account
+		r.reservation, r.quotaUsage, r.account = st.def.Reservation(), st.def.Resources, j.Terms.Account
 		r.setKind(st.def)
 	}
 	wanted := j != nil && !j.over() && !t.done && (t.activeRun() == nil || st.def.Speculative)
--- a/core/schedule/restart_test.go
+++ b/core/schedule/restart_test.go
@@ -15,20 +15,20 @@
 func TestRunConfirmedByRestartedVMIsNotFreed(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: 50})
 	h.now = h.now.Add(300 * time.Millisecond)
 	h.s.VMListed(h.now, job.VMRecord{
 		ID: start.VM, Pool: poolA, Address: string(start.VM), Capacity: job.Resources{CPU: 8000, MemMB: 8000},
 		Machine: job.MachineID("m-" + string(start.VM)), Born: 2,
 	})
-	assert.Equal(t, len(only[Start](h.advance(0))), 0, "the restarted VM may be running the task or have completed it")
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0, "the restarted VM may be running the task or have completed it")
 	h.s.HoldAnswered(h.now, Hold{VM: start.VM}, Answered, job.Report{
-		Clock: 400, Born: 2, Lists: true, Finished: []job.End{end(1, start, job.EndedDone)},
+		Clock: 400, Born: 2, Lists: true, Finished: []job.End{newEnd(1, start, job.EndedDone)},
 	})
-	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(100*time.Millisecond))), 0)
 	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
@@ -38,23 +38,23 @@
 func TestLeaseOfRestartedVMCountsFromStartOfTask(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.now = h.now.Add(2 * time.Second)
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: 50})
 	leaseEnd := h.now.Add(6 * time.Second)
 	other := map[job.VMID]string{"one": "two", "two": "one"}[start.VM]
 	h.s.HoldAnswered(h.now, Hold{VM: start.VM}, Unanswered, job.Report{})
 	for h.now.Before(leaseEnd) {
 		commands := h.advance(100 * time.Millisecond)
-		for _, c := range only[Hold](commands) {
+		for _, c := range commandsOfType[Hold](commands) {
 			if c.VM == start.VM {
 				h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
 			}
 		}
 		h.answerHold(other, nil)
-		assert.Equal(t, len(only[Start](commands)), 0, "%s before the lease expires", leaseEnd.Sub(h.now))
+		assert.Equal(t, len(commandsOfType[Start](commands)), 0, "%s before the lease expires", leaseEnd.Sub(h.now))
 	}
 }
 
@@ -63,16 +63,16 @@
 // fails and it counts as silent.
 func TestProbeAcknowledgesNoEnd(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	first := one[Start](h, h.advance(0))
+	first := onlyCommand[Start](h, h.advance(0))
 	h.confirm(first)
-	h.answerHold("one", nil, end(1, first, job.EndedDone))
+	h.answerHold("one", nil, newEnd(1, first, job.EndedDone))
 	h.advance(0)
 	h.answerHold("one", nil)
 	assert.Equal(t, acknowledgedAt(h.advance(30*time.Millisecond), "one"), int64(1))
 	h.addJob("k", "free", smallStep)
-	one[Start](h, h.advance(0))
+	onlyCommand[Start](h, h.advance(0))
 	probe := probes(h.advance(startAnswerTimeout + 10*time.Millisecond))
 	assert.Equal(t, len(probe), 1)
 	assert.Equal(t, probe[0].Order.Noted, int64(0))
@@ -83,23 +83,23 @@
 // keeps the VM's state.
 func TestLostStartIsStoppedOnRestartedVMAfterItWasUnlisted(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.s.SetRights(Rights{ExtendLeases: true})
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.advance(700 * time.Millisecond)
 	h.answerHold("one", nil)
 	h.s.VMUnlisted(h.now, "one")
 	for range 8 {
-		for _, c := range only[Hold](h.advance(time.Second)) {
+		for _, c := range commandsOfType[Hold](h.advance(time.Second)) {
 			h.s.HoldAnswered(h.now, c, Unanswered, job.Report{})
 		}
 	}
-	assert.Assert(t, h.now.Sub(begin) < maxOrderDelay)
+	assert.Assert(t, h.now.Sub(startTime) < maxOrderDelay)
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 3, Born: 2, Lists: true})
-	stops := only[Stop](h.advance(0))
+	stops := commandsOfType[Stop](h.advance(0))
 	assert.Assert(t, len(stops) > 0)
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
@@ -108,9 +108,9 @@
 // limited number of ends at a time.
 func TestIncompleteListOfEndsFreesNoRun(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two")
+	h.addReadyVMs("one", "two")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.confirm(start)
 	h.advance(time.Second)
 	var ends []job.End
@@ -118,9 +118,9 @@
 		ends = append(ends, job.End{Number: n + 1, Task: job.TaskID{Job: "other", Index: int(n)}, How: job.EndedDone})
 	}
 	h.answerHold(string(start.VM), nil, ends...)
-	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0, "the next list may contain its end")
-	h.answerHold(string(start.VM), nil, end(501, start, job.EndedDone))
-	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(100*time.Millisecond))), 0, "the next list may contain its end")
+	h.answerHold(string(start.VM), nil, newEnd(501, start, job.EndedDone))
+	assert.Equal(t, len(commandsOfType[Start](h.advance(100*time.Millisecond))), 0)
 	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
@@ -129,9 +129,9 @@
 func TestLateAnswerOfPreviousLifeIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
 	h.s.StartAnswered(h.now, start, Answered, job.Report{Clock: h.clock()})
 	born := h.now
@@ -140,11 +140,11 @@
 	var again []Start
 	for range 30 {
 		commands := h.advance(100 * time.Millisecond)
-		again = append(again, only[Start](commands)...)
-		for _, c := range only[Stop](commands) {
+		again = append(again, commandsOfType[Start](commands)...)
+		for _, c := range commandsOfType[Stop](commands) {
 			h.s.StopAnswered(h.now, c, Answered, job.Report{Clock: clock()})
 		}
-		for _, c := range only[Hold](commands) {
+		for _, c := range commandsOfType[Hold](commands) {
 			h.s.HoldAnswered(h.now, c, Answered, job.Report{Clock: clock(), Born: 2, Lists: true})
 		}
 	}
@@ -157,13 +157,13 @@
 func TestRestartedInheritedVMMustReportFirst(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
-	h.ready("two")
+	h.addReadyVMs("two")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{smallStep}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
-	assert.Equal(t, len(only[Start](h.advance(30*time.Millisecond))), 0, "the task may be running there")
+	assert.Equal(t, len(commandsOfType[Start](h.advance(30*time.Millisecond))), 0, "the task may be running there")
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 900, Born: 2, Lists: true})
-	assert.Equal(t, len(only[Start](h.advance(0))), 1)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 1)
 }
 
 // Guards against a second run of a task whose end doesn't fit into the first list that a
@@ -171,7 +171,7 @@
 func TestVMCountsAsReportedOnceItListsAllEnds(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
-	h.ready("two")
+	h.addReadyVMs("two")
 	h.listVM("one")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{smallStep}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
@@ -180,9 +180,9 @@
 		ends = append(ends, job.End{Number: n + 1, Task: job.TaskID{Job: "other", Index: int(n)}, How: job.EndedDone})
 	}
 	h.answerHold("one", nil, ends...)
-	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 0, "the next list may contain its end")
+	assert.Equal(t, len(commandsOfType[Start](h.advance(100*time.Millisecond))), 0, "the next list may contain its end")
 	h.answerHold("one", nil)
-	assert.Equal(t, len(only[Start](h.advance(100*time.Millisecond))), 1)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(100*time.Millisecond))), 1)
 }
 
 // Guards against a run that is never freed. A stop that the VM accepted before it restarted
@@ -190,15 +190,15 @@
 func TestStopAcceptedByPreviousLifeIsSentAgain(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	h.s.StartAnswered(h.now, start, Unanswered, job.Report{})
 	h.s.Cancel(h.now, "j")
-	stop := one[Stop](h, h.roundWithoutStoring(0))
+	stop := onlyCommand[Stop](h, h.roundWithoutStoring(0))
 	h.s.VMListed(h.now, job.VMRecord{ID: "one", Pool: poolA, Address: "one", Machine: "m-one", Born: 2})
 	h.s.StopAnswered(h.now, stop, Answered, job.Report{Clock: h.clock()})
-	again := only[Stop](h.advance(stopRetryDelay))
+	again := commandsOfType[Stop](h.advance(stopRetryDelay))
 	assert.Assert(t, len(again) > 0)
 	h.s.StopAnswered(h.now, again[0], Answered, job.Report{Clock: 700})
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 800, Born: 2, Lists: true})
@@ -210,16 +210,16 @@
 // higher fencing token, after which the VM refuses the earlier ones.
 func TestOrdersToRestartedVMCarryRaisedFence(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	h.s.RaiseFence(9)
 	h.answerHold("one", nil)
-	assert.Equal(t, one[Hold](h, h.advance(100*time.Millisecond)).Order.Fence, job.Fence(5))
+	assert.Equal(t, onlyCommand[Hold](h, h.advance(100*time.Millisecond)).Order.Fence, job.Fence(5))
 	h.s.HoldAnswered(h.now, Hold{VM: "one"}, Answered, job.Report{Clock: 10, Born: 2, Lists: true})
 	h.s.VMListed(h.now, entryOf("one", 8000, 2))
-	assert.Equal(t, one[Hold](h, h.advance(100*time.Millisecond)).Order.Fence, job.Fence(9))
+	assert.Equal(t, onlyCommand[Hold](h, h.advance(100*time.Millisecond)).Order.Fence, job.Fence(9))
 	h.addJob("j", "free", smallStep)
-	start := one[Start](h, h.advance(0))
+	start := onlyCommand[Start](h, h.advance(0))
 	assert.Equal(t, start.Order.Fence, job.Fence(9))
 	h.s.Cancel(h.now, "j")
-	assert.Equal(t, one[Stop](h, h.roundWithoutStoring(startAnswerTimeout)).Fence, job.Fence(9))
+	assert.Equal(t, onlyCommand[Stop](h, h.roundWithoutStoring(startAnswerTimeout)).Fence, job.Fence(9))
 }
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -37,7 +37,7 @@
 	v.leaseEnd = max(v.leaseEnd, r.startBy)
 	s.reportDecision(Decision{
 		Kind: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.lastAnswer),
-		After: now.Sub(j.arrived),
+		SinceArrival: now.Sub(j.arrived),
 	})
 	s.emit(Start{VM: v.id, Life: v.born, Zone: v.zone, Order: job.StartOrder{
 		Task: r.task, Attempt: r.attempt, Spec: j.Body.Spec, Fence: v.fence, Checkpoint: t.checkpoint,
@@ -68,16 +68,16 @@
 func (s *Scheduler) addRun(r *run, st *stepState, t *taskState) {
 	r.vm.runs.Set(runKey{r.task, r.attempt}, r)
 	r.vm.used = r.vm.used.Add(r.reservation)
-	r.vm.countKind(r, 1)
-	s.usage[r.account] = s.usage[r.account].Add(r.cost)
+	r.vm.adjustKindCounts(r, 1)
+	s.usage[r.account] = s.usage[r.account].Add(r.quotaUsage)
 	if t != nil {
 		t.runs = append(t.runs, r)
 		st.recount()
 	}
 }
 
-// countKind adds n to the VM's counters of runs of r's kinds.
-func (v *vmState) countKind(r *run, n int) {
+// adjustKindCounts adds n to the VM's counters of runs of r's kinds.
+func (v *vmState) adjustKindCounts(r *run, n int) {
 	if r.longRunning {
 		v.longRunningRuns += n
 	}
@@ -107,7 +107,7 @@
 	}
 	r.vm.runs.Delete(k)
 	r.vm.used = r.vm.used.Sub(r.reservation)
-	r.vm.countKind(r, -1)
+	r.vm.adjustKindCounts(r, -1)
 	if r.phase == runOrdered {
 		r.vm.orderedRuns--
 	}
@@ -115,7 +115,7 @@
 		r.vm.stoppingRuns--
 	}
 	r.vm.idleSince = now
-	s.usage[r.account] = s.usage[r.account].Sub(r.cost)
+	s.usage[r.account] = s.usage[r.account].Sub(r.quotaUsage)
 	j, _, st, t := s.task(r.task)
 	if t == nil {
 		return
@@ -151,7 +151,7 @@
 	})
 	s.release(now, r)
 	s.stopGang(now, r)
-	s.forgetClosed()
+	s.dropFinishedJobs()
 }
 
 // stopRun orders a run's end. Further calls for the same run do nothing.
@@ -225,7 +225,7 @@
 	s.markBegun(j)
 	s.reportDecision(Decision{
 		Kind: TaskStarted, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
-		Age: now.Sub(r.orderedAt), After: now.Sub(j.arrived),
+		Age: now.Sub(r.orderedAt), SinceArrival: now.Sub(j.arrived),
 	})
 }
 
@@ -305,7 +305,7 @@
 	})
 	s.release(now, r)
 	s.stopGang(now, r)
-	s.forgetClosed()
+	s.dropFinishedJobs()
 }
 
 // StopAnswered handles the outcome of a stop.
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -41,14 +41,14 @@
 	s.flushVMs()
 	s.flushOrders()
 	for _, w := range s.dirtyWaves {
-		s.emit(SaveWave{Sequence: s.saveSequence, Number: w.Number, Done: slices.Sorted(maps.Keys(w.done))})
+		s.emit(SaveWave{Sequence: s.saveSequence, Wave: w.Number, Done: slices.Sorted(maps.Keys(w.done))})
 	}
 	s.dirtyWaves = nil
 	for _, j := range s.dirtyJobs {
 		j.dirty, j.lastSave = false, s.saveSequence
 		s.emit(Save{Sequence: s.saveSequence, Job: j.ID, Progress: j.progress()})
 		if j.over() {
-			s.closing = append(s.closing, j)
+			s.finishedJobs = append(s.finishedJobs, j)
 		}
 	}
 	s.dirtyJobs = s.dirtyJobs[:0]
@@ -63,17 +63,17 @@
 	for _, v := range s.vms.All() {
 		v.advanceAcknowledged(s.storedSequence)
 	}
-	s.forgetClosed()
+	s.dropFinishedJobs()
 }
 
-// forgetClosed drops jobs whose final state is stored and of which nothing can run any more.
-func (s *Scheduler) forgetClosed() {
-	s.closing = slices.DeleteFunc(s.closing, func(j *jobState) bool {
+// dropFinishedJobs drops jobs whose final state is stored and of which nothing can run any more.
+func (s *Scheduler) dropFinishedJobs() {
+	s.finishedJobs = slices.DeleteFunc(s.finishedJobs, func(j *jobState) bool {
 		if j.lastSave > s.storedSequence || j.hasRuns() {
 			return false
 		}
 		s.jobs.Delete(j.ID)
-		s.ended[j.ID] = j.endedAt
+		s.endTimes[j.ID] = j.endedAt
 		return true
 	})
 }
@@ -83,7 +83,7 @@
 const endedRetention = 10 * time.Minute
 
 // AddEndedJob adds a job that ended under a former owner.
-func (s *Scheduler) AddEndedJob(now time.Time, id job.ID) { s.ended[id] = now }
+func (s *Scheduler) AddEndedJob(now time.Time, id job.ID) { s.endTimes[id] = now }
 
 // forgetEnded forgets the jobs that ended more than endedRetention ago.
 func (s *Scheduler) forgetEnded(now time.Time) {
@@ -91,9 +91,9 @@
 		return
 	}
 	s.nextForgetEnded = now.Add(endedRetention / 10)
-	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
-		if now.Sub(s.ended[id]) > endedRetention {
-			delete(s.ended, id)
+	for _, id := range slices.Sorted(maps.Keys(s.endTimes)) {
+		if now.Sub(s.endTimes[id]) > endedRetention {
+			delete(s.endTimes, id)
 			s.emit(DeleteJob{Job: id})
 		}
 	}
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -26,8 +26,8 @@
 	// AttemptBase is less than every attempt number of this owner and greater than those of
 	// all former owners.
 	AttemptBase job.Attempt
-	// TookOver is when this owner took over the fleet.
-	TookOver time.Time
+	// TakeoverTime is when this owner took over the fleet.
+	TakeoverTime time.Time
 	// LeaseMax is the longest lease that a VM grants.
 	LeaseMax time.Duration
 	// TaskStopMax is the longest time that a task takes to stop.
@@ -53,8 +53,8 @@
 	config   *job.Configuration
 	jobs     orderedMap[job.ID, *jobState]
 	vms      orderedMap[job.VMID, *vmState]
-	// ended holds the jobs whose final state is stored, with the time at which they ended.
-	ended map[job.ID]time.Time
+	// endTimes holds the jobs whose final state is stored, with the time at which they ended.
+	endTimes map[job.ID]time.Time
 	// usage is the resources that each client account's running tasks use, including tasks that
 	// may be running.
 	usage map[job.AccountName]job.Resources
@@ -67,8 +67,8 @@
 	// that is stored.
 	saveSequence   int64
 	storedSequence int64
-	// closing holds the jobs that are over but not yet forgotten.
-	closing []*jobState
+	// finishedJobs holds the jobs that are over but not yet forgotten.
+	finishedJobs []*jobState
 	// plannedStarts and pendingOrders are starts of tasks and orders for machines that wait
 	// until a save is stored.
 	plannedStarts []*run
@@ -107,7 +107,7 @@
 	out := &Scheduler{
 		settings: s,
 		fence:    s.Fence,
-		ended:    map[job.ID]time.Time{},
+		endTimes: map[job.ID]time.Time{},
 		usage:    map[job.AccountName]job.Resources{},
 		queues:   map[job.QueueName]*queueStats{},
 		pools:    map[job.PoolName]*poolStats{},
@@ -115,7 +115,7 @@
 	}
 	// These orders are stored with this owner's own, so that the next owner knows of them too.
 	for _, o := range s.FormerOrders {
-		out.recentOrders.Set(o.Machine, recentOrder{issuer: o.Issuer, givenAt: s.TookOver})
+		out.recentOrders.Set(o.Machine, recentOrder{issuer: o.Issuer, givenAt: s.TakeoverTime})
 	}
 	return out
 }
@@ -170,8 +170,8 @@
 		s.setMachine(v, r.Machine)
 	}
 	v.rosterEntry = r
-	v.inheritedUntil = lease.InheritedLeaseEnd(s.settings.TookOver, s.settings.LeaseMax)
-	v.nextHoldAt = s.settings.TookOver.Add(unlistedHoldDelay)
+	v.inheritedUntil = lease.InheritedLeaseEnd(s.settings.TakeoverTime, s.settings.LeaseMax)
+	v.nextHoldAt = s.settings.TakeoverTime.Add(unlistedHoldDelay)
 	s.anyUnreported = true
 }
 
@@ -186,7 +186,7 @@
 		return
 	}
 	// A feed may deliver a job again after it has ended and was forgotten.
-	if _, over := s.ended[j.ID]; over {
+	if _, over := s.endTimes[j.ID]; over {
 		return
 	}
 	st := &jobState{Job: j, arrived: now, inherited: inherited, longRunning: j.Body.LongRunning()}
@@ -263,7 +263,7 @@
 	if j == nil || j.over() {
 		return
 	}
-	s.reportDecision(Decision{Kind: JobCancelled, Job: id, After: now.Sub(j.arrived)})
+	s.reportDecision(Decision{Kind: JobCancelled, Job: id, SinceArrival: now.Sub(j.arrived)})
 	s.finish(now, j, job.Cancelled)
 }
 
@@ -272,7 +272,7 @@
 	j.state, j.endedAt = state, now
 	s.markDirty(j)
 	s.reportDecision(Decision{
-		Kind: JobEnded, Job: j.ID, Reason: state.String(), After: now.Sub(j.arrived), Slack: j.objective.Sub(now),
+		Kind: JobEnded, Job: j.ID, Reason: state.String(), SinceArrival: now.Sub(j.arrived), Slack: j.objective.Sub(now),
 	})
 	for _, o := range j.occurrences {
 		for i := range o.steps {
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -14,10 +14,10 @@
 // capacity is short, and run like any other job otherwise. Without this, an account that
 // sends many times its usual load would make the jobs of all other accounts late, because
 // its own jobs arrive first.
-type shares map[job.AccountName]*share
+type shares map[job.AccountName]*tokenBucket
 
-// share is a token bucket of the jobs that an account may still submit.
-type share struct {
+// tokenBucket is a token bucket of the jobs that an account may still submit.
+type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Time
 }
@@ -31,7 +31,7 @@
 	capacity := max(1, a.Weight*shareWindow.Seconds())
 	x := s[a.Name]
 	if x == nil {
-		x = &share{tokens: capacity, updatedAt: now}
+		x = &tokenBucket{tokens: capacity, updatedAt: now}
 		s[a.Name] = x
 	}
 	x.tokens = min(capacity, x.tokens+a.Weight*now.Sub(x.updatedAt).Seconds())
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -29,13 +29,13 @@
 // together, another a single job a moment later, and the VM takes eight tasks at a time.
 // The single job must start when the first tasks end. In order of arrival it would wait
 // for four rounds and be late.
-func TestHotAccountDoesNotDelayOthers(t *testing.T) {
+func TestAccountBeyondShareDoesNotDelayOthers(t *testing.T) {
 	h := newSharesHarness(t)
-	h.ready("one")
+	h.addReadyVMs("one")
 	for i := range 40 {
 		h.addJob(fmt.Sprintf("hot%02d", i), "hot", smallStep)
 	}
-	first := only[Start](h.advance(0))
+	first := commandsOfType[Start](h.advance(0))
 	assert.Equal(t, len(first), 8)
 	h.addJob("single", "quiet", smallStep)
 	for _, c := range first {
@@ -47,7 +47,7 @@
 		ends = append(ends, job.End{Number: int64(i + 1), Task: c.Order.Task, Attempt: c.Order.Attempt, How: job.EndedDone})
 	}
 	h.answerHold("one", nil, ends...)
-	next := only[Start](h.advance(0))
+	next := commandsOfType[Start](h.advance(0))
 	assert.Equal(t, len(next), 8, "all capacity is used")
 	position := -1
 	for i, c := range next {
@@ -62,11 +62,11 @@
 // free.
 func TestJobsBeyondShareRunWhileCapacityIsFree(t *testing.T) {
 	h := newSharesHarness(t)
-	h.ready("one", "two", "three", "four", "five")
+	h.addReadyVMs("one", "two", "three", "four", "five")
 	for i := range 40 {
 		h.addJob(fmt.Sprintf("hot%02d", i), "hot", smallStep)
 	}
-	assert.Equal(t, len(only[Start](h.advance(0))), 40)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 40)
 }
 
 // Guards against an account that gets more than its share over a long time, apart from
@@ -78,7 +78,7 @@
 		within, n := 0, 0
 		for at := time.Duration(0); at < time.Minute; at += pause {
 			n++
-			if !s.exceeds(begin.Add(at), a) {
+			if !s.exceeds(startTime.Add(at), a) {
 				within++
 			}
 		}
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -232,8 +232,8 @@
 	f.addJob(string(id), "free", def)
 }
 
-// disturb makes a random change every few rounds.
-func (f *shrinkingFleet) disturb(round int) {
+// makeRandomChange makes a random change every few rounds.
+func (f *shrinkingFleet) makeRandomChange(round int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
 	case 0, 1:
@@ -268,7 +268,7 @@
 	for seed := range uint64(80) {
 		f := newShrinkingFleet(t, seed, seed%2 == 0)
 		for round := range 800 {
-			f.disturb(round)
+			f.makeRandomChange(round)
 			f.round()
 		}
 		for _, v := range f.vms {
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -46,7 +46,7 @@
 // Guards against a burst that finds only one VM in its pool, and waits 1.5 seconds for the idle
 // machines of the pool that had the last burst. Idle machines must be spread over all pools
 // with a recent burst, and then stay there.
-func TestIdleMachinesSpread(t *testing.T) {
+func TestIdleMachinesAreSpreadOverPools(t *testing.T) {
 	pools := []sizing.Pool{
 		{Name: "after", Need: vmCPU, Have: 13 * vmCPU, SpareWeight: 12 * vmCPU},
 		{Name: "next", Need: vmCPU, Have: vmCPU, SpareWeight: 12 * vmCPU},
--- a/core/schedule/slow_test.go
+++ b/core/schedule/slow_test.go
@@ -12,11 +12,11 @@
 // startFourTasks starts a step of four tasks, each on its own VM.
 func startFourTasks(t *testing.T) (*harness, []Start) {
 	h := newHarness(t)
-	h.ready("one", "two", "three", "four", "five")
+	h.addReadyVMs("one", "two", "three", "four", "five")
 	wide := smallStep
 	wide.Count, wide.Resources.CPU = 4, 8000
 	h.addJob("j", "free", wide)
-	starts := only[Start](h.advance(10 * time.Millisecond))
+	starts := commandsOfType[Start](h.advance(10 * time.Millisecond))
 	assert.Equal(t, len(starts), 4)
 	for _, c := range starts {
 		h.confirm(c)
@@ -31,18 +31,18 @@
 	h, starts := startFourTasks(t)
 	h.advance(500 * time.Millisecond)
 	for _, c := range starts[1:] {
-		h.answerHold(string(c.VM), []job.RunningTask{running(c, 50)})
+		h.answerHold(string(c.VM), []job.RunningTask{runningTask(c, 50)})
 	}
 	slow := starts[0]
-	h.answerHold(string(slow.VM), []job.RunningTask{running(slow, 5)})
-	stop := one[Stop](h, h.advance(time.Millisecond))
+	h.answerHold(string(slow.VM), []job.RunningTask{runningTask(slow, 5)})
+	stop := onlyCommand[Stop](h, h.advance(time.Millisecond))
 	assert.Equal(t, stop.VM, slow.VM)
 	h.answerHold(string(slow.VM), nil, job.End{Number: 1, Task: slow.Order.Task, Attempt: slow.Order.Attempt, How: job.EndedStopped})
-	again := one[Start](h, h.advance(time.Millisecond))
+	again := onlyCommand[Start](h, h.advance(time.Millisecond))
 	assert.Assert(t, again.VM != slow.VM)
 	h.addJob("k", "free", smallStep)
 	for range 3 {
-		for _, c := range only[Start](h.advance(100 * time.Millisecond)) {
+		for _, c := range commandsOfType[Start](h.advance(100 * time.Millisecond)) {
 			assert.Assert(t, c.VM != slow.VM)
 		}
 	}
@@ -53,14 +53,14 @@
 	h, starts := startFourTasks(t)
 	h.advance(500 * time.Millisecond)
 	for _, c := range starts {
-		h.answerHold(string(c.VM), []job.RunningTask{running(c, 40)})
+		h.answerHold(string(c.VM), []job.RunningTask{runningTask(c, 40)})
 	}
 	h.advance(500 * time.Millisecond)
 	for _, c := range starts[1:] {
-		h.answerHold(string(c.VM), []job.RunningTask{running(c, 80)})
+		h.answerHold(string(c.VM), []job.RunningTask{runningTask(c, 80)})
 	}
-	h.answerHold(string(starts[0].VM), []job.RunningTask{running(starts[0], 40)})
-	assert.Equal(t, one[Stop](h, h.advance(time.Millisecond)).VM, starts[0].VM)
+	h.answerHold(string(starts[0].VM), []job.RunningTask{runningTask(starts[0], 40)})
+	assert.Equal(t, onlyCommand[Stop](h, h.advance(time.Millisecond)).VM, starts[0].VM)
 }
 
 // Guards against stopping a run that is only longer than its siblings. The run times of a
@@ -70,10 +70,10 @@
 	h, starts := startFourTasks(t)
 	h.advance(500 * time.Millisecond)
 	for _, c := range starts[1:] {
-		h.answerHold(string(c.VM), []job.RunningTask{running(c, 60)})
+		h.answerHold(string(c.VM), []job.RunningTask{runningTask(c, 60)})
 	}
-	h.answerHold(string(starts[0].VM), []job.RunningTask{running(starts[0], 22)})
-	assert.Equal(t, len(only[Stop](h.advance(time.Millisecond))), 0)
+	h.answerHold(string(starts[0].VM), []job.RunningTask{runningTask(starts[0], 22)})
+	assert.Equal(t, len(commandsOfType[Stop](h.advance(time.Millisecond))), 0)
 }
 
 // Guards against stopping a slow run that ends sooner where it is.
@@ -81,13 +81,13 @@
 	h, starts := startFourTasks(t)
 	h.advance(500 * time.Millisecond)
 	for _, c := range starts {
-		h.answerHold(string(c.VM), []job.RunningTask{running(c, 50)})
+		h.answerHold(string(c.VM), []job.RunningTask{runningTask(c, 50)})
 	}
 	h.advance(300 * time.Millisecond)
-	h.answerHold(string(starts[0].VM), []job.RunningTask{running(starts[0], 90)})
+	h.answerHold(string(starts[0].VM), []job.RunningTask{runningTask(starts[0], 90)})
 	h.advance(300 * time.Millisecond)
-	h.answerHold(string(starts[0].VM), []job.RunningTask{running(starts[0], 94)})
-	assert.Equal(t, len(only[Stop](h.advance(time.Millisecond))), 0)
+	h.answerHold(string(starts[0].VM), []job.RunningTask{runningTask(starts[0], 94)})
+	assert.Equal(t, len(commandsOfType[Stop](h.advance(time.Millisecond))), 0)
 }
 
 // Guards against runs that are stopped as slow after a takeover. A new owner finds runs that
@@ -95,7 +95,7 @@
 // all.
 func TestAdoptedRunsAreNotStoppedAsSlow(t *testing.T) {
 	h := newHarness(t)
-	h.ready("one", "two", "three", "four")
+	h.addReadyVMs("one", "two", "three", "four")
 	wide := smallStep
 	wide.Count = 4
 	h.addJob("j", "free", wide)
@@ -107,6 +107,6 @@
 		for i, id := range ids {
 			h.answerHold(id, []job.RunningTask{found(i, 60+5*at)})
 		}
-		assert.Equal(t, len(only[Stop](h.advance(400*time.Millisecond))), 0)
+		assert.Equal(t, len(commandsOfType[Stop](h.advance(400*time.Millisecond))), 0)
 	}
 }
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -33,8 +33,8 @@
 	reservation  job.Resources
 	// account is the client account that the run's cost counts against. cost includes spare
 	// CPU, which isn't reserved.
-	account job.AccountName
-	cost    job.Resources
+	account    job.AccountName
+	quotaUsage job.Resources
 	// startBy is the start's deadline on the VM's clock.
 	startBy job.VMClock
 	// confirmedClock is the VM's clock reading when it last reported the run.
@@ -67,8 +67,8 @@
 	longRunning, serving, spareCPU bool
 	// resumed is set if the run continued from a checkpoint.
 	resumed bool
-	// lastList is the VM's listCount as of the last list that contained the run.
-	lastList int64
+	// lastListCount is the VM's listCount as of the last list that contained the run.
+	lastListCount int64
 	// listedAt is when a list last contained the run. progressAt and progressPercent are
 	// the earlier reading that the next one is compared with.
 	listedAt        time.Time
@@ -350,6 +350,6 @@
 
 // unsavedEnd is an end that may be acknowledged once the save is stored.
 type unsavedEnd struct {
-	number int64
-	save   int64
+	endNumber int64
+	save      int64
 }
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -16,10 +16,10 @@
 	h.s.AddInheritedVM(RosterVM{ID: "gone", Address: "gone", Pool: poolA, Machine: "m-gone"})
 	h.s.AddInheritedVM(RosterVM{ID: "there", Address: "there", Pool: poolA, Machine: "m-there"})
 	h.listVM("there")
-	assert.Equal(t, string(one[Hold](h, h.advance(0)).VM), "there")
+	assert.Equal(t, string(onlyCommand[Hold](h, h.advance(0)).VM), "there")
 	h.answerHold("there", nil)
 	held := map[string]bool{}
-	for _, c := range only[Hold](h.advance(unlistedHoldDelay)) {
+	for _, c := range commandsOfType[Hold](h.advance(unlistedHoldDelay)) {
 		held[string(c.VM)] = true
 	}
 	assert.Assert(t, held["gone"], "unlisted VM is never held, although it may still run tasks")
@@ -38,7 +38,7 @@
 	for _, c := range saves {
 		h.store(c)
 	}
-	one[Maintain](h, h.s.TakeCommands())
+	onlyCommand[Maintain](h, h.s.TakeCommands())
 	h.now = h.now.Add(h.s.recentOrderPeriod() - time.Second)
 	h.s.pruneOrders(h.now)
 	assert.Assert(t, h.s.recentOrders.Has("m-1"))
@@ -57,7 +57,7 @@
 	} {
 		h := newHarness(t)
 		h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one"})
-		h.ready("two")
+		h.addReadyVMs("two")
 		j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{smallStep}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 		h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 		for _, what := range order {
@@ -69,7 +69,7 @@
 			}
 			h.now = h.now.Add(100 * time.Millisecond)
 		}
-		assert.Equal(t, len(only[Start](h.advance(0))), 0, name)
+		assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0, name)
 	}
 }
 
@@ -78,13 +78,13 @@
 func TestNewVMOnSameMachineFreesRunsOfPreviousVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
-	h.ready("two")
+	h.addReadyVMs("two")
 	j := job.Job{ID: "j", Body: job.Body{Spec: "x", Steps: []job.Step{smallStep}}, Terms: job.Terms{Queue: "q", Pool: poolA, Account: "free"}}
 	h.s.AddJob(h.now, j, &job.Progress{State: job.Running, VMs: []job.VMID{"one"}}, true)
 	h.listVM("one")
 	h.s.VMListed(h.now, job.VMRecord{ID: "next", Pool: poolA, Address: "next", Machine: "m-one", Born: 2, Capacity: job.Resources{CPU: 8000, MemMB: 8000}})
-	assert.Equal(t, len(only[Start](h.advance(0))), 0)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0)
 	h.now = h.now.Add(100 * time.Millisecond)
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-one", Pool: poolA, State: job.MachineUp, VM: "next"}})
-	assert.Equal(t, len(only[Start](h.advance(0))), 1)
+	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 1)
 }
--- a/core/schedule/vmindex_test.go
+++ b/core/schedule/vmindex_test.go
@@ -32,7 +32,7 @@
 		capacity: job.Resources{CPU: sizes[rng.IntN(3)], MemMB: 16000}, labels: map[job.Label]bool{}, listed: true, reported: true,
 		vacating: rng.IntN(6) == 0, longRunningRuns: rng.IntN(2), servingRuns: rng.IntN(2), spareCPURuns: rng.IntN(2),
 	}
-	v.clock.Observe(1, begin)
+	v.clock.Observe(1, startTime)
 	v.used = job.Resources{CPU: rng.Int64N(v.capacity.CPU + 1), MemMB: rng.Int64N(v.capacity.MemMB)}
 	if rng.IntN(4) == 0 {
 		v.capacity = v.capacity.Sub(job.Resources{CPU: rng.Int64N(v.capacity.CPU + 1), MemMB: rng.Int64N(v.capacity.MemMB)})
@@ -41,7 +41,7 @@
 		v.labels["fast"] = true
 	}
 	if rng.IntN(8) == 0 {
-		v.suspectUntil = begin.Add(1)
+		v.suspectUntil = startTime.Add(1)
 	}
 	return v
 }
@@ -71,7 +71,7 @@
 		for i := range 1 + rng.IntN(30) {
 			vms = append(vms, randomVM(rng, i))
 		}
-		a := &assignment{s: New(Settings{}), now: begin, poolQueue: &poolQueue{vms: vms}, index: newVMIndex(vms, job.Resources{})}
+		a := &assignment{s: New(Settings{}), now: startTime, poolQueue: &poolQueue{vms: vms}, index: newVMIndex(vms, job.Resources{})}
 		for range 40 {
 			def := randomStep(rng)
 			p := placement{job: &jobState{zone: "b"}, step: &stepState{def: &def}, task: &taskState{}}
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -25,7 +25,7 @@
 // started, whichever process takes over.
 func TestLargeFleetFitsTheTable(t *testing.T) {
 	now := bootNow()
-	s := schedule.New(schedule.Settings{Fence: 5, TookOver: now, LeaseMax: 6 * time.Second, OrderIssuer: "edge-somewhere-1"})
+	s := schedule.New(schedule.Settings{Fence: 5, TakeoverTime: now, LeaseMax: 6 * time.Second, OrderIssuer: "edge-somewhere-1"})
 	for i := range 2000 {
 		s.VMListed(now, job.VMRecord{
 			ID: job.VMID(fmt.Sprintf("%016x", i)), Pool: "some-service", Address: "10.100.200.30:8080",
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -234,7 +234,7 @@
 
 // publishWave publishes a wave's state and retries until it is stored.
 func (o *owner) publishWave(ctx context.Context, c schedule.PublishWave) {
-	tx := platform.Transaction{Writes: []platform.Write{platform.WaveStatus(c.Number, c.State)}}
+	tx := platform.Transaction{Writes: []platform.Write{platform.WaveStatus(c.Wave, c.State)}}
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, tableWriteTimeout)
 		_, err := o.node.table.Apply(callCtx, tx)
@@ -242,7 +242,7 @@
 		if err == nil {
 			return
 		}
-		o.log.Warn().Err(err).Str("event", "wave_status_failed").Int64("wave", c.Number).Send()
+		o.log.Warn().Err(err).Str("event", "wave_status_failed").Int64("wave", c.Wave).Send()
 	}
 }
 
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -131,7 +131,7 @@
 		FormerOrders: formerOrders,
 		Fence:        job.Fence(o.tenure.fence),
 		AttemptBase:  job.Attempt(o.tenure.number * attemptsPerTenure),
-		TookOver:     o.tookOver,
+		TakeoverTime: o.tookOver,
 		LeaseMax:     b.LeaseMax,
 		TaskStopMax:  b.TaskStopMax,
 		ShrinkNotice: b.ContactDelayMax,
--- a/io/node/rowchange.go
+++ b/io/node/rowchange.go
@@ -23,7 +23,7 @@
 	case schedule.DropVM:
 		return rowChange{vmKey(c.VM), nil}
 	case schedule.SaveWave:
-		return rowChange{waveKey(c.Number), waveRow{Done: c.Done}}
+		return rowChange{waveKey(c.Wave), waveRow{Done: c.Done}}
 	case schedule.SaveOrder:
 		return rowChange{machineOrderKey(c.Order.Machine), c.Order}
 	case schedule.DropOrder:
--- a/io/node/tablehealth.go
+++ b/io/node/tablehealth.go
@@ -22,7 +22,7 @@
 func (h *tableHealth) recordAnswer(part string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.breaker.RecordAnswer(bootNow(), contact.Part(part)) {
+	if h.breaker.RecordAnswer(bootNow(), contact.TablePart(part)) {
 		h.log.Info().Str("event", "table_part_regained").Str("part", part).Send()
 	}
 }
@@ -38,7 +38,7 @@
 func (h *tableHealth) recordFailure(part string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.breaker.RecordFailure(bootNow(), contact.Part(part)) {
+	if h.breaker.RecordFailure(bootNow(), contact.TablePart(part)) {
 		h.log.Info().Str("event", "table_part_lost").Str("part", part).Send()
 	}
 }
@@ -47,7 +47,7 @@
 func (h *tableHealth) decide(part string) contact.Decision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.breaker.Decide(bootNow(), contact.Part(part))
+	return h.breaker.Decide(bootNow(), contact.TablePart(part))
 }
 
 // sinceLastAnswer returns the time since the table's last answer.
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -37,14 +37,14 @@
 	rng    *rand.Rand
 	// submitted counts the submitted jobs, number identifies the caller; IDs of jobs contain both.
 	submitted int
-	number    int
+	index     int
 	// crashOffset says which of every crashOneIn jobs has a task that crashes VMs.
 	crashOffset int
 }
 
-func newCaller(f *fleet, number int, rng *rand.Rand) *caller {
+func newCaller(f *fleet, index int, rng *rand.Rand) *caller {
 	return &caller{
-		fleet: f, number: number, rng: rng, crashOffset: rng.IntN(crashOneIn),
+		fleet: f, index: index, rng: rng, crashOffset: rng.IntN(crashOneIn),
 		client: http.Client{Transport: &http.Transport{}, Timeout: callTimeout},
 	}
 }
@@ -107,7 +107,7 @@
 // job was accepted or that the outcome is unknown. It gives up after submitAttempts.
 func (c *caller) submit(ctx context.Context, spec standin.Spec, steps []standin.StepBody) job.ID {
 	c.submitted++
-	id := job.ID(fmt.Sprintf("%08x%08x", c.number, c.submitted))
+	id := job.ID(fmt.Sprintf("%08x%08x", c.index, c.submitted))
 	body, err := standin.JobBody(spec, steps)
 	if err != nil {
 		return id
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -88,10 +88,10 @@
 	steps []standin.StepBody
 	// accepted is set by a successful submission, unknown by an answer that leaves open
 	// whether the job was accepted, started by the first start of a task.
-	accepted, unknown, started bool
-	cancelled                  bool
-	// final is the final state that a caller was shown.
-	final string
+	accepted, outcomeUnknown, started bool
+	cancelled                         bool
+	// finalState is the final state that a caller was shown.
+	finalState string
 }
 
 // NewChecker returns a checker without jobs and VMs.
@@ -261,7 +261,7 @@
 	case status == 200:
 		c.jobs[id].accepted = true
 	case status != 429 && status != 503:
-		c.jobs[id].unknown = true
+		c.jobs[id].outcomeUnknown = true
 	}
 }
 
@@ -295,7 +295,7 @@
 		return
 	}
 	if state == "completed" || state == "cancelled" || state == "failed" {
-		submitted.final = state
+		submitted.finalState = state
 	}
 }
 
@@ -324,7 +324,7 @@
 					out = append(out, fmt.Sprintf("%v is long-running and does not run", t))
 				}
 			}
-		case submitted.final == "":
+		case submitted.finalState == "":
 			out = append(out, fmt.Sprintf("%s was accepted and has not finished", id))
 		}
 	}
@@ -340,7 +340,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, submitted := range c.jobs {
-		if submitted.accepted && !submitted.cancelled && submitted.spec.Crash != nil && submitted.final == "" {
+		if submitted.accepted && !submitted.cancelled && submitted.spec.Crash != nil && submitted.finalState == "" {
 			return false
 		}
 	}
@@ -355,7 +355,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, submitted := range c.jobs {
-		if submitted.started && !submitted.accepted && !submitted.unknown {
+		if submitted.started && !submitted.accepted && !submitted.outcomeUnknown {
 			c.violationf("%s has run, but all its submissions were refused", id)
 		}
 	}
@@ -370,7 +370,7 @@
 		if submitted.accepted {
 			accepted++
 		}
-		if submitted.final == "completed" {
+		if submitted.finalState == "completed" {
 			completed++
 		}
 		if submitted.accepted && submitted.spec.Crash != nil {
--- a/io/soak/checker_test.go
+++ b/io/soak/checker_test.go
@@ -48,7 +48,7 @@
 }
 
 // Guards against a task that crashes one VM after another without limit.
-func TestCrashingTaskHasTwoMoreStarts(t *testing.T) {
+func TestCrashingTaskMayStartTwiceAfterCrashLimit(t *testing.T) {
 	c, _ := newTestChecker(&standin.CrashingTask{}, Placement{Capacity: 2000})
 	startAndCrash(c, testTask(0), crashLimit+maxStartsAfterCrashLimit)
 	assertViolations(t, c)
@@ -118,7 +118,7 @@
 }
 
 // Guards against a checker that still applies a small capacity after an increase.
-func TestGrownCapacityAppliesAtOnce(t *testing.T) {
+func TestGrownCapacityAppliesImmediately(t *testing.T) {
 	c, clock := newTestChecker(nil, Placement{Capacity: 2000, IgnoresCapacity: true})
 	c.Resized(testVM, 500)
 	*clock = clock.Add(2 * shrinkLimit)
--- a/io/soak/soak.go
+++ b/io/soak/soak.go
@@ -20,8 +20,8 @@
 	// Entries, Machines and Callers are the numbers of daemons, machines and callers; 0 means
 	// the default.
 	Entries, Machines, Callers int
-	// Trouble is for how long faults are injected and jobs are submitted.
-	Trouble time.Duration
+	// FaultPeriod is for how long faults are injected and jobs are submitted.
+	FaultPeriod time.Duration
 	// OnFault, if set, is called with a description of each fault.
 	OnFault func(line string)
 }
@@ -60,7 +60,7 @@
 		}
 	}
 	supervisor.Sleep(ctx, leadTime)
-	submitting, stop := context.WithTimeout(ctx, s.Trouble)
+	submitting, stop := context.WithTimeout(ctx, s.FaultPeriod)
 	defer stop()
 	var g supervisor.Group
 	for i := range orDefault(s.Callers, defaultCallers) {
--- a/io/soak/soak_test.go
+++ b/io/soak/soak_test.go
@@ -31,7 +31,7 @@
 			t.Parallel()
 			var faults []string
 			s := soak.Soak{
-				Seed: seed, Binary: binary, Folder: t.TempDir(), Trouble: 8 * time.Second,
+				Seed: seed, Binary: binary, Folder: t.TempDir(), FaultPeriod: 8 * time.Second,
 				OnFault: func(line string) { faults = append(faults, line) },
 			}
 			violations, summary, err := s.Run(t.Context())
