--- a/cmd/lavenderpond-load/fill.go
+++ b/cmd/lavenderpond-load/fill.go
@@ -34,7 +34,7 @@
 	liveReportInterval = time.Second
 	// churnTeams is the number of teams whose allotments are rewritten. The allotments of
 	// a team are spread over churnZones zones, and over churnEntries entries in each
-	// zone. These are the numbers of the two-year size.
+	// zone. The values are those of the two-year fleet size.
 	churnTeams   = 620
 	churnZones   = 7
 	churnEntries = 6
--- a/cmd/lavenderpond-standin/view.go
+++ b/cmd/lavenderpond-standin/view.go
@@ -14,9 +14,9 @@
 )
 
 // addressView holds, for each zone, the peer addresses that are replaced in the rows that
-// its entries read. An entry publishes one address for all zones. With replacements, the connections from each
-// zone to the entry go through a link of their own, so that a zone can be cut off from
-// the other zones while its own entries still reach one another.
+// its entries read. An entry publishes one address for all zones. With replacements, the
+// connections from each zone to the entry go through a link of their own, so that a zone can
+// be cut off from the other zones while its own entries still reach one another.
 type addressView map[core.ZoneID][]replacement
 
 type replacement struct{ from, to []byte }
--- a/cmd/lavenderpond/exit.go
+++ b/cmd/lavenderpond/exit.go
@@ -122,7 +122,7 @@
 // show writes p to w, as text or as a line of JSON.
 func (p errorOutput) show(w io.Writer, asJSON bool) {
 	if asJSON {
-		// Encoding can't fail, since a problem holds only strings and numbers.
+		// Encoding can't fail, since an errorOutput holds only strings and numbers.
 		data, _ := json.Marshal(p)
 		_, _ = fmt.Fprintf(w, "%s\n", data)
 		return
--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -20,8 +20,8 @@
 	evacuationLimit time.Duration
 	// running are the current runs of each task.
 	running map[job.TaskID][]*taskRun
-	// doneAt is when each task was first done. acknowledgedDone are the tasks whose end as
-	// done an owner has acknowledged.
+	// doneAt is when each task was first done. acknowledgedDone are the tasks whose successful
+	// end an owner has acknowledged.
 	doneAt           map[job.TaskID]time.Time
 	acknowledgedDone map[job.TaskID]bool
 	// failedRuns counts the failed runs of each task, acknowledgedFailures those of them
@@ -64,9 +64,9 @@
 	c.violations = append(c.violations, fmt.Sprintf("%7.3f s: ", c.w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
 }
 
-// taskStarted checks a start: the task does not run already, and no end of it as done was
-// acknowledged; the steps before it are done; the VM, its zone and its job may take the start; and
-// the account stays within its quota.
+// taskStarted checks a start: the task does not run already, and no successful end of the task
+// was acknowledged; the steps before it are done; the VM, its zone and its job may take the start;
+// and the account stays within its quota.
 func (c *checker) taskStarted(v *vm, r *taskRun) {
 	t := c.w.jobs[r.task.Job]
 	step := &t.Body.Steps[r.task.Step]
@@ -157,8 +157,8 @@
 func (c *checker) runLost(_ *vm, r *taskRun) { c.removeRun(r) }
 
 // endAcknowledged records that an owner has acknowledged an end, which occurred at ended. It
-// checks that the task was not started again since, unless the lease of its VM was found
-// expired since.
+// checks that the task was not started again after that, unless the lease of its VM was found
+// expired in the meantime.
 func (c *checker) endAcknowledged(v *vm, e job.End, ended time.Time) {
 	if e.How == job.EndedFailed {
 		c.acknowledgedFailures[e.Task]++
--- a/core/emulator/evacuation.go
+++ b/core/emulator/evacuation.go
@@ -24,7 +24,7 @@
 type Evacuation struct {
 	Zone job.ZoneName
 	// At is the time from the end of the lead time to the request.
-	// For is how long it stays in force.
+	// Duration is how long the request stays in force.
 	At       time.Duration
 	Duration time.Duration
 }
--- a/core/emulator/fault.go
+++ b/core/emulator/fault.go
@@ -41,7 +41,7 @@
 type Fault struct {
 	Kind FaultKind
 	// At is the time from the end of the lead time to the fault.
-	// For is how long the fault lasts.
+	// Duration is how long the fault lasts.
 	At       time.Duration
 	Duration time.Duration
 	// Share is the share of the VMs that are affected, for faults of VMs.
@@ -87,8 +87,8 @@
 	return out
 }
 
-// randomFault returns a fault that lasts one to seven seconds and, if it is one of VMs, affects
-// 10% to 30% of them.
+// randomFault returns a fault that lasts one to seven seconds. A fault of VMs affects 10% to
+// 30% of all VMs.
 func randomFault(rng *rand.Rand, k FaultKind, length time.Duration) Fault {
 	return Fault{
 		Kind: k, At: time.Duration(rng.Int64N(int64(length))),
--- a/core/emulator/scenario.go
+++ b/core/emulator/scenario.go
@@ -232,7 +232,7 @@
 	w.table.submit(t.Job)
 }
 
-// terms returns the terms of a job in the queue, submitted by account a.
+// terms returns the terms of a job that the account submits to the queue.
 func (w *World) terms(queue job.QueueName, account job.AccountName) job.Terms {
 	q := w.config.Queue(queue)
 	return job.Terms{Queue: queue, Pool: q.Pool, Account: account, MaxAttempts: q.MaxAttempts, Stretch: q.Stretch, LatencyAllowance: q.LatencyAllowance}
--- a/core/emulator/scenario_test.go
+++ b/core/emulator/scenario_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// Guards against runs that are not reproducible: a failure could not be reproduced by its seed.
+// Guards against runs that differ for the same seed: a failure could not be reproduced then.
 func TestSameSeedRepeats(t *testing.T) {
 	_, first := emulator.Run(scenarioForSeed(1007))
 	_, second := emulator.Run(scenarioForSeed(1007))
--- a/core/emulator/world.go
+++ b/core/emulator/world.go
@@ -23,7 +23,7 @@
 
 	table    *table
 	entryVMs []*entryVM
-	// vms has the latest VM under each ID, allVMs all that ever ran, in order of creation.
+	// vms has the latest VM under each ID, allVMs every VM that ever ran, in order of creation.
 	vms      map[job.VMID]*vm
 	allVMs   []*vm
 	machines []*machine
--- a/core/experiment/maintenance/world.go
+++ b/core/experiment/maintenance/world.go
@@ -23,7 +23,7 @@
 	Ref  fleet.Ref
 	Rack core.RackID
 	Up   bool
-	// RecoversAt is when a VM that is down comes back. Zero means never.
+	// RecoversAt is when a VM that is down is up again. Zero means never.
 	RecoversAt time.Time
 	// DownSince is when the VM went down.
 	DownSince time.Time
@@ -165,7 +165,7 @@
 // VM returns the VM with the given reference.
 func (w *World) VM(ref fleet.Ref) *SimulatedVM { return w.vmsByRef[ref] }
 
-// Rack returns the VMs of the i-th rack. Numbers beyond the last rack wrap around.
+// Rack returns the VMs of the i-th rack. An index beyond the last rack wraps around.
 func (w *World) Rack(i int) []*SimulatedVM { return w.racks[w.rackIDs[i%len(w.rackIDs)]] }
 
 // Row returns the current row of a VM in the table.
--- a/core/experiment/replay/counters.go
+++ b/core/experiment/replay/counters.go
@@ -67,8 +67,8 @@
 	c.doneInTime++
 }
 
-// refuse ends j with a final refusal. The refusal counts as early if more than half of the time between the
-// first sending and the deadline is left, so that the caller can still react.
+// refuse ends j with a final refusal. The refusal counts as early if more than half of the
+// time between the first sending and the deadline is left, so that the caller can still react.
 func (c *counters) refuse(now time.Time, j *job) {
 	j.state = ended
 	if j.item.Deadline.Sub(now) > j.kind.Within/2 {
--- a/core/experiment/replay/event.go
+++ b/core/experiment/replay/event.go
@@ -8,7 +8,7 @@
 // event is a function that runs at a simulated time.
 type event struct {
 	at time.Time
-	// sequence orders events with the same time as they were added.
+	// sequence keeps events with the same time in the order in which they were added.
 	sequence int
 	do       func()
 }
--- a/core/experiment/replay/share.go
+++ b/core/experiment/replay/share.go
@@ -11,11 +11,11 @@
 // slot-time.
 const shareWindow = 10 * time.Second
 
-// shareMeter measures how closely teams receive their shares. At every sample, it divides
-// the slots that a queue uses fairly among the teams with running or waiting requests, by
-// weighted max-min fairness with no team above its demand. For each window it compares
-// the slot-time that each team received with its fair slot-time. Samples at which nobody
-// waits are fair by definition and don't count.
+// shareMeter measures how closely teams receive their shares. At every sample, it computes
+// the fair division of the slots that a queue uses among the teams with running or waiting
+// requests, by weighted max-min fairness with no team above its demand. For each window it
+// compares the slot-time that each team received with its fair slot-time. Samples at which
+// nobody waits are fair by definition and don't count.
 type shareMeter struct {
 	accounts  []Account
 	index     map[core.TeamID]int
--- a/core/lease/ownership.go
+++ b/core/lease/ownership.go
@@ -35,11 +35,11 @@
 	leaseExtensionsUntil time.Time
 }
 
-// Confirm records that the table confirmed a renewal. confirmationSent is when the call
-// was sent whose answer confirms that this process is the owner. Only until then is it
-// certain that no other process had taken over. renewalSent is when the first call was
-// sent that may have caused the renewal. Other processes may have seen the renewal since
-// then. They take over when it hasn't changed for takeoverSilence, regardless of later
+// Confirm records that the table confirmed a renewal. confirmationSent is when the process
+// sent the call whose answer confirms that it is the owner: only until that time is it
+// certain that no other process had taken over. renewalSent is when it sent the first call
+// that may have caused the renewal. Other processes may have seen the renewal since that
+// time, and take over when it hasn't changed for takeoverSilence, regardless of later
 // confirmations.
 func (o *Ownership) Confirm(renewalSent, confirmationSent time.Time) {
 	extend(&o.machineOrdersUntil, renewalSent.Add(machineOrderPeriod))
--- a/core/schedule/approval.go
+++ b/core/schedule/approval.go
@@ -40,7 +40,7 @@
 	approvalMaxVMs = 30
 	// approvalRetryDelay is the pause before an approval request without an answer is repeated.
 	approvalRetryDelay = time.Second
-	// ticketExpiryMargin is how long before they expire tickets are no longer used.
+	// ticketExpiryMargin is how long before its expiry a ticket stops being used.
 	ticketExpiryMargin = 200 * time.Millisecond
 )
 
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -9,7 +9,7 @@
 	"lavenderpond/core/job"
 )
 
-// entryOf returns the directory entry of a VM with this much CPU.
+// entryOf returns the directory entry of a VM with the given CPU.
 func entryOf(id string, cpu int64, born job.Born) job.VMRecord {
 	return job.VMRecord{
 		ID: job.VMID(id), Pool: poolA, Address: id, Capacity: job.Resources{CPU: cpu, MemMB: 8000},
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -21,8 +21,8 @@
 	pendingStarts []Start
 }
 
-// vmLife is the current boot of a simulated VM: born is what the VM reports, since when its clock
-// was zero.
+// vmLife is the current boot of a simulated VM. born is the boot time that the VM reports, and
+// since is when its clock was zero.
 type vmLife struct {
 	born  job.Born
 	since time.Time
@@ -47,7 +47,7 @@
 // confirm answers a start positively.
 func (c *crashHarness) confirm(o Start) { c.s.StartAnswered(c.now, o, Answered, c.report(o.VM)) }
 
-// list answers a hold of a VM with the given lists.
+// answerHold answers a hold of a VM with the given lists.
 func (c *crashHarness) answerHold(vm job.VMID, running []job.RunningTask, ended ...job.End) {
 	r := c.report(vm)
 	r.Lists, r.Running, r.Finished = true, running, ended
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/job"
 )
 
-// loseOrderRight removes the right to order machines, which only an owner has that has
-// recently confirmed its ownership.
+// loseOrderRight removes the right to order machines. Only an owner that has recently confirmed
+// its ownership has that right.
 func (h *harness) loseOrderRight() { h.s.SetRights(Rights{StartTasks: true, ExtendLeases: true}) }
 
 // Guards against a former owner that starts a task again elsewhere because the lease of its
--- a/core/schedule/objective.go
+++ b/core/schedule/objective.go
@@ -100,9 +100,9 @@
 	return d
 }
 
-// predictRunTime predicts how long a task of the step runs: as long as those of the job's last
-// complete step if there is one, else a weighted mean of the queue's run times and the caller's
-// estimate.
+// predictRunTime predicts how long a task of the step runs: as long as the tasks of the job's
+// last complete step if there is one, else a weighted mean of the queue's run times and the
+// caller's estimate.
 func (s *Scheduler) predictRunTime(j *jobState, st *job.Step) time.Duration {
 	if j.typicalRun > 0 {
 		return j.typicalRun
@@ -140,8 +140,8 @@
 	})
 }
 
-// longestPath returns how long the steps take if each begins as soon as those that it depends
-// on are complete.
+// longestPath returns how long the steps take if each begins as soon as all steps that it
+// depends on are complete.
 func longestPath(steps []job.Step, duration func(i int) time.Duration) time.Duration {
 	ends := make([]time.Duration, len(steps))
 	longest := time.Duration(0)
@@ -166,7 +166,7 @@
 	return j.arrived.Add(allowed), j.arrived.Add(lateLimitFactor * allowed)
 }
 
-// predictWork predicts the core-seconds that the job still needs, and those that it needs in
+// predictWork predicts how many core-seconds the job still needs, and how many it needs in
 // total.
 func (s *Scheduler) predictWork(j *jobState) (remaining, total float64) {
 	for _, o := range j.occurrences {
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -61,7 +61,8 @@
 	assertNear(t, due.Sub(j.arrived), 8*time.Second*16/10+time.Second)
 }
 
-// Guards against objectives that grow when VMs are slow: callers expect those of healthy VMs.
+// Guards against objectives that grow when VMs are slow: callers expect the objectives that
+// apply on healthy VMs.
 func TestSlowRunsDontChangeStragglerRatio(t *testing.T) {
 	h := newHarness(t)
 	for i := range 2 * minSamples {
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -12,7 +12,7 @@
 	paceHaltRatio  = 0.9
 	paceHalveRatio = 0.7
 	paceRaiseRatio = 0.5
-	// paceStepPercent is by how much spare-CPU tasks are sped up at a time. A task whose pace
+	// paceStepPercent is added to the pace when a spare-CPU task is sped up. A task whose pace
 	// would fall below paceMinPercent is halted instead of halved.
 	paceStepPercent = 20
 	paceMinPercent  = 10
--- a/core/schedule/pools_test.go
+++ b/core/schedule/pools_test.go
@@ -49,7 +49,7 @@
 	h.listMachinesOf(ids...)
 }
 
-// listMachinesOf lists the machines of these VMs.
+// listMachinesOf lists the machines of the given VMs.
 func (h *harness) listMachinesOf(ids ...string) {
 	var list []job.Machine
 	for _, n := range ids {
--- a/core/schedule/probe.go
+++ b/core/schedule/probe.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// startAnswerTimeout is how long after it is sent a start should be answered. VMs answer
-	// within a few milliseconds.
+	// startAnswerTimeout is the period after a start is sent within which the VM should answer
+	// it. VMs answer within a few milliseconds.
 	startAnswerTimeout = 150 * time.Millisecond
 	// probeInterval is the minimum time between two probes of a VM.
 	probeInterval = 50 * time.Millisecond
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// adjustKindCounts adds n to the VM's counters of runs of r's kinds.
+// adjustKindCounts adds n to those counters of the VM that count runs of the same kinds as r.
 func (v *vmState) adjustKindCounts(r *run, n int) {
 	if r.longRunning {
 		v.longRunningRuns += n
--- a/core/schedule/save.go
+++ b/core/schedule/save.go
@@ -66,7 +66,8 @@
 	s.dropFinishedJobs()
 }
 
-// dropFinishedJobs drops jobs whose final state is stored and of which nothing can run any more.
+// dropFinishedJobs forgets the jobs whose final state is stored and none of whose tasks can
+// still run.
 func (s *Scheduler) dropFinishedJobs() {
 	s.finishedJobs = slices.DeleteFunc(s.finishedJobs, func(j *jobState) bool {
 		if j.lastSave > s.storedSequence || j.hasRuns() {
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -32,8 +32,8 @@
 	LeaseMax time.Duration
 	// TaskStopMax is the longest time that a task takes to stop.
 	TaskStopMax time.Duration
-	// ShrinkNotice is how long after a VM has shrunk starts may still rely on the capacity that
-	// it had before; 0 means without limit.
+	// ShrinkNotice is how long starts may still rely on the previous capacity of a VM after the
+	// VM has shrunk; 0 means without limit.
 	ShrinkNotice time.Duration
 	// MachineLease is how long this owner doesn't order a machine after an order of another
 	// issuer.
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -16,7 +16,7 @@
 // its own jobs arrive first.
 type shares map[job.AccountName]*tokenBucket
 
-// tokenBucket is a token bucket of the jobs that an account may still submit.
+// tokenBucket holds one token for each job that an account may still submit within its share.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Time
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -69,8 +69,8 @@
 	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 40)
 }
 
-// Guards against an account that gets more than its share over a long time, apart from
-// the initial burst, or less, whatever the spacing of its jobs.
+// Guards against an account that gets more or less than its share over a long time, whatever
+// the spacing of its jobs. Only the initial burst may exceed the share.
 func TestShareIsBoundedOverTime(t *testing.T) {
 	a := &job.Account{Name: "a", Weight: 3}
 	for _, pause := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, 330 * time.Millisecond, time.Second} {
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -232,7 +232,8 @@
 	f.addJob(string(id), "free", def)
 }
 
-// makeRandomChange makes a random change every few rounds.
+// makeRandomChange is called in each round. In some rounds it resizes or silences a VM, submits
+// jobs or cancels one.
 func (f *shrinkingFleet) makeRandomChange(round int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
@@ -256,7 +257,8 @@
 		f.resize(v, 8000)
 	}
 	for n := range 4 {
-		// Jobs are named by the round that submits them; these come before the first round.
+		// Jobs are named after the round that submits them. Numbers below zero stand for jobs
+		// from before the first round.
 		f.submit(-1 - n)
 	}
 	return f
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// remainingTime predicts how much longer a run takes that progressed that many percent
-// within span.
+// remainingTime predicts how much longer a run takes that has progressed by the given
+// percentage points within span.
 func remainingTime(span time.Duration, progressed, percent int) time.Duration {
 	if progressed <= 0 {
 		return math.MaxInt64
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -141,7 +141,7 @@
 	// openTasks counts the tasks that wait for a start.
 	openTasks int
 	// tickets holds a ticket for each VM that may run the step, if its queue requires an
-	// approval. They are used until ticketsUntil.
+	// approval. The tickets are used until ticketsUntil.
 	tickets           map[job.VMID]string
 	ticketsUntil      time.Time
 	approvalRequested bool
--- a/core/schedule/vm.go
+++ b/core/schedule/vm.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// startWindow is how long after it is sent a start may begin. It is short so that the
-	// VM refuses an order that arrives late, and long against the round trip to a slow
-	// VM.
+	// startWindow is the period after a start is sent within which the task may begin. It is
+	// short so that the VM refuses an order that arrives late, and long compared with the
+	// round trip to a slow VM.
 	startWindow = 600 * time.Millisecond
 	// stopRetryDelay is the pause before a stop is sent again because the run hasn't ended.
 	stopRetryDelay = 600 * time.Millisecond
@@ -20,12 +20,13 @@
 	clockSlack job.VMClock = 5
 	// noAnswerPause is how long a VM gets no new tasks after it left a start unanswered.
 	noAnswerPause = time.Second
-	// forgetAfter is how long a VM that is no longer listed is kept in memory.
+	// forgetAfter is how long the state of a VM that is no longer listed is kept in memory.
 	forgetAfter = 3 * time.Second
 )
 
-// maxOrderDelay is how long after it was sent a VM may still execute an unanswered order.
-// The start's deadline doesn't prevent that on a VM that crashed and restarted under
+// maxOrderDelay is the period after sending an order within which a VM may still execute it if
+// it was not answered.
+// The start's deadline doesn't prevent a late execution on a VM that crashed and restarted under
 // the same ID, because its clock starts again from zero.
 const maxOrderDelay = 13 * time.Second
 
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -35,7 +35,7 @@
 	fleet  *fleet
 	client http.Client
 	rng    *rand.Rand
-	// submitted counts the submitted jobs, number identifies the caller; IDs of jobs contain both.
+	// submitted counts the submitted jobs, index identifies the caller; IDs of jobs contain both.
 	submitted int
 	index     int
 	// crashOffset says which of every crashOneIn jobs has a task that crashes VMs.
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -21,8 +21,8 @@
 	startedAt time.Time
 	// running are the VMs that run each task.
 	running map[job.TaskID]map[job.VMID]bool
-	// done are the tasks with a run that ended as done, acknowledged those of them whose end
-	// an owner has acknowledged.
+	// done are the tasks with a run that ended as done, acknowledged the tasks whose end as
+	// done an owner has acknowledged.
 	done, acknowledged map[job.TaskID]bool
 	jobs               map[job.ID]*submittedJob
 	violations         []string
@@ -104,7 +104,7 @@
 	}
 }
 
-// violationf records a violated invariant. j.mu must be held.
+// violationf records a violated invariant. c.mu must be held.
 func (c *Checker) violationf(format string, args ...any) {
 	at := c.now().Sub(c.startedAt).Seconds()
 	c.violations = append(c.violations, fmt.Sprintf("%8.3f s  ", at)+fmt.Sprintf(format, args...))
--- a/io/soak/checker_test.go
+++ b/io/soak/checker_test.go
@@ -56,8 +56,8 @@
 	assertViolations(t, c, "after 5 VMs crashed while they ran it")
 }
 
-// Guards against a checker that limits the starts of a task which only ran beside a crashing
-// one.
+// Guards against a checker that limits the starts of a task that only ran beside a crashing
+// task.
 func TestTaskBesideCrashingOneMayRestart(t *testing.T) {
 	c, _ := newTestChecker(&standin.CrashingTask{}, Placement{Capacity: 2000})
 	startAndCrash(c, testTask(1), crashLimit+maxStartsAfterCrashLimit+1)
--- a/io/soak/soak.go
+++ b/io/soak/soak.go
@@ -20,7 +20,7 @@
 	// Entries, Machines and Callers are the numbers of daemons, machines and callers; 0 means
 	// the default.
 	Entries, Machines, Callers int
-	// FaultPeriod is for how long faults are injected and jobs are submitted.
+	// FaultPeriod is how long faults are injected and jobs are submitted.
 	FaultPeriod time.Duration
 	// OnFault, if set, is called with a description of each fault.
 	OnFault func(line string)
