--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -239,7 +239,7 @@
 	}
 	j.placed = true
 	s.reportDecision(Decision{
-		Kind: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), SinceArrival: now.Sub(j.arrived),
+		Kind: JobPlaced, Job: j.ID, Reason: j.rating.rank.String(), After: now.Sub(j.arrived),
 		Slack: j.objective.Sub(now.Add(s.remainingTime(j, j.currentOccurrence()))),
 	})
 }
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -203,8 +203,8 @@
 	Reason  string
 	// Age is the age of the information behind the decision.
 	Age time.Duration
-	// SinceArrival is the time since the job's arrival.
-	SinceArrival time.Duration
+	// After is the time since the job's arrival.
+	After time.Duration
 	// Slack is the time left until the job's objective, minus the time that the job is
 	// predicted to need.
 	Slack time.Duration
--- a/core/schedule/maintenance.go
+++ b/core/schedule/maintenance.go
@@ -103,7 +103,7 @@
 // completeWave publishes the wave as completed.
 func (s *Scheduler) completeWave(now time.Time, w *waveState) {
 	w.publishedState = job.WaveCompleted
-	s.reportDecision(Decision{Kind: WaveChanged, Reason: "completed", SinceArrival: now.Sub(w.arrived)})
+	s.reportDecision(Decision{Kind: WaveChanged, Reason: "completed", After: now.Sub(w.arrived)})
 	s.emit(PublishWave{Wave: w.Number, State: job.WaveCompleted})
 }
 
--- a/core/schedule/report.go
+++ b/core/schedule/report.go
@@ -86,7 +86,7 @@
 	}
 	s.reportDecision(Decision{
 		Kind: TaskEnded, Job: j.ID, Task: e.Task, Attempt: e.Attempt, VM: v.id, Reason: e.How.String(),
-		Age: ranFor, SinceArrival: now.Sub(j.arrived),
+		Age: ranFor, After: now.Sub(j.arrived),
 	})
 	if e.Checkpoint != "" {
 		t.checkpoint = e.Checkpoint
--- a/core/schedule/run.go
+++ b/core/schedule/run.go
@@ -37,7 +37,7 @@
 	v.leaseEnd = max(v.leaseEnd, r.startBy)
 	s.reportDecision(Decision{
 		Kind: TaskOrdered, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: v.id, Age: now.Sub(v.lastAnswer),
-		SinceArrival: now.Sub(j.arrived),
+		After: now.Sub(j.arrived),
 	})
 	s.emit(Start{VM: v.id, Life: v.born, Zone: v.zone, Order: job.StartOrder{
 		Task: r.task, Attempt: r.attempt, Spec: j.Body.Spec, Fence: v.fence, Checkpoint: t.checkpoint,
@@ -225,7 +225,7 @@
 	s.markBegun(j)
 	s.reportDecision(Decision{
 		Kind: TaskStarted, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id,
-		Age: now.Sub(r.orderedAt), SinceArrival: now.Sub(j.arrived),
+		Age: now.Sub(r.orderedAt), After: now.Sub(j.arrived),
 	})
 }
 
--- a/core/schedule/scheduler.go
+++ b/core/schedule/scheduler.go
@@ -263,7 +263,7 @@
 	if j == nil || j.over() {
 		return
 	}
-	s.reportDecision(Decision{Kind: JobCancelled, Job: id, SinceArrival: now.Sub(j.arrived)})
+	s.reportDecision(Decision{Kind: JobCancelled, Job: id, After: now.Sub(j.arrived)})
 	s.finish(now, j, job.Cancelled)
 }
 
@@ -272,7 +272,7 @@
 	j.state, j.endedAt = state, now
 	s.markDirty(j)
 	s.reportDecision(Decision{
-		Kind: JobEnded, Job: j.ID, Reason: state.String(), SinceArrival: now.Sub(j.arrived), Slack: j.objective.Sub(now),
+		Kind: JobEnded, Job: j.ID, Reason: state.String(), After: now.Sub(j.arrived), Slack: j.objective.Sub(now),
 	})
 	for _, o := range j.occurrences {
 		for i := range o.steps {
--- a/core/schedule/slow.go
+++ b/core/schedule/slow.go
@@ -58,7 +58,7 @@
 	}
 	remaining := remainingTime(span, progressed, r.percent)
 	r.vm.slowUntil = now.Add(slowPause)
-	s.reportDecision(Decision{Kind: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, SinceArrival: remaining})
+	s.reportDecision(Decision{Kind: VMSlow, Job: j.ID, Task: r.task, Attempt: r.attempt, VM: r.vm.id, Age: span, After: remaining})
 	if st.def.Gang || t.slowStops >= maxSlowStops {
 		return
 	}
--- a/io/node/decisions.go
+++ b/io/node/decisions.go
@@ -37,7 +37,7 @@
 	case schedule.TaskStarted:
 		l.elapsed("start_order", d.Age)
 	case schedule.JobEnded:
-		l.elapsed("job_"+d.Reason, d.SinceArrival)
+		l.elapsed("job_"+d.Reason, d.After)
 	}
 	omitted, ok := l.admit(d.Kind)
 	if !ok {
@@ -59,8 +59,8 @@
 	if d.Age != 0 {
 		e.Int64("age_ms", d.Age.Milliseconds())
 	}
-	if d.SinceArrival != 0 {
-		e.Int64("after_ms", d.SinceArrival.Milliseconds())
+	if d.After != 0 {
+		e.Int64("after_ms", d.After.Milliseconds())
 	}
 	if d.Slack != 0 {
 		e.Int64("slack_ms", d.Slack.Milliseconds())
