--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -201,9 +201,11 @@
 	Attempt job.Attempt
 	VM      job.VMID
 	Reason  string
-	// Age is the age of the information behind the decision.
+	// Age is the age of the information behind the decision. For TaskEnded it is the run time,
+	// for VMSlow the period over which progress was measured, and for VMSuspected the pause.
 	Age time.Duration
-	// After is the time since the job's arrival.
+	// After is the time since the arrival of the job or wave. For VMSlow it is the predicted
+	// remaining time of the run.
 	After time.Duration
 	// Slack is the time left until the job's objective, minus the time that the job is
 	// predicted to need.
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -348,7 +348,7 @@
 	attempt job.Attempt
 }
 
-// unsavedEnd is an end that may be acknowledged once the save is stored.
+// unsavedEnd is an end that may be acknowledged once the save with the sequence save is stored.
 type unsavedEnd struct {
 	endNumber int64
 	save      int64
