--- a/core/emulator/checker.go
+++ b/core/emulator/checker.go
@@ -20,8 +20,8 @@
 	evacuationLimit time.Duration
 	// running are the current runs of each task.
 	running map[job.TaskID][]*taskRun
-	// doneAt is when each task was first done. acknowledgedDone are the tasks whose end as
-	// done an owner has acknowledged.
+	// doneAt is when each task was first done. acknowledgedDone are the tasks whose successful
+	// end an owner has acknowledged.
 	doneAt           map[job.TaskID]time.Time
 	acknowledgedDone map[job.TaskID]bool
 	// failedRuns counts the failed runs of each task, acknowledgedFailures those of them
@@ -32,10 +32,10 @@
 	crashes, startsAfterCrashLimit map[job.TaskID]int
 	// lastCrash is when a VM last crashed while it ran each task.
 	lastCrash map[job.TaskID]time.Time
-	// gaveUp are the tasks that an owner has reported as given up.
-	gaveUp map[job.TaskID]bool
-	// mayGiveUp are the jobs that may be shown as failed because of crashes.
-	mayGiveUp map[job.ID]bool
+	// givenUp are the tasks that an owner has reported as given up.
+	givenUp map[job.TaskID]bool
+	// mayFailFromCrashes are the jobs that may be shown as failed because of crashes.
+	mayFailFromCrashes map[job.ID]bool
 	// lastStart is when each task was last started.
 	lastStart map[job.TaskID]time.Time
 	// states are the states of jobs that callers see.
@@ -53,7 +53,7 @@
 	return &checker{
 		w: w, running: map[job.TaskID][]*taskRun{}, doneAt: map[job.TaskID]time.Time{},
 		acknowledgedDone: map[job.TaskID]bool{}, failedRuns: map[job.TaskID]int{}, acknowledgedFailures: map[job.TaskID]int{},
-		crashes: map[job.TaskID]int{}, lastCrash: map[job.TaskID]time.Time{}, startsAfterCrashLimit: map[job.TaskID]int{}, mayGiveUp: map[job.ID]bool{}, gaveUp: map[job.TaskID]bool{},
+		crashes: map[job.TaskID]int{}, lastCrash: map[job.TaskID]time.Time{}, startsAfterCrashLimit: map[job.TaskID]int{}, mayFailFromCrashes: map[job.ID]bool{}, givenUp: map[job.TaskID]bool{},
 		states:    map[job.ID]job.State{},
 		lastStart: map[job.TaskID]time.Time{}, inMaintenance: map[job.MachineID]bool{}, stoppedAt: map[job.TaskID]time.Time{},
 	}
@@ -64,9 +64,9 @@
 	c.violations = append(c.violations, fmt.Sprintf("%7.3f s: ", c.w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
 }
 
-// taskStarted checks a start: the task does not run already, and no end of it as done was
-// acknowledged; the steps before it are done; the VM, its zone and its job may take the start; and
-// the account stays within its quota.
+// taskStarted checks a start: the task does not run already, and no successful end of the task
+// was acknowledged; the steps before it are done; the VM, its zone and its job may take the start;
+// and the account stays within its quota.
 func (c *checker) taskStarted(v *vm, r *taskRun) {
 	t := c.w.jobs[r.task.Job]
 	step := &t.Body.Steps[r.task.Step]
@@ -157,8 +157,8 @@
 func (c *checker) runLost(_ *vm, r *taskRun) { c.removeRun(r) }
 
 // endAcknowledged records that an owner has acknowledged an end, which occurred at ended. It
-// checks that the task was not started again since, unless the lease of its VM was found
-// expired since.
+// checks that the task was not started again after that, unless the lease of its VM was found
+// expired in the meantime.
 func (c *checker) endAcknowledged(v *vm, e job.End, ended time.Time) {
 	if e.How == job.EndedFailed {
 		c.acknowledgedFailures[e.Task]++
@@ -253,7 +253,7 @@
 		if !t.allTasksFail && t.failingTask == noTask && t.crashingTask == noTask {
 			c.w.Stats.GivenUp++
 		}
-		if !c.anyTaskExhausted(t) && !c.mayGiveUp[id] {
+		if !c.anyTaskExhausted(t) && !c.mayFailFromCrashes[id] {
 			c.violationf("%s is shown as failed although no task has failed all attempts or may be given up", id)
 		}
 	case job.Cancelled:
--- a/core/experiment/replay/share.go
+++ b/core/experiment/replay/share.go
@@ -11,11 +11,11 @@
 // slot-time.
 const shareWindow = 10 * time.Second
 
-// shareMeter measures how closely teams receive their shares. At every sample, it divides
-// the slots that a queue uses fairly among the teams with running or waiting requests, by
-// weighted max-min fairness with no team above its demand. For each window it compares
-// the slot-time that each team received with its fair slot-time. Samples at which nobody
-// waits are fair by definition and don't count.
+// shareMeter measures how closely teams receive their shares. At every sample, it computes
+// the fair division of the slots that a queue uses among the teams with running or waiting
+// requests, by weighted max-min fairness with no team above its demand. For each window it
+// compares the slot-time that each team received with its fair slot-time. Samples at which
+// nobody waits are fair by definition and don't count.
 type shareMeter struct {
 	accounts  []Account
 	index     map[core.TeamID]int
@@ -122,17 +122,17 @@
 	}
 }
 
-// nearness returns the fraction of the contested slot-time that teams received in
+// fairFraction returns the fraction of the contested slot-time that teams received in
 // accordance with their shares.
-func (m *shareMeter) nearness() float64 {
+func (m *shareMeter) fairFraction() float64 {
 	if m.used == 0 {
 		return 1
 	}
 	return 1 - m.misallocated/m.used
 }
 
-// worstTeam returns the lowest fraction of its fair slot-time that any team received.
-func (m *shareMeter) worstTeam() float64 {
+// lowestReceivedFraction returns the lowest fraction of its fair slot-time that any team received.
+func (m *shareMeter) lowestReceivedFraction() float64 {
 	lowest := 1.0
 	for i := range m.fair {
 		if m.fair[i] > 0 {
--- a/core/schedule/assign.go
+++ b/core/schedule/assign.go
@@ -212,7 +212,7 @@
 		a.recordPossibleVMs(j, v)
 	}
 	r := &run{
-		task: id, attempt: n, vm: v, reservation: st.def.Reservation(), cost: st.def.Resources, account: j.Terms.Account,
+		task: id, attempt: n, vm: v, reservation: st.def.Reservation(), quotaUsage: st.def.Resources, account: j.Terms.Account,
 		orderedAt: a.now, pacePercent: 100, requiredSave: j.possibleVMs.Get(v.id),
 	}
 	r.setKind(st.def)
--- a/core/schedule/shrink_test.go
+++ b/core/schedule/shrink_test.go
@@ -232,8 +232,9 @@
 	f.addJob(string(id), "free", def)
 }
 
-// disturb makes a random change every few rounds.
-func (f *shrinkingFleet) disturb(round int) {
+// makeRandomChange is called in each round. In some rounds it resizes or silences a VM, submits
+// jobs or cancels one.
+func (f *shrinkingFleet) makeRandomChange(round int) {
 	v := f.vms[f.rng.IntN(len(f.vms))]
 	switch f.rng.IntN(40) {
 	case 0, 1:
@@ -256,7 +257,8 @@
 		f.resize(v, 8000)
 	}
 	for n := range 4 {
-		// Jobs are named by the round that submits them; these come before the first round.
+		// Jobs are named after the round that submits them. Numbers below zero stand for jobs
+		// from before the first round.
 		f.submit(-1 - n)
 	}
 	return f
@@ -268,7 +270,7 @@
 	for seed := range uint64(80) {
 		f := newShrinkingFleet(t, seed, seed%2 == 0)
 		for round := range 800 {
-			f.disturb(round)
+			f.makeRandomChange(round)
 			f.round()
 		}
 		for _, v := range f.vms {
