--- a/cmd/lavenderpond-standin/link.go
+++ b/cmd/lavenderpond-standin/link.go
@@ -116,7 +116,7 @@
 			if ok, err := path.Match(pattern, name); err != nil {
 				return errors.Wrap(err, pattern)
 			} else if ok {
-				l.Set(req.State, req.Delay)
+				l.SetState(req.State, req.Delay)
 				found++
 				break
 			}
--- a/io/entry/allotments.go
+++ b/io/entry/allotments.go
@@ -41,7 +41,7 @@
 // name.
 func (d *Daemon) zoneEntries() []core.EntryID {
 	var entries []core.EntryID
-	for _, a := range d.directory.Zone(d.settings.Entry.Zone) {
+	for _, a := range d.directory.AddressesInZone(d.settings.Entry.Zone) {
 		entries = append(entries, a.Entry)
 	}
 	return entries
--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -108,7 +108,7 @@
 // members returns the entries of a zone that are in the directory.
 func (d *Daemon) members(zone core.ZoneID) []peer.Member {
 	var members []peer.Member
-	for _, a := range d.directory.Zone(zone) {
+	for _, a := range d.directory.AddressesInZone(zone) {
 		members = append(members, peer.Member{Entry: a.Entry, Zone: a.Zone, Address: a.Peer.String()})
 	}
 	return members
--- a/io/entry/directory.go
+++ b/io/entry/directory.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// Zone returns the addresses of a zone's entries, sorted by name.
-func (d *Directory) Zone(zone core.ZoneID) []Address {
+// AddressesInZone returns the addresses of a zone's entries, sorted by name.
+func (d *Directory) AddressesInZone(zone core.ZoneID) []Address {
 	prefix := string(table.EntryKey(zone, ""))
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -105,7 +105,7 @@
 	for _, off := range []bool{false, true} {
 		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2}, 3, disabledSafeguards{answerChecks: off})
 		f.awaitServing()
-		faults := []standin.Faults{{LoseAnswers: 8}, {CutAnswers: 8}, {CrossAnswers: 8}}
+		faults := []standin.Faults{{LoseAnswers: 8}, {TruncateAnswers: 8}, {MisdirectAnswers: 8}}
 		for i, vm := range f.vms {
 			vm.SetFaults(faults[i])
 		}
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -283,7 +283,7 @@
 	}
 	args.Stage = peer.ToHomeZone
 	sent := false
-	entries := f.Directory.Zone(zone)
+	entries := f.Directory.AddressesInZone(zone)
 	offset := int(args.Request.Key.Shard(1 << 16))
 	for i := range entries {
 		a := entries[(i+offset)%len(entries)]
@@ -303,9 +303,9 @@
 // is known not to have run only if this is the first attempt and no message was sent;
 // sent reports whether one may have been. Otherwise the outcome is unknown.
 func (f *Front) failedForwardAnswer(args peer.ForwardArgs, sent bool, code core.Code) core.Answer {
-	comeBack := f.Now().Add(holderSearchTimeout)
+	retryAt := f.Now().Add(holderSearchTimeout)
 	if sent || args.Kind != peer.ForwardSubmit {
-		return core.OutcomeUnknown{Code: core.CodeHomeUnreachable, ComeBackAt: comeBack}
+		return core.OutcomeUnknown{Code: core.CodeHomeUnreachable, ComeBackAt: retryAt}
 	}
-	return core.RefusalAnswer(args.Request.Attempt, core.NotRun{Code: code, ComeBackAt: comeBack})
+	return core.RefusalAnswer(args.Request.Attempt, core.NotRun{Code: code, ComeBackAt: retryAt})
 }
--- a/io/entry/requests.go
+++ b/io/entry/requests.go
@@ -77,7 +77,7 @@
 	replies := r.takeReplies(commands)
 	r.mu.Unlock()
 	for _, reply := range replies {
-		reply.to <- reply.answer
+		reply.waiter <- reply.answer
 	}
 	for _, c := range commands {
 		r.execute(c)
@@ -130,7 +130,7 @@
 
 // pendingReply is an answer that has to be sent to a waiting caller.
 type pendingReply struct {
-	to     chan core.Answer
+	waiter chan core.Answer
 	answer core.Answer
 }
 
@@ -145,7 +145,7 @@
 		}
 		if to := r.waiters[reply.Waiter]; to != nil {
 			delete(r.waiters, reply.Waiter)
-			replies = append(replies, pendingReply{to: to, answer: reply.Answer})
+			replies = append(replies, pendingReply{waiter: to, answer: reply.Answer})
 		}
 	}
 	return replies
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -167,7 +167,7 @@
 	}
 	b.requests.WithLock(func(h *home.Home) { s.Requests = h.Dump() })
 	for _, zone := range b.settings.Entry.Zones {
-		s.Directory = append(s.Directory, b.directory.Zone(zone)...)
+		s.Directory = append(s.Directory, b.directory.AddressesInZone(zone)...)
 	}
 	return s
 }
--- a/io/ini/line_index.go
+++ b/io/ini/line_index.go
@@ -85,18 +85,18 @@
 
 // addProblem records that line n has the text read, and what is allowed instead. For a
 // missing key, n is 0.
-func (x *lineIndex) addProblem(n int, key, read, allowed string) {
-	x.problems = append(x.problems, Problem{x.file, n, truncate(key), truncate(redact(key, read)), allowed})
+func (x *lineIndex) addProblem(n int, key, found, allowed string) {
+	x.problems = append(x.problems, Problem{x.file, n, truncate(key), truncate(redact(key, found)), allowed})
 }
 
 // redact returns read as it may appear in errors, and thus in logs. It hides
 // credentials: an operator may have written the operator key itself in place of its
 // digest, or a password in a URL.
-func redact(key, read string) string {
-	if strings.Contains(key+read, operatorKeyDigestKey) || strings.Contains(read, "@") {
-		return "(" + itoa(len(read)) + " characters, not shown)"
+func redact(key, found string) string {
+	if strings.Contains(key+found, operatorKeyDigestKey) || strings.Contains(found, "@") {
+		return "(" + itoa(len(found)) + " characters, not shown)"
 	}
-	return read
+	return found
 }
 
 // isSnakeCase reports whether s consists of lower-case letters, digits and underscores.
--- a/io/ini/problem.go
+++ b/io/ini/problem.go
@@ -16,15 +16,15 @@
 	// section, a key outside of all sections, "line" for a line that is not INI
 	// syntax, or "file" for a file that can't be parsed.
 	Key string
-	// Read is the text in the file, truncated, and redacted if it may be a credential.
-	Read string
+	// Found is the text in the file, truncated, and redacted if it may be a credential.
+	Found string
 	// Allowed describes what the file should have instead.
 	Allowed string
 }
 
 // String returns the problem as one line of text.
 func (p Problem) String() string {
-	return fmt.Sprintf("%s:%d: %s: read %q, allowed is %s", p.File, p.Line, p.Key, p.Read, p.Allowed)
+	return fmt.Sprintf("%s:%d: %s: read %q, allowed is %s", p.File, p.Line, p.Key, p.Found, p.Allowed)
 }
 
 // Problems are all mistakes in a settings file, sorted by line.
--- a/io/ini/setting.go
+++ b/io/ini/setting.go
@@ -52,7 +52,7 @@
 	{keyPath{"entry", "peers"}, "", false, "", "Peer addresses to try first, until the table tells the others.",
 		addressListKind(func(s *Settings) *[]netip.AddrPort { return &s.Entry.Peers })},
 	{keyPath{"entry", "shards"}, "16", false, "", "Shards per zone. Must be the same on every entry.",
-		numberKind(1, 4096, func(s *Settings) *core.ShardIndex { return &s.Entry.Shards })},
+		intKind(1, 4096, func(s *Settings) *core.ShardIndex { return &s.Entry.Shards })},
 	{keyPath{"entry", "max_lifetime"}, "10m", false, "", "The furthest that a request's deadline may lie ahead; bounds what is remembered of ids.",
 		durationKind(time.Second, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Entry.MaxLifetime })},
 	{keyPath{"entry", "skew_bound"}, "250ms", false, "", "The most by which two clocks of the fleet differ. Must be the same on every entry.",
@@ -60,7 +60,7 @@
 	{keyPath{"entry", "stop_grace"}, "30s", false, "", "How long running work may take to end after SIGTERM.",
 		durationKind(0, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Entry.StopGrace })},
 	{keyPath{"entry", "max_body"}, "1048576", false, "", "The largest body of a request, in bytes.",
-		numberKind(1, 64<<20, func(s *Settings) *int { return &s.Entry.MaxBody })},
+		intKind(1, 64<<20, func(s *Settings) *int { return &s.Entry.MaxBody })},
 	{keyPath{"platform", "url"}, "", true, "http://127.0.0.1:7900", "Where the platform's service answers.",
 		urlKind(func(s *Settings) *string { return &s.Platform.URL })},
 	{keyPath{"platform", "poll_interval"}, "1s", false, "", "How often the entry asks the table for changes.",
@@ -74,7 +74,7 @@
 	{keyPath{"log", "level"}, "info", false, "", "The least level that is logged.",
 		levelKind(func(s *Settings) *zerolog.Level { return &s.Log.Level })},
 	{keyPath{"queue", "max_queued"}, "10000", false, "", "The most requests that wait at this entry, over all queues.",
-		numberKind(1, 1000000, func(s *Settings) *int { return &s.Queue.MaxQueued })},
+		intKind(1, 1000000, func(s *Settings) *int { return &s.Queue.MaxQueued })},
 }
 
 // operatorKeyDigestKey is the key whose value is never shown in errors; see redact.
--- a/io/ini/value_kind.go
+++ b/io/ini/value_kind.go
@@ -93,7 +93,7 @@
 	}}
 }
 
-func numberKind[T ~int | ~uint32](low, high int, field func(*Settings) *T) valueKind {
+func intKind[T ~int | ~uint32](low, high int, field func(*Settings) *T) valueKind {
 	return valueKind{fmt.Sprintf("a whole number from %d to %d", low, high), func(s *Settings, v string) bool {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < low || n > high {
--- a/io/link/link.go
+++ b/io/link/link.go
@@ -71,9 +71,9 @@
 	return &Link{name: name, state: Open, changed: make(chan struct{}), closers: make(map[interface{ Close() error }]bool)}
 }
 
-// Set changes the state and the delay of the link. It closes all connections if the link
+// SetState changes the state and the delay of the link. It closes all connections if the link
 // enters Refused or leaves a state that discards data. Refused closes the listeners too.
-func (l *Link) Set(state State, delay time.Duration) {
+func (l *Link) SetState(state State, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	closeConns := state == Refused || l.state.discards() && state != l.state
@@ -146,8 +146,8 @@
 	return true
 }
 
-// release closes c and removes it from the tracked listeners and connections.
-func (l *Link) release(c interface{ Close() error }) {
+// closeAndUntrack closes c and removes it from the tracked listeners and connections.
+func (l *Link) closeAndUntrack(c interface{ Close() error }) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.closers, c)
@@ -174,7 +174,7 @@
 
 // accept accepts connections until the listener is closed.
 func (l *Link) accept(ctx context.Context, listener net.Listener, f Forward, g *supervisor.Group) {
-	defer l.release(listener)
+	defer l.closeAndUntrack(listener)
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
@@ -188,7 +188,7 @@
 
 // forward forwards one connection until either end or the link closes it.
 func (l *Link) forward(ctx context.Context, client net.Conn, target netip.AddrPort) {
-	defer l.release(client)
+	defer l.closeAndUntrack(client)
 	if !l.track(client) {
 		return
 	}
@@ -197,7 +197,7 @@
 	if err != nil {
 		return
 	}
-	defer l.release(server)
+	defer l.closeAndUntrack(server)
 	if !l.track(server) {
 		return
 	}
--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -61,7 +61,7 @@
 		h.deny(w, call, rest, platform.DeniedUnknownKey, "unknown key")
 		return
 	}
-	p := tablePartFor(call.Method, job.ID(rest))
+	p := tablePartitionFor(call.Method, job.ID(rest))
 	decision := h.health.decide(p)
 	if decision == contact.Refuse {
 		h.deny(w, call, rest, platform.DeniedUnavailable, "no answer from part "+p+" of the table, none from any part for "+h.health.sinceLastAnswer().String())
@@ -93,12 +93,12 @@
 	decision contact.Decision
 }
 
-// tablePartFor returns the part of the table that a call accesses first.
-func tablePartFor(m platform.CallMethod, id job.ID) string {
+// tablePartitionFor returns the part of the table that a call accesses first.
+func tablePartitionFor(m platform.CallMethod, id job.ID) string {
 	if m == platform.CallSubmit {
-		return jobPart(id)
+		return jobPartition(id)
 	}
-	return mainPart
+	return mainPartition
 }
 
 func (h *callerHandler) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -221,10 +221,10 @@
 			return c.resolveConflict(firstSent, sent, conflict)
 		case refused:
 			supervisor.Sleep(ctx, refusedRetryDelay)
-		case bootNow().Sub(sent) < minOverdue:
+		case bootNow().Sub(sent) < minOverdueDelay:
 			// The connection was reset. An immediate retry would probably be reset as
 			// fast.
-			supervisor.Sleep(ctx, minOverdue)
+			supervisor.Sleep(ctx, minOverdueDelay)
 		}
 		c.log.Debug().Err(err).Int64("batch", c.batch).Msg("transaction attempt failed, retrying")
 	}
@@ -276,5 +276,5 @@
 	c.renewal = version
 	c.tenure.recordRenewal(version)
 	c.tenure.confirm(firstSent, sent)
-	c.health.recordAnswer(mainPart)
+	c.health.recordAnswer(mainPartition)
 }
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -23,7 +23,7 @@
 // fleet finds its VMs and orders machines to move. The table would refuse the oversized
 // transaction as malformed every time, so no ownership would be renewed and no task
 // started, whichever process takes over.
-func TestLargeFleetFitsTheTable(t *testing.T) {
+func TestLargeFleetFitsInTableRows(t *testing.T) {
 	now := bootNow()
 	s := schedule.New(schedule.Settings{Fence: 5, TookOver: now, LeaseMax: 6 * time.Second, OrderIssuer: "edge-somewhere-1"})
 	for i := range 2000 {
--- a/io/node/election.go
+++ b/io/node/election.go
@@ -102,13 +102,13 @@
 	defer cancel()
 	var rows ownerRows
 	observation := lease.Observation{Sent: bootNow()}
-	snapshot, err := e.table.List(ctx, platform.Range{Table: ownerTable, Part: mainPart, From: ownerKeyName, To: renewalKeyName + "\x00"})
+	snapshot, err := e.table.List(ctx, platform.Range{Table: ownerTable, Partition: mainPartition, From: ownerKeyName, To: renewalKeyName + "\x00"})
 	if err != nil {
-		e.health.recordFailure(mainPart)
+		e.health.recordFailure(mainPartition)
 		return observation, rows, err
 	}
 	observation.Received = bootNow()
-	e.health.recordAnswer(mainPart)
+	e.health.recordAnswer(mainPartition)
 	for i := range snapshot.Rows {
 		r := &snapshot.Rows[i]
 		switch r.Key {
--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -56,7 +56,7 @@
 // withRetries calls call, which accesses a part of the table, until it succeeds, fails
 // permanently, or the deadline passes. maybeApplied reports whether an attempt without an
 // answer may have been applied.
-func (s *jobStore) withRetries(ctx context.Context, deadline time.Time, part string, call func(ctx context.Context) error) (maybeApplied bool, err error) {
+func (s *jobStore) withRetries(ctx context.Context, deadline time.Time, partition string, call func(ctx context.Context) error) (maybeApplied bool, err error) {
 	giveUpAt := bootNow().Add(refusalTimeout)
 	for timeout := s.latency.timeout(minCallTimeout); ; timeout *= 2 {
 		now := bootNow()
@@ -76,7 +76,7 @@
 		if err == nil || deadline.Sub(now) >= timeout {
 			// A call that was cut short by its caller's deadline says nothing about the
 			// part.
-			s.recordOutcome(part, err)
+			s.recordOutcome(partition, err)
 		}
 		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
 		switch {
@@ -96,13 +96,13 @@
 
 // recordOutcome updates the table's health from the outcome of a call to a part. A busy
 // table is reachable, so it doesn't count as a failure.
-func (s *jobStore) recordOutcome(part string, err error) {
+func (s *jobStore) recordOutcome(partition string, err error) {
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil, errors.As(err, &conflict):
-		s.health.recordAnswer(part)
+		s.health.recordAnswer(partition)
 	case errors.Is(err, platform.ErrNoAnswer), errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrNotSent):
-		s.health.recordFailure(part)
+		s.health.recordFailure(partition)
 	}
 }
 
@@ -132,7 +132,7 @@
 	started := bootNow()
 	snapshot, err := s.table.List(ctx, jobRowRange(id))
 	s.recordLatency(bootNow().Sub(started))
-	s.recordOutcome(jobPart(id), err)
+	s.recordOutcome(jobPartition(id), err)
 	switch {
 	case errors.Is(err, platform.ErrNoAnswer):
 		return false, errors.Wrap(errNotStored, errTableSilent.Error())
@@ -147,7 +147,7 @@
 // cancellation.
 func jobRowRange(id job.ID) platform.Range {
 	return platform.Range{
-		Table: jobTable, Part: jobPart(id), From: cancelKey(id).Key, To: jobKey(id).Key + "\x00",
+		Table: jobTable, Partition: jobPartition(id), From: cancelKey(id).Key, To: jobKey(id).Key + "\x00",
 	}
 }
 
@@ -168,7 +168,7 @@
 		Conditions: []platform.Condition{{RowKey: jobKey(j.ID)}, {RowKey: cancelKey(j.ID)}},
 		Writes:     []platform.Write{{RowKey: jobKey(j.ID), Value: value}},
 	}
-	maybeApplied, err := s.withRetries(ctx, deadline, jobPart(j.ID), func(ctx context.Context) error {
+	maybeApplied, err := s.withRetries(ctx, deadline, jobPartition(j.ID), func(ctx context.Context) error {
 		_, err := s.table.Apply(ctx, tx)
 		return err
 	})
@@ -208,7 +208,7 @@
 }
 
 func (s *jobStore) get(ctx context.Context, deadline time.Time, k platform.RowKey) (row *platform.Row, err error) {
-	_, err = s.withRetries(ctx, deadline, k.Part, func(ctx context.Context) error {
+	_, err = s.withRetries(ctx, deadline, k.Partition, func(ctx context.Context) error {
 		row, _, err = s.table.Get(ctx, k)
 		return err
 	})
@@ -217,7 +217,7 @@
 
 // getJob reads the submitted job and its cancellation in one call.
 func (s *jobStore) getJob(ctx context.Context, deadline time.Time, id job.ID) (submitted, cancellation *platform.Row, err error) {
-	_, err = s.withRetries(ctx, deadline, jobPart(id), func(ctx context.Context) error {
+	_, err = s.withRetries(ctx, deadline, jobPartition(id), func(ctx context.Context) error {
 		snapshot, err := s.table.List(ctx, jobRowRange(id))
 		if err != nil {
 			return err
@@ -280,7 +280,7 @@
 		Conditions: []platform.Condition{{RowKey: jobKey(id), Version: version}},
 		Writes:     []platform.Write{{RowKey: cancelKey(id), Value: []byte("{}")}},
 	}
-	_, err := s.withRetries(ctx, deadline, jobPart(id), func(ctx context.Context) error {
+	_, err := s.withRetries(ctx, deadline, jobPartition(id), func(ctx context.Context) error {
 		_, err := s.table.Apply(ctx, tx)
 		return err
 	})
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -52,7 +52,7 @@
 	var errs [4]error
 	var g supervisor.Group
 	read := func(err *error, rows *[]platform.Row, table string) {
-		g.Go(func() { *rows, _, *err = o.node.table.ListAll(ctx, table, mainPart) })
+		g.Go(func() { *rows, _, *err = o.node.table.ListAll(ctx, table, mainPartition) })
 	}
 	read(&errs[0], &state.waves, waveTable)
 	read(&errs[1], &state.vms, vmTable)
@@ -67,22 +67,22 @@
 	// The progress is read after the jobs, so that a job that ends in between is known to
 	// have ended.
 	var err error
-	state.progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPart)
+	state.progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPartition)
 	return state, err
 }
 
 // loadJobs reads the jobs of all parts. The feed continues from the oldest version among
 // the reads.
 func (o *owner) loadJobs(ctx context.Context) ([]platform.Row, platform.Version, error) {
-	var parts [jobPartCount][]platform.Row
-	var versions [jobPartCount]platform.Version
-	var errs [jobPartCount]error
+	var partitions [jobPartitionCount][]platform.Row
+	var versions [jobPartitionCount]platform.Version
+	var errs [jobPartitionCount]error
 	var next atomic.Int32
 	var g supervisor.Group
 	for range maxConcurrentReads {
 		g.Go(func() {
-			for i := int(next.Add(1)) - 1; i < jobPartCount; i = int(next.Add(1)) - 1 {
-				parts[i], versions[i], errs[i] = o.node.table.ListAll(ctx, jobTable, jobPartName(i))
+			for i := int(next.Add(1)) - 1; i < jobPartitionCount; i = int(next.Add(1)) - 1 {
+				partitions[i], versions[i], errs[i] = o.node.table.ListAll(ctx, jobTable, jobPartitionName(i))
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 			return nil, 0, err
 		}
 	}
-	return slices.Concat(parts[:]...), slices.Min(versions[:]), nil
+	return slices.Concat(partitions[:]...), slices.Min(versions[:]), nil
 }
 
 // restore creates a scheduler from the state that former owners left.
@@ -131,7 +131,7 @@
 		FormerOrders: formerOrders,
 		Fence:        job.Fence(o.tenure.fence),
 		AttemptBase:  job.Attempt(o.tenure.number * attemptsPerTenure),
-		TookOver:     o.tookOver,
+		TookOver:     o.takenOverAt,
 		LeaseMax:     b.LeaseMax,
 		TaskStopMax:  b.TaskStopMax,
 		ShrinkNotice: b.ContactDelayMax,
--- a/io/node/load_test.go
+++ b/io/node/load_test.go
@@ -15,7 +15,7 @@
 
 // Guards against a new owner on a slow link whose reads starve one another, so that all
 // reads and the renewals of its ownership time out.
-func TestNewOwnerReadsFewPartsAtATime(t *testing.T) {
+func TestNewOwnerLimitsConcurrentPartitionReads(t *testing.T) {
 	var mu sync.Mutex
 	read, running, maxRunning := map[string]int{}, 0, 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -34,9 +34,9 @@
 	o := &owner{node: &Node{table: platform.NewTable(strings.TrimPrefix(s.URL, "http://"))}}
 	rows, from, err := o.loadJobs(t.Context())
 	assert.NilError(t, err)
-	assert.Equal(t, len(rows), jobPartCount)
+	assert.Equal(t, len(rows), jobPartitionCount)
 	assert.Equal(t, from, platform.Version(5))
-	assert.Equal(t, len(read), jobPartCount)
+	assert.Equal(t, len(read), jobPartitionCount)
 	const maxAllowed = 16
 	assert.Assert(t, maxRunning <= maxAllowed, "%d reads at a time", maxRunning)
 }
--- a/io/node/membership.go
+++ b/io/node/membership.go
@@ -14,8 +14,8 @@
 // memberTable lists the entry VMs that can relay orders for the owner. It has its own part
 // because all processes write to it at the same time when the system starts.
 const (
-	memberTable = "lavenderpond_member"
-	memberPart  = "members"
+	memberTable     = "lavenderpond_member"
+	memberPartition = "members"
 )
 
 const (
@@ -38,7 +38,7 @@
 }
 
 func memberKey(node string) platform.RowKey {
-	return platform.RowKey{Table: memberTable, Part: memberPart, Key: node}
+	return platform.RowKey{Table: memberTable, Partition: memberPartition, Key: node}
 }
 
 // membership keeps this process's member row in the table while it can relay orders.
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -192,7 +192,7 @@
 // Guards against sending submissions to a table that has stopped answering. Their outcome
 // would be unknown, whereas a caller that is denied before goes to another entry VM. Only
 // occasional probes check whether the table is available again.
-func TestNothingIsSentToASilentTable(t *testing.T) {
+func TestNoSubmissionIsSentToSilentTable(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	handler := newCallerHandler(healthWithLastAnswer(time.Second))
 	handler.jobs = newJobStore(table)
@@ -210,12 +210,12 @@
 
 // Checks that a job is stored while the part with the owner's rows is unreachable and the
 // part with the job isn't.
-func TestJobIsStoredWhileTheOwnersPartIsDown(t *testing.T) {
+func TestJobIsStoredWhileOwnerPartitionIsUnreachable(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	handler := newCallerHandler(healthWithLastAnswer(0))
 	handler.jobs = newJobStore(table)
 	handler.jobs.health = handler.health
-	handler.health.recordFailure(mainPart)
+	handler.health.recordFailure(mainPartition)
 	w := sendCall(handler, http.MethodPost, "/open/0123456789abcdef")
 	assert.Equal(t, w.Code, http.StatusOK)
 	w = sendCall(handler, http.MethodGet, "/open/")
@@ -227,7 +227,7 @@
 // what they sent keep their connections.
 func TestCallerDeniedWithoutTableReconnects(t *testing.T) {
 	health := healthWithLastAnswer(time.Second)
-	assert.Equal(t, health.decide(jobPart("0123456789abcdef")), contact.Probe)
+	assert.Equal(t, health.decide(jobPartition("0123456789abcdef")), contact.Probe)
 	handler := newCallerHandler(health)
 	w := sendCall(handler, http.MethodPost, "/open/0123456789abcdef")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
@@ -280,7 +280,7 @@
 }
 
 // Checks that the renewal row shows whether the owner has counted the backlog.
-func TestUncountedRenewal(t *testing.T) {
+func TestRenewalShowsWhetherBacklogIsCounted(t *testing.T) {
 	c := newCommitter(nil)
 	tx, err := c.transaction(nil)
 	assert.NilError(t, err)
@@ -294,7 +294,7 @@
 // Guards against reporting an unknown outcome, after which a caller can't retry, for a
 // call that arrives shortly before the caller's timeout. Nothing was sent, so the caller
 // is told that nothing was stored.
-func TestCallWithoutTimeIsDenied(t *testing.T) {
+func TestCallWithExpiredDeadlineIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
 	err := s.submit(t.Context(), bootNow().Add(-time.Millisecond), testJob(), contact.Call)
@@ -306,7 +306,7 @@
 // answer. A submission that is abandoned after 300 ms and sent again repeatedly fills its
 // part of the table and slows it down further. Once the table is known to be slow, one
 // call waits long enough.
-func TestSlowTableIsWaitedFor(t *testing.T) {
+func TestCallWaitsForSlowTable(t *testing.T) {
 	e := &latencyEstimator{}
 	assert.Equal(t, e.timeout(minCallTimeout), minCallTimeout)
 	e.observe(minCallTimeout, false)
@@ -322,7 +322,7 @@
 // submits a job there, and the entry VM hasn't noticed yet. It looks the job up before it
 // writes, gets no answer and denies the call. Nothing of the job is in flight, and the
 // caller may go elsewhere.
-func TestSubmissionIntoAPartitionIsDenied(t *testing.T) {
+func TestSubmissionIntoNetworkPartitionIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	s := newJobStore(table)
 	s.health = healthWithLastAnswer(300 * time.Millisecond)
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -43,8 +43,8 @@
 	waves  map[int64]job.Wave
 	// evacuated holds the availability zones in which no task may start.
 	evacuated map[job.ZoneName]struct{}
-	// changes counts the changes.
-	changes uint64
+	// numChanges counts the changes.
+	numChanges uint64
 	// asOf is the time up to which all changes are known: the view includes every write
 	// that the table acknowledged before it.
 	asOf time.Time
@@ -86,7 +86,7 @@
 func (v *operatorView) changeCount() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.changes
+	return v.numChanges
 }
 
 // age returns the time since asOf.
@@ -156,7 +156,7 @@
 	if !v.applyChange(c) {
 		return false
 	}
-	v.changes++
+	v.numChanges++
 	return true
 }
 
@@ -207,9 +207,9 @@
 type feed struct {
 	table     *platform.Table
 	tableName string
-	part      string
-	// allParts follows the rows of all parts. It requires from and readSnapshot to be set.
-	allParts bool
+	partition string
+	// allPartitions follows the rows of all parts. It requires from and readSnapshot to be set.
+	allPartitions bool
 	// readSnapshot reads all rows. If it is nil, the rows of part are read.
 	readSnapshot func(ctx context.Context) ([]platform.Row, platform.Version, error)
 	log          zerolog.Logger
@@ -251,7 +251,7 @@
 			f.log.Info().Str("event", "feed_regained").Str("table", f.tableName).Send()
 		}
 		if len(s.Rows) > 0 {
-			onRows(f.filterPart(s.Rows), false)
+			onRows(f.filterPartition(s.Rows), false)
 		}
 		onContact(asOf(sent, bootNow(), len(s.Rows)))
 		after = max(after, s.Version)
@@ -270,10 +270,10 @@
 	return waitEnd
 }
 
-func (f *feed) filterPart(rows []platform.Row) []platform.Row {
+func (f *feed) filterPartition(rows []platform.Row) []platform.Row {
 	out := rows[:0]
 	for _, r := range rows {
-		if f.allParts || r.Part == f.part {
+		if f.allPartitions || r.Partition == f.partition {
 			out = append(out, r)
 		}
 	}
@@ -286,7 +286,7 @@
 	if f.readSnapshot != nil {
 		return f.readSnapshot(ctx)
 	}
-	return f.table.ListAll(ctx, f.tableName, f.part)
+	return f.table.ListAll(ctx, f.tableName, f.partition)
 }
 
 func (f *feed) next(ctx context.Context, after platform.Version) (platform.Snapshot, error) {
--- a/io/node/operator_test.go
+++ b/io/node/operator_test.go
@@ -38,7 +38,7 @@
 
 // Guards against a zone that stays evacuated permanently because the table lost its
 // history, including the change that ended the evacuation.
-func TestMissedEndOfAnEvacuation(t *testing.T) {
+func TestMissedEvacuationEndIsDetected(t *testing.T) {
 	v := &operatorView{log: zerolog.Nop(), health: &tableHealth{}}
 	v.applyRows([]platform.Row{evacuationRow("east", false), evacuationRow("west", false)}, true)
 	v.applyRows([]platform.Row{evacuationRow("west", false)}, true)
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -30,7 +30,7 @@
 	node           *Node
 	tenure         *tenure
 	log            zerolog.Logger
-	tookOver       time.Time
+	takenOverAt    time.Time
 	scheduler      *schedule.Scheduler
 	committer      *committer
 	events         chan event
@@ -39,8 +39,8 @@
 	workers        supervisor.Workers
 	jobFeedVersion platform.Version
 	backlog        backlogCount
-	// viewChanges is the change count of the operators' view that the scheduler has seen.
-	viewChanges uint64
+	// viewChangeCount is the change count of the operators' view that the scheduler has seen.
+	viewChangeCount uint64
 	// maintainedByWave holds the machines that former owners saw return from
 	// maintenance, by the key of the wave.
 	maintainedByWave map[string][]job.MachineID
@@ -50,7 +50,7 @@
 func (n *Node) serve(ctx context.Context, t *tenure, renewal platform.Version) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	o := &owner{node: n, tenure: t, log: n.log, events: make(chan event, eventQueueSize), tookOver: bootNow()}
+	o := &owner{node: n, tenure: t, log: n.log, events: make(chan event, eventQueueSize), takenOverAt: bootNow()}
 	o.router = &orderRouter{owner: o, clients: map[job.VMID]*vmClient{}}
 	o.committer = &committer{
 		table: n.table, tenure: t, log: n.log, renewal: renewal, wake: make(chan struct{}, 1),
@@ -161,7 +161,7 @@
 
 // runRound runs the scheduler on all events handled so far and executes its commands.
 func (o *owner) runRound(ctx context.Context, now time.Time) {
-	if o.node.view.changeCount() != o.viewChanges {
+	if o.node.view.changeCount() != o.viewChangeCount {
 		o.reconfigure(now)
 	}
 	o.scheduler.RaiseFence(job.Fence(o.tenure.lastRenewal()))
@@ -219,7 +219,7 @@
 
 // reconfigure passes the operators' view to the scheduler.
 func (o *owner) reconfigure(now time.Time) {
-	o.viewChanges = o.node.view.changeCount()
+	o.viewChangeCount = o.node.view.changeCount()
 	o.scheduler.SetEvacuatedZones(o.node.view.evacuations())
 	if c := o.node.view.configuration(); c != nil {
 		o.scheduler.Configure(c)
@@ -273,13 +273,13 @@
 	// Without it, jobs that have ended since would look new.
 	var progress []platform.Row
 	f := feed{
-		table: o.node.table, tableName: jobTable, allParts: true, log: o.log, from: o.jobFeedVersion,
+		table: o.node.table, tableName: jobTable, allPartitions: true, log: o.log, from: o.jobFeedVersion,
 		readSnapshot: func(ctx context.Context) ([]platform.Row, platform.Version, error) {
 			jobs, version, err := o.loadJobs(ctx)
 			if err != nil {
 				return nil, 0, err
 			}
-			progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPart)
+			progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPartition)
 			return jobs, version, err
 		},
 	}
--- a/io/node/pacer_test.go
+++ b/io/node/pacer_test.go
@@ -11,7 +11,7 @@
 // arrive one by one, and a round after each examines the whole fleet. The owner would fall
 // behind, jobs would accumulate and rounds would take longer still, so that jobs wait tens
 // of seconds on an empty fleet.
-func TestRoundsTakeABoundedShare(t *testing.T) {
+func TestRoundsUseBoundedShareOfTime(t *testing.T) {
 	const roundTime = 2 * time.Millisecond
 	var p roundPacer
 	now, rounds := bootNow(), 0
--- a/io/node/readback.go
+++ b/io/node/readback.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// minOverdue and overdueFactor, in multiples of the typical latency, determine when a
+	// minOverdueDelay and overdueFactor, in multiples of the typical latency, determine when a
 	// transaction's answer is overdue. The table answers in about 4 ms.
-	minOverdue    = 30 * time.Millisecond
-	overdueFactor = 3
-	// conclusiveFactor is how many times a read's duration the transaction must have been
+	minOverdueDelay = 30 * time.Millisecond
+	overdueFactor   = 3
+	// conclusiveReadFactor is how many times a read's duration the transaction must have been
 	// in flight when the read was sent. Otherwise the read proves nothing about the
 	// transaction: in a slow table both may still be in flight.
-	conclusiveFactor = 2
+	conclusiveReadFactor = 2
 )
 
 // applyResult is the result of applying a transaction.
@@ -59,7 +59,7 @@
 // is then lost or late and is best sent again. It returns 0 once ctx has ended.
 func (c *committer) readBackRenewal(ctx context.Context) (platform.Version, error) {
 	started := bootNow()
-	for supervisor.Sleep(ctx, max(minOverdue, overdueFactor*c.latency.typical())) {
+	for supervisor.Sleep(ctx, max(minOverdueDelay, overdueFactor*c.latency.typical())) {
 		readSent := bootNow()
 		row, _, err := c.table.Get(ctx, renewalKey)
 		if err != nil || row == nil {
@@ -70,7 +70,7 @@
 			c.log.Info().Str("event", "answer_lost").Int64("batch", c.batch).Dur("after_ms", bootNow().Sub(started)).Send()
 			return row.Version, nil
 		}
-		if bootNow().Sub(readSent)*conclusiveFactor < readSent.Sub(started) {
+		if bootNow().Sub(readSent)*conclusiveReadFactor < readSent.Sub(started) {
 			return 0, errors.Wrap(platform.ErrNoAnswer, "transaction not applied yet")
 		}
 	}
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -179,7 +179,7 @@
 
 // Guards against using a relay after its row is removed, and against undecodable rows that
 // hide the others.
-func TestMembersAreFollowed(t *testing.T) {
+func TestRelaySetFollowsMemberRows(t *testing.T) {
 	first, second := startRelay(t), startRelay(t)
 	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
 	defer relays.pool.Close()
--- a/io/node/relayset.go
+++ b/io/node/relayset.go
@@ -66,7 +66,7 @@
 
 // follow keeps the list of members up to date until ctx ends.
 func (s *relaySet) follow(ctx context.Context, table *platform.Table) error {
-	f := feed{table: table, tableName: memberTable, part: memberPart, log: s.log}
+	f := feed{table: table, tableName: memberTable, partition: memberPartition, log: s.log}
 	return f.run(ctx, s.applyRows, func(time.Time) {})
 }
 
--- a/io/node/rows.go
+++ b/io/node/rows.go
@@ -22,8 +22,8 @@
 // second load 16 parts to 80%, so that calls queue, are abandoned and are sent again. 64
 // parts are loaded to 20%.
 const (
-	mainPart          = "main"
-	jobPartCount      = 64
+	mainPartition     = "main"
+	jobPartitionCount = 64
 	ownerTable        = "lavenderpond_owner"
 	jobTable          = "lavenderpond_job"
 	progressTable     = "lavenderpond_progress"
@@ -40,43 +40,43 @@
 )
 
 var (
-	ownerKey   = platform.RowKey{Table: ownerTable, Part: mainPart, Key: ownerKeyName}
-	renewalKey = platform.RowKey{Table: ownerTable, Part: mainPart, Key: renewalKeyName}
+	ownerKey   = platform.RowKey{Table: ownerTable, Partition: mainPartition, Key: ownerKeyName}
+	renewalKey = platform.RowKey{Table: ownerTable, Partition: mainPartition, Key: renewalKeyName}
 )
 
-// jobPart returns the part of a job's rows. It depends only on the ID.
-func jobPart(id job.ID) string {
+// jobPartition returns the part of a job's rows. It depends only on the ID.
+func jobPartition(id job.ID) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // Writing to a hash never fails.
-	return jobPartName(int(h.Sum32() % jobPartCount))
+	return jobPartitionName(int(h.Sum32() % jobPartitionCount))
 }
 
-func jobPartName(n int) string { return "j" + strconv.Itoa(n) }
+func jobPartitionName(n int) string { return "j" + strconv.Itoa(n) }
 
 func jobKey(id job.ID) platform.RowKey {
-	return platform.RowKey{Table: jobTable, Part: jobPart(id), Key: string(id) + jobSuffix}
+	return platform.RowKey{Table: jobTable, Partition: jobPartition(id), Key: string(id) + jobSuffix}
 }
 
 func cancelKey(id job.ID) platform.RowKey {
-	return platform.RowKey{Table: jobTable, Part: jobPart(id), Key: string(id) + cancelSuffix}
+	return platform.RowKey{Table: jobTable, Partition: jobPartition(id), Key: string(id) + cancelSuffix}
 }
 
 func waveKey(number int64) platform.RowKey {
-	return platform.RowKey{Table: waveTable, Part: mainPart, Key: strconv.FormatInt(number, 10)}
+	return platform.RowKey{Table: waveTable, Partition: mainPartition, Key: strconv.FormatInt(number, 10)}
 }
 
 // vmKey returns the key of the roster row of a VM on which tasks may run.
 func vmKey(id job.VMID) platform.RowKey {
-	return platform.RowKey{Table: vmTable, Part: mainPart, Key: string(id)}
+	return platform.RowKey{Table: vmTable, Partition: mainPartition, Key: string(id)}
 }
 
 // machineOrderKey returns the key of the row that records a machine's latest order.
 func machineOrderKey(id job.MachineID) platform.RowKey {
-	return platform.RowKey{Table: machineOrderTable, Part: mainPart, Key: string(id)}
+	return platform.RowKey{Table: machineOrderTable, Partition: mainPartition, Key: string(id)}
 }
 
 func progressKey(id job.ID) platform.RowKey {
-	return platform.RowKey{Table: progressTable, Part: mainPart, Key: string(id)}
+	return platform.RowKey{Table: progressTable, Partition: mainPartition, Key: string(id)}
 }
 
 // ownerRow identifies the process that owns the fleet's jobs and VMs.
--- a/io/node/tablehealth.go
+++ b/io/node/tablehealth.go
@@ -19,11 +19,11 @@
 }
 
 // recordAnswer records that a part of the table has answered.
-func (h *tableHealth) recordAnswer(part string) {
+func (h *tableHealth) recordAnswer(partition string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.breaker.RecordAnswer(bootNow(), contact.Part(part)) {
-		h.log.Info().Str("event", "table_part_regained").Str("part", part).Send()
+	if h.breaker.RecordAnswer(bootNow(), contact.Part(partition)) {
+		h.log.Info().Str("event", "table_part_regained").Str("part", partition).Send()
 	}
 }
 
@@ -35,19 +35,19 @@
 }
 
 // recordFailure records that a part didn't answer.
-func (h *tableHealth) recordFailure(part string) {
+func (h *tableHealth) recordFailure(partition string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.breaker.RecordFailure(bootNow(), contact.Part(part)) {
-		h.log.Info().Str("event", "table_part_lost").Str("part", part).Send()
+	if h.breaker.RecordFailure(bootNow(), contact.Part(partition)) {
+		h.log.Info().Str("event", "table_part_lost").Str("part", partition).Send()
 	}
 }
 
 // decide returns whether to send, probe with, or refuse a call to a part.
-func (h *tableHealth) decide(part string) contact.Decision {
+func (h *tableHealth) decide(partition string) contact.Decision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.breaker.Decide(bootNow(), contact.Part(part))
+	return h.breaker.Decide(bootNow(), contact.Part(partition))
 }
 
 // sinceLastAnswer returns the time since the table's last answer.
--- a/io/operator/change_test.go
+++ b/io/operator/change_test.go
@@ -200,13 +200,13 @@
 	return string(data)
 }
 
-// TestChangesOnce checks changes by operators who race each other on the same rows, while
+// TestChangesTakeEffectOnce checks changes by operators who race each other on the same rows, while
 // the table is down at times and loses answers of writes that took effect. Each change
 // takes effect at most once. A change that was definitely refused had no effect. No change
 // undoes a field that another operator set in the same row. Without pinned rows, a change
 // is merged with a row that has changed since. Without the record of the change id, a
 // retry finds the VM already changed by its first attempt and is refused.
-func TestChangesOnce(t *testing.T) {
+func TestChangesTakeEffectOnce(t *testing.T) {
 	for seed := range uint64(seedCount) {
 		if violation := runHistory(seed, &Server{}); violation != "" {
 			t.Fatalf("seed %d: %s", seed, violation)
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -45,9 +45,9 @@
 	Version() core.Version
 	DeltaSince(since core.Version) config.Delta
 	Summary() key.Summary
-	// FromPeer applies data received from an entry of zone. If the data came in a reply,
+	// ApplyFromPeer applies data received from an entry of zone. If the data came in a reply,
 	// sent is when this entry sent the request; otherwise sent is zero.
-	FromPeer(d config.Delta, s key.Summary, zone core.ZoneID, sent time.Time) error
+	ApplyFromPeer(d config.Delta, s key.Summary, zone core.ZoneID, sent time.Time) error
 	Withdraw(withdrawals ...key.Withdrawal)
 }
 
@@ -96,7 +96,7 @@
 	// withdrawals that this entry had then.
 	idleRounds           int
 	crossZoneVersion     core.Version
-	crossZoneWithdrawals setDigest
+	crossZoneWithdrawals withdrawalsDigest
 
 	// For tests only. noCrossZone disables the exchange with other zones. sequential
 	// makes the exchanges with other zones run one after the other. skipWithdrawalCheck
@@ -231,11 +231,11 @@
 // merge applies the state received from an entry of zone. held is the digest of the
 // withdrawals that this entry had before the exchange: a sender whose own digest is the
 // same omits the list. sent is as for Replica.FromPeer.
-func (s *Spread) merge(t Told, held setDigest, zone core.ZoneID, sent time.Time) error {
+func (s *Spread) merge(t Told, held withdrawalsDigest, zone core.ZoneID, sent time.Time) error {
 	if s.skipWithdrawalCheck {
 		held = t.Unrecorded
 	}
-	return s.Replica.FromPeer(t.delta(), t.summary(held), zone, sent)
+	return s.Replica.ApplyFromPeer(t.delta(), t.summary(held), zone, sent)
 }
 
 // Withdraw applies a withdrawal at m immediately, on behalf of an operator.
--- a/io/peer/spread_told_test.go
+++ b/io/peer/spread_told_test.go
@@ -14,56 +14,56 @@
 )
 
 const (
-	ringCount = 6
-	stepCount = 400
+	keyRingCount = 6
+	stepCount    = 400
 )
 
-// ringComparison runs the same events on two sets of key rings: the full rings exchange
+// keyRingComparison runs the same events on two sets of key rings: the full rings exchange
 // complete summaries, the compact rings exchange Told messages, which omit redundant
 // contacts.
-type ringComparison struct {
-	r             *rand.Rand
-	now           time.Time
-	full, compact []*key.Ring
-	transform     func(Told) Told
+type keyRingComparison struct {
+	r                       *rand.Rand
+	now                     time.Time
+	fullRings, compactRings []*key.Ring
+	transform               func(Told) Told
 }
 
-func newRingComparison(seed uint64, transform func(Told) Told) *ringComparison {
-	c := &ringComparison{r: rand.New(rand.NewPCG(seed, 8)), now: spreadStart, transform: transform}
-	for i := range ringCount {
+func newKeyRingComparison(seed uint64, transform func(Told) Told) *keyRingComparison {
+	c := &keyRingComparison{r: rand.New(rand.NewPCG(seed, 8)), now: spreadStart, transform: transform}
+	for i := range keyRingCount {
 		ring := func() *key.Ring {
 			return &key.Ring{Zone: spreadZones[i%len(spreadZones)], Zones: spreadZones, Started: spreadStart}
 		}
-		c.full, c.compact = append(c.full, ring()), append(c.compact, ring())
+		c.fullRings, c.compactRings = append(c.fullRings, ring()), append(c.compactRings, ring())
 	}
 	return c
 }
 
-func (c *ringComparison) step() {
+func (c *keyRingComparison) step() {
 	c.now = c.now.Add(time.Duration(c.r.IntN(500)) * time.Millisecond)
-	i, sender := c.r.IntN(ringCount), c.r.IntN(ringCount)
+	i, sender := c.r.IntN(keyRingCount), c.r.IntN(keyRingCount)
 	switch c.r.IntN(8) {
 	case 0:
-		c.full[i].RecordTableRead(c.now)
-		c.compact[i].RecordTableRead(c.now)
+		c.fullRings[i].RecordTableRead(c.now)
+		c.compactRings[i].RecordTableRead(c.now)
 	case 1, 2:
-		zone := c.full[sender].Zone
-		c.full[i].RecordZoneContact(zone, c.now)
-		c.compact[i].RecordZoneContact(zone, c.now)
+		zone := c.fullRings[sender].Zone
+		c.fullRings[i].RecordZoneContact(zone, c.now)
+		c.compactRings[i].RecordZoneContact(zone, c.now)
 	default:
-		told := c.transform(newTold(config.Delta{}, c.compact[sender].Summary()))
-		c.full[i].Merge(c.full[sender].Summary(), true, time.Second/4)
-		c.compact[i].Merge(told.summary(0), true, time.Second/4)
+		told := c.transform(newTold(config.Delta{}, c.compactRings[sender].Summary()))
+		c.fullRings[i].Merge(c.fullRings[sender].Summary(), true, time.Second/4)
+		c.compactRings[i].Merge(told.summary(0), true, time.Second/4)
 	}
 }
 
 // firstDifference returns the first step after which the evidence of a full ring and of
 // its compact counterpart differ, or -1.
-func (c *ringComparison) firstDifference() int {
+func (c *keyRingComparison) firstDifference() int {
 	for step := range stepCount {
 		c.step()
-		for i := range c.full {
-			same := c.full[i].CompleteAsOf().Equal(c.compact[i].CompleteAsOf()) && c.full[i].Summary().Joined == c.compact[i].Summary().Joined
+		for i := range c.fullRings {
+			same := c.fullRings[i].CompleteAsOf().Equal(c.compactRings[i].CompleteAsOf()) && c.fullRings[i].Summary().Joined == c.compactRings[i].Summary().Joined
 			if !same {
 				return step
 			}
@@ -82,13 +82,13 @@
 	const seeds = 200
 	detected := 0
 	for seed := range uint64(seeds) {
-		step := newRingComparison(seed, func(t Told) Told { return t }).firstDifference()
+		step := newKeyRingComparison(seed, func(t Told) Told { return t }).firstDifference()
 		assert.Equal(t, step, -1, "seed %d: evidence differs after the step", seed)
 		withoutContact := func(t Told) Told {
 			delete(t.Contacts, spreadZones[0])
 			return t
 		}
-		if newRingComparison(seed, withoutContact).firstDifference() >= 0 {
+		if newKeyRingComparison(seed, withoutContact).firstDifference() >= 0 {
 			detected++
 		}
 	}
@@ -116,7 +116,7 @@
 		for range 30 {
 			f.now = f.now.Add(time.Second)
 			// The sender reads the table, in which the withdrawal isn't recorded yet.
-			assert.NilError(t, sender.config.FromTable(config.Delta{Version: sender.config.Version()}, f.now))
+			assert.NilError(t, sender.config.ApplyFromTable(config.Delta{Version: sender.config.Version()}, f.now))
 			sender.spread.Round(context.Background())
 		}
 		code, ok := receiver.config.CheckKey(f.now, spreadTeam, leakedKey)
--- a/io/platform/allot_limits_test.go
+++ b/io/platform/allot_limits_test.go
@@ -91,7 +91,7 @@
 	if row := w.table.rows.Read(table.TeamKey(team)); row.Version > 0 {
 		rows = append(rows, row)
 	}
-	_ = w.entry.allotments.Config.FromPeer(config.Delta{Base: h.Version, Version: h.Version, Rows: rows}, key.Summary{}, "zb", time.Time{})
+	_ = w.entry.allotments.Config.ApplyFromPeer(config.Delta{Base: h.Version, Version: h.Version, Rows: rows}, key.Summary{}, "zb", time.Time{})
 }
 
 // BenchmarkRound measures one second of rounds at an entry that holds an allotment of each
--- a/io/platform/client.go
+++ b/io/platform/client.go
@@ -26,8 +26,8 @@
 	StatusConflict = http.StatusConflict
 )
 
-// maxReply is the maximum size of a reply that is read from the platform, in bytes.
-const maxReply = 64 << 20
+// maxReplyBytes is the maximum size of a reply that is read from the platform, in bytes.
+const maxReplyBytes = 64 << 20
 
 // RowsReply is the reply to a read, scan or changes request.
 type RowsReply struct {
@@ -165,7 +165,7 @@
 		return nil, 0, errors.Wrap(err, "platform request")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	return data, resp.StatusCode, errors.Wrap(err, "platform reply")
 }
 
--- a/io/platform/config_watcher.go
+++ b/io/platform/config_watcher.go
@@ -66,7 +66,7 @@
 			return err
 		}
 	}
-	if err := w.Config.FromTable(d, sentAt); err != nil {
+	if err := w.Config.ApplyFromTable(d, sentAt); err != nil {
 		return err
 	}
 	return w.recordWithdrawals(ctx)
--- a/io/platform/configuration.go
+++ b/io/platform/configuration.go
@@ -26,10 +26,10 @@
 	// OnChange is called without the lock after the view changed.
 	OnChange func()
 
-	mu             sync.RWMutex
-	view           config.View
-	ring           key.Ring
-	ringConfigured bool
+	mu                sync.RWMutex
+	view              config.View
+	keyRing           key.Ring
+	keyRingConfigured bool
 }
 
 // View calls f with the view. f must not retain it.
@@ -58,26 +58,26 @@
 func (c *Configuration) CheckKey(now time.Time, team core.TeamID, digest core.KeyDigest) (core.Code, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.ring.Check(now, team, digest)
+	return c.keyRing.Check(now, team, digest)
 }
 
 // KeyTeam returns the team that a key belongs to, if its digest is known.
 func (c *Configuration) KeyTeam(digest core.KeyDigest) (core.TeamID, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.ring.Team(digest)
+	return c.keyRing.Team(digest)
 }
 
 // KeysFreshUntil returns until when the key ring is fresh.
 func (c *Configuration) KeysFreshUntil() time.Time {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.ring.FreshUntil()
+	return c.keyRing.FreshUntil()
 }
 
 // Withdraw puts withdrawals into force at this entry.
 func (c *Configuration) Withdraw(withdrawals ...key.Withdrawal) {
-	withdrawnKeys := c.update(func() []core.KeyDigest { return c.ring.Withdraw(withdrawals...) })
+	withdrawnKeys := c.update(func() []core.KeyDigest { return c.keyRing.Withdraw(withdrawals...) })
 	c.notify(withdrawnKeys, false)
 }
 
@@ -85,28 +85,28 @@
 func (c *Configuration) Unrecorded() []key.Withdrawal {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.ring.Unrecorded()
+	return c.keyRing.Unrecorded()
 }
 
 // Summary returns the summary of the key ring that is sent to peers.
 func (c *Configuration) Summary() key.Summary {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.ring.Summary()
+	return c.keyRing.Summary()
 }
 
-// FromTable applies rows that were read from the table by a request sent at sentAt. If
+// ApplyFromTable applies rows that were read from the table by a request sent at sentAt. If
 // this completes the view up to the delta's version, the key ring is complete as of
 // sentAt.
-func (c *Configuration) FromTable(delta config.Delta, sentAt time.Time) error {
+func (c *Configuration) ApplyFromTable(delta config.Delta, sentAt time.Time) error {
 	var applyErr error
 	changed := false
 	withdrawnKeys := c.update(func() []core.KeyDigest {
 		changedRows, err := c.view.Apply(delta, config.FromTable)
 		applyErr, changed = err, len(changedRows) > 0
-		withdrawnKeys := c.ring.Apply(changedRows)
+		withdrawnKeys := c.keyRing.Apply(changedRows)
 		if err == nil && c.view.Version() >= delta.Version {
-			c.ring.RecordTableRead(sentAt)
+			c.keyRing.RecordTableRead(sentAt)
 		}
 		return withdrawnKeys
 	})
@@ -114,20 +114,20 @@
 	return applyErr
 }
 
-// FromPeer applies what an entry of zone sent with a message or in reply to one. sentAt
+// ApplyFromPeer applies what an entry of zone sent with a message or in reply to one. sentAt
 // is when the message left its sender. If it is zero, the exchange doesn't count as a
 // contact with the zone.
-func (c *Configuration) FromPeer(delta config.Delta, summary key.Summary, zone core.ZoneID, sentAt time.Time) error {
+func (c *Configuration) ApplyFromPeer(delta config.Delta, summary key.Summary, zone core.ZoneID, sentAt time.Time) error {
 	var applyErr error
 	changed := false
 	withdrawnKeys := c.update(func() []core.KeyDigest {
 		changedRows, err := c.view.Apply(delta, config.FromPeer)
 		applyErr, changed = err, len(changedRows) > 0
-		withdrawnKeys := c.ring.Apply(changedRows)
+		withdrawnKeys := c.keyRing.Apply(changedRows)
 		caughtUp := err == nil && c.view.Version() >= delta.Version
-		withdrawnKeys = append(withdrawnKeys, c.ring.Merge(summary, caughtUp, c.Skew)...)
+		withdrawnKeys = append(withdrawnKeys, c.keyRing.Merge(summary, caughtUp, c.Skew)...)
 		if caughtUp && summary.Joined && !sentAt.IsZero() {
-			c.ring.RecordZoneContact(zone, sentAt)
+			c.keyRing.RecordZoneContact(zone, sentAt)
 		}
 		return withdrawnKeys
 	})
@@ -140,8 +140,8 @@
 func (c *Configuration) update(f func() []core.KeyDigest) []core.KeyDigest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ringConfigured {
-		c.ring.Zone, c.ring.Zones, c.ring.MaxStaleness, c.ring.Started, c.ringConfigured = c.Zone, c.Zones, c.MaxKeyStaleness, c.Started, true
+	if !c.keyRingConfigured {
+		c.keyRing.Zone, c.keyRing.Zones, c.keyRing.MaxStaleness, c.keyRing.Started, c.keyRingConfigured = c.Zone, c.Zones, c.MaxKeyStaleness, c.Started, true
 	}
 	return f()
 }
--- a/io/platform/standin/checks.go
+++ b/io/platform/standin/checks.go
@@ -31,7 +31,7 @@
 // checkVMs forwards orders to many VMs and queries the status of each.
 func (s *Server) checkVMs(w http.ResponseWriter, r *http.Request) {
 	var bulk platform.BulkCheckRequest
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&bulk); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&bulk); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/io/platform/standin/live.go
+++ b/io/platform/standin/live.go
@@ -34,7 +34,7 @@
 
 func (s *Server) postLive(w http.ResponseWriter, r *http.Request) {
 	var reports []LiveReport
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&reports); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&reports); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -101,7 +101,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	req, err := http.NewRequestWithContext(r.Context(), method, vm.control+path, io.LimitReader(r.Body, maxBody))
+	req, err := http.NewRequestWithContext(r.Context(), method, vm.control+path, io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/io/platform/standin/server.go
+++ b/io/platform/standin/server.go
@@ -17,8 +17,8 @@
 	"lavenderpond/io/platform"
 )
 
-// maxBody is the maximum size of a request body, in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes is the maximum size of a request body, in bytes.
+const maxBodyBytes = 16 << 20
 
 // Server is the stand-in. The zero value is ready to use, with the wall clock. A Server
 // is safe for concurrent use.
@@ -87,7 +87,7 @@
 
 func (s *Server) transact(w http.ResponseWriter, r *http.Request) {
 	var t table.Transaction
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&t); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&t); err != nil {
 		http.Error(w, "malformed transaction: "+err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -104,7 +104,7 @@
 }
 
 func (s *Server) putObject(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/io/soak/checker.go
+++ b/io/soak/checker.go
@@ -237,8 +237,8 @@
 	}
 }
 
-// Noted implements standin.Observer.
-func (c *Checker) Noted(t job.TaskID, how string) {
+// EndAcknowledged implements standin.Observer.
+func (c *Checker) EndAcknowledged(t job.TaskID, how string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if how == "done" {
--- a/io/soak/faults.go
+++ b/io/soak/faults.go
@@ -69,19 +69,19 @@
 		zone := f.zone(rng.IntN(3))
 		for _, m := range f.machines {
 			if m.zone == zone {
-				m.link.Set(link.Silent, 0)
+				m.link.SetState(link.Silent, 0)
 			}
 		}
 		return string(zone), func() {
 			for _, m := range f.machines {
-				m.link.Set(link.Open, 0)
+				m.link.SetState(link.Open, 0)
 			}
 		}
 	}},
 	{name: "delay", inject: func(f *fleet, rng *rand.Rand) (string, func()) {
 		e := f.entries[rng.IntN(len(f.entries))]
-		e.tableLink.Set(link.Open, time.Duration(rng.Int64N(int64(400*time.Millisecond))))
-		return e.name, func() { e.tableLink.Set(link.Open, 0) }
+		e.tableLink.SetState(link.Open, time.Duration(rng.Int64N(int64(400*time.Millisecond))))
+		return e.name, func() { e.tableLink.SetState(link.Open, 0) }
 	}},
 	{name: "table", inject: func(f *fleet, rng *rand.Rand) (string, func()) {
 		kind := standin.TableFault(1 + rng.IntN(int(standin.TableSlow)))
@@ -138,8 +138,8 @@
 // breakLink puts a link into a random faulty state.
 func breakLink(l *link.Link, name string, rng *rand.Rand) (string, func()) {
 	s := linkFaults[rng.IntN(len(linkFaults))]
-	l.Set(s, 0)
-	return name + " " + string(s), func() { l.Set(link.Open, 0) }
+	l.SetState(s, 0)
+	return name + " " + string(s), func() { l.SetState(link.Open, 0) }
 }
 
 // forEachVM calls do for the latest VM of each machine.
--- a/io/soak/fleet.go
+++ b/io/soak/fleet.go
@@ -294,7 +294,7 @@
 		if m.down {
 			f.table.Put(row, nil)
 		} else {
-			f.table.Put(row, m.vm.Entry(standin.Pool, m.address, string(m.zone), m.name, time.Now().UnixMilli()))
+			f.table.Put(row, m.vm.RowValue(standin.Pool, m.address, string(m.zone), m.name, time.Now().UnixMilli()))
 		}
 		m.mu.Unlock()
 	}
--- a/io/target/standin/reply.go
+++ b/io/target/standin/reply.go
@@ -41,7 +41,7 @@
 	if f.LoseAnswers > 0 {
 		panic(http.ErrAbortHandler) // the connection ends without an answer
 	}
-	if f.CrossAnswers > 0 {
+	if f.MisdirectAnswers > 0 {
 		// The answer is complete, but belongs to another task.
 		name = "other/task"
 		answer = makeAnswer(name, nil, work)
@@ -55,7 +55,7 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if f.CutAnswers > 0 {
+	if f.TruncateAnswers > 0 {
 		answer = answer[:len(answer)/2]
 	}
 	_, _ = w.Write(answer)
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -45,9 +45,9 @@
 	// LoseAnswers, CutAnswers and CrossAnswers are the numbers of answers to lose, to
 	// truncate, and to replace with the answer of another task. Each task that ran counts
 	// all three down.
-	LoseAnswers  int `json:"lose_answers,omitempty"`
-	CutAnswers   int `json:"cut_answers,omitempty"`
-	CrossAnswers int `json:"cross_answers,omitempty"`
+	LoseAnswers      int `json:"lose_answers,omitempty"`
+	TruncateAnswers  int `json:"cut_answers,omitempty"`
+	MisdirectAnswers int `json:"cross_answers,omitempty"`
 	// Leaving refuses new tasks and lets running tasks finish.
 	Leaving bool `json:"leaving,omitempty"`
 	// SlowBy is the factor by which tasks run longer, if above 1.
@@ -201,8 +201,8 @@
 	v.Log.ended(v.ID, name, v.now())
 	f := v.faults
 	decrement(&v.faults.LoseAnswers)
-	decrement(&v.faults.CutAnswers)
-	decrement(&v.faults.CrossAnswers)
+	decrement(&v.faults.TruncateAnswers)
+	decrement(&v.faults.MisdirectAnswers)
 	return f
 }
 
