--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -115,7 +115,7 @@
 }
 
 // routePools returns the pools' settings for the router: whether they lend idle targets,
-// and how many targets may be ejected, which is what is left of the disruption budget.
+// and how many targets may be ejected, which is the remaining disruption budget.
 func (d *Daemon) routePools() []route.Pool {
 	var pools []route.Pool
 	d.config.View(func(v *config.View) {
--- a/io/entry/daemon.go
+++ b/io/entry/daemon.go
@@ -78,7 +78,7 @@
 	abort   context.CancelFunc
 }
 
-// New binds the daemon's addresses and creates its parts. Run starts them.
+// New binds the daemon's addresses and creates its components, which Run starts.
 func New(settings ini.Settings, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{settings: settings, log: log, now: time.Now, peers: &netrpc.Pool{}, metrics: metrics.NewRegistry()}
 	d.started = d.now()
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// build creates the parts of the daemon and connects them.
+// build creates the components of the daemon and connects them.
 func (d *Daemon) build() {
 	seed := rand.New(rand.NewPCG(uint64(d.started.UnixNano()), 1))
 	router := &least.Router{Rand: rand.New(rand.NewPCG(seed.Uint64(), 2))}
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -204,8 +204,8 @@
 // TestLeavingTargetReceivesNoNewTasks has a target that starts to leave while it runs
 // tasks. It refuses the next task, which runs on another target. From then on it is sent
 // no tasks, although its row and the live list don't show yet that it is leaving. Its
-// running tasks finish. If the fleet watcher isn't told of refusals, the target remains in
-// use.
+// running tasks finish. If refusals aren't reported to the fleet watcher, the target
+// remains in use.
 func TestLeavingTargetReceivesNoNewTasks(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 2, disabledSafeguards{leavingRefusals: off})
@@ -222,7 +222,7 @@
 		before := f.startsAt(f.vms[0].ID)
 		g.Wait()
 		for n := range 20 {
-			// These are more than the other target has slots.
+			// The new requests outnumber the slots of the other target.
 			g.Go(func() {
 				a := f.submit(0, core.RequestID(fmt.Sprintf("new-%d", n)), 1, `{"run_ms":100}`)
 				assert.Check(t, a.Outcome == pb.Outcome_OUTCOME_DONE, "%s", a)
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -299,9 +299,9 @@
 	return f.failedForwardAnswer(args, sent, core.CodeZoneUnreachable)
 }
 
-// failedForwardAnswer returns the answer to a call that no holder answered. The request
-// is known not to have run only if this is the first attempt and no message was sent;
-// sent reports whether one may have been. Otherwise the outcome is unknown.
+// failedForwardAnswer returns the answer to a call that no holder answered. The request is
+// known not to have run only if this is the first attempt and no message was sent; sent
+// reports whether a message may have been sent. Otherwise the outcome is unknown.
 func (f *Front) failedForwardAnswer(args peer.ForwardArgs, sent bool, code core.Code) core.Answer {
 	retryAt := f.Now().Add(holderSearchTimeout)
 	if sent || args.Kind != peer.ForwardSubmit {
--- a/io/ini/line_index.go
+++ b/io/ini/line_index.go
@@ -83,14 +83,14 @@
 	}
 }
 
-// addProblem records that line n has the text read, and what is allowed instead. For a
+// addProblem records that line n has the text found, and what is allowed instead. For a
 // missing key, n is 0.
 func (x *lineIndex) addProblem(n int, key, found, allowed string) {
 	x.problems = append(x.problems, Problem{x.file, n, truncate(key), truncate(redact(key, found)), allowed})
 }
 
-// redact returns read as it may appear in errors, and thus in logs. It hides
-// credentials: an operator may have written the operator key itself in place of its
+// redact returns found in the form in which it may appear in errors, and thus in logs. It
+// hides credentials: an operator may have written the operator key itself in place of its
 // digest, or a password in a URL.
 func redact(key, found string) string {
 	if strings.Contains(key+found, operatorKeyDigestKey) || strings.Contains(found, "@") {
--- a/io/link/link.go
+++ b/io/link/link.go
@@ -133,7 +133,7 @@
 	return false
 }
 
-// track registers c, so that Set closes it when necessary. If the link refuses
+// track registers c, so that SetState closes it when necessary. If the link refuses
 // connections, it closes c immediately and returns false.
 func (l *Link) track(c interface{ Close() error }) bool {
 	l.mu.Lock()
--- a/io/netrpc/silence_test.go
+++ b/io/netrpc/silence_test.go
@@ -60,9 +60,8 @@
 	assert.NilError(t, l.Close())
 }
 
-// TestSlowCallIsNotSilence checks that a call gets its reply although it takes longer
-// than many probe intervals, as a survey step does, because the peer answers each ping
-// meanwhile.
+// TestSlowCallIsNotSilence checks that a call gets its reply although it takes longer than
+// many probe intervals, because the peer answers each ping meanwhile.
 func TestSlowCallIsNotSilence(t *testing.T) {
 	e, p, address := newEchoServer(t)
 	c, err := p.client(t.Context(), address)
--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -93,7 +93,7 @@
 	decision contact.Decision
 }
 
-// tablePartitionFor returns the part of the table that a call accesses first.
+// tablePartitionFor returns the partition of the table that a call accesses first.
 func tablePartitionFor(m platform.CallMethod, id job.ID) string {
 	if m == platform.CallSubmit {
 		return jobPartition(id)
@@ -212,7 +212,7 @@
 	}
 	if d == platform.DeniedUnavailable {
 		// The load balancer doesn't move open connections. A caller that keeps its
-		// connection would come back to this process for as long as the zone is cut off. A
+		// connection would return to this process for as long as the zone is cut off. A
 		// new connection goes to another entry VM.
 		w.Header().Set("Connection", "close")
 	}
--- a/io/node/commit.go
+++ b/io/node/commit.go
@@ -243,10 +243,10 @@
 }
 
 // attemptTimeout returns how long to wait for the answer to an attempt. It doubles with
-// each attempt, because a transaction that is abandoned and sent again occupies its part
-// of the table as long as the first one did. When transactions slowed down from 3 ms to
-// 258 ms, growing the wait by an eighth per attempt kept the owner from renewing its
-// ownership for 1.3 s.
+// each attempt, because a transaction that is abandoned and sent again occupies its
+// partition of the table as long as the first one did. When transactions slowed down from
+// 3 ms to 258 ms, growing the wait by an eighth per attempt kept the owner from renewing
+// its ownership for 1.3 s.
 func (c *committer) attemptTimeout(attempt int) time.Duration {
 	return min(c.latency.timeout(minCommitTimeout)<<min(attempt, maxTimeoutDoublings), maxCommitTimeout)
 }
@@ -270,8 +270,8 @@
 }
 
 // recordStored records that the transaction was applied. firstSent is when the first call
-// was sent that may have applied it, and sent is when the call was sent whose answer
-// confirms it.
+// that may have applied the transaction was sent, and sent is when the call whose answer
+// confirms it was sent.
 func (c *committer) recordStored(firstSent, sent time.Time, version platform.Version) {
 	c.renewal = version
 	c.tenure.recordRenewal(version)
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -91,7 +91,7 @@
 	const slow = 258 * time.Millisecond
 	c := newCommitter(nil)
 	c.latency.observe(4*time.Millisecond, true)
-	// The part of the table applies the attempts one after the other.
+	// The partition applies the attempts one after the other.
 	waited, busyUntil := time.Duration(0), time.Duration(0)
 	for attempt := 0; ; attempt++ {
 		busyUntil = max(busyUntil, waited) + slow
--- a/io/node/dump_test.go
+++ b/io/node/dump_test.go
@@ -12,8 +12,8 @@
 	"lavenderpond/platform"
 )
 
-// Checks that the dump shows the process's state and, for the owner, its rights, backlog
-// and relays.
+// Checks that the dump shows the process's state and, for the owner, its permissions,
+// backlog and relays.
 func TestDumpShowsProcessAndOwnerState(t *testing.T) {
 	n, err := New(platform.Settings{Node: "entry-1", Zone: "east", TableAddress: "127.0.0.1:1", MachinesAddress: "127.0.0.1:1"}, zerolog.Nop())
 	assert.NilError(t, err)
--- a/io/node/election.go
+++ b/io/node/election.go
@@ -52,7 +52,7 @@
 	serve func(ctx context.Context, t *tenure, renewal platform.Version) error
 }
 
-// run watches the owner and takes over when that is due, until ctx ends.
+// run polls the owner's rows and takes over when a takeover is due, until ctx ends.
 func (e *election) run(ctx context.Context) error {
 	watcher := lease.Watcher{LowCapacity: e.lowCapacity}
 	for ctx.Err() == nil {
--- a/io/node/jobstore.go
+++ b/io/node/jobstore.go
@@ -30,8 +30,8 @@
 	// callRetryDelay is the pause before a call is retried.
 	callRetryDelay = 40 * time.Millisecond
 	// refusalTimeout is how long calls to a refusing or unreachable table are retried
-	// before the caller is told to come back later. The table may turn away only this
-	// entry VM, so another one can serve the caller.
+	// before the caller is told to retry later. The table may turn away only this entry
+	// VM, so another one can serve the caller.
 	refusalTimeout = 400 * time.Millisecond
 )
 
@@ -53,9 +53,9 @@
 	latency latencyEstimator
 }
 
-// withRetries calls call, which accesses a part of the table, until it succeeds, fails
-// permanently, or the deadline passes. maybeApplied reports whether an attempt without an
-// answer may have been applied.
+// withRetries calls call, which accesses a partition of the table, until it succeeds,
+// fails permanently, or the deadline passes. maybeApplied reports whether an attempt
+// without an answer may have been applied.
 func (s *jobStore) withRetries(ctx context.Context, deadline time.Time, partition string, call func(ctx context.Context) error) (maybeApplied bool, err error) {
 	giveUpAt := bootNow().Add(refusalTimeout)
 	for timeout := s.latency.timeout(minCallTimeout); ; timeout *= 2 {
@@ -75,7 +75,7 @@
 		s.latency.observe(took, !errors.Is(err, platform.ErrNoAnswer))
 		if err == nil || deadline.Sub(now) >= timeout {
 			// A call that was cut short by its caller's deadline says nothing about the
-			// part.
+			// partition.
 			s.recordOutcome(partition, err)
 		}
 		refused := errors.Is(err, platform.ErrBusy) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrNotSent)
@@ -94,8 +94,8 @@
 	}
 }
 
-// recordOutcome updates the table's health from the outcome of a call to a part. A busy
-// table is reachable, so it doesn't count as a failure.
+// recordOutcome updates the table's health from the outcome of a call to a partition. A
+// busy table is reachable, so it doesn't count as a failure.
 func (s *jobStore) recordOutcome(partition string, err error) {
 	var conflict *platform.ConflictError
 	switch {
--- a/io/node/latency.go
+++ b/io/node/latency.go
@@ -8,8 +8,8 @@
 const (
 	// answerTimeoutFactor is the timeout of a table call in multiples of the average
 	// latency. When the table is slow, each call that is abandoned and sent again occupies
-	// its part of the table as long as the first one did. With a fixed timeout of 300 ms
-	// and answers after 140 ms, 154 of 174 submissions a second ended with an unknown
+	// its partition of the table as long as the first one did. With a fixed timeout of 300
+	// ms and answers after 140 ms, 154 of 174 submissions a second ended with an unknown
 	// outcome.
 	answerTimeoutFactor = 5
 	// answerSmoothing divides the influence of an answered call on the average latency,
--- a/io/node/load.go
+++ b/io/node/load.go
@@ -18,8 +18,8 @@
 // loadTimeout bounds reading whole tables. A read that makes no progress ends sooner.
 const loadTimeout = 12 * time.Second
 
-// maxConcurrentReads is how many parts of the job table are read concurrently. On a slow
-// link, more reads starve one another and the renewals of the ownership.
+// maxConcurrentReads is how many partitions of the job table are read concurrently. On a
+// slow link, more reads starve one another and the renewals of the ownership.
 const maxConcurrentReads = 8
 
 // storedState is the state that former owners left in the table.
@@ -71,8 +71,8 @@
 	return state, err
 }
 
-// loadJobs reads the jobs of all parts. The feed continues from the oldest version among
-// the reads.
+// loadJobs reads the jobs of all partitions. The feed continues from the oldest version
+// among the reads.
 func (o *owner) loadJobs(ctx context.Context) ([]platform.Row, platform.Version, error) {
 	var partitions [jobPartitionCount][]platform.Row
 	var versions [jobPartitionCount]platform.Version
--- a/io/node/membership.go
+++ b/io/node/membership.go
@@ -11,8 +11,8 @@
 	"lavenderpond/platform"
 )
 
-// memberTable lists the entry VMs that can relay orders for the owner. It has its own part
-// because all processes write to it at the same time when the system starts.
+// memberTable lists the entry VMs that can relay orders for the owner. The table has its
+// own partition because all processes write to it at the same time when the system starts.
 const (
 	memberTable     = "lavenderpond_member"
 	memberPartition = "members"
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -25,7 +25,7 @@
 	// ready. It covers an answer of a slow table. The load balancer checks once a second
 	// and reacts to two misses, so each additional tenth of a second extends the time in
 	// which callers are denied here. While the whole table is unreachable no entry VM is
-	// ready, and callers stay where they are.
+	// ready, and callers stay at their entry VMs.
 	readinessSlack = 450 * time.Millisecond
 	// drainDuration is how long callers are still served after the stop signal. The load
 	// balancer stops sending callers after two misses of a second each.
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -100,7 +100,8 @@
 }
 
 // Guards against a delayed transaction that undoes a later one. Each transaction requires
-// the last renewal, so one whose answer was lost and that is applied seconds later fails.
+// the last renewal, so a transaction whose answer was lost and that reaches the table
+// seconds later fails.
 func TestEachTransactionExpectsTheLastRenewal(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":11}`), respondWith(http.StatusOK, `{"ver":12}`))
 	c := newCommitter(table)
@@ -190,8 +191,8 @@
 }
 
 // Guards against sending submissions to a table that has stopped answering. Their outcome
-// would be unknown, whereas a caller that is denied before goes to another entry VM. Only
-// occasional probes check whether the table is available again.
+// would be unknown, whereas a caller that is denied immediately goes to another entry VM.
+// Only occasional probes check whether the table is available again.
 func TestNoSubmissionIsSentToSilentTable(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	handler := newCallerHandler(healthWithLastAnswer(time.Second))
@@ -208,8 +209,8 @@
 	assert.Equal(t, len(f.requests[0].Writes), 0)
 }
 
-// Checks that a job is stored while the part with the owner's rows is unreachable and the
-// part with the job isn't.
+// Checks that a job is stored while the partition with the owner's rows is unreachable and
+// the partition with the job isn't.
 func TestJobIsStoredWhileOwnerPartitionIsUnreachable(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	handler := newCallerHandler(healthWithLastAnswer(0))
@@ -304,8 +305,8 @@
 
 // Guards against abandoning calls to a slow table too early. The table takes 400 ms for an
 // answer. A submission that is abandoned after 300 ms and sent again repeatedly fills its
-// part of the table and slows it down further. Once the table is known to be slow, one
-// call waits long enough.
+// partition of the table and slows it down further. Once the table is known to be slow,
+// one call waits long enough.
 func TestCallWaitsForSlowTable(t *testing.T) {
 	e := &latencyEstimator{}
 	assert.Equal(t, e.timeout(minCallTimeout), minCallTimeout)
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// feedWait is how long a feed waits for a change. A stalled connection is noticed after
-	// feedWait plus feedGrace, within the two seconds in which a configuration must be in
-	// force. The polls of the owner's rows notice sooner that an entry VM is cut off from
-	// the table, so feeds can wait longer, which saves calls that the platform bills.
+	// feedWait is how long a feed waits for a change. A stalled connection is noticed
+	// after feedWait plus feedGrace, within the two seconds in which a configuration must
+	// take effect. The polls of the owner's rows notice sooner that an entry VM is cut off
+	// from the table, so feeds can wait longer, which saves calls that the platform bills.
 	feedWait  = 1200 * time.Millisecond
 	feedGrace = 600 * time.Millisecond
 	// feedRetryDelay is the pause after a failed read.
@@ -208,9 +208,10 @@
 	table     *platform.Table
 	tableName string
 	partition string
-	// allPartitions follows the rows of all parts. It requires from and readSnapshot to be set.
+	// allPartitions follows the rows of all partitions. It requires from and readSnapshot
+	// to be set.
 	allPartitions bool
-	// readSnapshot reads all rows. If it is nil, the rows of part are read.
+	// readSnapshot reads all rows. If it is nil, the rows of partition are read.
 	readSnapshot func(ctx context.Context) ([]platform.Row, platform.Version, error)
 	log          zerolog.Logger
 	// from, if set, is the version after which changes are wanted. The initial read of all
--- a/io/node/ordersender.go
+++ b/io/node/ordersender.go
@@ -21,7 +21,7 @@
 // directSender calls the VM directly.
 type directSender struct{ vm *platform.VM }
 
-// Start implements vmOrderSender.
+// Start implements orderSender.
 func (s directSender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -29,7 +29,7 @@
 	return r, outcomeFromError(err)
 }
 
-// Hold implements vmOrderSender.
+// Hold implements orderSender.
 func (s directSender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
 	defer cancel()
@@ -49,7 +49,7 @@
 	direct  directSender
 }
 
-// Start implements vmOrderSender.
+// Start implements orderSender.
 func (s relaySender) Start(ctx context.Context, o job.StartOrder) (job.Report, schedule.Outcome) {
 	r, outcome, sent := s.call(ctx, orderTimeout, "Start", StartArgs{VM: s.vm, Address: s.address, Order: o})
 	if !sent {
@@ -58,7 +58,7 @@
 	return r, outcome
 }
 
-// Hold implements vmOrderSender.
+// Hold implements orderSender.
 func (s relaySender) Hold(ctx context.Context, o job.HoldOrder) (job.Report, schedule.Outcome) {
 	r, outcome, sent := s.call(ctx, o.Wait+holdGrace, "Hold", HoldArgs{VM: s.vm, Address: s.address, Order: o})
 	if !sent {
--- a/io/node/readback_test.go
+++ b/io/node/readback_test.go
@@ -55,7 +55,7 @@
 
 // Guards against sending a transaction again to a slow table. What a slow read doesn't
 // show may be in flight like the read. Sending the transaction again would only occupy the
-// part of the table once more.
+// partition of the table once more.
 func TestSlowTableGetsNoDuplicateTransaction(t *testing.T) {
 	slow := func(f func(w http.ResponseWriter)) func(w http.ResponseWriter) {
 		return func(w http.ResponseWriter) {
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -111,8 +111,8 @@
 	assert.Equal(t, len(relays.relays["a"]), 1)
 }
 
-// Guards against losing rows of a VM's task lists on the way. Tasks that the lists lack
-// count as ended.
+// Guards against a relay that loses entries of a VM's task lists. Tasks that are missing
+// from the lists count as ended.
 func TestRelayedHoldReturnsTaskLists(t *testing.T) {
 	address, _ := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41,12]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}`))
 	relays := relaySetWith(t, startRelay(t))
@@ -158,7 +158,7 @@
 	assert.Equal(t, relays.relayFor("a", "vm-1"), healthy)
 }
 
-// Guards against relays that forward orders of an owner whose knowledge is outdated.
+// Guards against relays that forward orders of an owner whose view is outdated.
 func TestOwnerWithoutFreshOwnershipSendsDirectly(t *testing.T) {
 	relays := relaySetWith(t, startRelay(t))
 	o := &owner{tenure: &tenure{}, relays: relays, scheduler: schedule.New(schedule.Settings{})}
--- a/io/node/rows.go
+++ b/io/node/rows.go
@@ -15,12 +15,12 @@
 )
 
 // Tables and keys of the rows that lavenderpond stores. What the owner writes is in one
-// part, so that one transaction can check the owner and write the progress of many jobs.
-// Submitted jobs are spread over parts by ID. A part applies one transaction after
-// another, and when the table is slow, the submissions alone would fill a single part and
-// keep the owner from renewing its ownership. At 140 ms per transaction, 90 submissions a
-// second load 16 parts to 80%, so that calls queue, are abandoned and are sent again. 64
-// parts are loaded to 20%.
+// partition, so that one transaction can check the owner and write the progress of many
+// jobs. Submitted jobs are spread over partitions by ID. A partition applies one
+// transaction after another, and when the table is slow, the submissions alone would fill
+// a single partition and keep the owner from renewing its ownership. At 140 ms per
+// transaction, 90 submissions a second load 16 partitions to 80%, so that calls queue, are
+// abandoned and are sent again. 64 partitions are loaded to 20%.
 const (
 	mainPartition     = "main"
 	jobPartitionCount = 64
@@ -44,7 +44,8 @@
 	renewalKey = platform.RowKey{Table: ownerTable, Partition: mainPartition, Key: renewalKeyName}
 )
 
-// jobPartition returns the part of a job's rows. It depends only on the ID.
+// jobPartition returns the partition of a job's rows. The partition depends only on the
+// ID.
 func jobPartition(id job.ID) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // Writing to a hash never fails.
@@ -65,7 +66,7 @@
 	return platform.RowKey{Table: waveTable, Partition: mainPartition, Key: strconv.FormatInt(number, 10)}
 }
 
-// vmKey returns the key of the roster row of a VM on which tasks may run.
+// vmKey returns the key of the row of a VM on which tasks may run.
 func vmKey(id job.VMID) platform.RowKey {
 	return platform.RowKey{Table: vmTable, Partition: mainPartition, Key: string(id)}
 }
--- a/io/node/tablehealth.go
+++ b/io/node/tablehealth.go
@@ -9,8 +9,9 @@
 	"lavenderpond/core/contact"
 )
 
-// tableHealth tracks whether the table and its parts are reachable, shared by everything
-// in this process that calls the table. The zero value has recorded no answer.
+// tableHealth tracks whether the table and its partitions are reachable. Everything in
+// this process that calls the table shares one tableHealth. The zero value has recorded no
+// answer.
 type tableHealth struct {
 	log zerolog.Logger
 
@@ -18,7 +19,7 @@
 	breaker contact.Breaker
 }
 
-// recordAnswer records that a part of the table has answered.
+// recordAnswer records that a partition of the table has answered.
 func (h *tableHealth) recordAnswer(partition string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -27,14 +28,14 @@
 	}
 }
 
-// recordContact records an answer that isn't specific to a part.
+// recordContact records an answer that isn't specific to a partition.
 func (h *tableHealth) recordContact() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.breaker.RecordContact(bootNow())
 }
 
-// recordFailure records that a part didn't answer.
+// recordFailure records that a partition didn't answer.
 func (h *tableHealth) recordFailure(partition string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,7 +44,7 @@
 	}
 }
 
-// decide returns whether to send, probe with, or refuse a call to a part.
+// decide returns whether to send, probe with, or refuse a call to a partition.
 func (h *tableHealth) decide(partition string) contact.Decision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/io/operator/budget_test.go
+++ b/io/operator/budget_test.go
@@ -16,9 +16,9 @@
 )
 
 // TestSyncBudgets checks that a sync follows the beginning and the end of an exception,
-// and that it never overwrites a newer budget. An operator lowers the budget while a sync is
-// at work. Without the check of the head row, the sync restores the old budget, which
-// permits one drain too many.
+// and that it never overwrites a newer budget. An operator lowers the budget while a sync
+// is in progress. Without the check of the head row, the sync restores the old budget,
+// which permits one drain too many.
 func TestSyncBudgets(t *testing.T) {
 	finalBudget := func(noHeadCheck bool) int {
 		h := newHistory(1, &Server{})
--- a/io/operator/fleet_change.go
+++ b/io/operator/fleet_change.go
@@ -138,8 +138,9 @@
 		t.Set(table.AuditKey(head.Version), audit))
 }
 
-// changeDigest returns a digest that distinguishes different changes under one change id. It leaves out the deadline of a drain, because an operator who repeats the
-// command later gives a later deadline.
+// changeDigest returns a digest that distinguishes different changes under one change id.
+// It leaves out the deadline of a drain, because an operator who repeats the command later
+// gives a later deadline.
 func changeDigest(m *pb.ApplyChangeRequest) string {
 	m = proto.CloneOf(m)
 	switch c := m.Change.(type) {
--- a/io/peer/shard_test.go
+++ b/io/peer/shard_test.go
@@ -62,8 +62,8 @@
 }
 
 // TestStoppingEntryGetsNoShardsBack checks that the balancing hands no shards to an entry
-// that is stopping. In a zone of two entries, the stopping one holds the fewest shards
-// and is the other one's successor in sync while it waits for long requests to finish.
+// that is stopping. In a zone of two entries, the stopping entry holds the fewest shards
+// and is the other entry's successor in sync while it waits for long requests to finish.
 // If it ended with shards, their callers would have to wait for a takeover and would be
 // told "unknown" for ids that never ran.
 func TestStoppingEntryGetsNoShardsBack(t *testing.T) {
--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -27,8 +27,8 @@
 	// entries of its zone.
 	avoidDuration = 5 * time.Second
 	// maxIdleRounds is the number of rounds from one exchange of a relay with other zones
-	// to the next if there is nothing new. They must take less time than the maximum
-	// staleness of key lists.
+	// to the next if there is nothing new. These rounds must take less time than the
+	// maximum staleness of key lists.
 	maxIdleRounds = 3
 )
 
@@ -93,7 +93,7 @@
 	avoidedUntil map[core.EntryID]time.Time
 	// idleRounds counts the rounds since the last exchange with other zones.
 	// crossZoneVersion and crossZoneWithdrawals are the version and the digest of the
-	// withdrawals that this entry had then.
+	// withdrawals that this entry had at that exchange.
 	idleRounds           int
 	crossZoneVersion     core.Version
 	crossZoneWithdrawals withdrawalsDigest
@@ -230,7 +230,7 @@
 
 // merge applies the state received from an entry of zone. held is the digest of the
 // withdrawals that this entry had before the exchange: a sender whose own digest is the
-// same omits the list. sent is as for Replica.FromPeer.
+// same omits the list. sent is as for Replica.ApplyFromPeer.
 func (s *Spread) merge(t Told, held withdrawalsDigest, zone core.ZoneID, sent time.Time) error {
 	if s.skipWithdrawalCheck {
 		held = t.Unrecorded
--- a/io/platform/allot_limits.go
+++ b/io/platform/allot_limits.go
@@ -9,8 +9,8 @@
 	"lavenderpond/core/table"
 )
 
-// limitsRefreshInterval is the time between two reports of all teams' limits while
-// nothing indicates that one changed. A limit can change without such a sign: a row may
+// limitsRefreshInterval is the time between two reports of all teams' limits while nothing
+// indicates that a limit changed. A limit can change without such an indication: a row may
 // arrive late, with a change up to which the view already counts as complete.
 const limitsRefreshInterval = time.Second
 
--- a/io/platform/configuration.go
+++ b/io/platform/configuration.go
@@ -68,7 +68,7 @@
 	return c.keyRing.Team(digest)
 }
 
-// KeysFreshUntil returns until when the key ring is fresh.
+// KeysFreshUntil returns the time until which the key ring is fresh.
 func (c *Configuration) KeysFreshUntil() time.Time {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -114,7 +114,7 @@
 	return applyErr
 }
 
-// ApplyFromPeer applies what an entry of zone sent with a message or in reply to one. sentAt
+// ApplyFromPeer applies data that an entry of zone sent in a message or in a reply. sentAt
 // is when the message left its sender. If it is zero, the exchange doesn't count as a
 // contact with the zone.
 func (c *Configuration) ApplyFromPeer(delta config.Delta, summary key.Summary, zone core.ZoneID, sentAt time.Time) error {
--- a/io/platform/shared_list.go
+++ b/io/platform/shared_list.go
@@ -21,11 +21,11 @@
 )
 
 // SharedList caches a LiveList for all of a daemon's readers. It reads a zone's list once
-// for all of them, and reads a large list less often. Without it, four readers, the fastest
-// of which reads once a second, would cost an entry 72 KB/s in a zone of 1,430 VMs
-// (docs/CAPACITY.md). If
-// a list can't be renewed, Live returns an error, because an old list doesn't prove that
-// a VM has ended. LiveList and Now must be set. A SharedList is safe for concurrent use.
+// for all of them, and reads a large list less often. Without it, four readers, the
+// fastest of which reads once a second, would cost an entry 72 KB/s in a zone of 1,430 VMs
+// (docs/CAPACITY.md). If a list can't be renewed, Live returns an error, because an old
+// list doesn't prove that a VM has ended. LiveList and Now must be set. A SharedList is
+// safe for concurrent use.
 type SharedList struct {
 	LiveList LiveList
 	Now      func() time.Time
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -42,9 +42,9 @@
 	FailAll bool `json:"fail_all,omitempty"`
 	// RefuseAll refuses every task as invalid.
 	RefuseAll bool `json:"refuse_all,omitempty"`
-	// LoseAnswers, CutAnswers and CrossAnswers are the numbers of answers to lose, to
-	// truncate, and to replace with the answer of another task. Each task that ran counts
-	// all three down.
+	// LoseAnswers, TruncateAnswers and MisdirectAnswers are the numbers of answers to
+	// lose, to truncate, and to replace with the answer of another task. Each task that
+	// ran counts all three down.
 	LoseAnswers      int `json:"lose_answers,omitempty"`
 	TruncateAnswers  int `json:"cut_answers,omitempty"`
 	MisdirectAnswers int `json:"cross_answers,omitempty"`
