--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -64,7 +64,7 @@
 	p := tablePartitionFor(call.Method, job.ID(rest))
 	decision := h.health.decide(p)
 	if decision == contact.Refuse {
-		h.deny(w, call, rest, platform.DeniedUnavailable, "no answer from part "+p+" of the table, none from any part for "+h.health.sinceLastAnswer().String())
+		h.deny(w, call, rest, platform.DeniedUnavailable, "no answer from partition "+p+" of the table, none from any partition for "+h.health.sinceLastAnswer().String())
 		return
 	}
 	timeout := call.Patience
