--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -74,7 +74,7 @@
 
 // measure calls do from parallel goroutines and reports the latency percentiles, the
 // throughput, the CPU time per request and the number of failures.
-func measure(b *testing.B, do func(n int64) bool) {
+func measure(b *testing.B, request func(n int64) bool) {
 	var mu sync.Mutex
 	var allLatencies []time.Duration
 	var failed atomic.Int64
@@ -84,7 +84,7 @@
 		var latencies []time.Duration
 		for p.Next() {
 			begin := time.Now()
-			if !do(requestCounter.Add(1)) {
+			if !request(requestCounter.Add(1)) {
 				failed.Add(1)
 			}
 			latencies = append(latencies, time.Since(begin))
--- a/io/entry/failure_test.go
+++ b/io/entry/failure_test.go
@@ -83,16 +83,16 @@
 // TestInvalidKeysAreRefused submits requests with a wrong key and without a key. Neither
 // runs. With the key checks of Front and Home disabled, both run.
 func TestInvalidKeysAreRefused(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 1, disabledSafeguards{keyChecks: off})
+	for _, disabled := range []bool{false, true} {
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 1, disabledSafeguards{keyChecks: disabled})
 		f.awaitServing()
 		for n, key := range []string{"wrong", ""} {
 			id := fmt.Sprintf("key-%d", n)
 			a := f.send(0, &pb.SubmitRequest{
 				Team: "lyra", Id: id, Attempt: 1, Queue: "frames", Deadline: timestamppb.New(time.Now().Add(testTimeout)), Body: []byte("{}"),
 			}, key)
-			assert.Equal(t, a.CodeName == core.CodeBadKey.String(), !off, "%s", a)
-			assert.Equal(t, f.startsOf(core.RequestID(id)) == 0, !off)
+			assert.Equal(t, a.CodeName == core.CodeBadKey.String(), !disabled, "%s", a)
+			assert.Equal(t, f.startsOf(core.RequestID(id)) == 0, !disabled)
 		}
 	}
 }
@@ -102,8 +102,8 @@
 // caller gets its own complete answer or "unknown". No request is started twice. With the
 // checks of answers disabled, callers get truncated answers and answers to other requests.
 func TestAnswersCompleteOrUnknown(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2}, 3, disabledSafeguards{answerChecks: off})
+	for _, disabled := range []bool{false, true} {
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2}, 3, disabledSafeguards{answerChecks: disabled})
 		f.awaitServing()
 		faults := []standin.Faults{{LoseAnswers: 8}, {TruncateAnswers: 8}, {MisdirectAnswers: 8}}
 		for i, vm := range f.vms {
@@ -128,9 +128,9 @@
 			})
 		}
 		g.Wait()
-		t.Logf("answer checks enabled: %t; of 40 requests, %d got the answer to another request and %d a truncated one", !off, crossed.Load(), cut.Load())
-		assert.Equal(t, crossed.Load() > 0, off)
-		assert.Equal(t, cut.Load() > 0, off)
+		t.Logf("answer checks enabled: %t; of 40 requests, %d got the answer to another request and %d a truncated one", !disabled, crossed.Load(), cut.Load())
+		assert.Equal(t, crossed.Load() > 0, disabled)
+		assert.Equal(t, cut.Load() > 0, disabled)
 		for n := range 40 {
 			assert.Equal(t, f.startsOf(core.RequestID(fmt.Sprintf("lied-%d", n))), 1)
 		}
@@ -207,8 +207,8 @@
 // running tasks finish. If refusals aren't reported to the fleet watcher, the target
 // remains in use.
 func TestLeavingTargetReceivesNoNewTasks(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 2, disabledSafeguards{leavingRefusals: off})
+	for _, disabled := range []bool{false, true} {
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 1}, 2, disabledSafeguards{leavingRefusals: disabled})
 		f.awaitServing()
 		var g supervisor.Group
 		for n := range 16 {
@@ -230,7 +230,7 @@
 		}
 		g.Wait()
 		assert.Equal(t, f.startsAt(f.vms[0].ID), before)
-		if off {
+		if disabled {
 			assert.Equal(t, len(f.entries[0].daemon.fleet.Targets()), 2, "the target isn't in use although nothing reported its refusals")
 			continue
 		}
@@ -255,15 +255,15 @@
 // requests through three entries of two zones. The targets never run more than the limit
 // at the same time, unless the entries ignore their allotments.
 func TestTeamLimitAcrossEntries(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 2, disabledSafeguards{allotments: off})
+	for _, disabled := range []bool{false, true} {
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 1}, 2, disabledSafeguards{allotments: disabled})
 		f.awaitServing()
 		f.apply(config.SetTeam{Author: "test", Team: "lyra", Value: config.Team{Share: 1, Limit: 5}})
 		version := f.version()
 		f.await("the limit in force", func() bool { return f.allHaveVersion(version) && f.totalAllotment() <= 5 })
 		mark := len(f.starts.Starts())
 		body := `{"run_ms":40}`
-		if off {
+		if disabled {
 			body = `{"run_ms":1000}` // long enough to overlap on a busy machine
 		}
 		var g supervisor.Group
@@ -275,8 +275,8 @@
 		}
 		g.Wait()
 		most := maxConcurrent(f.starts.Starts()[mark:])
-		t.Logf("allotments disabled: %t; at most %d at the same time, limit 5", off, most)
-		assert.Equal(t, most > 5, off)
+		t.Logf("allotments disabled: %t; at most %d at the same time, limit 5", disabled, most)
+		assert.Equal(t, most > 5, disabled)
 	}
 }
 
--- a/io/entry/fleet_test.go
+++ b/io/entry/fleet_test.go
@@ -84,10 +84,10 @@
 }
 
 // newFleetWithout starts a fleet with the given safeguards disabled.
-func newFleetWithout(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int, off disabledSafeguards) *testFleet {
+func newFleetWithout(t testing.TB, zones map[core.ZoneID]int, vmsPerZone int, disabled disabledSafeguards) *testFleet {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &testFleet{t: t, ctx: ctx, disabled: off}
+	f := &testFleet{t: t, ctx: ctx, disabled: disabled}
 	srv := httptest.NewServer(f.platform.Handler())
 	f.url = srv.URL
 	f.client = platform.NewClient(srv.URL)
@@ -248,8 +248,8 @@
 // time. All callers get the same complete answer, and the targets' log shows one start.
 // With shard leases disabled, both entries of a zone start the request.
 func TestFleetServesAndDedups(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, disabledSafeguards{shardLeases: off})
+	for _, disabled := range []bool{false, true} {
+		f := newFleetWithout(t, map[core.ZoneID]int{"zone_a": 2, "zone_b": 2}, 2, disabledSafeguards{shardLeases: disabled})
 		f.awaitServing()
 		var g supervisor.Group
 		var mu sync.Mutex
@@ -276,8 +276,8 @@
 				doubles++
 			}
 		}
-		t.Logf("shard leases disabled: %t; %d of 20 ids started twice", off, doubles)
-		assert.Equal(t, doubles > 0, off)
+		t.Logf("shard leases disabled: %t; %d of 20 ids started twice", disabled, doubles)
+		assert.Equal(t, doubles > 0, disabled)
 	}
 }
 
--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -30,12 +30,12 @@
 
 // callerHandler serves the HTTP calls that submit, show and cancel jobs and show backlogs.
 type callerHandler struct {
-	view    *operatorView
-	health  *tableHealth
-	jobs    *jobStore
-	log     zerolog.Logger
-	count   func(name string)
-	elapsed func(name string, d time.Duration)
+	view           *operatorView
+	health         *tableHealth
+	jobs           *jobStore
+	log            zerolog.Logger
+	count          func(name string)
+	recordDuration func(name string, d time.Duration)
 
 	// renewalAge records when each version of the owner's renewal row, which holds the
 	// backlog count, was first seen.
@@ -79,7 +79,7 @@
 	}
 	rc := routedCall{call: call, queue: q, account: account, id: job.ID(rest), deadline: started.Add(timeout - replyMargin), config: config, decision: decision}
 	h.serve(r.Context(), w, r, rc)
-	h.elapsed("call_"+call.Method.String(), bootNow().Sub(started))
+	h.recordDuration("call_"+call.Method.String(), bootNow().Sub(started))
 }
 
 // routedCall is a call whose queue and client account are known.
--- a/io/node/decisions.go
+++ b/io/node/decisions.go
@@ -20,9 +20,9 @@
 // limited number of lines per second and kind. The next line that is written says how many
 // were omitted before it.
 type decisionLog struct {
-	log     zerolog.Logger
-	count   func(name string)
-	elapsed func(name string, d time.Duration)
+	log            zerolog.Logger
+	count          func(name string)
+	recordDuration func(name string, d time.Duration)
 
 	mu      sync.Mutex
 	second  int64
@@ -35,9 +35,9 @@
 	l.count(string(d.Kind))
 	switch d.Kind {
 	case schedule.TaskStarted:
-		l.elapsed("start_order", d.Age)
+		l.recordDuration("start_order", d.Age)
 	case schedule.JobEnded:
-		l.elapsed("job_"+d.Reason, d.After)
+		l.recordDuration("job_"+d.Reason, d.After)
 	}
 	omitted, ok := l.admit(d.Kind)
 	if !ok {
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -72,10 +72,10 @@
 	return c.vm
 }
 
-// route returns the sender for orders to a VM. Relays are used only by an owner that has
+// senderFor returns the sender for orders to a VM. Relays are used only by an owner that has
 // recently confirmed its ownership. An owner that is slow or cut off from the table
 // decides on stale data, and a healthy relay would deliver the resulting orders.
-func (r *orderRouter) route(now time.Time, id job.VMID) orderSender {
+func (r *orderRouter) senderFor(now time.Time, id job.VMID) orderSender {
 	direct := directSender{r.client(id)}
 	if !r.owner.tenure.mayOrderMachines(now) {
 		return direct
@@ -88,13 +88,13 @@
 	return relaySender{relays: r.owner.relays, relay: relay, vm: id, address: address, direct: direct}
 }
 
-// holdRoute returns the sender for a hold. A probe goes to the VM directly: it follows up
+// holdSenderFor returns the sender for a hold. A probe goes to the VM directly: it follows up
 // an order without an answer, and the relay may be the reason for that.
-func (r *orderRouter) holdRoute(now time.Time, c schedule.Hold) orderSender {
+func (r *orderRouter) holdSenderFor(now time.Time, c schedule.Hold) orderSender {
 	if c.Probe {
 		return directSender{r.client(c.VM)}
 	}
-	return r.route(now, c.VM)
+	return r.senderFor(now, c.VM)
 }
 
 func (r *orderRouter) close() {
@@ -112,7 +112,7 @@
 		case schedule.Save, schedule.SaveVM, schedule.DropVM, schedule.SaveWave, schedule.SaveOrder, schedule.DropOrder:
 			saves = append(saves, c)
 		case schedule.Start:
-			vm := o.router.route(now, c.VM)
+			vm := o.router.senderFor(now, c.VM)
 			o.workers.Go(func() { o.start(ctx, vm, c) })
 		case schedule.Stop:
 			vm := o.router.client(c.VM)
@@ -121,7 +121,7 @@
 			vm := o.router.client(c.VM)
 			o.workers.Go(func() { o.setPace(ctx, vm, c) })
 		case schedule.Hold:
-			vm := o.router.holdRoute(now, c)
+			vm := o.router.holdSenderFor(now, c)
 			o.workers.Go(func() { o.hold(ctx, vm, c) })
 		case schedule.RequestApproval:
 			o.workers.Go(func() { o.requestApprovals(ctx, c) })
@@ -164,7 +164,7 @@
 	}
 	started := bootNow()
 	r, outcome := vm.Start(ctx, c.Order)
-	o.node.metrics.elapsed("vm_start", bootNow().Sub(started))
+	o.node.metrics.recordDuration("vm_start", bootNow().Sub(started))
 	o.send(ctx, startAnswered{c, outcome, r})
 }
 
--- a/io/node/latency.go
+++ b/io/node/latency.go
@@ -51,8 +51,8 @@
 	return e.average > d
 }
 
-// typical returns the average latency.
-func (e *latencyEstimator) typical() time.Duration {
+// averageLatency returns the average latency.
+func (e *latencyEstimator) averageLatency() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.average
--- a/io/node/metrics.go
+++ b/io/node/metrics.go
@@ -27,8 +27,8 @@
 	p.registry.GetOrRegister(name, metrics.NewCounter).(metrics.Counter).Inc(1)
 }
 
-// elapsed adds a duration to a histogram of microseconds.
-func (p *processMetrics) elapsed(name string, d time.Duration) {
+// recordDuration adds a duration to a histogram of microseconds.
+func (p *processMetrics) recordDuration(name string, d time.Duration) {
 	h := p.registry.GetOrRegister(name+"_us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewUniformSample(histogramSampleSize))
 	})
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -72,12 +72,12 @@
 		n.approvals = platform.NewApprovalService(s.ApprovalAddress)
 	}
 	n.health.log = log
-	n.decisions = &decisionLog{log: log, count: n.metrics.count, elapsed: n.metrics.elapsed}
+	n.decisions = &decisionLog{log: log, count: n.metrics.count, recordDuration: n.metrics.recordDuration}
 	n.view = &operatorView{table: n.table, log: log, onChange: n.reconfigured, health: &n.health}
 	n.callers = &callerHandler{
-		view: n.view, health: &n.health, log: log, count: n.metrics.count, elapsed: n.metrics.elapsed,
+		view: n.view, health: &n.health, log: log, count: n.metrics.count, recordDuration: n.metrics.recordDuration,
 		jobs: &jobStore{
-			table: n.table, recordLatency: func(d time.Duration) { n.metrics.elapsed("table_call", d) },
+			table: n.table, recordLatency: func(d time.Duration) { n.metrics.recordDuration("table_call", d) },
 			health: &n.health, rowBytes: s.RowBytes,
 		},
 	}
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -178,7 +178,7 @@
 	config.Index()
 	return &callerHandler{
 		view: &operatorView{config: config}, health: health, log: zerolog.Nop(),
-		count: func(string) {}, elapsed: func(string, time.Duration) {},
+		count: func(string) {}, recordDuration: func(string, time.Duration) {},
 	}
 }
 
@@ -246,7 +246,7 @@
 // Checks that lines beyond the limit are omitted and that the next line of the kind says
 // how many.
 func TestOmittedLogLinesAreCounted(t *testing.T) {
-	l := &decisionLog{log: zerolog.Nop(), count: func(string) {}, elapsed: func(string, time.Duration) {}}
+	l := &decisionLog{log: zerolog.Nop(), count: func(string) {}, recordDuration: func(string, time.Duration) {}}
 	dropped := 0
 	for range maxLinesPerSecond + 10 {
 		if _, ok := l.admit(schedule.TaskStarted); !ok {
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -57,7 +57,7 @@
 		onStored:      func(s int64) { o.send(ctx, savesStored{s}) },
 		backlog:       o.backlog.get,
 		entries:       func() int { return o.relays.memberCount() },
-		recordLatency: func(d time.Duration) { n.metrics.elapsed("table_commit", d) },
+		recordLatency: func(d time.Duration) { n.metrics.recordDuration("table_commit", d) },
 		health:        &n.health,
 	}
 	var g supervisor.Group
--- a/io/node/owner_test.go
+++ b/io/node/owner_test.go
@@ -36,7 +36,7 @@
 
 // Guards against treating a directory without changes as outdated while the next read
 // waits. Nothing would start on VMs that don't refuse tasks beyond their capacity.
-func TestUnchangedDirectoryIsCurrentUntilTheEndOfTheWait(t *testing.T) {
+func TestUnchangedDirectoryStaysCurrentDuringFeedWait(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "feed") {
 			time.Sleep(feedWait)
--- a/io/node/readback.go
+++ b/io/node/readback.go
@@ -59,7 +59,7 @@
 // is then lost or late and is best sent again. It returns 0 once ctx has ended.
 func (c *committer) readBackRenewal(ctx context.Context) (platform.Version, error) {
 	started := bootNow()
-	for supervisor.Sleep(ctx, max(minOverdueDelay, overdueFactor*c.latency.typical())) {
+	for supervisor.Sleep(ctx, max(minOverdueDelay, overdueFactor*c.latency.averageLatency())) {
 		readSent := bootNow()
 		row, _, err := c.table.Get(ctx, renewalKey)
 		if err != nil || row == nil {
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -165,15 +165,15 @@
 	o.router = &orderRouter{owner: o, clients: map[job.VMID]*vmClient{}}
 	now := bootNow()
 	o.scheduler.VMListed(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
-	_, direct := o.router.route(now, "vm-1").(directSender)
+	_, direct := o.router.senderFor(now, "vm-1").(directSender)
 	assert.Assert(t, direct)
 	o.tenure.confirm(now, now)
-	_, relayed := o.router.route(now, "vm-1").(relaySender)
+	_, relayed := o.router.senderFor(now, "vm-1").(relaySender)
 	assert.Assert(t, relayed)
-	_, direct = o.router.holdRoute(now, schedule.Hold{VM: "vm-1", Probe: true}).(directSender)
+	_, direct = o.router.holdSenderFor(now, schedule.Hold{VM: "vm-1", Probe: true}).(directSender)
 	assert.Assert(t, direct)
 	relays.enabled.Store(false)
-	_, direct = o.router.route(now, "vm-1").(directSender)
+	_, direct = o.router.senderFor(now, "vm-1").(directSender)
 	assert.Assert(t, direct, "relays are not used for a small fleet")
 }
 
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -188,14 +188,14 @@
 	return row, err
 }
 
-// TestRepeatWhileDeleted checks that a repeated change isn't applied twice while its
+// TestRepeatedChangeDuringDeletion checks that a repeated change isn't applied twice while its
 // records are deleted. An operator's answer is lost, another operator then raises the
 // share and the limit, and the first repeats the command under the same id: just before
 // the record's retention is over, and after it, while an exporter deletes the record right
 // after it was read. If records were deleted early, the old limit would come back. If the
 // record weren't pinned, the change would be applied anew to the row as it was the first
 // time.
-func TestRepeatWhileDeleted(t *testing.T) {
+func TestRepeatedChangeDuringDeletion(t *testing.T) {
 	repeat := func(template Exporter, after time.Duration, deleteDuringRepeat bool) (config.Team, *pb.ApplyChangeReply) {
 		r := newExportSimulation(1, template)
 		r.t.interleave, r.t.faultless = nil, true
@@ -241,9 +241,9 @@
 	assert.Assert(t, !reply.Repeated && team.Limit == 40, "the test must fail if records are deleted early")
 }
 
-// TestListAuditDeleted checks that the list of changes shows records that were deleted
+// TestListAuditIncludesDeletedRecords checks that the list of changes shows records that were deleted
 // from the table just as it did before.
-func TestListAuditDeleted(t *testing.T) {
+func TestListAuditIncludesDeletedRecords(t *testing.T) {
 	r := newExportSimulation(2, Exporter{})
 	r.t.interleave, r.t.faultless = nil, true
 	r.store.losesObjects = false
--- a/io/peer/spread_test.go
+++ b/io/peer/spread_test.go
@@ -163,11 +163,11 @@
 
 // secondsUntil returns the number of seconds until wanted is true for every live entry,
 // at most 60.
-func (f *spreadFleet) secondsUntil(wanted func(e *spreadEntry) bool) int {
+func (f *spreadFleet) secondsUntil(condition func(e *spreadEntry) bool) int {
 	for seconds := range 60 {
 		all := true
 		for _, e := range f.entries {
-			all = all && (e.dead || wanted(e))
+			all = all && (e.dead || condition(e))
 		}
 		if all {
 			return seconds
@@ -198,9 +198,9 @@
 }
 
 // restrictTable makes the table reachable for one entry only, or for none if only is nil.
-func (f *spreadFleet) restrictTable(only *spreadEntry) {
+func (f *spreadFleet) restrictTable(reachable *spreadEntry) {
 	for _, e := range f.entries {
-		e.reachesTable = e == only
+		e.reachesTable = e == reachable
 	}
 }
 
--- a/io/platform/allot_limiter.go
+++ b/io/platform/allot_limiter.go
@@ -7,32 +7,32 @@
 )
 
 // limiter implements limit.Limiter for Allotments.
-type limiter struct{ a *Allotments }
+type limiter struct{ allotments *Allotments }
 
 // Acquire implements limit.Limiter.
 func (l limiter) Acquire(now time.Time, key core.RequestKey, until time.Time) bool {
-	l.a.mu.Lock()
-	defer l.a.mu.Unlock()
-	return l.a.Ledger.Acquire(now, key, until)
+	l.allotments.mu.Lock()
+	defer l.allotments.mu.Unlock()
+	return l.allotments.Ledger.Acquire(now, key, until)
 }
 
 // Release implements limit.Limiter.
 func (l limiter) Release(key core.RequestKey) {
-	l.a.mu.Lock()
-	defer l.a.mu.Unlock()
-	l.a.Ledger.Release(key)
+	l.allotments.mu.Lock()
+	defer l.allotments.mu.Unlock()
+	l.allotments.Ledger.Release(key)
 }
 
 // Running implements limit.Limiter.
 func (l limiter) Running(now time.Time, team core.TeamID) core.Slots {
-	l.a.mu.Lock()
-	defer l.a.mu.Unlock()
-	return l.a.Ledger.Running(now, team)
+	l.allotments.mu.Lock()
+	defer l.allotments.mu.Unlock()
+	return l.allotments.Ledger.Running(now, team)
 }
 
 // RecordDemand implements limit.Limiter.
 func (l limiter) RecordDemand(now time.Time, team core.TeamID) {
-	l.a.mu.Lock()
-	defer l.a.mu.Unlock()
-	l.a.Ledger.RecordDemand(now, team)
+	l.allotments.mu.Lock()
+	defer l.allotments.mu.Unlock()
+	l.allotments.Ledger.RecordDemand(now, team)
 }
--- a/io/platform/change_test.go
+++ b/io/platform/change_test.go
@@ -138,7 +138,7 @@
 
 // The error for the operator whose change comes second must name the change that came first
 // and what the row contains now.
-func TestConflictNamesTheWinner(t *testing.T) {
+func TestConflictNamesFirstChange(t *testing.T) {
 	tbl := &lossyTable{reliable: true}
 	team := func(author string, n core.Slots) config.Change {
 		return config.SetTeam{Author: author, Team: "frames", Value: config.Team{Share: 1, Limit: n}}
--- a/io/soak/callers.go
+++ b/io/soak/callers.go
@@ -146,12 +146,12 @@
 // call sends a request to a random daemon. Status 0 means no answer.
 func (c *caller) call(ctx context.Context, method string, id job.ID, body []byte) (status int, answer []byte) {
 	e := c.fleet.entries[c.rng.IntN(len(c.fleet.entries))]
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+e.callerAddress.String()+standin.Prefix+string(id), bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+e.callerAddress.String()+standin.PathPrefix+string(id), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
 	r.Host = standin.Host
-	r.Header.Set("Api-Key", standin.Key)
+	r.Header.Set("Api-Key", standin.APIKey)
 	r.Header.Set("Deadline-Ms", strconv.FormatInt(callTimeout.Milliseconds(), 10))
 	resp, err := c.client.Do(r)
 	if err != nil {
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -65,10 +65,10 @@
 
 var completeReply = fakeTarget{status: 200, task: "lyra/frame-1", attempt: "2", length: "5", body: "plate"}
 
-// TestStartEnds checks the result of Start for each kind of response. Start accepts only a
+// TestStartResults checks the result of Start for each kind of response. Start accepts only a
 // complete answer of this task and this dispatch. It returns NotStarted only if the target
 // says so. After any other response it is open whether the task ran.
-func TestStartEnds(t *testing.T) {
+func TestStartResults(t *testing.T) {
 	modified := func(f func(*fakeTarget)) fakeTarget {
 		r := completeReply
 		f(&r)
@@ -112,10 +112,10 @@
 	assert.DeepEqual(t, startTask(t, c, truncated, baseTime), home.End(home.Answered{Body: []byte("pla")}))
 }
 
-// TestPausedBeforeWrite checks a process that is paused after it decided to start a task
+// TestStartAfterPauseSendsNothing checks a process that is paused after it decided to start a task
 // and resumes when its shard lease has expired. Start reads the clock right before the
 // write and sends nothing. With that check disabled, the target gets the request.
-func TestPausedBeforeWrite(t *testing.T) {
+func TestStartAfterPauseSendsNothing(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		requests := 0
 		h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -50,8 +50,8 @@
 	MisdirectAnswers int `json:"cross_answers,omitempty"`
 	// Leaving refuses new tasks and lets running tasks finish.
 	Leaving bool `json:"leaving,omitempty"`
-	// SlowBy is the factor by which tasks run longer, if above 1.
-	SlowBy int `json:"slow_by,omitempty"`
+	// Slowdown is the factor by which tasks run longer, if above 1.
+	Slowdown int `json:"slow_by,omitempty"`
 }
 
 // Work is the JSON form of a task's body that the simulated VM understands. A task with
@@ -163,7 +163,7 @@
 		return false
 	}
 	v.mu.Lock()
-	d := time.Duration(work.RunMs) * time.Millisecond * time.Duration(max(1, v.faults.SlowBy))
+	d := time.Duration(work.RunMs) * time.Millisecond * time.Duration(max(1, v.faults.Slowdown))
 	v.mu.Unlock()
 	lease := d + time.Second
 	if until, err := target.Millis(r.Header, target.HeaderLeaseUntil); err == nil {
