--- a/io/link/link.go
+++ b/io/link/link.go
@@ -71,8 +71,9 @@
 	return &Link{name: name, state: Open, changed: make(chan struct{}), closers: make(map[interface{ Close() error }]bool)}
 }
 
-// SetState changes the state and the delay of the link. It closes all connections if the link
-// enters Refused or leaves a state that discards data. Refused closes the listeners too.
+// SetState changes the state and the delay of the link. It closes all connections if the
+// link enters Refused or leaves a state that discards data. Refused closes the listeners
+// too.
 func (l *Link) SetState(state State, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/io/node/execute.go
+++ b/io/node/execute.go
@@ -72,8 +72,8 @@
 	return c.vm
 }
 
-// senderFor returns the sender for orders to a VM. Relays are used only by an owner that has
-// recently confirmed its ownership. An owner that is slow or cut off from the table
+// senderFor returns the sender for orders to a VM. Relays are used only by an owner that
+// has recently confirmed its ownership. An owner that is slow or cut off from the table
 // decides on stale data, and a healthy relay would deliver the resulting orders.
 func (r *orderRouter) senderFor(now time.Time, id job.VMID) orderSender {
 	direct := directSender{r.client(id)}
@@ -88,8 +88,8 @@
 	return relaySender{relays: r.owner.relays, relay: relay, vm: id, address: address, direct: direct}
 }
 
-// holdSenderFor returns the sender for a hold. A probe goes to the VM directly: it follows up
-// an order without an answer, and the relay may be the reason for that.
+// holdSenderFor returns the sender for a hold. A probe goes to the VM directly: it follows
+// up an order without an answer, and the relay may be the reason for that.
 func (r *orderRouter) holdSenderFor(now time.Time, c schedule.Hold) orderSender {
 	if c.Probe {
 		return directSender{r.client(c.VM)}
--- a/io/operator/export_delete_test.go
+++ b/io/operator/export_delete_test.go
@@ -188,8 +188,8 @@
 	return row, err
 }
 
-// TestRepeatedChangeDuringDeletion checks that a repeated change isn't applied twice while its
-// records are deleted. An operator's answer is lost, another operator then raises the
+// TestRepeatedChangeDuringDeletion checks that a repeated change isn't applied twice while
+// its records are deleted. An operator's answer is lost, another operator then raises the
 // share and the limit, and the first repeats the command under the same id: just before
 // the record's retention is over, and after it, while an exporter deletes the record right
 // after it was read. If records were deleted early, the old limit would come back. If the
@@ -241,8 +241,8 @@
 	assert.Assert(t, !reply.Repeated && team.Limit == 40, "the test must fail if records are deleted early")
 }
 
-// TestListAuditIncludesDeletedRecords checks that the list of changes shows records that were deleted
-// from the table just as it did before.
+// TestListAuditIncludesDeletedRecords checks that the list of changes shows records that
+// were deleted from the table just as it did before.
 func TestListAuditIncludesDeletedRecords(t *testing.T) {
 	r := newExportSimulation(2, Exporter{})
 	r.t.interleave, r.t.faultless = nil, true
--- a/io/operator/status.go
+++ b/io/operator/status.go
@@ -35,7 +35,7 @@
 }
 
 // Where implements OperatorService. An entry that doesn't answer counts as unconfirmed:
-// it may be partitioned and still serve with an older version.
+// such an entry may be partitioned and still serve with an older version.
 func (s *Server) Where(ctx context.Context, r *connect.Request[pb.WhereRequest]) (*connect.Response[pb.WhereReply], error) {
 	reply := &pb.WhereReply{}
 	for _, e := range s.Backend.Fleet(ctx) {
--- a/io/platform/standin/faults.go
+++ b/io/platform/standin/faults.go
@@ -21,7 +21,7 @@
 	// LoseAnswers is how many transactions take effect without an answer.
 	LoseAnswers int `json:"lose_answers,omitempty"`
 	// CutZones are the zones whose requests are refused, according to platform.ZoneHeader.
-	// This simulates a partition.
+	// The refusals simulate a network partition.
 	CutZones []core.ZoneID `json:"cut_zones,omitempty"`
 }
 
--- a/io/target/client_test.go
+++ b/io/target/client_test.go
@@ -65,9 +65,9 @@
 
 var completeReply = fakeTarget{status: 200, task: "lyra/frame-1", attempt: "2", length: "5", body: "plate"}
 
-// TestStartResults checks the result of Start for each kind of response. Start accepts only a
-// complete answer of this task and this dispatch. It returns NotStarted only if the target
-// says so. After any other response it is open whether the task ran.
+// TestStartResults checks the result of Start for each kind of response. Start accepts
+// only a complete answer of this task and this dispatch. It returns NotStarted only if the
+// target says so. After any other response it is open whether the task ran.
 func TestStartResults(t *testing.T) {
 	modified := func(f func(*fakeTarget)) fakeTarget {
 		r := completeReply
@@ -112,9 +112,10 @@
 	assert.DeepEqual(t, startTask(t, c, truncated, baseTime), home.End(home.Answered{Body: []byte("pla")}))
 }
 
-// TestStartAfterPauseSendsNothing checks a process that is paused after it decided to start a task
-// and resumes when its shard lease has expired. Start reads the clock right before the
-// write and sends nothing. With that check disabled, the target gets the request.
+// TestStartAfterPauseSendsNothing checks a process that is paused after it decided to
+// start a task and resumes when its shard lease has expired. Start reads the clock right
+// before the write and sends nothing. With that check disabled, the target gets the
+// request.
 func TestStartAfterPauseSendsNothing(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		requests := 0
