--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -234,8 +234,8 @@
 
 // followNoWait waits in the background for the answer to a request whose caller doesn't
 // wait. If this entry hands over the id's shard before the request is dispatched, it
-// submits the request to the next holder. Nobody else would do so, and the caller could
-// never fetch an answer.
+// submits the request to the next holder. Otherwise nobody would submit it there, and the
+// caller could never fetch an answer.
 func (f *Front) followNoWait(args peer.ForwardArgs) {
 	f.forwarded.Add(1)
 	f.Requests.Go(func(ctx context.Context) {
--- a/io/netrpc/netrpc.go
+++ b/io/netrpc/netrpc.go
@@ -147,9 +147,9 @@
 	return c.Go(method, args, reply, make(chan *rpc.Call, 1))
 }
 
-// Call calls a method of the peer at address and waits for its reply until ctx ends.
-// If the error is ErrNotSent, the peer certainly did not act on the call. After any
-// other error it may have acted.
+// Call calls a method of the peer at address and waits for its reply until ctx ends. If
+// the error is ErrNotSent, the peer certainly did not act on the call. After any other
+// error, the peer may have acted on the call.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	c, err := p.client(ctx, address)
 	if err != nil {
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -28,7 +28,8 @@
 	machineListTimeout = 1500 * time.Millisecond
 )
 
-// operatorView holds what operators have set, according to the latest read.
+// operatorView holds the operators' configuration, waves and evacuations as of the latest
+// read.
 type operatorView struct {
 	table *platform.Table
 	log   zerolog.Logger
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// tickInterval is how often the owner checks what is due.
+	// tickInterval is how often the owner checks for work that is due.
 	tickInterval = 40 * time.Millisecond
 	// eventQueueSize bounds the events that wait for the owner's loop. Senders block while
 	// the queue is full.
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -27,7 +27,7 @@
 // defaultTimeout bounds a request whose caller sets no timeout.
 const defaultTimeout = 10 * time.Second
 
-// Backend is what the service needs from the daemon that it runs in.
+// Backend provides the functions of the daemon that the service needs.
 type Backend interface {
 	// Fleet returns the status of this entry first, and then of every other known entry.
 	// It returns before ctx ends and marks the entries that it can't reach. A zone
--- a/io/platform/controller_zone_return_test.go
+++ b/io/platform/controller_zone_return_test.go
@@ -204,8 +204,8 @@
 
 // The reply to a bulk status check is lost, omits some of the VMs, or names other VMs. VMs
 // that serve callers must not be recorded as failed because of that, which would use up
-// their pools' budgets. A VM that the reply omits is unknown and stays as it is, one that it
-// contains is processed, and the rest follows with the next reply.
+// their pools' budgets. A VM that the reply omits stays as it is until a later reply
+// contains it; a VM that the reply contains is processed.
 func TestPartialCheckReply(t *testing.T) {
 	for name, alterReply := range map[string]func([]CheckResult) ([]CheckResult, error){
 		"lost":    func([]CheckResult) ([]CheckResult, error) { return nil, table.ErrUnreachable },
