--- a/io/entry/config.go
+++ b/io/entry/config.go
@@ -108,14 +108,14 @@
 // members returns the entries of a zone that are in the directory.
 func (d *Daemon) members(zone core.ZoneID) []peer.Member {
 	var members []peer.Member
-	for _, a := range d.directory.Zone(zone) {
+	for _, a := range d.directory.AddressesInZone(zone) {
 		members = append(members, peer.Member{Entry: a.Entry, Zone: a.Zone, Address: a.Peer.String()})
 	}
 	return members
 }
 
 // routePools returns the pools' settings for the router: whether they lend idle targets,
-// and how many targets may be ejected, which is what is left of the disruption budget.
+// and how many targets may be ejected, which is the remaining disruption budget.
 func (d *Daemon) routePools() []route.Pool {
 	var pools []route.Pool
 	d.config.View(func(v *config.View) {
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -234,8 +234,8 @@
 
 // followNoWait waits in the background for the answer to a request whose caller doesn't
 // wait. If this entry hands over the id's shard before the request is dispatched, it
-// submits the request to the next holder. Nobody else would do so, and the caller could
-// never fetch an answer.
+// submits the request to the next holder. Otherwise nobody would submit it there, and the
+// caller could never fetch an answer.
 func (f *Front) followNoWait(args peer.ForwardArgs) {
 	f.forwarded.Add(1)
 	f.Requests.Go(func(ctx context.Context) {
@@ -283,7 +283,7 @@
 	}
 	args.Stage = peer.ToHomeZone
 	sent := false
-	entries := f.Directory.Zone(zone)
+	entries := f.Directory.AddressesInZone(zone)
 	offset := int(args.Request.Key.Shard(1 << 16))
 	for i := range entries {
 		a := entries[(i+offset)%len(entries)]
@@ -299,13 +299,13 @@
 	return f.failedForwardAnswer(args, sent, core.CodeZoneUnreachable)
 }
 
-// failedForwardAnswer returns the answer to a call that no holder answered. The request
-// is known not to have run only if this is the first attempt and no message was sent;
-// sent reports whether one may have been. Otherwise the outcome is unknown.
+// failedForwardAnswer returns the answer to a call that no holder answered. The request is
+// known not to have run only if this is the first attempt and no message was sent; sent
+// reports whether a message may have been sent. Otherwise the outcome is unknown.
 func (f *Front) failedForwardAnswer(args peer.ForwardArgs, sent bool, code core.Code) core.Answer {
-	comeBack := f.Now().Add(holderSearchTimeout)
+	retryAt := f.Now().Add(holderSearchTimeout)
 	if sent || args.Kind != peer.ForwardSubmit {
-		return core.OutcomeUnknown{Code: core.CodeHomeUnreachable, ComeBackAt: comeBack}
+		return core.OutcomeUnknown{Code: core.CodeHomeUnreachable, ComeBackAt: retryAt}
 	}
-	return core.RefusalAnswer(args.Request.Attempt, core.NotRun{Code: code, ComeBackAt: comeBack})
+	return core.RefusalAnswer(args.Request.Attempt, core.NotRun{Code: code, ComeBackAt: retryAt})
 }
--- a/io/node/callers.go
+++ b/io/node/callers.go
@@ -30,12 +30,12 @@
 
 // callerHandler serves the HTTP calls that submit, show and cancel jobs and show backlogs.
 type callerHandler struct {
-	view    *operatorView
-	health  *tableHealth
-	jobs    *jobStore
-	log     zerolog.Logger
-	count   func(name string)
-	elapsed func(name string, d time.Duration)
+	view           *operatorView
+	health         *tableHealth
+	jobs           *jobStore
+	log            zerolog.Logger
+	count          func(name string)
+	recordDuration func(name string, d time.Duration)
 
 	// renewalAge records when each version of the owner's renewal row, which holds the
 	// backlog count, was first seen.
@@ -61,10 +61,10 @@
 		h.deny(w, call, rest, platform.DeniedUnknownKey, "unknown key")
 		return
 	}
-	p := tablePartFor(call.Method, job.ID(rest))
+	p := tablePartitionFor(call.Method, job.ID(rest))
 	decision := h.health.decide(p)
 	if decision == contact.Refuse {
-		h.deny(w, call, rest, platform.DeniedUnavailable, "no answer from part "+p+" of the table, none from any part for "+h.health.sinceLastAnswer().String())
+		h.deny(w, call, rest, platform.DeniedUnavailable, "no answer from partition "+p+" of the table, none from any partition for "+h.health.sinceLastAnswer().String())
 		return
 	}
 	timeout := call.Patience
@@ -79,7 +79,7 @@
 	}
 	rc := routedCall{call: call, queue: q, account: account, id: job.ID(rest), deadline: started.Add(timeout - replyMargin), config: config, decision: decision}
 	h.serve(r.Context(), w, r, rc)
-	h.elapsed("call_"+call.Method.String(), bootNow().Sub(started))
+	h.recordDuration("call_"+call.Method.String(), bootNow().Sub(started))
 }
 
 // routedCall is a call whose queue and client account are known.
@@ -93,12 +93,12 @@
 	decision contact.Decision
 }
 
-// tablePartFor returns the part of the table that a call accesses first.
-func tablePartFor(m platform.CallMethod, id job.ID) string {
+// tablePartitionFor returns the partition of the table that a call accesses first.
+func tablePartitionFor(m platform.CallMethod, id job.ID) string {
 	if m == platform.CallSubmit {
-		return jobPart(id)
+		return jobPartition(id)
 	}
-	return mainPart
+	return mainPartition
 }
 
 func (h *callerHandler) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, c routedCall) {
@@ -212,7 +212,7 @@
 	}
 	if d == platform.DeniedUnavailable {
 		// The load balancer doesn't move open connections. A caller that keeps its
-		// connection would come back to this process for as long as the zone is cut off. A
+		// connection would return to this process for as long as the zone is cut off. A
 		// new connection goes to another entry VM.
 		w.Header().Set("Connection", "close")
 	}
--- a/io/node/commit_test.go
+++ b/io/node/commit_test.go
@@ -23,7 +23,7 @@
 // fleet finds its VMs and orders machines to move. The table would refuse the oversized
 // transaction as malformed every time, so no ownership would be renewed and no task
 // started, whichever process takes over.
-func TestLargeFleetFitsTheTable(t *testing.T) {
+func TestLargeFleetFitsInTableRows(t *testing.T) {
 	now := bootNow()
 	s := schedule.New(schedule.Settings{Fence: 5, TakeoverTime: now, LeaseMax: 6 * time.Second, OrderIssuer: "edge-somewhere-1"})
 	for i := range 2000 {
@@ -91,7 +91,7 @@
 	const slow = 258 * time.Millisecond
 	c := newCommitter(nil)
 	c.latency.observe(4*time.Millisecond, true)
-	// The part of the table applies the attempts one after the other.
+	// The partition applies the attempts one after the other.
 	waited, busyUntil := time.Duration(0), time.Duration(0)
 	for attempt := 0; ; attempt++ {
 		busyUntil = max(busyUntil, waited) + slow
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -100,7 +100,8 @@
 }
 
 // Guards against a delayed transaction that undoes a later one. Each transaction requires
-// the last renewal, so one whose answer was lost and that is applied seconds later fails.
+// the last renewal, so a transaction whose answer was lost and that reaches the table
+// seconds later fails.
 func TestEachTransactionExpectsTheLastRenewal(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":11}`), respondWith(http.StatusOK, `{"ver":12}`))
 	c := newCommitter(table)
@@ -177,7 +178,7 @@
 	config.Index()
 	return &callerHandler{
 		view: &operatorView{config: config}, health: health, log: zerolog.Nop(),
-		count: func(string) {}, elapsed: func(string, time.Duration) {},
+		count: func(string) {}, recordDuration: func(string, time.Duration) {},
 	}
 }
 
@@ -190,9 +191,9 @@
 }
 
 // Guards against sending submissions to a table that has stopped answering. Their outcome
-// would be unknown, whereas a caller that is denied before goes to another entry VM. Only
-// occasional probes check whether the table is available again.
-func TestNothingIsSentToASilentTable(t *testing.T) {
+// would be unknown, whereas a caller that is denied immediately goes to another entry VM.
+// Only occasional probes check whether the table is available again.
+func TestNoSubmissionIsSentToSilentTable(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	handler := newCallerHandler(healthWithLastAnswer(time.Second))
 	handler.jobs = newJobStore(table)
@@ -208,14 +209,14 @@
 	assert.Equal(t, len(f.requests[0].Writes), 0)
 }
 
-// Checks that a job is stored while the part with the owner's rows is unreachable and the
-// part with the job isn't.
-func TestJobIsStoredWhileTheOwnersPartIsDown(t *testing.T) {
+// Checks that a job is stored while the partition with the owner's rows is unreachable and
+// the partition with the job isn't.
+func TestJobIsStoredWhileOwnerPartitionIsUnreachable(t *testing.T) {
 	_, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	handler := newCallerHandler(healthWithLastAnswer(0))
 	handler.jobs = newJobStore(table)
 	handler.jobs.health = handler.health
-	handler.health.recordFailure(mainPart)
+	handler.health.recordFailure(mainPartition)
 	w := sendCall(handler, http.MethodPost, "/open/0123456789abcdef")
 	assert.Equal(t, w.Code, http.StatusOK)
 	w = sendCall(handler, http.MethodGet, "/open/")
@@ -227,7 +228,7 @@
 // what they sent keep their connections.
 func TestCallerDeniedWithoutTableReconnects(t *testing.T) {
 	health := healthWithLastAnswer(time.Second)
-	assert.Equal(t, health.decide(jobPart("0123456789abcdef")), contact.Probe)
+	assert.Equal(t, health.decide(jobPartition("0123456789abcdef")), contact.Probe)
 	handler := newCallerHandler(health)
 	w := sendCall(handler, http.MethodPost, "/open/0123456789abcdef")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
@@ -245,7 +246,7 @@
 // Checks that lines beyond the limit are omitted and that the next line of the kind says
 // how many.
 func TestOmittedLogLinesAreCounted(t *testing.T) {
-	l := &decisionLog{log: zerolog.Nop(), count: func(string) {}, elapsed: func(string, time.Duration) {}}
+	l := &decisionLog{log: zerolog.Nop(), count: func(string) {}, recordDuration: func(string, time.Duration) {}}
 	dropped := 0
 	for range maxLinesPerSecond + 10 {
 		if _, ok := l.admit(schedule.TaskStarted); !ok {
@@ -280,7 +281,7 @@
 }
 
 // Checks that the renewal row shows whether the owner has counted the backlog.
-func TestUncountedRenewal(t *testing.T) {
+func TestRenewalShowsWhetherBacklogIsCounted(t *testing.T) {
 	c := newCommitter(nil)
 	tx, err := c.transaction(nil)
 	assert.NilError(t, err)
@@ -294,7 +295,7 @@
 // Guards against reporting an unknown outcome, after which a caller can't retry, for a
 // call that arrives shortly before the caller's timeout. Nothing was sent, so the caller
 // is told that nothing was stored.
-func TestCallWithoutTimeIsDenied(t *testing.T) {
+func TestCallWithExpiredDeadlineIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, respondWith(http.StatusOK, `{"ver":1}`))
 	s := newJobStore(table)
 	err := s.submit(t.Context(), bootNow().Add(-time.Millisecond), testJob(), contact.Call)
@@ -304,9 +305,9 @@
 
 // Guards against abandoning calls to a slow table too early. The table takes 400 ms for an
 // answer. A submission that is abandoned after 300 ms and sent again repeatedly fills its
-// part of the table and slows it down further. Once the table is known to be slow, one
-// call waits long enough.
-func TestSlowTableIsWaitedFor(t *testing.T) {
+// partition of the table and slows it down further. Once the table is known to be slow,
+// one call waits long enough.
+func TestCallWaitsForSlowTable(t *testing.T) {
 	e := &latencyEstimator{}
 	assert.Equal(t, e.timeout(minCallTimeout), minCallTimeout)
 	e.observe(minCallTimeout, false)
@@ -322,7 +323,7 @@
 // submits a job there, and the entry VM hasn't noticed yet. It looks the job up before it
 // writes, gets no answer and denies the call. Nothing of the job is in flight, and the
 // caller may go elsewhere.
-func TestSubmissionIntoAPartitionIsDenied(t *testing.T) {
+func TestSubmissionIntoNetworkPartitionIsDenied(t *testing.T) {
 	f, table := newFakeTable(t, dropAnswer)
 	s := newJobStore(table)
 	s.health = healthWithLastAnswer(300 * time.Millisecond)
--- a/io/node/operator.go
+++ b/io/node/operator.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// feedWait is how long a feed waits for a change. A stalled connection is noticed after
-	// feedWait plus feedGrace, within the two seconds in which a configuration must be in
-	// force. The polls of the owner's rows notice sooner that an entry VM is cut off from
-	// the table, so feeds can wait longer, which saves calls that the platform bills.
+	// feedWait is how long a feed waits for a change. A stalled connection is noticed
+	// after feedWait plus feedGrace, within the two seconds in which a configuration must
+	// take effect. The polls of the owner's rows notice sooner that an entry VM is cut off
+	// from the table, so feeds can wait longer, which saves calls that the platform bills.
 	feedWait  = 1200 * time.Millisecond
 	feedGrace = 600 * time.Millisecond
 	// feedRetryDelay is the pause after a failed read.
@@ -28,7 +28,8 @@
 	machineListTimeout = 1500 * time.Millisecond
 )
 
-// operatorView holds what operators have set, according to the latest read.
+// operatorView holds the operators' configuration, waves and evacuations as of the latest
+// read.
 type operatorView struct {
 	table *platform.Table
 	log   zerolog.Logger
@@ -43,8 +44,8 @@
 	waves  map[int64]job.Wave
 	// evacuated holds the availability zones in which no task may start.
 	evacuated map[job.ZoneName]struct{}
-	// changes counts the changes.
-	changes uint64
+	// numChanges counts the changes.
+	numChanges uint64
 	// asOf is the time up to which all changes are known: the view includes every write
 	// that the table acknowledged before it.
 	asOf time.Time
@@ -86,7 +87,7 @@
 func (v *operatorView) changeCount() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.changes
+	return v.numChanges
 }
 
 // age returns the time since asOf.
@@ -156,7 +157,7 @@
 	if !v.applyChange(c) {
 		return false
 	}
-	v.changes++
+	v.numChanges++
 	return true
 }
 
@@ -207,10 +208,11 @@
 type feed struct {
 	table     *platform.Table
 	tableName string
-	part      string
-	// allParts follows the rows of all parts. It requires from and readSnapshot to be set.
-	allParts bool
-	// readSnapshot reads all rows. If it is nil, the rows of part are read.
+	partition string
+	// allPartitions follows the rows of all partitions. It requires from and readSnapshot
+	// to be set.
+	allPartitions bool
+	// readSnapshot reads all rows. If it is nil, the rows of partition are read.
 	readSnapshot func(ctx context.Context) ([]platform.Row, platform.Version, error)
 	log          zerolog.Logger
 	// from, if set, is the version after which changes are wanted. The initial read of all
@@ -251,7 +253,7 @@
 			f.log.Info().Str("event", "feed_regained").Str("table", f.tableName).Send()
 		}
 		if len(s.Rows) > 0 {
-			onRows(f.filterPart(s.Rows), false)
+			onRows(f.filterPartition(s.Rows), false)
 		}
 		onContact(asOf(sent, bootNow(), len(s.Rows)))
 		after = max(after, s.Version)
@@ -270,10 +272,10 @@
 	return waitEnd
 }
 
-func (f *feed) filterPart(rows []platform.Row) []platform.Row {
+func (f *feed) filterPartition(rows []platform.Row) []platform.Row {
 	out := rows[:0]
 	for _, r := range rows {
-		if f.allParts || r.Part == f.part {
+		if f.allPartitions || r.Partition == f.partition {
 			out = append(out, r)
 		}
 	}
@@ -286,7 +288,7 @@
 	if f.readSnapshot != nil {
 		return f.readSnapshot(ctx)
 	}
-	return f.table.ListAll(ctx, f.tableName, f.part)
+	return f.table.ListAll(ctx, f.tableName, f.partition)
 }
 
 func (f *feed) next(ctx context.Context, after platform.Version) (platform.Snapshot, error) {
--- a/io/node/owner.go
+++ b/io/node/owner.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// tickInterval is how often the owner checks what is due.
+	// tickInterval is how often the owner checks for work that is due.
 	tickInterval = 40 * time.Millisecond
 	// eventQueueSize bounds the events that wait for the owner's loop. Senders block while
 	// the queue is full.
@@ -30,7 +30,7 @@
 	node           *Node
 	tenure         *tenure
 	log            zerolog.Logger
-	tookOver       time.Time
+	takenOverAt    time.Time
 	scheduler      *schedule.Scheduler
 	committer      *committer
 	events         chan event
@@ -39,8 +39,8 @@
 	workers        supervisor.Workers
 	jobFeedVersion platform.Version
 	backlog        backlogCount
-	// viewChanges is the change count of the operators' view that the scheduler has seen.
-	viewChanges uint64
+	// viewChangeCount is the change count of the operators' view that the scheduler has seen.
+	viewChangeCount uint64
 	// maintainedByWave holds the machines that former owners saw return from
 	// maintenance, by the key of the wave.
 	maintainedByWave map[string][]job.MachineID
@@ -50,14 +50,14 @@
 func (n *Node) serve(ctx context.Context, t *tenure, renewal platform.Version) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	o := &owner{node: n, tenure: t, log: n.log, events: make(chan event, eventQueueSize), tookOver: bootNow()}
+	o := &owner{node: n, tenure: t, log: n.log, events: make(chan event, eventQueueSize), takenOverAt: bootNow()}
 	o.router = &orderRouter{owner: o, clients: map[job.VMID]*vmClient{}}
 	o.committer = &committer{
 		table: n.table, tenure: t, log: n.log, renewal: renewal, wake: make(chan struct{}, 1),
 		onStored:      func(s int64) { o.send(ctx, savesStored{s}) },
 		backlog:       o.backlog.get,
 		entries:       func() int { return o.relays.memberCount() },
-		recordLatency: func(d time.Duration) { n.metrics.elapsed("table_commit", d) },
+		recordLatency: func(d time.Duration) { n.metrics.recordDuration("table_commit", d) },
 		health:        &n.health,
 	}
 	var g supervisor.Group
@@ -161,7 +161,7 @@
 
 // runRound runs the scheduler on all events handled so far and executes its commands.
 func (o *owner) runRound(ctx context.Context, now time.Time) {
-	if o.node.view.changeCount() != o.viewChanges {
+	if o.node.view.changeCount() != o.viewChangeCount {
 		o.reconfigure(now)
 	}
 	o.scheduler.RaiseFence(job.Fence(o.tenure.lastRenewal()))
@@ -219,7 +219,7 @@
 
 // reconfigure passes the operators' view to the scheduler.
 func (o *owner) reconfigure(now time.Time) {
-	o.viewChanges = o.node.view.changeCount()
+	o.viewChangeCount = o.node.view.changeCount()
 	o.scheduler.SetEvacuatedZones(o.node.view.evacuations())
 	if c := o.node.view.configuration(); c != nil {
 		o.scheduler.Configure(c)
@@ -273,13 +273,13 @@
 	// Without it, jobs that have ended since would look new.
 	var progress []platform.Row
 	f := feed{
-		table: o.node.table, tableName: jobTable, allParts: true, log: o.log, from: o.jobFeedVersion,
+		table: o.node.table, tableName: jobTable, allPartitions: true, log: o.log, from: o.jobFeedVersion,
 		readSnapshot: func(ctx context.Context) ([]platform.Row, platform.Version, error) {
 			jobs, version, err := o.loadJobs(ctx)
 			if err != nil {
 				return nil, 0, err
 			}
-			progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPart)
+			progress, _, err = o.node.table.ListAll(ctx, progressTable, mainPartition)
 			return jobs, version, err
 		},
 	}
--- a/io/node/relay_test.go
+++ b/io/node/relay_test.go
@@ -111,8 +111,8 @@
 	assert.Equal(t, len(relays.relays["a"]), 1)
 }
 
-// Guards against losing rows of a VM's task lists on the way. Tasks that the lists lack
-// count as ended.
+// Guards against a relay that loses entries of a VM's task lists. Tasks that are missing
+// from the lists count as ended.
 func TestRelayedHoldReturnsTaskLists(t *testing.T) {
 	address, _ := vmServer(t, vmAnswer(200, `{"clock_ms":12,"born":7,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41,12]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}`))
 	relays := relaySetWith(t, startRelay(t))
@@ -158,28 +158,28 @@
 	assert.Equal(t, relays.relayFor("a", "vm-1"), healthy)
 }
 
-// Guards against relays that forward orders of an owner whose knowledge is outdated.
+// Guards against relays that forward orders of an owner whose view is outdated.
 func TestOwnerWithoutFreshOwnershipSendsDirectly(t *testing.T) {
 	relays := relaySetWith(t, startRelay(t))
 	o := &owner{tenure: &tenure{}, relays: relays, scheduler: schedule.New(schedule.Settings{})}
 	o.router = &orderRouter{owner: o, clients: map[job.VMID]*vmClient{}}
 	now := bootNow()
 	o.scheduler.VMListed(now, job.VMRecord{ID: "vm-1", Pool: "p", Address: "127.0.0.1:2", Zone: "a", Capacity: job.Resources{CPU: 1000}})
-	_, direct := o.router.route(now, "vm-1").(directSender)
+	_, direct := o.router.senderFor(now, "vm-1").(directSender)
 	assert.Assert(t, direct)
 	o.tenure.confirm(now, now)
-	_, relayed := o.router.route(now, "vm-1").(relaySender)
+	_, relayed := o.router.senderFor(now, "vm-1").(relaySender)
 	assert.Assert(t, relayed)
-	_, direct = o.router.holdRoute(now, schedule.Hold{VM: "vm-1", Probe: true}).(directSender)
+	_, direct = o.router.holdSenderFor(now, schedule.Hold{VM: "vm-1", Probe: true}).(directSender)
 	assert.Assert(t, direct)
 	relays.enabled.Store(false)
-	_, direct = o.router.route(now, "vm-1").(directSender)
+	_, direct = o.router.senderFor(now, "vm-1").(directSender)
 	assert.Assert(t, direct, "relays are not used for a small fleet")
 }
 
 // Guards against using a relay after its row is removed, and against undecodable rows that
 // hide the others.
-func TestMembersAreFollowed(t *testing.T) {
+func TestRelaySetFollowsMemberRows(t *testing.T) {
 	first, second := startRelay(t), startRelay(t)
 	relays := newRelaySet("127.0.0.1:1", zerolog.Nop())
 	defer relays.pool.Close()
--- a/io/target/standin/vm.go
+++ b/io/target/standin/vm.go
@@ -42,16 +42,16 @@
 	FailAll bool `json:"fail_all,omitempty"`
 	// RefuseAll refuses every task as invalid.
 	RefuseAll bool `json:"refuse_all,omitempty"`
-	// LoseAnswers, CutAnswers and CrossAnswers are the numbers of answers to lose, to
-	// truncate, and to replace with the answer of another task. Each task that ran counts
-	// all three down.
-	LoseAnswers  int `json:"lose_answers,omitempty"`
-	CutAnswers   int `json:"cut_answers,omitempty"`
-	CrossAnswers int `json:"cross_answers,omitempty"`
+	// LoseAnswers, TruncateAnswers and MisdirectAnswers are the numbers of answers to
+	// lose, to truncate, and to replace with the answer of another task. Each task that
+	// ran counts all three down.
+	LoseAnswers      int `json:"lose_answers,omitempty"`
+	TruncateAnswers  int `json:"cut_answers,omitempty"`
+	MisdirectAnswers int `json:"cross_answers,omitempty"`
 	// Leaving refuses new tasks and lets running tasks finish.
 	Leaving bool `json:"leaving,omitempty"`
-	// SlowBy is the factor by which tasks run longer, if above 1.
-	SlowBy int `json:"slow_by,omitempty"`
+	// Slowdown is the factor by which tasks run longer, if above 1.
+	Slowdown int `json:"slow_by,omitempty"`
 }
 
 // Work is the JSON form of a task's body that the simulated VM understands. A task with
@@ -163,7 +163,7 @@
 		return false
 	}
 	v.mu.Lock()
-	d := time.Duration(work.RunMs) * time.Millisecond * time.Duration(max(1, v.faults.SlowBy))
+	d := time.Duration(work.RunMs) * time.Millisecond * time.Duration(max(1, v.faults.Slowdown))
 	v.mu.Unlock()
 	lease := d + time.Second
 	if until, err := target.Millis(r.Header, target.HeaderLeaseUntil); err == nil {
@@ -201,8 +201,8 @@
 	v.Log.ended(v.ID, name, v.now())
 	f := v.faults
 	decrement(&v.faults.LoseAnswers)
-	decrement(&v.faults.CutAnswers)
-	decrement(&v.faults.CrossAnswers)
+	decrement(&v.faults.TruncateAnswers)
+	decrement(&v.faults.MisdirectAnswers)
 	return f
 }
 
