--- a/io/peer/spread.go
+++ b/io/peer/spread.go
@@ -96,7 +96,7 @@
 	// withdrawals that this entry had at that exchange.
 	idleRounds           int
 	crossZoneVersion     core.Version
-	crossZoneWithdrawals withdrawalsDigest
+	crossZoneWithdrawals setDigest
 
 	// For tests only. noCrossZone disables the exchange with other zones. sequential
 	// makes the exchanges with other zones run one after the other. skipWithdrawalCheck
@@ -231,7 +231,7 @@
 // merge applies the state received from an entry of zone. held is the digest of the
 // withdrawals that this entry had before the exchange: a sender whose own digest is the
 // same omits the list. sent is as for Replica.ApplyFromPeer.
-func (s *Spread) merge(t Told, held withdrawalsDigest, zone core.ZoneID, sent time.Time) error {
+func (s *Spread) merge(t Told, held setDigest, zone core.ZoneID, sent time.Time) error {
 	if s.skipWithdrawalCheck {
 		held = t.Unrecorded
 	}
--- a/io/peer/spread_told.go
+++ b/io/peer/spread_told.go
@@ -30,10 +30,10 @@
 	return time.UnixMilli(int64(m))
 }
 
-// withdrawalsDigest is a digest of a set of withdrawals. 0 represents the empty set.
-type withdrawalsDigest uint64
+// setDigest is a digest of a set of withdrawals. 0 represents the empty set.
+type setDigest uint64
 
-func digestOf(withdrawals []key.Withdrawal) withdrawalsDigest {
+func digestOf(withdrawals []key.Withdrawal) setDigest {
 	if len(withdrawals) == 0 {
 		return 0
 	}
@@ -41,7 +41,7 @@
 	for _, w := range withdrawals {
 		_, _ = h.Write([]byte(w.Digest + "\n"))
 	}
-	return withdrawalsDigest(binary.BigEndian.Uint64(h.Sum(nil)))
+	return setDigest(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
 // Told is the state that an entry sends to a peer in one message. With all contact times
@@ -63,7 +63,7 @@
 	// Unrecorded is the digest of the withdrawals that aren't in the table yet.
 	// Withdrawals lists them. The list is omitted in the first message of an exchange,
 	// and if the receiver's own digest was the same.
-	Unrecorded  withdrawalsDigest
+	Unrecorded  setDigest
 	Withdrawals []key.Withdrawal
 }
 
@@ -106,7 +106,7 @@
 // if the withdrawals are omitted and the digests differ, the result is empty; the list
 // follows in the reply or the next message. Withdrawals are only ever added, so equal
 // digests prove that none is missing.
-func (t *Told) summary(held withdrawalsDigest) key.Summary {
+func (t *Told) summary(held setDigest) key.Summary {
 	if t.Unrecorded != 0 && t.Unrecorded != held && len(t.Withdrawals) == 0 {
 		return key.Summary{}
 	}
