--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// TablePart names a part of the table.
-type TablePart string
+// Partition names a part of the table.
+type Partition string
 
 const (
 	// maxAnswerAge is the age of the last answer, from any part, beyond which the table is
@@ -15,8 +15,8 @@
 	maxAnswerAge = 700 * time.Millisecond
 	// tableProbeInterval and partProbeInterval are the intervals between calls that probe
 	// whether the table, or one part of it, is reachable again.
-	tableProbeInterval = 100 * time.Millisecond
-	partProbeInterval  = 200 * time.Millisecond
+	tableProbeInterval     = 100 * time.Millisecond
+	partitionProbeInterval = 200 * time.Millisecond
 )
 
 // Decision says what to do with a call to the table.
@@ -44,22 +44,22 @@
 // that holds the owner's rows, an outage of that part would make a process refuse every
 // caller, although most of the jobs could be stored in other parts.
 type Breaker struct {
-	lastAnswer  time.Time
-	nextProbeAt time.Time
-	failedParts map[TablePart]*failedPart
+	lastAnswer       time.Time
+	nextProbeAt      time.Time
+	failedPartitions map[Partition]*failedPartition
 }
 
-// failedPart is the state of a part whose last call failed.
-type failedPart struct {
+// failedPartition is the state of a part whose last call failed.
+type failedPartition struct {
 	nextProbeAt time.Time
 }
 
 // RecordAnswer records that a part has answered. It reports whether the part had been
 // failing.
-func (b *Breaker) RecordAnswer(now time.Time, p TablePart) (regained bool) {
+func (b *Breaker) RecordAnswer(now time.Time, p Partition) (regained bool) {
 	b.RecordContact(now)
-	regained = b.failedParts[p] != nil
-	delete(b.failedParts, p)
+	regained = b.failedPartitions[p] != nil
+	delete(b.failedPartitions, p)
 	return regained
 }
 
@@ -73,14 +73,14 @@
 
 // RecordFailure records that a call to a part was refused or not answered. It reports whether
 // the part had not been failing before.
-func (b *Breaker) RecordFailure(now time.Time, p TablePart) (lost bool) {
-	if b.failedParts == nil {
-		b.failedParts = map[TablePart]*failedPart{}
+func (b *Breaker) RecordFailure(now time.Time, p Partition) (lost bool) {
+	if b.failedPartitions == nil {
+		b.failedPartitions = map[Partition]*failedPartition{}
 	}
-	if b.failedParts[p] != nil {
+	if b.failedPartitions[p] != nil {
 		return false
 	}
-	b.failedParts[p] = &failedPart{nextProbeAt: now.Add(partProbeInterval)}
+	b.failedPartitions[p] = &failedPartition{nextProbeAt: now.Add(partitionProbeInterval)}
 	return true
 }
 
@@ -89,12 +89,12 @@
 
 // Decide returns what to do with a call to a part. It assumes that the caller sends a call
 // for which it returns Probe.
-func (b *Breaker) Decide(now time.Time, p TablePart) Decision {
+func (b *Breaker) Decide(now time.Time, p Partition) Decision {
 	if b.SinceLastAnswer(now) > maxAnswerAge {
 		return allowProbe(now, &b.nextProbeAt, tableProbeInterval)
 	}
-	if down := b.failedParts[p]; down != nil {
-		return allowProbe(now, &down.nextProbeAt, partProbeInterval)
+	if down := b.failedPartitions[p]; down != nil {
+		return allowProbe(now, &down.nextProbeAt, partitionProbeInterval)
 	}
 	return Call
 }
--- a/core/contact/contact_test.go
+++ b/core/contact/contact_test.go
@@ -16,7 +16,7 @@
 // The part with the owner's rows is down, and so is one of the parts with jobs. Calls to a
 // part that answers must be sent throughout the outage. Calls to a failing part are refused
 // immediately, except for periodic probes that detect its recovery.
-func TestPartsAreDecidedIndependently(t *testing.T) {
+func TestPartitionsAreDecidedIndependently(t *testing.T) {
 	var b contact.Breaker
 	b.RecordAnswer(start, "main")
 	served, refused, probes := 0, 0, 0
--- a/io/node/tablehealth.go
+++ b/io/node/tablehealth.go
@@ -23,7 +23,7 @@
 func (h *tableHealth) recordAnswer(partition string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.breaker.RecordAnswer(bootNow(), contact.TablePart(partition)) {
+	if h.breaker.RecordAnswer(bootNow(), contact.Partition(partition)) {
 		h.log.Info().Str("event", "table_part_regained").Str("part", partition).Send()
 	}
 }
@@ -39,7 +39,7 @@
 func (h *tableHealth) recordFailure(partition string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.breaker.RecordFailure(bootNow(), contact.TablePart(partition)) {
+	if h.breaker.RecordFailure(bootNow(), contact.Partition(partition)) {
 		h.log.Info().Str("event", "table_part_lost").Str("part", partition).Send()
 	}
 }
@@ -48,7 +48,7 @@
 func (h *tableHealth) decide(partition string) contact.Decision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.breaker.Decide(bootNow(), contact.TablePart(partition))
+	return h.breaker.Decide(bootNow(), contact.Partition(partition))
 }
 
 // sinceLastAnswer returns the time since the table's last answer.
