--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -1,20 +1,20 @@
 // Package contact implements a circuit breaker for calls to the table. The table may be
 // unreachable for this process or for all processes, either as a whole or in some of its
-// parts.
+// partitions.
 package contact
 
 import "time"
 
-// Partition names a part of the table.
+// Partition names a partition of the table.
 type Partition string
 
 const (
-	// maxAnswerAge is the age of the last answer, from any part, beyond which the table is
-	// considered unreachable. An entry VM with low capacity reads every 450 ms, and a slow
+	// maxAnswerAge is the age of the last answer, from any partition, beyond which the table
+	// is considered unreachable. An entry VM with low capacity reads every 450 ms, and a slow
 	// table adds to that.
 	maxAnswerAge = 700 * time.Millisecond
 	// tableProbeInterval and partProbeInterval are the intervals between calls that probe
-	// whether the table, or one part of it, is reachable again.
+	// whether the table, or one partition of it, is reachable again.
 	tableProbeInterval     = 100 * time.Millisecond
 	partitionProbeInterval = 200 * time.Millisecond
 )
@@ -37,25 +37,25 @@
 // String returns the decision in snake case.
 func (d Decision) String() string { return [...]string{"call", "probe", "refuse"}[d] }
 
-// Breaker tracks whether the table and its parts answer one process. The zero value has
-// received no answer.
+// Breaker tracks whether the table and its partitions answer one process. The zero value
+// has received no answer.
 //
-// Whether a part is available depends only on its own answers. If it depended on the part
-// that holds the owner's rows, an outage of that part would make a process refuse every
-// caller, although most of the jobs could be stored in other parts.
+// Whether a partition is available depends only on its own answers. If it depended on the
+// partition that holds the owner's rows, an outage of that partition would make a process
+// refuse every caller, although most of the jobs could be stored in other partitions.
 type Breaker struct {
 	lastAnswer       time.Time
 	nextProbeAt      time.Time
 	failedPartitions map[Partition]*failedPartition
 }
 
-// failedPartition is the state of a part whose last call failed.
+// failedPartition is the state of a partition whose last call failed.
 type failedPartition struct {
 	nextProbeAt time.Time
 }
 
-// RecordAnswer records that a part has answered. It reports whether the part had been
-// failing.
+// RecordAnswer records that a partition has answered. It reports whether the partition
+// had been failing.
 func (b *Breaker) RecordAnswer(now time.Time, p Partition) (regained bool) {
 	b.RecordContact(now)
 	regained = b.failedPartitions[p] != nil
@@ -63,7 +63,7 @@
 	return regained
 }
 
-// RecordContact records an answer that doesn't belong to a part.
+// RecordContact records an answer that doesn't belong to a partition.
 func (b *Breaker) RecordContact(now time.Time) {
 	if now.After(b.lastAnswer) {
 		b.lastAnswer = now
@@ -71,8 +71,8 @@
 	b.nextProbeAt = time.Time{}
 }
 
-// RecordFailure records that a call to a part was refused or not answered. It reports whether
-// the part had not been failing before.
+// RecordFailure records that a call to a partition was refused or not answered. It reports
+// whether the partition had not been failing before.
 func (b *Breaker) RecordFailure(now time.Time, p Partition) (lost bool) {
 	if b.failedPartitions == nil {
 		b.failedPartitions = map[Partition]*failedPartition{}
@@ -87,8 +87,8 @@
 // SinceLastAnswer returns the time since the last answer of the table.
 func (b *Breaker) SinceLastAnswer(now time.Time) time.Duration { return now.Sub(b.lastAnswer) }
 
-// Decide returns what to do with a call to a part. It assumes that the caller sends a call
-// for which it returns Probe.
+// Decide returns what to do with a call to a partition. It assumes that the caller sends a
+// call for which it returns Probe.
 func (b *Breaker) Decide(now time.Time, p Partition) Decision {
 	if b.SinceLastAnswer(now) > maxAnswerAge {
 		return allowProbe(now, &b.nextProbeAt, tableProbeInterval)
--- a/core/contact/contact_test.go
+++ b/core/contact/contact_test.go
@@ -13,9 +13,9 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// The part with the owner's rows is down, and so is one of the parts with jobs. Calls to a
-// part that answers must be sent throughout the outage. Calls to a failing part are refused
-// immediately, except for periodic probes that detect its recovery.
+// The partition with the owner's rows is down, and so is one of the partitions with jobs.
+// Calls to a partition that answers must be sent throughout the outage. Calls to a failing
+// partition are refused immediately, except for periodic probes that detect its recovery.
 func TestPartitionsAreDecidedIndependently(t *testing.T) {
 	var b contact.Breaker
 	b.RecordAnswer(start, "main")
