--- a/core/contact/contact_test.go
+++ b/core/contact/contact_test.go
@@ -23,7 +23,7 @@
 	for d := time.Duration(0); d < 5*time.Second; d += 50 * time.Millisecond {
 		b.RecordFailure(at(d), "main")
 		if decision := b.Decide(at(d), "up"); decision == contact.Refuse {
-			t.Fatalf("a call to a part that answers was refused after %s", d)
+			t.Fatalf("a call to a partition that answers was refused after %s", d)
 		}
 		b.RecordAnswer(at(d), "up")
 		served++
