--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -1,22 +1,22 @@
 // Package contact implements a circuit breaker for calls to the table. The table may be
 // unreachable for this process or for all processes, either as a whole or in some of its
-// parts.
+// partitions.
 package contact
 
 import "time"
 
-// TablePart names a part of the table.
-type TablePart string
+// Partition names a partition of the table.
+type Partition string
 
 const (
-	// maxAnswerAge is the age of the last answer, from any part, beyond which the table is
-	// considered unreachable. An entry VM with low capacity reads every 450 ms, and a slow
+	// maxAnswerAge is the age of the last answer, from any partition, beyond which the table
+	// is considered unreachable. An entry VM with low capacity reads every 450 ms, and a slow
 	// table adds to that.
 	maxAnswerAge = 700 * time.Millisecond
 	// tableProbeInterval and partProbeInterval are the intervals between calls that probe
-	// whether the table, or one part of it, is reachable again.
-	tableProbeInterval = 100 * time.Millisecond
-	partProbeInterval  = 200 * time.Millisecond
+	// whether the table, or one partition of it, is reachable again.
+	tableProbeInterval     = 100 * time.Millisecond
+	partitionProbeInterval = 200 * time.Millisecond
 )
 
 // Decision says what to do with a call to the table.
@@ -37,33 +37,33 @@
 // String returns the decision in snake case.
 func (d Decision) String() string { return [...]string{"call", "probe", "refuse"}[d] }
 
-// Breaker tracks whether the table and its parts answer one process. The zero value has
-// received no answer.
+// Breaker tracks whether the table and its partitions answer one process. The zero value
+// has received no answer.
 //
-// Whether a part is available depends only on its own answers. If it depended on the part
-// that holds the owner's rows, an outage of that part would make a process refuse every
-// caller, although most of the jobs could be stored in other parts.
+// Whether a partition is available depends only on its own answers. If it depended on the
+// partition that holds the owner's rows, an outage of that partition would make a process
+// refuse every caller, although most of the jobs could be stored in other partitions.
 type Breaker struct {
-	lastAnswer  time.Time
-	nextProbeAt time.Time
-	failedParts map[TablePart]*failedPart
+	lastAnswer       time.Time
+	nextProbeAt      time.Time
+	failedPartitions map[Partition]*failedPartition
 }
 
-// failedPart is the state of a part whose last call failed.
-type failedPart struct {
+// failedPartition is the state of a partition whose last call failed.
+type failedPartition struct {
 	nextProbeAt time.Time
 }
 
-// RecordAnswer records that a part has answered. It reports whether the part had been
-// failing.
-func (b *Breaker) RecordAnswer(now time.Time, p TablePart) (regained bool) {
+// RecordAnswer records that a partition has answered. It reports whether the partition
+// had been failing.
+func (b *Breaker) RecordAnswer(now time.Time, p Partition) (regained bool) {
 	b.RecordContact(now)
-	regained = b.failedParts[p] != nil
-	delete(b.failedParts, p)
+	regained = b.failedPartitions[p] != nil
+	delete(b.failedPartitions, p)
 	return regained
 }
 
-// RecordContact records an answer that doesn't belong to a part.
+// RecordContact records an answer that doesn't belong to a partition.
 func (b *Breaker) RecordContact(now time.Time) {
 	if now.After(b.lastAnswer) {
 		b.lastAnswer = now
@@ -71,30 +71,30 @@
 	b.nextProbeAt = time.Time{}
 }
 
-// RecordFailure records that a call to a part was refused or not answered. It reports whether
-// the part had not been failing before.
-func (b *Breaker) RecordFailure(now time.Time, p TablePart) (lost bool) {
-	if b.failedParts == nil {
-		b.failedParts = map[TablePart]*failedPart{}
+// RecordFailure records that a call to a partition was refused or not answered. It reports
+// whether the partition had not been failing before.
+func (b *Breaker) RecordFailure(now time.Time, p Partition) (lost bool) {
+	if b.failedPartitions == nil {
+		b.failedPartitions = map[Partition]*failedPartition{}
 	}
-	if b.failedParts[p] != nil {
+	if b.failedPartitions[p] != nil {
 		return false
 	}
-	b.failedParts[p] = &failedPart{nextProbeAt: now.Add(partProbeInterval)}
+	b.failedPartitions[p] = &failedPartition{nextProbeAt: now.Add(partitionProbeInterval)}
 	return true
 }
 
 // SinceLastAnswer returns the time since the last answer of the table.
 func (b *Breaker) SinceLastAnswer(now time.Time) time.Duration { return now.Sub(b.lastAnswer) }
 
-// Decide returns what to do with a call to a part. It assumes that the caller sends a call
-// for which it returns Probe.
-func (b *Breaker) Decide(now time.Time, p TablePart) Decision {
+// Decide returns what to do with a call to a partition. It assumes that the caller sends a
+// call for which it returns Probe.
+func (b *Breaker) Decide(now time.Time, p Partition) Decision {
 	if b.SinceLastAnswer(now) > maxAnswerAge {
 		return allowProbe(now, &b.nextProbeAt, tableProbeInterval)
 	}
-	if down := b.failedParts[p]; down != nil {
-		return allowProbe(now, &down.nextProbeAt, partProbeInterval)
+	if down := b.failedPartitions[p]; down != nil {
+		return allowProbe(now, &down.nextProbeAt, partitionProbeInterval)
 	}
 	return Call
 }
--- a/core/contact/contact_test.go
+++ b/core/contact/contact_test.go
@@ -13,17 +13,17 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// The part with the owner's rows is down, and so is one of the parts with jobs. Calls to a
-// part that answers must be sent throughout the outage. Calls to a failing part are refused
-// immediately, except for periodic probes that detect its recovery.
-func TestPartsAreDecidedIndependently(t *testing.T) {
+// The partition with the owner's rows is down, and so is one of the partitions with jobs.
+// Calls to a partition that answers must be sent throughout the outage. Calls to a failing
+// partition are refused immediately, except for periodic probes that detect its recovery.
+func TestPartitionsAreDecidedIndependently(t *testing.T) {
 	var b contact.Breaker
 	b.RecordAnswer(start, "main")
 	served, refused, probes := 0, 0, 0
 	for d := time.Duration(0); d < 5*time.Second; d += 50 * time.Millisecond {
 		b.RecordFailure(at(d), "main")
 		if decision := b.Decide(at(d), "up"); decision == contact.Refuse {
-			t.Fatalf("a call to a part that answers was refused after %s", d)
+			t.Fatalf("a call to a partition that answers was refused after %s", d)
 		}
 		b.RecordAnswer(at(d), "up")
 		served++
