--- a/core/schedule/acknowledge_test.go
+++ b/core/schedule/acknowledge_test.go
@@ -49,8 +49,9 @@
 	assert.Equal(h.t, acknowledgedAt(h.roundWithoutStoring(100*time.Millisecond), vm), int64(1))
 }
 
-// Guards against a VM that deletes a task's end while the stored job still counts as
-// running. The job fails, and its save is in flight when the end of a sibling is listed.
+// Guards against a VM that deletes a task's end while the stored job still counts as running.
+// The job fails, and its save is in flight when a VM reports the end of another task of the
+// job.
 func TestEndOfFailedJobIsAcknowledgedOnceFailureIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one", "two")
--- a/core/schedule/capacity_test.go
+++ b/core/schedule/capacity_test.go
@@ -66,8 +66,8 @@
 	onlyCommand[Start](h, h.advance(0))
 }
 
-// Guards against starts that are refused again and again because the news of a shrunken VM is
-// late.
+// Guards against starts that are refused again and again because the owner learns late that a
+// VM has shrunk.
 func TestRefusedStartsBackOff(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one")
--- a/core/schedule/crash_test.go
+++ b/core/schedule/crash_test.go
@@ -144,8 +144,8 @@
 // maxStarts is the most that users accept: two starts after the third crash.
 const maxStarts = 5
 
-// Guards against a task that crashes one VM after the other because runs that end with
-// their VM don't count as failed.
+// Guards against restarting a task without limit while it crashes one VM after the other,
+// because runs that end with their VM don't count as failed.
 func TestTaskThatCrashesItsVMsIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{0, 100 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
 		for _, step := range []job.Step{smallStep, {Count: 1, Resources: smallStep.Resources, LongRunning: true}} {
@@ -165,7 +165,8 @@
 	}
 }
 
-// Guards against a task that crashes its VM before the start is answered.
+// Guards against restarting a task without limit although it crashes each VM before the start
+// is answered.
 func TestTaskThatCrashesItsVMBeforeStartIsAnsweredIsGivenUp(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(smallStep, func(o Start) {
@@ -216,8 +217,7 @@
 	}))
 }
 
-// Guards against crash counts that are lost with the owner. Each of many owners sees one
-// crash.
+// Guards against crash counts that are lost in a takeover. Each of many owners sees one crash.
 func TestCrashCountsSurviveTakeover(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.checkStarts(c.startsUntilGivenUp(smallStep, func(o Start) {
@@ -379,8 +379,8 @@
 	}
 }
 
-// Guards against a harmless task that is given up because its last VM crashed under
-// another task. Nothing may start beside a task whose next crash is the last.
+// Guards against a harmless task that is given up because another task crashed its last VM.
+// Nothing may start beside a task whose next crash is the last.
 func TestNothingStartsBesideAnIsolatedTask(t *testing.T) {
 	c := newCrashHarness(t, "one", "two", "three")
 	c.addJob("j", "free", job.Step{Count: 1, Resources: smallStep.Resources, LongRunning: true})
--- a/core/schedule/failure_test.go
+++ b/core/schedule/failure_test.go
@@ -39,8 +39,9 @@
 	assert.Assert(t, h.now.Sub(startTime) > 6*time.Second, "freed after %s, before its lease has certainly expired", h.now.Sub(startTime))
 }
 
-// Guards against a second run of a task whose start had no answer. Only a list taken
-// after the start's deadline proves that the task doesn't run.
+// Guards against a second run of a task whose start had no answer. Only a report that the VM
+// made after the start's deadline, and that doesn't list the run, proves that the task doesn't
+// run.
 func TestUnansweredStartIsFreedByListAfterItsDeadline(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one", "two")
@@ -74,8 +75,8 @@
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
 
-// Guards against a job whose tasks all run twice. A resumed feed may repeat a job that has
-// ended and been dropped from memory.
+// Guards against a second run of all tasks of a job. The feed that delivers jobs may, when
+// resumed, repeat a job that has ended and been dropped from memory.
 func TestEndedJobIsNotRunAgain(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one")
@@ -402,9 +403,10 @@
 	assert.Equal(t, onlyCommand[Move](h, commands), Move{Machine: "m-off", Pool: poolA})
 }
 
-// Guards against users who get slow responses for seconds on end. A serving task fits only
-// on the VM of a spare-CPU task. As its tail latency nears the target, the spare-CPU task
-// is slowed down and then halted. It is sped up again once the latency has fallen.
+// Guards against a serving task that responds slowly for seconds on end because a spare-CPU
+// task uses its VM. The serving task fits only there. As its tail latency nears the target, the
+// spare-CPU task is slowed down and then halted. It is sped up again once the latency has
+// fallen.
 func TestSpareCPUTaskIsSlowedForServingTask(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one")
@@ -436,8 +438,9 @@
 	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 0)
 }
 
-// Guards against a run that is freed by a list of the same millisecond in which its VM
-// accepted the stop. The run may have begun in between.
+// Guards against freeing a run that may still be in progress. A report from the same
+// millisecond in which the VM accepted the stop doesn't prove that the run is gone, even if it
+// doesn't list the run, which may have begun in between.
 func TestListFromSameMillisecondAsStopFreesNoRun(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one")
--- a/core/schedule/formerowner_test.go
+++ b/core/schedule/formerowner_test.go
@@ -53,8 +53,9 @@
 	assert.Equal(t, len(commandsOfType[Start](c.advance(100*time.Millisecond))), 1)
 }
 
-// Guards against a former owner that starts a job's tasks elsewhere because no lease can last
-// any more on a VM that it never reached. The present owner may have found the tasks there.
+// Guards against a former owner that starts a job's tasks elsewhere because it concludes that
+// all leases on a VM that it never reached have expired. The present owner may have found the
+// tasks there.
 func TestFormerOwnerStartsNoTaskThatMayRunOnUnreportedVM(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "unreported", Address: "unreported", Pool: poolA})
--- a/core/schedule/objective_test.go
+++ b/core/schedule/objective_test.go
@@ -73,7 +73,9 @@
 
 var wideStep = job.Step{Count: 4, Resources: job.Resources{CPU: 1000, MemMB: 100}, Estimate: time.Second}
 
-// A step with a run that this owner hasn't seen in full must not change the statistics.
+// Guards against wrong predictions from incomplete data. A step with a run that this owner
+// hasn't seen in full, for instance because it began under a former owner, must not change the
+// statistics.
 func TestPartlyObservedStepsDontChangeStatistics(t *testing.T) {
 	h := newHarness(t)
 	j := h.newJob("j", pairStep)
--- a/core/schedule/order_test.go
+++ b/core/schedule/order_test.go
@@ -28,8 +28,8 @@
 	return a.job.ID < b.job.ID
 }
 
-// The sorted candidates must match a selection that repeatedly picks the job that comes before
-// all others.
+// Guards against errors in the sort order of candidates. It must match a selection that
+// repeatedly picks the job that comes before all others.
 func TestCandidateOrderMatchesNaiveSelection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 50 {
@@ -63,7 +63,8 @@
 	}
 }
 
-// A job that can no longer be in time comes after all that can, however little work it needs.
+// Guards against jobs that become late because they wait for one that is late anyway. A job
+// that can no longer be in time comes after all that can, however little work it needs.
 func TestLateJobsComeLast(t *testing.T) {
 	h := newHarness(t)
 	h.addJob("late", "free", smallStep)
--- a/core/schedule/probe_test.go
+++ b/core/schedule/probe_test.go
@@ -25,9 +25,9 @@
 	h.s.HoldAnswered(h.now, c, Answered, job.Report{Clock: h.clock(), Born: 1, Lists: true, Running: running})
 }
 
-// Guards against a job that is late because a VM delays a start by seconds. Waiting for
-// the start's timeout, its deadline and the next list would take about a second, too long
-// for a job that is due in two seconds. Instead the VM is asked, the start is stopped,
+// Guards against a job that is late because a VM delays a start by seconds. Waiting for the
+// start's timeout, its deadline and the VM's next report would take about a second, too long
+// for a job that is due in two seconds. Instead the owner probes the VM and stops the start,
 // and the task starts elsewhere within a few rounds.
 func TestTaskOfUnansweredStartStartsElsewhereSoon(t *testing.T) {
 	h := newHarness(t)
@@ -50,8 +50,8 @@
 	assert.Assert(t, again.Order.Attempt > lost.Order.Attempt)
 }
 
-// Guards against a run that is stopped because only the answer to its start was lost. The
-// list shows that it runs.
+// Guards against stopping a run because the answer to its start was lost. The VM's answer to a
+// probe lists the run.
 func TestRunIsNotStoppedWhenItsStartAnswerIsLost(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one")
@@ -80,8 +80,8 @@
 	assert.Equal(t, len(commandsOfType[Start](h.advance(time.Millisecond))), 1)
 }
 
-// Guards against a run that reappears after its end. The answer to a probe arrives before
-// that to an earlier hold, whose list is older.
+// Guards against an ended run that counts as running again. The answer to a probe arrives
+// before that to an earlier hold, whose report is older and still lists the run.
 func TestOlderListIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one")
--- a/core/schedule/restart_test.go
+++ b/core/schedule/restart_test.go
@@ -9,9 +9,9 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against a second run of a task that its VM started after a restart. Answers to
-// starts don't say which life of the VM gave them, and the directory may show the restart
-// before a list does.
+// Guards against a second run of a task that its VM started after a restart. Answers to starts
+// don't say whether the VM gave them before or after the restart, and the directory may show
+// the restart before an answer to a hold does.
 func TestRunConfirmedByRestartedVMIsNotFreed(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -104,8 +104,8 @@
 	assert.Equal(t, stops[0].Attempt, start.Order.Attempt)
 }
 
-// Guards against a second run of a task whose end isn't listed because a VM lists a
-// limited number of ends at a time.
+// Guards against a second run of a task whose end is missing from a report because a report
+// lists a limited number of ends.
 func TestIncompleteListOfEndsFreesNoRun(t *testing.T) {
 	h := newHarness(t)
 	h.addReadyVMs("one", "two")
@@ -124,8 +124,9 @@
 	assert.Assert(t, !h.s.jobs.Has("j"), "the job is completed and stored")
 }
 
-// Guards against a clock reading from before a VM's restart that is taken for one of its new
-// clock. The answer to a start arrives after the directory showed the restart.
+// Guards against start deadlines that are too far in the future because a VM's clock reading
+// from before its restart is taken for one of its new clock. The answer to a start arrives
+// after the directory showed the restart.
 func TestLateAnswerOfPreviousLifeIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(20 * time.Second)
@@ -153,7 +154,7 @@
 }
 
 // Guards against a second run of a task that a former owner started on a restarted VM without
-// knowing of the restart. The roster names the VM's previous life.
+// knowing of the restart. The stored roster still gives the boot time from before the restart.
 func TestRestartedInheritedVMMustReportFirst(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
@@ -166,8 +167,8 @@
 	assert.Equal(t, len(commandsOfType[Start](h.advance(0))), 1)
 }
 
-// Guards against a second run of a task whose end doesn't fit into the first list that a
-// new owner gets from its VM.
+// Guards against a second run of a task whose end doesn't fit into the first report that a new
+// owner gets from its VM.
 func TestVMCountsAsReportedOnceItListsAllEnds(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "one", Address: "one", Pool: poolA, Machine: "m-one", Born: 1})
--- a/core/schedule/sizing/sizing_test.go
+++ b/core/schedule/sizing/sizing_test.go
@@ -20,8 +20,9 @@
 	return sizing.Machine{ID: job.MachineID(id), Pool: job.PoolName(pool), CPU: vmCPU, IdleSince: now.Add(-since)}
 }
 
-// A queue bursts to more than its pool holds while the other queues are nearly empty. Their
-// idle machines move first, then machines that are off.
+// Guards against a pool that stays short in a burst although there are idle machines. A queue
+// bursts to more than its pool holds while the other queues are nearly empty. Their idle
+// machines move first, then machines that are off.
 func TestBurstTakesIdleMachines(t *testing.T) {
 	pools := []sizing.Pool{
 		{Name: "burst", Need: 6 * vmCPU, Have: 3 * vmCPU},
@@ -79,9 +80,10 @@
 	assert.Equal(t, len(sizing.Plan(now, pools, machines)), 0, "machines keep moving")
 }
 
-// For random fleets, no machine moves twice, into its own pool, or out of a pool that would
-// then be short, and no pool gets more than its shortfall and one machine. An exhaustive search
-// over single moves must find no useful move that the plan left out.
+// Guards against harmful moves and against missed useful ones. For random fleets, no machine
+// moves twice, into its own pool, or out of a pool that would then be short, and no pool gets
+// more than its shortfall and one machine. An exhaustive search over single moves must find no
+// useful move that the plan left out.
 func TestPlanMatchesExhaustiveSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 500 {
@@ -134,8 +136,9 @@
 	return pools, machines
 }
 
-// For random fleets, the vacated VMs must not exceed what other pools are short of, must leave
-// each pool what it needs and uses, and must be the least loaded ones of their pool.
+// Guards against vacating VMs without need, or VMs that their own pool needs. For random
+// fleets, the vacated VMs must not exceed what other pools are short of, must leave each pool
+// what it needs and uses, and must be the least loaded ones of their pool.
 func TestVacateTakesOnlySpareVMs(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 500 {
--- a/core/schedule/slow_test.go
+++ b/core/schedule/slow_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// Guards against a task that makes no progress between two lists while its VM answers.
+// Guards against a stalled run that is never stopped because its VM still answers. Two reports
+// of the VM show the same progress, while the other runs of the step advance.
 func TestTaskOfStalledRunMovesElsewhere(t *testing.T) {
 	h, starts := startFourTasks(t)
 	h.advance(500 * time.Millisecond)
--- a/core/schedule/takeover_test.go
+++ b/core/schedule/takeover_test.go
@@ -9,8 +9,9 @@
 	"lavenderpond/core/job"
 )
 
-// Guards against a new owner that calls hundreds of VMs that are gone before those that
-// exist. No task starts on a VM before its first hold.
+// Guards against late starts after a takeover because the new owner sends holds to hundreds of
+// VMs that are gone before those that exist. No task starts on a VM before its first hold is
+// answered.
 func TestListedVMsAreHeldFirst(t *testing.T) {
 	h := newHarness(t)
 	h.s.AddInheritedVM(RosterVM{ID: "gone", Address: "gone", Pool: poolA, Machine: "m-gone"})
@@ -25,9 +26,9 @@
 	assert.Assert(t, held["gone"], "unlisted VM is never held, although it may still run tasks")
 }
 
-// Guards against a machine that gets orders from two owners within its lease because the
-// first owner's order waited for the table, and against a machine that is blocked for
-// longer than necessary.
+// Guards against a machine that gets orders from two owners within its lease because the first
+// owner's order was sent late, after a slow save to the table, and against a machine that is
+// blocked for longer than necessary.
 func TestMachineOrderAgeCountsFromSending(t *testing.T) {
 	h := newHarness(t)
 	h.s.MachinesListed(h.now, []job.Machine{{ID: "m-1", Pool: poolOff, State: job.MachineUp}})
